--- a/Makefile
+++ b/Makefile
@@ -6,8 +6,11 @@
 test:
 	go test ./...
 
-lint:
-	test -z "$$(gofmt -l .)" && go vet ./...
+lint: bin/golangci-lint
+	test -z "$$(gofmt -l .)" && go vet ./... && bin/golangci-lint run ./...
+
+bin/golangci-lint: tools/go.mod
+	go -C tools build -o ../bin/ github.com/golangci/golangci-lint/v2/cmd/golangci-lint
 
 # the toy hosts, list and platform of the example; then, beside it, the router
 toy:
