--- a/examples/harbour/main.go
+++ b/examples/harbour/main.go
@@ -195,8 +195,12 @@
 			return err
 		}
 		var s struct {
-			Routers []struct{ Ready bool }
-			Core    []struct{ Same bool }
+			Routers []struct {
+				Ready bool `json:"ready"`
+			} `json:"routers"`
+			Core []struct {
+				Same bool `json:"same"`
+			} `json:"core"`
 		}
 		n := 0
 		if json.Unmarshal(raw, &s) == nil {
@@ -300,7 +304,9 @@
 		if err != nil {
 			continue
 		}
-		var a struct{ Addresses []string }
+		var a struct {
+			Addresses []string `json:"addresses"`
+		}
 		err = json.NewDecoder(resp.Body).Decode(&a)
 		resp.Body.Close()
 		if err == nil && len(a.Addresses) > 0 {
--- a/internal/balancer/config/config.go
+++ b/internal/balancer/config/config.go
@@ -55,20 +55,23 @@
 }
 
 type file struct {
-	Name, Listen, Discovery, Seed string
-	Limits                        struct {
-		Cores    float64
-		MemoryMB int64 `json:"memory_mb"`
-		Sockets  int
-	}
-	PeerListen string `json:"peer_listen"`
-	Peers      []string
+	Name      string `json:"name"`
+	Listen    string `json:"listen"`
+	Discovery string `json:"discovery"`
+	Seed      string `json:"seed"`
+	Limits    struct {
+		Cores    float64 `json:"cores"`
+		MemoryMB int64   `json:"memory_mb"`
+		Sockets  int     `json:"sockets"`
+	} `json:"limits"`
+	PeerListen string   `json:"peer_listen"`
+	Peers      []string `json:"peers"`
 	Rollouts   struct {
-		Address string
-		News    json.RawMessage
-	}
-	Known    json.RawMessage
-	Settings json.RawMessage
+		Address string          `json:"address"`
+		News    json.RawMessage `json:"news"`
+	} `json:"rollouts"`
+	Known    json.RawMessage `json:"known"`
+	Settings json.RawMessage `json:"settings"`
 }
 
 // Load reads the file that ROUTER_CONFIG names. The other variables go before the same fields of the file.
--- a/internal/balancer/flow/ipfix/decode.go
+++ b/internal/balancer/flow/ipfix/decode.go
@@ -243,7 +243,8 @@
 // Read is a record of ours, with names in place of numbers.
 type Read struct {
 	flow.Record
-	CarrierName, BandName string
+	CarrierName string `json:"CarrierName"`
+	BandName    string `json:"BandName"`
 }
 
 // Flow turns a record into one of ours; false says that it is none.
--- a/internal/balancer/flow/record.go
+++ b/internal/balancer/flow/record.go
@@ -29,19 +29,19 @@
 
 // Label is what a connection's bytes and commands belong to.
 type Label struct {
-	Side    Side
-	Carrier uint16 // by position, from 1; 0 for none or several
-	Band    uint8  // the same
-	Host    string // its name on the list, of the hosts' side
-	Build   uint32
-	Drained bool // the host was draining, or the router leaving, when it ended
+	Side    Side   `json:"Side"`
+	Carrier uint16 `json:"Carrier"` // by position, from 1; 0 for none or several
+	Band    uint8  `json:"Band"`    // the same
+	Host    string `json:"Host"`    // its name on the list, of the hosts' side
+	Build   uint32 `json:"Build"`
+	Drained bool   `json:"Drained"` // the host was draining, or the router leaving, when it ended
 }
 
 // Counts are what passed.
 type Counts struct {
-	Forward  uint64 // octets from the source to the destination
-	Reverse  uint64 // octets the other way
-	Commands uint64
+	Forward  uint64 `json:"Forward"` // octets from the source to the destination
+	Reverse  uint64 `json:"Reverse"` // octets the other way
+	Commands uint64 `json:"Commands"`
 }
 
 // Add adds counts.
@@ -58,11 +58,13 @@
 type Record struct {
 	Label
 	Counts
-	Source, Destination netip.AddrPort // none of a folded record
-	Start, End          int64          // Unix nanoseconds
-	Reason              Reason
-	Many                uint32 // records that it stands for, 1 for itself
-	Connections         uint32 // connections that ended with it
+	Source      netip.AddrPort `json:"Source"`      // none of a folded record
+	Destination netip.AddrPort `json:"Destination"` // none of a folded record
+	Start       int64          `json:"Start"`       // Unix nanoseconds
+	End         int64          `json:"End"`         // Unix nanoseconds
+	Reason      Reason         `json:"Reason"`
+	Many        uint32         `json:"Many"`        // records that it stands for, 1 for itself
+	Connections uint32         `json:"Connections"` // connections that ended with it
 }
 
 // Family is 4 or 6, by the addresses that a record has, and 0 where it has none.
--- a/internal/balancer/list/list.go
+++ b/internal/balancer/list/list.go
@@ -29,19 +29,19 @@
 }
 
 type message struct {
-	Revision *uint64
-	Complete bool
+	Revision *uint64 `json:"revision"`
+	Complete bool    `json:"complete"`
 	Members  []struct {
-		ID       string
-		HostPort string `json:"host_port"`
-		Locality string
-		Flavor   string
-		Cell     int
-		Phase    string
-		Size     float64
-		UpSince  int64 `json:"up_since_ms"`
-		Image    int   `json:"image_id"`
-	}
+		ID       string  `json:"id"`
+		HostPort string  `json:"host_port"`
+		Locality string  `json:"locality"`
+		Flavor   string  `json:"flavor"`
+		Cell     int     `json:"cell"`
+		Phase    string  `json:"phase"`
+		Size     float64 `json:"size"`
+		UpSince  int64   `json:"up_since_ms"`
+		Image    int     `json:"image_id"`
+	} `json:"members"`
 }
 
 var phases = map[string]rules.Health{"Ready": rules.Ready, "Terminating": rules.Draining, "Gone": rules.Gone}
--- a/internal/balancer/platform/platform.go
+++ b/internal/balancer/platform/platform.go
@@ -23,11 +23,11 @@
 )
 
 type state struct {
-	Release  *int
-	Tranche  int
-	Mode     string
-	Exposure float64
-	OldMs    int64 `json:"old_ms"`
+	Release  *int    `json:"release"`
+	Tranche  int     `json:"tranche"`
+	Mode     string  `json:"mode"`
+	Exposure float64 `json:"exposure"`
+	OldMs    int64   `json:"old_ms"`
 }
 
 type vote struct {
@@ -147,7 +147,9 @@
 		return silent
 	}
 	if r, ok := refusals[resp.StatusCode]; ok { // a status whose answer can't be read may be as wrong as the rest
-		var said struct{ Error string }
+		var said struct {
+			Error string `json:"error"`
+		}
 		if json.Unmarshal(raw, &said) != nil || said.Error != r.word {
 			return silent
 		}
--- a/internal/balancer/platform/watch.go
+++ b/internal/balancer/platform/watch.go
@@ -22,13 +22,14 @@
 var errSilent = errors.New("silent for too long")
 
 type line struct {
-	Type   string
-	Object json.RawMessage
+	Type   string          `json:"type"`
+	Object json.RawMessage `json:"object"`
 }
 
 type report struct {
-	Unit, Product string
-	OldMs         int64 `json:"old_ms"`
+	Unit    string `json:"unit"`
+	Product string `json:"product"`
+	OldMs   int64  `json:"old_ms"`
 }
 
 // Run follows the news until the context ends, on one connection after another. A move ends the present one.
--- a/internal/balancer/settings/settings.go
+++ b/internal/balancer/settings/settings.go
@@ -19,45 +19,63 @@
 
 // text is the part of the JSON that is read.
 type text struct {
-	Azs     []string
-	Kinds   []string
+	Azs     []string `json:"azs"`
+	Kinds   []string `json:"kinds"`
 	Classes []struct {
-		Name                              string
-		AimNs, HardLimitNs, DedupWindowNs int64
-		Effect, Group                     string
-		Worth, LateWorth                  float64
-	}
+		Name          string  `json:"name"`
+		AimNs         int64   `json:"aimNs"`
+		HardLimitNs   int64   `json:"hardLimitNs"`
+		DedupWindowNs int64   `json:"dedupWindowNs"`
+		Effect        string  `json:"effect"`
+		Group         string  `json:"group"`
+		Worth         float64 `json:"worth"`
+		LateWorth     float64 `json:"lateWorth"`
+	} `json:"classes"`
 	Contract struct {
-		ColdFrom, FallMultiple float64
-		ColdNs, AskEveryNs     int64
-	}
-	Discovery  string
+		ColdFrom     float64 `json:"coldFrom"`
+		FallMultiple float64 `json:"fallMultiple"`
+		ColdNs       int64   `json:"coldNs"`
+		AskEveryNs   int64   `json:"askEveryNs"`
+	} `json:"contract"`
+	Discovery  string `json:"discovery"`
 	FamilyInfo struct {
-		BackVotes, ToAdvance, ToPause int
-		CapScope, GateMode, Layout    string
-		ComplaintShare, SpareTries    float64
-		ExposureCaps                  []float64
-		KeysStay                      bool
-		Shielded                      int
-		VoteTtlNs, VoteWaitNs         int64
-	}
+		BackVotes      int       `json:"backVotes"`
+		ToAdvance      int       `json:"toAdvance"`
+		ToPause        int       `json:"toPause"`
+		CapScope       string    `json:"capScope"`
+		GateMode       string    `json:"gateMode"`
+		Layout         string    `json:"layout"`
+		ComplaintShare float64   `json:"complaintShare"`
+		SpareTries     float64   `json:"spareTries"`
+		ExposureCaps   []float64 `json:"exposureCaps"`
+		KeysStay       bool      `json:"keysStay"`
+		Shielded       int       `json:"shielded"`
+		VoteTtlNs      int64     `json:"voteTtlNs"`
+		VoteWaitNs     int64     `json:"voteWaitNs"`
+	} `json:"familyInfo"`
 	Limits struct {
-		Cancel, ParallelTries, PeerMessages, RetryAfter bool
-		MaxAttempts, OpenCap                            int
-		ConnIdleNs, ConnectTimeoutNs, MaxRetryAfterNs   int64
-	}
-	OverShareWorth float64
+		Cancel           bool  `json:"cancel"`
+		ParallelTries    bool  `json:"parallelTries"`
+		PeerMessages     bool  `json:"peerMessages"`
+		RetryAfter       bool  `json:"retryAfter"`
+		MaxAttempts      int   `json:"maxAttempts"`
+		OpenCap          int   `json:"openCap"`
+		ConnIdleNs       int64 `json:"connIdleNs"`
+		ConnectTimeoutNs int64 `json:"connectTimeoutNs"`
+		MaxRetryAfterNs  int64 `json:"maxRetryAfterNs"`
+	} `json:"limits"`
+	OverShareWorth float64 `json:"overShareWorth"`
 	Projects       []struct {
-		AllowancePerS float64
-		Name          string
-	}
-	Rank         int
-	ReplicasOfMe int
+		AllowancePerS float64 `json:"allowancePerS"`
+		Name          string  `json:"name"`
+	} `json:"projects"`
+	Rank         int `json:"rank"`
+	ReplicasOfMe int `json:"replicasOfMe"`
 	Report       struct {
-		Fields []string
-		Source string
-	}
-	TickNs int64
+		Fields []string `json:"fields"`
+		Source string   `json:"source"`
+	} `json:"report"`
+	TickNs int64 `json:"tickNs"`
 }
 
 var (
--- a/internal/harbour/pilot/pilot.go
+++ b/internal/harbour/pilot/pilot.go
@@ -29,7 +29,7 @@
 
 // Refused is an answer that ends a call.
 type Refused struct {
-	Status int
+	Status int    `json:"Status"`
 	Kind   string `json:"error"`
 	Reason string `json:"reason"`
 }
--- a/internal/lab/days/played.go
+++ b/internal/lab/days/played.go
@@ -51,22 +51,22 @@
 // ReadEntry reads what a journal entry of one day holds. An entry that isn't whole, or of no day or several, is an error.
 func ReadEntry(text []byte) (Played, error) {
 	var e struct {
-		ID    string
-		Head  string
-		Site  string
-		Error *string
+		ID    string  `json:"id"`
+		Head  string  `json:"head"`
+		Site  string  `json:"site"`
+		Error *string `json:"error"`
 		Days  []struct {
-			G        float64
-			Name     string
-			Seed     uint64
-			Troubles []string
-			Score    float64
-			Rules    map[string]int
-			Fault    *string
-			Gate     bool
-			Short    []string
-			Served   float64
-		}
+			G        float64        `json:"G"`
+			Name     string         `json:"name"`
+			Seed     uint64         `json:"seed"`
+			Troubles []string       `json:"troubles"`
+			Score    float64        `json:"score"`
+			Rules    map[string]int `json:"rules"`
+			Fault    *string        `json:"fault"`
+			Gate     bool           `json:"gate"`
+			Short    []string       `json:"short"`
+			Served   float64        `json:"served"`
+		} `json:"days"`
 	}
 	if err := json.Unmarshal(text, &e); err != nil {
 		return Played{}, fmt.Errorf("journal entry: %w", err)
--- a/internal/lab/flows.go
+++ b/internal/lab/flows.go
@@ -27,11 +27,11 @@
 // Flows is an experiment with flow export on loopback: short connections to two routers in turn, one of which exports
 // to a collector that is away for a time.
 type Flows struct {
-	Conns     int
-	Down      time.Duration
-	Collector string // udp, tcp or netflow9
-	Memory    int    // of the backlog
-	Seed      uint64
+	Conns     int           `json:"Conns"`
+	Down      time.Duration `json:"Down"`
+	Collector string        `json:"Collector"` // udp, tcp or netflow9
+	Memory    int           `json:"Memory"`    // of the backlog
+	Seed      uint64        `json:"Seed"`
 }
 
 // FlowsResult is what a run tells.
--- a/internal/lab/hollow/child.go
+++ b/internal/lab/hollow/child.go
@@ -38,10 +38,10 @@
 
 // start is what a child process is told first.
 type start struct {
-	Role string
-	Boot papers.Boot
-	Data string
-	Seed uint64
+	Role string      `json:"Role"`
+	Boot papers.Boot `json:"Boot"`
+	Data string      `json:"Data"`
+	Seed uint64      `json:"Seed"`
 }
 
 // Stat is what a process has spent since its start.
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -15,20 +15,23 @@
 
 // Storm is one experiment: hosts go and return, and clients ask again.
 type Storm struct {
-	Routers, Hosts, Clients int
-	Outage                  time.Duration
-	Kind                    string // what goes: "hosts", "half", "list", "carrier" or "none"
-	Carrier                 int    // whose keys a storm of one carrier is about
-	Policy                  string // "on", "off", or a baseline: "fixed", "budget", "throttle"
-	Heed                    float64
-	Marks                   bool
-	Again                   bool    // a second outage, 3 s after the hosts' return
-	Busy                    bool    // one router has nine tenths of the traffic
-	Trial                   bool    // a build is on trial meanwhile, on every fifth host
-	Load                    float64 // calm traffic's part of what the hosts can do
-	Calm, After             time.Duration
-	Seed                    uint64
-	Tuning                  storm.Tuning
+	Routers int           `json:"Routers"`
+	Hosts   int           `json:"Hosts"`
+	Clients int           `json:"Clients"`
+	Outage  time.Duration `json:"Outage"`
+	Kind    string        `json:"Kind"`    // what goes: "hosts", "half", "list", "carrier" or "none"
+	Carrier int           `json:"Carrier"` // whose keys a storm of one carrier is about
+	Policy  string        `json:"Policy"`  // "on", "off", or a baseline: "fixed", "budget", "throttle"
+	Heed    float64       `json:"Heed"`
+	Marks   bool          `json:"Marks"`
+	Again   bool          `json:"Again"` // a second outage, 3 s after the hosts' return
+	Busy    bool          `json:"Busy"`  // one router has nine tenths of the traffic
+	Trial   bool          `json:"Trial"` // a build is on trial meanwhile, on every fifth host
+	Load    float64       `json:"Load"`  // calm traffic's part of what the hosts can do
+	Calm    time.Duration `json:"Calm"`
+	After   time.Duration `json:"After"`
+	Seed    uint64        `json:"Seed"`
+	Tuning  storm.Tuning  `json:"Tuning"`
 }
 
 // Defaults are those of the command line.
--- a/internal/lab/tonnage.go
+++ b/internal/lab/tonnage.go
@@ -18,15 +18,15 @@
 
 // Tonnage is one play.
 type Tonnage struct {
-	Routers int
-	Zones   int
-	Way     string  // dealt (the harbour's), count, usage, sketch
-	Trouble string  // none, one (all of the caller's requests at one router), moves (from one to another), cut (a zone), killed (a third of the routers, back after 5 s), joined
-	PerS    float64 // the caller's share
-	Times   float64 // what it asks for, over its share
-	Others  int     // small callers, each within its share of 1 a second
-	Lasts   int64   // nanoseconds
-	Seed    uint64
+	Routers int     `json:"Routers"`
+	Zones   int     `json:"Zones"`
+	Way     string  `json:"Way"`     // dealt (the harbour's), count, usage, sketch
+	Trouble string  `json:"Trouble"` // none, one (all of the caller's requests at one router), moves (from one to another), cut (a zone), killed (a third of the routers, back after 5 s), joined
+	PerS    float64 `json:"PerS"`    // the caller's share
+	Times   float64 `json:"Times"`   // what it asks for, over its share
+	Others  int     `json:"Others"`  // small callers, each within its share of 1 a second
+	Lasts   int64   `json:"Lasts"`   // nanoseconds
+	Seed    uint64  `json:"Seed"`
 }
 
 // Tally is how a play went. Rates are requests a second, of the caller.
