--- /dev/null
+++ b/internal/golden/disk_test.go
@@ -0,0 +1,199 @@
+package golden
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/syndtr/goleveldb/leveldb"
+	"github.com/syndtr/goleveldb/leveldb/opt"
+
+	"portflow/internal/harbour/logbook"
+	"portflow/internal/harbour/manifest"
+	"portflow/internal/harbour/quorum"
+)
+
+const imageFolder = "testdata/golden/disk/image"
+
+// consensusCell is where a control process keeps the record of the consensus.
+const consensusCell = "node"
+
+// consensusRecord is a member's, with a vote on a change that isn't decided yet.
+func consensusRecord(set *manifest.Set) quorum.Disk {
+	item, _ := set.Get(manifest.Key{Kind: manifest.Evacuations, Name: "z1"})
+	return quorum.Disk{ID: "disk-1", Applied: 13, Promised: quorum.Ballot{N: 7, By: "life-3"}, Vote: quorum.Ballot{N: 6, By: "life-2"}, At: 14,
+		Value: []manifest.Item{item}, Founders: []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}}
+}
+
+func open(t testing.TB, folder string) (book *logbook.Book, items []manifest.Item, cells map[string][]byte, whole bool, end func()) {
+	t.Helper()
+	disk, err := logbook.Folder(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	book, items, cells, whole, err = logbook.Open(disk)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return book, items, cells, whole, func() {
+		t.Helper()
+		if err := book.Close(); err != nil {
+			t.Fatal(err)
+		}
+		if err := disk.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// writeDisk has the storage write everything in several steps, as a control process does, with an item that goes again. The
+// second opening leaves a table beside the journal.
+func writeDisk(t testing.TB, folder string) {
+	t.Helper()
+	set, _ := everything(t)
+	record := mustJSON(t, consensusRecord(set))
+	book, _, _, _, end := open(t, folder)
+	all := append(set.All(), manifest.Item{Kind: manifest.Core, Name: "10.0.0.9", Version: 1, Body: json.RawMessage(`{"name":"old"}`)})
+	half := len(all) / 2
+	if err := book.Write(all[:half], map[string][]byte{consensusCell: []byte(`{"id":"earlier","applied":1}`), "gone": []byte("x")}, false); err != nil {
+		t.Fatal(err)
+	}
+	end()
+	book, _, _, _, end = open(t, folder)
+	if err := book.Write(all[half:], map[string][]byte{consensusCell: record, "gone": nil}, true); err != nil {
+		t.Fatal(err)
+	}
+	if err := book.Replace(nil, []manifest.Key{{Kind: manifest.Core, Name: "10.0.0.9"}}, nil, false); err != nil {
+		t.Fatal(err)
+	}
+	end()
+}
+
+// rows are all keys and values of a disk, as the store below has them, a line each.
+func rows(t testing.TB, folder string) []byte {
+	t.Helper()
+	db, err := leveldb.OpenFile(folder, &opt.Options{ErrorIfMissing: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	var all bytes.Buffer
+	it := db.NewIterator(nil, nil)
+	defer it.Release()
+	for it.Next() {
+		fmt.Fprintf(&all, "%q\t%q\n", it.Key(), it.Value())
+	}
+	if err := it.Error(); err != nil {
+		t.Fatal(err)
+	}
+	return all.Bytes()
+}
+
+func copyFolder(t testing.TB, to, from string) {
+	t.Helper()
+	files, err := os.ReadDir(from)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.MkdirAll(to, 0o755); err != nil {
+		t.Fatal(err)
+	}
+	for _, f := range files {
+		if f.Name() == "LOCK" || strings.HasPrefix(f.Name(), "LOG") { // of the run, not of what is stored
+			continue
+		}
+		raw, err := os.ReadFile(filepath.Join(from, f.Name()))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(filepath.Join(to, f.Name()), raw, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// image is a copy of the golden disk, which an earlier release wrote.
+func image(t testing.TB) string {
+	t.Helper()
+	if _, err := os.Stat(imageFolder); os.IsNotExist(err) && os.Getenv(rewriteVariable) == "yes" { // an image stays unless it is removed
+		folder := t.TempDir()
+		writeDisk(t, folder)
+		copyFolder(t, imageFolder, folder)
+		t.Errorf("%s: written anew", imageFolder)
+	}
+	folder := t.TempDir()
+	copyFolder(t, folder, imageFolder)
+	return folder
+}
+
+// What the storage writes has the same keys and values as ever.
+func TestStoredRows(t *testing.T) {
+	folder := t.TempDir()
+	writeDisk(t, folder)
+	Equal(t, "disk/rows.txt", rows(t, folder))
+}
+
+// An earlier release's disk has those rows, is opened as whole, and holds the same items and record; written again from what
+// was read, all rows are the same.
+func TestDiskImage(t *testing.T) {
+	folder := image(t)
+	want := Read(t, "disk/rows.txt")
+	if got := rows(t, folder); !bytes.Equal(got, want) {
+		t.Errorf("the disk holds\n%s\nnot\n%s", got, want)
+	}
+	folder = image(t)
+	book, items, cells, whole, end := open(t, folder)
+	set, _ := everything(t)
+	if !whole || book.Repaired {
+		t.Errorf("whole %v, repaired %v", whole, book.Repaired)
+	}
+	if !reflect.DeepEqual(items, set.All()) {
+		t.Errorf("the items are read as\n%s", jsonLines(t, items))
+	}
+	var record quorum.Disk
+	if err := json.Unmarshal(cells[consensusCell], &record); err != nil || len(cells) != 1 {
+		t.Fatal(err, cells)
+	}
+	if !reflect.DeepEqual(record, consensusRecord(set)) {
+		t.Errorf("the record is read as %+v", record)
+	}
+	end()
+
+	again := t.TempDir()
+	book, _, _, _, end = open(t, again)
+	if err := book.Write(items, map[string][]byte{consensusCell: mustJSON(t, record)}, whole); err != nil {
+		t.Fatal(err)
+	}
+	end()
+	if got := rows(t, again); !bytes.Equal(got, want) {
+		t.Errorf("written again the disk holds\n%s\nnot\n%s", got, want)
+	}
+}
+
+// The file that says that a disk was found spoilt is known by its name, and goes once the disk holds all again.
+func TestSpoiltMark(t *testing.T) {
+	const name, text = "1073741824.tmp", "spoilt\n"
+	folder := image(t)
+	if err := os.WriteFile(filepath.Join(folder, name), []byte(text), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	book, items, _, whole, end := open(t, folder)
+	if whole || !book.Repaired {
+		t.Errorf("whole %v, repaired %v", whole, book.Repaired)
+	}
+	if raw, err := os.ReadFile(filepath.Join(folder, name)); err != nil || string(raw) != text {
+		t.Errorf("the mark is %q, %v", raw, err)
+	}
+	if err := book.Write(items, nil, true); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := os.Stat(filepath.Join(folder, name)); !os.IsNotExist(err) {
+		t.Errorf("the mark stays: %v", err)
+	}
+	end()
+}
