--- a/internal/golden/lines_test.go
+++ b/internal/golden/lines_test.go
@@ -27,10 +27,10 @@
 )
 
 var (
-	goldenItem = manifest.Item{Kind: manifest.Services, Name: "desk", Version: 12, Body: json.RawMessage(`{"health-path":"/up","name":"desk"}`)}
-	goldenHost = berths.Host{ID: "h1", Service: "desk", Address: "10.0.1.1:80", Zone: "z1", Version: "v1", Slots: 8, State: berths.Ready, Sequence: 5, Owner: "control-1"}
-	router     = signals.Front{Name: "router-1", Zone: "z1", IP: "10.0.2.1", Address: "10.0.2.1:8144", Ready: true, Short: true, Since: 1700000000000000001, Change: 2, Owner: "control-1"}
-	vote       = signals.Poll{Front: "router-1", Service: "desk", Order: 3, Verdict: uint8(rules.Back), Figures: &signals.Figures{
+	goldenItem   = manifest.Item{Kind: manifest.Services, Name: "desk", Version: 12, Body: json.RawMessage(`{"health-path":"/up","name":"desk"}`)}
+	goldenHost   = berths.Host{ID: "h1", Service: "desk", Address: "10.0.1.1:80", Zone: "z1", Version: "v1", Slots: 8, State: berths.Ready, Sequence: 5, Owner: "control-1"}
+	goldenRouter = signals.Front{Name: "router-1", Zone: "z1", IP: "10.0.2.1", Address: "10.0.2.1:8144", Ready: true, Short: true, Since: 1700000000000000001, Change: 2, Owner: "control-1"}
+	goldenVote   = signals.Poll{Front: "router-1", Service: "desk", Order: 3, Verdict: uint8(rules.Back), Figures: &signals.Figures{
 		Outcomes: [2]float64{20, 21}, Excess: [2]float64{0.5, 0.25}, Error: [2]float64{0.125, 0.0625}, Threshold: [2]float64{0.015, 0.12}, Left: 7}}
 )
 
@@ -53,8 +53,8 @@
 			{Hello: &signals.Hello{Name: "router-1", IP: "10.0.2.1", Zone: "z1", Life: "life-1", Have: 4}, Part: &signals.Part{Name: "life-1.1", Have: 2}, Trial: true},
 			{Part: &signals.Part{Name: "life-1.1", Have: 3}},
 			{Ack: 7},
-			{Front: &router},
-			{Polls: []signals.Poll{vote, {Front: "router-1", Service: "bags", Order: 1, Shown: true}}},
+			{Front: &goldenRouter},
+			{Polls: []signals.Poll{goldenVote, {Front: "router-1", Service: "bags", Order: 1, Shown: true}}},
 			{Seen: map[string][]lookout.Count{"desk": {{N: 100, Bad: 2}, {ID: "h1", N: 10.5, Bad: 1.25}}}},
 			{Tons: &signals.Tons{Reports: []tonnage.Report{{Share: "tenant", Want: 2.25, Took: 9, Late: 4, Away: 1, Over: 2, Short: true}},
 				Loads:  []tonnage.Load{{Service: "desk", Answers: 12.5, Work: 0.5}},
@@ -63,8 +63,8 @@
 		{"control-to-router", []signals.Word{
 			{Hello: &signals.Hello{Name: "control-1", IP: "10.0.0.1", Zone: "z1", Control: true, Life: "life-1", ID: "disk-1", Now: 1700000000000000000}},
 			{Status: &signals.Status{Whole: true, Member: true, Majority: true, Sum: 1 << 63, Epoch: 2, Number: 13}, Now: 1700000000000000005},
-			{News: &signals.News{Life: "life-1", From: 4, To: 9, Epoch: 2, Number: 13, Notes: []signals.Note{{Item: &goldenItem}, {Host: &goldenHost}, {Front: &router},
-				{Poll: &vote}, {Aside: &lookout.Judgement{ID: "h1", Service: "desk", Aside: 11, Back: 12, Times: 2}}}}, Now: 1700000000000000006},
+			{News: &signals.News{Life: "life-1", From: 4, To: 9, Epoch: 2, Number: 13, Notes: []signals.Note{{Item: &goldenItem}, {Host: &goldenHost}, {Front: &goldenRouter},
+				{Poll: &goldenVote}, {Aside: &lookout.Judgement{ID: "h1", Service: "desk", Aside: 11, Back: 12, Times: 2}}}}, Now: 1700000000000000006},
 			{News: &signals.News{Life: "life-1", To: 9, Snapshot: true, Notes: many}}, // long enough to be deflated
 			{Tons: &signals.Tons{Allotments: []tonnage.Allotment{{Share: "tenant", Rate: 1.5, Used: 3, Calm: true}}, Carries: map[string]float64{"desk": 80.5}}},
 			{Status: &signals.Status{Leaving: true, Epoch: 2, Number: 13}},
--- a/internal/golden/snapshots_test.go
+++ b/internal/golden/snapshots_test.go
@@ -68,7 +68,7 @@
 	for n := range items {
 		notes[n].Item = &items[n]
 	}
-	notes = append(notes, signals.Note{Host: &goldenHost}, signals.Note{Front: &router}, signals.Note{Poll: &vote})
+	notes = append(notes, signals.Note{Host: &goldenHost}, signals.Note{Front: &goldenRouter}, signals.Note{Poll: &goldenVote})
 	cut, err := signals.NewCut(signals.Head{Name: "life-1.1", Life: "life-1", To: 9, Epoch: 2, Number: 13}, notes, lines.Frame)
 	if err != nil {
 		t.Fatal(err)
