--- /dev/null
+++ b/internal/balancer/flow/ipfix/golden_test.go
@@ -0,0 +1,23 @@
+package ipfix
+
+import (
+	"testing"
+
+	"portflow/internal/balancer/flow"
+	"portflow/internal/golden"
+)
+
+// Collectors are sent the same bytes: templates, records of each kind, totals.
+func TestGoldenMessages(t *testing.T) {
+	e := encoder()
+	e.Boot = 17e17
+	raw := e.Templates(nil, 18e17)
+	raw, n := e.Data(raw, 18e17, records(), 1<<16)
+	if n != len(records()) {
+		t.Fatalf("%d records", n)
+	}
+	sum := func(n uint64) flow.Sum {
+		return flow.Sum{Records: n, Connections: n + 1, Counts: flow.Counts{Forward: n + 2, Reverse: n + 3, Commands: n + 4}}
+	}
+	golden.Equal(t, "messages.bin", e.Totals(raw, 18e17, flow.Account{Counted: sum(10), Exported: sum(20), Waiting: sum(30), Folded: sum(40), Lost: sum(50)}))
+}
