--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -7,7 +7,8 @@
 //	PORTFLOW_REWRITE_GOLDEN_FILES=yes go test ./...
 //
 // Each test whose file differed then writes it and fails, so that no run passes by rewriting; the next run without the
-// variable compares. The commit says why the format changed and how earlier releases read it.
+// variable compares. The disk image is written only where its folder was removed. The commit says why the format changed and
+// how earlier releases read it.
 package golden
 
 import (
--- a/internal/golden/settings_test.go
+++ b/internal/golden/settings_test.go
@@ -10,7 +10,9 @@
 	"portflow/internal/balancer/list"
 	"portflow/internal/balancer/settings"
 	"portflow/internal/balancer/site"
+	"portflow/internal/harbour/berths"
 	"portflow/internal/harbour/papers"
+	"portflow/internal/harbour/rpc"
 	"portflow/internal/parts/router"
 	"portflow/internal/parts/storm"
 	"portflow/rules"
@@ -83,3 +85,31 @@
 	}
 	Equal(t, "operators-schema.json", site.Schema())
 }
+
+// What hosts send with each heartbeat.
+func TestHeartbeat(t *testing.T) {
+	tree, err := rpc.Tree([]byte(`{"address":"10.0.1.1:80","information":{"service":"desk","version":"v1","zone-name":"z1","slot-count":8},
+		"current-status":{"sequence":5,"server-state":"draining","cold-remaining-s":1.5}}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := berths.ReadBeat("h1", tree, 1000)
+	want := berths.Host{ID: "h1", Service: "desk", Address: "10.0.1.1:80", Zone: "z1", Version: "v1", Slots: 8, State: berths.Draining, ColdUntil: 1500001000, Sequence: 5}
+	if err != nil || got != want {
+		t.Errorf("read as %+v, %v", got, err)
+	}
+}
+
+// The files that operators deploy with, as they stand in the repository, are read.
+func TestDeployedFiles(t *testing.T) {
+	if _, err := site.Read("../../deploy/service.star"); err != nil {
+		t.Error(err)
+	}
+	raw, err := os.ReadFile("../../examples/config.json")
+	if err == nil {
+		_, err = config.Read(raw, func(string) string { return "" })
+	}
+	if err != nil {
+		t.Error(err)
+	}
+}
