--- a/internal/harbour/quorum/drawn_test.go
+++ b/internal/harbour/quorum/drawn_test.go
@@ -440,42 +440,22 @@
 	if log != nil {
 		w.log = log
 	}
+	return w, w.day()
+}
+
+// day plays the seed of a new world.
+func (w *world) day() (found *broken) {
 	defer func() {
 		if x := recover(); x != nil {
 			b, ok := x.(*broken)
 			if !ok {
-				panic(fmt.Sprintf("seed %d: %v", seed, x))
+				panic(fmt.Sprintf("seed %d: %v", w.seed, x))
 			}
 			found = b
 		}
 	}()
-	for n, m := range w.machines {
-		if n > len(w.machines)/2 && w.draw.IntN(4) == 0 { // it comes late
-			w.after(w.between(0, 20*second), func() { w.on(m) })
-			continue
-		}
-		w.after(w.between(0, 2*second), func() { w.on(m) })
-	}
-	first := &group{order: desk()}
-	w.groups = append(w.groups, first)
-	w.after(3*second, func() { w.again(first, 20) })
 	const harms = 40 * second
-	pace := w.between(200*ms, 3*second)
-	var hurts, asks func()
-	hurts = func() {
-		if w.now < harms {
-			w.harm()
-			w.after(w.between(0, 2*pace), hurts)
-		}
-	}
-	asks = func() {
-		if w.now < harms {
-			w.asks()
-			w.after(w.between(0, 400*ms), asks)
-		}
-	}
-	w.after(w.between(0, 4*second), hurts)
-	w.after(3*second, asks)
+	w.begins(harms)
 	w.run(harms + 6500*ms) // all spans have ended by then
 	for _, m := range w.machines {
 		if m.slow = 4 * ms; !m.away {
@@ -503,7 +483,37 @@
 	for _, m := range w.machines {
 		w.gather(m)
 	}
-	return w, nil
+	return nil
+}
+
+// begins has the processes start, and harms and calls come until a time.
+func (w *world) begins(harms int64) {
+	for n, m := range w.machines {
+		if n > len(w.machines)/2 && w.draw.IntN(4) == 0 { // it comes late
+			w.after(w.between(0, 20*second), func() { w.on(m) })
+			continue
+		}
+		w.after(w.between(0, 2*second), func() { w.on(m) })
+	}
+	first := &group{order: desk()}
+	w.groups = append(w.groups, first)
+	w.after(3*second, func() { w.again(first, 20) })
+	pace := w.between(200*ms, 3*second)
+	var hurts, asks func()
+	hurts = func() {
+		if w.now < harms {
+			w.harm()
+			w.after(w.between(0, 2*pace), hurts)
+		}
+	}
+	asks = func() {
+		if w.now < harms {
+			w.asks()
+			w.after(w.between(0, 400*ms), asks)
+		}
+	}
+	w.after(w.between(0, 4*second), hurts)
+	w.after(3*second, asks)
 }
 
 // neverBegan tells that the first list was voted on and lacks a majority for good: a founder's disk was lost within the round
--- a/internal/harbour/quorum/world_test.go
+++ b/internal/harbour/quorum/world_test.go
@@ -14,6 +14,7 @@
 	"portflow/internal/harbour/manifest"
 	"portflow/internal/harbour/muster"
 	"portflow/internal/harbour/orders"
+	tracedigest "portflow/internal/testing/digest"
 )
 
 // A world of control processes in virtual time: machines with disks, lines between them, and what harms both. All chance is
@@ -161,6 +162,7 @@
 	sent     map[Kind]int
 	trace    uint64
 	log      func(string, ...any)
+	effects  *tracedigest.Digest // of all processes, where they are recorded
 }
 
 // loss is a disk that is gone.
@@ -557,6 +559,7 @@
 	e.Now, e.Chance = m.clock(w.now), w.draw.Float64()
 	life := m.life
 	out := m.node.Step(e)
+	w.records(m, out)
 	w.looks(m)
 	if out.Disk != nil {
 		x := write{*out.Disk, out.Items, out.Gone, out.Synced}
@@ -580,6 +583,15 @@
 	}
 }
 
+// records adds to the digest what a process asks for, and what it then is.
+func (w *world) records(m *machine, out Effects) {
+	if w.effects == nil {
+		return
+	}
+	node := m.node
+	w.effects.Add(w.now, m.n, out, node.Applied(), node.Set.Sum(), node.List(), node.Busy(), node.Whole(), node.Member())
+}
+
 // looks holds a process against what was ever decided.
 func (w *world) looks(m *machine) {
 	n, sum := m.node.Applied(), m.node.Set.Sum()
--- /dev/null
+++ b/internal/harbour/tonnage/trace_test.go
@@ -0,0 +1,113 @@
+package tonnage
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"portflow/internal/harbour/manifest"
+	"portflow/internal/testing/digest"
+)
+
+const traceZones = 3
+
+// drawnShares are shares of one service.
+func drawnShares(draw *rand.Rand) map[string][]manifest.Share {
+	var all []manifest.Share
+	for _, caller := range []string{"a", "b", "c", manifest.Others} {
+		if draw.IntN(4) == 0 {
+			continue
+		}
+		s := share(caller, float64(1+draw.IntN(100)))
+		s.Watch = draw.IntN(8) == 0
+		if draw.IntN(3) == 0 {
+			s.Part = draw.Float64() / 2
+		}
+		all = append(all, s)
+	}
+	return map[string][]manifest.Share{"desk": all}
+}
+
+// Dealers of three zones with two routers each, under drawn demand, losses of zones and routers and other shares, deal and say
+// what they did, and the routers' meters take what they took. The order of the fields of what is recorded counts; names don't.
+func TestTrace(t *testing.T) {
+	digest.Pin(t, 25, []string{"aee26d828ef525ba", "e44334120acd574c", "8379915f50f880a7", "26e37e18a400babf"}, func(seed uint64, d *digest.Digest) {
+		draw := rand.New(rand.NewPCG(seed, 1))
+		now := 1000 * second
+		shares := drawnShares(draw)
+		var dealers [traceZones]*Dealer
+		var meters [2 * traceZones]*Meter
+		for z := range dealers {
+			dealers[z] = NewDealer()
+			dealers[z].Set(shares)
+			dealers[z].Slots(map[string]int{"desk": 30})
+		}
+		for n := range meters {
+			meters[n] = NewMeter(shares["desk"], len(meters), now)
+		}
+		rate := 40
+		for range 60 {
+			if draw.IntN(10) == 0 {
+				rate = 1 + draw.IntN(80)
+			}
+			for range rate {
+				m, caller := meters[draw.IntN(len(meters))], []string{"a", "a", "b", "c", "d", ""}[draw.IntN(6)]
+				d.Add(m.Take(now+draw.Int64N(DealEvery), caller, draw.IntN(2) == 0, RoomOf(draw.Float64())))
+			}
+			now += DealEvery
+			traceDeal(draw, d, now, dealers[:], meters[:])
+			if draw.IntN(25) == 0 {
+				shares = drawnShares(draw)
+				for _, dealer := range dealers {
+					dealer.Set(shares)
+				}
+				for _, m := range meters {
+					m.Set(shares["desk"], len(meters), now)
+				}
+			}
+		}
+	})
+}
+
+// traceDeal is one round of reports, sums and dealing.
+func traceDeal(draw *rand.Rand, d *digest.Digest, now int64, dealers []*Dealer, meters []*Meter) {
+	for n, m := range meters {
+		if draw.IntN(30) == 0 { // the report is lost
+			continue
+		}
+		reports := m.Reports(now)
+		d.Add(reports)
+		dealers[n/2].Told(now, fmt.Sprint("router", n), reports, []Load{{"desk", 10 + draw.Float64(), draw.Float64()}})
+		if draw.IntN(20) == 0 {
+			census := m.Census()
+			d.Add(census, m.Header())
+			dealers[n/2].Census(now, "desk", census)
+		}
+	}
+	for z, dealer := range dealers {
+		for x, other := range dealers {
+			if z != x && draw.IntN(20) > 0 {
+				sums, loads := other.Sums()
+				d.Add(sums, loads)
+				dealer.Zone(now, fmt.Sprint("z", x), sums, loads)
+			}
+		}
+		switch draw.IntN(60) {
+		case 0:
+			dealer.Lost(now, fmt.Sprint("z", (z+1)%traceZones))
+		case 1:
+			dealer.Gone(fmt.Sprint("router", 2*z))
+		case 2:
+			dealer.Meet(fmt.Sprint("router", 2*z+1))
+		}
+		news := dealer.Deal(now)
+		d.Add(news, dealer.CarriesAll(), dealer.States(now, "self"), dealer.Off())
+		for n := 2 * z; n < 2*z+2; n++ {
+			meters[n].Dealt(now, news[fmt.Sprint("router", n)])
+			meters[n].Carries(dealer.Carries("desk"))
+		}
+		if draw.IntN(20) == 0 {
+			d.Add(dealer.Hour(now))
+		}
+	}
+}
--- a/internal/testing/digest/digest.go
+++ b/internal/testing/digest/digest.go
@@ -82,8 +82,8 @@
 	if !v.IsValid() {
 		return append(b, '0')
 	}
-	if v.CanInterface() {
-		if err, ok := v.Interface().(error); ok && !isNil(v) {
+	if v.Type().NumMethod() > 0 && v.CanInterface() && !isNil(v) {
+		if err, ok := v.Interface().(error); ok {
 			return appendText(append(b, 'e'), err.Error())
 		}
 	}
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -4,6 +4,8 @@
 	"math"
 	"slices"
 	"testing"
+
+	"portflow/internal/testing/digest"
 )
 
 // FuzzRules plays seeded days with every kind of event, lost, late, repeated and out of order, and unlike
@@ -12,31 +14,35 @@
 	for seed := range uint64(40) {
 		f.Add(seed)
 	}
-	f.Fuzz(func(t *testing.T, seed uint64) {
-		set := plain()
-		set.Copies, set.KeysStay, set.CapByBand = seed%2 == 0, seed%3 == 0, seed%5 == 0
-		set.Guarded, set.Subscribe, set.Rank = int(seed%3), seed%4 == 0, int(seed%3)
-		set.Gate, set.Bands[0].Group = Gate(seed%3), Group(seed%7%3)
-		hosts := uint32(8)
-		if seed%4 == 1 { // one of hundreds, among many hosts
-			set.Routers, hosts = 400, 100
-		}
-		w := newWorld(t, set, seed)
-		for id := range hosts {
-			w.list(Changes, Listed{ID: id, Cell: int(id % 2), Build: 4, Size: 1})
-		}
-		w.hear(News{Build: 4, Standing: Released, Cap: 1})
-		w.build = 4
-		id := uint32(100)
-		for w.step = range 1500 {
-			w.random(&id)
-			w.pass(w.rnd.Int64N(15) * ms)
-			for _, f := range w.r.shared() { // once divided by nothing, and no peer took its messages any more
-				w.failIf(math.IsNaN(*f) || math.IsInf(*f, 0), "shared figures %v %v", w.r.state, w.r.load)
-			}
+	f.Fuzz(func(t *testing.T, seed uint64) { playDay(t, seed, 1500, nil) })
+}
+
+// playDay plays one seeded day of so many steps; the effects are recorded where there is a digest.
+func playDay(t *testing.T, seed uint64, steps int, effects *digest.Digest) {
+	set := plain()
+	set.Copies, set.KeysStay, set.CapByBand = seed%2 == 0, seed%3 == 0, seed%5 == 0
+	set.Guarded, set.Subscribe, set.Rank = int(seed%3), seed%4 == 0, int(seed%3)
+	set.Gate, set.Bands[0].Group = Gate(seed%3), Group(seed%7%3)
+	hosts := uint32(8)
+	if seed%4 == 1 { // one of hundreds, among many hosts
+		set.Routers, hosts = 400, 100
+	}
+	w := newWorld(t, set, seed)
+	w.effects = effects
+	for id := range hosts {
+		w.list(Changes, Listed{ID: id, Cell: int(id % 2), Build: 4, Size: 1})
+	}
+	w.hear(News{Build: 4, Standing: Released, Cap: 1})
+	w.build = 4
+	id := uint32(100)
+	for w.step = range steps {
+		w.random(&id)
+		w.pass(w.rnd.Int64N(15) * ms)
+		for _, f := range w.r.shared() { // once divided by nothing, and no peer took its messages any more
+			w.failIf(math.IsNaN(*f) || math.IsInf(*f, 0), "shared figures %v %v", w.r.state, w.r.load)
 		}
-		w.pass(6000 * ms) // what is still out never ends: all must be answered in time all the same
-	})
+	}
+	w.pass(6000 * ms) // what is still out never ends: all must be answered in time all the same
 }
 
 func (w *world) random(id *uint32) {
--- a/rules/world_test.go
+++ b/rules/world_test.go
@@ -5,10 +5,26 @@
 	"math/rand/v2"
 	"slices"
 	"testing"
+
+	"portflow/internal/testing/digest"
 )
 
 const ms = int64(1e6)
 
+// Which effect follows in the digest.
+const (
+	effectHandOff = iota
+	effectDismiss
+	effectScrap
+	effectRecall
+	effectVote
+	effectTell
+	effectWake
+	effectClose
+	effectWatch
+	effectNote
+)
+
 // world plays everything around one router, and checks the five rules at each effect and after each step.
 type world struct {
 	t          *testing.T
@@ -31,7 +47,8 @@
 	capSince   int64 // when the last lower cap was told
 	build      int   // the newest there is
 	keys       map[uint64]int
-	trialShare []int // for each hand-off, 1 for the trial
+	trialShare []int          // for each hand-off, 1 for the trial
+	effects    *digest.Digest // of the router, where they are recorded
 }
 
 type asked struct {
@@ -94,6 +111,7 @@
 }
 
 func (w *world) HandOff(id, hostID uint32, until int64) {
+	w.effects.Add(effectHandOff, w.now, id, hostID, until)
 	c, h := w.commands[id], w.listed[hostID]
 	w.failIf(c == nil || c.over || h == nil, "hand-off of %d to %d: ended, or a host that was not listed", id, hostID)
 	w.failIf(h.Health != Ready && w.now-h.told > grace, "rule 3: hand-off to a host that was told to drain")
@@ -173,6 +191,7 @@
 }
 
 func (w *world) Dismiss(id uint32, wait int64) {
+	w.effects.Add(effectDismiss, w.now, id, wait)
 	c := w.end(id)
 	b := w.set.Bands[c.Band]
 	for _, s := range c.sent {
@@ -180,16 +199,29 @@
 			"rule 2: dismissed though it may have run")
 	}
 }
-func (w *world) Scrap(id uint32) { w.end(id) }
+func (w *world) Scrap(id uint32) {
+	w.effects.Add(effectScrap, w.now, id)
+	w.end(id)
+}
 func (w *world) Recall(id uint32, number int) {
+	w.effects.Add(effectRecall, w.now, id, number)
 	w.failIf(w.commands[id] == nil || number >= len(w.commands[id].sent), "recall of nothing")
 }
-func (w *world) Vote(v Verdict, build, stage int) { w.votes = append(w.votes, vote{v, build, stage}) }
-func (w *world) Tell(peer int, message []byte)    {}
-func (w *world) Wake(after int64, mark uint64)    { w.wakes[mark] = w.now + after }
-func (w *world) Close(host uint32)                { w.closed++ }
-func (w *world) Watch(on bool)                    {}
-func (w *world) Note(text string)                 {}
+func (w *world) Vote(v Verdict, build, stage int) {
+	w.effects.Add(effectVote, w.now, v, build, stage)
+	w.votes = append(w.votes, vote{v, build, stage})
+}
+func (w *world) Tell(peer int, message []byte) { w.effects.Add(effectTell, w.now, peer, message) }
+func (w *world) Wake(after int64, mark uint64) {
+	w.effects.Add(effectWake, w.now, after, mark)
+	w.wakes[mark] = w.now + after
+}
+func (w *world) Close(host uint32) {
+	w.effects.Add(effectClose, w.now, host)
+	w.closed++
+}
+func (w *world) Watch(on bool)    { w.effects.Add(effectWatch, w.now, on) }
+func (w *world) Note(text string) { w.effects.Add(effectNote, w.now) } // the text is for people
 
 // pass lets time go by, and delivers the wake-ups that fall due: late, at times again, and a little early, as the
 // clock of their source is coarser, which once stopped all time-outs.
