--- /dev/null
+++ b/internal/harbour/berths/trace_test.go
@@ -0,0 +1,75 @@
+package berths
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"portflow/internal/testing/digest"
+)
+
+// What a register says of drawn beats, last words, other processes' knowledge and losses of these is what it was. The order of
+// the fields of Host and the numbers of states count; names don't.
+func TestTrace(t *testing.T) {
+	digest.Pin(t, 50, []string{"6bb4b85be9bc93bf", "a991e654f61b695d", "b86cf708dea4c4a2", "718e1dc17b36fd11"}, func(seed uint64, d *digest.Digest) {
+		draw := rand.New(rand.NewPCG(seed, 1))
+		r := New("a", 1300e6)
+		now := 1000 * s
+		host := func() Host {
+			id := draw.IntN(10)
+			return Host{ID: fmt.Sprint("h", id), Service: fmt.Sprint("s", id%2), Address: fmt.Sprint("10.0.0.", id, ":1"), Zone: "z", Version: "v1",
+				Slots: 3, State: State(min(draw.IntN(12), 11) / 5), ColdUntil: now + draw.Int64N(s), Sequence: uint64(now/s) - uint64(draw.IntN(3)),
+				Silent: draw.IntN(6) == 0, Owner: []string{"a", "b", "c"}[draw.IntN(3)]}
+		}
+		for range 150 {
+			now += draw.Int64N(s / 2)
+			h := host()
+			switch draw.IntN(10) {
+			case 0, 1, 2:
+				known, changed := r.Beat(now, h)
+				d.Add(known, changed)
+			case 3, 4, 5:
+				news, tell := r.Merge(now, h)
+				d.Add(news, tell)
+			case 6:
+				if draw.IntN(4) == 0 {
+					known, changed := r.Leave(now, h.ID)
+					d.Add(known, changed)
+				}
+			case 7:
+				r.Orphan(now, h.Owner)
+				if draw.IntN(2) == 0 {
+					r.Return(h.Owner)
+					r.Listed(now, h.Owner, map[string]bool{h.ID: true, "h1": true})
+				}
+			case 8:
+				r.Forget(now)
+			default:
+				if draw.IntN(8) == 0 {
+					now += 20 * s
+				}
+				d.Add(r.Tick(now, draw.IntN(3) > 0))
+			}
+			d.Add(r.All(), r.Own(), r.Host("h1"), Newer(h, r.Host(h.ID)))
+		}
+	})
+}
+
+// Beats are read, or refused, as they were; the texts of errors count.
+func TestTraceOfBeats(t *testing.T) {
+	digest.Pin(t, 100, []string{"b1fc86ee760bbd9e"}, func(seed uint64, d *digest.Digest) {
+		draw := rand.New(rand.NewPCG(seed, 1))
+		beat := map[string]any{"service": "desk", "address": "10.0.0.1:80", "zone": "z", "version": "v1", "slots": 3.0, "state": "ready",
+			"sequence": 4.0, "cold-start-s": 1.5}
+		for _, name := range []string{"service", "address", "zone", "version", "slots", "state", "sequence"} {
+			switch draw.IntN(12) {
+			case 0:
+				delete(beat, name)
+			case 1:
+				beat[name] = []any{-1.0, "", nil, true, "draining", 1e9}[draw.IntN(6)]
+			}
+		}
+		h, err := ReadBeat("h", beat, 1000*s)
+		d.Add(h, err)
+	})
+}
--- /dev/null
+++ b/internal/harbour/manifest/trace_test.go
@@ -0,0 +1,78 @@
+package manifest
+
+import (
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"portflow/internal/harbour/faults"
+	"portflow/internal/testing/digest"
+)
+
+// What drawn changes make of a set, as they are checked, applied, merged, repaired and replaced, and the charts that are drawn of
+// it, is what it was; and what the set writes reads back. The order of the fields of items and charts and the numbers of kinds
+// of errors count; names don't, but the texts of errors and of yielding items do.
+func TestTrace(t *testing.T) {
+	digest.Pin(t, 50, []string{"a12bc97676ba9bd3", "bd8d18260cdd18ba", "439e48f29ba51744", "7a7286a2a728bc2c"}, func(seed uint64, d *digest.Digest) {
+		draw := rand.New(rand.NewPCG(seed, 1))
+		s, other := NewSet(), NewSet()
+		var chart *Chart
+		for step := range uint64(40) {
+			var change []Item
+			for range 1 + draw.IntN(4) {
+				change = append(change, drawItem(draw, step+1))
+			}
+			switch draw.IntN(8) {
+			case 0:
+				for _, i := range change {
+					d.Add(s.Merge(i), other.Merge(i))
+				}
+			case 1:
+				theirs := other.Sums()
+				parts := s.Differ(theirs[:])
+				d.Add(parts, s.Differing(theirs))
+				news, gone := s.Replace(parts, other.In(parts))
+				d.Add(news, gone)
+			case 2:
+				changed, gone := other.Become(s.All())
+				d.Add(changed, gone)
+			case 3:
+				for _, i := range change {
+					old, there := s.Get(i.Key())
+					known, same := old.Was(i)
+					d.Add(there, i.Newer(old), old.Forgot(i), known, same, i.After(old))
+				}
+			default:
+				news, err := s.Check(change)
+				if d.Add(news, err, faults.Of(err)); err == nil {
+					d.Add(s.Apply(news))
+				}
+			}
+			chart = chart.Next(s)
+			traceChart(d, chart)
+			d.Add(s.All(), s.Sum(), s.CallersSum(), s.Highest(), s.Len(), s.Standing(Routes), s.Forgotten(), DrawShares(s), Laid(s.All()))
+		}
+		raw, err := s.Write()
+		d.Add(raw, err)
+		items, err := Read(raw)
+		d.Add(items, err)
+		traceChart(d, Draw(s))
+	})
+}
+
+// traceChart records a chart and some lookups in it.
+func traceChart(d *digest.Digest, c *Chart) {
+	for _, r := range c.Routes {
+		d.Add(r)
+	}
+	for _, name := range slices.Sorted(maps.Keys(c.Services)) {
+		d.Add(c.Services[name])
+	}
+	d.Add(c.Shares, c.Limits, c.Yielding)
+	for _, host := range []string{"h0", "h1", "h9"} {
+		for _, path := range []string{"/", "/a/b/c", "/a/x", "/e/"} {
+			d.Add(c.Route(host, path))
+		}
+	}
+}
--- /dev/null
+++ b/internal/parts/due/trace_test.go
@@ -0,0 +1,34 @@
+package due
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"portflow/internal/testing/digest"
+)
+
+// What falls due in a queue under drawn additions, removals and times is what it was.
+func TestTrace(t *testing.T) {
+	digest.Pin(t, 50, []string{"00cbf86622887a52", "72263111d35126aa"}, func(seed uint64, d *digest.Digest) {
+		draw := rand.New(rand.NewPCG(seed, 1))
+		var q Queue[int]
+		var items []*Item[int]
+		now := int64(0)
+		for n := range 300 {
+			switch draw.IntN(4) {
+			case 0, 1:
+				items = append(items, q.Add(now+draw.Int64N(20), n))
+			case 2:
+				if len(items) > 0 {
+					q.Remove(items[draw.IntN(len(items))])
+				}
+			default:
+				now += draw.Int64N(6)
+				value, ok := q.Take(now)
+				d.Add(value, ok)
+			}
+			at, ok := q.Next()
+			d.Add(at, ok)
+		}
+	})
+}
--- /dev/null
+++ b/internal/parts/storm/trace_test.go
@@ -0,0 +1,69 @@
+package storm
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"portflow/internal/testing/digest"
+)
+
+// What a guard lets in, the waits that it tells and what it counts, in drawn traffic with hosts that go and come back, are what
+// they were. The order of the fields of Stats and the numbers of signs count; names don't.
+func TestTrace(t *testing.T) {
+	digest.Pin(t, 25, []string{"9aa8eda84d93ddbe", "4034c0d95d55fb5c", "926a76439b5d793c", "aa6892acdf423db1"}, func(seed uint64, d *digest.Digest) {
+		draw := rand.New(rand.NewPCG(seed, 7))
+		w := begin(t, set(), seed)
+		type open struct {
+			try    *Try
+			number int
+		}
+		var all []open
+		served := true
+		for n := range 3000 {
+			w.now += draw.Int64N(second / 50)
+			switch at := draw.IntN(20); {
+			case at < 10 || len(all) == 0:
+				band, key := draw.IntN(2), uint64(draw.IntN(60))
+				x := &Try{Band: band, Carrier: draw.IntN(3), Print: Print(band, int(key%3), key, ""), Marked: draw.IntN(20) == 0, Left: draw.Int64N(5 * second)}
+				in, wait := w.Take(w.now, x)
+				if d.Add(in, wait); in {
+					w.HandedOff(w.now, x, 0)
+					all = append(all, open{x, 1})
+				}
+			case at < 17:
+				which := draw.IntN(len(all))
+				x := all[which]
+				sign := Sign(draw.IntN(5))
+				if served {
+					sign = Answered
+				}
+				w.Guard.Ended(w.now, x.try, uint32(1+draw.IntN(10)), sign, sign == Answered, draw.Int64N(second))
+				if sign != Answered && x.number < 3 && draw.IntN(2) == 0 {
+					w.HandedOff(w.now, x.try, x.number)
+					all[which].number++
+					break
+				}
+				if sign != Answered {
+					d.Add(w.Dismissed(w.now, x.try, draw.Int64N(second)))
+				}
+				all[which] = all[len(all)-1]
+				all = all[:len(all)-1]
+			case at < 18:
+				w.Unserved(w.now, all[len(all)-1].try)
+				all = all[:len(all)-1]
+			case at < 19 && draw.IntN(5) == 0:
+				hosts := hosts(10, w.now-draw.Int64N(6*second))
+				for i := range hosts {
+					hosts[i].Ready = draw.IntN(3) > 0
+				}
+				w.List(w.now, draw.IntN(2) == 0, hosts[draw.IntN(5):])
+			case n%100 == 0:
+				served = !served
+			}
+			if n%50 == 0 {
+				d.Add(w.Stats, w.Storm(0), w.Storm(1), w.Storm(2), w.Bytes(), w.fleet.At(w.now), w.fleet.Up(), w.fleet.Whole())
+			}
+		}
+		d.Add(w.Stats)
+	})
+}
