--- /dev/null
+++ b/internal/harbour/soundings/trace_test.go
@@ -0,0 +1,56 @@
+package soundings
+
+import (
+	"bytes"
+	"math/rand/v2"
+	"testing"
+
+	"portflow/internal/harbour/faults"
+	"portflow/internal/harbour/manifest"
+	"portflow/internal/testing/digest"
+)
+
+// Snapshots that are asked for piece by piece while the set changes, and pieces that come to a restore in a drawn order, broken or
+// of another snapshot, are answered as they were. Chunks are recorded as their bytes; the texts of errors count.
+func TestTrace(t *testing.T) {
+	digest.Pin(t, 6, []string{"3b0e77edce7fa610", "6c990500b456623e", "d4659259a1b752fc", "482b3953e7de6d29"}, func(seed uint64, d *digest.Digest) {
+		draw := rand.New(rand.NewPCG(seed, 1))
+		all, number := items(900), uint64(5)
+		present := func() ([]manifest.Item, uint64, uint64) { return all, 3, number }
+		var shelf Shelf
+		var dock Dock
+		var ask Ask
+		now := int64(1e12)
+		var last []byte
+		for range 12 {
+			now += draw.Int64N(6e9)
+			if draw.IntN(12) == 0 {
+				all, number = items(600+draw.IntN(3)*150), number+1
+			}
+			part, err := shelf.Answer(now, ask, present)
+			d.Add(part, err, faults.Of(err))
+			if err != nil || part.Done {
+				ask = Ask{}
+			} else {
+				ask = Ask{Snapshot: part.Snapshot, From: part.Next}
+			}
+			raw := part.Chunk
+			switch draw.IntN(10) {
+			case 0:
+				raw = last
+			case 1:
+				if len(raw) > 0 {
+					raw = bytes.Clone(raw)
+					raw[draw.IntN(len(raw))] ^= 1
+				}
+			}
+			last = part.Chunk
+			landed, taken, head, err := dock.Take(now, raw)
+			d.Add(Begins(raw), landed, taken, head, err, faults.Of(err))
+			if len(taken) > 0 {
+				dock.Ended(head, draw.IntN(3) > 0)
+			}
+		}
+		d.Add(Valid(all[draw.IntN(len(all))]))
+	})
+}
