--- a/internal/harbour/lookout/lookout.go
+++ b/internal/harbour/lookout/lookout.go
@@ -162,6 +162,13 @@
 type Watch struct {
 	routers map[string]map[string]told // by router and service
 	judged  map[string]Judgement
+	earlier map[string]map[string]report // by host and router: its last report on the host before the host was let back
+}
+
+// report is what a router told of one host.
+type report struct {
+	at int64
+	Count
 }
 
 type told struct {
@@ -171,7 +178,7 @@
 
 // NewWatch makes one that knows of nothing.
 func NewWatch() *Watch {
-	return &Watch{routers: map[string]map[string]told{}, judged: map[string]Judgement{}}
+	return &Watch{routers: map[string]map[string]told{}, judged: map[string]Judgement{}, earlier: map[string]map[string]report{}}
 }
 
 // Told takes what a router sees of a service's hosts.
@@ -193,10 +200,30 @@
 	routers int
 }
 
+func (s sum) plus(c Count) sum { return sum{s.n + c.N, s.bad + c.Bad, s.routers + 1} }
+
+// sinceReturn is the part of a router's report on a host that isn't left over from before the host was last set aside.
+// Until it is let back it is sent nothing, so whatever is reported by then is of earlier requests, though some of them
+// may have ended, or become overdue, only meanwhile. Later reports still hold the rest of these outcomes, which fades.
+func (w *Watch) sinceReturn(router string, r report) Count {
+	if j, there := w.judged[r.ID]; !there {
+		return r.Count
+	} else if r.at < j.Aside {
+		if w.earlier[r.ID] == nil {
+			w.earlier[r.ID] = map[string]report{}
+		}
+		w.earlier[r.ID][router] = r
+		return Count{ID: r.ID}
+	}
+	old := w.earlier[r.ID][router]
+	left := math.Exp(-float64(r.at-old.at) / float64(memory))
+	return Count{ID: r.ID, N: max(0, r.N-old.N*left), Bad: max(0, r.Bad-old.Bad*left)}
+}
+
 // Judge looks at the hosts that this process answers for, and tells which are newly set aside. Of each service at most a fifth
 // is at once, or one of three; those that are worst go first.
 func (w *Watch) Judge(now int64, hosts []Candidate) (news []Judgement) {
-	pooled, total := map[string]sum{}, map[string]sum{}
+	pooled, recent, total := map[string]sum{}, map[string]sum{}, map[string]sum{}
 	for router, services := range w.routers {
 		for service, t := range services {
 			if now-t.at > stale {
@@ -207,12 +234,12 @@
 				if !(c.N >= 0 && c.Bad >= 0 && c.N < 1e9 && c.Bad <= c.N) {
 					continue
 				}
-				into, key := pooled, c.ID
 				if c.ID == "" {
-					into, key = total, service
+					total[service] = total[service].plus(c)
+					continue
 				}
-				s := into[key]
-				into[key] = sum{s.n + c.N, s.bad + c.Bad, s.routers + 1}
+				pooled[c.ID] = pooled[c.ID].plus(c)
+				recent[c.ID] = recent[c.ID].plus(w.sinceReturn(router, report{t.at, c}))
 			}
 		}
 		if len(services) == 0 {
@@ -232,14 +259,14 @@
 	}
 	var suspects []suspect
 	for _, h := range hosts {
-		s, seen := pooled[h.ID]
+		s, seen := recent[h.ID]
 		j, before := w.judged[h.ID]
 		returning := before && now >= j.Aside && now < j.Back+aside
 		if !seen || before && now < j.Aside || s.bad < many && !(returning && s.bad >= again) {
 			continue
 		}
-		t := total[h.Service]
-		others := max(0, t.bad-s.bad) / max(1, t.n-s.n)
+		t, all := total[h.Service], pooled[h.ID]
+		others := max(0, t.bad-all.bad) / max(1, t.n-all.n)
 		others = min(1, max(0.01, others))
 		// the error is that of a host that is as the others are: where all do badly, it takes much to stand out
 		if over := s.bad/max(s.n, 1e-9) - others - errors*math.Sqrt(others*(1-others)/max(s.n, 1)); over > excess {
@@ -266,6 +293,7 @@
 		news = append(news, j)
 	}
 	maps.DeleteFunc(w.judged, func(_ string, j Judgement) bool { return now > j.Back+longest })
+	maps.DeleteFunc(w.earlier, func(id string, _ map[string]report) bool { return w.judged[id].ID == "" })
 	return news
 }
 
--- a/internal/harbour/lookout/lookout_test.go
+++ b/internal/harbour/lookout/lookout_test.go
@@ -6,6 +6,8 @@
 	"testing"
 
 	qt "github.com/frankban/quicktest"
+
+	"portflow/internal/parts/faded"
 )
 
 // play has routers send requests to hosts of one zone for a while. how tells what a host does with a request that is sent at
@@ -173,3 +175,61 @@
 	c.Check(w.Judge(2+2*stale, []Candidate{{"h0", "desk"}}), qt.HasLen, 0)
 	c.Check(w.Idle(), qt.IsTrue)
 }
+
+// A host that comes back isn't judged by what its routers saw before it was set aside, nor by what they learned meanwhile
+// of requests that it had been sent before; two bad outcomes after that are enough.
+func TestReturnIsJudgedAnew(t *testing.T) {
+	c := qt.New(t)
+	w := NewWatch()
+	hosts := []Candidate{{"h0", "desk"}, {"h1", "desk"}, {"h2", "desk"}}
+	routers := []string{"r0", "r1"}
+	seen := map[string]*faded.Sum{"r0": {}, "r1": {}} // of h0
+	news := 0
+	tell := func(now int64) (judged []Judgement) {
+		for _, r := range routers {
+			seen[r].Fade(now, memory)
+			if seen[r].Of >= 0.3 {
+				w.Told(now, r, "desk", []Count{{"h0", round(seen[r].N), round(seen[r].Of)}, {"", 60 + round(seen[r].N), round(seen[r].Of)}})
+			} else {
+				w.Told(now, r, "desk", nil)
+			}
+		}
+		judged = w.Judge(now, hosts)
+		news += len(judged)
+		return judged
+	}
+	for range 8 {
+		seen["r0"].Add(0, memory, 1)
+		seen["r1"].Add(0, memory, 1)
+	}
+	first := tell(1)
+	c.Assert(first, qt.HasLen, 1)
+	for now := 1 + LookEvery; now < first[0].Back+aside; now += LookEvery {
+		if now > 3*second && now <= 3*second+LookEvery { // overdue, though sent before
+			for range 4 {
+				seen["r0"].Add(now, memory, 1)
+			}
+		}
+		c.Check(tell(now), qt.HasLen, 0, qt.Commentf("at %.1f s, set aside until %.1f s", float64(now)/1e9, float64(first[0].Aside)/1e9))
+	}
+	c.Check(news, qt.Equals, 1)
+
+	w, news = NewWatch(), 0
+	seen["r0"], seen["r1"] = &faded.Sum{}, &faded.Sum{}
+	for range 8 {
+		seen["r0"].Add(0, memory, 1)
+	}
+	first = tell(1)
+	c.Assert(first, qt.HasLen, 1)
+	for now := 1 + LookEvery; now < first[0].Aside; now += LookEvery {
+		c.Check(tell(now), qt.HasLen, 0)
+	}
+	now := first[0].Aside + LookEvery
+	seen["r0"].Add(now, memory, 1)
+	c.Check(tell(now), qt.HasLen, 0)
+	seen["r1"].Add(now, memory, 1)
+	seen["r1"].Add(now, memory, 1)
+	again := tell(now + 1)
+	c.Assert(again, qt.HasLen, 1)
+	c.Check(again[0].Times, qt.Equals, 2)
+}
