--- /dev/null
+++ b/internal/harbour/logbook/folder.go
@@ -0,0 +1,53 @@
+package logbook
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"syscall"
+
+	"github.com/syndtr/goleveldb/leveldb/storage"
+)
+
+// Folder is the logbook's storage in a folder.
+func Folder(path string) (storage.Storage, error) {
+	s, err := storage.OpenFile(path, false)
+	if err != nil {
+		return nil, err
+	}
+	return &namedStorage{Storage: s, syncNames: func() error { return syncFolder(path) }}, nil
+}
+
+// namedStorage makes the names of files durable. A file that was synced may still be missing after a loss of power until the
+// folder itself is synced. The store syncs the folder only with its list of tables: a journal that it has just begun takes
+// synced writes before that.
+type namedStorage struct {
+	storage.Storage
+	syncNames func() error // syncs the folder
+}
+
+// Create makes a file; the name of a journal is durable before anything is written to it.
+func (s *namedStorage) Create(fd storage.FileDesc) (storage.Writer, error) {
+	w, err := s.Storage.Create(fd)
+	if err != nil || fd.Type != storage.TypeJournal {
+		return w, err
+	}
+	if err := s.syncNames(); err != nil {
+		w.Close()
+		return nil, fmt.Errorf("%v: syncing its folder: %w", fd, err)
+	}
+	return w, nil
+}
+
+// syncFolder syncs a folder; file systems that can't do that say so by EINVAL.
+func syncFolder(path string) error {
+	f, err := os.Open(path)
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	if err := f.Sync(); err != nil && !errors.Is(err, syscall.EINVAL) {
+		return err
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/harbour/logbook/folder_test.go
@@ -0,0 +1,182 @@
+package logbook
+
+import (
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"sync"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/syndtr/goleveldb/leveldb/storage"
+
+	"portflow/internal/harbour/manifest"
+)
+
+// unsyncedNames is a folder that knows which names a loss of power may take: of files that were made, or removed, since the
+// folder was last synced.
+type unsyncedNames struct {
+	storage.Storage
+	path string
+
+	mu       sync.Mutex
+	made     map[storage.FileDesc]bool
+	removed  map[string][]byte // by file name, what it held
+	journals int               // that were made
+	listed   func()            // after a list of tables was synced, before the folder is
+	tables   chan struct{}     // tables are made once it is closed; nil for at once
+}
+
+// openUnsynced is a folder as Folder gives it, with the store's syncs of the folder and ours seen.
+func openUnsynced(t *testing.T, path string) (*unsyncedNames, storage.Storage) {
+	s, err := Folder(path)
+	qt.Assert(t, err, qt.IsNil)
+	t.Cleanup(func() { s.Close() })
+	u := &unsyncedNames{path: path, made: map[storage.FileDesc]bool{}, removed: map[string][]byte{}}
+	named, ours := s.(*namedStorage)
+	if !ours {
+		u.Storage = s
+		return u, u
+	}
+	u.Storage = named.Storage
+	under := named.syncNames
+	named.Storage, named.syncNames = u, func() error {
+		err := under()
+		u.synced()
+		return err
+	}
+	return u, named
+}
+
+func (u *unsyncedNames) synced() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	clear(u.made)
+	clear(u.removed)
+}
+
+func (u *unsyncedNames) Create(fd storage.FileDesc) (storage.Writer, error) {
+	u.mu.Lock()
+	tables := u.tables
+	if u.made[fd] = true; fd.Type == storage.TypeJournal {
+		u.journals++
+	}
+	u.mu.Unlock()
+	if fd.Type == storage.TypeTable && tables != nil {
+		<-tables
+	}
+	w, err := u.Storage.Create(fd)
+	if fd.Type == storage.TypeManifest && err == nil {
+		w = &listWriter{w, u}
+	}
+	return w, err
+}
+
+func (u *unsyncedNames) Remove(fd storage.FileDesc) error {
+	name := filepath.Join(u.path, fileName(fd))
+	raw, _ := os.ReadFile(name)
+	u.mu.Lock()
+	u.removed[fileName(fd)] = raw
+	u.mu.Unlock()
+	return u.Storage.Remove(fd)
+}
+
+func (u *unsyncedNames) SetMeta(fd storage.FileDesc) error {
+	err := u.Storage.SetMeta(fd)
+	u.synced()
+	return err
+}
+
+// listWriter is a list of tables, which the store syncs with its folder.
+type listWriter struct {
+	storage.Writer
+	u *unsyncedNames
+}
+
+func (w *listWriter) Sync() error {
+	err := w.Writer.Sync()
+	if w.u.listed != nil {
+		w.u.listed()
+	}
+	w.u.synced()
+	return err
+}
+
+// fileName is the store's name of a file.
+func fileName(fd storage.FileDesc) string {
+	return fmt.Sprintf("%06d.%s", fd.Num, map[storage.FileType]string{
+		storage.TypeJournal: "log", storage.TypeTable: "ldb", storage.TypeTemp: "tmp"}[fd.Type])
+}
+
+// powerLoss is the folder as a loss of power may leave it: without the names that were made, and with those that were removed,
+// since it was last synced.
+func (u *unsyncedNames) powerLoss(t *testing.T) string {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	lost := map[string]bool{}
+	for fd := range u.made {
+		if fd.Type != storage.TypeManifest {
+			lost[fileName(fd)] = true
+		}
+	}
+	left := maps.Clone(u.removed)
+	all, err := os.ReadDir(u.path)
+	qt.Assert(t, err, qt.IsNil)
+	for _, f := range all {
+		if raw, err := os.ReadFile(filepath.Join(u.path, f.Name())); err == nil && !lost[f.Name()] {
+			left[f.Name()] = raw
+		}
+	}
+	path := t.TempDir()
+	for name, raw := range left {
+		qt.Assert(t, os.WriteFile(filepath.Join(path, name), raw, 0o644), qt.IsNil)
+	}
+	return path
+}
+
+// reopened is what a folder gives at the next start.
+func reopened(t *testing.T, path string) (names map[string]bool, whole, repaired bool) {
+	s, err := Folder(path)
+	qt.Assert(t, err, qt.IsNil)
+	defer s.Close()
+	book, items, _, whole, err := Open(s)
+	qt.Assert(t, err, qt.IsNil)
+	defer book.Close()
+	names = map[string]bool{}
+	for _, i := range items {
+		names[i.Name] = true
+	}
+	return names, whole, book.Repaired
+}
+
+// long is an item of a tenth of a megabyte.
+func long(n int) manifest.Item {
+	body := fmt.Sprintf(`{"a":"%0100000d"}`, n)
+	return manifest.Item{Kind: manifest.Routes, Name: fmt.Sprint("r", n), Version: 1, Body: []byte(body)}
+}
+
+// Writes that were acknowledged outlast a loss of power right after the store has begun a new journal, before it has synced
+// the folder by itself.
+func TestNewJournalOutlastsPowerLoss(t *testing.T) {
+	c := qt.New(t)
+	u, s := openUnsynced(t, t.TempDir())
+	book, _, _, _, err := Open(s)
+	c.Assert(err, qt.IsNil)
+	u.mu.Lock()
+	u.tables, u.journals = make(chan struct{}), 0 // as on a slow disk
+	u.mu.Unlock()
+	written := 0
+	for ; u.journals == 0; written++ {
+		c.Assert(book.Write([]manifest.Item{long(written)}, nil, true), qt.IsNil)
+	}
+	for range 3 {
+		c.Assert(book.Write([]manifest.Item{long(written)}, nil, true), qt.IsNil)
+		written++
+	}
+	names, whole, repaired := reopened(t, u.powerLoss(t))
+	c.Check(len(names), qt.Equals, written)
+	c.Check(whole && !repaired, qt.IsTrue)
+	close(u.tables)
+	c.Assert(book.Close(), qt.IsNil)
+}
--- a/internal/harbour/logbook/logbook.go
+++ b/internal/harbour/logbook/logbook.go
@@ -187,9 +187,6 @@
 // longest is what is read of a journal: the store begins another at a megabyte and the write that passes it.
 const longest = 32 << 20
 
-// Folder is the logbook's storage in a folder.
-func Folder(path string) (storage.Storage, error) { return storage.OpenFile(path, false) }
-
 func name(k manifest.Key) string { return itemKey + k.Kind + "/" + k.Name }
 
 // Write writes items, cells of registers, and whether the disk now holds all, in one synced step. A cell of nil goes. After
