--- a/internal/harbour/logbook/folder.go
+++ b/internal/harbour/logbook/folder.go
@@ -19,17 +19,17 @@
 }
 
 // namedStorage makes the names of files durable. A file that was synced may still be missing after a loss of power until the
-// folder itself is synced. The store syncs the folder only with its list of tables: a journal that it has just begun takes
-// synced writes before that.
+// folder itself is synced. The store syncs the folder only with its list of tables: a journal that it has just begun takes synced writes before that, and a synced list may name a table whose name is lost.
 type namedStorage struct {
 	storage.Storage
 	syncNames func() error // syncs the folder
 }
 
-// Create makes a file; the name of a journal is durable before anything is written to it.
+// Create makes a file whose name is durable before anything is written to it. Those of lists of tables are durable once the
+// store has synced the list.
 func (s *namedStorage) Create(fd storage.FileDesc) (storage.Writer, error) {
 	w, err := s.Storage.Create(fd)
-	if err != nil || fd.Type != storage.TypeJournal {
+	if err != nil || fd.Type == storage.TypeManifest {
 		return w, err
 	}
 	if err := s.syncNames(); err != nil {
--- a/internal/harbour/logbook/folder_test.go
+++ b/internal/harbour/logbook/folder_test.go
@@ -180,3 +180,25 @@
 	close(u.tables)
 	c.Assert(book.Close(), qt.IsNil)
 }
+
+// A loss of power between the sync of the list of tables and that of the folder leaves a disk that is well.
+func TestNewTableOutlastsPowerLoss(t *testing.T) {
+	c := qt.New(t)
+	u, s := openUnsynced(t, t.TempDir())
+	book, _, _, _, err := Open(s)
+	c.Assert(err, qt.IsNil)
+	var images []string
+	u.listed = func() { images = append(images, u.powerLoss(t)) }
+	c.Assert(book.Write([]manifest.Item{long(0)}, nil, true), qt.IsNil)
+	var many []manifest.Item // over what the store takes in one write of its journal
+	for n := range 15 {
+		many = append(many, long(n+1))
+	}
+	c.Assert(book.Write(many, nil, true), qt.IsNil)
+	c.Assert(book.Close(), qt.IsNil)
+	c.Assert(len(images) > 0, qt.IsTrue)
+	for _, path := range images {
+		names, whole, repaired := reopened(t, path)
+		c.Check(names["r0"] && whole && !repaired, qt.IsTrue, qt.Commentf("%d items, whole %v, repaired %v", len(names), whole, repaired))
+	}
+}
