--- a/internal/harbour/logbook/folder.go
+++ b/internal/harbour/logbook/folder.go
@@ -18,8 +18,9 @@
 	return &namedStorage{Storage: s, syncNames: func() error { return syncFolder(path) }}, nil
 }
 
-// namedStorage makes the names of files durable. A file that was synced may still be missing after a loss of power until the
-// folder itself is synced. The store syncs the folder only with its list of tables: a journal that it has just begun takes synced writes before that, and a synced list may name a table whose name is lost.
+// namedStorage makes the names of files durable. A file that was synced may still be missing after a loss of power, and one
+// that was removed may be back, until the folder itself is synced. The store syncs the folder only with its list of tables:
+// a journal that it has just begun takes synced writes before that, and a synced list may name a table whose name is lost.
 type namedStorage struct {
 	storage.Storage
 	syncNames func() error // syncs the folder
@@ -39,6 +40,15 @@
 	return w, nil
 }
 
+// Remove removes a file. The store bears that one of its own is back; the mark must not be, as a disk with it counts as lost.
+func (s *namedStorage) Remove(fd storage.FileDesc) error {
+	err := s.Storage.Remove(fd)
+	if err != nil || fd != mark {
+		return err
+	}
+	return s.syncNames()
+}
+
 // syncFolder syncs a folder; file systems that can't do that say so by EINVAL.
 func syncFolder(path string) error {
 	f, err := os.Open(path)
--- a/internal/harbour/logbook/folder_test.go
+++ b/internal/harbour/logbook/folder_test.go
@@ -202,3 +202,17 @@
 		c.Check(names["r0"] && whole && !repaired, qt.IsTrue, qt.Commentf("%d items, whole %v, repaired %v", len(names), whole, repaired))
 	}
 }
+
+// The mark of a spoilt disk that has caught up isn't back after a loss of power: the disk would count as lost once more.
+func TestMarkStaysRemoved(t *testing.T) {
+	c := qt.New(t)
+	u, s := openUnsynced(t, t.TempDir())
+	c.Assert(putMark(s), qt.IsNil)
+	book, _, _, whole, err := Open(s)
+	c.Assert(err, qt.IsNil)
+	c.Check(whole, qt.IsFalse)
+	c.Assert(book.Write([]manifest.Item{long(0)}, nil, true), qt.IsNil)
+	names, whole, repaired := reopened(t, u.powerLoss(t))
+	c.Check(names["r0"] && whole && !repaired, qt.IsTrue, qt.Commentf("whole %v, repaired %v", whole, repaired))
+	c.Assert(book.Close(), qt.IsNil)
+}
