--- a/internal/harbour/harbourmaster/members.go
+++ b/internal/harbour/harbourmaster/members.go
@@ -292,8 +292,7 @@
 	list := node.List()
 	out := CoreRecovery{Node: m.Boot.Name, Confirm: fmt.Sprintf("epoch %d number %d", list.Epoch, node.Applied())}
 	if c.Confirm != "" && c.Confirm == m.recovery { // the same once more
-		out.Done = true
-		return out, nil
+		return m.recovered(ctx, out)
 	}
 	switch {
 	case node.Applied() == 0:
@@ -326,8 +325,13 @@
 	klog.InfoS("recovery", "from", out.Confirm, "losses", out.Losses)
 	m.step(quorum.Event{Recover: true})
 	m.recovery = c.Confirm
+	return m.recovered(ctx, out)
+}
+
+// recovered answers once the recovery is on disk; the caller holds the lock.
+func (m *Master) recovered(ctx context.Context, out CoreRecovery) (any, error) {
 	kept := make(chan bool)
-	if m.dirty || !m.keeper.keep(job{cells: record(node.Disk()), done: func() { close(kept) }}) {
+	if m.dirty || !m.keeper.keep(job{cells: record(m.state.Node.Disk()), done: func() { close(kept) }}) {
 		return nil, faults.New(faults.Unready, "it isn't on disk yet")
 	}
 	m.mu.Unlock()
--- a/internal/lab/basin/core_test.go
+++ b/internal/lab/basin/core_test.go
@@ -361,6 +361,33 @@
 	}
 }
 
+// The disk of the process that is to be the whole core hangs: as long as nothing of the recovery is on it, the call isn't
+// acknowledged, however often it is sent.
+func TestRecoveryIsAcknowledgedFromDisk(t *testing.T) {
+	cored(t, 3, 41, func(c *qt.C, h *Harbour) {
+		for _, m := range h.Masters[1:] {
+			m.Kill()
+		}
+		time.Sleep(4 * time.Second)
+		old := h.core(0)
+		confirm := map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", old.Epoch, old.Number)}
+		h.Masters[0].Disk.hang(true)
+		for range 3 {
+			status, raw := h.ask1(0, "core.recover", confirm)
+			c.Check(status, qt.Not(qt.Equals), 200, qt.Commentf("%s", raw))
+		}
+		h.Masters[0].Disk.hang(false)
+		time.Sleep(time.Second)
+		status, raw := h.ask1(0, "core.recover", confirm)
+		c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
+		h.Masters[0].Kill()
+		h.Masters[0].Disk.PowerLoss(false)
+		h.Masters[0].mustStart()
+		until(c, 5*time.Second, "one core of one", func() bool { return h.one(1) })
+		c.Check(h.core(0).Epoch > old.Epoch, qt.IsTrue)
+	})
+}
+
 // The core is parted, not lost, and the operator was wrong: the four go on by the old list, and confirm, until they hear the
 // recovered one. Then they give way, and nothing is confirmed by the old list any more; what they confirmed meanwhile is
 // lost, as the call says.
