--- a/internal/harbour/logbook/folder_test.go
+++ b/internal/harbour/logbook/folder_test.go
@@ -216,3 +216,42 @@
 	c.Check(names["r0"] && whole && !repaired, qt.IsTrue, qt.Commentf("whole %v, repaired %v", whole, repaired))
 	c.Assert(book.Close(), qt.IsNil)
 }
+
+// A folder whose sync is refused as the store begins a new journal: that write is an error, and the same once more is taken
+// and lasts.
+func TestFolderSyncRefused(t *testing.T) {
+	c := qt.New(t)
+	u, s := openUnsynced(t, t.TempDir())
+	book, _, _, _, err := Open(s)
+	c.Assert(err, qt.IsNil)
+	named := s.(*namedStorage)
+	under, refused := named.syncNames, 0
+	u.mu.Lock()
+	u.journals = 0
+	u.mu.Unlock()
+	named.syncNames = func() error {
+		u.mu.Lock()
+		defer u.mu.Unlock()
+		if u.journals == 1 && refused == 0 {
+			refused++
+			return fmt.Errorf("the disk refuses")
+		}
+		u.mu.Unlock()
+		err := under()
+		u.mu.Lock()
+		return err
+	}
+	failures := 0
+	for n := range 14 {
+		for book.Write([]manifest.Item{long(n)}, nil, true) != nil {
+			failures++
+			c.Assert(failures < 5, qt.IsTrue)
+		}
+	}
+	c.Check(refused, qt.Equals, 1)
+	c.Check(failures, qt.Equals, 1)
+	names, whole, repaired := reopened(t, u.powerLoss(t))
+	c.Check(len(names), qt.Equals, 14)
+	c.Check(whole && !repaired, qt.IsTrue)
+	c.Assert(book.Close(), qt.IsNil)
+}
