--- a/internal/harbour/lookout/lookout.go
+++ b/internal/harbour/lookout/lookout.go
@@ -206,9 +206,11 @@
 // Until it is let back it is sent nothing, so whatever is reported by then is of earlier requests, though some of them
 // may have ended, or become overdue, only meanwhile. Later reports still hold the rest of these outcomes, which fades.
 func (w *Watch) sinceReturn(router string, r report) Count {
-	if j, there := w.judged[r.ID]; !there {
+	j, judged := w.judged[r.ID]
+	if !judged {
 		return r.Count
-	} else if r.at < j.Aside {
+	}
+	if r.at < j.Aside {
 		if w.earlier[r.ID] == nil {
 			w.earlier[r.ID] = map[string]report{}
 		}
