--- a/internal/harbour/fairway/serve.go
+++ b/internal/harbour/fairway/serve.go
@@ -97,7 +97,8 @@
 func (f *Fairway) clients(l net.Listener) {
 	limits := f.view.Load().chart.Limits
 	s := &http.Server{Handler: f, ReadHeaderTimeout: time.Duration(limits.HeaderFor), IdleTimeout: time.Duration(limits.IdleFor),
-		MaxHeaderBytes: limits.Header, ErrorLog: silent, ConnState: note, ConnContext: withCaller}
+		MaxHeaderBytes: limits.Header, ErrorLog: silent, ConnState: note, ConnContext: withCaller,
+		DisableGeneralOptionsHandler: true} // which would answer beside ServeHTTP, so that nobody takes the request's framing
 	f.server.Store(s)
 	s.Serve(&quayside{l, f.room, func() manifest.Bounds { return f.view.Load().chart.Limits }})
 }
@@ -236,6 +237,10 @@
 			return
 		}
 	}
+	if r.Method == http.MethodOptions && r.RequestURI == "*" { // asks about this router, not about a service
+		w.Header().Set("Content-Length", "0")
+		return
+	}
 	if _, ok := target(r.RequestURI); !ok || len(r.Header["Attempt-Id"]) > 1 { // can't go on as it came, or has two ids
 		f.refuse(w, faults.Malformed, 0)
 		return
