--- a/internal/harbour/fairway/limits_test.go
+++ b/internal/harbour/fairway/limits_test.go
@@ -1,13 +1,199 @@
 package fairway
 
 import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
 	"net/http"
 	"strings"
 	"testing"
+	"testing/synctest"
+	"time"
 
 	qt "github.com/frankban/quicktest"
+
+	"portflow/internal/harbour/manifest"
+	"portflow/internal/harbour/signals"
+	"portflow/internal/parts/room"
 )
 
+// virtualClient is a client of a real net/http server on a pipe in virtual time, whose limits the test changes.
+type virtualClient struct {
+	net.Conn
+	in     *bufio.Reader
+	limits *manifest.Bounds
+}
+
+// serveVirtually begins to serve one client by these limits. The server itself is made as before any limits have come.
+func serveVirtually(t *testing.T, limits manifest.Bounds, handler http.HandlerFunc) virtualClient {
+	near, far := net.Pipe()
+	force := &limits
+	place := room.New(2, 2).Enter(nil)
+	c := &caller{Conn: near, place: place, limits: func() manifest.Bounds { return *force }, since: time.Now()}
+	place.Fill(room.Silent, func() { c.Close() })
+	take := func(w http.ResponseWriter, r *http.Request) {
+		r.Context().Value(callerKey{}).(*caller).take()
+		handler(w, r)
+	}
+	d := door{make(chan net.Conn, 1)}
+	d.visitors <- c
+	close(d.visitors)
+	s := &http.Server{Handler: http.HandlerFunc(take), ReadHeaderTimeout: time.Duration(manifest.Usual.HeaderFor),
+		IdleTimeout: time.Duration(manifest.Usual.IdleFor), ConnState: note, ConnContext: withCaller, ErrorLog: silent}
+	go s.Serve(d)
+	t.Cleanup(func() { far.Close() })
+	return virtualClient{Conn: far, in: bufio.NewReader(far), limits: force}
+}
+
+// status reads one answer, and tells its status, or that the connection ended without one.
+func (v virtualClient) status() string {
+	r, err := http.ReadResponse(v.in, nil)
+	if err != nil {
+		return "cut"
+	}
+	io.Copy(io.Discard, r.Body)
+	return r.Status[:3]
+}
+
+const virtualRequest = "GET /look/x HTTP/1.1\r\nHost: desk.example\r\n\r\n"
+
+// A client that keeps within the limits in force is not cut by those that stood as its connection, or the process, began.
+func TestLimitsInForce(t *testing.T) {
+	head := virtualRequest[:len(virtualRequest)-2]
+	for name, x := range map[string]struct {
+		before, after manifest.Bounds
+		play          func(v virtualClient, change func())
+		want          string
+	}{
+		"a head slower than the first limits allowed": {
+			manifest.Bounds{HeaderFor: 10e9, IdleFor: 15e9}, manifest.Bounds{HeaderFor: 10e9, IdleFor: 15e9},
+			func(v virtualClient, _ func()) {
+				io.WriteString(v, head)
+				time.Sleep(9 * time.Second)
+				io.WriteString(v, "\r\n")
+			}, "200"},
+		"a head too slow for lower limits": {
+			manifest.Bounds{HeaderFor: 1e9, IdleFor: 15e9}, manifest.Bounds{},
+			func(v virtualClient, _ func()) {
+				io.WriteString(v, head)
+				time.Sleep(1100 * time.Millisecond)
+				io.WriteString(v, "\r\n")
+			}, "cut"},
+		"header-timeout-s raised during a head": {
+			manifest.Bounds{HeaderFor: 2e9, IdleFor: 15e9}, manifest.Bounds{HeaderFor: 6e9, IdleFor: 15e9},
+			func(v virtualClient, change func()) {
+				io.WriteString(v, head)
+				time.Sleep(time.Second)
+				change()
+				time.Sleep(4 * time.Second)
+				io.WriteString(v, "\r\n")
+			}, "200"},
+		"header-timeout-s lowered during a head": {
+			manifest.Bounds{HeaderFor: 6e9, IdleFor: 15e9}, manifest.Bounds{HeaderFor: 1e9, IdleFor: 15e9},
+			func(v virtualClient, change func()) {
+				io.WriteString(v, head)
+				change()
+				time.Sleep(5 * time.Second)
+				io.WriteString(v, "\r\n")
+			}, "200"},
+		"idle-timeout-s raised while idle": {
+			manifest.Bounds{HeaderFor: 3e9, IdleFor: 5e9}, manifest.Bounds{HeaderFor: 3e9, IdleFor: 20e9},
+			func(v virtualClient, change func()) {
+				io.WriteString(v, virtualRequest)
+				v.status()
+				change()
+				time.Sleep(16 * time.Second)
+				io.WriteString(v, virtualRequest)
+			}, "200"},
+		"idle-timeout-s lowered while idle": {
+			manifest.Bounds{HeaderFor: 3e9, IdleFor: 20e9}, manifest.Bounds{HeaderFor: 3e9, IdleFor: 1e9},
+			func(v virtualClient, change func()) {
+				io.WriteString(v, virtualRequest)
+				v.status()
+				change()
+				time.Sleep(16 * time.Second)
+				io.WriteString(v, virtualRequest)
+			}, "200"},
+		"idle for longer than is allowed": {
+			manifest.Bounds{HeaderFor: 3e9, IdleFor: 5e9}, manifest.Bounds{},
+			func(v virtualClient, _ func()) {
+				io.WriteString(v, virtualRequest)
+				v.status()
+				time.Sleep(5100 * time.Millisecond)
+				io.WriteString(v, virtualRequest)
+			}, "cut"},
+		"a pipelined head beside a short idle-timeout-s": {
+			manifest.Bounds{HeaderFor: 3e9, IdleFor: 1e9}, manifest.Bounds{},
+			func(v virtualClient, _ func()) {
+				go io.WriteString(v, virtualRequest+head)
+				v.status()
+				time.Sleep(2 * time.Second)
+				io.WriteString(v, "\r\n")
+			}, "200"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				v := serveVirtually(t, x.before, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
+				x.play(v, func() {
+					synctest.Wait() // the server waits for the client
+					*v.limits = x.after
+				})
+				qt.Check(t, v.status(), qt.Equals, x.want)
+			})
+		})
+	}
+}
+
+// The body of a pipelined request has the time that bodies have, also where idle-timeout-s is shorter.
+func TestPipelinedBodyBesideShortIdle(t *testing.T) {
+	h := stand(t, func(_ int, r *http.Request, body string) (string, bool) { return good(r, body), true })
+	f, at := routed(t, h)
+	setLimits(t, f, `"header-bytes":16384,"body-bytes":1048576,"header-timeout-s":3,"idle-timeout-s":0.05`)
+	c, err := net.Dial("tcp", at)
+	qt.Assert(t, err, qt.IsNil)
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(5 * time.Second))
+	io.WriteString(c, "GET /look/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: a\r\n\r\nPOST /issue/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: b\r\nContent-Length: 4\r\n\r\nbo")
+	in := bufio.NewReader(c)
+	_, err = http.ReadResponse(in, nil)
+	qt.Assert(t, err, qt.IsNil)
+	time.Sleep(200 * time.Millisecond) // four times the idle time; the body has five seconds
+	io.WriteString(c, "dy")
+	for {
+		r, err := http.ReadResponse(in, nil)
+		qt.Assert(t, err, qt.IsNil)
+		qt.Assert(t, r.StatusCode, qt.Equals, 200)
+		if body, _ := io.ReadAll(r.Body); string(body) == "body" {
+			return
+		}
+	}
+}
+
+// setLimits puts new limits in force, as if control had told them.
+func setLimits(t testing.TB, f *Fairway, limits string) {
+	t.Helper()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	version := 1
+	if i, ok := f.board.Set.Get(manifest.Key{Kind: manifest.Limits, Name: manifest.Limits}); ok {
+		version = int(i.Version) + 1
+	}
+	tell(t, f, fmt.Sprintf(`{"set-items":{"limits":{%s,"version":"%08d"}},"drop-names":{"routes":[]}}`, limits, version))
+}
+
+// tell puts a change of the configuration in force, as if control had told it; the caller holds the lock.
+func tell(t testing.TB, f *Fairway, change string) {
+	t.Helper()
+	items, err := manifest.Read([]byte(change))
+	qt.Assert(t, err, qt.IsNil)
+	var notes []signals.Note
+	for i := range items {
+		notes = append(notes, signals.Note{Item: &items[i]})
+	}
+	f.publish(f.board.Take(notes, false))
+}
+
 // A question about the router itself is answered by it, and the framing of what comes behind is looked at as closely as ever.
 func TestAsteriskOptions(t *testing.T) {
 	h := stand(t, func(_ int, r *http.Request, body string) (string, bool) { return good(r, body), true })
--- a/internal/harbour/fairway/serve.go
+++ b/internal/harbour/fairway/serve.go
@@ -8,6 +8,7 @@
 	stdlog "log"
 	"net"
 	"net/http"
+	"os"
 	"slices"
 	"strconv"
 	"strings"
@@ -93,7 +94,7 @@
 
 var silent = stdlog.New(io.Discard, "", 0) // what clients send wrong is counted, not logged
 
-// clients serves clients by the limits that stand now.
+// clients serves clients. The server is made before any limits have come; caller replaces its deadlines by those in force.
 func (f *Fairway) clients(l net.Listener) {
 	limits := f.view.Load().chart.Limits
 	s := &http.Server{Handler: f, ReadHeaderTimeout: time.Duration(limits.HeaderFor), IdleTimeout: time.Duration(limits.IdleFor),
@@ -117,48 +118,83 @@
 		place.Leave()
 		return nil, err
 	}
-	v := &caller{Conn: c, place: place, limits: q.limits}
+	v := &caller{Conn: c, place: place, limits: q.limits, phase: readingHead, since: time.Now()}
 	place.Fill(room.Silent, func() { v.Close() })
 	return v, nil
 }
 
+// phase is what a client's connection is waiting for.
+type phase uint8
+
+const (
+	readingHead phase = iota // the first or the rest of a request's head
+	idling                   // the next request, of which nothing has come
+	handling                 // the handler: its deadlines are its own
+)
+
 // caller is a client's connection. It sees how a request is framed, which net/http doesn't tell.
 type caller struct {
 	net.Conn
 	place  *room.Place
 	limits func() manifest.Bounds
 	mu     sync.Mutex
-	idle   bool
-	behind bool // something has come while a request was at work: the library looks for a client's end no more then
+	phase  phase
+	since  time.Time // when the phase's deadline was set last
+	behind bool      // something has come while a request was at work: the library looks for a client's end no more then
 	frames framing.Stream
 }
 
 func (c *caller) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
+	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extend() {
+		n, err = c.Conn.Read(b)
+	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle = false
+	if n > 0 && c.phase == idling {
+		c.phase = readingHead
+	}
 	c.behind = c.behind || n == 1 && len(b) == 1 // as it looks
 	c.frames.Read(b[:n])
 	return n, err
 }
 
-// SetReadDeadline has a connection stand idle for as long as the limits that stand now say.
+// allowed is how long the present phase may last by the limits in force; the caller holds the lock.
+func (c *caller) allowed() time.Duration {
+	if c.phase == idling {
+		return time.Duration(c.limits().IdleFor)
+	}
+	return time.Duration(c.limits().HeaderFor)
+}
+
+// SetReadDeadline replaces the deadlines of idle connections and of heads, which net/http has from the limits that stood when
+// its server was made, by those of the limits in force.
 func (c *caller) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
-	if c.idle && !t.IsZero() {
-		t = time.Now().Add(time.Duration(c.limits().IdleFor))
+	if now := time.Now(); c.phase != handling && t.After(now) {
+		c.since = now
+		t = now.Add(c.allowed())
 	}
 	c.mu.Unlock()
 	return c.Conn.SetReadDeadline(t)
 }
 
-// take begins a request, and tells how it is framed. One that stood behind another in the same packet comes without a read:
-// the connection is idle no more all the same, else the library's own deadlines would be taken for that of an idle one.
+// extend tells, at a deadline, whether there is more time: the limits may have been raised since it was set.
+func (c *caller) extend() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.phase == handling {
+		return false
+	}
+	due := c.since.Add(c.allowed())
+	return time.Now().Before(due) && c.Conn.SetReadDeadline(due) == nil
+}
+
+// take begins a request, and tells how it is framed.
 func (c *caller) take() framing.Fields {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle = false
+	c.phase = handling
 	return c.frames.Take()
 }
 
@@ -174,25 +210,50 @@
 	behind := c.behind
 	c.behind = false
 	c.mu.Unlock()
+	return behind && c.peek() == ended
+}
+
+// pending is what waits to be read on a connection.
+type pending uint8
+
+const (
+	nothingWaits pending = iota // or it can't be told
+	bytesWait
+	ended // its end, or an error
+)
+
+// peek looks at what waits to be read, and takes nothing of it.
+func (c *caller) peek() pending {
 	s, ok := c.Conn.(syscall.Conn)
-	if !behind || !ok {
-		return false
+	if !ok {
+		return nothingWaits
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
-		return true
+		return ended
 	}
 	n, seen := 0, error(nil)
 	err = raw.Control(func(fd uintptr) {
 		n, _, seen = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
-	return err != nil || seen == nil && n == 0 || seen != nil && seen != syscall.EAGAIN && seen != syscall.EINTR
+	switch {
+	case err != nil:
+		return ended
+	case seen == syscall.EAGAIN || seen == syscall.EINTR:
+		return nothingWaits
+	case seen != nil || n == 0:
+		return ended
+	}
+	return bytesWait
 }
 
+// rest tells that the connection's request has its answer. The beginning of the next one may have come behind it.
 func (c *caller) rest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle = true
+	if c.phase = idling; c.frames.Begun() {
+		c.phase = readingHead
+	}
 }
 
 type callerKey struct{}
@@ -227,12 +288,16 @@
 	defer f.open.Add(-1)
 	began := f.clock()
 	v := f.view.Load()
+	from, known := r.Context().Value(callerKey{}).(*caller)
+	var framed framing.Fields
+	if known {
+		framed = from.take() // before the body's deadline is set, which would else be taken for that of a head
+	}
 	if r.ContentLength != 0 { // also for what is left of it once a request is refused: the library reads that
 		http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyIn + time.Duration(max(0, r.ContentLength)>>20)*time.Second))
 	}
-	from, known := r.Context().Value(callerKey{}).(*caller)
 	if known {
-		if x := from.take(); x.Doubtful() || x.Codings > 0 && !r.ProtoAtLeast(1, 1) { // the library passes over codings there
+		if x := framed; x.Doubtful() || x.Codings > 0 && !r.ProtoAtLeast(1, 1) { // the library passes over codings there
 			f.refuse(w, faults.Malformed, 0)
 			return
 		}
--- a/internal/parts/framing/stream.go
+++ b/internal/parts/framing/stream.go
@@ -114,6 +114,11 @@
 	}
 }
 
+// Begun tells whether anything of a request that was not taken yet has come.
+func (s *Stream) Begun() bool {
+	return len(s.heads) > 0 || s.where == inHead && (s.begun || len(s.line) > 0)
+}
+
 // chunk reads a chunk's size.
 func chunk(line []byte) (n int64, ok bool) {
 	if i := bytes.IndexByte(line, ';'); i >= 0 {
