--- a/internal/harbour/fairway/limits_test.go
+++ b/internal/harbour/fairway/limits_test.go
@@ -2,10 +2,12 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
+	"os"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -182,6 +184,41 @@
 	tell(t, f, fmt.Sprintf(`{"set-items":{"limits":{%s,"version":"%08d"}},"drop-names":{"routes":[]}}`, limits, version))
 }
 
+// A request that has come by the time that its connection's idle deadline is looked at is read, and the connection is not closed.
+func TestArrivalAtTheIdleDeadline(t *testing.T) {
+	near, far := pair(t)
+	c := &caller{Conn: near, phase: idling, limits: func() manifest.Bounds { return manifest.Bounds{HeaderFor: 3e9, IdleFor: 1} }}
+	_, err := c.Read(make([]byte, 100))
+	qt.Assert(t, err, qt.IsNil, qt.Commentf("no deadline is set, and something is to come"))
+	c.phase = idling
+	io.WriteString(far, virtualRequest)
+	until(t, func() bool { return c.peek() == bytesWait })
+	near.SetReadDeadline(time.Unix(1, 0)) // which has passed before the read: the kernel isn't asked any more
+	b := make([]byte, 100)
+	n, err := c.Read(b)
+	qt.Check(t, err, qt.IsNil)
+	qt.Check(t, string(b[:n]), qt.Equals, virtualRequest)
+
+	c.phase = idling // and with nothing there it ends
+	near.SetReadDeadline(time.Unix(1, 0))
+	_, err = c.Read(b)
+	qt.Check(t, errors.Is(err, os.ErrDeadlineExceeded), qt.IsTrue, qt.Commentf("%v", err))
+}
+
+// pair is a connection of the machine's own, both ends; the far one has sent a byte.
+func pair(t *testing.T) (near, far net.Conn) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	qt.Assert(t, err, qt.IsNil)
+	defer l.Close()
+	far, err = net.Dial("tcp", l.Addr().String())
+	qt.Assert(t, err, qt.IsNil)
+	near, err = l.Accept()
+	qt.Assert(t, err, qt.IsNil)
+	t.Cleanup(func() { near.Close(); far.Close() })
+	io.WriteString(far, "x")
+	return near, far
+}
+
 // tell puts a change of the configuration in force, as if control had told it; the caller holds the lock.
 func tell(t testing.TB, f *Fairway, change string) {
 	t.Helper()
--- a/internal/harbour/fairway/serve.go
+++ b/internal/harbour/fairway/serve.go
@@ -179,13 +179,17 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// extend tells, at a deadline, whether there is more time: the limits may have been raised since it was set.
+// extend tells, at a deadline, whether there is more time: the limits may have been raised since it was set, and a request may
+// have arrived in the moment of the deadline.
 func (c *caller) extend() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase == handling {
 		return false
 	}
+	if c.phase == idling && c.peek() == bytesWait {
+		c.phase, c.since = readingHead, time.Now()
+	}
 	due := c.since.Add(c.allowed())
 	return time.Now().Before(due) && c.Conn.SetReadDeadline(due) == nil
 }
