--- a/internal/harbour/fairway/limits_test.go
+++ b/internal/harbour/fairway/limits_test.go
@@ -241,3 +241,42 @@
 	qt.Check(t, strings.Contains(got, "HTTP/1.1 400"), qt.IsTrue, qt.Commentf("%q", got))
 	qt.Check(t, h.arrivals(), qt.HasLen, 0)
 }
+
+// header-bytes binds as it stands, raised and lowered, whatever stood as the process began.
+func TestHeaderBytesInForce(t *testing.T) {
+	h := stand(t, func(_ int, r *http.Request, body string) (string, bool) { return good(r, body), true })
+	f, at := routed(t, h)
+	for _, x := range []struct {
+		limit, head int
+		want        string
+	}{{16 << 10, 30 << 10, "431"}, {64 << 10, 30 << 10, "200"}, {64 << 10, 60 << 10, "200"}, {64 << 10, 80 << 10, "431"},
+		{2 << 10, 3 << 10, "431"}, {2 << 10, 30 << 10, "431"}, {2 << 10, 1 << 10, "200"}, {16 << 10, 12 << 10, "200"}} {
+		setLimits(t, f, fmt.Sprintf(`"header-bytes":%d,"body-bytes":1048576,"header-timeout-s":3,"idle-timeout-s":15`, x.limit))
+		got := ask(t, at, "POST", "/issue/x", "a", "body", "X-Long: "+strings.Repeat("z", x.head))
+		qt.Check(t, status(got), qt.Equals, x.want, qt.Commentf("%d of %d: %.100q", x.head, x.limit, got))
+	}
+}
+
+// A kept connection takes a longer head once that is allowed, and one that is longer than that ends it.
+func TestHeaderBytesRaisedOnKeptConnection(t *testing.T) {
+	h := stand(t, func(_ int, r *http.Request, body string) (string, bool) { return good(r, body), true })
+	f, at := routed(t, h)
+	c, err := net.Dial("tcp", at)
+	qt.Assert(t, err, qt.IsNil)
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(5 * time.Second))
+	in := bufio.NewReader(c)
+	one := func(size int) string {
+		fmt.Fprintf(c, "GET /look/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: a\r\nX-Long: %s\r\n\r\n", strings.Repeat("z", size))
+		r, err := http.ReadResponse(in, nil)
+		if err != nil {
+			return err.Error()
+		}
+		io.Copy(io.Discard, r.Body)
+		return r.Status[:3]
+	}
+	qt.Check(t, one(1<<10), qt.Equals, "200")
+	setLimits(t, f, `"header-bytes":65536,"body-bytes":1048576,"header-timeout-s":3,"idle-timeout-s":15`)
+	qt.Check(t, one(50<<10), qt.Equals, "200")
+	qt.Check(t, one(100<<10), qt.Equals, "431")
+}
--- a/internal/harbour/fairway/serve.go
+++ b/internal/harbour/fairway/serve.go
@@ -94,11 +94,11 @@
 
 var silent = stdlog.New(io.Discard, "", 0) // what clients send wrong is counted, not logged
 
-// clients serves clients. The server is made before any limits have come; caller replaces its deadlines by those in force.
+// clients serves clients. The server is made before any limits have come; caller replaces its bounds by those in force.
 func (f *Fairway) clients(l net.Listener) {
 	limits := f.view.Load().chart.Limits
 	s := &http.Server{Handler: f, ReadHeaderTimeout: time.Duration(limits.HeaderFor), IdleTimeout: time.Duration(limits.IdleFor),
-		MaxHeaderBytes: limits.Header, ErrorLog: silent, ConnState: note, ConnContext: withCaller,
+		MaxHeaderBytes: manifest.HeaderMost, ErrorLog: silent, ConnState: note, ConnContext: withCaller,
 		DisableGeneralOptionsHandler: true} // which would answer beside ServeHTTP, so that nobody takes the request's framing
 	f.server.Store(s)
 	s.Serve(&quayside{l, f.room, func() manifest.Bounds { return f.view.Load().chart.Limits }})
@@ -149,16 +149,49 @@
 	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extend() {
 		n, err = c.Conn.Read(b)
 	}
+	if c.observe(b[:n], len(b)); c.overlong() {
+		c.refuseHead()
+		return 0, &net.OpError{Op: "read", Err: errLongHead} // which net/http says nothing of to the client
+	}
+	return n, err
+}
+
+// observe takes what was read into a buffer of this size.
+func (c *caller) observe(read []byte, size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if n > 0 && c.phase == idling {
+	if len(read) > 0 && c.phase == idling {
 		c.phase = readingHead
 	}
-	c.behind = c.behind || n == 1 && len(b) == 1 // as it looks
-	c.frames.Read(b[:n])
-	return n, err
+	c.behind = c.behind || len(read) == 1 && size == 1 // as it looks
+	c.frames.Read(read)
+}
+
+// headSlop is by how many bytes a head may pass the limit before its end has come: as many as net/http's buffer has. What is
+// whole by then is judged by its size.
+const headSlop = 4096
+
+var errLongHead = errors.New("the head is longer than header-bytes")
+
+// overlong tells whether the head that comes in is longer than the limits in force allow.
+func (c *caller) overlong() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.phase == readingHead && c.frames.Head() > c.limits().Header+headSlop
 }
 
+// refuseHead answers a head that is too long, and waits for a moment so that the answer isn't lost by a reset.
+func (c *caller) refuseHead() {
+	fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
+		http.StatusRequestHeaderFieldsTooLarge, http.StatusText(http.StatusRequestHeaderFieldsTooLarge))
+	c.Conn.SetReadDeadline(time.Now().Add(resetAvoidance))
+	io.Copy(io.Discard, c.Conn)
+}
+
+// resetAvoidance is how long a refused client that still sends gets to read its answer: a connection that is closed beside unread
+// bytes is reset, and the client may lose the answer by that.
+const resetAvoidance = 500 * time.Millisecond
+
 // allowed is how long the present phase may last by the limits in force; the caller holds the lock.
 func (c *caller) allowed() time.Duration {
 	if c.phase == idling {
--- a/internal/harbour/manifest/routes.go
+++ b/internal/harbour/manifest/routes.go
@@ -119,9 +119,12 @@
 	return v
 }
 
+// HeaderMost is the highest header-bytes that may be set.
+const HeaderMost = 1 << 30
+
 // ReadLimits reads and checks the limits.
 func ReadLimits(r papers.Reader) Bounds {
-	return Bounds{Header: r.At("header-bytes").Whole(1, 1<<30), Body: r.At("body-bytes").Whole(0, 1<<40),
+	return Bounds{Header: r.At("header-bytes").Whole(1, HeaderMost), Body: r.At("body-bytes").Whole(0, 1<<40),
 		HeaderFor: r.At("header-timeout-s").Seconds(0.001, 86400), IdleFor: r.At("idle-timeout-s").Seconds(0.001, 86400)}
 }
 
--- a/internal/parts/framing/stream.go
+++ b/internal/parts/framing/stream.go
@@ -24,6 +24,7 @@
 	is    Fields
 	begun bool   // a line of the present head has come
 	line  []byte // the beginning of the present line
+	head  int    // bytes of the present head so far
 	body  int64  // bytes of a body, or of a chunk and its end, that are still to come
 	where place
 }
@@ -62,6 +63,9 @@
 			part = b[:i]
 		}
 		s.line = append(s.line, part[:min(len(part), lineKept-len(s.line))]...)
+		if s.where == inHead {
+			s.head += len(part)
+		}
 		if i < 0 {
 			return
 		}
@@ -110,7 +114,7 @@
 		case s.body > 0:
 			s.where = inBody
 		}
-		s.is, s.begun = Fields{}, false
+		s.is, s.begun, s.head = Fields{}, false, 0
 	}
 }
 
@@ -119,6 +123,9 @@
 	return len(s.heads) > 0 || s.where == inHead && (s.begun || len(s.line) > 0)
 }
 
+// Head is how many bytes of a head have come whose end has not.
+func (s *Stream) Head() int { return s.head }
+
 // chunk reads a chunk's size.
 func chunk(line []byte) (n int64, ok bool) {
 	if i := bytes.IndexByte(line, ';'); i >= 0 {
