--- a/internal/harbour/fairway/limits_test.go
+++ b/internal/harbour/fairway/limits_test.go
@@ -280,3 +280,47 @@
 	qt.Check(t, one(50<<10), qt.Equals, "200")
 	qt.Check(t, one(100<<10), qt.Equals, "431")
 }
+
+// A client that takes its answer slowly, and never rests for longer than it may, gets all of it, also in one write that takes
+// longer than that; and a lowered idle-timeout-s binds no request that was taken before.
+func TestSlowReader(t *testing.T) {
+	for name, x := range map[string]struct {
+		then, now manifest.Bounds
+		pause     time.Duration
+		whole     bool
+	}{
+		"slow":                           {manifest.Bounds{IdleFor: 5e9}, manifest.Bounds{IdleFor: 5e9}, 4 * time.Second, true},
+		"too slow":                       {manifest.Bounds{IdleFor: 5e9}, manifest.Bounds{IdleFor: 5e9}, 6 * time.Second, false},
+		"idle-timeout-s lowered for one": {manifest.Bounds{IdleFor: 5e9}, manifest.Bounds{IdleFor: 1e9}, 4 * time.Second, true},
+		"idle-timeout-s raised for one":  {manifest.Bounds{IdleFor: 1e9}, manifest.Bounds{IdleFor: 5e9}, 4 * time.Second, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				near, far := net.Pipe()
+				defer far.Close()
+				limits := x.then
+				c := &caller{Conn: near, limits: func() manifest.Bounds { return limits }}
+				c.take()
+				limits = x.now
+				answer := strings.Repeat("x", 1000)
+				var got int
+				go func() {
+					for b := make([]byte, 100); ; {
+						time.Sleep(x.pause)
+						n, err := far.Read(b)
+						if got += n; err != nil {
+							return
+						}
+					}
+				}()
+				n, err := c.Write([]byte(answer))
+				qt.Check(t, err == nil, qt.Equals, x.whole, qt.Commentf("%v", err))
+				qt.Check(t, n == len(answer), qt.Equals, x.whole, qt.Commentf("%d", n))
+				near.Close()
+				synctest.Wait()
+				time.Sleep(time.Minute)
+				qt.Check(t, got, qt.Equals, n)
+			})
+		})
+	}
+}
--- a/internal/harbour/fairway/serve.go
+++ b/internal/harbour/fairway/serve.go
@@ -135,13 +135,14 @@
 // caller is a client's connection. It sees how a request is framed, which net/http doesn't tell.
 type caller struct {
 	net.Conn
-	place  *room.Place
-	limits func() manifest.Bounds
-	mu     sync.Mutex
-	phase  phase
-	since  time.Time // when the phase's deadline was set last
-	behind bool      // something has come while a request was at work: the library looks for a client's end no more then
-	frames framing.Stream
+	place   *room.Place
+	limits  func() manifest.Bounds
+	mu      sync.Mutex
+	phase   phase
+	since   time.Time // when the phase's deadline was set last
+	idleFor int64     // nanoseconds, as the present request was taken
+	behind  bool      // something has come while a request was at work: the library looks for a client's end no more then
+	frames  framing.Stream
 }
 
 func (c *caller) Read(b []byte) (int, error) {
@@ -231,14 +232,29 @@
 func (c *caller) take() framing.Fields {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.phase = handling
+	c.phase, c.idleFor = handling, c.limits().IdleFor
 	return c.frames.Take()
 }
 
-// Write gives a client that takes nothing as long as one that says nothing.
+// Write gives a client that takes nothing as long as one that says nothing, by the limits that stood when its request was taken
+// or by those in force, whichever is longer. One that takes an answer slowly, and yet takes some of it, has as long again.
 func (c *caller) Write(b []byte) (int, error) {
-	c.Conn.SetWriteDeadline(time.Now().Add(time.Duration(c.limits().IdleFor)))
-	return c.Conn.Write(b)
+	written := 0
+	for {
+		c.Conn.SetWriteDeadline(time.Now().Add(c.stall()))
+		n, err := c.Conn.Write(b[written:])
+		written += n
+		if n == 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
+			return written, err
+		}
+	}
+}
+
+// stall is how long a client may take nothing of its answer.
+func (c *caller) stall() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return time.Duration(max(c.idleFor, c.limits().IdleFor))
 }
 
 // left tells whether the client went while its request stood behind another.
