--- a/internal/harbour/fairway/limits_test.go
+++ b/internal/harbour/fairway/limits_test.go
@@ -187,10 +187,9 @@
 // A request that has come by the time that its connection's idle deadline is looked at is read, and the connection is not closed.
 func TestArrivalAtTheIdleDeadline(t *testing.T) {
 	near, far := pair(t)
-	c := &caller{Conn: near, phase: idling, limits: func() manifest.Bounds { return manifest.Bounds{HeaderFor: 3e9, IdleFor: 1} }}
-	_, err := c.Read(make([]byte, 100))
-	qt.Assert(t, err, qt.IsNil, qt.Commentf("no deadline is set, and something is to come"))
-	c.phase = idling
+	c := &caller{Conn: near, phase: idling, place: room.New(1, 1).Try(), limits: func() manifest.Bounds { return manifest.Bounds{HeaderFor: 3e9, IdleFor: 1} }}
+	_, err := near.Read(make([]byte, 100)) // the byte that shows it to be up
+	qt.Assert(t, err, qt.IsNil)
 	io.WriteString(far, virtualRequest)
 	until(t, func() bool { return c.peek() == bytesWait })
 	near.SetReadDeadline(time.Unix(1, 0)) // which has passed before the read: the kernel isn't asked any more
@@ -199,7 +198,8 @@
 	qt.Check(t, err, qt.IsNil)
 	qt.Check(t, string(b[:n]), qt.Equals, virtualRequest)
 
-	c.phase = idling // and with nothing there it ends
+	c.take() // and with nothing there it ends
+	c.rest()
 	near.SetReadDeadline(time.Unix(1, 0))
 	_, err = c.Read(b)
 	qt.Check(t, errors.Is(err, os.ErrDeadlineExceeded), qt.IsTrue, qt.Commentf("%v", err))
@@ -324,3 +324,54 @@
 		})
 	}
 }
+
+// A connection whose place is wanted ends only while nothing of a request has come on it, though net/http calls it idle, or new,
+// until a whole head was read.
+func TestEvictedBesideARequest(t *testing.T) {
+	b := make([]byte, 100)
+	for name, x := range map[string]struct {
+		phase   phase
+		sent    string
+		readAll bool // by the time that its place is wanted
+		ends    bool
+	}{
+		"idle":                      {idling, "", false, true},
+		"new":                       {readingHead, "", false, true},
+		"idle, with a request sent": {idling, virtualRequest, false, false},
+		"new, with a request sent":  {readingHead, virtualRequest, false, false},
+		"idle, with a request read": {idling, virtualRequest, true, false},
+		"new, with a request read":  {readingHead, virtualRequest, true, false},
+		"half a head":               {idling, virtualRequest[:20], true, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			near, far := pair(t)
+			near.Read(b) // the byte that shows it to be up
+			r := room.New(1, 1)
+			c := &caller{Conn: near, place: r.Try(), phase: x.phase, since: time.Now(), limits: func() manifest.Bounds { return manifest.Usual }}
+			c.place.Fill(map[phase]room.Use{idling: room.Idle, readingHead: room.Silent}[x.phase], c.evict)
+			io.WriteString(far, x.sent)
+			if x.sent != "" {
+				until(t, func() bool { return c.peek() == bytesWait })
+			}
+			if x.readAll {
+				_, err := c.Read(b)
+				qt.Assert(t, err, qt.IsNil)
+			}
+			c.evict()
+			if !x.readAll || x.ends {
+				n, err := c.Read(b)
+				qt.Check(t, err != nil, qt.Equals, x.ends, qt.Commentf("%v", err))
+				qt.Check(t, string(b[:n]), qt.Equals, map[bool]string{false: x.sent}[x.ends])
+			}
+			if !x.ends { // and all goes on as ever
+				c.SetReadDeadline(time.Time{})
+				c.take()
+				_, err := io.WriteString(c, "answer")
+				qt.Check(t, err, qt.IsNil)
+				n, err := far.Read(b)
+				qt.Check(t, err, qt.IsNil)
+				qt.Check(t, string(b[:n]), qt.Equals, "answer")
+			}
+		})
+	}
+}
--- a/internal/harbour/fairway/serve.go
+++ b/internal/harbour/fairway/serve.go
@@ -119,7 +119,7 @@
 		return nil, err
 	}
 	v := &caller{Conn: c, place: place, limits: q.limits, phase: readingHead, since: time.Now()}
-	place.Fill(room.Silent, func() { v.Close() })
+	place.Fill(room.Silent, v.evict)
 	return v, nil
 }
 
@@ -141,6 +141,7 @@
 	phase   phase
 	since   time.Time // when the phase's deadline was set last
 	idleFor int64     // nanoseconds, as the present request was taken
+	evicted bool      // its place is wanted for another connection
 	behind  bool      // something has come while a request was at work: the library looks for a client's end no more then
 	frames  framing.Stream
 }
@@ -160,12 +161,16 @@
 // observe takes what was read into a buffer of this size.
 func (c *caller) observe(read []byte, size int) {
 	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(read) > 0 && c.phase == idling {
-		c.phase = readingHead
+	begins := len(read) > 0 && (c.phase == idling || c.phase == readingHead && !c.frames.Begun())
+	if begins {
+		c.phase, c.evicted = readingHead, false
 	}
 	c.behind = c.behind || len(read) == 1 && size == 1 // as it looks
 	c.frames.Read(read)
+	c.mu.Unlock()
+	if begins {
+		c.place.Set(room.Begun)
+	}
 }
 
 // headSlop is by how many bytes a head may pass the limit before its end has come: as many as net/http's buffer has. What is
@@ -207,13 +212,15 @@
 	c.mu.Lock()
 	if now := time.Now(); c.phase != handling && t.After(now) {
 		c.since = now
-		t = now.Add(c.allowed())
+		if t = now.Add(c.allowed()); c.evicted {
+			t = time.Unix(1, 0)
+		}
 	}
 	c.mu.Unlock()
 	return c.Conn.SetReadDeadline(t)
 }
 
-// extend tells, at a deadline, whether there is more time: the limits may have been raised since it was set, and a request may
+// extend tells, at a deadline or where its place is wanted, whether there is more time: the limits may have been raised since it was set, and a request may
 // have arrived in the moment of the deadline.
 func (c *caller) extend() bool {
 	c.mu.Lock()
@@ -221,8 +228,11 @@
 	if c.phase == handling {
 		return false
 	}
-	if c.phase == idling && c.peek() == bytesWait {
-		c.phase, c.since = readingHead, time.Now()
+	if !c.frames.Begun() && c.peek() == bytesWait {
+		c.phase, c.since, c.evicted = readingHead, time.Now(), false
+	}
+	if c.evicted {
+		return false
 	}
 	due := c.since.Add(c.allowed())
 	return time.Now().Before(due) && c.Conn.SetReadDeadline(due) == nil
@@ -320,6 +330,18 @@
 	return c.Conn.Close()
 }
 
+// evict ends the connection, whose place is wanted for another, by its read deadline: then its reader alone decides, and what has
+// come by that moment is served. net/http says only once it has read a whole head that a connection is in use.
+func (c *caller) evict() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.phase == handling || c.frames.Whole() {
+		return
+	}
+	c.evicted = true
+	c.Conn.SetReadDeadline(time.Unix(1, 0))
+}
+
 func note(c net.Conn, s http.ConnState) {
 	v, ok := c.(*caller)
 	if !ok {
--- a/internal/parts/framing/stream.go
+++ b/internal/parts/framing/stream.go
@@ -123,6 +123,9 @@
 	return len(s.heads) > 0 || s.where == inHead && (s.begun || len(s.line) > 0)
 }
 
+// Whole tells whether a whole head has come that was not taken yet.
+func (s *Stream) Whole() bool { return len(s.heads) > 0 }
+
 // Head is how many bytes of a head have come whose end has not.
 func (s *Stream) Head() int { return s.head }
 
