--- a/internal/harbour/fairway/limits_test.go
+++ b/internal/harbour/fairway/limits_test.go
@@ -375,3 +375,66 @@
 		})
 	}
 }
+
+// Who sends a long body and reads afterwards gets the answer of a refusal that came meanwhile, as after a route was dropped or
+// body-bytes lowered: the connection isn't reset below it. Nothing of what is left is read as another request.
+func TestRefusedBesideALongBody(t *testing.T) {
+	h := stand(t, func(_ int, r *http.Request, body string) (string, bool) { return good(r, "x"), true })
+	f, at := routed(t, h)
+	setLimits(t, f, `"header-bytes":16384,"body-bytes":100000000,"header-timeout-s":3,"idle-timeout-s":15`)
+	const size = 48 << 20 // beyond what the sockets hold
+	chunk := strings.Repeat("GET /look/smuggled HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: s\r\n\r\n", 1<<20/64)[:1<<20]
+	for name, x := range map[string]struct {
+		head, want string
+		change     func()
+		chunked    bool
+	}{
+		"no route":         {"POST /nowhere HTTP/1.1", "404", func() {}, false},
+		"no route, chunks": {"POST /nowhere HTTP/1.1", "404", func() {}, true},
+		"body-bytes lowered": {"POST /issue/x HTTP/1.1", "413", func() {
+			setLimits(t, f, `"header-bytes":16384,"body-bytes":1000,"header-timeout-s":3,"idle-timeout-s":15`)
+		}, false},
+		"body-bytes lowered, chunks": {"POST /issue/x HTTP/1.1", "413", func() {
+			setLimits(t, f, `"header-bytes":16384,"body-bytes":1000,"header-timeout-s":3,"idle-timeout-s":15`)
+		}, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			x.change()
+			c, err := net.Dial("tcp", at)
+			qt.Assert(t, err, qt.IsNil)
+			defer c.Close()
+			c.SetDeadline(time.Now().Add(30 * time.Second))
+			framing := fmt.Sprintf("Content-Length: %d", size)
+			if x.chunked {
+				framing = "Transfer-Encoding: chunked"
+			}
+			fmt.Fprintf(c, "%s\r\nHost: desk.example\r\nAttempt-Id: a\r\n%s\r\n\r\n", x.head, framing)
+			for n := 0; n < size; n += len(chunk) {
+				if x.chunked {
+					fmt.Fprintf(c, "%x\r\n", len(chunk))
+				}
+				_, err = io.WriteString(c, chunk)
+				qt.Assert(t, err, qt.IsNil, qt.Commentf("after %d", n))
+				if x.chunked {
+					io.WriteString(c, "\r\n")
+				}
+				time.Sleep(resetAvoidance / 20) // longer in all than the library would wait
+			}
+			if x.chunked {
+				io.WriteString(c, "0\r\n\r\n")
+			}
+			in := bufio.NewReader(c)
+			r, err := http.ReadResponse(in, nil)
+			qt.Assert(t, err, qt.IsNil)
+			qt.Check(t, r.Status[:3], qt.Equals, x.want)
+			if x.want == "404" { // and it is of use again
+				io.WriteString(c, "GET /look/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: b\r\n\r\n")
+				r, err = http.ReadResponse(in, nil)
+				qt.Assert(t, err, qt.IsNil)
+				qt.Check(t, r.Status[:3], qt.Equals, "200")
+			}
+			qt.Check(t, counted(h)["s"], qt.Equals, 0)
+			qt.Check(t, counted(h)["a"], qt.Equals, 0)
+		})
+	}
+}
--- a/internal/harbour/fairway/serve.go
+++ b/internal/harbour/fairway/serve.go
@@ -369,8 +369,14 @@
 		framed = from.take() // before the body's deadline is set, which would else be taken for that of a head
 	}
 	if r.ContentLength != 0 { // also for what is left of it once a request is refused: the library reads that
-		http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyIn + time.Duration(max(0, r.ContentLength)>>20)*time.Second))
+		http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTime(r.ContentLength)))
 	}
+	read := r.ContentLength == 0 // the request is read whole
+	defer func() {
+		if !read {
+			readAway(w, r, v.chart.Limits)
+		}
+	}()
 	if known {
 		if x := framed; x.Doubtful() || x.Codings > 0 && !r.ProtoAtLeast(1, 1) { // the library passes over codings there
 			f.refuse(w, faults.Malformed, 0)
@@ -408,6 +414,7 @@
 		left = min(left, int64(ms*1e6))
 	}
 	body, weight, fault := f.body(w, r, v.chart.Limits)
+	read = fault == faults.None
 	load := &cargo{id: r.Header.Get("Attempt-Id"), stream: make(chan *stream, 1), attempts: attempt.Request{Idempotent: route.Safe},
 		stowed: stowed{in: &f.held, weight: weight, users: 1}}
 	defer load.leave()
@@ -477,6 +484,11 @@
 // bodyIn is for a body, beside a second for each megabyte of it that is stated.
 const bodyIn = 5 * time.Second
 
+// bodyTime is how long a body of this length may take, -1 for one that isn't stated.
+func bodyTime(length int64) time.Duration {
+	return bodyIn + time.Duration(max(0, length)>>20)*time.Second
+}
+
 // body reads a request's body whole, within the memory that bodies have. It tells how much of that it has taken up, which is
 // the caller's to give back whatever the fault.
 func (f *Fairway) body(w http.ResponseWriter, r *http.Request, l manifest.Bounds) (body []byte, weight int64, fault faults.Kind) {
@@ -540,6 +552,40 @@
 	return body, weight, faults.None
 }
 
+// refusedStall is for how long nothing may come of the body of a request that was refused.
+const refusedStall = 2 * time.Second
+
+// libraryReads is up to how many bytes of a refused request's body net/http itself reads away before it answers.
+const libraryReads = 256 << 10
+
+// readAway answers a request that is refused beside a long body at once, and then reads what still comes of that. net/http would
+// close the connection half a second after the answer, and reset by that a client that sends on, which may lose the answer. It is
+// over once nothing comes for a while, or the body's time is up; a connection that isn't read to its request's end ends.
+func readAway(w http.ResponseWriter, r *http.Request, l manifest.Bounds) {
+	if r.ContentLength >= 0 && r.ContentLength <= libraryReads || r.Header.Get("Expect") != "" { // who waits for leave sends nothing
+		return
+	}
+	if r.ContentLength < 0 && w.Header().Get("Connection") != "close" {
+		if _, err := io.CopyN(io.Discard, r.Body, libraryReads); err != nil { // also its end
+			return
+		}
+	}
+	c := http.NewResponseController(w)
+	c.EnableFullDuplex()
+	c.Flush()
+	end := time.Now().Add(bodyTime(min(r.ContentLength, int64(l.Body))))
+	for b, err := make([]byte, 8<<10), error(nil); err != io.EOF; {
+		stall := time.Now().Add(refusedStall)
+		if stall.After(end) {
+			stall = end
+		}
+		c.SetReadDeadline(stall)
+		if _, err = r.Body.Read(b); err != nil && err != io.EOF {
+			panic(http.ErrAbortHandler) // what is left must not be read as another request
+		}
+	}
+}
+
 // choose is a route's service for one request, by the weights.
 func (f *Fairway) choose(r *manifest.Route) string {
 	if len(r.Split) == 1 {
