--- a/internal/harbour/fairway/serve.go
+++ b/internal/harbour/fairway/serve.go
@@ -33,6 +33,7 @@
 	taken, answered, again, gone, panics atomic.Int64
 	unstowed                             atomic.Int64     // bodies that there was no memory for
 	withheld                             atomic.Int64     // hand-offs that were wanted and must not be
+	cuts                                 cutCounts        // clients' connections that this process ended
 	odd                                  [16]atomic.Int64 // what came in place of answers, by attempt.Event
 	faults                               [32]atomic.Int64
 	endings                              [16]atomic.Int64
@@ -66,6 +67,7 @@
 			fmt.Fprintf(&b, " sent.%s=%d", name, n)
 		}
 	}
+	b.WriteString(c.cuts.String())
 	fmt.Fprintf(&b, " sent.zone=%d sent.region=%d sent.beyond=%d", c.rings[0].Load(), c.rings[1].Load(), c.rings[2].Load())
 	return b.String()
 }
@@ -101,13 +103,14 @@
 		MaxHeaderBytes: manifest.HeaderMost, ErrorLog: silent, ConnState: note, ConnContext: withCaller,
 		DisableGeneralOptionsHandler: true} // which would answer beside ServeHTTP, so that nobody takes the request's framing
 	f.server.Store(s)
-	s.Serve(&quayside{l, f.room, func() manifest.Bounds { return f.view.Load().chart.Limits }})
+	s.Serve(&quayside{l, f.room, &f.counts.cuts, func() manifest.Bounds { return f.view.Load().chart.Limits }})
 }
 
 // quayside keeps clients' connections within their room.
 type quayside struct {
 	net.Listener
 	room   *room.Room
+	cuts   *cutCounts
 	limits func() manifest.Bounds
 }
 
@@ -118,7 +121,7 @@
 		place.Leave()
 		return nil, err
 	}
-	v := &caller{Conn: c, place: place, limits: q.limits, phase: readingHead, since: time.Now()}
+	v := &caller{Conn: c, place: place, cuts: q.cuts, limits: q.limits, phase: readingHead, since: time.Now()}
 	place.Fill(room.Silent, v.evict)
 	return v, nil
 }
@@ -136,12 +139,14 @@
 type caller struct {
 	net.Conn
 	place   *room.Place
+	cuts    *cutCounts // nil where nobody counts
 	limits  func() manifest.Bounds
 	mu      sync.Mutex
 	phase   phase
 	since   time.Time // when the phase's deadline was set last
 	idleFor int64     // nanoseconds, as the present request was taken
 	evicted bool      // its place is wanted for another connection
+	cut     bool      // it has been counted
 	behind  bool      // something has come while a request was at work: the library looks for a client's end no more then
 	frames  framing.Stream
 }
@@ -231,11 +236,25 @@
 	if !c.frames.Begun() && c.peek() == bytesWait {
 		c.phase, c.since, c.evicted = readingHead, time.Now(), false
 	}
-	if c.evicted {
-		return false
+	if due := c.since.Add(c.allowed()); !c.evicted && time.Now().Before(due) {
+		return c.Conn.SetReadDeadline(due) == nil
+	}
+	if !c.cut { // net/http may read again after a deadline
+		c.cut = true
+		c.cuts.add(c.why())
+	}
+	return false
+}
+
+// why is the cause for which the connection ends at its read deadline; the caller holds the lock.
+func (c *caller) why() cut {
+	switch {
+	case c.evicted:
+		return cutRoom
+	case c.phase == idling:
+		return cutIdle
 	}
-	due := c.since.Add(c.allowed())
-	return time.Now().Before(due) && c.Conn.SetReadDeadline(due) == nil
+	return cutHead
 }
 
 // take begins a request, and tells how it is framed.
@@ -254,7 +273,11 @@
 		c.Conn.SetWriteDeadline(time.Now().Add(c.stall()))
 		n, err := c.Conn.Write(b[written:])
 		written += n
-		if n == 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
+		if !errors.Is(err, os.ErrDeadlineExceeded) {
+			return written, err
+		}
+		if n == 0 {
+			c.cuts.add(cutStalled)
 			return written, err
 		}
 	}
@@ -374,7 +397,7 @@
 	read := r.ContentLength == 0 // the request is read whole
 	defer func() {
 		if !read {
-			readAway(w, r, v.chart.Limits)
+			f.readAway(w, r, v.chart.Limits)
 		}
 	}()
 	if known {
@@ -440,6 +463,7 @@
 		Request: &router.Request{Method: r.Method, Target: r.RequestURI, Body: body, Cargo: load}}
 	if known && from.left() {
 		f.counts.gone.Add(1)
+		f.counts.cuts.add(cutGone)
 		panic(http.ErrAbortHandler)
 	}
 	s.reducer.Post(router.Taken{Command: c})
@@ -458,6 +482,7 @@
 	case <-r.Context().Done(): // also where only its writing side is shut: no answer, as one that isn't given would be a success
 		load.settle()
 		f.counts.gone.Add(1)
+		f.counts.cuts.add(cutGone)
 		s.reducer.Post(router.Left{Command: c})
 		panic(http.ErrAbortHandler)
 	}
@@ -561,7 +586,7 @@
 // readAway answers a request that is refused beside a long body at once, and then reads what still comes of that. net/http would
 // close the connection half a second after the answer, and reset by that a client that sends on, which may lose the answer. It is
 // over once nothing comes for a while, or the body's time is up; a connection that isn't read to its request's end ends.
-func readAway(w http.ResponseWriter, r *http.Request, l manifest.Bounds) {
+func (f *Fairway) readAway(w http.ResponseWriter, r *http.Request, l manifest.Bounds) {
 	if r.ContentLength >= 0 && r.ContentLength <= libraryReads || r.Header.Get("Expect") != "" { // who waits for leave sends nothing
 		return
 	}
@@ -581,6 +606,7 @@
 		}
 		c.SetReadDeadline(stall)
 		if _, err = r.Body.Read(b); err != nil && err != io.EOF {
+			f.counts.cuts.add(cutUnread)
 			panic(http.ErrAbortHandler) // what is left must not be read as another request
 		}
 	}
@@ -666,6 +692,7 @@
 	}
 	if t.done <- err; err != nil {
 		f.counts.faults[faults.Broken].Add(1)
+		f.counts.cuts.add(cutBroken)
 		panic(http.ErrAbortHandler)
 	}
 }
