--- a/internal/harbour/fairway/limits_test.go
+++ b/internal/harbour/fairway/limits_test.go
@@ -9,6 +9,7 @@
 	"net/http"
 	"os"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -24,15 +25,16 @@
 type virtualClient struct {
 	net.Conn
 	in     *bufio.Reader
-	limits *manifest.Bounds
+	limits *atomic.Pointer[manifest.Bounds]
 }
 
 // serveVirtually begins to serve one client by these limits. The server itself is made as before any limits have come.
 func serveVirtually(t *testing.T, limits manifest.Bounds, handler http.HandlerFunc) virtualClient {
 	near, far := net.Pipe()
-	force := &limits
+	var force atomic.Pointer[manifest.Bounds]
+	force.Store(&limits)
 	place := room.New(2, 2).Enter(nil)
-	c := &caller{Conn: near, place: place, limits: func() manifest.Bounds { return *force }, since: time.Now()}
+	c := &caller{Conn: near, place: place, limits: func() manifest.Bounds { return *force.Load() }, since: time.Now()}
 	place.Fill(room.Silent, func() { c.Close() })
 	take := func(w http.ResponseWriter, r *http.Request) {
 		r.Context().Value(callerKey{}).(*caller).take()
@@ -45,7 +47,7 @@
 		IdleTimeout: time.Duration(manifest.Usual.IdleFor), ConnState: note, ConnContext: withCaller, ErrorLog: silent}
 	go s.Serve(d)
 	t.Cleanup(func() { far.Close() })
-	return virtualClient{Conn: far, in: bufio.NewReader(far), limits: force}
+	return virtualClient{Conn: far, in: bufio.NewReader(far), limits: &force}
 }
 
 // status reads one answer, and tells its status, or that the connection ended without one.
@@ -139,7 +141,7 @@
 				v := serveVirtually(t, x.before, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 				x.play(v, func() {
 					synctest.Wait() // the server waits for the client
-					*v.limits = x.after
+					v.limits.Store(&x.after)
 				})
 				qt.Check(t, v.status(), qt.Equals, x.want)
 			})
@@ -303,12 +305,12 @@
 				c.take()
 				limits = x.now
 				answer := strings.Repeat("x", 1000)
-				var got int
+				var got atomic.Int64
 				go func() {
 					for b := make([]byte, 100); ; {
 						time.Sleep(x.pause)
 						n, err := far.Read(b)
-						if got += n; err != nil {
+						if got.Add(int64(n)); err != nil {
 							return
 						}
 					}
@@ -319,7 +321,7 @@
 				near.Close()
 				synctest.Wait()
 				time.Sleep(time.Minute)
-				qt.Check(t, got, qt.Equals, n)
+				qt.Check(t, got.Load(), qt.Equals, int64(n))
 			})
 		})
 	}
