--- /dev/null
+++ b/internal/harbour/fairway/limits_test.go
@@ -0,0 +1,461 @@
+package fairway
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"portflow/internal/harbour/manifest"
+	"portflow/internal/harbour/signals"
+	"portflow/internal/parts/room"
+)
+
+// virtualClient is a client of a real net/http server on a pipe in virtual time, whose limits the test changes.
+type virtualClient struct {
+	net.Conn
+	in     *bufio.Reader
+	limits *atomic.Pointer[manifest.Bounds]
+}
+
+// serveVirtually begins to serve one client by these limits. The server itself is made as before any limits have come.
+func serveVirtually(t *testing.T, limits manifest.Bounds, handler http.HandlerFunc) virtualClient {
+	near, far := net.Pipe()
+	var force atomic.Pointer[manifest.Bounds]
+	force.Store(&limits)
+	place := room.New(2, 2).Enter(nil)
+	c := &caller{Conn: near, place: place, limits: func() manifest.Bounds { return *force.Load() }, since: time.Now()}
+	place.Fill(room.Silent, func() { c.Close() })
+	take := func(w http.ResponseWriter, r *http.Request) {
+		r.Context().Value(callerKey{}).(*caller).take()
+		handler(w, r)
+	}
+	d := door{make(chan net.Conn, 1)}
+	d.visitors <- c
+	close(d.visitors)
+	s := &http.Server{Handler: http.HandlerFunc(take), ReadHeaderTimeout: time.Duration(manifest.Usual.HeaderFor),
+		IdleTimeout: time.Duration(manifest.Usual.IdleFor), ConnState: note, ConnContext: withCaller, ErrorLog: silent}
+	go s.Serve(d)
+	t.Cleanup(func() { far.Close() })
+	return virtualClient{Conn: far, in: bufio.NewReader(far), limits: &force}
+}
+
+// status reads one answer, and tells its status, or that the connection ended without one.
+func (v virtualClient) status() string {
+	r, err := http.ReadResponse(v.in, nil)
+	if err != nil {
+		return "cut"
+	}
+	io.Copy(io.Discard, r.Body)
+	return r.Status[:3]
+}
+
+const virtualRequest = "GET /look/x HTTP/1.1\r\nHost: desk.example\r\n\r\n"
+
+// A client that keeps within the limits in force is not cut by those that stood as its connection, or the process, began.
+func TestLimitsInForce(t *testing.T) {
+	head := virtualRequest[:len(virtualRequest)-2]
+	for name, x := range map[string]struct {
+		before, after manifest.Bounds
+		play          func(v virtualClient, change func())
+		want          string
+	}{
+		"a head slower than the first limits allowed": {
+			manifest.Bounds{HeaderFor: 10e9, IdleFor: 15e9}, manifest.Bounds{HeaderFor: 10e9, IdleFor: 15e9},
+			func(v virtualClient, _ func()) {
+				io.WriteString(v, head)
+				time.Sleep(9 * time.Second)
+				io.WriteString(v, "\r\n")
+			}, "200"},
+		"a head too slow for lower limits": {
+			manifest.Bounds{HeaderFor: 1e9, IdleFor: 15e9}, manifest.Bounds{},
+			func(v virtualClient, _ func()) {
+				io.WriteString(v, head)
+				time.Sleep(1100 * time.Millisecond)
+				io.WriteString(v, "\r\n")
+			}, "cut"},
+		"header-timeout-s raised during a head": {
+			manifest.Bounds{HeaderFor: 2e9, IdleFor: 15e9}, manifest.Bounds{HeaderFor: 6e9, IdleFor: 15e9},
+			func(v virtualClient, change func()) {
+				io.WriteString(v, head)
+				time.Sleep(time.Second)
+				change()
+				time.Sleep(4 * time.Second)
+				io.WriteString(v, "\r\n")
+			}, "200"},
+		"header-timeout-s lowered during a head": {
+			manifest.Bounds{HeaderFor: 6e9, IdleFor: 15e9}, manifest.Bounds{HeaderFor: 1e9, IdleFor: 15e9},
+			func(v virtualClient, change func()) {
+				io.WriteString(v, head)
+				change()
+				time.Sleep(5 * time.Second)
+				io.WriteString(v, "\r\n")
+			}, "200"},
+		"idle-timeout-s raised while idle": {
+			manifest.Bounds{HeaderFor: 3e9, IdleFor: 5e9}, manifest.Bounds{HeaderFor: 3e9, IdleFor: 20e9},
+			func(v virtualClient, change func()) {
+				io.WriteString(v, virtualRequest)
+				v.status()
+				change()
+				time.Sleep(16 * time.Second)
+				io.WriteString(v, virtualRequest)
+			}, "200"},
+		"idle-timeout-s lowered while idle": {
+			manifest.Bounds{HeaderFor: 3e9, IdleFor: 20e9}, manifest.Bounds{HeaderFor: 3e9, IdleFor: 1e9},
+			func(v virtualClient, change func()) {
+				io.WriteString(v, virtualRequest)
+				v.status()
+				change()
+				time.Sleep(16 * time.Second)
+				io.WriteString(v, virtualRequest)
+			}, "200"},
+		"idle for longer than is allowed": {
+			manifest.Bounds{HeaderFor: 3e9, IdleFor: 5e9}, manifest.Bounds{},
+			func(v virtualClient, _ func()) {
+				io.WriteString(v, virtualRequest)
+				v.status()
+				time.Sleep(5100 * time.Millisecond)
+				io.WriteString(v, virtualRequest)
+			}, "cut"},
+		"a pipelined head beside a short idle-timeout-s": {
+			manifest.Bounds{HeaderFor: 3e9, IdleFor: 1e9}, manifest.Bounds{},
+			func(v virtualClient, _ func()) {
+				go io.WriteString(v, virtualRequest+head)
+				v.status()
+				time.Sleep(2 * time.Second)
+				io.WriteString(v, "\r\n")
+			}, "200"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				v := serveVirtually(t, x.before, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
+				x.play(v, func() {
+					synctest.Wait() // the server waits for the client
+					v.limits.Store(&x.after)
+				})
+				qt.Check(t, v.status(), qt.Equals, x.want)
+			})
+		})
+	}
+}
+
+// The body of a pipelined request has the time that bodies have, also where idle-timeout-s is shorter.
+func TestPipelinedBodyBesideShortIdle(t *testing.T) {
+	h := stand(t, func(_ int, r *http.Request, body string) (string, bool) { return good(r, body), true })
+	f, at := routed(t, h)
+	setLimits(t, f, `"header-bytes":16384,"body-bytes":1048576,"header-timeout-s":3,"idle-timeout-s":0.05`)
+	c, err := net.Dial("tcp", at)
+	qt.Assert(t, err, qt.IsNil)
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(5 * time.Second))
+	io.WriteString(c, "GET /look/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: a\r\n\r\nPOST /issue/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: b\r\nContent-Length: 4\r\n\r\nbo")
+	in := bufio.NewReader(c)
+	_, err = http.ReadResponse(in, nil)
+	qt.Assert(t, err, qt.IsNil)
+	time.Sleep(200 * time.Millisecond) // four times the idle time; the body has five seconds
+	io.WriteString(c, "dy")
+	for {
+		r, err := http.ReadResponse(in, nil)
+		qt.Assert(t, err, qt.IsNil)
+		qt.Assert(t, r.StatusCode, qt.Equals, 200)
+		if body, _ := io.ReadAll(r.Body); string(body) == "body" {
+			return
+		}
+	}
+}
+
+// setLimits puts new limits in force, as if control had told them.
+func setLimits(t testing.TB, f *Fairway, limits string) {
+	t.Helper()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	version := 1
+	if i, ok := f.board.Set.Get(manifest.Key{Kind: manifest.Limits, Name: manifest.Limits}); ok {
+		version = int(i.Version) + 1
+	}
+	tell(t, f, fmt.Sprintf(`{"set-items":{"limits":{%s,"version":"%08d"}},"drop-names":{"routes":[]}}`, limits, version))
+}
+
+// A request that has come by the time that its connection's idle deadline is looked at is read, and the connection is not closed.
+func TestArrivalAtTheIdleDeadline(t *testing.T) {
+	near, far := pair(t)
+	c := &caller{Conn: near, phase: idling, place: room.New(1, 1).Try(), limits: func() manifest.Bounds { return manifest.Bounds{HeaderFor: 3e9, IdleFor: 1} }}
+	_, err := near.Read(make([]byte, 100)) // the byte that shows it to be up
+	qt.Assert(t, err, qt.IsNil)
+	io.WriteString(far, virtualRequest)
+	until(t, func() bool { return c.peek() == bytesWait })
+	near.SetReadDeadline(time.Unix(1, 0)) // which has passed before the read: the kernel isn't asked any more
+	b := make([]byte, 100)
+	n, err := c.Read(b)
+	qt.Check(t, err, qt.IsNil)
+	qt.Check(t, string(b[:n]), qt.Equals, virtualRequest)
+
+	c.take() // and with nothing there it ends
+	c.rest()
+	near.SetReadDeadline(time.Unix(1, 0))
+	_, err = c.Read(b)
+	qt.Check(t, errors.Is(err, os.ErrDeadlineExceeded), qt.IsTrue, qt.Commentf("%v", err))
+}
+
+// pair is a connection of the machine's own, both ends; the far one has sent a byte.
+func pair(t *testing.T) (near, far net.Conn) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	qt.Assert(t, err, qt.IsNil)
+	defer l.Close()
+	far, err = net.Dial("tcp", l.Addr().String())
+	qt.Assert(t, err, qt.IsNil)
+	near, err = l.Accept()
+	qt.Assert(t, err, qt.IsNil)
+	t.Cleanup(func() { near.Close(); far.Close() })
+	io.WriteString(far, "x")
+	return near, far
+}
+
+// tell puts a change of the configuration in force, as if control had told it; the caller holds the lock.
+func tell(t testing.TB, f *Fairway, change string) {
+	t.Helper()
+	items, err := manifest.Read([]byte(change))
+	qt.Assert(t, err, qt.IsNil)
+	var notes []signals.Note
+	for i := range items {
+		notes = append(notes, signals.Note{Item: &items[i]})
+	}
+	f.publish(f.board.Take(notes, false))
+}
+
+// A question about the router itself is answered by it, and the framing of what comes behind is looked at as closely as ever.
+func TestAsteriskOptions(t *testing.T) {
+	h := stand(t, func(_ int, r *http.Request, body string) (string, bool) { return good(r, body), true })
+	_, at := routed(t, h)
+	got := raw(t, at, "OPTIONS * HTTP/1.1\r\nHost: desk.example\r\n\r\n"+
+		"POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: a\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nbody", true)
+	qt.Check(t, status(got), qt.Equals, "200", qt.Commentf("%q", got))
+	qt.Check(t, strings.Contains(got, "HTTP/1.1 400"), qt.IsTrue, qt.Commentf("%q", got))
+	qt.Check(t, h.arrivals(), qt.HasLen, 0)
+}
+
+// header-bytes binds as it stands, raised and lowered, whatever stood as the process began.
+func TestHeaderBytesInForce(t *testing.T) {
+	h := stand(t, func(_ int, r *http.Request, body string) (string, bool) { return good(r, body), true })
+	f, at := routed(t, h)
+	for _, x := range []struct {
+		limit, head int
+		want        string
+	}{{16 << 10, 30 << 10, "431"}, {64 << 10, 30 << 10, "200"}, {64 << 10, 60 << 10, "200"}, {64 << 10, 80 << 10, "431"},
+		{2 << 10, 3 << 10, "431"}, {2 << 10, 30 << 10, "431"}, {2 << 10, 1 << 10, "200"}, {16 << 10, 12 << 10, "200"}} {
+		setLimits(t, f, fmt.Sprintf(`"header-bytes":%d,"body-bytes":1048576,"header-timeout-s":3,"idle-timeout-s":15`, x.limit))
+		got := ask(t, at, "POST", "/issue/x", "a", "body", "X-Long: "+strings.Repeat("z", x.head))
+		qt.Check(t, status(got), qt.Equals, x.want, qt.Commentf("%d of %d: %.100q", x.head, x.limit, got))
+	}
+}
+
+// A kept connection takes a longer head once that is allowed, and one that is longer than that ends it.
+func TestHeaderBytesRaisedOnKeptConnection(t *testing.T) {
+	h := stand(t, func(_ int, r *http.Request, body string) (string, bool) { return good(r, body), true })
+	f, at := routed(t, h)
+	c, err := net.Dial("tcp", at)
+	qt.Assert(t, err, qt.IsNil)
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(5 * time.Second))
+	in := bufio.NewReader(c)
+	one := func(size int) string {
+		fmt.Fprintf(c, "GET /look/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: a\r\nX-Long: %s\r\n\r\n", strings.Repeat("z", size))
+		r, err := http.ReadResponse(in, nil)
+		if err != nil {
+			return err.Error()
+		}
+		io.Copy(io.Discard, r.Body)
+		return r.Status[:3]
+	}
+	qt.Check(t, one(1<<10), qt.Equals, "200")
+	setLimits(t, f, `"header-bytes":65536,"body-bytes":1048576,"header-timeout-s":3,"idle-timeout-s":15`)
+	qt.Check(t, one(50<<10), qt.Equals, "200")
+	qt.Check(t, one(100<<10), qt.Equals, "431")
+}
+
+// A client that takes its answer slowly, and never rests for longer than it may, gets all of it, also in one write that takes
+// longer than that; and a lowered idle-timeout-s binds no request that was taken before.
+func TestSlowReader(t *testing.T) {
+	for name, x := range map[string]struct {
+		then, now manifest.Bounds
+		pause     time.Duration
+		whole     bool
+	}{
+		"slow":                           {manifest.Bounds{IdleFor: 5e9}, manifest.Bounds{IdleFor: 5e9}, 4 * time.Second, true},
+		"too slow":                       {manifest.Bounds{IdleFor: 5e9}, manifest.Bounds{IdleFor: 5e9}, 6 * time.Second, false},
+		"idle-timeout-s lowered for one": {manifest.Bounds{IdleFor: 5e9}, manifest.Bounds{IdleFor: 1e9}, 4 * time.Second, true},
+		"idle-timeout-s raised for one":  {manifest.Bounds{IdleFor: 1e9}, manifest.Bounds{IdleFor: 5e9}, 4 * time.Second, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				near, far := net.Pipe()
+				defer far.Close()
+				limits := x.then
+				c := &caller{Conn: near, limits: func() manifest.Bounds { return limits }}
+				c.take()
+				limits = x.now
+				answer := strings.Repeat("x", 1000)
+				var got atomic.Int64
+				go func() {
+					for b := make([]byte, 100); ; {
+						time.Sleep(x.pause)
+						n, err := far.Read(b)
+						if got.Add(int64(n)); err != nil {
+							return
+						}
+					}
+				}()
+				n, err := c.Write([]byte(answer))
+				qt.Check(t, err == nil, qt.Equals, x.whole, qt.Commentf("%v", err))
+				qt.Check(t, n == len(answer), qt.Equals, x.whole, qt.Commentf("%d", n))
+				near.Close()
+				synctest.Wait()
+				time.Sleep(time.Minute)
+				qt.Check(t, got.Load(), qt.Equals, int64(n))
+			})
+		})
+	}
+}
+
+// A connection whose place is wanted ends only while nothing of a request has come on it, though net/http calls it idle, or new,
+// until a whole head was read.
+func TestEvictedBesideARequest(t *testing.T) {
+	b := make([]byte, 100)
+	for name, x := range map[string]struct {
+		phase   phase
+		sent    string
+		readAll bool // by the time that its place is wanted
+		ends    bool
+	}{
+		"idle":                      {idling, "", false, true},
+		"new":                       {readingHead, "", false, true},
+		"idle, with a request sent": {idling, virtualRequest, false, false},
+		"new, with a request sent":  {readingHead, virtualRequest, false, false},
+		"idle, with a request read": {idling, virtualRequest, true, false},
+		"new, with a request read":  {readingHead, virtualRequest, true, false},
+		"half a head":               {idling, virtualRequest[:20], true, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			near, far := pair(t)
+			near.Read(b) // the byte that shows it to be up
+			r := room.New(1, 1)
+			c := &caller{Conn: near, place: r.Try(), phase: x.phase, since: time.Now(), limits: func() manifest.Bounds { return manifest.Usual }}
+			c.place.Fill(map[phase]room.Use{idling: room.Idle, readingHead: room.Silent}[x.phase], c.evict)
+			io.WriteString(far, x.sent)
+			if x.sent != "" {
+				until(t, func() bool { return c.peek() == bytesWait })
+			}
+			if x.readAll {
+				_, err := c.Read(b)
+				qt.Assert(t, err, qt.IsNil)
+			}
+			c.evict()
+			if !x.readAll || x.ends {
+				n, err := c.Read(b)
+				qt.Check(t, err != nil, qt.Equals, x.ends, qt.Commentf("%v", err))
+				qt.Check(t, string(b[:n]), qt.Equals, map[bool]string{false: x.sent}[x.ends])
+			}
+			if !x.ends { // and all goes on as ever
+				c.SetReadDeadline(time.Time{})
+				c.take()
+				_, err := io.WriteString(c, "answer")
+				qt.Check(t, err, qt.IsNil)
+				n, err := far.Read(b)
+				qt.Check(t, err, qt.IsNil)
+				qt.Check(t, string(b[:n]), qt.Equals, "answer")
+			}
+		})
+	}
+}
+
+// Who sends a long body and reads afterwards gets the answer of a refusal that came meanwhile, as after a route was dropped or
+// body-bytes lowered: the connection isn't reset below it. Nothing of what is left is read as another request.
+func TestRefusedBesideALongBody(t *testing.T) {
+	h := stand(t, func(_ int, r *http.Request, body string) (string, bool) { return good(r, "x"), true })
+	f, at := routed(t, h)
+	setLimits(t, f, `"header-bytes":16384,"body-bytes":100000000,"header-timeout-s":3,"idle-timeout-s":15`)
+	const size = 48 << 20 // beyond what the sockets hold
+	chunk := strings.Repeat("GET /look/smuggled HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: s\r\n\r\n", 1<<20/64)[:1<<20]
+	for name, x := range map[string]struct {
+		head, want string
+		change     func()
+		chunked    bool
+	}{
+		"no route":         {"POST /nowhere HTTP/1.1", "404", func() {}, false},
+		"no route, chunks": {"POST /nowhere HTTP/1.1", "404", func() {}, true},
+		"body-bytes lowered": {"POST /issue/x HTTP/1.1", "413", func() {
+			setLimits(t, f, `"header-bytes":16384,"body-bytes":1000,"header-timeout-s":3,"idle-timeout-s":15`)
+		}, false},
+		"body-bytes lowered, chunks": {"POST /issue/x HTTP/1.1", "413", func() {
+			setLimits(t, f, `"header-bytes":16384,"body-bytes":1000,"header-timeout-s":3,"idle-timeout-s":15`)
+		}, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			x.change()
+			c, err := net.Dial("tcp", at)
+			qt.Assert(t, err, qt.IsNil)
+			defer c.Close()
+			c.SetDeadline(time.Now().Add(30 * time.Second))
+			framing := fmt.Sprintf("Content-Length: %d", size)
+			if x.chunked {
+				framing = "Transfer-Encoding: chunked"
+			}
+			fmt.Fprintf(c, "%s\r\nHost: desk.example\r\nAttempt-Id: a\r\n%s\r\n\r\n", x.head, framing)
+			for n := 0; n < size; n += len(chunk) {
+				if x.chunked {
+					fmt.Fprintf(c, "%x\r\n", len(chunk))
+				}
+				_, err = io.WriteString(c, chunk)
+				qt.Assert(t, err, qt.IsNil, qt.Commentf("after %d", n))
+				if x.chunked {
+					io.WriteString(c, "\r\n")
+				}
+				time.Sleep(resetAvoidance / 20) // longer in all than the library would wait
+			}
+			if x.chunked {
+				io.WriteString(c, "0\r\n\r\n")
+			}
+			in := bufio.NewReader(c)
+			r, err := http.ReadResponse(in, nil)
+			qt.Assert(t, err, qt.IsNil)
+			qt.Check(t, r.Status[:3], qt.Equals, x.want)
+			if x.want == "404" { // and it is of use again
+				io.WriteString(c, "GET /look/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: b\r\n\r\n")
+				r, err = http.ReadResponse(in, nil)
+				qt.Assert(t, err, qt.IsNil)
+				qt.Check(t, r.Status[:3], qt.Equals, "200")
+			}
+			qt.Check(t, counted(h)["s"], qt.Equals, 0)
+			qt.Check(t, counted(h)["a"], qt.Equals, 0)
+		})
+	}
+}
+
+// A write whose deadline passes before it is tried, as on a machine that is loaded or was frozen, is tried all the same.
+func TestWriteAfterItsDeadline(t *testing.T) {
+	near, far := pair(t)
+	c := &caller{Conn: near, limits: func() manifest.Bounds { return manifest.Bounds{IdleFor: 1} }} // it passes at once
+	answer := strings.Repeat("x", 100)
+	got := make(chan int)
+	go func() {
+		all, _ := io.ReadAll(far)
+		got <- len(all)
+	}()
+	for range 20 {
+		n, err := io.WriteString(c, answer)
+		qt.Check(t, err, qt.IsNil)
+		qt.Check(t, n, qt.Equals, len(answer))
+	}
+	near.Close()
+	qt.Check(t, <-got, qt.Equals, 20*len(answer))
+}
--- a/internal/harbour/fairway/serve.go
+++ b/internal/harbour/fairway/serve.go
@@ -8,6 +8,7 @@
 	stdlog "log"
 	"net"
 	"net/http"
+	"os"
 	"slices"
 	"strconv"
 	"strings"
@@ -32,6 +33,7 @@
 	taken, answered, again, gone, panics atomic.Int64
 	unstowed                             atomic.Int64     // bodies that there was no memory for
 	withheld                             atomic.Int64     // hand-offs that were wanted and must not be
+	cuts                                 cutCounts        // clients' connections that this process ended
 	odd                                  [16]atomic.Int64 // what came in place of answers, by attempt.Event
 	faults                               [32]atomic.Int64
 	endings                              [16]atomic.Int64
@@ -65,6 +67,7 @@
 			fmt.Fprintf(&b, " sent.%s=%d", name, n)
 		}
 	}
+	b.WriteString(c.cuts.String())
 	fmt.Fprintf(&b, " sent.zone=%d sent.region=%d sent.beyond=%d", c.rings[0].Load(), c.rings[1].Load(), c.rings[2].Load())
 	return b.String()
 }
@@ -93,19 +96,21 @@
 
 var silent = stdlog.New(io.Discard, "", 0) // what clients send wrong is counted, not logged
 
-// clients serves clients by the limits that stand now.
+// clients serves clients. The server is made before any limits have come; caller replaces its bounds by those in force.
 func (f *Fairway) clients(l net.Listener) {
 	limits := f.view.Load().chart.Limits
 	s := &http.Server{Handler: f, ReadHeaderTimeout: time.Duration(limits.HeaderFor), IdleTimeout: time.Duration(limits.IdleFor),
-		MaxHeaderBytes: limits.Header, ErrorLog: silent, ConnState: note, ConnContext: withCaller}
+		MaxHeaderBytes: manifest.HeaderMost, ErrorLog: silent, ConnState: note, ConnContext: withCaller,
+		DisableGeneralOptionsHandler: true} // which would answer beside ServeHTTP, so that nobody takes the request's framing
 	f.server.Store(s)
-	s.Serve(&quayside{l, f.room, func() manifest.Bounds { return f.view.Load().chart.Limits }})
+	s.Serve(&quayside{l, f.room, &f.counts.cuts, func() manifest.Bounds { return f.view.Load().chart.Limits }})
 }
 
 // quayside keeps clients' connections within their room.
 type quayside struct {
 	net.Listener
 	room   *room.Room
+	cuts   *cutCounts
 	limits func() manifest.Bounds
 }
 
@@ -116,55 +121,196 @@
 		place.Leave()
 		return nil, err
 	}
-	v := &caller{Conn: c, place: place, limits: q.limits}
-	place.Fill(room.Silent, func() { v.Close() })
+	v := &caller{Conn: c, place: place, cuts: q.cuts, limits: q.limits, phase: readingHead, since: time.Now()}
+	place.Fill(room.Silent, v.evict)
 	return v, nil
 }
 
+// phase is what a client's connection is waiting for.
+type phase uint8
+
+const (
+	readingHead phase = iota // the first or the rest of a request's head
+	idling                   // the next request, of which nothing has come
+	handling                 // the handler: its deadlines are its own
+)
+
 // caller is a client's connection. It sees how a request is framed, which net/http doesn't tell.
 type caller struct {
 	net.Conn
-	place  *room.Place
-	limits func() manifest.Bounds
-	mu     sync.Mutex
-	idle   bool
-	behind bool // something has come while a request was at work: the library looks for a client's end no more then
-	frames framing.Stream
+	place   *room.Place
+	cuts    *cutCounts // nil where nobody counts
+	limits  func() manifest.Bounds
+	mu      sync.Mutex
+	phase   phase
+	since   time.Time // when the phase's deadline was set last
+	idleFor int64     // nanoseconds, as the present request was taken
+	evicted bool      // its place is wanted for another connection
+	cut     bool      // it has been counted
+	behind  bool      // something has come while a request was at work: the library looks for a client's end no more then
+	frames  framing.Stream
 }
 
 func (c *caller) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
+	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extend() {
+		n, err = c.Conn.Read(b)
+	}
+	if c.observe(b[:n], len(b)); c.overlong() {
+		c.refuseHead()
+		return 0, &net.OpError{Op: "read", Err: errLongHead} // which net/http says nothing of to the client
+	}
+	return n, err
+}
+
+// observe takes what was read into a buffer of this size.
+func (c *caller) observe(read []byte, size int) {
+	c.mu.Lock()
+	begins := len(read) > 0 && (c.phase == idling || c.phase == readingHead && !c.frames.Begun())
+	if begins {
+		c.phase, c.evicted = readingHead, false
+	}
+	c.behind = c.behind || len(read) == 1 && size == 1 // as it looks
+	c.frames.Read(read)
+	c.mu.Unlock()
+	if begins {
+		c.place.Set(room.Begun)
+	}
+}
+
+// headSlop is by how many bytes a head may pass the limit before its end has come: as many as net/http's buffer has. What is
+// whole by then is judged by its size.
+const headSlop = 4096
+
+var errLongHead = errors.New("the head is longer than header-bytes")
+
+// overlong tells whether the head that comes in is longer than the limits in force allow.
+func (c *caller) overlong() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle = false
-	c.behind = c.behind || n == 1 && len(b) == 1 // as it looks
-	c.frames.Read(b[:n])
-	return n, err
+	return c.phase == readingHead && c.frames.Head() > c.limits().Header+headSlop
+}
+
+// refuseHead answers a head that is too long, and waits for a moment so that the answer isn't lost by a reset.
+func (c *caller) refuseHead() {
+	fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
+		http.StatusRequestHeaderFieldsTooLarge, http.StatusText(http.StatusRequestHeaderFieldsTooLarge))
+	c.Conn.SetReadDeadline(time.Now().Add(resetAvoidance))
+	io.Copy(io.Discard, c.Conn)
+}
+
+// resetAvoidance is how long a refused client that still sends gets to read its answer: a connection that is closed beside unread
+// bytes is reset, and the client may lose the answer by that.
+const resetAvoidance = 500 * time.Millisecond
+
+// allowed is how long the present phase may last by the limits in force; the caller holds the lock.
+func (c *caller) allowed() time.Duration {
+	if c.phase == idling {
+		return time.Duration(c.limits().IdleFor)
+	}
+	return time.Duration(c.limits().HeaderFor)
 }
 
-// SetReadDeadline has a connection stand idle for as long as the limits that stand now say.
+// SetReadDeadline replaces the deadlines of idle connections and of heads, which net/http has from the limits that stood when
+// its server was made, by those of the limits in force.
 func (c *caller) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
-	if c.idle && !t.IsZero() {
-		t = time.Now().Add(time.Duration(c.limits().IdleFor))
+	if now := time.Now(); c.phase != handling && t.After(now) {
+		c.since = now
+		if t = now.Add(c.allowed()); c.evicted {
+			t = time.Unix(1, 0)
+		}
 	}
 	c.mu.Unlock()
 	return c.Conn.SetReadDeadline(t)
 }
 
-// take begins a request, and tells how it is framed. One that stood behind another in the same packet comes without a read:
-// the connection is idle no more all the same, else the library's own deadlines would be taken for that of an idle one.
+// extend tells, at a deadline or where its place is wanted, whether there is more time: the limits may have been raised since it was set, and a request may
+// have arrived in the moment of the deadline.
+func (c *caller) extend() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.phase == handling {
+		return false
+	}
+	if !c.frames.Begun() && c.peek() == bytesWait {
+		c.phase, c.since, c.evicted = readingHead, time.Now(), false
+	}
+	if due := c.since.Add(c.allowed()); !c.evicted && time.Now().Before(due) {
+		return c.Conn.SetReadDeadline(due) == nil
+	}
+	if !c.cut { // net/http may read again after a deadline
+		c.cut = true
+		c.cuts.add(c.why())
+	}
+	return false
+}
+
+// why is the cause for which the connection ends at its read deadline; the caller holds the lock.
+func (c *caller) why() cut {
+	switch {
+	case c.evicted:
+		return cutRoom
+	case c.phase == idling:
+		return cutIdle
+	}
+	return cutHead
+}
+
+// take begins a request, and tells how it is framed.
 func (c *caller) take() framing.Fields {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle = false
+	c.phase, c.idleFor = handling, c.limits().IdleFor
 	return c.frames.Take()
 }
 
-// Write gives a client that takes nothing as long as one that says nothing.
+// Write gives a client that takes nothing as long as one that says nothing, by the limits that stood when its request was taken
+// or by those in force, whichever is longer. One that takes an answer slowly, and yet takes some of it, has as long again.
 func (c *caller) Write(b []byte) (int, error) {
-	c.Conn.SetWriteDeadline(time.Now().Add(time.Duration(c.limits().IdleFor)))
-	return c.Conn.Write(b)
+	written := 0
+	for {
+		c.Conn.SetWriteDeadline(time.Now().Add(c.stall()))
+		n, err := c.Conn.Write(b[written:])
+		written += n
+		if !errors.Is(err, os.ErrDeadlineExceeded) {
+			return written, err
+		}
+		if n == 0 { // perhaps the deadline had passed before the first attempt, as on a loaded machine
+			n = c.push(b[written:])
+			written += n
+		}
+		if n == 0 {
+			c.cuts.add(cutStalled)
+			return written, err
+		}
+		if written == len(b) {
+			return written, nil
+		}
+	}
+}
+
+// push writes what the connection takes without waiting, whatever its deadline: once that has passed the runtime doesn't try.
+func (c *caller) push(b []byte) (n int) {
+	s, ok := c.Conn.(syscall.Conn)
+	if !ok {
+		return 0
+	}
+	raw, err := s.SyscallConn()
+	if err != nil {
+		return 0
+	}
+	raw.Control(func(fd uintptr) {
+		n, _ = syscall.SendmsgN(int(fd), b, nil, nil, syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL)
+	})
+	return max(0, n)
+}
+
+// stall is how long a client may take nothing of its answer.
+func (c *caller) stall() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return time.Duration(max(c.idleFor, c.limits().IdleFor))
 }
 
 // left tells whether the client went while its request stood behind another.
@@ -173,25 +319,50 @@
 	behind := c.behind
 	c.behind = false
 	c.mu.Unlock()
+	return behind && c.peek() == ended
+}
+
+// pending is what waits to be read on a connection.
+type pending uint8
+
+const (
+	nothingWaits pending = iota // or it can't be told
+	bytesWait
+	ended // its end, or an error
+)
+
+// peek looks at what waits to be read, and takes nothing of it.
+func (c *caller) peek() pending {
 	s, ok := c.Conn.(syscall.Conn)
-	if !behind || !ok {
-		return false
+	if !ok {
+		return nothingWaits
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
-		return true
+		return ended
 	}
 	n, seen := 0, error(nil)
 	err = raw.Control(func(fd uintptr) {
 		n, _, seen = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
-	return err != nil || seen == nil && n == 0 || seen != nil && seen != syscall.EAGAIN && seen != syscall.EINTR
+	switch {
+	case err != nil:
+		return ended
+	case seen == syscall.EAGAIN || seen == syscall.EINTR:
+		return nothingWaits
+	case seen != nil || n == 0:
+		return ended
+	}
+	return bytesWait
 }
 
+// rest tells that the connection's request has its answer. The beginning of the next one may have come behind it.
 func (c *caller) rest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle = true
+	if c.phase = idling; c.frames.Begun() {
+		c.phase = readingHead
+	}
 }
 
 type callerKey struct{}
@@ -205,6 +376,18 @@
 	return c.Conn.Close()
 }
 
+// evict ends the connection, whose place is wanted for another, by its read deadline: then its reader alone decides, and what has
+// come by that moment is served. net/http says only once it has read a whole head that a connection is in use.
+func (c *caller) evict() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.phase == handling || c.frames.Whole() {
+		return
+	}
+	c.evicted = true
+	c.Conn.SetReadDeadline(time.Unix(1, 0))
+}
+
 func note(c net.Conn, s http.ConnState) {
 	v, ok := c.(*caller)
 	if !ok {
@@ -226,16 +409,30 @@
 	defer f.open.Add(-1)
 	began := f.clock()
 	v := f.view.Load()
+	from, known := r.Context().Value(callerKey{}).(*caller)
+	var framed framing.Fields
+	if known {
+		framed = from.take() // before the body's deadline is set, which would else be taken for that of a head
+	}
 	if r.ContentLength != 0 { // also for what is left of it once a request is refused: the library reads that
-		http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyIn + time.Duration(max(0, r.ContentLength)>>20)*time.Second))
+		http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTime(r.ContentLength)))
 	}
-	from, known := r.Context().Value(callerKey{}).(*caller)
+	read := r.ContentLength == 0 // the request is read whole
+	defer func() {
+		if !read {
+			f.readAway(w, r, v.chart.Limits)
+		}
+	}()
 	if known {
-		if x := from.take(); x.Doubtful() || x.Codings > 0 && !r.ProtoAtLeast(1, 1) { // the library passes over codings there
+		if x := framed; x.Doubtful() || x.Codings > 0 && !r.ProtoAtLeast(1, 1) { // the library passes over codings there
 			f.refuse(w, faults.Malformed, 0)
 			return
 		}
 	}
+	if r.Method == http.MethodOptions && r.RequestURI == "*" { // asks about this router, not about a service
+		w.Header().Set("Content-Length", "0")
+		return
+	}
 	if _, ok := target(r.RequestURI); !ok || len(r.Header["Attempt-Id"]) > 1 { // can't go on as it came, or has two ids
 		f.refuse(w, faults.Malformed, 0)
 		return
@@ -263,6 +460,7 @@
 		left = min(left, int64(ms*1e6))
 	}
 	body, weight, fault := f.body(w, r, v.chart.Limits)
+	read = fault == faults.None
 	load := &cargo{id: r.Header.Get("Attempt-Id"), stream: make(chan *stream, 1), attempts: attempt.Request{Idempotent: route.Safe},
 		stowed: stowed{in: &f.held, weight: weight, users: 1}}
 	defer load.leave()
@@ -288,6 +486,7 @@
 		Request: &router.Request{Method: r.Method, Target: r.RequestURI, Body: body, Cargo: load}}
 	if known && from.left() {
 		f.counts.gone.Add(1)
+		f.counts.cuts.add(cutGone)
 		panic(http.ErrAbortHandler)
 	}
 	s.reducer.Post(router.Taken{Command: c})
@@ -306,6 +505,7 @@
 	case <-r.Context().Done(): // also where only its writing side is shut: no answer, as one that isn't given would be a success
 		load.settle()
 		f.counts.gone.Add(1)
+		f.counts.cuts.add(cutGone)
 		s.reducer.Post(router.Left{Command: c})
 		panic(http.ErrAbortHandler)
 	}
@@ -332,6 +532,11 @@
 // bodyIn is for a body, beside a second for each megabyte of it that is stated.
 const bodyIn = 5 * time.Second
 
+// bodyTime is how long a body of this length may take, -1 for one that isn't stated.
+func bodyTime(length int64) time.Duration {
+	return bodyIn + time.Duration(max(0, length)>>20)*time.Second
+}
+
 // body reads a request's body whole, within the memory that bodies have. It tells how much of that it has taken up, which is
 // the caller's to give back whatever the fault.
 func (f *Fairway) body(w http.ResponseWriter, r *http.Request, l manifest.Bounds) (body []byte, weight int64, fault faults.Kind) {
@@ -395,6 +600,41 @@
 	return body, weight, faults.None
 }
 
+// refusedStall is for how long nothing may come of the body of a request that was refused.
+const refusedStall = 2 * time.Second
+
+// libraryReads is up to how many bytes of a refused request's body net/http itself reads away before it answers.
+const libraryReads = 256 << 10
+
+// readAway answers a request that is refused beside a long body at once, and then reads what still comes of that. net/http would
+// close the connection half a second after the answer, and reset by that a client that sends on, which may lose the answer. It is
+// over once nothing comes for a while, or the body's time is up; a connection that isn't read to its request's end ends.
+func (f *Fairway) readAway(w http.ResponseWriter, r *http.Request, l manifest.Bounds) {
+	if r.ContentLength >= 0 && r.ContentLength <= libraryReads || r.Header.Get("Expect") != "" { // who waits for leave sends nothing
+		return
+	}
+	if r.ContentLength < 0 && w.Header().Get("Connection") != "close" {
+		if _, err := io.CopyN(io.Discard, r.Body, libraryReads); err != nil { // also its end
+			return
+		}
+	}
+	c := http.NewResponseController(w)
+	c.EnableFullDuplex()
+	c.Flush()
+	end := time.Now().Add(bodyTime(min(r.ContentLength, int64(l.Body))))
+	for b, err := make([]byte, 8<<10), error(nil); err != io.EOF; {
+		stall := time.Now().Add(refusedStall)
+		if stall.After(end) {
+			stall = end
+		}
+		c.SetReadDeadline(stall)
+		if _, err = r.Body.Read(b); err != nil && err != io.EOF {
+			f.counts.cuts.add(cutUnread)
+			panic(http.ErrAbortHandler) // what is left must not be read as another request
+		}
+	}
+}
+
 // choose is a route's service for one request, by the weights.
 func (f *Fairway) choose(r *manifest.Route) string {
 	if len(r.Split) == 1 {
@@ -475,6 +715,7 @@
 	}
 	if t.done <- err; err != nil {
 		f.counts.faults[faults.Broken].Add(1)
+		f.counts.cuts.add(cutBroken)
 		panic(http.ErrAbortHandler)
 	}
 }
