--- a/internal/harbour/fairway/limits_test.go
+++ b/internal/harbour/fairway/limits_test.go
@@ -459,3 +459,25 @@
 	near.Close()
 	qt.Check(t, <-got, qt.Equals, 20*len(answer))
 }
+
+// A head that became whole as its connection's place was wanted is served, and the connection isn't closed behind its answer.
+func TestEvictedAsAHeadEnds(t *testing.T) {
+	near, far := pair(t)
+	near.Read(make([]byte, 1)) // the byte that shows it to be up
+	c := &caller{Conn: near, place: room.New(1, 1).Try(), phase: readingHead, since: time.Now(), limits: func() manifest.Bounds { return manifest.Usual }}
+	c.observe([]byte(virtualRequest[:20]), 4096)
+	c.evict()
+	c.observe([]byte(virtualRequest[20:]), 4096) // by a read that had returned before
+	c.SetReadDeadline(time.Time{})
+	c.take()
+	qt.Check(t, c.evicted, qt.IsFalse)
+	c.rest()
+	c.SetReadDeadline(time.Now().Add(time.Second))
+	io.WriteString(far, virtualRequest)
+	b := make([]byte, 100)
+	n, err := c.Read(b)
+	qt.Check(t, err, qt.IsNil)
+	qt.Check(t, string(b[:n]), qt.Equals, virtualRequest)
+	c.evict() // of one that is whole
+	qt.Check(t, c.evicted, qt.IsFalse)
+}
--- a/internal/harbour/fairway/serve.go
+++ b/internal/harbour/fairway/serve.go
@@ -261,7 +261,7 @@
 func (c *caller) take() framing.Fields {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.phase, c.idleFor = handling, c.limits().IdleFor
+	c.phase, c.idleFor, c.evicted = handling, c.limits().IdleFor, false
 	return c.frames.Take()
 }
 
