--- a/cmd/harbour/main.go
+++ b/cmd/harbour/main.go
@@ -23,6 +23,9 @@
 )
 
 func main() {
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP) // before anything else: until then a SIGHUP would end the process
+	go noteHangups(hangups)
 	app := &cli.Command{Name: "harbour", Usage: "the processes of a portflow harbour; PORTFLOW_BOOT names the settings file",
 		Commands: []*cli.Command{
 			{Name: "fairway", Usage: "carry traffic from clients to hosts", Action: carry},
@@ -74,17 +77,17 @@
 	return b, sea.Real{Silent: 1500 * time.Millisecond}, binary.BigEndian.Uint64(raw[:]), nil
 }
 
-// ending is the context that a SIGTERM ends. A SIGHUP says that the settings file has changed: what a process goes by while
-// it runs comes from control, so it only notes whether the file can still be read.
+// noteHangups hears that the settings file has changed: what a process goes by while it runs comes from control, so it only notes
+// whether the file can still be read.
+func noteHangups(hangups <-chan os.Signal) {
+	for range hangups {
+		_, err := load()
+		klog.InfoS("settings file changed", "err", err)
+	}
+}
+
+// ending is the context that a SIGTERM ends.
 func ending() (context.Context, context.CancelFunc) {
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	go func() {
-		for range hup {
-			_, err := load()
-			klog.InfoS("settings file changed", "err", err)
-		}
-	}()
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
 
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -15,7 +15,7 @@
 
 func main() {
 	root := &cobra.Command{Use: "lab", Short: "lab tries portflow's designs out", SilenceUsage: true}
-	root.AddCommand(append(harbour(), storm(), flows(), shares(), dayCommands())...)
+	root.AddCommand(append(harbour(), storm(), flows(), shares(), trialCommand(), dayCommands())...)
 	if err := root.Execute(); err != nil {
 		os.Exit(1)
 	}
--- /dev/null
+++ b/internal/lab/trial/changes_test.go
@@ -0,0 +1,80 @@
+package trial
+
+import (
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+)
+
+func route(version uint64, fields string) Item {
+	return Item{Key: Key{"routes", "r"}, Version: version, Fields: fields}
+}
+
+func TestChangesReadBack(t *testing.T) {
+	one, two, other := route(1, `{"a":1}`), route(2, `{"a":2}`), route(2, `{"a":3}`)
+	dropped := Item{Key: one.Key, Version: 3, Dropped: true}
+	for _, x := range []struct {
+		name                           string
+		acknowledged, refused, pending []Item
+		read                           []Item
+		wrong                          int
+		wrongAtOnce                    int // as it is acknowledged
+	}{
+		{name: "nothing sent, nothing read"},
+		{name: "read back", acknowledged: []Item{one, two}, read: []Item{two}},
+		{name: "an older one is read", acknowledged: []Item{one, two}, read: []Item{one}, wrong: 1},
+		{name: "nothing is read", acknowledged: []Item{one}, wrong: 1},
+		{name: "dropped", acknowledged: []Item{one, dropped}},
+		{name: "dropped, and there", acknowledged: []Item{one, dropped}, read: []Item{one}, wrong: 1},
+		{name: "an older one sent again", acknowledged: []Item{one, two, one}, read: []Item{two}},
+		{name: "the same sent again", acknowledged: []Item{one, one}, read: []Item{one}},
+		{name: "open, and in force", acknowledged: []Item{one}, pending: []Item{two}, read: []Item{two}},
+		{name: "open, and not in force", acknowledged: []Item{one}, pending: []Item{two}, read: []Item{one}},
+		{name: "open, older, and in force", acknowledged: []Item{two}, pending: []Item{one}, read: []Item{one}, wrong: 1},
+		{name: "an open drop", acknowledged: []Item{one}, pending: []Item{dropped}},
+		{name: "refused, and in force", acknowledged: []Item{one}, refused: []Item{two}, read: []Item{two}, wrong: 1},
+		{name: "refused, never there", refused: []Item{one}},
+		{name: "a race's winner", acknowledged: []Item{two}, refused: []Item{other}, read: []Item{two}},
+		{name: "a race's loser", acknowledged: []Item{two}, refused: []Item{other}, read: []Item{other}, wrong: 1},
+		{name: "a race with two winners", acknowledged: []Item{two, other}, read: []Item{two}, wrongAtOnce: 1},
+		{name: "never sent", read: []Item{one}, wrong: 1},
+	} {
+		c := qt.New(t)
+		changes, atOnce := NewChanges(), 0
+		changes.Sent(x.pending)
+		for _, i := range x.acknowledged {
+			changes.Sent([]Item{i})
+			atOnce += len(changes.Acknowledged([]Item{i}))
+		}
+		changes.Sent(x.refused)
+		changes.Refused(x.refused)
+		standing := map[Key]Item{}
+		for _, i := range x.read {
+			standing[i.Key] = i
+		}
+		c.Check(changes.Check("control-1", standing), qt.HasLen, x.wrong, qt.Commentf("%s", x.name))
+		c.Check(atOnce, qt.Equals, x.wrongAtOnce, qt.Commentf("%s", x.name))
+	}
+}
+
+func TestEncodedIsRead(t *testing.T) {
+	c := qt.New(t)
+	items := []Item{
+		{Key: Key{"routes", "one"}, Version: 10, Fields: canonical(map[string]any{"name": "one", "timeout-s": 2.0, "service": "s"})},
+		{Key: Key{"routes", "two"}, Version: 11, Fields: canonical(map[string]any{"name": "two", "timeout-s": 0.5, "home-regions": nil})},
+		{Key: Key{"services", "s"}, Version: 12, Fields: canonical(map[string]any{"name": "s", "health-path": "/health"})},
+		{Key: Key{"limits", "limits"}, Version: 13, Fields: canonical(map[string]any{"body-bytes": 5})},
+	}
+	raw := encode(items)
+	c.Assert(string(raw), qt.Contains, `"0000000a"`)
+	standing, err := ReadStanding([]byte(string(raw)[len(`{"drop-names":{},"set-items":`) : len(raw)-1]))
+	c.Assert(err, qt.IsNil)
+	c.Assert(standing, qt.HasLen, len(items))
+	for _, i := range items {
+		c.Check(standing[i.Key], qt.Equals, i)
+	}
+	for _, wrong := range []string{`{`, `{"routes":{"table-columns":["name","version"],"table-rows":[["r","none"]]}}`} {
+		_, err := ReadStanding([]byte(wrong))
+		c.Check(err, qt.IsNotNil)
+	}
+}
--- /dev/null
+++ b/internal/lab/trial/judge_test.go
@@ -0,0 +1,118 @@
+package trial
+
+import (
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+)
+
+// cut is an unsafe attempt on a kept connection that ended 50 ms after it was sent, without an answer.
+func cut(change func(*Attempt)) Attempt {
+	a := Attempt{ID: "a", Style: Kept, Path: "POST /", MaxAttempts: 2, ConnectedAt: 8 * time.Second, BeganAt: 10 * time.Second,
+		SentAt: 10 * time.Second, EndedAt: 10*time.Second + 50*time.Millisecond, Deadline: 14 * time.Second, Timeout: 3 * time.Second,
+		Outcome: Cut}
+	change(&a)
+	return a
+}
+
+func TestCauses(t *testing.T) {
+	passedOn := HostView{Arrivals: 1, Ran: 1}
+	term := Signal{Proxy: 0, Kind: Terminated, At: 9 * time.Second, Until: 15 * time.Second}
+	for _, x := range []struct {
+		name    string
+		attempt Attempt
+		signals []Signal
+		cause   Cause
+		broken  int // rules
+	}{
+		{"answered", cut(func(a *Attempt) { a.Outcome, a.Status = Complete, 200 }), nil, Answered, 0},
+		{"cut after it was passed on", cut(func(a *Attempt) { a.Host = passedOn }), nil, CutPassedOn, 1},
+		{"another proxy was killed", cut(func(a *Attempt) { a.Host = passedOn }),
+			[]Signal{{Proxy: 1, Kind: Killed, At: 10 * time.Second, Until: 11 * time.Second}}, CutPassedOn, 1},
+		{"the proxy was killed", cut(func(a *Attempt) { a.Host = passedOn }),
+			[]Signal{{Proxy: 0, Kind: Killed, At: 10 * time.Second, Until: 11 * time.Second}}, ProxyKilled, 0},
+		{"the proxy was killed before it was connected to", cut(func(a *Attempt) { a.Host = passedOn }),
+			[]Signal{{Proxy: 0, Kind: Killed, At: 6 * time.Second, Until: 7 * time.Second}}, CutPassedOn, 1},
+		{"a hangup excuses nothing", cut(func(a *Attempt) { a.Host = passedOn }),
+			[]Signal{{Proxy: 0, Kind: Hangup, At: 10 * time.Second, Until: 11 * time.Second}}, CutPassedOn, 1},
+		{"the host broke off", cut(func(a *Attempt) { a.Host = HostView{Arrivals: 1, Ran: 1, BrokeOff: true} }), nil, HostBrokeOff, 0},
+		{"crossed", cut(func(*Attempt) {}), nil, Crossed, 0},
+		{"not passed on, later than the slack", cut(func(a *Attempt) { a.EndedAt = a.SentAt + 250*time.Millisecond }), nil, CutLate, 1},
+		{"idled out", cut(func(a *Attempt) { a.Rested, a.EndedAt = 2*time.Second, a.SentAt+250*time.Millisecond }), nil, IdledOut, 0},
+		{"rested for long, and passed on", cut(func(a *Attempt) { a.Rested, a.Host = 2*time.Second, passedOn }), nil, CutPassedOn, 1},
+		{"terminated, passed on", cut(func(a *Attempt) { a.Host = passedOn }), []Signal{term}, CutEnding, 1},
+		{"terminated, not passed on", cut(func(*Attempt) {}), []Signal{term}, CrossedEnding, 0},
+		{"terminated, not passed on, later than the slack", cut(func(a *Attempt) { a.EndedAt = a.SentAt + time.Second }), []Signal{term},
+			CutLateEnding, 1},
+		{"terminated, at work in the last sixth of the grace", cut(func(a *Attempt) {
+			a.Host, a.Timeout, a.Deadline, a.EndedAt = passedOn, 10*time.Second, 20*time.Second, 14500*time.Millisecond
+		}), []Signal{term}, LateInGrace, 0},
+		{"the same, sent late", cut(func(a *Attempt) {
+			a.Host, a.SentAt, a.Timeout, a.Deadline, a.EndedAt = passedOn, 12500*time.Millisecond, 10*time.Second, 20*time.Second,
+				14500*time.Millisecond
+		}), []Signal{term}, CutEnding, 1},
+		{"the client's time was up", cut(func(a *Attempt) { a.Host, a.EndedAt = passedOn, a.Deadline }), nil, TimeUp, 0},
+		{"the route's time was up", cut(func(a *Attempt) { a.Host, a.Timeout = passedOn, 40*time.Millisecond }), nil, TimeUp, 0},
+		{"no answer", cut(func(a *Attempt) { a.Outcome = Silent }), nil, GivenUp, 0},
+		{"not written", cut(func(a *Attempt) { a.Outcome = Unsent }), nil, NotWritten, 0},
+		{"behind the end", cut(func(a *Attempt) { a.Outcome = Behind }), nil, BehindEnd, 0},
+		{"behind the end, and passed on", cut(func(a *Attempt) { a.Outcome, a.Host = Behind, passedOn }), nil, CutPassedOn, 1},
+		{"another's answer", cut(func(a *Attempt) { a.Outcome = Garbled }), nil, AnsweredWrongly, 1},
+	} {
+		c := qt.New(t)
+		j := Judge{Terms: terms, Signals: x.signals}
+		c.Check(j.Cause(x.attempt), qt.Equals, x.cause, qt.Commentf("%s", x.name))
+		c.Check(j.Violations(x.attempt), qt.HasLen, x.broken, qt.Commentf("%s", x.name))
+	}
+}
+
+func TestRulesOfAnswers(t *testing.T) {
+	answered := func(status int, change func(*Attempt)) Attempt {
+		return cut(func(a *Attempt) {
+			a.Outcome, a.Status = Complete, status
+			change(a)
+		})
+	}
+	for _, x := range []struct {
+		name    string
+		attempt Attempt
+		broken  bool
+	}{
+		{"ran once", answered(200, func(a *Attempt) { a.Host = HostView{Arrivals: 2, Ran: 1} }), false},
+		{"ran twice", answered(200, func(a *Attempt) { a.Host = HostView{Arrivals: 2, Ran: 2} }), true},
+		{"a safe one ran twice", answered(200, func(a *Attempt) { a.Idempotent, a.Host = true, HostView{Arrivals: 2, Ran: 2} }), false},
+		{"a safe one ran more often than it may", answered(200, func(a *Attempt) { a.Idempotent, a.Host = true, HostView{Arrivals: 3, Ran: 3} }), true},
+		{"refused", answered(503, func(*Attempt) {}), false},
+		{"refused, and ran", answered(503, func(a *Attempt) { a.Host = HostView{Arrivals: 1, Ran: 1} }), true},
+		{"a safe one refused, and ran", answered(503, func(a *Attempt) { a.Idempotent, a.Host = true, HostView{Arrivals: 1, Ran: 1} }), false},
+		{"no route", answered(404, func(*Attempt) {}), false},
+		{"malformed", answered(400, func(*Attempt) {}), true},
+		{"too long", answered(413, func(*Attempt) {}), true},
+		{"502 of a host that broke off", answered(502, func(a *Attempt) { a.Host = HostView{Arrivals: 1, Ran: 1, BrokeOff: true} }), false},
+		{"502 of one that did not", answered(502, func(a *Attempt) { a.Host = HostView{Arrivals: 1, Ran: 1} }), true},
+		{"504 too early", answered(504, func(*Attempt) {}), true},
+		{"504 in time", answered(504, func(a *Attempt) { a.Timeout = 100 * time.Millisecond }), false},
+		{"another body arrived", answered(200, func(a *Attempt) { a.Host = HostView{Arrivals: 1, Ran: 1, Garbled: true} }), true},
+	} {
+		c := qt.New(t)
+		c.Check(len(Judge{Terms: terms}.Violations(x.attempt)) > 0, qt.Equals, x.broken, qt.Commentf("%s", x.name))
+	}
+}
+
+func TestSumCountsWithinAndOutside(t *testing.T) {
+	c := qt.New(t)
+	second := time.Second
+	var windows []Interval
+	for _, i := range []Interval{{2 * second, 4 * second}, {3 * second, 5 * second}, {9 * second, 10 * second}} {
+		windows = merge(windows, i)
+	}
+	c.Check(windows, qt.DeepEquals, []Interval{{2 * second, 5 * second}, {9 * second, 10 * second}})
+	at := func(from, to time.Duration) Attempt {
+		return cut(func(a *Attempt) { a.SentAt, a.EndedAt, a.Outcome, a.Status = from, to, Complete, 200 })
+	}
+	s := Sum(Judge{Terms: terms}, []Attempt{at(0, second), at(second, 3*second), at(4*second, 6*second), at(6*second, 12*second)}, windows)
+	c.Check(s.Causes[Answered], qt.Equals, Places{Within: 2, Outside: 2})
+	c.Check(s.Within, qt.Equals, 4*second)
+	c.Check(s.Outside, qt.Equals, 8*second)
+}
