--- a/internal/harbour/fairway/serve.go
+++ b/internal/harbour/fairway/serve.go
@@ -124,12 +124,13 @@
 // caller is a client's connection. It sees how a request is framed, which net/http doesn't tell.
 type caller struct {
 	net.Conn
-	place  *room.Place
-	limits func() manifest.Bounds
-	mu     sync.Mutex
-	idle   bool
-	behind bool // something has come while a request was at work: the library looks for a client's end no more then
-	frames framing.Stream
+	place    *room.Place
+	limits   func() manifest.Bounds
+	mu       sync.Mutex
+	idle     bool
+	answered bool // the last request has its whole answer, and the connection does not stand idle yet
+	behind   bool // something has come while a request was at work: the library looks for a client's end no more then
+	frames   framing.Stream
 }
 
 func (c *caller) Read(b []byte) (int, error) {
@@ -157,7 +158,7 @@
 func (c *caller) take() framing.Fields {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle = false
+	c.idle, c.answered = false, false
 	return c.frames.Take()
 }
 
@@ -191,7 +192,7 @@
 func (c *caller) rest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle = true
+	c.idle, c.answered = true, false
 }
 
 type callerKey struct{}
@@ -202,6 +203,7 @@
 
 func (c *caller) Close() error {
 	defer c.place.Leave()
+	c.linger()
 	return c.Conn.Close()
 }
 
@@ -219,8 +221,16 @@
 	}
 }
 
-// ServeHTTP takes a client's request and gives it its one final answer.
+// ServeHTTP takes a client's request and gives it its one final answer. A panic says that the answer breaks off.
 func (f *Fairway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	f.respond(w, r)
+	if from, known := r.Context().Value(callerKey{}).(*caller); known {
+		from.served()
+	}
+}
+
+// respond gives a request its final answer.
+func (f *Fairway) respond(w http.ResponseWriter, r *http.Request) {
 	f.counts.taken.Add(1)
 	f.open.Add(1)
 	defer f.open.Add(-1)
