--- a/internal/lab/trial/host.go
+++ b/internal/lab/trial/host.go
@@ -24,6 +24,8 @@
 	slowOneIn  = 60  // requests that take a host long
 	breakOneIn = 800 // requests at which a host breaks off
 
+	endIn = 2500 * time.Millisecond // for what a host that ends still works on
+
 	chunkBytes = 32 << 10 // of an answer that is written in pieces
 )
 
@@ -88,6 +90,9 @@
 		v.call(ctx, "instances.leave")
 		v.rig.sums.hostsLeft.Add(1)
 	}
+	over, cancel := context.WithTimeout(context.Background(), endIn)
+	defer cancel()
+	server.Shutdown(over) // what is still at work after that is broken off, and known to be
 	v.ended.Store(true)
 	server.Close()
 }
