--- a/internal/harbour/fairway/fairway.go
+++ b/internal/harbour/fairway/fairway.go
@@ -68,14 +68,17 @@
 	ending   atomic.Bool  // it takes no more requests
 	rejoined atomic.Int64 // when one was heard again
 	open     atomic.Int64 // requests
-	held     atomic.Int64 // bytes of bodies
-	counts   counts
-	handed   handed
-	lent     atomic.Bool // others' parts, to this router
-	metering bool        // callers' shares are told of
-	toldTons bool        // what they ask for, the last time
-	dice     sync.Mutex
-	chance   chance.Source
+	front    atomic.Pointer[net.Listener]
+	// clients' connections that are new, or have a request that isn't answered yet
+	unfinished atomic.Int64
+	held       atomic.Int64 // bytes of bodies
+	counts     counts
+	handed     handed
+	lent       atomic.Bool // others' parts, to this router
+	metering   bool        // callers' shares are told of
+	toldTons   bool        // what they ask for, the last time
+	dice       sync.Mutex
+	chance     chance.Source
 }
 
 // handed counts hand-offs since the last look at whether this router is short.
--- a/internal/harbour/fairway/serve.go
+++ b/internal/harbour/fairway/serve.go
@@ -97,8 +97,9 @@
 func (f *Fairway) clients(l net.Listener) {
 	limits := f.view.Load().chart.Limits
 	s := &http.Server{Handler: f, ReadHeaderTimeout: time.Duration(limits.HeaderFor), IdleTimeout: time.Duration(limits.IdleFor),
-		MaxHeaderBytes: limits.Header, ErrorLog: silent, ConnState: note, ConnContext: withCaller}
+		MaxHeaderBytes: limits.Header, ErrorLog: silent, ConnState: f.note, ConnContext: withCaller}
 	f.server.Store(s)
+	f.front.Store(&l)
 	s.Serve(&quayside{l, f.room, func() manifest.Bounds { return f.view.Load().chart.Limits }})
 }
 
@@ -128,6 +129,7 @@
 	limits   func() manifest.Bounds
 	mu       sync.Mutex
 	idle     bool
+	awaited  bool // it is new, or a request on it isn't answered yet
 	answered bool // the last request has its whole answer, and the connection does not stand idle yet
 	behind   bool // something has come while a request was at work: the library looks for a client's end no more then
 	frames   framing.Stream
@@ -207,11 +209,13 @@
 	return c.Conn.Close()
 }
 
-func note(c net.Conn, s http.ConnState) {
+// note follows a client's connection, as the library tells of it.
+func (f *Fairway) note(c net.Conn, s http.ConnState) {
 	v, ok := c.(*caller)
 	if !ok {
 		return
 	}
+	f.unfinished.Add(v.unfinished(s))
 	switch s {
 	case http.StateActive:
 		v.place.Set(room.Busy)
@@ -529,8 +533,6 @@
 	time.Sleep(takes)
 	f.ending.Store(true)
 	time.Sleep(grace*3/4 - 200*time.Millisecond - takes)
-	ctx, cancel := context.WithTimeout(context.Background(), grace/5)
-	defer cancel()
-	f.server.Load().Shutdown(ctx)
+	f.finish(grace / 5)
 	f.Log()
 }
