--- a/internal/lab/trial/client.go
+++ b/internal/lab/trial/client.go
@@ -20,6 +20,7 @@
 	bodyLow      = 1 << 20 // the smallest body-bytes
 	headerLow    = 4096    // the smallest header-bytes
 	pipelineMost = 4
+	longestWait  = 5 * time.Second
 	patience     = 1500 * time.Millisecond // that a client has beyond what it told, so that a late answer is told from none
 	perConn      = 40                      // requests that a kept connection is used for at most
 )
@@ -52,6 +53,7 @@
 	body    int
 	chunked bool
 	answer  int
+	padded  bool          // its head is long
 	pause   time.Duration // between the head and the body, and within it
 	wait    time.Duration // that the client has
 }
@@ -106,6 +108,7 @@
 	for i := range all {
 		all[i] = c.query(conn.proxy)
 	}
+	conn.SetWriteDeadline(time.Now().Add(longestWait * time.Duration(n)))
 	keeps := c.exchange(conn, all)
 	conn.used, conn.since = conn.used+n, c.rig.clock.now()
 	return keeps && c.style != Fresh && conn.used < perConn
@@ -140,7 +143,7 @@
 func (c *client) query(proxy int) query {
 	c.count++
 	r := c.rig.traffic[c.rng.IntN(len(c.rig.traffic))]
-	q := query{method: "GET", path: r.prefix, answer: c.rng.IntN(2000), wait: c.between(2500*time.Millisecond, 5*time.Second)}
+	q := query{method: "GET", path: r.prefix, answer: c.rng.IntN(2000), wait: c.between(longestWait/2, longestWait)}
 	q.attempt = Attempt{ID: fmt.Sprintf("%s-%06d", c.name, c.count), Proxy: proxy, Style: c.style, Idempotent: r.idempotent,
 		MaxAttempts: trafficAttempts, Timeout: r.timeoutLow}
 	if !r.idempotent || c.rng.IntN(4) == 0 {
@@ -158,59 +161,74 @@
 		q.answer = largest + 1 + c.rng.IntN(1<<20)
 		q.attempt.Stream = true
 	}
+	q.padded = c.rng.IntN(12) == 0
 	q.path = path(r.prefix, q.body, q.answer)
 	q.attempt.Path = q.method + " " + q.path
 	return q
 }
 
-// exchange writes requests one behind the other and reads their answers. It reports whether the connection may be used on.
+// exchange writes requests one behind the other while it reads their answers. It reports whether the connection may be used on.
 func (c *client) exchange(conn *connection, all []query) bool {
-	sent, wrote := 0, error(nil)
+	wrote := make([]chan error, len(all)) // each gets the outcome of one write; closed where that is not begun
+	for n := range wrote {
+		wrote[n] = make(chan error, 1)
+	}
+	go c.writeAll(conn, all, wrote)
+	over := ""
 	for n := range all {
-		q := &all[n]
-		began := c.rig.clock.now()
-		q.attempt.ConnectedAt = conn.at
-		q.attempt.BeganAt, q.attempt.Deadline = began, began+q.wait
-		if conn.used > 0 && n == 0 {
-			q.attempt.Rested = began - conn.since
+		err, begun := <-wrote[n]
+		if !begun {
+			return false
+		}
+		a := &all[n].attempt
+		if n > 0 { // a proxy reads it, and its time begins, once the one before is answered
+			a.Deadline = c.rig.clock.now() + all[n].wait
+		}
+		if over != "" {
+			a.Outcome, a.Detail = Behind, over
+		} else {
+			c.read(conn, &all[n], err == nil)
+		}
+		a.EndedAt = c.rig.clock.now()
+		if err != nil {
+			a.Detail += ", " + err.Error()
 		}
-		conn.SetWriteDeadline(time.Now().Add(q.wait))
-		wrote = c.write(conn, *q)
-		q.attempt.SentAt = c.rig.clock.now()
-		if wrote != nil {
-			break
+		if over == "" && (a.Outcome != Complete || strings.HasSuffix(a.Detail, closes)) {
+			over = fmt.Sprintf("behind %s: outcome %d, %s", a.ID, a.Outcome, a.Detail)
+			conn.SetWriteDeadline(time.Now()) // what is being written behind it is not read any more
 		}
-		sent++
+		c.rig.book.ended(*a)
 	}
-	over := ""
+	return over == ""
+}
+
+// writeAll writes requests until one of them can't be written.
+func (c *client) writeAll(conn *connection, all []query, wrote []chan error) {
+	failed := false
 	for n := range all {
-		q := &all[n]
-		switch {
-		case over != "":
-			q.attempt.Outcome, q.attempt.Detail = Behind, over
-		case n > sent:
-			continue // not begun
-		default:
-			c.read(conn, q, n < sent)
-		}
-		q.attempt.EndedAt = c.rig.clock.now()
-		if q.attempt.Outcome == Unsent && wrote != nil {
-			q.attempt.Detail += ", " + wrote.Error()
+		if failed {
+			close(wrote[n])
+			continue
 		}
-		if over == "" && (q.attempt.Outcome != Complete || strings.HasSuffix(q.attempt.Detail, closes)) {
-			over = fmt.Sprintf("behind %s: outcome %d, %s", q.attempt.ID, q.attempt.Outcome, q.attempt.Detail)
+		a := &all[n].attempt
+		a.ConnectedAt, a.BeganAt = conn.at, c.rig.clock.now()
+		a.Deadline = a.BeganAt + all[n].wait
+		if conn.used > 0 && n == 0 {
+			a.Rested = a.BeganAt - conn.since
 		}
-		c.rig.book.ended(q.attempt)
+		err := write(conn, all[n])
+		a.SentAt = c.rig.clock.now()
+		wrote[n] <- err
+		failed = err != nil
 	}
-	return over == "" && wrote == nil
 }
 
 // write puts one request on the wire.
-func (c *client) write(conn *connection, q query) error {
+func write(conn *connection, q query) error {
 	var head strings.Builder
 	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\nAttempt-Id: %s\r\nTime-Remaining: %d\r\n", q.method, q.path, siteName, q.attempt.ID,
 		q.wait.Milliseconds())
-	if c.rng.IntN(12) == 0 {
+	if q.padded {
 		fmt.Fprintf(&head, "X-Padding: %s\r\n", strings.Repeat("p", headerLow/2))
 	}
 	body := pattern(q.attempt.ID, q.body)
--- a/internal/lab/trial/disturb.go
+++ b/internal/lab/trial/disturb.go
@@ -14,6 +14,7 @@
 	proxiesAtOnce = 2                      // that end or are away
 	awayLow       = 50 * time.Millisecond  // before a process is started again
 	awayHigh      = 900 * time.Millisecond // after that at the latest
+	upIn          = 10 * time.Second       // for a process that was started to serve
 )
 
 // moments draws so many moments within a stretch, in their order.
@@ -55,7 +56,7 @@
 func (r *rig) strike(p *process, kind Disturbance, away time.Duration) {
 	p.striking.Lock()
 	defer p.striking.Unlock()
-	if r.over.Load() {
+	if r.over.Load() || !p.serves(upIn) {
 		return
 	}
 	s := Signal{Proxy: -1, Kind: kind, At: r.clock.now()}
--- a/internal/lab/trial/operator.go
+++ b/internal/lab/trial/operator.go
@@ -24,6 +24,7 @@
 	changeRace     = "race of two operators"
 	changeAgain    = "the same sent again"
 	changeOlder    = "an older one sent again"
+	changeUnclear  = "one without a clear answer sent again"
 )
 
 // weights are how often each kind is drawn.
@@ -54,6 +55,7 @@
 	last    []Item       // the last call
 	older   []Item       // the one that it replaced
 	bulk    bool         // its 800 routes stand
+	unclear [][]Item     // calls without a clear answer
 	targets []target
 }
 
@@ -97,8 +99,13 @@
 	return o.send(ctx, "first", all)
 }
 
-// run sends changes as fast as they are taken.
+// run sends changes as fast as they are taken. Those that had no clear answer before are sent again first, unchanged.
 func (o *operator) run(ctx context.Context) {
+	again := o.unclear
+	o.unclear = nil
+	for _, items := range again {
+		o.send(ctx, changeUnclear, items)
+	}
 	for ctx.Err() == nil {
 		o.change(ctx)
 	}
@@ -217,7 +224,10 @@
 // send makes one call, and remembers it.
 func (o *operator) send(ctx context.Context, kind string, items []Item) error {
 	err := o.call(ctx, kind, items, o.rng.IntN(zones))
-	if kind == changeAgain || kind == changeOlder {
+	if errors.Is(err, pilot.ErrNobody) {
+		o.unclear = append(o.unclear, items)
+	}
+	if kind == changeAgain || kind == changeOlder || kind == changeUnclear {
 		return err
 	}
 	o.older, o.last = o.last, items
--- a/internal/lab/trial/process.go
+++ b/internal/lab/trial/process.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -12,7 +13,7 @@
 
 // process is one deployed process: it can be signalled, ended and started again.
 type process struct {
-	name, ip, role, serves string
+	name, ip, role, duties string
 	zone, index            int
 	rig                    *rig
 
@@ -34,7 +35,7 @@
 		data = filepath.Join(p.rig.dir, p.name+".data")
 	}
 	path := filepath.Join(p.rig.dir, p.name+".conf")
-	text := settings(p.name, p.ip, p.zone, p.role, p.serves, data, p.starts == 0)
+	text := settings(p.name, p.ip, p.zone, p.role, p.duties, data, p.starts == 0)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return fmt.Errorf("settings of %s: %w", p.name, err)
 	}
@@ -46,7 +47,7 @@
 	c := exec.Command(p.rig.options.Program, p.role)
 	c.Stdout, c.Stderr = log, log
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	c.Env = append(os.Environ(), "PORTFLOW_BOOT="+path, "GORACE=halt_on_error=0")
+	c.Env = append(os.Environ(), "PORTFLOW_BOOT="+path, "GORACE=halt_on_error=0 atexit_sleep_ms=0")
 	if n := p.rig.options.Procs; n > 0 {
 		c.Env = append(c.Env, fmt.Sprintf("GOMAXPROCS=%d", n))
 	}
@@ -113,3 +114,19 @@
 		return false
 	}
 }
+
+// serves waits until the process listens, and reports whether it does. A signal that comes between the start of a program and that of
+// its main function ends it whatever it would do with it, and says nothing of the program.
+func (p *process) serves(within time.Duration) bool {
+	address := at(p.ip, controlPort)
+	if p.role == "fairway" {
+		address = at(p.ip, frontPort)
+	}
+	for began := time.Now(); time.Since(began) < within; time.Sleep(20 * time.Millisecond) {
+		if c, err := net.DialTimeout("tcp", address, time.Second); err == nil {
+			c.Close()
+			return true
+		}
+	}
+	return false
+}
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -144,10 +144,10 @@
 	r.council = &council{rig: r, changes: NewChanges(), counts: map[string]int{}, results: map[string]int{}}
 	for z := range zones {
 		r.control = append(r.control, &process{name: fmt.Sprintf("control-%d", z+1), ip: controlIP(z), role: "harbourmaster",
-			serves: "control,directory", zone: z, index: z, rig: r})
+			duties: "control,directory", zone: z, index: z, rig: r})
 	}
 	for n := range zones * proxiesPerZone {
-		r.proxies = append(r.proxies, &process{name: fmt.Sprintf("proxy-%d", n+1), ip: proxyIP(n), role: "fairway", serves: "front",
+		r.proxies = append(r.proxies, &process{name: fmt.Sprintf("proxy-%d", n+1), ip: proxyIP(n), role: "fairway", duties: "front",
 			zone: n % zones, index: n, rig: r})
 	}
 	return r, nil
