--- a/internal/harbour/fairway/fairway.go
+++ b/internal/harbour/fairway/fairway.go
@@ -69,6 +69,7 @@
 	rejoined atomic.Int64 // when one was heard again
 	open     atomic.Int64 // requests
 	front    atomic.Pointer[net.Listener]
+	accepted chan struct{} // closed once no connection is accepted any more
 	// clients' connections that are new, or have a request that isn't answered yet
 	unfinished atomic.Int64
 	held       atomic.Int64 // bytes of bodies
@@ -110,7 +111,7 @@
 // Start brings the process up; it serves until Leave.
 func Start(ctx context.Context, o Options) (*Fairway, error) {
 	b := o.Boot
-	f := &Fairway{Options: o, ctx: ctx, clock: o.Clock, services: map[string]*service{}, since: time.Now().UnixNano()}
+	f := &Fairway{Options: o, ctx: ctx, clock: o.Clock, accepted: make(chan struct{}), services: map[string]*service{}, since: time.Now().UnixNano()}
 	if f.clock == nil {
 		f.clock = router.NewClock() // a step of the time of day changes nothing
 	}
--- a/internal/harbour/fairway/finishing.go
+++ b/internal/harbour/fairway/finishing.go
@@ -8,13 +8,22 @@
 // finishLook is the time between two looks at whether all connections are done with.
 const finishLook = 5 * time.Millisecond
 
-// finish ends the service of clients: no connection is taken any more, idle ones are closed, and those that are new or have a request
-// get its answer, for so long at the most. http.Server.Shutdown won't do: from its beginning on the server closes a connection without
+// finish ends the service of clients: once none waits to be accepted no connection is taken any more, idle ones are closed, and those
+// that are new or have a request get its answer, for so long at the most. A listener that is closed resets those that wait. http.Server.Shutdown won't do: from its beginning on the server closes a connection without
 // an answer once it has read a request on it.
 func (f *Fairway) finish(within time.Duration) {
-	(*f.front.Load()).Close()
+	began := time.Now()
+	front := *f.front.Load()
+	for backlog(front) > 0 && time.Since(began) < within {
+		time.Sleep(finishLook)
+	}
+	front.Close()
+	select { // what was accepted last is counted by then
+	case <-f.accepted:
+	case <-time.After(within):
+	}
 	f.server.Load().SetKeepAlivesEnabled(false) // it closes idle connections, also those that become idle later
-	for began := time.Now(); f.unfinished.Load() > 0 && time.Since(began) < within; {
+	for f.unfinished.Load() > 0 && time.Since(began) < within {
 		time.Sleep(finishLook)
 	}
 }
--- a/internal/harbour/fairway/finishing_test.go
+++ b/internal/harbour/fairway/finishing_test.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"net"
 	"net/http"
+	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
@@ -46,3 +48,65 @@
 	c.Check(f.unfinished.Load(), qt.Equals, int64(0))
 	c.Check(counted(h)["late"], qt.Equals, 0)
 }
+
+// gated is a network whose listeners accept once they are let; until then connections wait.
+type gated struct {
+	*loopback
+	let           chan bool
+	looked, ended atomic.Int64 // at how many wait; listeners closed
+}
+
+func (g *gated) Listen(address string) (net.Listener, error) {
+	l, err := g.loopback.Listen(address)
+	if err != nil {
+		return nil, err
+	}
+	return &gatedListener{l.(*net.TCPListener), g}, nil
+}
+
+type gatedListener struct {
+	*net.TCPListener
+	gated *gated
+}
+
+func (l *gatedListener) Accept() (net.Conn, error) {
+	<-l.gated.let
+	return l.TCPListener.Accept()
+}
+
+func (l *gatedListener) Close() error {
+	l.gated.ended.Add(1)
+	return l.TCPListener.Close()
+}
+
+func (l *gatedListener) SyscallConn() (syscall.RawConn, error) {
+	l.gated.looked.Add(1)
+	return l.TCPListener.SyscallConn()
+}
+
+// Connections that wait to be accepted as a router ends are accepted and refused, not reset with their listener.
+func TestAcceptedBeforeItEnds(t *testing.T) {
+	c := qt.New(t)
+	g := &gated{loopback: &loopback{}, let: make(chan bool)}
+	f, at := routedBy(t, g, g.loopback)
+	f.leaving.Store(true)
+	f.ending.Store(true)
+	var all []net.Conn
+	for n := range 5 {
+		conn, err := net.Dial("tcp", at)
+		c.Assert(err, qt.IsNil)
+		defer conn.Close()
+		fmt.Fprintf(conn, "GET /look/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: waits-%d\r\n\r\n", n)
+		all = append(all, conn)
+	}
+	until(t, func() bool { return f.front.Load() != nil })
+	go f.finish(10 * time.Second)
+	until(t, func() bool { return g.looked.Load() > 1 || g.ended.Load() > 0 })
+	close(g.let)
+	for _, conn := range all {
+		conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		c.Assert(err, qt.IsNil)
+		c.Check(resp.StatusCode, qt.Equals, 503)
+	}
+}
--- a/internal/harbour/fairway/serve.go
+++ b/internal/harbour/fairway/serve.go
@@ -100,6 +100,7 @@
 		MaxHeaderBytes: limits.Header, ErrorLog: silent, ConnState: f.note, ConnContext: withCaller}
 	f.server.Store(s)
 	f.front.Store(&l)
+	defer close(f.accepted)
 	s.Serve(&quayside{l, f.room, func() manifest.Bounds { return f.view.Load().chart.Limits }})
 }
 
