--- a/internal/harbour/fairway/limits_test.go
+++ b/internal/harbour/fairway/limits_test.go
@@ -44,7 +44,7 @@
 	d.visitors <- c
 	close(d.visitors)
 	s := &http.Server{Handler: http.HandlerFunc(take), ReadHeaderTimeout: time.Duration(manifest.Usual.HeaderFor),
-		IdleTimeout: time.Duration(manifest.Usual.IdleFor), ConnState: note, ConnContext: withCaller, ErrorLog: silent}
+		IdleTimeout: time.Duration(manifest.Usual.IdleFor), ConnState: new(Fairway).note, ConnContext: withCaller, ErrorLog: silent}
 	go s.Serve(d)
 	t.Cleanup(func() { far.Close() })
 	return virtualClient{Conn: far, in: bufio.NewReader(far), limits: &force}
--- a/internal/harbour/fairway/serve.go
+++ b/internal/harbour/fairway/serve.go
@@ -100,9 +100,11 @@
 func (f *Fairway) clients(l net.Listener) {
 	limits := f.view.Load().chart.Limits
 	s := &http.Server{Handler: f, ReadHeaderTimeout: time.Duration(limits.HeaderFor), IdleTimeout: time.Duration(limits.IdleFor),
-		MaxHeaderBytes: manifest.HeaderMost, ErrorLog: silent, ConnState: note, ConnContext: withCaller,
+		MaxHeaderBytes: manifest.HeaderMost, ErrorLog: silent, ConnState: f.note, ConnContext: withCaller,
 		DisableGeneralOptionsHandler: true} // which would answer beside ServeHTTP, so that nobody takes the request's framing
 	f.server.Store(s)
+	f.front.Store(&l)
+	defer close(f.accepted)
 	s.Serve(&quayside{l, f.room, &f.counts.cuts, func() manifest.Bounds { return f.view.Load().chart.Limits }})
 }
 
@@ -138,17 +140,19 @@
 // caller is a client's connection. It sees how a request is framed, which net/http doesn't tell.
 type caller struct {
 	net.Conn
-	place   *room.Place
-	cuts    *cutCounts // nil where nobody counts
-	limits  func() manifest.Bounds
-	mu      sync.Mutex
-	phase   phase
-	since   time.Time // when the phase's deadline was set last
-	idleFor int64     // nanoseconds, as the present request was taken
-	evicted bool      // its place is wanted for another connection
-	cut     bool      // it has been counted
-	behind  bool      // something has come while a request was at work: the library looks for a client's end no more then
-	frames  framing.Stream
+	place    *room.Place
+	cuts     *cutCounts // nil where nobody counts
+	limits   func() manifest.Bounds
+	mu       sync.Mutex
+	phase    phase
+	since    time.Time // when the phase's deadline was set last
+	idleFor  int64     // nanoseconds, as the present request was taken
+	evicted  bool      // its place is wanted for another connection
+	cut      bool      // it has been counted
+	awaited  bool      // it is new, or a request on it isn't answered yet
+	answered bool      // the last request has its whole answer, and the connection does not stand idle yet
+	behind   bool      // something has come while a request was at work: the library looks for a client's end no more then
+	frames   framing.Stream
 }
 
 func (c *caller) Read(b []byte) (int, error) {
@@ -261,7 +265,7 @@
 func (c *caller) take() framing.Fields {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.phase, c.idleFor, c.evicted = handling, c.limits().IdleFor, false
+	c.phase, c.idleFor, c.evicted, c.answered = handling, c.limits().IdleFor, false, false
 	return c.frames.Take()
 }
 
@@ -360,6 +364,7 @@
 func (c *caller) rest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
+	c.answered = false
 	if c.phase = idling; c.frames.Begun() {
 		c.phase = readingHead
 	}
@@ -373,6 +378,7 @@
 
 func (c *caller) Close() error {
 	defer c.place.Leave()
+	c.linger()
 	return c.Conn.Close()
 }
 
@@ -388,11 +394,13 @@
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-func note(c net.Conn, s http.ConnState) {
+// note follows a client's connection, as the library tells of it.
+func (f *Fairway) note(c net.Conn, s http.ConnState) {
 	v, ok := c.(*caller)
 	if !ok {
 		return
 	}
+	f.unfinished.Add(v.unfinished(s))
 	switch s {
 	case http.StateActive:
 		v.place.Set(room.Busy)
@@ -402,8 +410,16 @@
 	}
 }
 
-// ServeHTTP takes a client's request and gives it its one final answer.
+// ServeHTTP takes a client's request and gives it its one final answer. A panic says that the answer breaks off.
 func (f *Fairway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	f.respond(w, r)
+	if from, known := r.Context().Value(callerKey{}).(*caller); known {
+		from.served()
+	}
+}
+
+// respond gives a request its final answer.
+func (f *Fairway) respond(w http.ResponseWriter, r *http.Request) {
 	f.counts.taken.Add(1)
 	f.open.Add(1)
 	defer f.open.Add(-1)
@@ -760,8 +776,6 @@
 	time.Sleep(takes)
 	f.ending.Store(true)
 	time.Sleep(grace*3/4 - 200*time.Millisecond - takes)
-	ctx, cancel := context.WithTimeout(context.Background(), grace/5)
-	defer cancel()
-	f.server.Load().Shutdown(ctx)
+	f.finish(grace / 5)
 	f.Log()
 }
