--- /dev/null
+++ b/internal/control/registry/state_test.go
@@ -0,0 +1,372 @@
+package registry
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"portflow/internal/cluster/config"
+	"portflow/internal/cluster/instance"
+	"portflow/internal/cluster/update"
+	"portflow/internal/control/consensus"
+	"portflow/internal/control/membership"
+	"portflow/internal/decision"
+)
+
+// newNode is the control process n of a core, with a disk that holds number 1 of a core of that size.
+func newNode(n, size int, intact bool) *consensus.Node {
+	var list membership.List
+	at := func(n int) membership.Member {
+		return membership.Member{IP: fmt.Sprint("10.0.1.", n), ID: fmt.Sprint("d", n), Name: fmt.Sprint("b", n), Zone: fmt.Sprint("z", n)}
+	}
+	var all []membership.Member
+	for n := range size {
+		all = append(all, at(n))
+	}
+	list = list.Change(all, nil)
+	set, disk := config.NewSet(), consensus.HardState{DiskID: "new"}
+	if intact {
+		set.Merge(list.Item())
+		disk = consensus.HardState{DiskID: fmt.Sprint("d", n), Applied: 1}
+	}
+	return consensus.New(at(n), "life", 1, disk, set, 0)
+}
+
+func newState(size int, intact bool) *State {
+	return NewState(update.Hello{Name: "b0", IP: "10.0.1.0", Zone: "z0", Control: true}, newNode(0, size, intact), 1300e6)
+}
+
+// How far a control process may be gone by, in cores of several sizes, after a start on an intact disk or on a lost one:
+// whole once more than half of the members have told how far they are and it has come as far; those whose disks are others
+// than the list has don't count, nor does who has only just come.
+func TestStatus(t *testing.T) {
+	for _, x := range []struct {
+		size   int
+		intact bool
+		others []bool // that are heard and answer: whether their disks are those of the list
+		lost   int    // of them that are not heard any more
+		want   Status
+	}{
+		{6, true, nil, 0, CatchingUp},
+		{6, true, []bool{true, true}, 0, CatchingUp},
+		{6, true, []bool{true, true, true}, 0, HasQuorum},
+		{6, true, []bool{true, true, false, false}, 0, CatchingUp}, // those are no members
+		{6, true, []bool{true, true, true}, 1, WithoutQuorum},
+		{6, true, []bool{true, true, true, true, true}, 2, HasQuorum},
+		{6, false, []bool{true, true}, 0, CatchingUp},
+		{6, false, []bool{true, true, true}, 0, CatchingUp}, // its own disk counts for nothing: four others are needed
+		{6, false, []bool{true, true, true, true}, 0, HasQuorum},
+		{9, true, []bool{true, true, true}, 0, CatchingUp},
+		{9, true, []bool{true, true, true, true}, 0, HasQuorum},
+		{9, false, []bool{true, true, true, true}, 0, CatchingUp},
+		{9, false, []bool{true, true, true, true, true}, 0, HasQuorum},
+		{1, true, nil, 0, HasQuorum},
+		{3, false, []bool{false}, 0, CatchingUp},
+		{3, false, []bool{false, false}, 0, CatchingUp}, // all disks were lost: an operator must say what is to be
+	} {
+		s := newState(x.size, x.intact)
+		nodes := map[string]*consensus.Node{"10.0.1.0": s.Node}
+		for i, intact := range x.others {
+			nodes[fmt.Sprint("10.0.1.", i+1)] = newNode(i+1, x.size, intact)
+		}
+		var mail []consensus.Event
+		to := []string{}
+		post := func(from string, out consensus.Effects) {
+			for _, box := range []map[string][]consensus.Message{out.Send, out.SendAfterSync} {
+				for ip, all := range box {
+					for _, m := range all {
+						mail, to = append(mail, consensus.Event{Now: 1, From: from, Message: &m}), append(to, ip)
+					}
+				}
+			}
+		}
+		for _, ip := range slices.Sorted(maps.Keys(nodes)) {
+			if n := nodes[ip]; n != s.Node {
+				id := n.HardState().DiskID
+				post("10.0.1.0", s.Node.Step(consensus.Event{Now: 1, From: ip, Peer: &consensus.Peer{Member: membership.Member{IP: ip, ID: id}, Applied: n.Applied()}}))
+			}
+		}
+		post("10.0.1.0", s.Node.Step(consensus.Event{Now: 1, Tick: true}))
+		for len(mail) > 0 {
+			e, ip := mail[0], to[0]
+			if mail, to = mail[1:], to[1:]; nodes[ip] != nil {
+				post(ip, nodes[ip].Step(e))
+			}
+		}
+		for i := range x.lost {
+			s.Node.Step(consensus.Event{Now: 1, From: fmt.Sprint("10.0.1.", i+1), PeerLost: true})
+		}
+		qt.Check(t, s.Status(), qt.Equals, x.want, qt.Commentf("%+v", x))
+	}
+}
+
+// Who a router hangs on holds against whatever was known of it: from another process, from before a step of its clock, or
+// from one that took it for gone.
+func TestClaims(t *testing.T) {
+	c := qt.New(t)
+	s := newState(6, true)
+	s.Self.Name = "a"
+	here := update.Proxy{Name: "r", Zone: "z0", Owner: "a", Ready: true}
+	f := s.ClaimProxy(100, here)
+	c.Check(f.RegisteredAt, qt.Equals, int64(100))
+	f = s.ClaimProxy(101, f)
+	c.Check([2]int64{f.RegisteredAt, int64(f.Revision)}, qt.Equals, [2]int64{100, 1})
+	s.PublishProxy(update.Proxy{Name: "r", Zone: "z0", Owner: "b", Ready: true, RegisteredAt: 900}, false) // by a clock that was ahead
+	f = s.ClaimProxy(110, f)
+	c.Check(s.Proxies["r"].Owner, qt.Equals, "a")
+	gone := s.Proxies["r"]
+	gone.Gone = true
+	c.Check(s.PublishProxy(gone, false), qt.IsTrue)
+	c.Check(s.ReadyProxies(), qt.HasLen, 0)
+	s.ClaimProxy(111, f)
+	c.Check(s.ReadyProxies(), qt.HasLen, 1)
+
+	// one that hung on a process which is lost is gone after a while, unless it hangs elsewhere by then
+	for name, owner := range map[string]string{"x": "b", "y": "b"} {
+		s.PublishProxy(update.Proxy{Name: name, Owner: owner, Ready: true, RegisteredAt: 1}, false)
+	}
+	s.UpdatePeer("10.0.1.1", update.Status{Member: true})
+	s.PeerLost(1000, "10.0.1.1", "b")
+	s.ClaimProxy(2000, update.Proxy{Name: "y", Owner: "a", Ready: true})
+	s.Tick(1000 + reconnectGrace)
+	c.Check(s.ReadyProxies(), qt.HasLen, 3)
+	s.Tick(1001 + reconnectGrace)
+	c.Check(s.ReadyProxies(), qt.HasLen, 2)
+	c.Check(s.Proxies["x"].Gone, qt.IsTrue)
+}
+
+// A control process that starts again names who hangs on it; the others take its former routers that it doesn't name for gone, unless they
+// are heard of anew meanwhile, there or elsewhere.
+func TestReconcilePeer(t *testing.T) {
+	for _, x := range []struct {
+		name  string
+		named []update.Change
+		then  func(s *State)
+		want  bool // gone
+	}{
+		{"not named", nil, nil, true},
+		{"named", []update.Change{{Proxy: &update.Proxy{Name: "x", Owner: "b", Ready: true, RegisteredAt: 10}}}, nil, false},
+		{"hangs there again", nil, func(s *State) {
+			s.Merge(1000, update.Change{Proxy: &update.Proxy{Name: "x", Owner: "b", Ready: true, RegisteredAt: 1000}})
+		}, false},
+		{"hangs elsewhere", nil, func(s *State) {
+			s.Merge(1000, update.Change{Proxy: &update.Proxy{Name: "x", Owner: "c", Ready: true, RegisteredAt: 1000}})
+		}, false},
+		{"hangs here", nil, func(s *State) { s.ClaimProxy(1000, update.Proxy{Name: "x", Owner: s.Self.Name, Ready: true}) }, false},
+		{"its process is lost again", nil, func(s *State) { s.PeerLost(1000, "10.0.1.1", "b") }, true},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			c := qt.New(t)
+			s := newState(6, true)
+			for _, f := range []update.Proxy{{Name: "x", Owner: "b", Ready: true, RegisteredAt: 10}, {Name: "y", Owner: "b", Ready: true, RegisteredAt: 10}, {Name: "z", Owner: "c", Ready: true, RegisteredAt: 10}} {
+				s.Merge(900, update.Change{Proxy: &f})
+			}
+			s.UpdatePeer("10.0.1.1", update.Status{Member: true})
+			s.PeerLost(950, "10.0.1.1", "b")
+			s.PeerFound("b")
+			notes := append(x.named, update.Change{Proxy: &update.Proxy{Name: "y", Owner: "b", Ready: true, RegisteredAt: 10}})
+			s.ReconcilePeer(1000, "b", notes)
+			if x.then != nil {
+				x.then(s)
+			}
+			c.Check(s.Tick(1000+reconnectGrace), qt.IsFalse)
+			c.Check(s.ReadyProxies(), qt.HasLen, 3)
+			s.Tick(1001 + reconnectGrace)
+			c.Check(s.Proxies["x"].Gone, qt.Equals, x.want)
+			c.Check(s.Proxies["z"].Gone, qt.IsFalse)
+			c.Check(s.orphans, qt.HasLen, 0)
+		})
+	}
+}
+
+// A control process restarts with its router by a clock that is an hour behind that of its former life: its claim is older than
+// what the others know. It hears of that from them, and claims the router anew; then all have it as it is, in a bounded number
+// of notes.
+func TestClaimAfterRestart(t *testing.T) {
+	for _, owner := range []string{"a", "b"} { // whose the former claim was: its own, or another's that is lost
+		c := qt.New(t)
+		all := map[string]*State{}
+		seen := map[string]uint64{}
+		for _, name := range []string{"a", "c", "d"} {
+			all[name] = newState(3, true)
+			all[name].Self.Name = name
+			if name != "a" {
+				all[name].PublishProxy(update.Proxy{Name: "r", Owner: owner, Ready: true, RegisteredAt: 4600, Gone: true, Revision: 7}, false)
+				seen[name] = all[name].Updates.Last()
+			}
+		}
+		here := all["a"].ClaimProxy(1000, update.Proxy{Name: "r", Owner: "a", Ready: true})
+		notes := 0
+		for range 5 {
+			for _, from := range []string{"a", "c", "d"} {
+				news, ok := all[from].Updates.After(seen[from])
+				c.Assert(ok, qt.IsTrue)
+				seen[from] = all[from].Updates.Last()
+				for _, n := range Filter(news, true) {
+					for to, s := range all {
+						if to != from {
+							notes++
+							s.Merge(1001, n)
+						}
+					}
+				}
+			}
+			if x := all["a"].Proxies["r"]; x.Gone || x.Owner != "a" { // as reclaim finds it
+				here = all["a"].ClaimProxy(1002, here)
+			}
+		}
+		for name, s := range all {
+			x := s.Proxies["r"]
+			c.Check(!x.Gone && x.Ready && x.Owner == "a", qt.IsTrue, qt.Commentf("%s of %s: %+v", name, owner, x))
+			c.Check(s.ReadyProxies(), qt.HasLen, 1)
+		}
+		c.Check(notes <= 10, qt.IsTrue, qt.Commentf("%d notes", notes))
+	}
+}
+
+// A router moves, and the word of its new process comes before the word of its former one that it has left. Nobody tells either once
+// more: each would tell all others and all its routers, for every router that moves.
+func TestMovesArePublishedOnce(t *testing.T) {
+	c := qt.New(t)
+	s := newState(6, true)
+	old := update.Proxy{Name: "r", Owner: "b", Ready: true, RegisteredAt: 10}
+	s.Merge(20, update.Change{Proxy: &old})
+	now := update.Proxy{Name: "r", Owner: "c", Ready: true, RegisteredAt: 20}
+	s.Merge(30, update.Change{Proxy: &now})
+	at := s.Updates.Last()
+	left := old
+	left.Gone, left.Revision = true, 1
+	s.Merge(31, update.Change{Proxy: &left})
+	c.Check(s.Updates.Last(), qt.Equals, at)
+	c.Check(s.Proxies["r"], qt.Equals, now)
+	old.Revision = 2 // a claim that is older, of who may not know better, is
+	s.Merge(32, update.Change{Proxy: &old})
+	notes, _ := s.Updates.After(at)
+	c.Assert(notes, qt.HasLen, 1)
+	c.Check(*notes[0].Proxy, qt.Equals, now)
+	c.Check(notes[0].FirstHand, qt.IsTrue)
+}
+
+// Of several notes on one thing the last goes out, in its place; each kind of thing by itself.
+func TestFilterKeepsTheLast(t *testing.T) {
+	c := qt.New(t)
+	front := func(name string, change int) update.Change {
+		return update.Change{Proxy: &update.Proxy{Name: name, Revision: change}, FirstHand: true}
+	}
+	host := func(id string, sequence uint64) update.Change {
+		return update.Change{Instance: &instance.Instance{ID: id, Sequence: sequence}, FirstHand: true}
+	}
+	item := func(kind, name string, version uint64) update.Change {
+		return update.Change{Item: &config.Item{Kind: kind, Name: name, Version: version}}
+	}
+	poll := func(front, service string, order uint64) update.Change {
+		return update.Change{Vote: &update.Vote{Proxy: front, Service: service, Number: order}, FirstHand: true}
+	}
+	all := []update.Change{front("a", 1), item(config.KindRoutes, "a", 1), host("a", 1), front("b", 1), poll("a", "x", 1), front("a", 2), item(config.KindServices, "a", 1),
+		poll("a", "y", 1), host("b", 1), item(config.KindRoutes, "a", 2), host("a", 2), poll("a", "x", 2), front("a", 3)}
+	kept := slices.Clone(all)
+	c.Check(fmt.Sprint(texts(Filter(all, false))), qt.Equals, fmt.Sprint(texts([]update.Change{all[3], all[6], all[8], all[9], all[10], all[12]})))
+	c.Check(fmt.Sprint(texts(Filter(all, true))), qt.Equals, fmt.Sprint(texts([]update.Change{all[3], all[7], all[8], all[10], all[11], all[12]})))
+	c.Check(all, qt.DeepEquals, kept) // the ledger's own
+	c.Check(Filter(nil, true), qt.HasLen, 0)
+}
+
+func texts(notes []update.Change) (all []string) {
+	for _, n := range notes {
+		raw, _ := json.Marshal(n)
+		all = append(all, string(raw))
+	}
+	return all
+}
+
+// A vote stands until the router's next one, also one that takes it back; figures alone change no vote, and stay here.
+func TestPolls(t *testing.T) {
+	c := qt.New(t)
+	s := newState(6, true)
+	k := VoteKey{"r", "desk"}
+	for i, x := range []struct {
+		verdict decision.Verdict
+		figures bool
+		shown   bool
+		want    decision.Verdict
+		news    uint64
+	}{
+		{decision.NoVote, true, true, decision.NoVote, 0}, {decision.Back, true, false, decision.Back, 1}, {decision.NoVote, true, true, decision.Back, 1},
+		{decision.NoVote, false, false, decision.NoVote, 2}, {decision.On, true, false, decision.On, 3},
+	} {
+		p := update.Vote{Proxy: "r", Service: "desk", Number: 1, Verdict: uint8(x.verdict), ReceivedAt: int64(i + 1), ReportOnly: x.shown}
+		if x.figures {
+			p.Evidence = &update.Evidence{Allowance: float64(i)}
+		}
+		s.PublishVote(p, true)
+		c.Check(decision.Verdict(s.Votes[k].Verdict), qt.Equals, x.want, qt.Commentf("poll %d", i))
+		c.Check(s.Updates.Last(), qt.Equals, x.news, qt.Commentf("poll %d", i))
+		c.Check(s.Votes[k].Evidence, qt.IsNil)
+	}
+	c.Check(s.Metrics[k].Evidence.Allowance, qt.Equals, 4.0)
+}
+
+// Control processes tell each other only what they hear themselves, so that no news goes round.
+func TestUpdateIsSentOnce(t *testing.T) {
+	c := qt.New(t)
+	s := newState(6, true)
+	h, changed := s.Instances.Heartbeat(1, instance.Instance{ID: "i", Service: "desk", Sequence: 1})
+	c.Assert(changed, qt.IsTrue)
+	s.PublishInstance(h, true)
+	s.Merge(1, update.Change{Instance: &instance.Instance{ID: "j", Service: "desk", Sequence: 1, Owner: "b"}})
+	notes, ok := s.Updates.After(0)
+	c.Assert(ok, qt.IsTrue)
+	c.Check(Filter(notes, true), qt.HasLen, 1)
+	c.Check(Filter(notes, false), qt.HasLen, 2)
+	c.Check(s.Snapshot(1, true), qt.HasLen, 1)
+	c.Check(s.Snapshot(1, false), qt.HasLen, 3) // and the list of members
+}
+
+func TestAddresses(t *testing.T) {
+	c := qt.New(t)
+	s := newState(6, true)
+	regions := map[string]string{"z0": "r0", "z1": "r0", "z2": "r1"}
+	for name, zone := range map[string]string{"a1": "z0", "b1": "z1", "b2": "z1", "c1": "z2"} {
+		s.PublishProxy(update.Proxy{Name: name, Zone: zone, Address: name, Ready: true, RegisteredAt: 1}, false)
+	}
+	for _, x := range []struct{ zone, region, want string }{
+		{"z0", "r0", "[a1]"}, {"z1", "r0", "[b1 b2]"}, {"z9", "r0", "[a1 b1 b2]"}, {"z9", "r9", "[a1 b1 b2 c1]"}, {"", "", "[a1 b1 b2 c1]"},
+	} {
+		c.Check(fmt.Sprint(s.Addresses(x.zone, x.region, regions)), qt.Equals, x.want)
+	}
+}
+
+// Thousands of routers come, vote and go in a day, and control processes with them: what is known is bounded by what is there and by
+// what went in the last ten minutes, and what lives is never forgotten.
+func TestForget(t *testing.T) {
+	c := qt.New(t)
+	s := newState(6, true)
+	minute := int64(60e9)
+	s.ClaimProxy(1, update.Proxy{Name: "stays", Owner: s.Self.Name, Ready: true})
+	most := 0
+	for n := range int64(2000) { // one a minute
+		now := (n + 1) * minute
+		f := update.Proxy{Name: fmt.Sprint("r", n), Owner: "b", Ready: true, RegisteredAt: now}
+		s.Merge(now, update.Change{Proxy: &f})
+		s.PublishVote(update.Vote{Proxy: f.Name, Service: "desk", Number: 1, Verdict: uint8(decision.On), ReceivedAt: now, Evidence: &update.Evidence{}}, true)
+		if n%2 == 0 {
+			f.Gone, f.Revision = true, 1
+			s.Merge(now+1, update.Change{Proxy: &f})
+		} else { // its control process goes with it
+			name := fmt.Sprint("b", n)
+			f.Owner, f.RegisteredAt = name, now+1
+			s.Merge(now+1, update.Change{Proxy: &f})
+			s.PeerLost(now+2, "10.0.9.9", name)
+			s.Tick(now + 2 + reconnectGrace + 1)
+		}
+		s.Expire(now + 10e9)
+		most = max(most, len(s.Proxies)+len(s.Votes)+len(s.Metrics)+len(s.lostPeers)+len(s.goneSince)+len(s.orphans))
+	}
+	c.Check(most <= 1+5*13, qt.IsTrue, qt.Commentf("%d", most))
+	c.Check(s.ReadyProxies(), qt.HasLen, 1)
+	c.Check(s.Proxies["stays"].Gone, qt.IsFalse)
+}
--- /dev/null
+++ b/internal/control/registry/trace_test.go
@@ -0,0 +1,111 @@
+package registry
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"portflow/internal/cluster/config"
+	"portflow/internal/cluster/instance"
+	"portflow/internal/cluster/outlier"
+	"portflow/internal/cluster/update"
+	"portflow/internal/control/consensus"
+	"portflow/internal/testing/digest"
+)
+
+const (
+	traceMs     = int64(1e6)
+	traceSecond = int64(1e9)
+)
+
+// eachAlone is the digests of notes, sorted: some come in the order of a map, which means nothing.
+func eachAlone(notes []update.Change) (all []string) {
+	for _, n := range notes {
+		d := digest.New()
+		d.Add(n)
+		all = append(all, d.String())
+	}
+	slices.Sort(all)
+	return all
+}
+
+// drawnNote is what is heard of few names.
+func drawnNote(draw *rand.Rand, now int64) update.Change {
+	owner := []string{"b0", "b1", "b2"}[draw.IntN(3)]
+	front := fmt.Sprint("r", draw.IntN(5))
+	switch draw.IntN(5) {
+	case 0, 1:
+		id := fmt.Sprint("h", draw.IntN(8))
+		return update.Change{Instance: &instance.Instance{ID: id, Service: "desk", Address: id + ":1", Zone: "z0", Slots: 2, State: instance.State(draw.IntN(9) / 4),
+			Sequence: uint64(now/traceSecond) - uint64(draw.IntN(3)), Unresponsive: draw.IntN(6) == 0, Owner: owner}}
+	case 2:
+		return update.Change{Proxy: &update.Proxy{Name: front, Zone: "z0", IP: "10.0.2.1", Address: "10.0.2.1:1", Ready: draw.IntN(4) > 0, Gone: draw.IntN(9) == 0,
+			RegisteredAt: now - draw.Int64N(5)*traceSecond, Revision: draw.IntN(4), Owner: owner}}
+	case 3:
+		return update.Change{Vote: &update.Vote{Proxy: front, Service: "desk", Number: uint64(draw.IntN(2)), Verdict: uint8(draw.IntN(3)), ReceivedAt: now, ReportOnly: draw.IntN(3) == 0}}
+	}
+	return update.Change{Ejection: &outlier.Ejection{ID: fmt.Sprint("h", draw.IntN(8)), Service: "desk", EjectedUntil: now + draw.Int64N(3*traceSecond), ProbationUntil: now + 4*traceSecond, Count: 1}}
+}
+
+// What a control process knows, tells and answers under drawn news, claims of routers, losses and returns of other processes and
+// published items is what it was. The order of the fields of notes counts; names don't, nor the order of news of one step.
+func TestTrace(t *testing.T) {
+	digest.Pin(t, 25, []string{"5e7beeb11598ae57", "7c7f049e29b66a64", "8a855d36c1cd2ff0", "d2a01d0e02ca8e4a"}, func(seed uint64, d *digest.Digest) {
+		draw := rand.New(rand.NewPCG(seed, 1))
+		s := newState(3+draw.IntN(3), draw.IntN(4) > 0)
+		now, seen := 1000*traceSecond, uint64(0)
+		for n := range 100 {
+			now += draw.Int64N(400 * traceMs)
+			note := drawnNote(draw, now)
+			peer := 1 + draw.IntN(2)
+			ip, name := fmt.Sprint("10.0.1.", peer), fmt.Sprint("b", peer)
+			switch draw.IntN(14) {
+			case 0, 1, 2, 3:
+				s.Merge(now, note)
+			case 4:
+				if note.Proxy != nil {
+					d.Add(s.ClaimProxy(now, *note.Proxy))
+				}
+			case 5:
+				if note.Instance != nil {
+					h, changed := s.Instances.Heartbeat(now, *note.Instance)
+					if d.Add(h, changed); changed {
+						s.PublishInstance(h, true)
+					}
+				}
+				if note.Vote != nil {
+					s.PublishVote(*note.Vote, true)
+				}
+				if note.Ejection != nil {
+					s.PublishEjection(now, *note.Ejection, true)
+				}
+			case 6:
+				s.UpdatePeer(ip, update.Status{Member: draw.IntN(3) > 0, Complete: true})
+				s.PeerFound(name)
+				s.Node.Step(consensus.Event{Now: now, From: ip, Peer: &consensus.Peer{Applied: 1}})
+			case 7:
+				s.PeerLost(now, ip, name)
+				s.Node.Step(consensus.Event{Now: now, From: ip, PeerLost: true})
+			case 8:
+				s.ReconcilePeer(now, name, []update.Change{note, drawnNote(draw, now)})
+			case 9:
+				i := config.Item{Kind: config.KindServices, Name: fmt.Sprint("s", draw.IntN(3)), Version: uint64(n + 1), Body: []byte(`{"health-path":"/","name":"s"}`)}
+				s.Set.Apply([]config.Item{i})
+				s.Publish(now, []config.Item{i}, draw.IntN(2) == 0)
+			case 10:
+				s.Expire(now)
+			case 11:
+				s.ReannounceProxies()
+			default:
+				d.Add(s.Tick(now), s.Instances.CheckHeartbeats(now, draw.IntN(2) == 0))
+			}
+			news, ok := s.Updates.After(seen)
+			seen = s.Updates.Last()
+			d.Add(ok, len(news), eachAlone(news), eachAlone(Filter(news, draw.IntN(2) == 0)))
+			d.Add(s.ReadyProxies(), s.Status(), s.PeerStatus(), s.VotingPeers(), slices.Sorted(slices.Values(s.MemberIPs())), s.Proxies, s.Votes, s.Metrics, s.Ejections, s.Instances.All(),
+				eachAlone(s.Snapshot(now, true)), eachAlone(s.Snapshot(now, false)))
+			d.Add(s.Addresses("z0", "r0", map[string]string{"z0": "r0", "z1": "r0"}))
+		}
+	})
+}
--- a/internal/harbour/harbourmaster/golden_test.go
+++ b/internal/control/server/golden_test.go
@@ -1,4 +1,4 @@
-package harbourmaster
+package server
 
 import (
 	"bytes"
@@ -8,23 +8,23 @@
 	"reflect"
 	"testing"
 
+	"portflow/internal/cluster/config"
+	"portflow/internal/cluster/settings"
+	"portflow/internal/control/consensus"
+	"portflow/internal/control/membership"
+	"portflow/internal/control/store"
 	"portflow/internal/golden"
-	"portflow/internal/harbour/logbook"
-	"portflow/internal/harbour/manifest"
-	"portflow/internal/harbour/muster"
-	"portflow/internal/harbour/papers"
-	"portflow/internal/harbour/quorum"
 )
 
 // The record of the consensus lies in its cell with the same bytes.
 func TestGoldenRecord(t *testing.T) {
-	var d quorum.Disk
+	var d consensus.HardState
 	golden.Fill(&d)
 	want, err := os.ReadFile("../../golden/testdata/golden/messages/stored-consensus.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := record(d); len(got) != 1 || !bytes.Equal(got["node"], want) {
+	if got := encodeHardState(d); len(got) != 1 || !bytes.Equal(got["node"], want) {
 		t.Errorf("the record is %q, not %q", got, want)
 	}
 }
@@ -46,31 +46,31 @@
 			t.Fatal(err)
 		}
 	}
-	disk, err := logbook.Folder(folder)
+	disk, err := store.OpenDir(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer disk.Close()
-	book, items, cells, whole, err := logbook.Open(disk)
+	book, items, cells, whole, err := store.Open(disk)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer book.Close()
-	m := &Master{Options: Options{Boot: papers.Boot{IP: "10.0.0.1", FirstStart: true}}, life: "another"}
-	d, set, gone, made := m.load(items, cells, whole, book.Repaired)
-	vote := manifest.Item{Kind: manifest.Evacuations, Name: "z1", Version: 2, Body: json.RawMessage(`{"begun":false}`)}
-	want := quorum.Disk{ID: "disk-1", Applied: 13, Promised: quorum.Ballot{N: 7, By: "life-3"}, Vote: quorum.Ballot{N: 6, By: "life-2"}, At: 14,
-		Value: []manifest.Item{vote}, Founders: []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}}
+	m := &Server{Options: Options{Settings: settings.Settings{IP: "10.0.0.1", FirstStart: true}}, incarnation: "another"}
+	d, set, gone, made := m.loadHardState(items, cells, whole, book.Repaired)
+	vote := config.Item{Kind: config.KindEvacuations, Name: "z1", Version: 2, Body: json.RawMessage(`{"begun":false}`)}
+	want := consensus.HardState{DiskID: "disk-1", Applied: 13, Promised: consensus.Ballot{Number: 7, Proposer: "life-3"}, Accepted: consensus.Ballot{Number: 6, Proposer: "life-2"}, AcceptedIndex: 14,
+		AcceptedValue: []config.Item{vote}, Founders: []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}}
 	if made || len(gone) > 0 || !reflect.DeepEqual(d, want) {
 		t.Errorf("it starts with %+v, made %v, gone %v", d, made, gone)
 	}
-	if list := muster.Of(set); list.Epoch != 2 || !list.Has("10.0.0.1", "disk-1") {
+	if list := membership.FromSet(set); list.Epoch != 2 || !list.Contains("10.0.0.1", "disk-1") {
 		t.Errorf("the members are %+v", list)
 	}
 	if !reflect.DeepEqual(set.All(), items) {
 		t.Errorf("of %d items there are %d", len(items), set.Len())
 	}
-	if err := book.Write(set.All(), record(d), true); err != nil {
+	if err := book.Write(set.All(), encodeHardState(d), true); err != nil {
 		t.Fatal(err)
 	}
 	if book, again, cellsAgain, _, err := reopened(t, book, folder, disk.Close); err != nil || !reflect.DeepEqual(again, items) || !reflect.DeepEqual(cellsAgain, cells) {
@@ -80,7 +80,7 @@
 	}
 }
 
-func reopened(t *testing.T, book *logbook.Book, folder string, close func() error) (*logbook.Book, []manifest.Item, map[string][]byte, bool, error) {
+func reopened(t *testing.T, book *store.Store, folder string, close func() error) (*store.Store, []config.Item, map[string][]byte, bool, error) {
 	t.Helper()
 	if err := book.Close(); err != nil {
 		t.Fatal(err)
@@ -88,10 +88,10 @@
 	if err := close(); err != nil {
 		t.Fatal(err)
 	}
-	disk, err := logbook.Folder(folder)
+	disk, err := store.OpenDir(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { disk.Close() })
-	return logbook.Open(disk)
+	return store.Open(disk)
 }
--- a/internal/harbour/soundings/soundings_test.go
+++ b/internal/control/snapshot/soundings_test.go
@@ -1,4 +1,4 @@
-package soundings
+package snapshot
 
 import (
 	"bytes"
@@ -13,36 +13,36 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"portflow/internal/harbour/faults"
-	"portflow/internal/harbour/manifest"
+	"portflow/internal/cluster/apierror"
+	"portflow/internal/cluster/config"
 )
 
-func items(n int) []manifest.Item {
-	set := manifest.NewSet()
+func items(n int) []config.Item {
+	set := config.NewSet()
 	for k := range n {
-		i := manifest.Item{Kind: manifest.Routes, Name: fmt.Sprint("route-", k), Version: uint64(k * k), Body: fmt.Appendf(nil, `{"name":"route-%d","path-prefix":"/p%d/"}`, k, k)}
+		i := config.Item{Kind: config.KindRoutes, Name: fmt.Sprint("route-", k), Version: uint64(k * k), Body: fmt.Appendf(nil, `{"name":"route-%d","path-prefix":"/p%d/"}`, k, k)}
 		switch k % 5 {
 		case 1:
-			i.Dropped, i.Body = true, nil
+			i.Deleted, i.Body = true, nil
 		case 2:
-			i.Kind = manifest.Shares
+			i.Kind = config.KindQuotas
 		}
 		set.Merge(i)
 	}
 	return set.All()
 }
 
-func head(c testing.TB, all []manifest.Item, number uint64) Head {
-	h, err := NewHead(all, 3, number)
+func head(c testing.TB, all []config.Item, number uint64) Header {
+	h, err := NewHeader(all, 3, number)
 	qt.Assert(c, err, qt.IsNil)
 	return h
 }
 
 // chunks are all of a cut.
-func chunks(all []manifest.Item, h Head) (raws [][]byte) {
+func chunks(all []config.Item, h Header) (raws [][]byte) {
 	for from, done := 0, false; !done; {
 		var raw []byte
-		raw, from, done = Chunk(all, h, from)
+		raw, from, done = EncodeChunk(all, h, from)
 		raws = append(raws, raw)
 	}
 	return raws
@@ -54,21 +54,21 @@
 		c := qt.New(t)
 		all := items(n)
 		h := head(c, all, 41)
-		var g Gather
-		got := []manifest.Item{}
+		var g Assembler
+		got := []config.Item{}
 		for _, raw := range chunks(all, h) {
-			c.Check(len(raw) <= MostChunk, qt.IsTrue)
+			c.Check(len(raw) <= MaxChunkBytes, qt.IsTrue)
 			c.Check(g.Done(), qt.IsFalse)
-			news, err := g.Take(raw)
+			added, err := g.Add(raw)
 			c.Assert(err, qt.IsNil)
-			got = append(got, news...)
+			got = append(got, added...)
 		}
 		c.Check(g.Done(), qt.IsTrue)
 		c.Check(got, qt.DeepEquals, all)
-		same, _ := g.Head()
+		same, _ := g.Header()
 		c.Check(same, qt.Equals, h)
 		c.Check(same.Epoch, qt.Equals, uint64(3))
-		c.Check(h.Before(head(c, all, 42)), qt.IsTrue)
+		c.Check(h.OlderThan(head(c, all, 42)), qt.IsTrue)
 	}
 }
 
@@ -81,15 +81,15 @@
 	begins := map[int]int{} // by where a chunk begins: which it is
 	for from, at := 0, 0; from < len(all); at++ {
 		begins[from] = at
-		_, from, _ = Chunk(all, h, from)
+		_, from, _ = EncodeChunk(all, h, from)
 	}
 	for seed := range uint64(100) {
 		c := qt.New(t)
 		draw := rand.New(rand.NewPCG(seed, 5))
-		var g Gather
-		var got []manifest.Item
+		var g Assembler
+		var got []config.Item
 		for step := 0; !g.Done() && step < 1000; step++ {
-			raw := good[begins[g.Have()]] // the one that follows
+			raw := good[begins[g.Received()]] // the one that follows
 			switch draw.IntN(6) {
 			case 0:
 				raw = good[draw.IntN(len(good))]
@@ -99,31 +99,31 @@
 			case 2:
 				raw = raw[:draw.IntN(len(raw))]
 			case 3:
-				if _, begun := g.Head(); begun {
+				if _, begun := g.Header(); begun {
 					raw = foreign[draw.IntN(len(foreign))]
 				}
 			}
-			news, err := g.Take(raw)
+			added, err := g.Add(raw)
 			if err != nil {
-				c.Assert(news, qt.HasLen, 0)
+				c.Assert(added, qt.HasLen, 0)
 			}
-			got = append(got, news...)
-			c.Assert(g.Have(), qt.Equals, len(got))
+			got = append(got, added...)
+			c.Assert(g.Received(), qt.Equals, len(got))
 		}
-		again, err := NewHead(got, h.Epoch, h.Number)
+		again, err := NewHeader(got, h.Epoch, h.Index)
 		c.Assert(err, qt.IsNil)
 		c.Assert(again, qt.Equals, h)
 	}
 }
 
 // Chunks that are each good, but not one cut's, are told by the sum over all, the order and the count.
-func TestNotOneCut(t *testing.T) {
+func TestNotOneSnapshot(t *testing.T) {
 	c := qt.New(t)
 	all := items(3000)
 	h := head(c, all, 7)
 	good := chunks(all, h)
 	c.Assert(len(good) > 2, qt.IsTrue)
-	changed := append([]manifest.Item(nil), all...)
+	changed := append([]config.Item(nil), all...)
 	changed[len(changed)-1].Version++
 	for name, x := range map[string]struct {
 		raws [][]byte
@@ -131,18 +131,18 @@
 	}{
 		"an item of another number": {append(append([][]byte(nil), good[:len(good)-1]...), chunks(changed, h)[len(good)-1]), "the sum over all items.*"},
 		"out of order": {[][]byte{func() []byte {
-			raw, _, _ := Chunk([]manifest.Item{all[1], all[0]}, h, 0)
+			raw, _, _ := EncodeChunk([]config.Item{all[1], all[0]}, h, 0)
 			return raw
 		}()}, ".*out of order"},
-		"across":    {[][]byte{good[0], func() []byte { raw, _, _ := Chunk(all, h, 9); return raw }()}, ".*does not follow.*"},
+		"across":    {[][]byte{good[0], func() []byte { raw, _, _ := EncodeChunk(all, h, 9); return raw }()}, ".*does not follow.*"},
 		"too early": {good[1:], ".*does not follow.*"},
 		"other":     {[][]byte{good[0], chunks(all, head(c, all, 8))[1]}, ".*another snapshot.*"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var g Gather
+			var g Assembler
 			var err error
 			for _, raw := range x.raws {
-				if _, err = g.Take(raw); err != nil {
+				if _, err = g.Add(raw); err != nil {
 					break
 				}
 			}
@@ -155,17 +155,17 @@
 // What can't be laid out within the bounds is refused with its name, before any chunk.
 func TestBounds(t *testing.T) {
 	c := qt.New(t)
-	_, err := NewHead([]manifest.Item{{Kind: "routes", Name: "long", Body: make([]byte, longestItem)}}, 1, 1)
+	_, err := NewHeader([]config.Item{{Kind: "routes", Name: "long", Body: make([]byte, maxItemBytes)}}, 1, 1)
 	c.Check(err, qt.ErrorMatches, "routes long: .* bytes, of at most .*")
-	_, err = NewHead([]manifest.Item{{Kind: "routes", Name: "b"}, {Kind: "routes", Name: "a"}}, 1, 1)
+	_, err = NewHeader([]config.Item{{Kind: "routes", Name: "b"}, {Kind: "routes", Name: "a"}}, 1, 1)
 	c.Check(err, qt.ErrorMatches, "routes a: out of order")
-	_, err = NewHead([]manifest.Item{{Kind: "routes", Name: "b"}, {Kind: "routes", Name: "b"}}, 1, 1)
+	_, err = NewHeader([]config.Item{{Kind: "routes", Name: "b"}, {Kind: "routes", Name: "b"}}, 1, 1)
 	c.Check(err, qt.ErrorMatches, "routes b: out of order")
-	var many []manifest.Item
+	var many []config.Item
 	for n := range 80 {
-		many = append(many, manifest.Item{Kind: "routes", Name: fmt.Sprintf("%03d", n), Body: make([]byte, longestItem-100)})
+		many = append(many, config.Item{Kind: "routes", Name: fmt.Sprintf("%03d", n), Body: make([]byte, maxItemBytes-100)})
 	}
-	_, err = NewHead(many, 1, 1)
+	_, err = NewHeader(many, 1, 1)
 	c.Check(err, qt.ErrorMatches, "more than .* bytes of items")
 }
 
@@ -179,10 +179,10 @@
 	}
 	f.Fuzz(func(t *testing.T, raw []byte, at uint16, x byte) {
 		for range 2 { // as it is, and with a right sum of the chunk
-			var g Gather
-			got, err := g.Take(raw)
-			if h, begun := g.Head(); err == nil && begun && g.Done() {
-				again, err := NewHead(got, h.Epoch, h.Number)
+			var g Assembler
+			got, err := g.Add(raw)
+			if h, begun := g.Header(); err == nil && begun && g.Done() {
+				again, err := NewHeader(got, h.Epoch, h.Index)
 				if err != nil || again != h {
 					t.Fatalf("taken %v, laid out %v: %v", h, again, err)
 				}
@@ -192,7 +192,7 @@
 			}
 			raw = bytes.Clone(raw)
 			raw[int(at)%(len(raw)-4)] ^= x
-			raw = appendSum(raw[:len(raw)-4])
+			raw = appendChecksum(raw[:len(raw)-4])
 		}
 	})
 }
@@ -200,12 +200,12 @@
 // At 3,200 routes and 33,000 shares a transfer costs neither side more than a chunk at once, beside the items themselves.
 func TestAtSize(t *testing.T) {
 	c := qt.New(t)
-	set := manifest.NewSet()
+	set := config.NewSet()
 	for n := range 36200 {
-		i := manifest.Item{Kind: manifest.Shares, Name: fmt.Sprint("tenant-", n), Version: uint64(n)}
+		i := config.Item{Kind: config.KindQuotas, Name: fmt.Sprint("tenant-", n), Version: uint64(n)}
 		i.Body, _ = json.Marshal(map[string]any{"name": i.Name, "service": fmt.Sprint("service-", n%220), "caller-header": "X-Agency", "caller": fmt.Sprint("agency-", n), "per-s": 2.5, "burst": 5})
 		if n < 3200 {
-			i.Kind = manifest.Routes
+			i.Kind = config.KindRoutes
 			i.Body, _ = json.Marshal(map[string]any{"name": i.Name, "host-name": fmt.Sprintf("h%d.example", n%400), "path-prefix": fmt.Sprintf("/p%d/", n), "route-kind": "safe_method",
 				"timeout-s": 1.5, "target-s": 0.6, "priority-level": 2, "service": fmt.Sprint("service-", n%220), "maximum-attempts": 2, "home-regions": []string{}})
 		}
@@ -215,7 +215,7 @@
 	began := time.Now()
 	h := head(c, all, 10000)
 	took := time.Since(began)
-	var g Gather
+	var g Assembler
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
@@ -224,8 +224,8 @@
 	began = time.Now()
 	for from, done := 0, false; !done; n++ {
 		var raw []byte
-		raw, from, done = Chunk(all, h, from)
-		_, err := g.Take(raw)
+		raw, from, done = EncodeChunk(all, h, from)
+		_, err := g.Add(raw)
 		c.Assert(err, qt.IsNil)
 		bytes, most = bytes+len(raw), max(most, len(raw))
 		if n%10 == 0 {
@@ -247,87 +247,87 @@
 
 // A cut is answered from to its end though the set changes; one that is gone is asked of any holder whose set is the same, else
 // the asker starts again. No more than two cuts are kept, none longer than 30 s after it was asked for.
-func TestShelf(t *testing.T) {
+func TestCache(t *testing.T) {
 	c := qt.New(t)
-	var s Shelf
+	var s Cache
 	all, number := items(3000), uint64(5)
-	present := func() ([]manifest.Item, uint64, uint64) { return all, 3, number }
-	first, err := s.Answer(0, Ask{}, present)
+	present := func() ([]config.Item, uint64, uint64) { return all, 3, number }
+	first, err := s.Serve(0, ReadRequest{}, present)
 	c.Assert(err, qt.IsNil)
 	old := all
 	all, number = items(2000), 6
-	var g Gather
-	got, err := g.Take(first.Chunk)
+	var g Assembler
+	got, err := g.Add(first.Chunk)
 	c.Assert(err, qt.IsNil)
 	for p := first; !p.Done; {
-		p, err = s.Answer(int64(time.Second), Ask{Snapshot: first.Snapshot, From: p.Next}, present)
+		p, err = s.Serve(int64(time.Second), ReadRequest{Snapshot: first.Snapshot, FirstItem: p.NextItem}, present)
 		c.Assert(err, qt.IsNil)
-		news, err := g.Take(p.Chunk)
+		news, err := g.Add(p.Chunk)
 		c.Assert(err, qt.IsNil)
 		got = append(got, news...)
 	}
 	c.Check(g.Done(), qt.IsTrue)
 	c.Check(got, qt.DeepEquals, old)
 
-	_, err = s.Answer(int64(40*time.Second), Ask{Snapshot: first.Snapshot, From: 100}, present)
-	c.Check(faults.Of(err), qt.Equals, faults.Missing)
+	_, err = s.Serve(int64(40*time.Second), ReadRequest{Snapshot: first.Snapshot, FirstItem: 100}, present)
+	c.Check(apierror.KindOf(err), qt.Equals, apierror.NotFound)
 	all, number = old, 5
-	_, err = s.Answer(int64(40*time.Second), Ask{Snapshot: first.Snapshot, From: 100}, present)
+	_, err = s.Serve(int64(40*time.Second), ReadRequest{Snapshot: first.Snapshot, FirstItem: 100}, present)
 	c.Check(err, qt.IsNil)
-	_, err = s.Answer(int64(40*time.Second), Ask{From: 3001}, present)
-	c.Check(faults.Of(err), qt.Equals, faults.Invalid)
+	_, err = s.Serve(int64(40*time.Second), ReadRequest{FirstItem: 3001}, present)
+	c.Check(apierror.KindOf(err), qt.Equals, apierror.Invalid)
 	for number = range 9 {
-		_, err = s.Answer(int64(41*time.Second), Ask{}, present)
+		_, err = s.Serve(int64(41*time.Second), ReadRequest{}, present)
 		c.Assert(err, qt.IsNil)
-		c.Check(len(s.cuts) <= mostCuts, qt.IsTrue)
+		c.Check(len(s.snapshots) <= maxCached, qt.IsTrue)
 	}
 }
 
 // A restore's pieces come in whatever order and again; each answer says where to go on, the items are given once, and one that
 // came into force is answered so again. Another at the same time is refused until the first has been silent.
-func TestDock(t *testing.T) {
+func TestUpload(t *testing.T) {
 	c := qt.New(t)
 	all, other := items(3000), items(10)
 	h, x := head(c, all, 7), head(c, other, 8)
 	raws := chunks(all, h)
-	var d Dock
-	l, _, _, err := d.Take(1, raws[1])
+	var d Upload
+	l, _, _, err := d.AddChunk(1, raws[1])
 	c.Assert(err, qt.IsNil)
-	c.Check(l.Have, qt.Equals, 0)
-	l, _, _, err = d.Take(1, raws[0])
+	c.Check(l.ReceivedItems, qt.Equals, 0)
+	l, _, _, err = d.AddChunk(1, raws[0])
 	c.Assert(err, qt.IsNil)
-	had := l.Have
-	l, _, _, _ = d.Take(2, raws[2])
-	c.Check(l, qt.Equals, Landed{Snapshot: h.String(), Have: had})
-	_, _, _, err = d.Take(3, chunks(other, x)[0])
-	c.Check(faults.Of(err), qt.Equals, faults.UnderWay)
-	_, _, _, err = d.Take(3, raws[1][:40])
-	c.Check(faults.Of(err), qt.Equals, faults.Invalid)
-	var got []manifest.Item
+	had := l.ReceivedItems
+	l, _, _, _ = d.AddChunk(2, raws[2])
+	c.Check(l, qt.Equals, RestoreResponse{Snapshot: h.String(), ReceivedItems: had})
+	_, _, _, err = d.AddChunk(3, chunks(other, x)[0])
+	c.Check(apierror.KindOf(err), qt.Equals, apierror.InProgress)
+	_, _, _, err = d.AddChunk(3, raws[1][:40])
+	c.Check(apierror.KindOf(err), qt.Equals, apierror.Invalid)
+	var got []config.Item
 	for _, raw := range raws[1:] {
 		c.Assert(got, qt.HasLen, 0)
-		if l, got, _, err = d.Take(4, raw); err != nil {
+		if l, got, _, err = d.AddChunk(4, raw); err != nil {
 			t.Fatal(err)
 		}
 	}
 	c.Check(got, qt.DeepEquals, all)
-	c.Check(l, qt.Equals, Landed{Snapshot: h.String(), Have: len(all)})
-	l, got, _, err = d.Take(5, raws[len(raws)-1]) // the core has not said yet
+	c.Check(l, qt.Equals, RestoreResponse{Snapshot: h.String(), ReceivedItems: len(all)})
+	l, got, _, err = d.AddChunk(5, raws[len(raws)-1]) // the core has not said yet
 	c.Assert(err, qt.IsNil)
 	c.Check(got, qt.HasLen, 0)
-	c.Check(l.Done, qt.IsFalse)
-	c.Check(l.Have, qt.Equals, len(all))
-	d.Ended(x, true) // of another
-	d.Ended(h, true)
-	l, got, _, err = d.Take(5, raws[len(raws)-1])
+	c.Check(l.InForce, qt.IsFalse)
+	c.Check(l.ReceivedItems, qt.Equals, len(all))
+	d.Finish(x, true) // of another
+	d.Finish(h, true)
+	l, got, _, err = d.AddChunk(5, raws[len(raws)-1])
 	c.Assert(err, qt.IsNil)
 	c.Check(got, qt.HasLen, 0)
-	c.Check(l, qt.Equals, Landed{Snapshot: h.String(), Have: len(all), Done: true})
-	d.Ended(h, false)
-	l, _, _, _ = d.Take(6, raws[len(raws)-1]) // it did not come into force: all again
-	c.Check(l.Have, qt.Equals, 0)
-	d.Take(6, raws[0])
-	l, got, _, err = d.Take(6+int64(idle)+1, chunks(other, x)[0]) // the first was given up
+	c.Check(l, qt.Equals, RestoreResponse{Snapshot: h.String(), ReceivedItems: len(all), InForce: true})
+	d.Finish(h, false)
+	l, _, _, _ = d.AddChunk(6, raws[len(raws)-1]) // it did not come into force: all again
+	c.Check(l.ReceivedItems, qt.Equals, 0)
+	d.AddChunk(6, raws[0])
+	l, got, _, err = d.AddChunk(6+int64(idleTimeout)+1, chunks(other, x)[0]) // the first was given up
 	c.Assert(err, qt.IsNil)
 	c.Check(got, qt.HasLen, len(other))
 	c.Check(l.Snapshot, qt.Equals, x.String())
@@ -335,8 +335,8 @@
 
 func TestValid(t *testing.T) {
 	c := qt.New(t)
-	c.Check(Valid(manifest.Item{Kind: manifest.Routes, Name: "r", Dropped: true}), qt.IsNil)
-	c.Check(Valid(manifest.Item{Kind: manifest.Core, Name: "10.1.0.1", Body: []byte(`{"name":"a"}`)}), qt.IsNil)
-	c.Check(Valid(manifest.Item{Kind: manifest.Routes, Name: "r", Body: []byte(`{"name":"r","path-prefix":"x"}`)}), qt.ErrorMatches, `(?s)routes r: .*path-prefix.*`)
-	c.Check(errors.Is(Valid(manifest.Item{Kind: strings.Repeat(" ", 0), Name: "r"}), nil), qt.IsFalse)
+	c.Check(ValidateItem(config.Item{Kind: config.KindRoutes, Name: "r", Deleted: true}), qt.IsNil)
+	c.Check(ValidateItem(config.Item{Kind: config.KindCore, Name: "10.1.0.1", Body: []byte(`{"name":"a"}`)}), qt.IsNil)
+	c.Check(ValidateItem(config.Item{Kind: config.KindRoutes, Name: "r", Body: []byte(`{"name":"r","path-prefix":"x"}`)}), qt.ErrorMatches, `(?s)routes r: .*path-prefix.*`)
+	c.Check(errors.Is(ValidateItem(config.Item{Kind: strings.Repeat(" ", 0), Name: "r"}), nil), qt.IsFalse)
 }
--- a/internal/harbour/soundings/trace_test.go
+++ b/internal/control/snapshot/trace_test.go
@@ -1,12 +1,12 @@
-package soundings
+package snapshot
 
 import (
 	"bytes"
 	"math/rand/v2"
 	"testing"
 
-	"portflow/internal/harbour/faults"
-	"portflow/internal/harbour/manifest"
+	"portflow/internal/cluster/apierror"
+	"portflow/internal/cluster/config"
 	"portflow/internal/testing/digest"
 )
 
@@ -16,10 +16,10 @@
 	digest.Pin(t, 6, []string{"3b0e77edce7fa610", "6c990500b456623e", "d4659259a1b752fc", "482b3953e7de6d29"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
 		all, number := items(900), uint64(5)
-		present := func() ([]manifest.Item, uint64, uint64) { return all, 3, number }
-		var shelf Shelf
-		var dock Dock
-		var ask Ask
+		present := func() ([]config.Item, uint64, uint64) { return all, 3, number }
+		var shelf Cache
+		var dock Upload
+		var ask ReadRequest
 		now := int64(1e12)
 		var last []byte
 		for range 12 {
@@ -27,12 +27,12 @@
 			if draw.IntN(12) == 0 {
 				all, number = items(600+draw.IntN(3)*150), number+1
 			}
-			part, err := shelf.Answer(now, ask, present)
-			d.Add(part, err, faults.Of(err))
+			part, err := shelf.Serve(now, ask, present)
+			d.Add(part, err, apierror.KindOf(err))
 			if err != nil || part.Done {
-				ask = Ask{}
+				ask = ReadRequest{}
 			} else {
-				ask = Ask{Snapshot: part.Snapshot, From: part.Next}
+				ask = ReadRequest{Snapshot: part.Snapshot, FirstItem: part.NextItem}
 			}
 			raw := part.Chunk
 			switch draw.IntN(10) {
@@ -45,12 +45,12 @@
 				}
 			}
 			last = part.Chunk
-			landed, taken, head, err := dock.Take(now, raw)
-			d.Add(Begins(raw), landed, taken, head, err, faults.Of(err))
+			landed, taken, head, err := dock.AddChunk(now, raw)
+			d.Add(IsChunk(raw), landed, taken, head, err, apierror.KindOf(err))
 			if len(taken) > 0 {
-				dock.Ended(head, draw.IntN(3) > 0)
+				dock.Finish(head, draw.IntN(3) > 0)
 			}
 		}
-		d.Add(Valid(all[draw.IntN(len(all))]))
+		d.Add(ValidateItem(all[draw.IntN(len(all))]))
 	})
 }
--- a/internal/harbour/logbook/bench_test.go
+++ b/internal/control/store/bench_test.go
@@ -1,4 +1,4 @@
-package logbook
+package store
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"portflow/internal/harbour/manifest"
+	"portflow/internal/cluster/config"
 )
 
 // The size that decides the design.
@@ -24,17 +24,17 @@
 	manyChanges = 10000
 )
 
-func route(n int, version uint64) manifest.Item {
+func route(n int, version uint64) config.Item {
 	body, _ := json.Marshal(map[string]any{"name": fmt.Sprint("route-", n), "host-name": fmt.Sprintf("h%d.example", n%400), "path-prefix": fmt.Sprintf("/p%d/", n),
 		"route-kind": "safe_method", "timeout-s": 1.5, "target-s": 0.6, "priority-level": 2, "service": fmt.Sprint("service-", n%220), "maximum-attempts": 2,
 		"home-regions": []string{}})
-	return manifest.Item{Kind: manifest.Routes, Name: fmt.Sprint("route-", n), Version: version, Body: body}
+	return config.Item{Kind: config.KindRoutes, Name: fmt.Sprint("route-", n), Version: version, Body: body}
 }
 
-func share(n int, version uint64) manifest.Item {
+func share(n int, version uint64) config.Item {
 	body, _ := json.Marshal(map[string]any{"name": fmt.Sprint("tenant-", n), "service": fmt.Sprint("service-", n%220), "caller-header": "X-Agency",
 		"caller": fmt.Sprint("agency-", n), "per-s": 2.5, "burst": 5})
-	return manifest.Item{Kind: manifest.Shares, Name: fmt.Sprint("tenant-", n), Version: version, Body: body}
+	return config.Item{Kind: config.KindQuotas, Name: fmt.Sprint("tenant-", n), Version: version, Body: body}
 }
 
 func sizeOf(t testing.TB, folder string) (bytes int64) {
@@ -65,15 +65,15 @@
 
 // BenchmarkAtSize writes the size that decides the design and then ten thousand changes, one synced write each, to a real
 // disk, and tells how long writes took, how many of them began while the store compacted, the size on disk, and how long the
-// next start takes. Bounded: go test -bench AtSize -benchtime 1x ./internal/harbour/logbook; TMPDIR chooses the disk.
+// next start takes. Bounded: go test -bench AtSize -benchtime 1x ./internal/control/store; TMPDIR chooses the disk.
 func BenchmarkAtSize(b *testing.B) {
 	for range b.N {
 		folder := b.TempDir()
-		s, err := Folder(folder)
+		s, err := OpenDir(folder)
 		qt.Assert(b, err, qt.IsNil)
 		book, _, _, _, err := Open(s)
 		qt.Assert(b, err, qt.IsNil)
-		var all []manifest.Item
+		var all []config.Item
 		for n := range manyRoutes {
 			all = append(all, route(n, 1))
 		}
@@ -105,7 +105,7 @@
 				i = share(draw.IntN(manyShares), uint64(n+2))
 			}
 			began := time.Now()
-			err := book.Write([]manifest.Item{i}, map[string][]byte{"number": fmt.Append(nil, n), "acceptor": bytes.Repeat([]byte("a"), 300)}, false)
+			err := book.Write([]config.Item{i}, map[string][]byte{"number": fmt.Append(nil, n), "acceptor": bytes.Repeat([]byte("a"), 300)}, false)
 			qt.Assert(b, err, qt.IsNil)
 			took = append(took, time.Since(began))
 			if now := compactions(); now != last { // files were made or went during this write, or right before it
@@ -141,7 +141,7 @@
 		began = time.Now()
 		book.db.Close()
 		book.db = nil
-		qt.Assert(b, book.Write([]manifest.Item{route(1, 1e6)}, nil, false), qt.IsNil)
+		qt.Assert(b, book.Write([]config.Item{route(1, 1e6)}, nil, false), qt.IsNil)
 		b.ReportMetric(ms(time.Since(began)), "ms-reopen")
 		book.Close()
 		s.Close()
--- a/internal/harbour/logbook/folder.go
+++ b/internal/control/store/folder.go
@@ -1,4 +1,4 @@
-package logbook
+package store
 
 import (
 	"errors"
@@ -9,8 +9,8 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// Folder is the logbook's storage in a folder.
-func Folder(path string) (storage.Storage, error) {
+// OpenDir is the logbook's storage in a folder.
+func OpenDir(path string) (storage.Storage, error) {
 	s, err := storage.OpenFile(path, false)
 	if err != nil {
 		return nil, err
@@ -43,7 +43,7 @@
 // Remove removes a file. The store bears that one of its own is back; the mark must not be, as a disk with it counts as lost.
 func (s *namedStorage) Remove(fd storage.FileDesc) error {
 	err := s.Storage.Remove(fd)
-	if err != nil || fd != mark {
+	if err != nil || fd != damageMarker {
 		return err
 	}
 	return s.syncNames()
--- a/internal/harbour/logbook/folder_test.go
+++ b/internal/control/store/folder_test.go
@@ -1,4 +1,4 @@
-package logbook
+package store
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/syndtr/goleveldb/leveldb/storage"
 
-	"portflow/internal/harbour/manifest"
+	"portflow/internal/cluster/config"
 )
 
 // unsyncedNames is a folder that knows which names a loss of power may take: of files that were made, or removed, since the
@@ -30,7 +30,7 @@
 
 // openUnsynced is a folder as Folder gives it, with the store's syncs of the folder and ours seen.
 func openUnsynced(t *testing.T, path string) (*unsyncedNames, storage.Storage) {
-	s, err := Folder(path)
+	s, err := OpenDir(path)
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() { s.Close() })
 	u := &unsyncedNames{path: path, made: map[storage.FileDesc]bool{}, removed: map[string][]byte{}}
@@ -137,7 +137,7 @@
 
 // reopened is what a folder gives at the next start.
 func reopened(t *testing.T, path string) (names map[string]bool, whole, repaired bool) {
-	s, err := Folder(path)
+	s, err := OpenDir(path)
 	qt.Assert(t, err, qt.IsNil)
 	defer s.Close()
 	book, items, _, whole, err := Open(s)
@@ -151,9 +151,9 @@
 }
 
 // long is an item of a tenth of a megabyte.
-func long(n int) manifest.Item {
+func long(n int) config.Item {
 	body := fmt.Sprintf(`{"a":"%0100000d"}`, n)
-	return manifest.Item{Kind: manifest.Routes, Name: fmt.Sprint("r", n), Version: 1, Body: []byte(body)}
+	return config.Item{Kind: config.KindRoutes, Name: fmt.Sprint("r", n), Version: 1, Body: []byte(body)}
 }
 
 // Writes that were acknowledged outlast a loss of power right after the store has begun a new journal, before it has synced
@@ -168,10 +168,10 @@
 	u.mu.Unlock()
 	written := 0
 	for ; u.journals == 0; written++ {
-		c.Assert(book.Write([]manifest.Item{long(written)}, nil, true), qt.IsNil)
+		c.Assert(book.Write([]config.Item{long(written)}, nil, true), qt.IsNil)
 	}
 	for range 3 {
-		c.Assert(book.Write([]manifest.Item{long(written)}, nil, true), qt.IsNil)
+		c.Assert(book.Write([]config.Item{long(written)}, nil, true), qt.IsNil)
 		written++
 	}
 	names, whole, repaired := reopened(t, u.powerLoss(t))
@@ -189,8 +189,8 @@
 	c.Assert(err, qt.IsNil)
 	var images []string
 	u.listed = func() { images = append(images, u.powerLoss(t)) }
-	c.Assert(book.Write([]manifest.Item{long(0)}, nil, true), qt.IsNil)
-	var many []manifest.Item // over what the store takes in one write of its journal
+	c.Assert(book.Write([]config.Item{long(0)}, nil, true), qt.IsNil)
+	var many []config.Item // over what the store takes in one write of its journal
 	for n := range 15 {
 		many = append(many, long(n+1))
 	}
@@ -207,11 +207,11 @@
 func TestMarkStaysRemoved(t *testing.T) {
 	c := qt.New(t)
 	u, s := openUnsynced(t, t.TempDir())
-	c.Assert(putMark(s), qt.IsNil)
+	c.Assert(putDamageMarker(s), qt.IsNil)
 	book, _, _, whole, err := Open(s)
 	c.Assert(err, qt.IsNil)
 	c.Check(whole, qt.IsFalse)
-	c.Assert(book.Write([]manifest.Item{long(0)}, nil, true), qt.IsNil)
+	c.Assert(book.Write([]config.Item{long(0)}, nil, true), qt.IsNil)
 	names, whole, repaired := reopened(t, u.powerLoss(t))
 	c.Check(names["r0"] && whole && !repaired, qt.IsTrue, qt.Commentf("whole %v, repaired %v", whole, repaired))
 	c.Assert(book.Close(), qt.IsNil)
@@ -243,7 +243,7 @@
 	}
 	failures := 0
 	for n := range 14 {
-		for book.Write([]manifest.Item{long(n)}, nil, true) != nil {
+		for book.Write([]config.Item{long(n)}, nil, true) != nil {
 			failures++
 			c.Assert(failures < 5, qt.IsTrue)
 		}
--- a/internal/harbour/logbook/logbook_test.go
+++ b/internal/control/store/logbook_test.go
@@ -1,4 +1,4 @@
-package logbook
+package store
 
 import (
 	"bytes"
@@ -11,25 +11,25 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/syndtr/goleveldb/leveldb/storage"
 
-	"portflow/internal/harbour/manifest"
+	"portflow/internal/cluster/config"
 )
 
-// small is a disk in memory with a few writes in its journal.
-func small(t testing.TB, writes int) (storage.Storage, storage.FileDesc, []byte) {
+// smallStore is a disk in memory with a few writes in its journal.
+func smallStore(t testing.TB, writes int) (storage.Storage, storage.FileDesc, []byte) {
 	s := storage.NewMemStorage()
 	book, _, _, _, err := Open(s)
 	qt.Assert(t, err, qt.IsNil)
 	for n := range writes {
-		i := manifest.Item{Kind: manifest.Routes, Name: fmt.Sprint("r", n%3), Version: uint64(n + 1), Body: []byte(`{"a":1}`)}
-		qt.Assert(t, book.Write([]manifest.Item{i}, map[string][]byte{"number": {byte(n)}}, n == 0), qt.IsNil)
+		i := config.Item{Kind: config.KindRoutes, Name: fmt.Sprint("r", n%3), Version: uint64(n + 1), Body: []byte(`{"a":1}`)}
+		qt.Assert(t, book.Write([]config.Item{i}, map[string][]byte{"number": {byte(n)}}, n == 0), qt.IsNil)
 	}
 	qt.Assert(t, book.Close(), qt.IsNil)
 	all, err := s.List(storage.TypeJournal)
 	qt.Assert(t, err, qt.IsNil)
-	return s, all[0], read(t, s, all[0])
+	return s, all[0], readFile(t, s, all[0])
 }
 
-func read(t testing.TB, s storage.Storage, fd storage.FileDesc) []byte {
+func readFile(t testing.TB, s storage.Storage, fd storage.FileDesc) []byte {
 	r, err := s.Open(fd)
 	qt.Assert(t, err, qt.IsNil)
 	defer r.Close()
@@ -38,13 +38,13 @@
 	return raw
 }
 
-// journal lays records out as whole chunks.
-func journal(records ...[]byte) (b []byte) {
+// encodeJournal lays records out as whole chunks.
+func encodeJournal(records ...[]byte) (b []byte) {
 	for _, r := range records {
-		sum := crc32.Checksum(append([]byte{wholeType}, r...), castagnoli)
+		sum := crc32.Checksum(append([]byte{fullType}, r...), castagnoli)
 		b = binary.LittleEndian.AppendUint32(b, (sum>>15|sum<<17)+0xa282ead8)
 		b = binary.LittleEndian.AppendUint16(b, uint16(len(r)))
-		b = append(append(b, wholeType), r...)
+		b = append(append(b, fullType), r...)
 	}
 	return b
 }
@@ -52,10 +52,10 @@
 // Of the last record: its beginning, and sectors that were never written, are what a loss of power leaves; what is there to
 // its end and bad, was spoilt, also where its length is.
 func TestTheLastRecord(t *testing.T) {
-	_, _, raw := small(t, 5)
+	_, _, raw := smallStore(t, 5)
 	last := 0
 	for at := 0; at < len(raw); {
-		_, n := chunk(raw[at:])
+		_, n := readChunk(raw[at:])
 		last, at = at, at+n
 	}
 	bad := func(at int, x byte) []byte {
@@ -69,7 +69,7 @@
 	}{
 		"good":                       {raw, false},
 		"cut in its head":            {raw[:last+5], false},
-		"cut after its head":         {raw[:last+head], false},
+		"cut after its head":         {raw[:last+chunkHeaderSize], false},
 		"cut before its end":         {raw[:len(raw)-1], false},
 		"a bad sum":                  {bad(last, 1), true},
 		"a longer length":            {bad(last+4, 0x80), true},
@@ -80,25 +80,25 @@
 		"zeros to the end":           {append(bytes.Clone(raw[:last+20]), make([]byte, len(raw)-last-20)...), false},
 		"bad, and a good one behind": {append(bad(last, 1), raw[:40]...), true},
 	} {
-		t.Run(name, func(t *testing.T) { qt.Check(t, Spoilt(x.b), qt.Equals, x.want) })
+		t.Run(name, func(t *testing.T) { qt.Check(t, Damaged(x.b), qt.Equals, x.want) })
 	}
 }
 
 // Any bytes for a journal: the reader neither crashes nor takes what was made of a good one by one bad byte for whole.
 func FuzzJournal(f *testing.F) {
-	_, _, raw := small(f, 4)
+	_, _, raw := smallStore(f, 4)
 	f.Add(raw, uint16(3), byte(1))
 	f.Add(raw[:len(raw)-3], uint16(70), byte(0x5a))
-	f.Add(journal([]byte("no batch"), nil), uint16(0), byte(0))
+	f.Add(encodeJournal([]byte("no batch"), nil), uint16(0), byte(0))
 	f.Add(bytes.Repeat([]byte{0}, 600), uint16(9), byte(9))
 	f.Fuzz(func(t *testing.T, b []byte, at uint16, x byte) {
-		if len(b) > 2*block {
+		if len(b) > 2*blockSize {
 			return
 		}
-		Spoilt(b)
-		spoiltList(b)
+		Damaged(b)
+		manifestDamaged(b)
 		for _, file := range []storage.FileType{storage.TypeJournal, storage.TypeManifest} {
-			s, fd, _ := small(t, 4)
+			s, fd, _ := smallStore(t, 4)
 			if file == storage.TypeManifest {
 				fd, _ = s.GetMeta()
 			}
@@ -106,15 +106,15 @@
 			qt.Assert(t, err, qt.IsNil)
 			w.Write(b)
 			w.Close()
-			if book, _, _, _, err := Open(s); err == nil {
-				qt.Assert(t, book.Write(nil, nil, true), qt.IsNil)
-				book.Close()
+			if store, _, _, _, err := Open(s); err == nil {
+				qt.Assert(t, store.Write(nil, nil, true), qt.IsNil)
+				store.Close()
 			}
 		}
 		if x == 0 {
 			return
 		}
-		s, fd, good := small(t, 4)
+		s, fd, good := smallStore(t, 4)
 		place := int(at) % len(good)
 		if place == len(good)-1 && good[place] == x { // reads as a write that did not come through
 			return
@@ -124,13 +124,13 @@
 		qt.Assert(t, err, qt.IsNil)
 		w.Write(good)
 		w.Close()
-		book, items, cells, whole, err := Open(s)
+		store, items, records, complete, err := Open(s)
 		if err != nil {
 			return
 		}
-		defer book.Close()
-		if whole && (len(items) != 3 || !bytes.Equal(cells["number"], []byte{3})) {
-			t.Fatalf("byte %d ^ %x: %d items, %v, said to be whole", place, x, len(items), cells)
+		defer store.Close()
+		if complete && (len(items) != 3 || !bytes.Equal(records["number"], []byte{3})) {
+			t.Fatalf("byte %d ^ %x: %d items, %v, said to be whole", place, x, len(items), records)
 		}
 	})
 }
@@ -138,19 +138,19 @@
 // Items that go leave the disk in the step that writes others, and are not there at the next start.
 func TestReplace(t *testing.T) {
 	c := qt.New(t)
-	s, _, _ := small(c, 3)
-	book, items, _, _, err := Open(s)
+	s, _, _ := smallStore(c, 3)
+	store, items, _, _, err := Open(s)
 	c.Assert(err, qt.IsNil)
 	c.Assert(items, qt.HasLen, 3)
-	syncs := book.Syncs.Load()
-	i := manifest.Item{Kind: manifest.Routes, Name: "new", Version: 9}
-	c.Assert(book.Replace([]manifest.Item{i}, []manifest.Key{items[0].Key(), items[1].Key(), {Kind: "x", Name: "never there"}}, map[string][]byte{"number": nil, "id": []byte("a")}, false), qt.IsNil)
-	c.Check(book.Syncs.Load()-syncs, qt.Equals, int64(1))
-	c.Assert(book.Close(), qt.IsNil)
-	_, items, cells, whole, err := Open(s)
+	syncs := store.Syncs.Load()
+	i := config.Item{Kind: config.KindRoutes, Name: "new", Version: 9}
+	c.Assert(store.Replace([]config.Item{i}, []config.Key{items[0].Key(), items[1].Key(), {Kind: "x", Name: "never there"}}, map[string][]byte{"number": nil, "id": []byte("a")}, false), qt.IsNil)
+	c.Check(store.Syncs.Load()-syncs, qt.Equals, int64(1))
+	c.Assert(store.Close(), qt.IsNil)
+	_, items, records, complete, err := Open(s)
 	c.Assert(err, qt.IsNil)
 	c.Check(items, qt.HasLen, 2)
 	c.Check(items[0].Name, qt.Equals, "new")
-	c.Check(cells, qt.DeepEquals, map[string][]byte{"id": []byte("a")})
-	c.Check(whole, qt.IsTrue)
+	c.Check(records, qt.DeepEquals, map[string][]byte{"id": []byte("a")})
+	c.Check(complete, qt.IsTrue)
 }
--- a/internal/parts/faded/faded.go
+++ b/internal/decay/faded.go
@@ -1,5 +1,5 @@
-// Package faded counts what came of late: each event is forgotten exponentially. It is pure.
-package faded
+// Package decay counts what came of late: each event is forgotten exponentially. It is pure.
+package decay
 
 import "math"
 
--- a/internal/parts/faded/trace_test.go
+++ b/internal/decay/trace_test.go
@@ -1,4 +1,4 @@
-package faded
+package decay
 
 import (
 	"math/rand/v2"
--- a/rules/door.go
+++ b/internal/decision/door.go
@@ -1,6 +1,6 @@
-// Package rules decides what a router does with its commands and how it votes on builds.
+// Package decision decides what a router does with its commands and how it votes on builds.
 // This file is its interface: what comes in, what goes out, and the tables from ids to objects.
-package rules
+package decision
 
 import (
 	"cmp"
--- a/rules/golden_test.go
+++ b/internal/decision/golden_test.go
@@ -1,4 +1,4 @@
-package rules
+package decision
 
 import (
 	"reflect"
--- a/rules/gossip.go
+++ b/internal/decision/gossip.go
@@ -1,6 +1,6 @@
 // Gossip: the random averaging by which what one router saw spreads to all.
 
-package rules
+package decision
 
 const gain = 0.5 // the paper's consensus gain
 
--- a/rules/picking.go
+++ b/internal/decision/picking.go
@@ -1,10 +1,10 @@
 // Hosts: which of them a router uses, what each can take, and the better of two by chance.
 
-package rules
+package decision
 
 import (
 	"math"
-	"portflow/internal/parts/pace"
+	"portflow/internal/pacing"
 )
 
 // survey marks the hosts that this router must count as on trial: those of a build that its news does not
@@ -40,11 +40,11 @@
 		}
 	}
 	// a router that needs few hosts uses a part of them
-	need := max(pace.Fewest, d.mine[answers]*float64(second/tickLen))
+	need := max(pacing.Fewest, d.mine[answers]*float64(second/tickLen))
 	for side, all := range ready {
 		d.reach[side] = d.reach[side][:0]
-		n := min(pace.Nth(len(d.fleet), need), pace.Nth(len(all), 0))
-		for i := pace.First(n, d.set.Rank); i < len(all); i += n {
+		n := min(pacing.Nth(len(d.fleet), need), pacing.Nth(len(all), 0))
+		for i := pacing.First(n, d.set.Rank); i < len(all); i += n {
 			d.reach[side] = append(d.reach[side], all[i])
 		}
 	}
--- a/rules/repeats.go
+++ b/internal/decision/repeats.go
@@ -1,6 +1,6 @@
 // Repeats and shedding: whether a command may be handed off again, and whom a router turns away.
 
-package rules
+package decision
 
 import (
 	"math"
--- a/rules/rules.go
+++ b/internal/decision/rules.go
@@ -2,14 +2,14 @@
 // the Effects. Every call changes the state, sets what is wanted, and ends in settle, which emits the change.
 // The ordinary path is distributed change detection (see docs/design.md): tick, heard, judge.
 
-package rules
+package decision
 
 import (
 	"cmp"
 	"maps"
 	"math"
 
-	"portflow/internal/parts/pace"
+	"portflow/internal/pacing"
 )
 
 const second = int64(1e9)
@@ -191,8 +191,8 @@
 	d.watchAt = d.now + d.asking().Again(d.unheard, d.calls.Next())
 }
 
-func (d *decider) asking() pace.Calls {
-	return pace.Calls{Every: d.set.AskEvery, Routers: d.set.Routers}
+func (d *decider) asking() pacing.Calls {
+	return pacing.Calls{Every: d.set.AskEvery, Routers: d.set.Routers}
 }
 
 // woken takes the latest wake-up as come whatever the clock says: an early one must not stop the chain.
--- a/rules/state.go
+++ b/internal/decision/state.go
@@ -1,12 +1,12 @@
-package rules
+package decision
 
 import (
 	"encoding/binary"
 	"math"
 	"slices"
 
-	"portflow/internal/parts/chance"
-	"portflow/internal/parts/due"
+	"portflow/internal/random"
+	"portflow/internal/timerqueue"
 )
 
 type host struct {
@@ -71,7 +71,7 @@
 	answer   answer // wanted final answer
 	over     bool   // nothing more is owed
 	streams  bool
-	due      *due.Item[*command]
+	due      *timerqueue.Item[*command]
 }
 
 type answer uint8
@@ -184,10 +184,10 @@
 	set    Settings
 	out    Effects
 	now    int64
-	draw   chance.Source
+	draw   random.Source
 	bands  []*band
 	fleet  []*host // all that are listed and not gone, by id
-	queue  due.Queue[*command]
+	queue  timerqueue.Queue[*command]
 	held   []*command
 	gone   []*command // ended outside their own events
 	idle   []*host    // their idle connections are to be closed
@@ -240,7 +240,7 @@
 	began    int64
 	watchAt  int64
 	unheard  int             // calls for the list that failed since the last answer
-	calls    chance.Source   // for their times: other draws do not depend on them
+	calls    random.Source   // for their times: other draws do not depend on them
 	mean     float64         // mean time of an answer
 	models   map[int]float64 // by kind of machine: how long it takes, over what all take
 	own      []float64       // this tick's load
@@ -356,7 +356,7 @@
 	if s.Most == 0 {
 		s.Most = math.MaxInt
 	}
-	return &decider{set: s, out: out, draw: chance.Source{Seed: seed}, calls: chance.Source{Seed: ^seed}, stuck: ties{}, seenKey: map[uint64]int64{},
+	return &decider{set: s, out: out, draw: random.Source{Seed: seed}, calls: random.Source{Seed: ^seed}, stuck: ties{}, seenKey: map[uint64]int64{},
 		models: map[int]float64{}, own: make([]float64, n), mine: make([]float64, n), load: make([]float64, n)}
 }
 
--- a/rules/trial.go
+++ b/internal/decision/trial.go
@@ -1,6 +1,6 @@
 // The trial and its votes: the readings, the state, and the one threshold that designated voters test.
 
-package rules
+package decision
 
 import (
 	"fmt"
--- a/internal/parts/router/body.go
+++ b/internal/dispatch/body.go
@@ -1,4 +1,4 @@
-package router
+package dispatch
 
 import (
 	"errors"
--- a/internal/parts/router/events.go
+++ b/internal/dispatch/events.go
@@ -1,10 +1,10 @@
-package router
+package dispatch
 
 import (
 	"time"
 
-	"portflow/internal/parts/storm"
-	"portflow/rules"
+	"portflow/internal/decision"
+	"portflow/internal/retryguard"
 )
 
 // Request is a client's command as it goes on to hosts.
@@ -53,7 +53,7 @@
 	May           func(Host) bool // whether it may go to a host now, nil for any
 
 	reply    any
-	try      storm.Try
+	try      retryguard.Try
 	id       uint32
 	over     bool
 	handOffs []handOff
@@ -68,7 +68,7 @@
 
 // Outcome is how a hand-off ended.
 type Outcome struct {
-	Ending rules.Ending
+	Ending decision.Ending
 	Body   []byte    // of a host's good answer, whole
 	Report []float64 // a load report that came with the answer
 	Reply  any       // what else the carrier has for the command's maker
@@ -78,7 +78,7 @@
 type Host struct {
 	Name, Address    string
 	Zone, Kind, Cell int
-	Health           rules.Health
+	Health           decision.Health
 	Build            int
 	Size             float64
 	Started          int64 // Unix nanoseconds, 0 for long ago
@@ -103,13 +103,13 @@
 	}
 	// List brings the list of hosts or its changes.
 	List struct {
-		Form  rules.Form
+		Form  decision.Form
 		Hosts []Host
 	}
 	// News brings what the platform says, unasked or in reply to a vote.
-	News struct{ rules.News }
+	News struct{ decision.News }
 	// Band adds a band; its number is the next one.
-	Band struct{ rules.Band }
+	Band struct{ decision.Band }
 	// Number tells how many routers there are, and which of them this one is.
 	Number struct{ Rank, Routers int }
 	// Flagged tells that a host's answer was found wrong.
@@ -128,7 +128,7 @@
 // Ready tells the addresses of the hosts that take commands.
 func (e List) Ready() (addresses []string) {
 	for _, h := range e.Hosts {
-		if h.Health == rules.Ready {
+		if h.Health == decision.Ready {
 			addresses = append(addresses, h.Address)
 		}
 	}
--- a/internal/parts/router/router.go
+++ b/internal/dispatch/router.go
@@ -1,7 +1,7 @@
-// Package router is the reducer of a router on sockets: one goroutine owns the decision module, the ids and the
+// Package dispatch is the reducer of a router on sockets: one goroutine owns the decision module, the ids and the
 // open commands. Typed events come in; the effects that the module asks for are carried out elsewhere and never
 // make it wait.
-package router
+package dispatch
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 
 	"github.com/rs/zerolog"
 
-	"portflow/internal/parts/storm"
-	"portflow/rules"
+	"portflow/internal/decision"
+	"portflow/internal/retryguard"
 )
 
 // HandOff is one that is on its way.
@@ -28,7 +28,7 @@
 
 // Platform takes votes; each gets a News in reply.
 type Platform interface {
-	Vote(v rules.Verdict, build, stage int)
+	Vote(v decision.Verdict, build, stage int)
 }
 
 // Peers carries messages between routers.
@@ -41,12 +41,12 @@
 
 // Guard is asked before a command goes to the module; *storm.Guard is one. It is told all that became of commands.
 type Guard interface {
-	Take(now int64, t *storm.Try) (in bool, wait int64)
-	HandedOff(now int64, t *storm.Try, number int)
-	Dismissed(now int64, t *storm.Try, wait int64) int64
-	Unserved(now int64, t *storm.Try)
-	Ended(now int64, t *storm.Try, host uint32, s storm.Sign, fulfilled bool, took int64)
-	List(now int64, whole bool, hosts []storm.Host)
+	Take(now int64, t *retryguard.Try) (in bool, wait int64)
+	HandedOff(now int64, t *retryguard.Try, number int)
+	Dismissed(now int64, t *retryguard.Try, wait int64) int64
+	Unserved(now int64, t *retryguard.Try)
+	Ended(now int64, t *retryguard.Try, host uint32, s retryguard.Sign, fulfilled bool, took int64)
+	List(now int64, whole bool, hosts []retryguard.Host)
 }
 
 // Out are those who carry out the effects.
@@ -62,7 +62,7 @@
 	log    zerolog.Logger
 	clock  Clock
 	out    Out
-	module *rules.Router
+	module *decision.Router
 	guard  Guard // nil where that part is off
 
 	commands map[uint32]*Command
@@ -103,7 +103,7 @@
 
 // Start is what a router is told before its first event.
 type Start struct {
-	Settings rules.Settings
+	Settings decision.Settings
 	Seed     uint64
 	List     List
 	News     News
@@ -113,14 +113,14 @@
 // Begin starts the module. Run does it; who steps a router by hand does so once, before the first Step.
 func (r *Router) Begin(s Start, out Out) {
 	r.out, r.guard = out, s.Storm
-	r.module = rules.New(s.Settings, s.Seed, r.clock(), effects{r})
+	r.module = decision.New(s.Settings, s.Seed, r.clock(), effects{r})
 	s.List.apply(r)
 	s.News.apply(r)
 }
 
 // Judged is what the module goes by when it judges the newest build. It is for those who carry out an effect, in the midst
 // of it: nobody else may ask while the router runs.
-func (r *Router) Judged() rules.Judged { return r.module.Judged() }
+func (r *Router) Judged() decision.Judged { return r.module.Judged() }
 
 // Due is when the router wants to be stepped though no event comes, 0 for never.
 func (r *Router) Due() int64 { return r.wakeAt }
@@ -179,8 +179,8 @@
 		return
 	}
 	if r.guard != nil {
-		c.try = storm.Try{Band: c.Band, Carrier: c.Carrier, Marked: c.Again, Left: c.CutOff - now,
-			Print: storm.Print(c.Band, c.Carrier, c.Key, c.Request.Mark)}
+		c.try = retryguard.Try{Band: c.Band, Carrier: c.Carrier, Marked: c.Again, Left: c.CutOff - now,
+			Print: retryguard.Print(c.Band, c.Carrier, c.Key, c.Request.Mark)}
 		if in, wait := r.guard.Take(now, &c.try); !in { // the module never hears of it: nothing was handed off
 			c.answer(Answer{Kind: Dismissed, Wait: time.Duration(wait)})
 			return
@@ -189,13 +189,13 @@
 	r.lastID++
 	c.id = r.lastID
 	r.commands[c.id] = c
-	r.module.Take(now, rules.Command{ID: c.id, Band: c.Band, Carrier: c.Carrier, Key: c.Key, Left: max(0, c.CutOff-now),
+	r.module.Take(now, decision.Command{ID: c.id, Band: c.Band, Carrier: c.Carrier, Key: c.Key, Left: max(0, c.CutOff-now),
 		Most: c.Most, May: r.may(c)})
 	r.forget(c)
 }
 
 // may asks the command's maker about a host, where there is one to ask.
-func (r *Router) may(c *Command) rules.Question {
+func (r *Router) may(c *Command) decision.Question {
 	if c.May == nil {
 		return nil
 	}
@@ -233,22 +233,22 @@
 func (e Ended) apply(r *Router) {
 	c := e.Command
 	c.out--
-	if e.Outcome.Ending == rules.Fulfilled && !c.over {
+	if e.Outcome.Ending == decision.Fulfilled && !c.over {
 		c.answer(Answer{Kind: Fulfilled, Body: e.Outcome.Body, Reply: e.Outcome.Reply})
 	}
 	c.reply = e.Outcome.Reply
 	now, h := r.clock(), c.handOffs[e.Number]
 	if r.guard != nil {
-		r.guard.Ended(now, &c.try, h.host, signs[e.Outcome.Ending], e.Outcome.Ending == rules.Fulfilled, now-h.at)
+		r.guard.Ended(now, &c.try, h.host, signs[e.Outcome.Ending], e.Outcome.Ending == decision.Fulfilled, now-h.at)
 	}
 	r.module.Ended(now, c.id, e.Number, e.Outcome.Ending, c.over, now-h.at, e.Outcome.Report)
 	r.forget(c)
 }
 
 // signs are what hand-offs' endings say of their hosts.
-var signs = [...]storm.Sign{rules.Fulfilled: storm.Answered, rules.Failed: storm.Answered, rules.Spoilt: storm.Answered,
-	rules.TurnedAway: storm.Refused, rules.NoConnect: storm.Broken, rules.Reset: storm.Broken,
-	rules.TimedOut: storm.Silent, rules.Recalled: storm.Unsent, rules.Unsent: storm.Unsent}
+var signs = [...]retryguard.Sign{decision.Fulfilled: retryguard.Answered, decision.Failed: retryguard.Answered, decision.Spoilt: retryguard.Answered,
+	decision.TurnedAway: retryguard.Refused, decision.NoConnect: retryguard.Broken, decision.Reset: retryguard.Broken,
+	decision.TimedOut: retryguard.Silent, decision.Recalled: retryguard.Unsent, decision.Unsent: retryguard.Unsent}
 
 // answer gives the final answer; what has not been sent to a host by then never is.
 func (c *Command) answer(a Answer) {
@@ -272,17 +272,17 @@
 // apply gives each host that appears an id. One that returns with another address, start or build is a new host, and
 // the one that it was is gone.
 func (e List) apply(r *Router) {
-	entries := make([]rules.Listed, 0, len(e.Hosts))
+	entries := make([]decision.Listed, 0, len(e.Hosts))
 	listed := make(map[string]bool, len(e.Hosts))
 	for _, h := range e.Hosts {
 		listed[h.Name] = true
 		id, known := r.names[h.Name]
 		was := r.hosts[id]
-		if known && (h.Health == rules.Gone || was.Address != h.Address || was.Build != h.Build || was.Started != h.Started) {
+		if known && (h.Health == decision.Gone || was.Address != h.Address || was.Build != h.Build || was.Started != h.Started) {
 			entries = append(entries, r.lose(h.Name))
 			known = false
 		}
-		if h.Health == rules.Gone {
+		if h.Health == decision.Gone {
 			continue
 		}
 		if !known {
@@ -291,10 +291,10 @@
 			r.names[h.Name] = id
 		}
 		r.hosts[id] = h
-		entries = append(entries, rules.Listed{ID: id, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell, Health: h.Health,
+		entries = append(entries, decision.Listed{ID: id, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell, Health: h.Health,
 			Build: h.Build, Size: h.Size, Started: h.Started, Ring: h.Ring})
 	}
-	if e.Form == rules.Whole {
+	if e.Form == decision.Whole {
 		for name := range r.names {
 			if !listed[name] {
 				entries = append(entries, r.lose(name))
@@ -303,23 +303,23 @@
 	}
 	now := r.clock()
 	if r.guard != nil {
-		known := make([]storm.Host, len(entries))
+		known := make([]retryguard.Host, len(entries))
 		for i, x := range entries {
-			known[i] = storm.Host{ID: x.ID, Ready: x.Health == rules.Ready, Size: x.Size, Started: x.Started}
+			known[i] = retryguard.Host{ID: x.ID, Ready: x.Health == decision.Ready, Size: x.Size, Started: x.Started}
 		}
-		r.guard.List(now, e.Form == rules.Whole, known)
+		r.guard.List(now, e.Form == decision.Whole, known)
 	}
 	r.module.List(now, e.Form, entries)
 }
 
 // lose forgets a host.
-func (r *Router) lose(name string) rules.Listed {
+func (r *Router) lose(name string) decision.Listed {
 	id := r.names[name]
 	h := r.hosts[id]
 	r.out.Hosts.Forget(h.Address)
 	delete(r.names, name)
 	delete(r.hosts, id)
-	return rules.Listed{ID: id, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell, Health: rules.Gone, Build: h.Build, Size: h.Size,
+	return decision.Listed{ID: id, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell, Health: decision.Gone, Build: h.Build, Size: h.Size,
 		Started: h.Started}
 }
 
@@ -377,7 +377,7 @@
 	r.commands[command].handOffs[number].sent.Recall()
 }
 
-func (r effects) Vote(v rules.Verdict, build, stage int) { r.out.Platform.Vote(v, build, stage) }
+func (r effects) Vote(v decision.Verdict, build, stage int) { r.out.Platform.Vote(v, build, stage) }
 
 func (r effects) Tell(peer int, message []byte) { r.out.Peers.Tell(peer, message) }
 
--- a/internal/parts/router/router_test.go
+++ b/internal/dispatch/router_test.go
@@ -1,4 +1,4 @@
-package router
+package dispatch
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 
 	"github.com/rs/zerolog"
 
-	"portflow/internal/parts/storm"
-	"portflow/rules"
+	"portflow/internal/decision"
+	"portflow/internal/retryguard"
 )
 
 // field is all that is around a router: it keeps what was asked for.
@@ -48,19 +48,19 @@
 	f.sent = append(f.sent, s)
 	return s
 }
-func (f *field) Close(string)                 {}
-func (f *field) Forget(address string)        { f.forgotten = append(f.forgotten, address) }
-func (f *field) Vote(rules.Verdict, int, int) { f.votes++ }
-func (f *field) Tell(int, []byte)             {}
-func (f *field) Watch(bool)                   {}
+func (f *field) Close(string)                    {}
+func (f *field) Forget(address string)           { f.forgotten = append(f.forgotten, address) }
+func (f *field) Vote(decision.Verdict, int, int) { f.votes++ }
+func (f *field) Tell(int, []byte)                {}
+func (f *field) Watch(bool)                      {}
 
 func start() Start {
 	second := int64(time.Second)
-	return Start{Seed: 1, Settings: rules.Settings{Routers: 1, Tick: 1e6, MaxHandOffs: 3, Copies: true, Recalls: true,
-		Bands: []rules.Band{{Contract: second, CutOff: 2 * second, Importance: 1}}, Carriers: []rules.Carrier{{PerSecond: 1e6}},
+	return Start{Seed: 1, Settings: decision.Settings{Routers: 1, Tick: 1e6, MaxHandOffs: 3, Copies: true, Recalls: true,
+		Bands: []decision.Band{{Contract: second, CutOff: 2 * second, Importance: 1}}, Carriers: []decision.Carrier{{PerSecond: 1e6}},
 		FallMultiple: 4, ColdFor: second, ColdFrom: 0.3, VoteLife: second, Free: 2},
-		List: List{Form: rules.Cached, Hosts: []Host{{Name: "a", Address: "a:1", Size: 1}, {Name: "b", Address: "b:1", Size: 1}}},
-		News: News{rules.News{Standing: rules.Released, Cap: 1}}}
+		List: List{Form: decision.Cached, Hosts: []Host{{Name: "a", Address: "a:1", Size: 1}, {Name: "b", Address: "b:1", Size: 1}}},
+		News: News{decision.News{Standing: decision.Released, Cap: 1}}}
 }
 
 // play runs a router beside the test, in time that only passes where all wait.
@@ -95,7 +95,7 @@
 		if len(f.all()) != 1 || f.all()[0].address == "" {
 			t.Fatal(f.all())
 		}
-		f.all()[0].done(Outcome{Ending: rules.Fulfilled, Body: []byte("hi")})
+		f.all()[0].done(Outcome{Ending: decision.Fulfilled, Body: []byte("hi")})
 		if a := <-c.Answer.(Chan); a.Kind != Fulfilled || string(a.Body) != "hi" {
 			t.Error(a)
 		}
@@ -115,7 +115,7 @@
 		if !f.all()[0].revoked || !f.all()[0].recalled {
 			t.Error("still on its way")
 		}
-		f.all()[0].done(Outcome{Ending: rules.Recalled})
+		f.all()[0].done(Outcome{Ending: decision.Recalled})
 		late := r.taken(time.Second)
 		a := <-late.Answer.(Chan)
 		synctest.Wait()
@@ -132,7 +132,7 @@
 	for range 100 {
 		r.Post(Taken{&Command{CutOff: r.clock() + 1e9, Request: &Request{}, Answer: make(Chan, 1)}})
 	}
-	r.Post(List{Form: rules.Whole, Hosts: []Host{{Name: "c", Address: "c:1", Size: 1}}})
+	r.Post(List{Form: decision.Whole, Hosts: []Host{{Name: "c", Address: "c:1", Size: 1}}})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan bool)
 	go func() { r.Run(ctx, start(), Out{Hosts: f, Platform: f, Peers: f, List: f}); done <- true }()
@@ -160,7 +160,7 @@
 				left--
 				c := &Command{Band: 1 + len(all), CutOff: real() + int64(time.Hour), Request: &Request{}, Answer: make(Chan, 1)}
 				all = append(all, c)
-				r.Post(Band{rules.Band{Contract: int64(time.Second), CutOff: int64(time.Hour), Importance: 1}})
+				r.Post(Band{decision.Band{Contract: int64(time.Second), CutOff: int64(time.Hour), Importance: 1}})
 				r.Post(Taken{c})
 			}
 			return real()
@@ -202,11 +202,11 @@
 			for n := range 5 {
 				hosts = append(hosts, Host{Name: string(rune('a' + (build+n)%26)), Address: string(rune('a'+n)) + ":1", Size: 1, Build: build})
 			}
-			form := rules.Whole
+			form := decision.Whole
 			if build%3 == 1 {
-				form = rules.Changes
+				form = decision.Changes
 				for name := range r.names {
-					hosts = append(hosts, Host{Name: name + "x"}, Host{Name: name, Health: rules.Gone})
+					hosts = append(hosts, Host{Name: name + "x"}, Host{Name: name, Health: decision.Gone})
 				}
 				hosts = hosts[5:]
 			}
@@ -222,22 +222,22 @@
 // watchman sends marked tries away, and notes what it is told.
 type watchman struct{ told []string }
 
-func (w *watchman) Take(_ int64, t *storm.Try) (bool, int64) {
+func (w *watchman) Take(_ int64, t *retryguard.Try) (bool, int64) {
 	w.told = append(w.told, fmt.Sprint("take ", t.Marked, t.Print != 0, t.Left > 0))
 	return !t.Marked, 3e8
 }
-func (w *watchman) HandedOff(_ int64, _ *storm.Try, n int) {
+func (w *watchman) HandedOff(_ int64, _ *retryguard.Try, n int) {
 	w.told = append(w.told, fmt.Sprint("off ", n))
 }
-func (w *watchman) Dismissed(int64, *storm.Try, int64) int64 {
+func (w *watchman) Dismissed(int64, *retryguard.Try, int64) int64 {
 	w.told = append(w.told, "dismissed")
 	return 7e8
 }
-func (w *watchman) Unserved(int64, *storm.Try) { w.told = append(w.told, "unserved") }
-func (w *watchman) Ended(_ int64, _ *storm.Try, host uint32, s storm.Sign, fulfilled bool, _ int64) {
+func (w *watchman) Unserved(int64, *retryguard.Try) { w.told = append(w.told, "unserved") }
+func (w *watchman) Ended(_ int64, _ *retryguard.Try, host uint32, s retryguard.Sign, fulfilled bool, _ int64) {
 	w.told = append(w.told, fmt.Sprint("ended ", host > 0, s, fulfilled))
 }
-func (w *watchman) List(_ int64, whole bool, hosts []storm.Host) {
+func (w *watchman) List(_ int64, whole bool, hosts []retryguard.Host) {
 	w.told = append(w.told, fmt.Sprint("list ", whole, len(hosts)))
 }
 
@@ -252,13 +252,13 @@
 			t.Error(a)
 		}
 		r.taken(time.Second)
-		f.all()[0].done(Outcome{Ending: rules.Fulfilled})
+		f.all()[0].done(Outcome{Ending: decision.Fulfilled})
 		synctest.Wait()
 		gone := r.taken(time.Second)
 		r.Post(Left{gone})
 		synctest.Wait()
-		f.all()[1].done(Outcome{Ending: rules.Recalled})
-		r.Post(List{Form: rules.Whole, Hosts: []Host{{Name: "a", Health: rules.Draining}}})
+		f.all()[1].done(Outcome{Ending: decision.Recalled})
+		r.Post(List{Form: decision.Whole, Hosts: []Host{{Name: "a", Health: decision.Draining}}})
 		late := r.taken(time.Second)
 		if a := <-late.Answer.(Chan); a.Kind != Dismissed || a.Wait != 700*time.Millisecond {
 			t.Error(a)
@@ -292,7 +292,7 @@
 					if len(f.all()) > 0 {
 						if s := f.all()[rnd.IntN(len(f.all()))]; !s.over {
 							s.over = true
-							s.done(Outcome{Ending: rules.Ending(rnd.IntN(8)), Body: []byte{1}})
+							s.done(Outcome{Ending: decision.Ending(rnd.IntN(8)), Body: []byte{1}})
 						}
 					}
 				case 4:
@@ -313,7 +313,7 @@
 			}
 			for i := 0; i < len(f.all()); i++ {
 				if !f.all()[i].over {
-					f.all()[i].done(Outcome{Ending: rules.Recalled})
+					f.all()[i].done(Outcome{Ending: decision.Recalled})
 					synctest.Wait()
 				}
 			}
@@ -340,7 +340,7 @@
 		}
 		for _, s := range f.sent {
 			now += 1e6
-			s.done(Outcome{Ending: rules.Fulfilled})
+			s.done(Outcome{Ending: decision.Fulfilled})
 		}
 		f.sent = f.sent[:0]
 		for r.Step() {
@@ -350,8 +350,8 @@
 }
 
 func stormGuard(t testing.TB) Guard {
-	g, err := storm.New(storm.Settings{Tuning: storm.Defaults(), Carriers: 1, Routers: 1, ColdFrom: 0.3, ColdFor: 1e9, MaxAdvice: 1e9,
-		Bands: []storm.Band{{Contract: 1e9, CutOff: 2e9, Importance: 1}}}, 1, 1e18)
+	g, err := retryguard.New(retryguard.Settings{Tuning: retryguard.Defaults(), Carriers: 1, Routers: 1, ColdFrom: 0.3, ColdFor: 1e9, MaxAdvice: 1e9,
+		Bands: []retryguard.Band{{Contract: 1e9, CutOff: 2e9, Importance: 1}}}, 1, 1e18)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/parts/router/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -1,4 +1,4 @@
-package router
+package dispatch
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 
 	"github.com/rs/zerolog"
 
+	"portflow/internal/decision"
 	"portflow/internal/testing/digest"
-	"portflow/rules"
 )
 
 // Which effect follows in the digest.
@@ -56,7 +56,7 @@
 }
 func (f *recorder) Close(address string)  { f.effects.Add(traceClose, address) }
 func (f *recorder) Forget(address string) { f.effects.Add(traceForget, address) }
-func (f *recorder) Vote(v rules.Verdict, build, stage int) {
+func (f *recorder) Vote(v decision.Verdict, build, stage int) {
 	f.effects.Add(traceVote, v, build, stage)
 }
 func (f *recorder) Tell(peer int, message []byte) { f.effects.Add(traceTell, peer, message) }
@@ -70,7 +70,7 @@
 func drawnHost(draw *rand.Rand, now int64) Host {
 	n := draw.IntN(8)
 	return Host{Name: fmt.Sprint("h", n), Address: fmt.Sprintf("h%d:%d", n, draw.IntN(2)), Cell: n % 2,
-		Health: rules.Health(draw.IntN(3)), Build: 4 + draw.IntN(2), Size: 1, Started: now - draw.Int64N(4e9), Ring: n % 3}
+		Health: decision.Health(draw.IntN(3)), Build: 4 + draw.IntN(2), Size: 1, Started: now - draw.Int64N(4e9), Ring: n % 3}
 }
 
 // The effects of a reducer that is stepped by hand through drawn events are what they were. The order of the fields of Host and
@@ -97,17 +97,17 @@
 				which := draw.IntN(len(f.open))
 				s := f.open[which]
 				f.open = append(f.open[:which], f.open[which+1:]...)
-				o := Outcome{Ending: rules.Fulfilled, Body: []byte("hi"), Report: []float64{draw.Float64(), 1}}
+				o := Outcome{Ending: decision.Fulfilled, Body: []byte("hi"), Report: []float64{draw.Float64(), 1}}
 				if draw.IntN(3) == 0 {
-					o = Outcome{Ending: rules.Ending(draw.IntN(int(rules.Spoilt) + 1))}
+					o = Outcome{Ending: decision.Ending(draw.IntN(int(decision.Spoilt) + 1))}
 				}
 				s.done(o)
 			case at < 16 && len(commands) > 0:
 				r.Post(Left{commands[draw.IntN(len(commands))]})
 			case at < 17:
-				r.Post(List{Form: rules.Changes, Hosts: []Host{drawnHost(draw, now), drawnHost(draw, now)}})
+				r.Post(List{Form: decision.Changes, Hosts: []Host{drawnHost(draw, now), drawnHost(draw, now)}})
 			case at < 18:
-				r.Post(News{rules.News{Build: 4 + draw.IntN(2), Stage: draw.IntN(3), Standing: rules.Standing(draw.IntN(4)), Cap: draw.Float64()}})
+				r.Post(News{decision.News{Build: 4 + draw.IntN(2), Stage: draw.IntN(3), Standing: decision.Standing(draw.IntN(4)), Cap: draw.Float64()}})
 			case at < 19:
 				r.Post(Flagged{Host: fmt.Sprint("h", draw.IntN(8)), Age: draw.Int64N(1e9)})
 			case draw.IntN(3) == 0:
--- a/internal/golden/answers_test.go
+++ b/internal/golden/answers_test.go
@@ -12,41 +12,43 @@
 
 	"github.com/go-chi/chi/v5"
 
-	"portflow/internal/harbour/berths"
-	"portflow/internal/harbour/bridge"
-	"portflow/internal/harbour/convoy"
-	"portflow/internal/harbour/faults"
-	"portflow/internal/harbour/manifest"
-	"portflow/internal/harbour/muster"
-	"portflow/internal/harbour/orders"
-	"portflow/internal/harbour/pilotage"
-	"portflow/internal/harbour/quorum"
-	"portflow/internal/harbour/rpc"
-	"portflow/internal/harbour/soundings"
-	"portflow/rules"
+	"portflow/internal/cluster/apierror"
+	"portflow/internal/cluster/config"
+	"portflow/internal/cluster/gossip"
+	"portflow/internal/cluster/instance"
+	"portflow/internal/cluster/rollout"
+	"portflow/internal/control/consensus"
+	"portflow/internal/control/membership"
+	"portflow/internal/control/operation"
+	"portflow/internal/control/registry"
+	"portflow/internal/control/rpc"
+	"portflow/internal/control/snapshot"
+	"portflow/internal/decision"
 )
 
 // What a call answers: with a body, without one, and with each kind of error; status, headers and body.
 func TestAnswers(t *testing.T) {
 	answers := map[string]rpc.Call{
-		"body":  {Name: "body", Do: func(context.Context, string, []byte) (any, error) { return map[string]string{"a": "<b>"}, nil }},
-		"empty": {Name: "empty", Do: func(context.Context, string, []byte) (any, error) { return nil, nil }},
-		"small": {Name: "small", Most: 1},
-		"plain": {Name: "plain", Do: func(context.Context, string, []byte) (any, error) { return nil, fmt.Errorf("no kind") }},
+		"body":  {Name: "body", Handle: func(context.Context, string, []byte) (any, error) { return map[string]string{"a": "<b>"}, nil }},
+		"empty": {Name: "empty", Handle: func(context.Context, string, []byte) (any, error) { return nil, nil }},
+		"small": {Name: "small", MaxBody: 1},
+		"plain": {Name: "plain", Handle: func(context.Context, string, []byte) (any, error) { return nil, fmt.Errorf("no kind") }},
 	}
 	names := []string{"body", "empty", "small", "plain", "unknown"}
-	for _, kind := range faults.All() {
-		if kind != faults.None {
+	for _, kind := range apierror.All() {
+		if kind != apierror.None {
 			name := "error-" + kind.String()
 			names = append(names, name)
-			answers[name] = rpc.Call{Name: name, Do: func(context.Context, string, []byte) (any, error) { return nil, faults.New(kind, "why %d", int(kind)) }}
+			answers[name] = rpc.Call{Name: name, Handle: func(context.Context, string, []byte) (any, error) {
+				return nil, apierror.New(kind, "why %d", int(kind))
+			}}
 		}
 	}
 	var calls []rpc.Call
 	for _, name := range names {
 		if c, ok := answers[name]; ok {
-			if c.Most == 0 {
-				c.Most = 100
+			if c.MaxBody == 0 {
+				c.MaxBody = 100
 			}
 			calls = append(calls, c)
 		}
@@ -77,32 +79,32 @@
 func TestWords(t *testing.T) {
 	var all bytes.Buffer
 	say := func(what string, values ...any) { fmt.Fprintf(&all, "%s %q\n", what, values) }
-	say("kinds of items", manifest.Routes, manifest.Services, manifest.Shares, manifest.Limits, manifest.Evacuations, manifest.Rollouts, manifest.Settled, manifest.Core)
-	say("keys", muster.Key.Kind, muster.Key.Name, orders.Whole.Kind, orders.Whole.Name, manifest.Others)
-	say("consensus", quorum.Prepare, quorum.Promise, quorum.Accept, quorum.Voted, quorum.Beaten, quorum.Commit, quorum.Behind, quorum.Ahead, quorum.Confirm, quorum.Confirmed,
-		quorum.Kept, quorum.Fetch, quorum.Changes, quorum.Parts, quorum.Hand, quorum.Handed)
-	say("operations", orders.Modify, orders.Evacuate, orders.Begin, orders.End, orders.Tell, orders.Settle, orders.Join, orders.Restore)
-	say("calls", soundings.SnapshotCall, soundings.RestoreCall)
-	for kind := range faults.All() {
-		say("error", fmt.Sprint(kind), faults.Kind(kind).String())
+	say("kinds of items", config.KindRoutes, config.KindServices, config.KindQuotas, config.KindLimits, config.KindEvacuations, config.KindRollouts, config.KindStableVersions, config.KindCore)
+	say("keys", membership.Key.Kind, membership.Key.Name, operation.ReplaceAllKey.Kind, operation.ReplaceAllKey.Name, config.OtherCallers)
+	say("consensus", consensus.Prepare, consensus.Promise, consensus.Accept, consensus.Accepted, consensus.Rejected, consensus.Commit, consensus.Behind, consensus.Ahead, consensus.ReadIndex, consensus.ReadIndexReply,
+		consensus.VotePersisted, consensus.FetchChanges, consensus.Changes, consensus.SnapshotChunk, consensus.Forward, consensus.ForwardResult)
+	say("operations", operation.ModifyConfig, operation.Evacuate, operation.BeginRollout, operation.EndRollout, operation.CompleteSwitch, operation.SetInitialVersion, operation.ChangeMembers, operation.RestoreSnapshot)
+	say("calls", snapshot.SnapshotCall, snapshot.RestoreCall)
+	for kind := range apierror.All() {
+		say("error", fmt.Sprint(kind), apierror.Kind(kind).String())
 	}
-	for _, s := range []pilotage.State{pilotage.None, pilotage.Running, pilotage.Completed, pilotage.RolledBack} {
+	for _, s := range []rollout.State{rollout.None, rollout.Running, rollout.Completed, rollout.RolledBack} {
 		say("rollout", fmt.Sprint(uint8(s)), s.String())
 	}
-	for _, s := range []berths.State{berths.Ready, berths.Draining, berths.Gone} {
+	for _, s := range []instance.State{instance.Ready, instance.Draining, instance.Gone} {
 		say("host", fmt.Sprint(uint8(s)), s.String())
 	}
-	for _, v := range []rules.Verdict{rules.NoVote, rules.On, rules.Hold, rules.Back} {
+	for _, v := range []decision.Verdict{decision.NoVote, decision.On, decision.Hold, decision.Back} {
 		say("vote", fmt.Sprint(uint8(v)), v.String())
 	}
 	for n := range 3 {
-		say("standing", fmt.Sprint(n), bridge.Standing(n).String())
+		say("standing", fmt.Sprint(n), registry.Status(n).String())
 	}
-	say("members of the view", fmt.Sprint(uint8(convoy.Control)), fmt.Sprint(uint8(convoy.Traffic)))
-	say("rollout's name", pilotage.Rollout{Service: "desk", Order: 3}.ID(), fmt.Sprint(pilotage.Asked("v2", 60e9)))
-	say("snapshot's name", soundings.Head{Epoch: 2, Number: 13, Items: 4}.String())
-	say("version", manifest.Digits(0xab))
+	say("members of the view", fmt.Sprint(uint8(gossip.Control)), fmt.Sprint(uint8(gossip.Proxy)))
+	say("rollout's name", rollout.Rollout{Service: "desk", Number: 3}.ID(), fmt.Sprint(rollout.Digest("v2", 60e9)))
+	say("snapshot's name", snapshot.Header{Epoch: 2, Index: 13, Items: 4}.String())
+	say("version", config.FormatVersion(0xab))
 	set, _ := everything(t)
-	say("sums", fmt.Sprint(set.Sum()), fmt.Sprint(set.CallersSum()), fmt.Sprint(set.Sums()))
+	say("sums", fmt.Sprint(set.Checksum()), fmt.Sprint(set.QuotaChecksum()), fmt.Sprint(set.PartitionSums()))
 	Equal(t, "words.txt", all.Bytes())
 }
--- a/internal/golden/configuration_test.go
+++ b/internal/golden/configuration_test.go
@@ -6,10 +6,10 @@
 	"reflect"
 	"testing"
 
-	"portflow/internal/harbour/manifest"
-	"portflow/internal/harbour/muster"
-	"portflow/internal/harbour/orders"
-	"portflow/internal/harbour/pilotage"
+	"portflow/internal/cluster/config"
+	"portflow/internal/cluster/rollout"
+	"portflow/internal/control/membership"
+	"portflow/internal/control/operation"
 )
 
 func mustJSON(t testing.TB, v any) []byte {
@@ -31,24 +31,24 @@
 }
 
 // configuration is a set with an item of each kind that operators set, from the change in testdata.
-func configuration(t testing.TB) *manifest.Set {
+func configuration(t testing.TB) *config.Set {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/input/change.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	items, err := manifest.Read(raw)
+	items, err := config.ParseChange(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := manifest.NewSet()
-	apply(t, set, orders.Order{Kind: orders.Modify, Items: items})
+	set := config.NewSet()
+	apply(t, set, operation.Operation{Kind: operation.ModifyConfig, Items: items})
 	return set
 }
 
-func apply(t testing.TB, set *manifest.Set, o orders.Order) []manifest.Item {
+func apply(t testing.TB, set *config.Set, o operation.Operation) []config.Item {
 	t.Helper()
-	items, err := orders.Apply(set, o)
+	items, err := operation.Apply(set, o)
 	if err != nil || len(items) == 0 {
 		t.Fatalf("%v: %d items, %v", o, len(items), err)
 	}
@@ -60,27 +60,27 @@
 
 // everything is a set with an item of each kind, as control processes store it: configuration, members, an evacuation that
 // was withdrawn, a service's first version, a rollout that ended and one that runs, and items with earlier versions.
-func everything(t testing.TB) (set *manifest.Set, changes [][]manifest.Item) {
+func everything(t testing.TB) (set *config.Set, changes [][]config.Item) {
 	t.Helper()
 	set = configuration(t)
-	member := func(n string) muster.Member {
-		return muster.Member{IP: "10.0.0." + n, ID: "disk-" + n, Name: "control-" + n, Zone: "z" + n}
-	}
-	changed := manifest.Item{Kind: manifest.Services, Name: "bags", Version: 0x11, Body: json.RawMessage(`{"health-path":"/up","name":"bags"}`)}
-	for _, o := range []orders.Order{
-		{Kind: orders.Join, In: []muster.Member{member("1"), member("2"), member("3")}},
-		{Kind: orders.Join, In: []muster.Member{member("4")}, Out: []string{"10.0.0.2"}, Hold: []muster.Member{member("2")}, Number: 1},
-		{Kind: orders.Settle, Of: "desk", Version: "v1"},
-		{Kind: orders.Evacuate, Of: "z1", Begun: true},
-		{Kind: orders.Evacuate, Of: "z1", Begun: false},
-		{Kind: orders.Evacuate, Of: "z2", Begun: true},
-		{Kind: orders.Begin, Of: "desk", Target: "v2", Term: 60e9, Now: 1700000000e9, Dated: true, Again: 5e9},
-		{Kind: orders.End, Of: "desk", Number: 1, State: pilotage.Completed, Now: 1700000050e9},
-		{Kind: orders.Tell, Of: "desk", Number: 1},
-		{Kind: orders.Begin, Of: "desk", Target: "v3", Term: 30e9, Now: 1700000100e9, Known: 1, Age: 100e9},
-		{Kind: orders.Begin, Of: "bags", Target: "v9", Term: 30e9, Now: 1700000100e9},
-		{Kind: orders.End, Of: "bags", Number: 1, State: pilotage.RolledBack, Now: 1700000110e9},
-		{Kind: orders.Modify, Items: []manifest.Item{changed}},
+	member := func(n string) membership.Member {
+		return membership.Member{IP: "10.0.0." + n, ID: "disk-" + n, Name: "control-" + n, Zone: "z" + n}
+	}
+	changed := config.Item{Kind: config.KindServices, Name: "bags", Version: 0x11, Body: json.RawMessage(`{"health-path":"/up","name":"bags"}`)}
+	for _, o := range []operation.Operation{
+		{Kind: operation.ChangeMembers, Add: []membership.Member{member("1"), member("2"), member("3")}},
+		{Kind: operation.ChangeMembers, Add: []membership.Member{member("4")}, Remove: []string{"10.0.0.2"}, Exclude: []membership.Member{member("2")}, Expected: 1},
+		{Kind: operation.SetInitialVersion, Name: "desk", Version: "v1"},
+		{Kind: operation.Evacuate, Name: "z1", Active: true},
+		{Kind: operation.Evacuate, Name: "z1", Active: false},
+		{Kind: operation.Evacuate, Name: "z2", Active: true},
+		{Kind: operation.BeginRollout, Name: "desk", TargetVersion: "v2", Duration: 60e9, SubmittedAt: 1700000000e9, ClockAgreed: true, RetryWindow: 5e9},
+		{Kind: operation.EndRollout, Name: "desk", Expected: 1, Outcome: rollout.Completed, SubmittedAt: 1700000050e9},
+		{Kind: operation.CompleteSwitch, Name: "desk", Expected: 1},
+		{Kind: operation.BeginRollout, Name: "desk", TargetVersion: "v3", Duration: 30e9, SubmittedAt: 1700000100e9, KnownRollout: 1, KnownRolloutAge: 100e9},
+		{Kind: operation.BeginRollout, Name: "bags", TargetVersion: "v9", Duration: 30e9, SubmittedAt: 1700000100e9},
+		{Kind: operation.EndRollout, Name: "bags", Expected: 1, Outcome: rollout.RolledBack, SubmittedAt: 1700000110e9},
+		{Kind: operation.ModifyConfig, Items: []config.Item{changed}},
 	} {
 		changes = append(changes, apply(t, set, o))
 	}
@@ -91,17 +91,17 @@
 func TestConfiguration(t *testing.T) {
 	set := configuration(t)
 	Equal(t, "configuration/items.jsonl", jsonLines(t, set.All()))
-	raw, err := set.Write()
+	raw, err := set.EncodeChange()
 	if err != nil {
 		t.Fatal(err)
 	}
 	read := Equal(t, "configuration/read.json", raw)
-	items, err := manifest.Read([]byte(`{"set-items":` + string(read) + `}`))
+	items, err := config.ParseChange([]byte(`{"set-items":` + string(read) + `}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, i := range items {
-		if stands, _ := set.Get(i.Key()); !stands.Same(i) {
+		if stands, _ := set.Lookup(i.Key()); !stands.Equal(i) {
 			t.Errorf("%s: read back as %s", mustJSON(t, stands), mustJSON(t, i))
 		}
 	}
@@ -111,29 +111,29 @@
 func TestDecidedItems(t *testing.T) {
 	set, changes := everything(t)
 	Equal(t, "configuration/decided.jsonl", jsonLines(t, changes))
-	members := muster.Of(set)
-	if members.Epoch != 2 || len(members.Members) != 3 || len(members.Held) != 1 || set.Members()["10.0.0.4"] != "z4" {
+	members := membership.FromSet(set)
+	if members.Epoch != 2 || len(members.Members) != 3 || len(members.Excluded) != 1 || set.Members()["10.0.0.4"] != "z4" {
 		t.Errorf("the members are read as %+v, %v", members, set.Members())
 	}
-	if !reflect.DeepEqual(muster.Read(members.Item()), members) {
+	if !reflect.DeepEqual(membership.FromItem(members.Item()), members) {
 		t.Errorf("the members are written as %+v", members.Item())
 	}
-	desk, _ := set.Get(manifest.Key{Kind: manifest.Rollouts, Name: "desk"})
-	want := pilotage.Rollout{Service: "desk", Order: 2, From: "v2", Base: 1, Target: "v3", Began: 1700000100e9, Term: 30e9,
-		State: pilotage.Running, Past: [pilotage.MostPast]uint64{pilotage.Asked("v2", 60e9)}}
-	if got := pilotage.Read(desk); got != want {
+	desk, _ := set.Lookup(config.Key{Kind: config.KindRollouts, Name: "desk"})
+	want := rollout.Rollout{Service: "desk", Number: 2, From: "v2", BaseNumber: 1, Target: "v3", StartedAt: 1700000100e9, Duration: 30e9,
+		State: rollout.Running, PastDigests: [rollout.MaxPastDigests]uint64{rollout.Digest("v2", 60e9)}}
+	if got := rollout.FromItem(desk); got != want {
 		t.Errorf("the rollout is read as %+v, not %+v", got, want)
 	}
-	if !want.Item().Same(desk) {
+	if !want.Item().Equal(desk) {
 		t.Errorf("the rollout is written as %s, not %s", want.Item().Body, desk.Body)
 	}
-	settled, _ := set.Get(manifest.Key{Kind: manifest.Settled, Name: "desk"})
-	if got := pilotage.Settled(settled, pilotage.Rollout{}); got != "v1" {
+	settled, _ := set.Lookup(config.Key{Kind: config.KindStableVersions, Name: "desk"})
+	if got := rollout.StableVersion(settled, rollout.Rollout{}); got != "v1" {
 		t.Errorf("the first version is read as %q", got)
 	}
 	Equal(t, "configuration/everything.jsonl", jsonLines(t, set.All()))
-	restored, err := orders.Apply(set, orders.Order{Kind: orders.Restore, Items: configuration(t).All(), Version: "snapshot-1", Number: 2})
-	if err != nil || !orders.IsWhole(restored) {
+	restored, err := operation.Apply(set, operation.Operation{Kind: operation.RestoreSnapshot, Items: configuration(t).All(), Version: "snapshot-1", Expected: 2})
+	if err != nil || !operation.ReplacesAll(restored) {
 		t.Fatal(err, restored)
 	}
 	Equal(t, "configuration/restored.jsonl", jsonLines(t, restored))
--- a/internal/golden/disk_test.go
+++ b/internal/golden/disk_test.go
@@ -13,9 +13,9 @@
 	"github.com/syndtr/goleveldb/leveldb"
 	"github.com/syndtr/goleveldb/leveldb/opt"
 
-	"portflow/internal/harbour/logbook"
-	"portflow/internal/harbour/manifest"
-	"portflow/internal/harbour/quorum"
+	"portflow/internal/cluster/config"
+	"portflow/internal/control/consensus"
+	"portflow/internal/control/store"
 )
 
 const imageFolder = "testdata/golden/disk/image"
@@ -24,19 +24,19 @@
 const consensusCell = "node"
 
 // consensusRecord is a member's, with a vote on a change that isn't decided yet.
-func consensusRecord(set *manifest.Set) quorum.Disk {
-	item, _ := set.Get(manifest.Key{Kind: manifest.Evacuations, Name: "z1"})
-	return quorum.Disk{ID: "disk-1", Applied: 13, Promised: quorum.Ballot{N: 7, By: "life-3"}, Vote: quorum.Ballot{N: 6, By: "life-2"}, At: 14,
-		Value: []manifest.Item{item}, Founders: []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}}
+func consensusRecord(set *config.Set) consensus.HardState {
+	item, _ := set.Lookup(config.Key{Kind: config.KindEvacuations, Name: "z1"})
+	return consensus.HardState{DiskID: "disk-1", Applied: 13, Promised: consensus.Ballot{Number: 7, Proposer: "life-3"}, Accepted: consensus.Ballot{Number: 6, Proposer: "life-2"}, AcceptedIndex: 14,
+		AcceptedValue: []config.Item{item}, Founders: []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}}
 }
 
-func open(t testing.TB, folder string) (book *logbook.Book, items []manifest.Item, cells map[string][]byte, whole bool, end func()) {
+func open(t testing.TB, folder string) (book *store.Store, items []config.Item, cells map[string][]byte, whole bool, end func()) {
 	t.Helper()
-	disk, err := logbook.Folder(folder)
+	disk, err := store.OpenDir(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	book, items, cells, whole, err = logbook.Open(disk)
+	book, items, cells, whole, err = store.Open(disk)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 	set, _ := everything(t)
 	record := mustJSON(t, consensusRecord(set))
 	book, _, _, _, end := open(t, folder)
-	all := append(set.All(), manifest.Item{Kind: manifest.Core, Name: "10.0.0.9", Version: 1, Body: json.RawMessage(`{"name":"old"}`)})
+	all := append(set.All(), config.Item{Kind: config.KindCore, Name: "10.0.0.9", Version: 1, Body: json.RawMessage(`{"name":"old"}`)})
 	half := len(all) / 2
 	if err := book.Write(all[:half], map[string][]byte{consensusCell: []byte(`{"id":"earlier","applied":1}`), "gone": []byte("x")}, false); err != nil {
 		t.Fatal(err)
@@ -68,7 +68,7 @@
 	if err := book.Write(all[half:], map[string][]byte{consensusCell: record, "gone": nil}, true); err != nil {
 		t.Fatal(err)
 	}
-	if err := book.Replace(nil, []manifest.Key{{Kind: manifest.Core, Name: "10.0.0.9"}}, nil, false); err != nil {
+	if err := book.Replace(nil, []config.Key{{Kind: config.KindCore, Name: "10.0.0.9"}}, nil, false); err != nil {
 		t.Fatal(err)
 	}
 	end()
@@ -155,7 +155,7 @@
 	if !reflect.DeepEqual(items, set.All()) {
 		t.Errorf("the items are read as\n%s", jsonLines(t, items))
 	}
-	var record quorum.Disk
+	var record consensus.HardState
 	if err := json.Unmarshal(cells[consensusCell], &record); err != nil || len(cells) != 1 {
 		t.Fatal(err, cells)
 	}
--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -5,21 +5,21 @@
 	"reflect"
 	"testing"
 
-	"portflow/internal/balancer/flow/ipfix"
-	"portflow/internal/balancer/site"
-	"portflow/internal/harbour/berths"
-	"portflow/internal/harbour/convoy"
-	"portflow/internal/harbour/harbourmaster"
-	"portflow/internal/harbour/lookout"
-	"portflow/internal/harbour/manifest"
-	"portflow/internal/harbour/muster"
-	"portflow/internal/harbour/orders"
-	"portflow/internal/harbour/pilot"
-	"portflow/internal/harbour/pilotage"
-	"portflow/internal/harbour/quorum"
-	"portflow/internal/harbour/signals"
-	"portflow/internal/harbour/soundings"
-	"portflow/internal/harbour/tonnage"
+	"portflow/internal/client"
+	"portflow/internal/cluster/config"
+	"portflow/internal/cluster/gossip"
+	"portflow/internal/cluster/instance"
+	"portflow/internal/cluster/outlier"
+	"portflow/internal/cluster/rollout"
+	"portflow/internal/cluster/update"
+	"portflow/internal/control/consensus"
+	"portflow/internal/control/membership"
+	"portflow/internal/control/operation"
+	"portflow/internal/control/server"
+	"portflow/internal/control/snapshot"
+	"portflow/internal/quota"
+	"portflow/internal/router/flow/ipfix"
+	"portflow/internal/router/site"
 )
 
 // root is a type that is stored or sent as JSON. Its name is that of its golden files, and stays.
@@ -31,49 +31,49 @@
 func roots() []root {
 	return []root{
 		// on held connections between processes
-		{"line-message", new(signals.Word)},
-		{"line-hello", new(signals.Hello)},
-		{"line-status", new(signals.Status)},
-		{"line-update", new(signals.News)},
-		{"line-change", new(signals.Note)},
-		{"line-router", new(signals.Front)},
-		{"line-vote", new(signals.Poll)},
-		{"line-rollout-age", new(signals.Since)},
-		{"line-quotas", new(signals.Tons)},
-		{"line-snapshot-head", new(signals.Head)},
-		{"line-snapshot-chunk", new(signals.Chunk)},
-		{"line-snapshot-part", new(signals.Part)},
-		{"consensus-message", new(quorum.Message)},
-		{"consensus-result", new(quorum.Result)},
-		{"operation", new(orders.Order)},
-		{"host", new(berths.Host)},
-		{"host-outcomes", new(lookout.Count)},
-		{"host-ejection", new(lookout.Judgement)},
-		{"quota-report", new(tonnage.Report)},
-		{"quota-load", new(tonnage.Load)},
-		{"quota-count", new(tonnage.Count)},
-		{"quota-sum", new(tonnage.Sum)},
-		{"quota-allotment", new(tonnage.Allotment)},
+		{"line-message", new(update.Message)},
+		{"line-hello", new(update.Hello)},
+		{"line-status", new(update.Status)},
+		{"line-update", new(update.Batch)},
+		{"line-change", new(update.Change)},
+		{"line-router", new(update.Proxy)},
+		{"line-vote", new(update.Vote)},
+		{"line-rollout-age", new(update.RolloutStart)},
+		{"line-quotas", new(update.QuotaUpdate)},
+		{"line-snapshot-head", new(update.SnapshotHeader)},
+		{"line-snapshot-chunk", new(update.Chunk)},
+		{"line-snapshot-part", new(update.Progress)},
+		{"consensus-message", new(consensus.Message)},
+		{"consensus-result", new(consensus.Result)},
+		{"operation", new(operation.Operation)},
+		{"host", new(instance.Instance)},
+		{"host-outcomes", new(outlier.Stats)},
+		{"host-ejection", new(outlier.Ejection)},
+		{"quota-report", new(quota.Report)},
+		{"quota-load", new(quota.Load)},
+		{"quota-count", new(quota.CallerCount)},
+		{"quota-sum", new(quota.ZoneUsage)},
+		{"quota-allotment", new(quota.Allocation)},
 		// in datagrams; the envelope is not exported, its test lies beside it
-		{"gossip-member", new(convoy.Member)},
+		{"gossip-member", new(gossip.Member)},
 		// on disk
-		{"stored-item", new(manifest.Item)},
-		{"stored-consensus", new(quorum.Disk)},
-		{"stored-members", new(muster.List)},
-		{"stored-rollout", new(pilotage.Rollout)},
+		{"stored-item", new(config.Item)},
+		{"stored-consensus", new(consensus.HardState)},
+		{"stored-members", new(membership.List)},
+		{"stored-rollout", new(rollout.Rollout)},
 		// bodies and answers of calls
-		{"call-snapshot", new(soundings.Ask)},
-		{"answer-snapshot", new(soundings.Part)},
-		{"call-restore", new(soundings.Piece)},
-		{"answer-restore", new(soundings.Landed)},
-		{"call-core-change", new(harbourmaster.CoreChange)},
-		{"answer-core-change", new(harbourmaster.CoreOutcome)},
-		{"answer-core-recover", new(harbourmaster.CoreRecovery)},
-		{"answer-core-read", new(harbourmaster.CoreSurvey)},
-		{"answer-harbour-read", new(harbourmaster.Survey)},
-		{"answer-refused", new(pilot.Refused)},
+		{"call-snapshot", new(snapshot.ReadRequest)},
+		{"answer-snapshot", new(snapshot.ReadResponse)},
+		{"call-restore", new(snapshot.RestoreRequest)},
+		{"answer-restore", new(snapshot.RestoreResponse)},
+		{"call-core-change", new(server.CoreChange)},
+		{"answer-core-change", new(server.CoreChangeResult)},
+		{"answer-core-recover", new(server.CoreRecovery)},
+		{"answer-core-read", new(server.CoreStatus)},
+		{"answer-harbour-read", new(server.ClusterStatus)},
+		{"answer-refused", new(client.ResponseError)},
 		// what operators read
-		{"output-quota-trial", new(pilot.Held)},
+		{"output-quota-trial", new(client.ThrottledCaller)},
 		{"output-flow-record", new(ipfix.Read)},
 		{"operator-file", new(site.Site)},
 	}
--- a/internal/golden/snapshots_test.go
+++ b/internal/golden/snapshots_test.go
@@ -8,17 +8,17 @@
 	"reflect"
 	"testing"
 
-	"portflow/internal/harbour/lines"
-	"portflow/internal/harbour/manifest"
-	"portflow/internal/harbour/pilot"
-	"portflow/internal/harbour/signals"
-	"portflow/internal/harbour/soundings"
+	"portflow/internal/client"
+	"portflow/internal/cluster/config"
+	"portflow/internal/cluster/stream"
+	"portflow/internal/cluster/update"
+	"portflow/internal/control/snapshot"
 )
 
 // many are items that take more than one chunk.
-func many() (all []manifest.Item) {
+func many() (all []config.Item) {
 	for n := range 900 {
-		all = append(all, manifest.Item{Kind: manifest.Services, Name: fmt.Sprintf("service-%03d", n), Version: uint64(n + 1), Dropped: n%7 == 6,
+		all = append(all, config.Item{Kind: config.KindServices, Name: fmt.Sprintf("service-%03d", n), Version: uint64(n + 1), Deleted: n%7 == 6,
 			Body: fmt.Appendf(nil, `{"health-path":"/%0100d","name":"service-%03d"}`, n, n)})
 	}
 	return all
@@ -27,8 +27,8 @@
 // An operator's snapshot has the same bytes, chunk by chunk, and is read as the same items.
 func TestOperatorsSnapshot(t *testing.T) {
 	set, _ := everything(t)
-	for name, items := range map[string][]manifest.Item{"snapshots/everything.bin": withoutPast(set.All()), "snapshots/chunks.bin": many()} {
-		head, err := soundings.NewHead(items, 2, 13)
+	for name, items := range map[string][]config.Item{"snapshots/everything.bin": withoutPast(set.All()), "snapshots/chunks.bin": many()} {
+		head, err := snapshot.NewHeader(items, 2, 13)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -36,15 +36,15 @@
 		chunks := 0
 		for from, done := 0, false; !done; chunks++ {
 			var chunk []byte
-			chunk, from, done = soundings.Chunk(items, head, from)
+			chunk, from, done = snapshot.EncodeChunk(items, head, from)
 			file = append(binary.BigEndian.AppendUint32(file, uint32(len(chunk))), chunk...)
 		}
 		if name == "snapshots/chunks.bin" && chunks < 2 {
 			t.Errorf("%d chunks", chunks)
 		}
 		raw := Equal(t, name, file)
-		var read []manifest.Item
-		got, err := pilot.ReadSnapshot(bytes.NewReader(raw), func(_ int64, _ []byte, items []manifest.Item) error {
+		var read []config.Item
+		got, err := client.ReadSnapshot(bytes.NewReader(raw), func(_ int64, _ []byte, items []config.Item) error {
 			read = append(read, items...)
 			return nil
 		})
@@ -54,9 +54,9 @@
 	}
 }
 
-func withoutPast(all []manifest.Item) []manifest.Item {
+func withoutPast(all []config.Item) []config.Item {
 	for n := range all {
-		all[n].Past = nil
+		all[n].History = nil
 	}
 	return all
 }
@@ -64,29 +64,29 @@
 // A router's snapshot goes out in the same frames, and is put together from them.
 func TestRoutersSnapshot(t *testing.T) {
 	items := many()
-	notes := make([]signals.Note, len(items))
+	notes := make([]update.Change, len(items))
 	for n := range items {
 		notes[n].Item = &items[n]
 	}
-	notes = append(notes, signals.Note{Host: &goldenHost}, signals.Note{Front: &goldenRouter}, signals.Note{Poll: &goldenVote})
-	cut, err := signals.NewCut(signals.Head{Name: "life-1.1", Life: "life-1", To: 9, Epoch: 2, Number: 13}, notes, lines.Frame)
+	notes = append(notes, update.Change{Instance: &goldenHost}, update.Change{Proxy: &goldenRouter}, update.Change{Vote: &goldenVote})
+	cut, err := update.NewSnapshot(update.SnapshotHeader{Name: "life-1.1", Incarnation: "life-1", To: 9, Epoch: 2, Number: 13}, notes, stream.EncodeFrame)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(cut.Words) < 2 {
-		t.Errorf("%d chunks", len(cut.Words))
+	if len(cut.Messages) < 2 {
+		t.Errorf("%d chunks", len(cut.Messages))
 	}
-	raw := Equal(t, "snapshots/router.bin", bytes.Join(cut.Words, nil))
-	var assembly signals.Assembly
-	l := lines.Open[signals.Word](recorded{in: io.MultiReader(bytes.NewReader([]byte("pfl1")), bytes.NewReader(raw)), out: new(bytes.Buffer), Conn: quiet{}}, lines.Slow)
-	l.Run(func(w signals.Word) {
+	raw := Equal(t, "snapshots/router.bin", bytes.Join(cut.Messages, nil))
+	var assembly update.Assembly
+	l := stream.Open[update.Message](recorded{in: io.MultiReader(bytes.NewReader([]byte("pfl1")), bytes.NewReader(raw)), out: new(bytes.Buffer), Conn: quiet{}}, stream.ControlKeepalive)
+	l.Run(func(w update.Message) {
 		if w.Chunk == nil {
 			t.Errorf("no chunk: %s", mustJSON(t, w))
-		} else if err := assembly.Take(*w.Chunk); err != nil {
+		} else if err := assembly.Add(*w.Chunk); err != nil {
 			t.Error(err)
 		}
 	})
-	got, ok := assembly.Close(signals.News{Life: "life-1", From: 9, To: 9})
+	got, ok := assembly.Finish(update.Batch{Incarnation: "life-1", From: 9, To: 9})
 	if !ok || !reflect.DeepEqual(got, notes) {
 		t.Errorf("put together from %d of %d notes: %v", len(got), len(notes), ok)
 	}
--- a/internal/parts/framing/framing.go
+++ b/internal/httpframing/framing.go
@@ -1,5 +1,5 @@
-// Package framing watches how the bytes of a request are framed.
-package framing
+// Package httpframing watches how the bytes of a request are framed.
+package httpframing
 
 import "bytes"
 
--- a/internal/parts/framing/stream_test.go
+++ b/internal/httpframing/stream_test.go
@@ -1,4 +1,4 @@
-package framing
+package httpframing
 
 import (
 	"bufio"
--- a/internal/lab/baselines.go
+++ b/internal/lab/baselines.go
@@ -1,22 +1,22 @@
 package lab
 
 import (
-	"portflow/internal/parts/chance"
-	"portflow/internal/parts/router"
-	"portflow/internal/parts/storm"
+	"portflow/internal/dispatch"
+	"portflow/internal/random"
+	"portflow/internal/retryguard"
 )
 
-type guard = router.Guard
+type guard = dispatch.Guard
 
 // fixed has everyone who is sent away come back after the longest advice.
 type fixed struct{}
 
-func (*fixed) Take(int64, *storm.Try) (bool, int64)                     { return true, 0 }
-func (*fixed) Dismissed(int64, *storm.Try, int64) int64                 { return maxTold }
-func (*fixed) HandedOff(int64, *storm.Try, int)                         {}
-func (*fixed) Unserved(int64, *storm.Try)                               {}
-func (*fixed) Ended(int64, *storm.Try, uint32, storm.Sign, bool, int64) {}
-func (*fixed) List(int64, bool, []storm.Host)                           {}
+func (*fixed) Take(int64, *retryguard.Try) (bool, int64)                          { return true, 0 }
+func (*fixed) Dismissed(int64, *retryguard.Try, int64) int64                      { return maxTold }
+func (*fixed) HandedOff(int64, *retryguard.Try, int)                              {}
+func (*fixed) Unserved(int64, *retryguard.Try)                                    {}
+func (*fixed) Ended(int64, *retryguard.Try, uint32, retryguard.Sign, bool, int64) {}
+func (*fixed) List(int64, bool, []retryguard.Host)                                {}
 
 // budget lets marked further tries in up to a tenth of what is fulfilled.
 type budget struct {
@@ -24,7 +24,7 @@
 	have float64
 }
 
-func (b *budget) Take(_ int64, t *storm.Try) (bool, int64) {
+func (b *budget) Take(_ int64, t *retryguard.Try) (bool, int64) {
 	if !t.Marked {
 		return true, 0
 	}
@@ -35,7 +35,7 @@
 	return true, 0
 }
 
-func (b *budget) Ended(_ int64, _ *storm.Try, _ uint32, _ storm.Sign, fulfilled bool, _ int64) {
+func (b *budget) Ended(_ int64, _ *retryguard.Try, _ uint32, _ retryguard.Sign, fulfilled bool, _ int64) {
 	if fulfilled {
 		b.have = min(20, b.have+0.1)
 	}
@@ -45,7 +45,7 @@
 // that clients use, at the router.
 type throttle struct {
 	fixed
-	draw            chance.Source
+	draw            random.Source
 	asked, accepted float64
 	at              int64
 }
@@ -60,7 +60,7 @@
 	}
 }
 
-func (t *throttle) Take(now int64, _ *storm.Try) (bool, int64) {
+func (t *throttle) Take(now int64, _ *retryguard.Try) (bool, int64) {
 	t.fade(now)
 	t.asked++
 	if t.draw.Next() < (t.asked-2*t.accepted)/(t.asked+1) {
@@ -69,7 +69,7 @@
 	return true, 0
 }
 
-func (t *throttle) Ended(_ int64, _ *storm.Try, _ uint32, _ storm.Sign, fulfilled bool, _ int64) {
+func (t *throttle) Ended(_ int64, _ *retryguard.Try, _ uint32, _ retryguard.Sign, fulfilled bool, _ int64) {
 	if fulfilled {
 		t.accepted++
 	}
--- a/internal/lab/emulate.go
+++ b/internal/lab/emulate.go
@@ -7,11 +7,11 @@
 
 	"github.com/rs/zerolog"
 
-	"portflow/internal/parts/chance"
-	"portflow/internal/parts/router"
-	"portflow/internal/parts/storm"
+	"portflow/internal/decision"
+	"portflow/internal/dispatch"
+	"portflow/internal/random"
+	"portflow/internal/retryguard"
 	"portflow/internal/standin"
-	"portflow/rules"
 )
 
 // emulation plays an experiment in virtual time: the program's reducers, rules and guards, and models around them.
@@ -19,7 +19,7 @@
 	Storm
 	timeline
 	book    *book
-	draw    chance.Source
+	draw    random.Source
 	nodes   []*emulated
 	hosts   []*host
 	effects standin.Effects
@@ -34,7 +34,7 @@
 	*emulation
 	stepped
 	rank  int
-	guard *storm.Guard
+	guard *retryguard.Guard
 }
 
 type host struct {
@@ -52,7 +52,7 @@
 	client int
 	sent   int64
 	node   *emulated
-	taken  *router.Command
+	taken  *dispatch.Command
 	over   bool
 }
 
@@ -62,7 +62,7 @@
 		return Result{}, err
 	}
 	began := time.Now()
-	e := &emulation{Storm: s, book: newBook(s), draw: chance.Source{Seed: s.Seed}, busy: make([]uint64, s.Clients/64+1),
+	e := &emulation{Storm: s, book: newBook(s), draw: random.Source{Seed: s.Seed}, busy: make([]uint64, s.Clients/64+1),
 		effects: standin.Effects{Memory: 2e9}, tries: map[string]*try{}}
 	for i := range s.Hosts {
 		h := &host{Machine: s.machine(), name: "h" + strconv.Itoa(i), build: 1, goes: s.Kind == "hosts" || s.Kind == "half" && i%2 == 0}
@@ -79,14 +79,14 @@
 		}
 		n := &emulated{emulation: e, rank: rank, guard: spy}
 		n.stepped.timeline = &e.timeline
-		n.router = router.New(func() int64 { return e.now + 1 }, zerolog.Nop())
-		news := rules.News{Build: 1, Standing: rules.Released, Cap: 1, Age: 60e9}
+		n.router = dispatch.New(func() int64 { return e.now + 1 }, zerolog.Nop())
+		news := decision.News{Build: 1, Standing: decision.Released, Cap: 1, Age: 60e9}
 		if s.Trial {
-			news = rules.News{Build: 2, Stage: 1, Standing: rules.OnTrial, Cap: 0.4}
+			news = decision.News{Build: 2, Stage: 1, Standing: decision.OnTrial, Cap: 0.4}
 		}
-		n.router.Begin(router.Start{Settings: s.settings(rank), Seed: s.Seed*77 + uint64(rank), Storm: g,
-			List: router.List{Form: rules.Whole, Hosts: e.list(true)}, News: router.News{News: news}},
-			router.Out{Hosts: n, Platform: n, Peers: n, List: n})
+		n.router.Begin(dispatch.Start{Settings: s.settings(rank), Seed: s.Seed*77 + uint64(rank), Storm: g,
+			List: dispatch.List{Form: decision.Whole, Hosts: e.list(true)}, News: dispatch.News{News: news}},
+			dispatch.Out{Hosts: n, Platform: n, Peers: n, List: n})
 		n.pump()
 		e.nodes = append(e.nodes, n)
 	}
@@ -149,17 +149,17 @@
 func (e *emulation) tell(whole bool) {
 	for _, n := range e.nodes {
 		e.after(int64(e.draw.Next()*3e8), func() {
-			n.router.Post(router.List{Form: rules.Changes, Hosts: e.list(whole)})
+			n.router.Post(dispatch.List{Form: decision.Changes, Hosts: e.list(whole)})
 			n.pump()
 		})
 	}
 }
 
-func (e *emulation) list(there bool) (all []router.Host) {
+func (e *emulation) list(there bool) (all []dispatch.Host) {
 	for _, h := range e.hosts {
-		x := router.Host{Name: h.name, Address: h.name, Build: h.build, Size: 1, Started: h.start}
+		x := dispatch.Host{Name: h.name, Address: h.name, Build: h.build, Size: 1, Started: h.start}
 		if !there {
-			x.Health = rules.Gone
+			x.Health = decision.Gone
 		}
 		all = append(all, x)
 	}
@@ -208,15 +208,15 @@
 	e.book.asked(e.now, c)
 	trace := strconv.Itoa(e.serial)
 	e.tries[trace] = t
-	t.taken = &router.Command{Band: c.band, Carrier: c.carrier, Key: c.key, CutOff: e.now + patient, Again: c.habit.Marks && c.tries > 1,
-		Request: &router.Request{Trace: trace, Mark: c.mark}, Answer: t}
-	t.node.router.Post(router.Taken{Command: t.taken})
+	t.taken = &dispatch.Command{Band: c.band, Carrier: c.carrier, Key: c.key, CutOff: e.now + patient, Again: c.habit.Marks && c.tries > 1,
+		Request: &dispatch.Request{Trace: trace, Mark: c.mark}, Answer: t}
+	t.node.router.Post(dispatch.Taken{Command: t.taken})
 	t.node.pump()
 	e.after(patient+50e6, func() {
 		if !t.over {
 			t.over = true
 			e.book.told(e.now, t.sent, c, false, false)
-			t.node.router.Post(router.Left{Command: t.taken})
+			t.node.router.Post(dispatch.Left{Command: t.taken})
 			t.node.pump()
 			e.again(t, 0)
 		}
@@ -225,15 +225,15 @@
 }
 
 // Give gets the router's final answer.
-func (t *try) Give(a router.Answer) {
+func (t *try) Give(a dispatch.Answer) {
 	e := t.node.emulation
 	e.after(5e5, func() {
 		if t.over {
 			return
 		}
 		t.over = true
-		e.book.told(e.now, t.sent, t.command, a.Kind == router.Fulfilled, true)
-		if a.Kind == router.Fulfilled {
+		e.book.told(e.now, t.sent, t.command, a.Kind == dispatch.Fulfilled, true)
+		if a.Kind == dispatch.Fulfilled {
 			e.busy[t.client/64] &^= 1 << (t.client % 64)
 			return
 		}
@@ -253,12 +253,12 @@
 // sending is a hand-off on its way.
 type sending struct {
 	node       *emulated
-	done       func(router.Outcome)
+	done       func(dispatch.Outcome)
 	sent, over bool
 	host       *host
 }
 
-func (s *sending) end(o router.Outcome) {
+func (s *sending) end(o dispatch.Outcome) {
 	if s.over {
 		return
 	}
@@ -276,17 +276,17 @@
 }
 
 // ended ends it from outside the router.
-func (s *sending) ended(o router.Outcome) {
+func (s *sending) ended(o dispatch.Outcome) {
 	if !s.over {
 		s.end(o)
 		s.node.pump()
 	}
 }
 
-func (s *sending) Recall() { s.end(router.Outcome{Ending: rules.Recalled}) }
+func (s *sending) Recall() { s.end(dispatch.Outcome{Ending: decision.Recalled}) }
 func (s *sending) Revoke() {
 	if !s.sent {
-		s.end(router.Outcome{Ending: rules.Unsent})
+		s.end(dispatch.Outcome{Ending: decision.Unsent})
 	}
 }
 
@@ -294,21 +294,21 @@
 	h.Stop()
 	h.life++
 	for len(h.sending) > 0 {
-		h.sending[0].ended(router.Outcome{Ending: rules.Reset})
+		h.sending[0].ended(dispatch.Outcome{Ending: decision.Reset})
 	}
 }
 
-func (n *emulated) HandOff(to router.Host, r *router.Request, left time.Duration, done func(router.Outcome)) router.HandOff {
+func (n *emulated) HandOff(to dispatch.Host, r *dispatch.Request, left time.Duration, done func(dispatch.Outcome)) dispatch.HandOff {
 	s := &sending{node: n, done: done}
 	t := n.tries[r.Trace]
-	n.after(int64(left), func() { s.ended(router.Outcome{Ending: rules.TimedOut}) })
+	n.after(int64(left), func() { s.ended(dispatch.Outcome{Ending: decision.TimedOut}) })
 	n.after(3e5, func() {
 		if s.over {
 			return
 		}
 		i, err := strconv.Atoi(to.Address[min(1, len(to.Address)):])
 		if err != nil || i >= len(n.hosts) || !n.hosts[i].Up {
-			s.ended(router.Outcome{Ending: rules.NoConnect})
+			s.ended(dispatch.Outcome{Ending: decision.NoConnect})
 			return
 		}
 		h := n.hosts[i]
@@ -322,14 +322,14 @@
 		}
 		at, ok := h.Arrive(n.now, need)
 		if !ok {
-			s.ended(router.Outcome{Ending: rules.TurnedAway})
+			s.ended(dispatch.Outcome{Ending: decision.TurnedAway})
 			return
 		}
 		h.sending = append(h.sending, s)
 		life := h.life
 		n.after(at-n.now+3e5, func() {
 			if h.life == life {
-				s.ended(router.Outcome{Ending: rules.Fulfilled})
+				s.ended(dispatch.Outcome{Ending: decision.Fulfilled})
 			}
 		})
 	})
@@ -341,11 +341,11 @@
 func (n *emulated) Watch(bool)    {}
 
 // Vote answers a vote with the build as it stands.
-func (n *emulated) Vote(v rules.Verdict, build, stage int) {
-	if v == rules.Back {
+func (n *emulated) Vote(v decision.Verdict, build, stage int) {
+	if v == decision.Back {
 		n.backs++
 	}
-	n.post(2e6, router.News{News: rules.News{Build: build, Stage: stage, Standing: rules.OnTrial, Reply: true, Cap: 0.4}})
+	n.post(2e6, dispatch.News{News: decision.News{Build: build, Stage: stage, Standing: decision.OnTrial, Reply: true, Cap: 0.4}})
 }
 
 // Tell carries a message, of which one in fifty is lost.
@@ -353,5 +353,5 @@
 	if n.draw.Next() < 0.02 {
 		return
 	}
-	n.nodes[peer].post(2e6, router.Heard{Peer: n.rank, Message: message})
+	n.nodes[peer].post(2e6, dispatch.Heard{Peer: n.rank, Message: message})
 }
--- a/internal/lab/events.go
+++ b/internal/lab/events.go
@@ -5,7 +5,7 @@
 import (
 	"container/heap"
 
-	"portflow/internal/parts/router"
+	"portflow/internal/dispatch"
 )
 
 type event struct {
@@ -52,13 +52,13 @@
 // stepped is a router whose events and wake-ups come on a timeline, until it is gone.
 type stepped struct {
 	timeline *timeline
-	router   *router.Router
+	router   *dispatch.Router
 	wakeAt   int64 // the earliest wake-up that is planned, 0 for none
 	gone     bool
 }
 
 // post tells the router an event after a while.
-func (s *stepped) post(wait int64, e router.Event) {
+func (s *stepped) post(wait int64, e dispatch.Event) {
 	s.timeline.after(wait, func() {
 		if !s.gone {
 			s.router.Post(e)
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -6,9 +6,9 @@
 
 	"github.com/rs/zerolog"
 
-	"portflow/internal/parts/router"
+	"portflow/internal/decision"
+	"portflow/internal/dispatch"
 	"portflow/internal/standin"
-	"portflow/rules"
 )
 
 // Fleet is an experiment in virtual time on what routers ask for by themselves: the program's reducers without a
@@ -87,30 +87,30 @@
 	n := &lone{fleet: f, rank: rank}
 	n.stepped.timeline = &f.timeline
 	f.nodes[rank] = n
-	n.router = router.New(func() int64 { return f.now + 1 }, zerolog.Nop())
+	n.router = dispatch.New(func() int64 { return f.now + 1 }, zerolog.Nop())
 	set := Defaults()
 	set.Routers, set.Hosts = f.Routers, f.Hosts
 	known := set.settings(rank)
 	known.Subscribe, known.AskEvery, known.OnVotes, known.BackVotes = true, 10e9, f.Need, f.Need
-	n.router.Begin(router.Start{Settings: known, Seed: seed*1e6 + uint64(rank), List: router.List{Form: rules.Cached, Hosts: f.hosts(1)},
-		News: router.News{News: f.news()}}, router.Out{Hosts: n, Platform: n, Peers: n, List: n})
+	n.router.Begin(dispatch.Start{Settings: known, Seed: seed*1e6 + uint64(rank), List: dispatch.List{Form: decision.Cached, Hosts: f.hosts(1)},
+		News: dispatch.News{News: f.news()}}, dispatch.Out{Hosts: n, Platform: n, Peers: n, List: n})
 	n.pump()
 }
 
 // hosts are those of a build.
-func (f *fleet) hosts(build int) (all []router.Host) {
+func (f *fleet) hosts(build int) (all []dispatch.Host) {
 	for i := range f.Hosts {
 		name := strconv.Itoa(build) + "-" + strconv.Itoa(i)
-		all = append(all, router.Host{Name: name, Address: name, Health: rules.Ready, Build: build, Size: 1, Started: int64(build-1) * onTrial})
+		all = append(all, dispatch.Host{Name: name, Address: name, Health: decision.Ready, Build: build, Size: 1, Started: int64(build-1) * onTrial})
 	}
 	return all
 }
 
-func (f *fleet) news() rules.News {
+func (f *fleet) news() decision.News {
 	if f.stage < 0 {
-		return rules.News{Build: 1, Standing: rules.Released, Cap: 1, Age: 60e9}
+		return decision.News{Build: 1, Standing: decision.Released, Cap: 1, Age: 60e9}
 	}
-	return rules.News{Build: 2, Stage: f.stage, Cap: 0.3, Age: f.now - f.since}
+	return decision.News{Build: 2, Stage: f.stage, Cap: 0.3, Age: f.now - f.since}
 }
 
 // move brings the build to a stage, and all routers hear of it.
@@ -120,7 +120,7 @@
 	}
 	clear(f.stands)
 	for _, n := range f.nodes {
-		n.post(3e8, router.News{News: f.news()})
+		n.post(3e8, dispatch.News{News: f.news()})
 	}
 }
 
@@ -128,10 +128,10 @@
 func (n *lone) Watch(bool) {
 	ok, at := n.line.Call(n.now)
 	if !ok {
-		n.post(at-n.now, router.List{Form: rules.CallFailed})
+		n.post(at-n.now, dispatch.List{Form: decision.CallFailed})
 		return
 	}
-	n.post(at-n.now, router.List{Form: rules.Changes, Hosts: n.hosts(1)})
+	n.post(at-n.now, dispatch.List{Form: decision.Changes, Hosts: n.hosts(1)})
 	n.after(at-n.now, func() {
 		n.listed = !n.gone
 		for _, other := range n.nodes {
@@ -148,26 +148,26 @@
 }
 
 // Vote is a call to the platform.
-func (n *lone) Vote(v rules.Verdict, build, stage int) {
+func (n *lone) Vote(v decision.Verdict, build, stage int) {
 	n.result.Votes++
-	if v == rules.NoVote {
+	if v == decision.NoVote {
 		n.result.TakenOff++
 	}
 	n.bucket = min(2*n.Calls, n.bucket+n.Calls*float64(n.now-n.filled)/1e9)
 	n.filled = n.now
-	reply := rules.News{Reply: true, Ending: rules.CallsFull}
+	reply := decision.News{Reply: true, Ending: decision.CallsFull}
 	if n.bucket >= 1 {
 		n.bucket--
-		if reply = n.news(); v == rules.NoVote {
+		if reply = n.news(); v == decision.NoVote {
 			n.stands[n.rank] = 0
-		} else if v == rules.On && stage == n.stage {
+		} else if v == decision.On && stage == n.stage {
 			n.stands[n.rank] = n.now + 4e9
 		}
 		reply.Reply = true
 	} else {
 		n.result.Full++
 	}
-	n.post(1e8, router.News{News: reply})
+	n.post(1e8, dispatch.News{News: reply})
 	standing := 0
 	for _, until := range n.stands {
 		if until > n.now {
@@ -181,12 +181,12 @@
 
 // Tell carries a message to a router that is there.
 func (n *lone) Tell(peer int, message []byte) {
-	n.nodes[peer].post(5e6, router.Heard{Peer: n.rank, Message: message})
+	n.nodes[peer].post(5e6, dispatch.Heard{Peer: n.rank, Message: message})
 }
 
 func (n *lone) Close(string)  {}
 func (n *lone) Forget(string) {}
 
-func (n *lone) HandOff(router.Host, *router.Request, time.Duration, func(router.Outcome)) router.HandOff {
+func (n *lone) HandOff(dispatch.Host, *dispatch.Request, time.Duration, func(dispatch.Outcome)) dispatch.HandOff {
 	return nil
 }
--- a/internal/lab/flows.go
+++ b/internal/lab/flows.go
@@ -14,11 +14,11 @@
 
 	"github.com/rs/zerolog"
 
-	"portflow/internal/balancer/flow"
-	"portflow/internal/balancer/flow/export"
-	"portflow/internal/balancer/flow/ipfix"
-	"portflow/internal/balancer/node"
-	"portflow/internal/parts/router"
+	"portflow/internal/dispatch"
+	"portflow/internal/router"
+	"portflow/internal/router/flow"
+	"portflow/internal/router/flow/export"
+	"portflow/internal/router/flow/ipfix"
 	"portflow/internal/standin"
 	"portflow/internal/standin/collector"
 	"portflow/internal/standin/servers"
@@ -97,13 +97,13 @@
 	if network == "netflow9" {
 		network = "udp"
 	}
-	meter := export.NewMeter(flow.Limits{Active: 60e9, Idle: 15e9, Most: 1024}, 1, f.Memory, router.NewClock())
+	meter := export.NewMeter(flow.Limits{Active: 60e9, Idle: 15e9, Most: 1024}, 1, f.Memory, dispatch.NewClock())
 	exporter := export.New(export.Options{Version9: f.Collector == "netflow9", Collectors: []export.Collector{{Network: network, Address: c.Address}},
 		Enterprise: ipfix.Documentation, Names: ipfix.Names{Carriers: carriers, Bands: []string{bands[0].name, bands[1].name}},
 		Refresh: time.Second, Packets: 50, MTU: 1400, Linger: 5 * time.Second}, meter, zerolog.Nop())
-	var nodes []*node.Node
+	var nodes []*router.Node
 	for i, e := range []*export.Exporter{exporter, nil} {
-		n, err := node.StartWith(context.Background(), configs[i], nil, e, zerolog.Nop())
+		n, err := router.StartWith(context.Background(), configs[i], nil, e, zerolog.Nop())
 		if err != nil {
 			return r, err
 		}
--- a/internal/lab/hollow/bench_test.go
+++ b/internal/lab/hollow/bench_test.go
@@ -5,10 +5,10 @@
 	"fmt"
 	"testing"
 
-	"portflow/internal/harbour/berths"
-	"portflow/internal/harbour/lanes"
-	"portflow/internal/harbour/manifest"
-	"portflow/internal/harbour/signals"
+	"portflow/internal/cluster/config"
+	"portflow/internal/cluster/instance"
+	"portflow/internal/cluster/update"
+	"portflow/internal/proxy/endpoint"
 )
 
 // sizes are those of docs/CAPACITY.md: routers, hosts.
@@ -21,7 +21,7 @@
 		b.Run(fmt.Sprintf("%d-%d", x[0], x[1]), func(b *testing.B) {
 			size := 0
 			for b.Loop() {
-				raw, err := json.Marshal(signals.Word{News: &signals.News{Life: "l", To: 1, Snapshot: true, Notes: s.Snapshot(1, false)}})
+				raw, err := json.Marshal(update.Message{Batch: &update.Batch{Incarnation: "l", To: 1, Snapshot: true, Changes: s.Snapshot(1, false)}})
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -35,24 +35,24 @@
 // What each router works out anew after each change of the configuration, and a control process twice before it takes one.
 func BenchmarkDraw(b *testing.B) {
 	for _, x := range [][2]int{{3200, 0}, {3200, 33000}} {
-		s := manifest.NewSet()
+		s := config.NewSet()
 		for n := range 220 {
-			s.Merge(manifest.Item{Kind: manifest.Services, Name: fmt.Sprint("service-", n), Version: 1,
+			s.Merge(config.Item{Kind: config.KindServices, Name: fmt.Sprint("service-", n), Version: 1,
 				Body: fmt.Appendf(nil, `{"cold-per-s":20,"cold-start-s":3,"connection-limit":140,"health-path":"/health","name":"service-%d"}`, n)})
 		}
 		for n := range x[0] {
-			s.Merge(manifest.Item{Kind: manifest.Routes, Name: fmt.Sprint("route-", n), Version: 1,
+			s.Merge(config.Item{Kind: config.KindRoutes, Name: fmt.Sprint("route-", n), Version: 1,
 				Body: fmt.Appendf(nil, `{"host-name":"desk-%d.example","name":"route-%d","path-prefix":"/r%d","priority-level":1,"service":"service-%d","timeout-s":2}`, n%40, n, n, n%220)})
 		}
 		for n := range x[1] {
-			s.Merge(manifest.Item{Kind: manifest.Shares, Name: fmt.Sprint("share-", n), Version: 1,
+			s.Merge(config.Item{Kind: config.KindQuotas, Name: fmt.Sprint("share-", n), Version: 1,
 				Body: fmt.Appendf(nil, `{"burst":10,"caller":"tenant-%d","caller-header":"X-Tenant","name":"share-%d","per-s":1,"service":"service-%d"}`, n, n, n%220)})
 		}
 		b.Run(fmt.Sprintf("%d-routes-%d-shares", x[0], x[1]), func(b *testing.B) {
 			for b.Loop() {
-				manifest.Draw(s)
+				config.NewRoutingTable(s)
 			}
-			raw, _ := s.Write()
+			raw, _ := s.EncodeChange()
 			b.ReportMetric(float64(len(raw)), "read-bytes")
 		})
 	}
@@ -61,22 +61,22 @@
 // What a router works out for each host that it uses, after each change of the roster.
 func BenchmarkPart(b *testing.B) {
 	for _, x := range sizes {
-		roster, regions := lanes.Roster{}, map[string]string{}
+		roster, regions := endpoint.ProxyList{}, map[string]string{}
 		for z := range 11 {
 			regions[zoneName(z)] = regionName(z)
 		}
 		for n := range x[0] {
 			z := zoneName(n % 11)
-			roster[z] = append(roster[z], lanes.Router{Name: fmt.Sprintf("router-%04d", n), Weight: 1})
+			roster[z] = append(roster[z], endpoint.Proxy{Name: fmt.Sprintf("router-%04d", n), Weight: 1})
 		}
 		for _, of := range []struct {
 			name string
 			zone int
 		}{{"own-zone", 0}, {"beyond", 5}} {
-			h := berths.Host{ID: "host-00001", Zone: zoneName(of.zone), Slots: 6}
+			h := instance.Instance{ID: "host-00001", Zone: zoneName(of.zone), Slots: 6}
 			b.Run(fmt.Sprintf("%d-routers-%s", x[0], of.name), func(b *testing.B) {
 				for b.Loop() {
-					lanes.Part(h, "router-0000", lanes.Place{Zone: zoneName(0), Region: regionName(0)}, regions, roster, lanes.Terms{Overrun: 1.5, Slack: 5, ColdPerS: 20})
+					endpoint.ShareOf(h, "router-0000", endpoint.Location{Zone: zoneName(0), Region: regionName(0)}, regions, roster, endpoint.ColdBounds{Overrun: 1.5, Slack: 5, PerSecond: 20})
 				}
 			})
 		}
--- a/internal/lab/hollow/child.go
+++ b/internal/lab/hollow/child.go
@@ -22,12 +22,12 @@
 
 	"github.com/syndtr/goleveldb/leveldb/storage"
 
-	"portflow/internal/harbour/fairway"
-	"portflow/internal/harbour/harbourmaster"
-	"portflow/internal/harbour/lines"
-	"portflow/internal/harbour/logbook"
-	"portflow/internal/harbour/papers"
-	"portflow/internal/harbour/sea"
+	"portflow/internal/cluster/network"
+	"portflow/internal/cluster/settings"
+	"portflow/internal/cluster/stream"
+	"portflow/internal/control/server"
+	"portflow/internal/control/store"
+	"portflow/internal/proxy"
 )
 
 // The roles of the processes that a play starts.
@@ -38,10 +38,10 @@
 
 // start is what a child process is told first.
 type start struct {
-	Role string      `json:"Role"`
-	Boot papers.Boot `json:"Boot"`
-	Data string      `json:"Data"`
-	Seed uint64      `json:"Seed"`
+	Role string            `json:"Role"`
+	Boot settings.Settings `json:"Boot"`
+	Data string            `json:"Data"`
+	Seed uint64            `json:"Seed"`
 }
 
 // Stat is what a process has spent since its start.
@@ -76,7 +76,7 @@
 	water := &fenced{own: s.Boot.IP}
 	switch s.Role {
 	case control:
-		disk, err := logbook.Folder(s.Data)
+		disk, err := store.OpenDir(s.Data)
 		if err != nil {
 			return err
 		}
@@ -84,7 +84,7 @@
 			return err
 		}
 	case traffic:
-		if _, err := fairway.Start(ctx, fairway.Options{Boot: s.Boot, Sea: water, Seed: s.Seed}); err != nil {
+		if _, err := proxy.Start(ctx, proxy.Options{Settings: s.Boot, Network: water, Seed: s.Seed}); err != nil {
 			return err
 		}
 	default:
@@ -121,8 +121,8 @@
 	}
 }
 
-func master(ctx context.Context, s start, water sea.Sea, disk storage.Storage) error {
-	_, err := harbourmaster.Start(ctx, harbourmaster.Options{Boot: s.Boot, PerZone: 1, Sea: water, Disk: disk, Seed: s.Seed})
+func master(ctx context.Context, s start, water network.Network, disk storage.Storage) error {
+	_, err := server.Start(ctx, server.Options{Settings: s.Boot, MinPerZone: 1, Network: water, Storage: disk, Seed: s.Seed})
 	return err
 }
 
@@ -142,7 +142,7 @@
 	if all, err := os.ReadDir("/proc/self/fd"); err == nil {
 		s.Open = len(all)
 	}
-	s.Said, s.SaidBytes, s.Beats = lines.Said.Load(), lines.SaidBytes.Load(), lines.Beats.Load()
+	s.Said, s.SaidBytes, s.Beats = stream.FramesWritten.Load(), stream.FrameBytesWritten.Load(), stream.HeartbeatsWritten.Load()
 	if data != "" {
 		filepath.WalkDir(data, func(_ string, d fs.DirEntry, err error) error {
 			if err == nil && !d.IsDir() {
@@ -198,12 +198,12 @@
 }
 
 func (f *fenced) Listen(at string) (net.Listener, error) {
-	l, err := sea.Real{}.Listen(at)
+	l, err := network.Host{}.Listen(at)
 	return fencedListener{l, f}, err
 }
 
-func (f *fenced) Packet(at string) (net.PacketConn, error) {
-	c, err := sea.Real{}.Packet(at)
+func (f *fenced) ListenPacket(at string) (net.PacketConn, error) {
+	c, err := network.Host{}.ListenPacket(at)
 	return fencedPacket{c, f}, err
 }
 
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -14,12 +14,12 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"portflow/internal/harbour/berths"
-	"portflow/internal/harbour/bridge"
-	"portflow/internal/harbour/manifest"
-	"portflow/internal/harbour/muster"
-	"portflow/internal/harbour/quorum"
-	"portflow/internal/harbour/signals"
+	"portflow/internal/cluster/config"
+	"portflow/internal/cluster/instance"
+	"portflow/internal/cluster/update"
+	"portflow/internal/control/consensus"
+	"portflow/internal/control/membership"
+	"portflow/internal/control/registry"
 )
 
 func packed(raw []byte) []byte {
@@ -33,24 +33,24 @@
 // A hollow router reads of each word what control's own encoding says, deflated or not, and of a long one its beginning.
 func TestReadHead(t *testing.T) {
 	c := qt.New(t)
-	notes := []signals.Note{{Host: &berths.Host{ID: "h"}}, {Front: &signals.Front{Name: "r"}}, {Front: &signals.Front{Name: "q"}},
-		{Item: &manifest.Item{Kind: "routes", Name: "probe", Version: 3}}}
-	var long []signals.Note
+	notes := []update.Change{{Instance: &instance.Instance{ID: "h"}}, {Proxy: &update.Proxy{Name: "r"}}, {Proxy: &update.Proxy{Name: "q"}},
+		{Item: &config.Item{Kind: "routes", Name: "probe", Version: 3}}}
+	var long []update.Change
 	for n := range 20000 {
-		long = append(long, signals.Note{Host: &berths.Host{ID: fmt.Sprintf("host-%d-%d", n, n*7919), Service: fmt.Sprint(n * n)}})
+		long = append(long, update.Change{Instance: &instance.Instance{ID: fmt.Sprintf("host-%d-%d", n, n*7919), Service: fmt.Sprint(n * n)}})
 	}
 	for _, x := range []struct {
-		word signals.Word
+		word update.Message
 		want head
 	}{
-		{signals.Word{Hello: &signals.Hello{Name: "m"}}, head{Kind: Greeting}},
-		{signals.Word{Status: &signals.Status{Whole: true, Majority: true}}, head{Kind: Status, Whole: true, Majority: true}},
-		{signals.Word{Status: &signals.Status{}}, head{Kind: Status}},
-		{signals.Word{Tons: &signals.Tons{}}, head{Kind: Tons}},
-		{signals.Word{Agreed: json.RawMessage(`{"k":"c"}`)}, head{Kind: Other}},
-		{signals.Word{News: &signals.News{Life: "l", From: 3, To: 9, Notes: notes}}, head{Kind: Batch, Life: "l", From: 3, To: 9, Hosts: 1, Fronts: 2, Items: 1}},
-		{signals.Word{News: &signals.News{Life: "l", To: 9}}, head{Kind: Batch, Life: "l", To: 9}},
-		{signals.Word{News: &signals.News{Life: "l", To: 9, Snapshot: true, Notes: long}}, head{Kind: Snapshot, Life: "l", To: 9}},
+		{update.Message{Hello: &update.Hello{Name: "m"}}, head{Kind: Greeting}},
+		{update.Message{Status: &update.Status{Complete: true, HasQuorum: true}}, head{Kind: Status, Whole: true, Majority: true}},
+		{update.Message{Status: &update.Status{}}, head{Kind: Status}},
+		{update.Message{Quota: &update.QuotaUpdate{}}, head{Kind: Tons}},
+		{update.Message{Consensus: json.RawMessage(`{"k":"c"}`)}, head{Kind: Other}},
+		{update.Message{Batch: &update.Batch{Incarnation: "l", From: 3, To: 9, Changes: notes}}, head{Kind: Batch, Life: "l", From: 3, To: 9, Hosts: 1, Fronts: 2, Items: 1}},
+		{update.Message{Batch: &update.Batch{Incarnation: "l", To: 9}}, head{Kind: Batch, Life: "l", To: 9}},
+		{update.Message{Batch: &update.Batch{Incarnation: "l", To: 9, Snapshot: true, Changes: long}}, head{Kind: Snapshot, Life: "l", To: 9}},
 	} {
 		raw, err := json.Marshal(x.word)
 		c.Assert(err, qt.IsNil)
@@ -66,15 +66,15 @@
 			c.Check(h, qt.DeepEquals, x.want)
 		}
 	}
-	cut, err := signals.NewCut(signals.Head{Name: "l.1", Life: "l", To: 9}, long, func(word []byte) []byte { return word })
+	cut, err := update.NewSnapshot(update.SnapshotHeader{Name: "l.1", Incarnation: "l", To: 9}, long, func(word []byte) []byte { return word })
 	c.Assert(err, qt.IsNil)
 	have := 0
-	for _, w := range cut.Words { // a snapshot in chunks
+	for _, w := range cut.Messages { // a snapshot in chunks
 		h, err := readHead(packed(w), true)
 		c.Assert(err, qt.IsNil)
-		c.Check(h.Part.Have > have, qt.IsTrue)
-		have = h.Part.Have
-		c.Check(h, qt.DeepEquals, head{Kind: Snapshot, Life: "l", To: 9, Part: signals.Part{Name: "l.1", Have: have}, Of: len(long)})
+		c.Check(h.Part.Received > have, qt.IsTrue)
+		have = h.Part.Received
+		c.Check(h, qt.DeepEquals, head{Kind: Snapshot, Life: "l", To: 9, Part: update.Progress{Name: "l.1", Received: have}, Of: len(long)})
 	}
 	c.Check(have, qt.Equals, len(long))
 }
@@ -118,30 +118,30 @@
 }
 
 // core is what a control process knows of so many routers and hosts, with so many routes.
-func core(routers, hosts, routes int) *bridge.State {
-	items := manifest.NewSet()
+func core(routers, hosts, routes int) *registry.State {
+	items := config.NewSet()
 	for n := range routes {
-		items.Merge(manifest.Item{Kind: manifest.Routes, Name: fmt.Sprintf("route-%04d", n), Version: 1, Body: []byte(`{"name":"route","path-prefix":"/r","service":"s"}`)})
+		items.Merge(config.Item{Kind: config.KindRoutes, Name: fmt.Sprintf("route-%04d", n), Version: 1, Body: []byte(`{"name":"route","path-prefix":"/r","service":"s"}`)})
 	}
-	self := muster.Member{IP: "10.0.0.1", ID: "d", Name: "m", Zone: "a"}
-	s := bridge.NewState(signals.Hello{Name: "m", IP: self.IP, Zone: "a", Control: true}, quorum.New(self, "life", 1, quorum.Disk{ID: "d"}, items, 1), int64(beat))
+	self := membership.Member{IP: "10.0.0.1", ID: "d", Name: "m", Zone: "a"}
+	s := registry.NewState(update.Hello{Name: "m", IP: self.IP, Zone: "a", Control: true}, consensus.New(self, "life", 1, consensus.HardState{DiskID: "d"}, items, 1), int64(beat))
 	for n := range hosts {
-		h, _ := s.Register.Beat(1, berths.Host{ID: fmt.Sprintf("host-%05d", n), Service: "s", Zone: "a", Address: "10.0.1.1:80", Version: "v", Slots: 6, Sequence: 1})
-		s.TellHost(h, true)
+		h, _ := s.Instances.Heartbeat(1, instance.Instance{ID: fmt.Sprintf("host-%05d", n), Service: "s", Zone: "a", Address: "10.0.1.1:80", Version: "v", Slots: 6, Sequence: 1})
+		s.PublishInstance(h, true)
 	}
 	for n := range routers {
-		s.Claim(1, signals.Front{Name: fmt.Sprintf("router-%04d", n), Zone: "a", IP: "10.0.2.1", Address: "10.0.2.1:80", Ready: true, Owner: "m"})
+		s.ClaimProxy(1, update.Proxy{Name: fmt.Sprintf("router-%04d", n), Zone: "a", IP: "10.0.2.1", Address: "10.0.2.1:80", Ready: true, Owner: "m"})
 	}
 	return s
 }
 
 // said is how many notes and bytes a follower is told for what a call changes.
-func said(s *bridge.State, control bool, change func()) (notes, size int) {
-	at := s.Ledger.Last()
+func said(s *registry.State, control bool, change func()) (notes, size int) {
+	at := s.Updates.Last()
 	change()
-	all, _ := s.Ledger.After(at)
-	batch := bridge.Fit(all, control)
-	raw, _ := json.Marshal(signals.Word{News: &signals.News{Life: "l", From: at, To: s.Ledger.Last(), Notes: batch}})
+	all, _ := s.Updates.After(at)
+	batch := registry.Filter(all, control)
+	raw, _ := json.Marshal(update.Message{Batch: &update.Batch{Incarnation: "l", From: at, To: s.Updates.Last(), Changes: batch}})
 	return len(batch), len(raw)
 }
 
@@ -153,27 +153,27 @@
 	costs := map[[3]int]cost{}
 	for _, size := range [][3]int{{10, 100, 100}, {510, 100, 100}, {10, 4200, 100}, {10, 100, 3200}} {
 		s := core(size[0], size[1], size[2])
-		h := s.Register.Host("host-00007")
-		beat := func(state berths.State) func() {
+		h := s.Instances.Lookup("host-00007")
+		beat := func(state instance.State) func() {
 			return func() {
 				h.Sequence, h.State = h.Sequence+1, state
-				if x, changed := s.Register.Beat(2, h); changed {
-					s.TellHost(x, true)
+				if x, changed := s.Instances.Heartbeat(2, h); changed {
+					s.PublishInstance(x, true)
 				}
 			}
 		}
 		var x cost
-		notes, size0 := said(s, false, beat(berths.Ready))
+		notes, size0 := said(s, false, beat(instance.Ready))
 		c.Check(notes, qt.Equals, 0)
 		x.Beat = size0
-		notes, x.Drain = said(s, false, beat(berths.Draining))
+		notes, x.Drain = said(s, false, beat(instance.Draining))
 		c.Check(notes, qt.Equals, 1)
-		notes, x.Router = said(s, false, func() { s.Claim(3, s.Fronts["router-0003"]) })
+		notes, x.Router = said(s, false, func() { s.ClaimProxy(3, s.Proxies["router-0003"]) })
 		c.Check(notes, qt.Equals, 1)
 		notes, x.Item = said(s, false, func() {
-			i := manifest.Item{Kind: manifest.Routes, Name: "route-0003", Version: 2, Body: []byte(`{"name":"route"}`)}
+			i := config.Item{Kind: config.KindRoutes, Name: "route-0003", Version: 2, Body: []byte(`{"name":"route"}`)}
 			c.Assert(s.Set.Merge(i), qt.IsTrue)
-			s.Publish(1, []manifest.Item{i}, true)
+			s.Publish(1, []config.Item{i}, true)
 		})
 		c.Check(notes, qt.Equals, 1)
 		raw, err := json.Marshal(s.Snapshot(1, false))
--- a/internal/lab/hollow/plan.go
+++ b/internal/lab/hollow/plan.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"time"
 
-	"portflow/internal/harbour/papers"
+	"portflow/internal/cluster/settings"
 )
 
 // Plan is one play. Zones belong to regions in turn, three to each.
@@ -108,28 +108,28 @@
 }
 
 // boot is a process's settings. A control process is told of the core's zones only, as it takes the core's size from them.
-func (p Plan) boot(name, role string, zone, n int) papers.Boot {
+func (p Plan) boot(name, role string, zone, n int) settings.Settings {
 	ip := address(zone, n)
 	at := func(port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
-	b := papers.Boot{Name: name, Role: role, Class: role, IP: ip, Zone: zoneName(zone), Region: regionName(zone), FirstStart: true, MemoryMB: 1024,
-		Descriptors: 4000, DiskMB: 64, Share: 1, Serves: []string{"front", "control", "directory"}, Ports: [2]int{firstPort, lastPort},
-		Listen: map[string]string{"front": at(frontPort), "readiness": at(readyPort), "control": at(controlPort), "directory": at(controlPort + 3)},
-		Zones:  map[string]string{}, Heartbeat: int64(beat),
-		Bounds: papers.Bounds{SeedLag: 3e9, Reuse: 2e9, Contact: 5e9, Acknowledge: 6e9, CatchUp: 4e9, DrainLimit: 3e9, Grace: 6e9,
+	b := settings.Settings{Name: name, Role: role, MachineClass: role, IP: ip, Zone: zoneName(zone), Region: regionName(zone), FirstStart: true, MemoryMB: 1024,
+		Descriptors: 4000, DiskMB: 64, ProcessorShare: 1, Serves: []string{"front", "control", "directory"}, InternalPorts: [2]int{firstPort, lastPort},
+		ListenAddresses: map[string]string{"front": at(frontPort), "readiness": at(readyPort), "control": at(controlPort), "directory": at(controlPort + 3)},
+		ZoneRegions:     map[string]string{}, HeartbeatInterval: int64(beat),
+		Terms: settings.Terms{SeedLag: 3e9, Reuse: 2e9, Contact: 5e9, Acknowledge: 6e9, CatchUp: 4e9, DrainLimit: 3e9, Grace: 6e9,
 			LossSlack: 200e6, Configuration: 3e9, RollbackSlack: 250e6, OuterStretch: 10e9, BudgetWindow: 10e9, Rollback: 5e9,
 			Evacuation: 5e9, Recovery: 15e9, Lifetime: 5e9, BudgetRatio: 0.2, BudgetSlack: 64, ExposureShare: 0.1, ExposureSlack: 50,
 			ColdOverrun: 1.5, ColdSlack: 5}}
 	homes := p.homes()
 	for _, z := range homes[:min(3, len(homes))] {
-		b.Seeds = append(b.Seeds, net.JoinHostPort(address(z, 0), strconv.Itoa(controlPort)))
+		b.SeedNodes = append(b.SeedNodes, net.JoinHostPort(address(z, 0), strconv.Itoa(controlPort)))
 	}
 	if role == control {
 		for _, z := range homes {
-			b.Zones[zoneName(z)] = regionName(z)
+			b.ZoneRegions[zoneName(z)] = regionName(z)
 		}
 	} else {
 		for z := range p.Zones {
-			b.Zones[zoneName(z)] = regionName(z)
+			b.ZoneRegions[zoneName(z)] = regionName(z)
 		}
 	}
 	return b
--- a/internal/lab/hollow/play.go
+++ b/internal/lab/hollow/play.go
@@ -18,7 +18,7 @@
 	"sync/atomic"
 	"time"
 
-	"portflow/internal/harbour/signals"
+	"portflow/internal/cluster/update"
 )
 
 // Spread is how long something took, milliseconds: over all routers and changes.
@@ -278,7 +278,7 @@
 func (g *rig) restart(ctx context.Context, all []*router) error {
 	for _, x := range all {
 		life, cancel := context.WithCancel(ctx)
-		x.cancel, x.follower = cancel, signals.Follower{}
+		x.cancel, x.follower = cancel, update.Subscription{}
 		x.ready.Store(0)
 		for try := 0; ; try++ { // the old life's socket closes in a moment
 			err := x.run(life)
@@ -478,7 +478,7 @@
 
 func (g *rig) shuffled() (n int64) {
 	for _, x := range g.routers {
-		n += x.convoy.Sent.Load()
+		n += x.convoy.BytesSent.Load()
 	}
 	return n
 }
--- a/internal/lab/hollow/router.go
+++ b/internal/lab/hollow/router.go
@@ -17,10 +17,10 @@
 	"sync/atomic"
 	"time"
 
-	"portflow/internal/harbour/convoy"
-	"portflow/internal/harbour/lines"
-	"portflow/internal/harbour/sea"
-	"portflow/internal/harbour/signals"
+	"portflow/internal/cluster/gossip"
+	"portflow/internal/cluster/network"
+	"portflow/internal/cluster/stream"
+	"portflow/internal/cluster/update"
 )
 
 // Kind is what a frame that control sends a router holds.
@@ -46,8 +46,8 @@
 	Kind            Kind
 	Life            string
 	From, To        uint64
-	Part            signals.Part // of a snapshot that comes in chunks: what is there with this one
-	Of              int          // notes that it has in all; 0 where it comes in one frame
+	Part            update.Progress // of a snapshot that comes in chunks: what is there with this one
+	Of              int             // notes that it has in all; 0 where it comes in one frame
 	Whole, Majority bool
 	Hosts, Fronts   int // notes of a batch
 	Items           int
@@ -55,8 +55,8 @@
 }
 
 const (
-	enough  = 2 * signals.ChunkBytes // bytes up to which a frame is read whole
-	opening = 2 << 10                // of a longer one
+	enough  = 2 * update.ChunkBytes // bytes up to which a frame is read whole
+	opening = 2 << 10               // of a longer one
 )
 
 // readHead reads a frame's body: the first member of a word says what it is, and of news the numbers come before the notes.
@@ -78,10 +78,10 @@
 		return head{Kind: Greeting}, nil
 	case bytes.HasPrefix(raw, []byte(`{"s":`)):
 		var w struct {
-			S signals.Status `json:"s"`
+			S update.Status `json:"s"`
 		}
 		err := json.Unmarshal(raw, &w)
-		return head{Kind: Status, Whole: w.S.Whole, Majority: w.S.Majority}, err
+		return head{Kind: Status, Whole: w.S.Complete, Majority: w.S.HasQuorum}, err
 	case bytes.HasPrefix(raw, []byte(`{"t":`)):
 		return head{Kind: Tons}, nil
 	case bytes.HasPrefix(raw, []byte(`{"k":`)):
@@ -127,7 +127,7 @@
 func readChunk(raw []byte) (head, error) {
 	var w struct {
 		K struct {
-			signals.Chunk
+			update.Chunk
 			Notes []json.RawMessage `json:"n"`
 		} `json:"k"`
 	}
@@ -135,7 +135,7 @@
 		return head{}, err
 	}
 	c := w.K
-	return head{Kind: Snapshot, Life: c.Life, To: c.To, Part: signals.Part{Name: c.Name, Have: c.From + len(c.Notes)}, Of: c.Of}, nil
+	return head{Kind: Snapshot, Life: c.Incarnation, To: c.To, Part: update.Progress{Name: c.Name, Received: c.From + len(c.Notes)}, Of: c.Total}, nil
 }
 
 // Tally counts what routers were told, by kind and by how far the control process is.
@@ -158,25 +158,25 @@
 	conn     net.Conn
 	to       int // zone of the control process
 	wrote    time.Time
-	follower signals.Follower
+	follower update.Subscription
 	incoming head         // the last chunk of a snapshot that isn't whole with what came since
 	of       int          // the zone of the control process whose news it has
 	ready    atomic.Int64 // Unix nanoseconds since when it follows with a snapshot, 0 for not
 	change   int64
 	cancel   context.CancelFunc
-	convoy   *convoy.Convoy
+	convoy   *gossip.Gossiper
 }
 
 // run is one life.
 func (r *router) run(ctx context.Context) error {
-	p, err := sea.Real{}.Packet(net.JoinHostPort(r.ip, strconv.Itoa(lastPort)))
+	p, err := network.Host{}.ListenPacket(net.JoinHostPort(r.ip, strconv.Itoa(lastPort)))
 	if err != nil {
 		return err
 	}
-	r.convoy = convoy.Start(convoy.Member{IP: r.ip, Kind: convoy.Traffic, Zone: zoneName(r.zone)}, fencedPacket{p, &fenced{}}, [2]int{firstPort, lastPort},
+	r.convoy = gossip.Start(gossip.Member{IP: r.ip, Kind: gossip.Proxy, Zone: zoneName(r.zone)}, fencedPacket{p, &fenced{}}, [2]int{firstPort, lastPort},
 		r.rig.Seed^uint64(r.n)<<20, func(string, []byte) {})
 	for _, z := range r.rig.seeds() {
-		r.convoy.Meet(convoy.Member{IP: address(z, 0), Kind: convoy.Control})
+		r.convoy.Add(gossip.Member{IP: address(z, 0), Kind: gossip.Control})
 	}
 	go r.convoy.Run(ctx)
 	go r.follow(ctx)
@@ -251,7 +251,7 @@
 	at := ring(r.zone, z)
 	r.mu.Lock()
 	r.conn, r.to, r.change = c, z, time.Now().UnixNano()
-	hello := signals.Hello{Name: r.name, IP: r.ip, Zone: zoneName(r.zone), Life: r.follower.Life, Have: r.follower.Have}
+	hello := update.Hello{Name: r.name, IP: r.ip, Zone: zoneName(r.zone), Incarnation: r.follower.Incarnation, Offset: r.follower.Offset}
 	part := r.incoming.Part
 	r.mu.Unlock()
 	defer func() {
@@ -260,7 +260,7 @@
 		r.conn = nil
 	}()
 	c.Write([]byte("pfl1"))
-	r.say(signals.Word{Hello: &hello, Part: &part})
+	r.say(update.Message{Hello: &hello, Progress: &part})
 	r.tellSelf(false)
 	var why reason
 	patience := time.AfterFunc(600*time.Millisecond, func() { why.Store(&errBehind); c.Close() })
@@ -276,7 +276,7 @@
 	defer look.Stop()
 	four := make([]byte, 4)
 	read := func(b []byte) error {
-		c.SetReadDeadline(time.Now().Add(lines.Quick.Silence))
+		c.SetReadDeadline(time.Now().Add(stream.ProxyKeepalive.Timeout))
 		_, err := io.ReadFull(c, b)
 		return err
 	}
@@ -303,7 +303,7 @@
 		switch h.Kind {
 		case Status:
 			if h.Whole && h.Majority {
-				if patience.Stop(); r.follower.Life != "" && r.of == z { // it has been here before: changes are enough
+				if patience.Stop(); r.follower.Incarnation != "" && r.of == z { // it has been here before: changes are enough
 					r.follows()
 				}
 			} else {
@@ -315,16 +315,16 @@
 			t.Items.Add(int64(h.Items))
 			if h.Part.Name != "" { // the changes since it come with the next batch
 				r.incoming = h
-				r.say(signals.Word{Part: &h.Part})
+				r.say(update.Message{Progress: &h.Part})
 				continue
 			}
-			if i := r.incoming; i.Of == i.Part.Have && i.Part.Name != "" && h.Kind == Batch && h.Life == i.Life && h.From == i.To {
+			if i := r.incoming; i.Of == i.Part.Received && i.Part.Name != "" && h.Kind == Batch && h.Life == i.Life && h.From == i.To {
 				h.Kind, r.incoming = Snapshot, head{}
 			}
-			if !r.follower.Take(h.Life, h.From, h.To, h.Kind == Snapshot) {
+			if !r.follower.Advance(h.Life, h.From, h.To, h.Kind == Snapshot) {
 				return errors.New("news does not follow")
 			}
-			r.say(signals.Word{Ack: h.To})
+			r.say(update.Message{Ack: h.To})
 			if h.Kind == Snapshot {
 				r.of = z
 				r.follows()
@@ -344,11 +344,11 @@
 
 // tellSelf tells control how the router is.
 func (r *router) tellSelf(ready bool) {
-	r.say(signals.Word{Front: &signals.Front{Name: r.name, Zone: zoneName(r.zone), IP: r.ip, Address: net.JoinHostPort(r.ip, strconv.Itoa(frontPort)),
-		Ready: ready, Since: r.change}})
+	r.say(update.Message{Proxy: &update.Proxy{Name: r.name, Zone: zoneName(r.zone), IP: r.ip, Address: net.JoinHostPort(r.ip, strconv.Itoa(frontPort)),
+		Ready: ready, RegisteredAt: r.change}})
 }
 
-func (r *router) say(w signals.Word) {
+func (r *router) say(w update.Message) {
 	raw, err := json.Marshal(w)
 	if err != nil {
 		return
@@ -375,7 +375,7 @@
 // beat says that the router is there, where it has said nothing of late.
 func (r *router) beat() {
 	r.mu.Lock()
-	quiet := time.Since(r.wrote) >= lines.Quick.Beat*7/8
+	quiet := time.Since(r.wrote) >= stream.ProxyKeepalive.Interval*7/8
 	r.mu.Unlock()
 	if quiet {
 		r.write(make([]byte, 4))
--- a/internal/lab/hollow/snapshot_test.go
+++ b/internal/lab/hollow/snapshot_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"portflow/internal/harbour/lines"
-	"portflow/internal/harbour/manifest"
-	"portflow/internal/harbour/signals"
+	"portflow/internal/cluster/config"
+	"portflow/internal/cluster/stream"
+	"portflow/internal/cluster/update"
 )
 
 // What a router's snapshot takes, by routes, hosts and shares: the longest frame and all bytes on the line, time to make it, and to
@@ -17,11 +17,11 @@
 	for _, x := range [][4]int{{1, 4, 10, 0}, {13, 107, 100, 0}, {92, 757, 1000, 0}, {510, 4200, 3200, 33000}} {
 		s := core(x[0], x[1], 0)
 		for n := range x[2] {
-			s.Set.Merge(manifest.Item{Kind: manifest.Routes, Name: fmt.Sprintf("route-%04d", n), Version: 1, Body: fmt.Appendf(nil,
+			s.Set.Merge(config.Item{Kind: config.KindRoutes, Name: fmt.Sprintf("route-%04d", n), Version: 1, Body: fmt.Appendf(nil,
 				`{"host-name":"desk-%d.example","maximum-attempts":2,"name":"route-%04d","path-prefix":"/r%d/","priority-level":1,"route-kind":"unsafe_method","service":"service-%d","target-s":0.8,"timeout-s":2}`, n%40, n, n, n%220)})
 		}
 		for n := range x[3] {
-			s.Set.Merge(manifest.Item{Kind: manifest.Shares, Name: fmt.Sprintf("share-%05d", n), Version: 1, Body: fmt.Appendf(nil,
+			s.Set.Merge(config.Item{Kind: config.KindQuotas, Name: fmt.Sprintf("share-%05d", n), Version: 1, Body: fmt.Appendf(nil,
 				`{"burst":10,"caller":"tenant-%05d","caller-header":"X-Tenant","name":"share-%05d","per-s":1,"service":"service-%d"}`, n, n, n%220)})
 		}
 		name := fmt.Sprintf("%d-routes-%d-shares-%d-hosts", x[2], x[3], x[1])
@@ -32,30 +32,30 @@
 			for b.Loop() {
 				began := time.Now()
 				notes := s.Snapshot(1, false)
-				c, err := signals.NewCut(signals.Head{Name: "l.1", Life: "l", To: 1}, notes, func(w []byte) []byte {
+				c, err := update.NewSnapshot(update.SnapshotHeader{Name: "l.1", Incarnation: "l", To: 1}, notes, func(w []byte) []byte {
 					most = max(most, len(w))
-					return lines.Frame(w)
+					return stream.EncodeFrame(w)
 				})
 				if err != nil {
 					b.Fatal(err)
 				}
-				made, bytes, chunks = min(made, time.Since(began)), c.Bytes, len(c.Words)
-				plain, err := signals.NewCut(signals.Head{Name: "l.1", Life: "l", To: 1}, notes, func(w []byte) []byte { return w })
+				made, bytes, chunks = min(made, time.Since(began)), c.Bytes, len(c.Messages)
+				plain, err := update.NewSnapshot(update.SnapshotHeader{Name: "l.1", Incarnation: "l", To: 1}, notes, func(w []byte) []byte { return w })
 				if err != nil {
 					b.Fatal(err)
 				}
 				began = time.Now()
-				var a signals.Assembly
-				for _, raw := range plain.Words {
-					var w signals.Word
+				var a update.Assembly
+				for _, raw := range plain.Messages {
+					var w update.Message
 					if err := json.Unmarshal(raw, &w); err != nil {
 						b.Fatal(err)
 					}
-					if err := a.Take(*w.Chunk); err != nil {
+					if err := a.Add(*w.Chunk); err != nil {
 						b.Fatal(err)
 					}
 				}
-				if _, ok := a.Close(signals.News{Life: "l", From: 1, To: 1}); !ok {
+				if _, ok := a.Finish(update.Batch{Incarnation: "l", From: 1, To: 1}); !ok {
 					b.Fatal("not whole")
 				}
 				took = min(took, time.Since(began))
@@ -68,14 +68,14 @@
 			var bytes, most int
 			for b.Loop() {
 				began := time.Now()
-				raw, err := json.Marshal(signals.Word{News: &signals.News{Life: "l", To: 1, Snapshot: true, Notes: s.Snapshot(1, false)}})
+				raw, err := json.Marshal(update.Message{Batch: &update.Batch{Incarnation: "l", To: 1, Snapshot: true, Changes: s.Snapshot(1, false)}})
 				if err != nil {
 					b.Fatal(err)
 				}
-				most, bytes = len(raw), len(lines.Frame(raw))
+				most, bytes = len(raw), len(stream.EncodeFrame(raw))
 				made = min(made, time.Since(began))
 				began = time.Now()
-				var w signals.Word
+				var w update.Message
 				if err := json.Unmarshal(raw, &w); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/lab/days/days_test.go
+++ b/internal/lab/scenario/days_test.go
@@ -1,4 +1,4 @@
-package days
+package scenario
 
 import (
 	"fmt"
--- a/internal/lab/days/draw.go
+++ b/internal/lab/scenario/draw.go
@@ -1,4 +1,4 @@
-package days
+package scenario
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 
 	"github.com/samber/lo"
 
-	"portflow/internal/parts/chance"
+	"portflow/internal/random"
 )
 
 // Day is a day of our own.
@@ -69,7 +69,7 @@
 		}
 	}
 	// neighbours in the list aren't neighbours among the seeds
-	shuffle(&chance.Source{Seed: uint64(len(d.single))}, d.single)
+	shuffle(&random.Source{Seed: uint64(len(d.single))}, d.single)
 	return d, nil
 }
 
@@ -123,7 +123,7 @@
 	if seed == 0 {
 		return Day{}, errors.New("seeds count from 1")
 	}
-	c := &chance.Source{Seed: seed}
+	c := &random.Source{Seed: seed}
 	turn := int(seed - 1)
 	wished := d.single
 	if len(wishes) > 0 {
@@ -179,7 +179,7 @@
 }
 
 // drawHow draws a variant: one of its own, or of those that the site shows, with further ones at times.
-func (d *Drawer) drawHow(c *chance.Source, k Kind) string {
+func (d *Drawer) drawHow(c *random.Source, k Kind) string {
 	shown := lo.Map(d.Shown[k.Name], func(e Entry, _ int) string { return strings.Join(e.How(), " ") })
 	how := pick(c, append(d.ownHows(k), shown...))
 	words := strings.Fields(how)
@@ -193,7 +193,7 @@
 }
 
 // fill gives an entry the fields that it lacks: a moment, and what its kind's line or the site's entries of the kind name.
-func (d *Drawer) fill(c *chance.Source, k Kind, e Entry) Entry {
+func (d *Drawer) fill(c *random.Source, k Kind, e Entry) Entry {
 	full := Entry{"at": round(d.LengthS * (firstMoment + c.Next()*(lastMoment-firstMoment)))}
 	shown := Entry{}
 	if s := d.Shown[k.Name]; len(s) > 0 {
@@ -268,7 +268,7 @@
 }
 
 // drawClosing goes round the closing faults by seed, none among them, each with its variants.
-func (d *Drawer) drawClosing(c *chance.Source, turn int) Entry {
+func (d *Drawer) drawClosing(c *random.Source, turn int) Entry {
 	i := turn % (len(d.Closings) + 1)
 	if i == len(d.Closings) {
 		return Entry{}
@@ -499,9 +499,9 @@
 
 func round(x float64) float64 { return math.Round(x*100) / 100 }
 
-func pick[T any](c *chance.Source, l []T) T { return l[int(c.Next()*float64(len(l)))] }
+func pick[T any](c *random.Source, l []T) T { return l[int(c.Next()*float64(len(l)))] }
 
-func shuffle[T any](c *chance.Source, l []T) {
+func shuffle[T any](c *random.Source, l []T) {
 	for i := len(l) - 1; i > 0; i-- {
 		j := int(c.Next() * float64(i+1))
 		l[i], l[j] = l[j], l[i]
--- a/internal/lab/days/kinds.go
+++ b/internal/lab/scenario/kinds.go
@@ -1,7 +1,7 @@
-// Package days draws days of troubles for the users' bench, by seed: what a deployment's list of kinds and its site file
+// Package scenario draws days of troubles for the users' bench, by seed: what a deployment's list of kinds and its site file
 // tell of is read, entries are drawn from it, and a day file is written. It knows no kind, site or figure by itself. It is
 // pure: text comes in, text goes out, and the seed is all its chance.
-package days
+package scenario
 
 import (
 	"fmt"
--- a/internal/lab/days/played.go
+++ b/internal/lab/scenario/played.go
@@ -1,4 +1,4 @@
-package days
+package scenario
 
 import (
 	"encoding/json"
--- a/internal/lab/basin/attempts_test.go
+++ b/internal/lab/simulation/attempts_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"portflow/internal/parts/chance"
+	"portflow/internal/random"
 )
 
 var rough = flag.Int("rough", 6, "drawn days of hosts with bad answers to play")
@@ -58,7 +58,7 @@
 type roughDay struct {
 	*Harbour
 	mu   sync.Mutex
-	draw chance.Source
+	draw random.Source
 	did  map[string]int
 	over map[string]bool // addresses whose first host has ended, and routers that were stopped
 }
@@ -365,7 +365,7 @@
 		f, done := d.router(), make(chan bool)
 		d.all.Go(func() {
 			defer close(done)
-			f.Running.Leave()
+			f.Running.Drain()
 		})
 		time.Sleep(time.Duration(d.n(1500)) * time.Millisecond)
 		f.Kill()
@@ -412,7 +412,7 @@
 		h := New(l)
 		c.Assert(h.Start(), qt.IsNil)
 		c.Cleanup(h.Stop)
-		d := &roughDay{Harbour: h, draw: chance.Source{Seed: uint64(seed)*7919 + 1}, did: map[string]int{}, over: map[string]bool{}}
+		d := &roughDay{Harbour: h, draw: random.Source{Seed: uint64(seed)*7919 + 1}, did: map[string]int{}, over: map[string]bool{}}
 		for z := range l.Zones {
 			for range 2 {
 				var has []quirk
--- a/internal/lab/basin/basin_test.go
+++ b/internal/lab/simulation/basin_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"portflow/internal/harbour/harbourmaster"
-	"portflow/internal/harbour/lines"
+	"portflow/internal/cluster/stream"
+	"portflow/internal/control/server"
 )
 
 var small = Layout{Zones: 4, Routers: 2, Hosts: 2, Services: []string{"desk"}, Work: 80 * time.Millisecond, Slots: 3, Rate: 4, Seed: 1}
@@ -144,7 +144,7 @@
 		for range 12 {
 			time.Sleep(500 * time.Millisecond)
 			for _, f := range h.Fairways {
-				usable := f.Running.Usable("desk")
+				usable := f.Running.UsableHosts("desk")
 				c.Check(usable >= 10, qt.IsTrue, qt.Commentf("%s: %d of 12 hosts", f.Boot.Name, usable))
 			}
 		}
@@ -173,12 +173,12 @@
 				judged := 0 // by routers that vote: control shows what they go by
 				for i := range h.Masters {
 					_, _, answer := h.Order("harbour.read", "", nil, time.Second, i)
-					var s harbourmaster.Survey
+					var s server.ClusterStatus
 					c.Assert(json.Unmarshal(answer, &s), qt.IsNil)
 					for _, r := range s.Rollouts {
-						for _, j := range r.Judges {
+						for _, j := range r.Proxies {
 							judged++
-							c.Check(j.Age < 5 && j.Outcomes[0] > 0, qt.IsTrue, qt.Commentf("%+v", j))
+							c.Check(j.AgeSeconds < 5 && j.Outcomes[0] > 0, qt.IsTrue, qt.Commentf("%+v", j))
 							c.Check(j.Excess[0]-j.Error[0] > j.Threshold[0], qt.Equals, bad, qt.Commentf("%+v", j))
 						}
 					}
@@ -221,9 +221,9 @@
 		state := func() string {
 			for i := range h.Masters {
 				_, _, answer := h.Order("harbour.read", "", nil, time.Second, i)
-				var s harbourmaster.Survey
+				var s server.ClusterStatus
 				c.Assert(json.Unmarshal(answer, &s), qt.IsNil)
-				for _, x := range s.Hosts {
+				for _, x := range s.Instances {
 					if x.ID == q.ID && x.State != "ready" {
 						return x.State
 					}
@@ -314,7 +314,7 @@
 			h.ended["safe-1"] = "200" // asked by hand
 			h.mu.Unlock()
 			began := time.Now()
-			conn, err := p.Dial(context.Background(), "tcp", f.Boot.Listen["front"])
+			conn, err := p.Dial(context.Background(), "tcp", f.Boot.ListenAddresses["front"])
 			c.Assert(err, qt.IsNil)
 			conn.Write([]byte(x.raw))
 			head := make([]byte, 12)
@@ -327,13 +327,13 @@
 			c.Check(got, qt.Equals, x.want, qt.Commentf(name))
 			c.Check(time.Since(began) < 6*time.Second, qt.IsTrue, qt.Commentf("%s took %v", name, time.Since(began)))
 		}
-		before := lines.Foreign.Load()
+		before := stream.MalformedFrames.Load()
 		conn, err := p.Dial(context.Background(), "tcp", net.JoinHostPort(h.Masters[0].Boot.IP, strconv.Itoa(firstPort)))
 		c.Assert(err, qt.IsNil)
 		conn.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 		time.Sleep(time.Second)
 		conn.Close()
-		c.Check(lines.Foreign.Load()-before, qt.Equals, int64(1))
+		c.Check(stream.MalformedFrames.Load()-before, qt.Equals, int64(1))
 		for call, want := range map[string]int{"nothing.known": 404, "instances.heartbeat": 400, "configuration.modify": 400, "rollouts.begin": 400} {
 			status, _, _ := h.Order(call, "i", []byte(`{"half":`), time.Second, 0)
 			c.Check(status, qt.Equals, want, qt.Commentf(call))
@@ -358,7 +358,7 @@
 			time.Sleep(2 * time.Second)
 			client := h.client(h.Sea.Process("10.1.201.2"), 0)
 			defer client.CloseIdleConnections()
-			req, _ := http.NewRequest("GET", "http://"+f.Boot.Listen["front"]+"/look/x", nil)
+			req, _ := http.NewRequest("GET", "http://"+f.Boot.ListenAddresses["front"]+"/look/x", nil)
 			req.Host = "desk.example"
 			req.Header.Set("Attempt-Id", "safe-long")
 			h.mu.Lock()
@@ -394,7 +394,7 @@
 			c.Assert(status, qt.Equals, 200, qt.Commentf("%s", answer))
 			time.Sleep(1100 * time.Millisecond)
 			for _, f := range h.Fairways {
-				c.Check(f.Running.Versions(), qt.HasLen, 2, qt.Commentf("seed %d: %s", seed, f.Boot.Name))
+				c.Check(f.Running.RouteVersions(), qt.HasLen, 2, qt.Commentf("seed %d: %s", seed, f.Boot.Name))
 			}
 		})
 	}
--- a/internal/lab/basin/clocks_test.go
+++ b/internal/lab/simulation/clocks_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"encoding/json"
@@ -9,8 +9,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"portflow/internal/harbour/signals"
-	"portflow/rules"
+	"portflow/internal/cluster/update"
+	"portflow/internal/decision"
 )
 
 // A rollout runs for its term, whatever the clocks of the control processes say: one whose clock has stepped by an hour, either
@@ -151,7 +151,7 @@
 		completed := false
 		for range 60 {
 			for _, f := range h.Fairways[:2] {
-				f.Running.Vote(signals.Poll{Service: "desk", Order: 1, Verdict: uint8(rules.On)})
+				f.Running.SendVote(update.Vote{Service: "desk", Number: 1, Verdict: uint8(decision.On)})
 			}
 			time.Sleep(100 * time.Millisecond)
 			for at := range 2 {
--- a/internal/lab/basin/compacting_test.go
+++ b/internal/lab/simulation/compacting_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"fmt"
@@ -11,13 +11,13 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/syndtr/goleveldb/leveldb/storage"
 
-	"portflow/internal/harbour/logbook"
-	"portflow/internal/harbour/manifest"
+	"portflow/internal/cluster/config"
+	"portflow/internal/control/store"
 )
 
 // bulky is a share whose body doesn't shrink by packing.
-func bulky(draw *rand.Rand, n int, version uint64) manifest.Item {
-	return manifest.Item{Kind: manifest.Shares, Name: fmt.Sprint("tenant-", n), Version: version,
+func bulky(draw *rand.Rand, n int, version uint64) config.Item {
+	return config.Item{Kind: config.KindQuotas, Name: fmt.Sprint("tenant-", n), Version: version,
 		Body: fmt.Appendf(nil, `{"name":"tenant-%d","x":"%x%x%x%x%x%x%x%x"}`, n, draw.Uint64(), draw.Uint64(), draw.Uint64(), draw.Uint64(),
 			draw.Uint64(), draw.Uint64(), draw.Uint64(), draw.Uint64())}
 }
@@ -30,12 +30,12 @@
 		c := qt.New(t)
 		d := NewDisk()
 		d.Delay = 5 * time.Millisecond
-		book, _, _, _, err := logbook.Open(d.Handle())
+		book, _, _, _, err := store.Open(d.Handle())
 		c.Assert(err, qt.IsNil)
 		draw := rand.New(rand.NewPCG(1, 1))
 		var took []time.Duration
 		most, tables, last := 0, 0, int64(0)
-		write := func(items ...manifest.Item) {
+		write := func(items ...config.Item) {
 			began := time.Now()
 			c.Assert(book.Write(items, map[string][]byte{"number": fmt.Append(nil, len(took))}, false), qt.IsNil)
 			took = append(took, time.Since(began))
@@ -50,7 +50,7 @@
 			d.mu.Unlock()
 			most = max(most, size)
 		}
-		var all []manifest.Item
+		var all []config.Item
 		for n := range 36200 {
 			all = append(all, bulky(draw, n, 1))
 		}
--- a/internal/lab/basin/core_test.go
+++ b/internal/lab/simulation/core_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"cmp"
@@ -17,8 +17,8 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/samber/lo"
 
-	"portflow/internal/harbour/harbourmaster"
-	"portflow/internal/parts/chance"
+	"portflow/internal/control/server"
+	"portflow/internal/random"
 )
 
 // pulse sends one small order after another, and keeps which were confirmed and when: what was confirmed must stand at the
@@ -117,20 +117,20 @@
 	return status, answer
 }
 
-func (h *Harbour) core(at int) (s harbourmaster.CoreSurvey) {
+func (h *Harbour) core(at int) (s server.CoreStatus) {
 	_, raw := h.ask1(at, "core.read", nil)
 	json.Unmarshal(raw, &s)
 	return s
 }
 
-func (h *Harbour) change(at int, do, who, with string, dry, force bool) (out harbourmaster.CoreOutcome, status int, raw []byte) {
-	status, raw = h.ask1(at, "core.change", harbourmaster.CoreChange{Do: do, Who: who, With: with, Dry: dry, Force: force})
+func (h *Harbour) change(at int, do, who, with string, dry, force bool) (out server.CoreChangeResult, status int, raw []byte) {
+	status, raw = h.ask1(at, "core.change", server.CoreChange{Action: do, Member: who, Replacement: with, DryRun: dry, Force: force})
 	json.Unmarshal(raw, &out)
 	return out, status, raw
 }
 
-func names(all []harbourmaster.CoreMember) []string {
-	return lo.Map(all, func(x harbourmaster.CoreMember, _ int) string { return x.Name })
+func names(all []server.CoreMember) []string {
+	return lo.Map(all, func(x server.CoreMember, _ int) string { return x.Name })
 }
 
 // until waits for something, and tells how long that took; it fails after a while.
@@ -155,7 +155,7 @@
 		defer h.Stop()
 		time.Sleep(2 * time.Second)
 		configure(c, h, h.Configure(true, look), 0)
-		until(c, 10*time.Second, "all are members", func() bool { return len(h.core(0).Members) == zones && h.core(0).Bears == zones-zones/2-1 })
+		until(c, 10*time.Second, "all are members", func() bool { return len(h.core(0).Members) == zones && h.core(0).Tolerates == zones-zones/2-1 })
 		happens(c, h)
 	})
 }
@@ -165,19 +165,19 @@
 
 // listed is one, with the number or without it.
 func (h *Harbour) listed(members int, number bool) bool {
-	first := harbourmaster.CoreSurvey{}
+	first := server.CoreStatus{}
 	for at, m := range h.Masters {
 		if m.cancel == nil {
 			continue
 		}
 		s := h.core(at)
-		if s.Standing != "in touch" || !s.Current || len(s.Members) != members {
+		if s.Status != "in touch" || !s.Current || len(s.Members) != members {
 			return false
 		}
 		if first.Node == "" {
 			first = s
 		}
-		if s.Epoch != first.Epoch || number && s.Number != first.Number {
+		if s.Epoch != first.Epoch || number && s.Index != first.Index {
 			return false
 		}
 	}
@@ -190,12 +190,12 @@
 	cored(t, 6, 3, func(c *qt.C, h *Harbour) {
 		name := h.Masters[2].Boot.Name
 		s := h.core(1)
-		c.Check(s.Bears, qt.Equals, 2)
-		c.Check(s.BearsZones, qt.HasLen, 6)
+		c.Check(s.Tolerates, qt.Equals, 2)
+		c.Check(s.ToleratedZones, qt.HasLen, 6)
 		out, status, _ := h.change(1, "remove", name, "", true, false)
 		c.Check(status, qt.Equals, 200)
 		c.Check(out.Done, qt.IsFalse)
-		c.Check(out.Bears, qt.Equals, [2]int{2, 2})
+		c.Check(out.Tolerates, qt.Equals, [2]int{2, 2})
 		c.Check(h.core(1).Epoch, qt.Equals, s.Epoch)
 
 		for range 2 { // again it finds that it stands
@@ -205,7 +205,7 @@
 		}
 		out1 := func() bool {
 			s := h.core(4)
-			return len(s.Members) == 5 && slices.Contains(names(s.Learners), name) && slices.Contains(names(s.Held), name)
+			return len(s.Members) == 5 && slices.Contains(names(s.Learners), name) && slices.Contains(names(s.Excluded), name)
 		}
 		time.Sleep(8 * time.Second)
 		c.Check(out1(), qt.IsTrue, qt.Commentf("%+v", h.core(4)))
@@ -215,12 +215,12 @@
 		h.Masters[2].mustStart()
 		time.Sleep(8 * time.Second)
 		c.Check(out1(), qt.IsTrue, qt.Commentf("%+v", h.core(4)))
-		c.Check(h.core(2).Standing, qt.Equals, "in touch")
+		c.Check(h.core(2).Status, qt.Equals, "in touch")
 
 		_, status, raw := h.change(2, "add", name, "", false, false)
 		c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
 		until(c, time.Second, "it is in", func() bool { return h.one(6) })
-		c.Check(h.core(0).Held, qt.HasLen, 0)
+		c.Check(h.core(0).Excluded, qt.HasLen, 0)
 
 		_, status, _ = h.change(0, "remove", name, "", false, false)
 		c.Check(status, qt.Equals, 200)
@@ -252,7 +252,7 @@
 		c.Check(string(raw), qt.Contains, "would bear no loss")
 		out, status, _ := h.change(0, "remove", h.Masters[2].Boot.IP, "", false, true)
 		c.Check(status, qt.Equals, 200)
-		c.Check(out.Bears, qt.Equals, [2]int{1, 0})
+		c.Check(out.Tolerates, qt.Equals, [2]int{1, 0})
 		until(c, 2*time.Second, "one core of two", func() bool { return h.one(2) })
 		h.Masters[1].Kill()
 		time.Sleep(2 * time.Second)
@@ -280,7 +280,7 @@
 		m.mustStart()
 		standsBy := func() bool { // its zone has a member: it is ready, and isn't voted in by itself
 			s := h.core(0)
-			return len(s.Members) == 6 && len(s.Learners) == 1 && s.Learners[0].Name == m.Boot.Name && s.Learners[0].Whole
+			return len(s.Members) == 6 && len(s.Learners) == 1 && s.Learners[0].Name == m.Boot.Name && s.Learners[0].CaughtUp
 		}
 		until(c, 8*time.Second, "it stands by", standsBy)
 		time.Sleep(6 * time.Second)
@@ -288,7 +288,7 @@
 		_, status, raw := h.change(3, "replace", lost.Name, m.Boot.Name, false, false)
 		c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
 		until(c, 2*time.Second, "one core", func() bool { return h.one(6) })
-		c.Check(names(h.core(0).Held), qt.DeepEquals, []string{lost.Name})
+		c.Check(names(h.core(0).Excluded), qt.DeepEquals, []string{lost.Name})
 	})
 }
 
@@ -311,25 +311,25 @@
 			status, _, _ = h.Order("configuration.modify", "", h.Configure(false, issue), 2*time.Second, 4)
 			c.Check(status, qt.Equals, 0) // two of six take nothing
 			at := 4
-			if h.core(5).Number > h.core(4).Number {
+			if h.core(5).Index > h.core(4).Index {
 				at = 5
 			}
-			var r harbourmaster.CoreRecovery
+			var r server.CoreRecovery
 			status, raw = h.ask1(at, "core.recover", map[string]any{})
 			c.Assert(status, qt.Equals, 200, qt.Commentf("%s", raw))
 			c.Assert(json.Unmarshal(raw, &r), qt.IsNil)
 			c.Check(r.Done, qt.IsFalse)
 			c.Check(r.Losses, qt.HasLen, 5) // four silent, and what only they hold
 			old := h.core(at)
-			c.Check(r.Confirm, qt.Equals, fmt.Sprintf("epoch %d number %d", old.Epoch, old.Number))
+			c.Check(r.ConfirmPhrase, qt.Equals, fmt.Sprintf("epoch %d number %d", old.Epoch, old.Index))
 			status, _ = h.ask1(at, "core.recover", map[string]any{"confirm": "epoch 1 number 1"})
 			c.Check(status, qt.Equals, 400)
 			for range 2 { // the same once more finds that it is done
-				status, raw = h.ask1(at, "core.recover", map[string]any{"confirm": r.Confirm})
+				status, raw = h.ask1(at, "core.recover", map[string]any{"confirm": r.ConfirmPhrase})
 				c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
 				c.Check(string(raw), qt.Contains, `"done":true`)
 			}
-			c.Check(h.core(at).Epoch > old.Epoch && h.core(at).Number > old.Number, qt.IsTrue)
+			c.Check(h.core(at).Epoch > old.Epoch && h.core(at).Index > old.Index, qt.IsTrue)
 			until(c, 5*time.Second, "the other joins", func() bool { return h.one(2) })
 			change := issue
 			status, _, _ = h.Order("configuration.modify", "", h.Configure(false, change), 2*time.Second, 9-at)
@@ -370,7 +370,7 @@
 		}
 		time.Sleep(4 * time.Second)
 		old := h.core(0)
-		confirm := map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", old.Epoch, old.Number)}
+		confirm := map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", old.Epoch, old.Index)}
 		h.Masters[0].Disk.hang(true)
 		for range 3 {
 			status, raw := h.ask1(0, "core.recover", confirm)
@@ -406,7 +406,7 @@
 		c.Check(status, qt.Equals, 200)
 		c.Check(by < 4, qt.IsTrue)
 		old := h.core(4)
-		status, raw := h.ask1(4, "core.recover", map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", old.Epoch, old.Number)})
+		status, raw := h.ask1(4, "core.recover", map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", old.Epoch, old.Index)})
 		c.Assert(status, qt.Equals, 200, qt.Commentf("%s", raw))
 		cut(false)
 		until(c, 12*time.Second, "one core", func() bool { return h.one(6) })
@@ -430,14 +430,14 @@
 			time.Sleep(4 * time.Second)
 			for at := 4; at < 6; at++ {
 				s := h.core(at)
-				status, raw := h.ask1(at, "core.recover", map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", s.Epoch, s.Number)})
+				status, raw := h.ask1(at, "core.recover", map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", s.Epoch, s.Index)})
 				c.Assert(status, qt.Equals, 200, qt.Commentf("%s", raw))
 				status, raw = h.ask1(at, "configuration.modify", json.RawMessage(h.Configure(false,
 					Route{Name: fmt.Sprint("at-", at), Prefix: fmt.Sprintf("/at/%d/", at), Service: "desk", Version: "00000009"})))
 				c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
 			}
 			a, b := h.core(4), h.core(5)
-			c.Check(a.Epoch != b.Epoch && (a.Epoch > b.Epoch) == (a.Number > b.Number), qt.IsTrue, qt.Commentf("%+v %+v", a, b))
+			c.Check(a.Epoch != b.Epoch && (a.Epoch > b.Epoch) == (a.Index > b.Index), qt.IsTrue, qt.Commentf("%+v %+v", a, b))
 			later := lo.Ternary(a.Epoch > b.Epoch, 4, 5)
 			h.Sea.Cut(h.Masters[4].Boot.IP, h.Masters[5].Boot.IP, false)
 			for _, m := range h.Masters[:4] {
@@ -469,12 +469,12 @@
 				gap := p.gap(began)
 				s := h.core(1)
 				c.Check(s.Members, qt.HasLen, zones-lo.Ternary(out, 1, 0))
-				c.Check(s.Bears, qt.Equals, lo.Ternary(out, (zones-1)/2, zones-1-zones/2-1))
+				c.Check(s.Tolerates, qt.Equals, lo.Ternary(out, (zones-1)/2, zones-1-zones/2-1))
 				c.Check(left < 3*time.Second, qt.IsTrue, qt.Commentf("%v", left))
 				c.Check(gap < 1500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", gap))
 				back := time.Now()
 				h.Masters[at].mustStart()
-				joined := until(c, 8*time.Second, "it is back", func() bool { s := h.core(1); return len(s.Members) == zones && s.Bears == zones-zones/2-1 })
+				joined := until(c, 8*time.Second, "it is back", func() bool { s := h.core(1); return len(s.Members) == zones && s.Tolerates == zones-zones/2-1 })
 				time.Sleep(2 * time.Second)
 				gapBack := p.gap(back)
 
@@ -517,7 +517,7 @@
 				if many == 2 {
 					s := h.core(4)
 					c.Check(s.Members, qt.HasLen, 5)
-					c.Check(s.Bears, qt.Equals, 1)
+					c.Check(s.Tolerates, qt.Equals, 1)
 					c.Check(s.Current, qt.IsTrue)
 				}
 				p.end()
@@ -527,7 +527,10 @@
 						m.mustStart()
 					}
 				}
-				until(c, 10*time.Second, "one core without one", func() bool { s := h.core((away + 1) % 6); return s.Standing == "in touch" && s.Current && s.Bears >= 1 })
+				until(c, 10*time.Second, "one core without one", func() bool {
+					s := h.core((away + 1) % 6)
+					return s.Status == "in touch" && s.Current && s.Tolerates >= 1
+				})
 				c.Check(len(h.core((away+1)%6).Members) >= 5, qt.IsTrue) // one at most was voted out
 				for i, m := range h.Masters {
 					if m.cancel != nil {
@@ -555,7 +558,7 @@
 		time.Sleep(4 * time.Second)
 		s := h.core(3)
 		c.Check(s.Members, qt.HasLen, 6)
-		c.Check(s.Bears, qt.Equals, 1)
+		c.Check(s.Tolerates, qt.Equals, 1)
 	})
 }
 
@@ -586,16 +589,16 @@
 			began := time.Now()
 			x.harm(h)
 			h.all.Go(func() { x.back(h) })
-			seen := until(c, 5*time.Second, name+": the loss is seen", func() bool { s := h.core(1); return s.Margin.Since > 0 || s.Margin.Last > 0 })
-			until(c, 30*time.Second, name+": the margin is back", func() bool { s := h.core(1); return s.Bears == 2 && s.Margin.Last > 0 })
+			seen := until(c, 5*time.Second, name+": the loss is seen", func() bool { s := h.core(1); return s.Tolerance.SinceSeconds > 0 || s.Tolerance.LastSeconds > 0 })
+			until(c, 30*time.Second, name+": the margin is back", func() bool { s := h.core(1); return s.Tolerates == 2 && s.Tolerance.LastSeconds > 0 })
 			restored := time.Since(began)
 			time.Sleep(4 * time.Second)
 			s := h.core(1)
 			p.end()
-			c.Check(s.Margin.Since, qt.Equals, 0.0)
-			c.Check(s.Margin.Last > 0 && s.Margin.Last <= restored.Seconds()+0.2, qt.IsTrue, qt.Commentf("%+v", s.Margin))
+			c.Check(s.Tolerance.SinceSeconds, qt.Equals, 0.0)
+			c.Check(s.Tolerance.LastSeconds > 0 && s.Tolerance.LastSeconds <= restored.Seconds()+0.2, qt.IsTrue, qt.Commentf("%+v", s.Tolerance))
 			c.Logf("%s: seen after %v, margin back after %v (counted: %.2f s), %d members at the end; longest without a confirmed order %v", name,
-				seen.Round(10*time.Millisecond), restored.Round(10*time.Millisecond), s.Margin.Last, len(s.Members), p.gap(began).Round(10*time.Millisecond))
+				seen.Round(10*time.Millisecond), restored.Round(10*time.Millisecond), s.Tolerance.LastSeconds, len(s.Members), p.gap(began).Round(10*time.Millisecond))
 			for i, m := range h.Masters {
 				if m.cancel != nil {
 					p.holds(c, i)
@@ -642,11 +645,11 @@
 				case <-time.After(100 * time.Millisecond):
 				}
 				status, raw, err := post(h.ctx, client, h.control(at), "core.read", "", nil)
-				var s harbourmaster.CoreSurvey
+				var s server.CoreStatus
 				if err != nil || status != 200 || json.Unmarshal(raw, &s) != nil || s.Epoch == 0 {
 					continue
 				}
-				is := fmt.Sprint(lo.Map(s.Members, func(x harbourmaster.CoreMember, _ int) string { return x.IP + "/" + x.Disk }))
+				is := fmt.Sprint(lo.Map(s.Members, func(x server.CoreMember, _ int) string { return x.IP + "/" + x.DiskID }))
 				w.mu.Lock()
 				if was, there := w.seen[s.Epoch]; there && was != is {
 					c.Errorf("two lists of epoch %d: %s at %d, and %s", s.Epoch, is, at, was)
@@ -667,7 +670,7 @@
 	draws(t, 24, func(t *testing.T, seed int) {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			draw := chance.Source{Seed: uint64(seed)*31 + 7}
+			draw := random.Source{Seed: uint64(seed)*31 + 7}
 			n := func(n int) int { return int(draw.Next() * float64(n)) }
 			h := New(Layout{Zones: 3 + n(5), Services: []string{"desk"}, Seed: uint64(seed)})
 			defer h.Stop()
@@ -756,7 +759,7 @@
 func TestCoreSecondLoss(t *testing.T) {
 	draws(t, 40, func(t *testing.T, seed int) {
 		cored(t, []int{4, 5, 6, 6, 7}[seed%5], uint64(seed), func(c *qt.C, h *Harbour) {
-			draw := chance.Source{Seed: uint64(seed)*17 + 3}
+			draw := random.Source{Seed: uint64(seed)*17 + 3}
 			n := func(n int) int { return int(draw.Next() * float64(n)) }
 			ms := func(most int) { time.Sleep(time.Duration(n(most)) * time.Millisecond) }
 			w, p := h.lists(c), h.pulse()
@@ -804,7 +807,7 @@
 			returned := time.Now()
 			until(c, 30*time.Second, "one core again", func() bool {
 				s := h.core(0)
-				return s.Bears == len(s.Members)-len(s.Members)/2-1 && len(s.Members) >= zones && h.listed(len(s.Members), false)
+				return s.Tolerates == len(s.Members)-len(s.Members)/2-1 && len(s.Members) >= zones && h.listed(len(s.Members), false)
 			})
 			healed, worst := time.Since(returned), p.gap(lost)
 			c.Check(p.gap(returned) < 6*time.Second, qt.IsTrue, qt.Commentf("%v", p.gap(returned)))
@@ -950,21 +953,21 @@
 		status, _, _ := h.Order("configuration.modify", "", h.Configure(false, issue, changed), 2*time.Second, 0)
 		c.Check(status, qt.Equals, 200)
 		time.Sleep(2 * time.Second)
-		c.Check(h.Fairways[0].Running.Versions(), qt.DeepEquals, map[string]uint64{"safe-look": 7, "issue": 1})
+		c.Check(h.Fairways[0].Running.RouteVersions(), qt.DeepEquals, map[string]uint64{"safe-look": 7, "issue": 1})
 		old := h.core(4)
-		status, raw := h.ask1(4, "core.recover", map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", old.Epoch, old.Number)})
+		status, raw := h.ask1(4, "core.recover", map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", old.Epoch, old.Index)})
 		c.Assert(status, qt.Equals, 200, qt.Commentf("%s", raw))
 		cut(false)
 		until(c, 12*time.Second, "one core", func() bool { return h.one(6) })
 		time.Sleep(3 * time.Second)
 		for _, f := range h.Fairways {
-			c.Check(f.Running.Versions(), qt.DeepEquals, map[string]uint64{"safe-look": 1}, qt.Commentf(f.Boot.Name))
+			c.Check(f.Running.RouteVersions(), qt.DeepEquals, map[string]uint64{"safe-look": 1}, qt.Commentf(f.Boot.Name))
 		}
 		status, _, _ = h.Order("configuration.modify", "", h.Configure(false, issue), 2*time.Second, 1)
 		c.Check(status, qt.Equals, 200)
 		time.Sleep(2 * time.Second)
 		for _, f := range h.Fairways {
-			c.Check(f.Running.Versions(), qt.DeepEquals, map[string]uint64{"safe-look": 1, "issue": 1}, qt.Commentf(f.Boot.Name))
+			c.Check(f.Running.RouteVersions(), qt.DeepEquals, map[string]uint64{"safe-look": 1, "issue": 1}, qt.Commentf(f.Boot.Name))
 		}
 	})
 }
--- a/internal/lab/basin/cost_test.go
+++ b/internal/lab/simulation/cost_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"testing"
@@ -51,7 +51,7 @@
 			drain, _ := h.Sea.across()
 			costs[routers] = cost{(calm - before) / 20, (drain - 2*calm + before) / 4}
 			for _, f := range h.Fairways {
-				c.Check(f.Running.Usable("desk"), qt.Equals, 20)
+				c.Check(f.Running.UsableHosts("desk"), qt.Equals, 20)
 			}
 		})
 	}
--- a/internal/lab/basin/departing_test.go
+++ b/internal/lab/simulation/departing_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"encoding/json"
@@ -149,7 +149,7 @@
 			c.Assert(json.Unmarshal(raw, &v), qt.IsNil)
 			return v["heartbeat-address"]
 		}
-		c.Check(to(), qt.Equals, m.Boot.Listen["control"])
+		c.Check(to(), qt.Equals, m.Boot.ListenAddresses["control"])
 		done := make(chan bool)
 		go func() { m.running.Leave(); close(done) }()
 		time.Sleep(100 * time.Millisecond) // the others have heard that it ends
@@ -170,6 +170,6 @@
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		until(c, 3*time.Second, "sent there again", func() bool { return to() == m.Boot.Listen["control"] })
+		until(c, 3*time.Second, "sent there again", func() bool { return to() == m.Boot.ListenAddresses["control"] })
 	})
 }
--- a/internal/lab/basin/drawn_test.go
+++ b/internal/lab/simulation/drawn_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"encoding/json"
@@ -13,10 +13,10 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/samber/lo"
 
-	"portflow/internal/harbour/manifest"
-	"portflow/internal/harbour/signals"
-	"portflow/internal/parts/chance"
-	"portflow/rules"
+	"portflow/internal/cluster/config"
+	"portflow/internal/cluster/update"
+	"portflow/internal/decision"
+	"portflow/internal/random"
 )
 
 var (
@@ -33,7 +33,7 @@
 // operator sends changes and remembers what was sent and acknowledged.
 type operator struct {
 	h     *Harbour
-	draw  chance.Source
+	draw  random.Source
 	sent  map[string]map[string]bool // by route and version: the prefixes that were sent
 	won   map[string]string          // by route and version: the one that was acknowledged
 	acked map[string]string          // by route: the newest version that was acknowledged
@@ -63,7 +63,7 @@
 // another at once.
 func (o *operator) change(twice bool) {
 	o.next += 1 + o.n(3)
-	version := manifest.Digits(uint64(o.next))
+	version := config.FormatVersion(uint64(o.next))
 	route := fmt.Sprintf("r%d", o.n(4))
 	many := 1
 	if twice {
@@ -206,7 +206,7 @@
 // rollouts orders one after the other, has routers vote this way and that, and notes every end that any control process
 // tells: of one order there may be one only.
 func (o *operator) rollouts(until chan bool) {
-	h, draw := o.h, chance.Source{Seed: uint64(o.n(1 << 30))}
+	h, draw := o.h, random.Source{Seed: uint64(o.n(1 << 30))}
 	client := h.client(h.Sea.Process("10.200.0.3"), time.Second)
 	defer client.CloseIdleConnections()
 	for n := 2; ; n++ {
@@ -221,11 +221,11 @@
 			}
 			for _, f := range h.Fairways {
 				if status == 200 && draw.Next() < 0.7 {
-					f.Running.Vote(signals.Poll{Service: "desk", Order: uint64(n - 1), Verdict: uint8(lo.Ternary(draw.Next() < back, rules.Back, rules.On))})
+					f.Running.SendVote(update.Vote{Service: "desk", Number: uint64(n - 1), Verdict: uint8(lo.Ternary(draw.Next() < back, decision.Back, decision.On))})
 				}
 			}
 			at := h.Masters[int(draw.Next()*6)]
-			if status, raw, err := post(h.ctx, client, at.Boot.Listen["control"], "rollouts.read", "desk", nil); err == nil && status == 200 {
+			if status, raw, err := post(h.ctx, client, at.Boot.ListenAddresses["control"], "rollouts.read", "desk", nil); err == nil && status == 200 {
 				var v map[string]string
 				json.Unmarshal(raw, &v)
 				if end := v["server-state"]; end != "running" {
@@ -243,18 +243,18 @@
 func (o *operator) check(c *qt.C, at int, harms []string) {
 	client := o.h.client(o.h.Sea.Process("10.200.0.2"), time.Second)
 	defer client.CloseIdleConnections()
-	status, raw, err := post(o.h.ctx, client, o.h.Masters[at].Boot.Listen["control"], "configuration.read", "", nil)
+	status, raw, err := post(o.h.ctx, client, o.h.Masters[at].Boot.ListenAddresses["control"], "configuration.read", "", nil)
 	if err != nil || status != 200 {
 		return
 	}
-	items, err := manifest.Read([]byte(`{"set-items":` + string(raw) + `}`))
+	items, err := config.ParseChange([]byte(`{"set-items":` + string(raw) + `}`))
 	c.Assert(err, qt.IsNil)
 	now := map[string]uint64{}
 	for _, i := range items {
 		now[i.Name] = i.Version
 	}
 	for route, version := range o.acked {
-		c.Check(manifest.Digits(now[route]) >= version, qt.IsTrue, qt.Commentf("LOST: %s answered without %s %s; %v",
+		c.Check(config.FormatVersion(now[route]) >= version, qt.IsTrue, qt.Commentf("LOST: %s answered without %s %s; %v",
 			o.h.Masters[at].Boot.Name, route, version, harms))
 	}
 }
@@ -270,7 +270,7 @@
 		c.Assert(h.Start(), qt.IsNil)
 		defer h.Stop()
 		time.Sleep(2 * time.Second)
-		o := &operator{h: h, draw: chance.Source{Seed: uint64(seed) * 977}, sent: map[string]map[string]bool{}, won: map[string]string{}, acked: map[string]string{}, ends: map[string]string{}, now: "calm"}
+		o := &operator{h: h, draw: random.Source{Seed: uint64(seed) * 977}, sent: map[string]map[string]bool{}, won: map[string]string{}, acked: map[string]string{}, ends: map[string]string{}, now: "calm"}
 		status, _, answer := h.Order("configuration.modify", "", h.Configure(true, look), 5*time.Second, 0)
 		c.Assert(status, qt.Equals, 200, qt.Commentf("%s", answer))
 		watching, watched := make(chan bool), make(chan bool)
@@ -284,7 +284,7 @@
 				case <-time.After(50 * time.Millisecond):
 				}
 				for _, f := range h.Fairways {
-					for name, v := range f.Running.Versions() {
+					for name, v := range f.Running.RouteVersions() {
 						k := f.Boot.Name + " " + name
 						if v < seen[k] {
 							h.broken("CONFIG: %s went back from %d to %d", k, seen[k], v)
@@ -368,19 +368,19 @@
 			}
 			c.Check(string(answer), qt.Equals, first, qt.Commentf("%v", harms))
 		}
-		items, err := manifest.Read([]byte(`{"set-items":` + first + `}`))
+		items, err := config.ParseChange([]byte(`{"set-items":` + first + `}`))
 		c.Assert(err, qt.IsNil)
-		now := map[string]manifest.Item{}
+		now := map[string]config.Item{}
 		for _, i := range items {
 			now[i.Name] = i
 		}
 		for route, version := range o.acked {
 			i, there := now[route]
-			c.Check(there && manifest.Digits(i.Version) >= version, qt.IsTrue,
+			c.Check(there && config.FormatVersion(i.Version) >= version, qt.IsTrue,
 				qt.Commentf("LOST: %s %s was acknowledged, %d stands; %v, closing %d", route, version, i.Version, harms, closing))
 			prefix, _ := i.Tree()["path-prefix"].(string)
-			c.Check(o.sent[route+manifest.Digits(i.Version)][prefix], qt.IsTrue, qt.Commentf("%s %s was never sent", route, prefix))
-			if won := o.won[route+manifest.Digits(i.Version)]; won != "" {
+			c.Check(o.sent[route+config.FormatVersion(i.Version)][prefix], qt.IsTrue, qt.Commentf("%s %s was never sent", route, prefix))
+			if won := o.won[route+config.FormatVersion(i.Version)]; won != "" {
 				c.Check(prefix, qt.Equals, won, qt.Commentf("LOST: of two contents of one version; %v, closing %d", harms, closing))
 			}
 		}
@@ -391,7 +391,7 @@
 			c.Check(len(s.Evacuated) == 1, qt.Equals, o.evac == "evacuation.begin", qt.Commentf("LOST: %s; %v", o.evac, harms))
 		}
 		for _, f := range h.Fairways {
-			for name, v := range f.Running.Versions() {
+			for name, v := range f.Running.RouteVersions() {
 				c.Check(v, qt.Equals, now[name].Version, qt.Commentf("%s has %s", f.Boot.Name, name))
 			}
 		}
--- a/internal/lab/basin/gathered_test.go
+++ b/internal/lab/simulation/gathered_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"portflow/internal/harbour/lines"
+	"portflow/internal/cluster/stream"
 )
 
 // Hosts end one after the other, a hundred a second: each of them is news to all, and goes to each router with what came close to it,
@@ -19,17 +19,17 @@
 		l.Zones, l.Routers, l.Hosts, l.Rate = 6, 4, 10, 1
 		h := opened(c, l)
 		time.Sleep(4 * time.Second)
-		said := lines.Said.Load()
+		said := stream.FramesWritten.Load()
 		for _, q := range h.Quays[:50] {
 			q.Drain()
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
-		frames := lines.Said.Load() - said
+		frames := stream.FramesWritten.Load() - said
 		c.Logf("%d frames for 50 hosts, 24 routers and 6 control processes", frames)
 		c.Check(frames < 490, qt.IsTrue, qt.Commentf("%d", frames))
 		for _, f := range h.Fairways {
-			c.Check(f.Running.Usable("desk"), qt.Equals, 10)
+			c.Check(f.Running.UsableHosts("desk"), qt.Equals, 10)
 		}
 
 		changed := look
@@ -37,7 +37,7 @@
 		configure(c, h, h.Configure(false, changed), 0)
 		time.Sleep(40 * time.Millisecond) // one way between regions
 		for _, f := range h.Fairways {
-			c.Check(f.Running.Versions()[look.Name], qt.Equals, uint64(10), qt.Commentf(f.Boot.Name))
+			c.Check(f.Running.RouteVersions()[look.Name], qt.Equals, uint64(10), qt.Commentf(f.Boot.Name))
 		}
 	})
 }
