--- a/internal/lab/basin/harbour.go
+++ b/internal/lab/simulation/harbour.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"bytes"
@@ -16,11 +16,11 @@
 
 	"github.com/samber/lo"
 
-	"portflow/internal/harbour/fairway"
-	"portflow/internal/harbour/harbourmaster"
-	"portflow/internal/harbour/papers"
-	"portflow/internal/parts/chance"
-	"portflow/internal/parts/router"
+	"portflow/internal/cluster/settings"
+	"portflow/internal/control/server"
+	"portflow/internal/dispatch"
+	"portflow/internal/proxy"
+	"portflow/internal/random"
 )
 
 // Layout is a harbour's size: zones, two to a region, each with a control process on its first machine.
@@ -49,7 +49,7 @@
 	ended    map[string]string // by attempt: how the client's request ended
 	asked    []time.Time       // when requests were sent
 	again    []time.Time       // when hosts got one that some host had had before
-	draw     chance.Source
+	draw     random.Source
 	lastHost int
 	ctx      context.Context
 	cancel   context.CancelFunc
@@ -60,10 +60,10 @@
 // Master is a control process and its disk.
 type Master struct {
 	h       *Harbour
-	Boot    papers.Boot
+	Boot    settings.Settings
 	Apart   time.Duration // of its machine's clock, as of its next start
 	Disk    *Disk
-	running *harbourmaster.Master
+	running *server.Server
 	process *Process
 	handle  *handle
 	cancel  context.CancelFunc
@@ -72,9 +72,9 @@
 // Fairway is a process that carries traffic.
 type Fairway struct {
 	h       *Harbour
-	Boot    papers.Boot
+	Boot    settings.Settings
 	Apart   time.Duration // of its machine's clock, as of its next start
-	Running *fairway.Fairway
+	Running *proxy.Proxy
 	process *Process
 	cancel  context.CancelFunc
 }
@@ -86,7 +86,7 @@
 
 // New lays a harbour out; nothing runs before Start.
 func New(l Layout) *Harbour {
-	h := &Harbour{Layout: l, runs: map[string]int{}, came: map[string]bool{}, ended: map[string]string{}, draw: chance.Source{Seed: l.Seed}}
+	h := &Harbour{Layout: l, runs: map[string]int{}, came: map[string]bool{}, ended: map[string]string{}, draw: random.Source{Seed: l.Seed}}
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.Sea = NewSea(func(a, b string) time.Duration {
 		x, y := zoneOf(a), zoneOf(b)
@@ -106,14 +106,14 @@
 			seeds = append(seeds, fmt.Sprintf("10.%d.0.1:%d", z+1, controlPort))
 		}
 	}
-	boot := func(z, n int, role string) papers.Boot {
+	boot := func(z, n int, role string) settings.Settings {
 		ip := fmt.Sprintf("10.%d.0.%d", z+1, n)
 		at := func(port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
-		return papers.Boot{Name: fmt.Sprintf("front-%s-%d", zone(z), n), Role: role, Class: "front", IP: ip, Zone: zone(z), Region: region(z),
+		return settings.Settings{Name: fmt.Sprintf("front-%s-%d", zone(z), n), Role: role, MachineClass: "front", IP: ip, Zone: zone(z), Region: region(z),
 			Serves: []string{"front", "control", "directory"}, Counted: n == 1, FirstStart: true, MemoryMB: 256, Descriptors: 4000, DiskMB: 64,
-			Share: 1, Listen: map[string]string{"front": at(frontPort), "readiness": at(readyPort), "control": at(controlPort),
-				"directory": at(directoryPort)}, Ports: [2]int{firstPort, lastPort}, Seeds: seeds, Zones: zones, Heartbeat: 1300e6,
-			Bounds: papers.Bounds{SeedLag: 3e9, Reuse: 2e9, Contact: 5e9, Acknowledge: 6e9, CatchUp: 4e9, DrainLimit: 3e9, Grace: 6e9,
+			ProcessorShare: 1, ListenAddresses: map[string]string{"front": at(frontPort), "readiness": at(readyPort), "control": at(controlPort),
+				"directory": at(directoryPort)}, InternalPorts: [2]int{firstPort, lastPort}, SeedNodes: seeds, ZoneRegions: zones, HeartbeatInterval: 1300e6,
+			Terms: settings.Terms{SeedLag: 3e9, Reuse: 2e9, Contact: 5e9, Acknowledge: 6e9, CatchUp: 4e9, DrainLimit: 3e9, Grace: 6e9,
 				LossSlack: 200e6, Configuration: 3e9, RollbackSlack: 250e6, OuterStretch: 10e9, BudgetWindow: 10e9, Rollback: 5e9,
 				Evacuation: 5e9, Recovery: 15e9, Lifetime: 5e9, BudgetRatio: 0.2, BudgetSlack: 64, ExposureShare: 0.1, ExposureSlack: 50,
 				ColdOverrun: 1.5, ColdSlack: 5}}
@@ -125,7 +125,7 @@
 			h.Fairways = append(h.Fairways, &Fairway{h: h, Boot: boot(z, n+1, "fairway")})
 		}
 	}
-	if draw := (chance.Source{Seed: l.Seed + 77}); l.Apart {
+	if draw := (random.Source{Seed: l.Seed + 77}); l.Apart {
 		for _, m := range h.Masters {
 			m.Apart = apart(&draw)
 		}
@@ -137,7 +137,7 @@
 }
 
 // apart draws by how much a clock is from the time, up to an hour.
-func apart(draw *chance.Source) time.Duration {
+func apart(draw *random.Source) time.Duration {
 	return time.Duration((draw.Next()*2 - 1) * float64(time.Hour))
 }
 
@@ -192,7 +192,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	m.process = m.h.Sea.Process(m.Boot.IP)
 	m.handle = m.Disk.Handle().(*handle)
-	r, err := harbourmaster.Start(ctx, harbourmaster.Options{Boot: m.Boot, PerZone: 1, Sea: m.process, Disk: m.handle, Seed: m.h.seed(), Clock: clock(m.Apart)})
+	r, err := server.Start(ctx, server.Options{Settings: m.Boot, MinPerZone: 1, Network: m.process, Storage: m.handle, Seed: m.h.seed(), Clock: clock(m.Apart)})
 	if err != nil {
 		cancel()
 		return err
@@ -209,8 +209,8 @@
 }
 
 // clock is a machine's, anchored at the start as in service, and apart from the time.
-func clock(apart time.Duration) router.Clock {
-	here := router.NewClock()
+func clock(apart time.Duration) dispatch.Clock {
+	here := dispatch.NewClock()
 	return func() int64 { return here() + int64(apart) }
 }
 
@@ -258,7 +258,7 @@
 	next := &Master{h: h, Boot: m.Boot, Apart: m.Apart, Disk: NewDisk()}
 	next.Disk.Delay = 5 * time.Millisecond
 	next.Boot.IP, next.Boot.Name = ip, fmt.Sprintf("%s-anew-%d", m.Boot.Name, h.lastHost)
-	next.Boot.Listen = lo.MapValues(m.Boot.Listen, func(at, _ string) string { return moved(at, old, ip) })
+	next.Boot.ListenAddresses = lo.MapValues(m.Boot.ListenAddresses, func(at, _ string) string { return moved(at, old, ip) })
 	return next
 }
 
@@ -270,10 +270,10 @@
 	old, ip := m.Boot.IP, next.Boot.IP
 	*m = *next
 	for _, x := range h.Masters {
-		x.Boot.Seeds = lo.Map(x.Boot.Seeds, func(at string, _ int) string { return moved(at, old, ip) })
+		x.Boot.SeedNodes = lo.Map(x.Boot.SeedNodes, func(at string, _ int) string { return moved(at, old, ip) })
 	}
 	for _, f := range h.Fairways {
-		f.Boot.Seeds = lo.Map(f.Boot.Seeds, func(at string, _ int) string { return moved(at, old, ip) })
+		f.Boot.SeedNodes = lo.Map(f.Boot.SeedNodes, func(at string, _ int) string { return moved(at, old, ip) })
 	}
 }
 
@@ -289,7 +289,7 @@
 func (h *Harbour) control(at int) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.Masters[at].Boot.Listen["control"]
+	return h.Masters[at].Boot.ListenAddresses["control"]
 }
 
 // Standing is how far it may be gone by, as it says of itself.
@@ -297,14 +297,14 @@
 	if m.cancel == nil {
 		return "down"
 	}
-	return m.running.Standing().String()
+	return m.running.Status().String()
 }
 
 // Start starts the process.
 func (f *Fairway) Start() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.process = f.h.Sea.Process(f.Boot.IP)
-	r, err := fairway.Start(ctx, fairway.Options{Boot: f.Boot, Sea: f.process, Seed: f.h.seed(), Clock: clock(f.Apart)})
+	r, err := proxy.Start(ctx, proxy.Options{Settings: f.Boot, Network: f.process, Seed: f.h.seed(), Clock: clock(f.Apart)})
 	if err != nil {
 		cancel()
 		return err
@@ -414,7 +414,7 @@
 			"cold-remaining-s": cold}})
 		q.mu.Unlock()
 		for range len(q.h.Masters) {
-			status, answer, err := post(ctx, client, q.h.Masters[at].Boot.Listen["control"], "instances.heartbeat", q.ID, body)
+			status, answer, err := post(ctx, client, q.h.Masters[at].Boot.ListenAddresses["control"], "instances.heartbeat", q.ID, body)
 			if err == nil && status == 200 {
 				q.mu.Lock()
 				if q.state == "draining" && q.leaves.IsZero() {
@@ -424,14 +424,14 @@
 				var v map[string]string
 				json.Unmarshal(answer, &v)
 				if to := v["heartbeat-address"]; to != "" {
-					at = slices.IndexFunc(q.h.Masters, func(m *Master) bool { return m.Boot.Listen["control"] == to })
+					at = slices.IndexFunc(q.h.Masters, func(m *Master) bool { return m.Boot.ListenAddresses["control"] == to })
 				}
 				break
 			}
 			at = (at + 1) % len(q.h.Masters)
 		}
 		select {
-		case <-time.After(time.Duration(q.h.Masters[0].Boot.Heartbeat)):
+		case <-time.After(time.Duration(q.h.Masters[0].Boot.HeartbeatInterval)):
 		case <-ctx.Done():
 		}
 	}
@@ -525,7 +525,7 @@
 	q.h.mu.Unlock()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if limit := time.Duration(q.h.Masters[0].Boot.Bounds.DrainLimit); !q.leaves.IsZero() && now.Sub(q.leaves) > limit {
+	if limit := time.Duration(q.h.Masters[0].Boot.Terms.DrainLimit); !q.leaves.IsZero() && now.Sub(q.leaves) > limit {
 		q.h.broken("DRAIN: %s got %s %v after it was heard to leave", q.ID, id, now.Sub(q.leaves))
 	}
 	if now.After(q.coldUntil) {
@@ -585,7 +585,7 @@
 	defer client.CloseIdleConnections()
 	until := time.Now().Add(limit)
 	for at := first; time.Now().Before(until); at = (at + 1) % len(h.Masters) {
-		status, raw, err := post(h.ctx, client, h.Masters[at].Boot.Listen["control"], call, of, body)
+		status, raw, err := post(h.ctx, client, h.Masters[at].Boot.ListenAddresses["control"], call, of, body)
 		if err == nil && (status == 200 || status == 400 || status == 409 || status == 404) {
 			return status, at, raw
 		}
@@ -657,16 +657,16 @@
 		if f.cancel == nil || !f.Running.Ready() {
 			continue
 		}
-		all = append(all, f.Boot.Listen["front"])
+		all = append(all, f.Boot.ListenAddresses["front"])
 		if f.Boot.Zone == zone(z) {
-			near = append(near, f.Boot.Listen["front"])
+			near = append(near, f.Boot.ListenAddresses["front"])
 		}
 	}
 	if len(near) > 0 {
 		all = near
 	}
 	if len(all) == 0 {
-		return h.Fairways[0].Boot.Listen["front"]
+		return h.Fairways[0].Boot.ListenAddresses["front"]
 	}
 	return all[int(h.draw.Next()*float64(len(all)))]
 }
--- a/internal/lab/basin/hard_test.go
+++ b/internal/lab/simulation/hard_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"flag"
@@ -71,7 +71,7 @@
 // margin waits until all are members and hear each other, which must come by itself.
 func (x *worse) margin() {
 	all := len(x.h.Masters)
-	for until := time.Now().Add(marginIn); !x.h.listed(all, false) || x.h.core(0).Bears != all-all/2-1; time.Sleep(100 * time.Millisecond) {
+	for until := time.Now().Add(marginIn); !x.h.listed(all, false) || x.h.core(0).Tolerates != all-all/2-1; time.Sleep(100 * time.Millisecond) {
 		if time.Now().After(until) {
 			x.mu.Lock()
 			defer x.mu.Unlock()
@@ -285,10 +285,10 @@
 		seeds = append(seeds, fmt.Sprintf("%s:%d", h.Masters[(from+i)%len(h.Masters)].Boot.IP, controlPort))
 	}
 	for _, m := range h.Masters {
-		m.Boot.Seeds = seeds
+		m.Boot.SeedNodes = seeds
 	}
 	for _, f := range h.Fairways {
-		f.Boot.Seeds = seeds
+		f.Boot.SeedNodes = seeds
 	}
 }
 
--- a/internal/lab/basin/history_test.go
+++ b/internal/lab/simulation/history_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"cmp"
@@ -18,11 +18,11 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/samber/lo"
 
-	"portflow/internal/harbour/fairway"
-	"portflow/internal/harbour/manifest"
-	"portflow/internal/harbour/signals"
-	"portflow/internal/parts/chance"
-	"portflow/rules"
+	"portflow/internal/cluster/config"
+	"portflow/internal/cluster/update"
+	"portflow/internal/decision"
+	"portflow/internal/proxy"
+	"portflow/internal/random"
 )
 
 var show = flag.Bool("show", false, "write a history down whose calls have no order that a model allows")
@@ -103,7 +103,7 @@
 	*record
 	h       *Harbour
 	mu      sync.Mutex // over the record, the chance and what follows
-	draw    chance.Source
+	draw    random.Source
 	version uint64
 	took    int // who confirmed an order last
 	read    int // who was read last
@@ -214,10 +214,10 @@
 		c := items[(i+turn)%len(items)]
 		name := fmt.Sprint("r", c.route)
 		if c.prefix == "" {
-			drops = append(drops, map[string]any{"name": name, "version": manifest.Digits(c.version)})
+			drops = append(drops, map[string]any{"name": name, "version": config.FormatVersion(c.version)})
 			continue
 		}
-		rows = append(rows, []any{name, "desk.example", c.prefix, "safe_method", 2, 0.8, 1, "desk", 2, manifest.Digits(c.version)})
+		rows = append(rows, []any{name, "desk.example", c.prefix, "safe_method", 2, 0.8, 1, "desk", 2, config.FormatVersion(c.version)})
 	}
 	k := turn % len(columns)
 	columns = append(slices.Clone(columns[k:]), columns[:k]...)
@@ -303,14 +303,14 @@
 		return r, false
 	}
 	w.read = at
-	items, err := manifest.Read([]byte(`{"set-items":` + string(raw) + `}`))
+	items, err := config.ParseChange([]byte(`{"set-items":` + string(raw) + `}`))
 	if err != nil {
 		w.fault("unreadable", "%v: %s", err, raw)
 		return r, false
 	}
 	for _, i := range items {
 		var route int
-		if _, err := fmt.Sscanf(i.Name, "r%d", &route); i.Kind != manifest.Routes || err != nil || route >= routesN {
+		if _, err := fmt.Sscanf(i.Name, "r%d", &route); i.Kind != config.KindRoutes || err != nil || route >= routesN {
 			continue
 		}
 		prefix, _ := i.Tree()["path-prefix"].(string)
@@ -471,11 +471,11 @@
 	w.votes = append(w.votes, now())
 	w.mu.Unlock()
 	for _, f := range w.h.Fairways {
-		p := signals.Poll{Service: "desk", Order: uint64(len(seen)), Verdict: uint8(lo.Ternary(w.n(3) == 0, rules.Back, rules.On))}
+		p := update.Vote{Service: "desk", Number: uint64(len(seen)), Verdict: uint8(lo.Ternary(w.n(3) == 0, decision.Back, decision.On))}
 		w.h.mu.Lock()
 		running := f.Running
 		w.h.mu.Unlock()
-		running.Vote(p)
+		running.SendVote(p)
 	}
 }
 
@@ -535,7 +535,7 @@
 
 // routers looks at all routers ten times a second: none goes back, and none has an order of several routes in part.
 func (w *watch) routers(stop chan bool, p *http.Client) {
-	seen := map[*fairway.Fairway]map[string]uint64{}
+	seen := map[*proxy.Proxy]map[string]uint64{}
 	asked := map[string]int{}
 	for {
 		select {
@@ -550,7 +550,7 @@
 			if !up {
 				continue
 			}
-			versions := running.Versions()
+			versions := running.RouteVersions()
 			w.mu.Lock()
 			old := seen[running]
 			for name, v := range old {
@@ -592,7 +592,7 @@
 // probe asks a router for what lies under a content's prefix, and tells whether the answer is clear: 404 says that it isn't in
 // force there, 503 nothing, as a router that has just started says that of all.
 func (w *watch) probe(p *http.Client, f *Fairway, c content) bool {
-	req, _ := http.NewRequest("GET", "http://"+f.Boot.Listen["front"]+c.prefix+"x", nil)
+	req, _ := http.NewRequest("GET", "http://"+f.Boot.ListenAddresses["front"]+c.prefix+"x", nil)
 	req.Host = "desk.example"
 	req.Header.Set("Attempt-Id", "safe-probe")
 	resp, err := p.Do(req)
@@ -628,7 +628,7 @@
 		w.mu.Unlock()
 	}
 	for _, f := range w.h.Fairways {
-		versions := f.Running.Versions()
+		versions := f.Running.RouteVersions()
 		w.mu.Lock()
 		for r, id := range all.seen {
 			v, c := versions[fmt.Sprint("r", r)], w.contents[id]
@@ -646,7 +646,7 @@
 // play plays one history and gives what was seen.
 func play(t *testing.T, seed int) *record {
 	w := &watch{record: &record{seed: seed, contents: []content{{rivals: -1}}, faults: map[string][]string{}, forced: map[int16]string{}},
-		draw: chance.Source{Seed: uint64(seed) * 7919}}
+		draw: random.Source{Seed: uint64(seed) * 7919}}
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		l := Layout{Zones: lo.Ternary(seed%5 == 0, 3, 6), Routers: 1, Services: []string{"desk"}, Seed: uint64(seed), Apart: seed%4 == 1}
--- a/internal/lab/basin/leaving_test.go
+++ b/internal/lab/simulation/leaving_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"fmt"
@@ -29,11 +29,11 @@
 		var all sync.WaitGroup
 		served, refused := 0, 0
 		began := time.Now()
-		all.Go(func() { f.Running.Leave(); f.Kill() })
+		all.Go(func() { f.Running.Drain(); f.Kill() })
 		for n := range 18 { // until 5.4 s
 			all.Go(func() {
 				sent := time.Since(began)
-				req, _ := http.NewRequest("GET", "http://"+f.Boot.Listen["front"]+look.Prefix+"x", nil)
+				req, _ := http.NewRequest("GET", "http://"+f.Boot.ListenAddresses["front"]+look.Prefix+"x", nil)
 				req.Host = "desk.example"
 				req.Header.Set("Attempt-Id", fmt.Sprint("leaving-", n))
 				req.Header.Set("Time-Remaining", "9000")
--- a/internal/lab/basin/logbook_test.go
+++ b/internal/lab/simulation/logbook_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"bytes"
@@ -12,13 +12,13 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/syndtr/goleveldb/leveldb/storage"
 
-	"portflow/internal/harbour/logbook"
-	"portflow/internal/harbour/manifest"
+	"portflow/internal/cluster/config"
+	"portflow/internal/control/store"
 )
 
-func item(name string, version uint64) manifest.Item {
+func item(name string, version uint64) config.Item {
 	body, _ := json.Marshal(map[string]string{"name": name, "path-prefix": "/" + name + "/"})
-	return manifest.Item{Kind: manifest.Routes, Name: name, Version: version, Body: body}
+	return config.Item{Kind: config.KindRoutes, Name: name, Version: version, Body: body}
 }
 
 // What was synced is there after a loss of power; what was not is there whole or not at all.
@@ -26,15 +26,15 @@
 	for _, torn := range []bool{false, true} {
 		c := qt.New(t)
 		d := NewDisk()
-		book, items, _, whole, err := logbook.Open(d.Handle())
+		book, items, _, whole, err := store.Open(d.Handle())
 		c.Assert(err, qt.IsNil)
 		c.Check(items, qt.HasLen, 0)
 		c.Check(whole, qt.IsFalse)
 		for n := range 200 {
-			c.Assert(book.Write([]manifest.Item{item(fmt.Sprint("r", n), 1)}, map[string][]byte{"desk#1": []byte("cell")}, n == 0), qt.IsNil)
+			c.Assert(book.Write([]config.Item{item(fmt.Sprint("r", n), 1)}, map[string][]byte{"desk#1": []byte("cell")}, n == 0), qt.IsNil)
 		}
 		d.PowerLoss(torn)
-		_, items, cells, whole, err := logbook.Open(d.Handle())
+		_, items, cells, whole, err := store.Open(d.Handle())
 		c.Assert(err, qt.IsNil)
 		c.Check(items, qt.HasLen, 200)
 		c.Check(whole, qt.IsTrue)
@@ -46,14 +46,14 @@
 func TestLogbookAfterRefusal(t *testing.T) {
 	c := qt.New(t)
 	d := NewDisk()
-	book, _, _, _, err := logbook.Open(d.Handle())
+	book, _, _, _, err := store.Open(d.Handle())
 	c.Assert(err, qt.IsNil)
-	c.Assert(book.Write([]manifest.Item{item("r", 1)}, nil, true), qt.IsNil)
+	c.Assert(book.Write([]config.Item{item("r", 1)}, nil, true), qt.IsNil)
 	d.set(0, true)
-	c.Assert(book.Write([]manifest.Item{item("r", 2)}, nil, false), qt.IsNotNil)
+	c.Assert(book.Write([]config.Item{item("r", 2)}, nil, false), qt.IsNotNil)
 	d.set(0, false)
-	c.Check(book.Write([]manifest.Item{item("r", 3)}, nil, false), qt.IsNil)
-	_, items, _, _, err := logbook.Open(d.Handle())
+	c.Check(book.Write([]config.Item{item("r", 3)}, nil, false), qt.IsNil)
+	_, items, _, _, err := store.Open(d.Handle())
 	c.Assert(err, qt.IsNil)
 	c.Check(newest(items), qt.Equals, uint64(3))
 }
@@ -65,10 +65,10 @@
 	said := map[string]int{}
 	for at := range 120 {
 		d := NewDisk()
-		book, _, _, _, err := logbook.Open(d.Handle())
+		book, _, _, _, err := store.Open(d.Handle())
 		qt.Assert(t, err, qt.IsNil)
 		for n := range 900 { // three blocks of the journal
-			qt.Assert(t, book.Write([]manifest.Item{item(fmt.Sprint("r", n%50), uint64(n))}, nil, n == 0), qt.IsNil)
+			qt.Assert(t, book.Write([]config.Item{item(fmt.Sprint("r", n%50), uint64(n))}, nil, n == 0), qt.IsNil)
 		}
 		book.Close()
 		for fd, f := range d.files {
@@ -76,7 +76,7 @@
 				f.data[at*len(f.data)/120] ^= 0x5a
 			}
 		}
-		again, items, _, whole, err := logbook.Open(d.Handle())
+		again, items, _, whole, err := store.Open(d.Handle())
 		switch {
 		case err != nil:
 			said["error"]++
@@ -94,7 +94,7 @@
 	t.Log(said)
 }
 
-func newest(items []manifest.Item) (last uint64) {
+func newest(items []config.Item) (last uint64) {
 	for _, i := range items {
 		last = max(last, i.Version)
 	}
@@ -105,14 +105,14 @@
 func TestTornIsNotSpoilt(t *testing.T) {
 	c := qt.New(t)
 	d := NewDisk()
-	book, _, _, _, err := logbook.Open(d.Handle())
+	book, _, _, _, err := store.Open(d.Handle())
 	c.Assert(err, qt.IsNil)
 	for n := range 8 {
 		i := item(fmt.Sprint("r", n), 1)
 		if n == 3 {
 			i.Body = []byte(`"` + strings.Repeat("x", 70<<10) + `"`) // a record of several blocks
 		}
-		c.Assert(book.Write([]manifest.Item{i}, nil, false), qt.IsNil)
+		c.Assert(book.Write([]config.Item{i}, nil, false), qt.IsNil)
 	}
 	var raw []byte
 	for fd, f := range d.files {
@@ -121,19 +121,19 @@
 		}
 	}
 	c.Assert(len(raw) > 70<<10, qt.IsTrue)
-	c.Check(logbook.Spoilt(raw), qt.IsFalse)
+	c.Check(store.Damaged(raw), qt.IsFalse)
 	last := bytes.LastIndex(raw, []byte("i/routes/r7")) - 40 // in the record before the last, or its end
 	for at := range raw {
 		if at%97 != 0 && at < len(raw)-500 {
 			continue // the long record by samples
 		}
-		c.Assert(logbook.Spoilt(raw[:at]), qt.IsFalse, qt.Commentf("cut at %d", at))
+		c.Assert(store.Damaged(raw[:at]), qt.IsFalse, qt.Commentf("cut at %d", at))
 		bad := bytes.Clone(raw)
 		if bad[at] ^= 0x5a; at < last {
-			c.Assert(logbook.Spoilt(bad), qt.IsTrue, qt.Commentf("byte %d of %d", at, len(raw)))
+			c.Assert(store.Damaged(bad), qt.IsTrue, qt.Commentf("byte %d of %d", at, len(raw)))
 		}
 		zeros := append(bytes.Clone(raw[:at]), make([]byte, len(raw)-at)...) // written long, and not filled
-		c.Assert(logbook.Spoilt(zeros), qt.IsFalse, qt.Commentf("zeros from %d", at))
+		c.Assert(store.Damaged(zeros), qt.IsFalse, qt.Commentf("zeros from %d", at))
 	}
 }
 
@@ -141,10 +141,10 @@
 func TestLogbookStaysSmall(t *testing.T) {
 	c := qt.New(t)
 	d := NewDisk()
-	book, _, _, _, err := logbook.Open(d.Handle())
+	book, _, _, _, err := store.Open(d.Handle())
 	c.Assert(err, qt.IsNil)
 	for n := range 300 {
-		var all []manifest.Item
+		var all []config.Item
 		for r := range 400 {
 			all = append(all, item(fmt.Sprint("r", r), uint64(n+1)))
 		}
@@ -157,18 +157,18 @@
 	}
 	c.Check(size < 8<<20, qt.IsTrue, qt.Commentf("%d bytes for 400 items after 120,000 changes", size))
 
-	set := manifest.NewSet()
-	for n := range manifest.MostDropped * 2 {
-		set.Merge(manifest.Item{Kind: manifest.Routes, Name: fmt.Sprint("d", n), Version: uint64(n + 1), Dropped: true})
+	set := config.NewSet()
+	for n := range config.MaxDeleted * 2 {
+		set.Merge(config.Item{Kind: config.KindRoutes, Name: fmt.Sprint("d", n), Version: uint64(n + 1), Deleted: true})
 	}
-	c.Check(set.Len() <= manifest.MostDropped, qt.IsTrue)
-	other := manifest.NewSet()
-	for n := manifest.MostDropped*2 - 1; n >= 0; n-- {
-		other.Merge(manifest.Item{Kind: manifest.Routes, Name: fmt.Sprint("d", n), Version: uint64(n + 1), Dropped: true})
+	c.Check(set.Len() <= config.MaxDeleted, qt.IsTrue)
+	other := config.NewSet()
+	for n := config.MaxDeleted*2 - 1; n >= 0; n-- {
+		other.Merge(config.Item{Kind: config.KindRoutes, Name: fmt.Sprint("d", n), Version: uint64(n + 1), Deleted: true})
 	}
-	newest := manifest.Key{Kind: manifest.Routes, Name: fmt.Sprint("d", manifest.MostDropped*2-1)}
-	_, a := set.Get(newest)
-	_, b := other.Get(newest)
+	newest := config.Key{Kind: config.KindRoutes, Name: fmt.Sprint("d", config.MaxDeleted*2-1)}
+	_, a := set.Lookup(newest)
+	_, b := other.Lookup(newest)
 	c.Check(a && b, qt.IsTrue)
 }
 
@@ -245,20 +245,20 @@
 	for _, torn := range []bool{false, true} {
 		c := qt.New(t)
 		d := NewDisk()
-		book, _, _, _, err := logbook.Open(d.Handle())
+		book, _, _, _, err := store.Open(d.Handle())
 		c.Assert(err, qt.IsNil)
-		c.Assert(book.Write([]manifest.Item{item("r", 1)}, nil, true), qt.IsNil)
+		c.Assert(book.Write([]config.Item{item("r", 1)}, nil, true), qt.IsNil)
 		for version := uint64(2); version < 60; version += 2 {
 			d.fill(true)
-			c.Assert(book.Write([]manifest.Item{item("r", version)}, nil, false), qt.IsNotNil)
+			c.Assert(book.Write([]config.Item{item("r", version)}, nil, false), qt.IsNotNil)
 			d.fill(false)
-			c.Assert(book.Write([]manifest.Item{item("r", version+1)}, nil, false), qt.IsNil)
+			c.Assert(book.Write([]config.Item{item("r", version+1)}, nil, false), qt.IsNil)
 		}
 		d.fill(true)
-		c.Assert(book.Write([]manifest.Item{item("r", 90)}, nil, false), qt.IsNotNil)
+		c.Assert(book.Write([]config.Item{item("r", 90)}, nil, false), qt.IsNotNil)
 		d.PowerLoss(torn)
 		d.fill(false)
-		_, items, _, whole, err := logbook.Open(d.Handle())
+		_, items, _, whole, err := store.Open(d.Handle())
 		c.Assert(err, qt.IsNil)
 		c.Check(newest(items), qt.Equals, uint64(59))
 		c.Check(whole, qt.IsTrue)
--- a/internal/lab/basin/measure_test.go
+++ b/internal/lab/simulation/measure_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"context"
@@ -19,16 +19,16 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"portflow/internal/harbour/lines"
-	"portflow/internal/harbour/manifest"
+	"portflow/internal/cluster/config"
+	"portflow/internal/cluster/stream"
 )
 
 // The measurements of control: its write path, its members and how one that is behind catches up. They go by what can be
 // seen from outside alone (calls, syncs of disks, bytes and frames on lines), so that this file also measures versions of
 // another making. Times are virtual: they are exact for the emulator's delays, and a busy machine changes none of them.
 //
-//	go test ./internal/lab/basin -run 'TestMeasure' -v -timeout 60m -args -measure
-//	go test ./internal/lab/basin -run 'TestMeasure/day' -v -timeout 120m -args -measure -day
+//	go test ./internal/lab/simulation -run 'TestMeasure' -v -timeout 60m -args -measure
+//	go test ./internal/lab/simulation -run 'TestMeasure/day' -v -timeout 120m -args -measure -day
 var (
 	measure = flag.Bool("measure", false, "measure control, and write the figures as rows of tables")
 	longDay = flag.Bool("day", false, "of the measurements also the day of 1,100 changes and 330 restarts")
@@ -92,7 +92,7 @@
 
 // once is one call by the operator of a zone to a control process; the status is 0 where no answer came within a second.
 func (b *bench) once(from, at int, call, of string, body []byte) (status int, answer []byte) {
-	status, answer, err := post(context.Background(), b.clients[from], b.h.Masters[at].Boot.Listen["control"], call, of, body)
+	status, answer, err := post(context.Background(), b.clients[from], b.h.Masters[at].Boot.ListenAddresses["control"], call, of, body)
 	if err != nil {
 		return 0, nil
 	}
@@ -214,7 +214,7 @@
 }
 
 func (b *bench) spent() spent {
-	s := spent{said: float64(lines.Said.Load()), at: time.Now()}
+	s := spent{said: float64(stream.FramesWritten.Load()), at: time.Now()}
 	for _, m := range b.h.Masters {
 		m.Disk.mu.Lock()
 		s.syncs += float64(m.Disk.Syncs)
@@ -741,7 +741,7 @@
 	}
 	probe("instances.heartbeat", 20*time.Millisecond, b.beats(at))
 	probe("directory", 20*time.Millisecond, func() bool {
-		resp, err := b.clients[at].Get("http://" + b.h.Masters[at].Boot.Listen["directory"] + "/-/resolution?zone-name=" + zone(at))
+		resp, err := b.clients[at].Get("http://" + b.h.Masters[at].Boot.ListenAddresses["directory"] + "/-/resolution?zone-name=" + zone(at))
 		if err != nil {
 			return false
 		}
@@ -984,11 +984,11 @@
 func measureSize(t *testing.T) {
 	t.Log("| items | check of one route's change ms | drawing the chart ms | a copy of the set ms |")
 	for _, x := range [][2]int{{10, 0}, {1000, 0}, {3200, 0}, {3200, 10000}, {3200, 33000}} {
-		set := manifest.NewSet()
-		set.Merge(manifest.Item{Kind: manifest.Services, Name: "desk", Version: 1, Body: json.RawMessage(`{"cold-per-s":3,"cold-start-s":3,` +
+		set := config.NewSet()
+		set.Merge(config.Item{Kind: config.KindServices, Name: "desk", Version: 1, Body: json.RawMessage(`{"cold-per-s":3,"cold-start-s":3,` +
 			`"connection-limit":140,"health-path":"/health","name":"desk","protocol":"h1","transport-security":false}`)})
-		route := func(i int, version uint64) manifest.Item {
-			return manifest.Item{Kind: manifest.Routes, Name: fmt.Sprintf("load-%05d", i), Version: version, Body: fmt.Appendf(nil,
+		route := func(i int, version uint64) config.Item {
+			return config.Item{Kind: config.KindRoutes, Name: fmt.Sprintf("load-%05d", i), Version: version, Body: fmt.Appendf(nil,
 				`{"host-name":"desk.example","maximum-attempts":2,"name":"load-%05d","path-prefix":"/load/%05d/%d","priority-level":1,`+
 					`"route-kind":"unsafe_method","service":"desk","target-s":0.8,"timeout-s":2}`, i, i, version)}
 		}
@@ -996,7 +996,7 @@
 			set.Merge(route(i, 1))
 		}
 		for i := range x[1] {
-			set.Merge(manifest.Item{Kind: manifest.Shares, Name: fmt.Sprintf("s-%05d", i), Version: 1, Body: fmt.Appendf(nil,
+			set.Merge(config.Item{Kind: config.KindQuotas, Name: fmt.Sprintf("s-%05d", i), Version: 1, Body: fmt.Appendf(nil,
 				`{"burst":1,"caller":"tenant-%05d","caller-header":"X-Agency","name":"s-%05d","per-s":0.01,"service":"desk"}`, i, i)})
 		}
 		timed := func(f func()) string {
@@ -1010,11 +1010,11 @@
 			return ms(took[len(took)/2])
 		}
 		check := timed(func() {
-			if _, err := set.Check([]manifest.Item{route(7, 2)}); err != nil {
+			if _, err := set.CheckChange([]config.Item{route(7, 2)}); err != nil {
 				t.Fatal(err)
 			}
 		})
-		t.Logf("| %d routes, %d shares | %s | %s | %s |", x[0], x[1], check, timed(func() { manifest.Draw(set) }), timed(func() { set.Clone() }))
+		t.Logf("| %d routes, %d shares | %s | %s | %s |", x[0], x[1], check, timed(func() { config.NewRoutingTable(set) }), timed(func() { set.Clone() }))
 	}
 }
 
--- a/internal/lab/basin/nearer_test.go
+++ b/internal/lab/simulation/nearer_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"fmt"
@@ -67,7 +67,7 @@
 					changed.Version = fmt.Sprintf("%08x", n+10)
 					configure(c, h, h.Configure(false, changed), 0)
 					at := time.Now()
-					for f.Running.Versions()[look.Name] != uint64(n+10) && time.Since(at) < 5*time.Second {
+					for f.Running.RouteVersions()[look.Name] != uint64(n+10) && time.Since(at) < 5*time.Second {
 						time.Sleep(5 * time.Millisecond)
 					}
 					worst = max(worst, time.Since(at))
--- a/internal/lab/basin/refusing_test.go
+++ b/internal/lab/simulation/refusing_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"encoding/json"
@@ -13,10 +13,10 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/syndtr/goleveldb/leveldb/storage"
 
-	"portflow/internal/harbour/logbook"
-	"portflow/internal/harbour/manifest"
-	"portflow/internal/harbour/quorum"
-	"portflow/internal/parts/chance"
+	"portflow/internal/cluster/config"
+	"portflow/internal/control/consensus"
+	"portflow/internal/control/store"
+	"portflow/internal/random"
 )
 
 // faulty is a disk whose next so many steps are refused, of the kinds that are chosen.
@@ -146,11 +146,11 @@
 
 // refusal plays one history of writes on a disk that refuses steps of a kind now and then.
 func refusal(c *qt.C, kind string, seed uint64) {
-	draw := chance.Source{Seed: seed*31 + uint64(len(kind))}
+	draw := random.Source{Seed: seed*31 + uint64(len(kind))}
 	n := func(n int) int { return int(draw.Next() * float64(n)) }
 	d := NewDisk()
 	f := &faulty{Storage: d.Handle(), kind: kind}
-	book, _, _, _, err := logbook.Open(f)
+	book, _, _, _, err := store.Open(f)
 	c.Assert(err, qt.IsNil)
 	c.Assert(book.Write(nil, nil, true), qt.IsNil)
 	want := map[string]uint64{}
@@ -164,15 +164,15 @@
 			i.Body, _ = json.Marshal(map[string]string{"x": string(make([]byte, 30<<10))})
 		}
 		if n(3) == 0 {
-			if err = book.Replace(nil, []manifest.Key{i.Key()}, nil, false); err == nil {
+			if err = book.Replace(nil, []config.Key{i.Key()}, nil, false); err == nil {
 				delete(want, name)
 			}
-		} else if err = book.Write([]manifest.Item{i}, nil, false); err == nil {
+		} else if err = book.Write([]config.Item{i}, nil, false); err == nil {
 			want[name] = version
 		}
 	}
 	f.next(0)
-	c.Assert(book.Write([]manifest.Item{item("last", 999)}, nil, false), qt.IsNil, qt.Commentf("%s %d", kind, seed))
+	c.Assert(book.Write([]config.Item{item("last", 999)}, nil, false), qt.IsNil, qt.Commentf("%s %d", kind, seed))
 	want["last"] = 999
 	left := diskCopied(d) // as a loss of power at this moment leaves it
 	left.PowerLoss(true)
@@ -181,7 +181,7 @@
 	if n(2) == 0 {
 		left = d
 	}
-	again, items, _, whole, err := logbook.Open(left.Handle())
+	again, items, _, whole, err := store.Open(left.Handle())
 	c.Assert(err, qt.IsNil)
 	have := map[string]uint64{}
 	for _, i := range items {
@@ -224,16 +224,16 @@
 			m.Disk.PowerLoss(true)
 		}
 		time.Sleep(time.Second)
-		disk, items, cells, whole, err := logbook.Open(ill.Disk.Handle())
+		disk, items, cells, whole, err := store.Open(ill.Disk.Handle())
 		c.Assert(err, qt.IsNil)
 		disk.Close()
-		var node quorum.Disk // the last change may still be its vote
+		var node consensus.HardState // the last change may still be its vote
 		c.Assert(json.Unmarshal(cells["node"], &node), qt.IsNil)
-		items = append(items, node.Value...)
+		items = append(items, node.AcceptedValue...)
 		c.Check(whole, qt.IsTrue)
 		newest := uint64(0)
 		for _, i := range items {
-			if i.Kind == manifest.Routes && i.Name == look.Name {
+			if i.Kind == config.KindRoutes && i.Name == look.Name {
 				newest = i.Version
 			}
 		}
@@ -247,19 +247,19 @@
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			d := NewDisk()
-			book, _, _, _, err := logbook.Open(d.Handle())
+			book, _, _, _, err := store.Open(d.Handle())
 			c.Assert(err, qt.IsNil)
 			if d.set(0, refuse); refuse {
-				c.Assert(book.Write([]manifest.Item{item("r", 1)}, nil, false), qt.ErrorIs, errRefused)
-				c.Assert(book.Write([]manifest.Item{item("r", 1)}, nil, false), qt.ErrorIs, errRefused)
+				c.Assert(book.Write([]config.Item{item("r", 1)}, nil, false), qt.ErrorIs, errRefused)
+				c.Assert(book.Write([]config.Item{item("r", 1)}, nil, false), qt.ErrorIs, errRefused)
 			}
 			d.set(125*time.Millisecond, false)
 			done := make(chan error, 1)
-			go func() { done <- book.Write([]manifest.Item{item("r", 2)}, nil, false) }()
+			go func() { done <- book.Write([]config.Item{item("r", 2)}, nil, false) }()
 			time.Sleep(50 * time.Millisecond)
 			c.Check(book.Close(), qt.IsNil)
 			c.Check(<-done, qt.IsNil)
-			c.Check(book.Write(nil, nil, true), qt.ErrorIs, logbook.ErrClosed)
+			c.Check(book.Write(nil, nil, true), qt.ErrorIs, store.ErrClosed)
 			c.Check(book.Reopened.Load() == 1, qt.Equals, refuse)
 			time.Sleep(2 * time.Second) // the store's own goroutines end
 		})
@@ -277,7 +277,7 @@
 			for n := range 6 {
 				m := h.Masters[n]
 				go h.Order("configuration.modify", "", h.Configure(false, Route{Name: "r", Prefix: fmt.Sprintf("/r%d/", n), Service: "desk",
-					Version: manifest.Digits(uint64(n + 2))}), 3*time.Second, (n+1)%6)
+					Version: config.FormatVersion(uint64(n + 2))}), 3*time.Second, (n+1)%6)
 				m.Disk.set(delay, true)
 				time.Sleep(time.Duration(n*70) * time.Millisecond)
 				m.Disk.set(delay, n%2 == 0)
--- a/internal/lab/basin/sea.go
+++ b/internal/lab/simulation/sea.go
@@ -1,7 +1,7 @@
-// Package basin is a whole harbour in one process: control processes, routers, hosts and clients on a network in memory and
+// Package simulation is a whole harbour in one process: control processes, routers, hosts and clients on a network in memory and
 // on disks in memory, for tests in virtual time. Links have delay and can be cut, connections break as a machine's do, and
 // a disk loses what was not synced.
-package basin
+package simulation
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"portflow/internal/parts/chance"
+	"portflow/internal/random"
 )
 
 // Sea is the network.
@@ -33,14 +33,14 @@
 	frozen    map[string]bool
 	lossy     map[[2]string]float64 // from, to: the part of what is sent whose connection breaks instead
 	port      int
-	draw      chance.Source
+	draw      random.Source
 	Bytes     map[[2]string]int64 // from, to
 }
 
 // NewSea makes a calm one.
 func NewSea(delay func(a, b string) time.Duration, seed uint64) *Sea {
 	return &Sea{Delay: delay, Silent: 1500 * time.Millisecond, listeners: map[string]*listener{}, packets: map[string]*packet{},
-		conns: map[*conn]bool{}, cuts: map[[2]string]bool{}, down: map[string]bool{}, frozen: map[string]bool{}, lossy: map[[2]string]float64{}, port: 20000, draw: chance.Source{Seed: seed},
+		conns: map[*conn]bool{}, cuts: map[[2]string]bool{}, down: map[string]bool{}, frozen: map[string]bool{}, lossy: map[[2]string]float64{}, port: 20000, draw: random.Source{Seed: seed},
 		Bytes: map[[2]string]int64{}}
 }
 
@@ -655,8 +655,8 @@
 	once sync.Once
 }
 
-// Packet opens one.
-func (p *Process) Packet(address string) (net.PacketConn, error) {
+// ListenPacket opens one.
+func (p *Process) ListenPacket(address string) (net.PacketConn, error) {
 	at, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, err
--- a/internal/lab/basin/sea_test.go
+++ b/internal/lab/simulation/sea_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"context"
--- a/internal/lab/basin/shares_test.go
+++ b/internal/lab/simulation/shares_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"portflow/internal/harbour/harbourmaster"
-	"portflow/internal/parts/chance"
+	"portflow/internal/control/server"
+	"portflow/internal/random"
 )
 
 var histories = flag.Int("histories", 8, "drawn histories of shares to play")
@@ -75,10 +75,10 @@
 		}
 		if on { // what control shows
 			_, _, raw := h.Order("harbour.read", "", nil, time.Second, 0)
-			var s harbourmaster.Survey
+			var s server.ClusterStatus
 			c.Assert(json.Unmarshal(raw, &s), qt.IsNil)
-			c.Assert(s.Shares, qt.HasLen, 3)
-			for _, x := range s.Shares {
+			c.Assert(s.Quotas, qt.HasLen, 3)
+			for _, x := range s.Quotas {
 				if x.Caller == "rush" && rush > 100 {
 					c.Check(x.Used > 15 && x.Used < 45, qt.IsTrue, qt.Commentf("%+v", x))
 					c.Check(len(x.Zones) >= 3, qt.IsTrue, qt.Commentf("%+v", x))
@@ -132,7 +132,7 @@
 		time.Sleep(time.Second)
 		configure(c, h, h.Configure(true, look, issue), 0)
 		configure(c, h, shares("00000002", map[string]float64{"a": 8, "b": 4}), 1)
-		draw := chance.Source{Seed: seed * 31}
+		draw := random.Source{Seed: seed * 31}
 		n := func(n int) int { return int(draw.Next() * float64(n)) }
 		var tally Tally
 		for z := range h.Zones {
--- a/internal/lab/basin/size_test.go
+++ b/internal/lab/simulation/size_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"encoding/json"
@@ -70,7 +70,7 @@
 		}
 		all := func(n int) bool {
 			for _, f := range h.Fairways {
-				if v := f.Running.Versions(); !f.Running.Ready() || len(v) != 3200 || v["wide-00007"] != uint64(n) {
+				if v := f.Running.RouteVersions(); !f.Running.Ready() || len(v) != 3200 || v["wide-00007"] != uint64(n) {
 					return false
 				}
 			}
--- a/internal/lab/basin/snapshot_test.go
+++ b/internal/lab/simulation/snapshot_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"portflow/internal/harbour/lines"
-	"portflow/internal/harbour/signals"
+	"portflow/internal/cluster/stream"
+	"portflow/internal/cluster/update"
 )
 
 // hand is a router made by hand: it hangs on a control process and takes a snapshot, with a pause after each chunk and an
@@ -25,11 +25,11 @@
 	chunks   bool // it takes them; routers of before don't
 	pause    time.Duration
 	breaks   int // chunks after which it lets go, 0 for never
-	incoming signals.Assembly
+	incoming update.Assembly
 	came     []int // notes that it had when each chunk came, over all lines
 	frames   int   // snapshots that came in one
-	notes    []signals.Note
-	follower signals.Follower
+	notes    []update.Change
+	follower update.Subscription
 	took     time.Duration
 }
 
@@ -42,19 +42,19 @@
 	if err != nil {
 		return err
 	}
-	l := lines.Open[signals.Word](c, lines.Quick)
-	part := x.incoming.Part()
-	w := signals.Word{Hello: &signals.Hello{Name: "hand-" + x.ip, IP: x.ip, Zone: zone(at)}}
+	l := stream.Open[update.Message](c, stream.ProxyKeepalive)
+	part := x.incoming.Progress()
+	w := update.Message{Hello: &update.Hello{Name: "hand-" + x.ip, IP: x.ip, Zone: zone(at)}}
 	if x.chunks {
-		w.Part = &part
+		w.Progress = &part
 	}
 	l.Send(w)
 	n := 0
-	return l.Run(func(w signals.Word) {
+	return l.Run(func(w update.Message) {
 		switch {
 		case w.Chunk != nil:
 			x.came = append(x.came, w.Chunk.From)
-			if err := x.incoming.Take(*w.Chunk); err != nil {
+			if err := x.incoming.Add(*w.Chunk); err != nil {
 				l.Close(err)
 				return
 			}
@@ -63,20 +63,20 @@
 				return
 			}
 			time.Sleep(x.pause)
-			part := x.incoming.Part()
-			l.Send(signals.Word{Part: &part})
-		case w.News != nil:
-			notes, ok := x.incoming.Close(*w.News)
-			if w.News.Snapshot {
+			part := x.incoming.Progress()
+			l.Send(update.Message{Progress: &part})
+		case w.Batch != nil:
+			notes, ok := x.incoming.Finish(*w.Batch)
+			if w.Batch.Snapshot {
 				x.frames++
-				notes, ok = w.News.Notes, true
+				notes, ok = w.Batch.Changes, true
 			}
 			if !ok {
 				l.Close(fmt.Errorf("news does not follow"))
 				return
 			}
 			x.notes, x.took = notes, time.Since(began)
-			x.follower.Take(w.News.Life, 0, w.News.To, true)
+			x.follower.Advance(w.Batch.Incarnation, 0, w.Batch.To, true)
 			l.Close(nil)
 		}
 	})
@@ -188,6 +188,6 @@
 		c.Check(old.frames, qt.Equals, 1)
 		c.Check(old.came, qt.HasLen, 0)
 		c.Check(old.prefix("wide-00007"), qt.Equals, last)
-		c.Check(strings.HasPrefix(old.follower.Life, slow.follower.Life), qt.IsTrue)
+		c.Check(strings.HasPrefix(old.follower.Incarnation, slow.follower.Incarnation), qt.IsTrue)
 	})
 }
--- a/internal/lab/basin/spoilt_test.go
+++ b/internal/lab/simulation/spoilt_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"fmt"
@@ -8,16 +8,16 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/syndtr/goleveldb/leveldb/storage"
 
-	"portflow/internal/harbour/logbook"
-	"portflow/internal/harbour/manifest"
+	"portflow/internal/cluster/config"
+	"portflow/internal/control/store"
 )
 
 // laid is a small disk: what it holds lies in the journal alone, in a table alone (it was opened again), in tables and the
 // journal, or in files that the store began as the journal was full (the list of its files has grown by records of its own).
 func laid(c *qt.C, how string) (d *Disk, holds string) {
 	d = NewDisk()
-	open := func() *logbook.Book {
-		book, _, _, _, err := logbook.Open(d.Handle())
+	open := func() *store.Store {
+		book, _, _, _, err := store.Open(d.Handle())
 		c.Assert(err, qt.IsNil)
 		return book
 	}
@@ -26,7 +26,7 @@
 		for n := from; n < to; n++ {
 			i := item(fmt.Sprint("r", n%7), uint64(n))
 			i.Body = []byte(`{"x":"` + strings.Repeat("x", long) + `"}`)
-			c.Assert(book.Write([]manifest.Item{i}, map[string][]byte{"number": []byte(fmt.Sprint(n))}, n == 0), qt.IsNil)
+			c.Assert(book.Write([]config.Item{i}, map[string][]byte{"number": []byte(fmt.Sprint(n))}, n == 0), qt.IsNil)
 		}
 	}
 	write(0, 12, 9)
@@ -45,7 +45,7 @@
 		write(12, 48, 60<<10)
 	}
 	c.Assert(book.Close(), qt.IsNil)
-	book, items, cells, whole, err := logbook.Open(diskCopied(d).Handle())
+	book, items, cells, whole, err := store.Open(diskCopied(d).Handle())
 	c.Assert(err, qt.IsNil)
 	c.Assert(whole, qt.IsTrue)
 	book.Close()
@@ -79,7 +79,7 @@
 						starts = append(starts, spoilt.Handle(), refusing, refusing)
 					}
 					for start, disk := range starts {
-						book, items, cells, whole, err := logbook.Open(disk)
+						book, items, cells, whole, err := store.Open(disk)
 						if start == 2 {
 							refusing.next(0)
 						}
@@ -118,14 +118,14 @@
 		}
 	}
 	for _, says := range []bool{false, false, true} {
-		book, _, _, whole, err := logbook.Open(d.Handle())
+		book, _, _, whole, err := store.Open(d.Handle())
 		c.Assert(err, qt.IsNil)
 		c.Check(whole, qt.IsFalse)
 		c.Check(book.Repaired, qt.IsTrue) // or a first start that is not over would be taken for intact
-		c.Assert(book.Write([]manifest.Item{item("r", 9)}, nil, says), qt.IsNil)
+		c.Assert(book.Write([]config.Item{item("r", 9)}, nil, says), qt.IsNil)
 		c.Assert(book.Close(), qt.IsNil)
 	}
-	book, _, _, whole, err := logbook.Open(d.Handle())
+	book, _, _, whole, err := store.Open(d.Handle())
 	c.Assert(err, qt.IsNil)
 	c.Check(whole, qt.IsTrue)
 	c.Check(book.Repaired, qt.IsFalse)
@@ -136,18 +136,18 @@
 func TestImageFromBefore(t *testing.T) {
 	c := qt.New(t)
 	d := NewDisk()
-	book, _, _, _, err := logbook.Open(d.Handle())
+	book, _, _, _, err := store.Open(d.Handle())
 	c.Assert(err, qt.IsNil)
 	var image *Disk
 	for n := range 10 {
-		c.Assert(book.Write([]manifest.Item{item("r", uint64(n))}, map[string][]byte{"number": []byte(fmt.Sprint(n)), "id": []byte("a")}, n == 0), qt.IsNil)
+		c.Assert(book.Write([]config.Item{item("r", uint64(n))}, map[string][]byte{"number": []byte(fmt.Sprint(n)), "id": []byte("a")}, n == 0), qt.IsNil)
 		if n == 4 {
 			image = diskCopied(d)
 		}
 	}
 	c.Assert(book.Close(), qt.IsNil)
 	for disk, number := range map[*Disk]string{image: "4", d: "9"} {
-		book, items, cells, whole, err := logbook.Open(disk.Handle())
+		book, items, cells, whole, err := store.Open(disk.Handle())
 		c.Assert(err, qt.IsNil)
 		c.Check(whole, qt.IsTrue)
 		c.Check(items, qt.HasLen, 1)
--- a/internal/lab/basin/traffic_test.go
+++ b/internal/lab/simulation/traffic_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"portflow/internal/parts/chance"
+	"portflow/internal/random"
 )
 
 // troubled are the troubles of the traffic side; each is done at one time and undone later, where it can be.
@@ -89,7 +89,7 @@
 		done := make(chan bool)
 		h.all.Go(func() {
 			defer close(done)
-			f.Running.Leave()
+			f.Running.Drain()
 		})
 		return func() {
 			<-done
@@ -157,7 +157,7 @@
 			h.Traffic(&tally, z, look, 2*l.Rate, lasts)
 			h.Traffic(&tally, z, issue, l.Rate, lasts)
 		}
-		draw := chance.Source{Seed: uint64(seed) * 7919}
+		draw := random.Source{Seed: uint64(seed) * 7919}
 		n := func(n int) int { return int(draw.Next() * float64(n)) }
 		time.Sleep(time.Second)
 		undo := []func(){troubled[one].do(h, n)}
--- a/internal/lab/basin/unraced_test.go
+++ b/internal/lab/simulation/unraced_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package basin
+package simulation
 
 const raced = false
--- a/internal/lab/basin/watched_test.go
+++ b/internal/lab/simulation/watched_test.go
@@ -1,4 +1,4 @@
-package basin
+package simulation
 
 import (
 	"encoding/json"
@@ -9,8 +9,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"portflow/internal/harbour/harbourmaster"
-	"portflow/internal/harbour/lines"
+	"portflow/internal/cluster/stream"
+	"portflow/internal/control/server"
 )
 
 // A control process is killed and starts again a second later. Of the hosts that beat to it one went dark meanwhile: the process has never
@@ -26,7 +26,7 @@
 				h := opened(c, l)
 				time.Sleep(4 * time.Second)
 				for _, f := range h.Fairways {
-					c.Assert(f.Running.Usable("desk"), qt.Equals, 12)
+					c.Assert(f.Running.UsableHosts("desk"), qt.Equals, 12)
 				}
 				m, lost := h.Masters[5], (*Quay)(nil)
 				for _, q := range h.Quays {
@@ -42,7 +42,7 @@
 				time.Sleep(9 * time.Second)
 				for range 8 {
 					for _, f := range h.Fairways {
-						c.Check(f.Running.Usable("desk"), qt.Equals, 11, qt.Commentf(f.Boot.Name))
+						c.Check(f.Running.UsableHosts("desk"), qt.Equals, 11, qt.Commentf(f.Boot.Name))
 					}
 					time.Sleep(time.Second)
 				}
@@ -63,10 +63,10 @@
 				h := opened(c, l)
 				time.Sleep(4 * time.Second)
 				routers := func(at int) (names []string) {
-					var s harbourmaster.Survey
+					var s server.ClusterStatus
 					_, raw := h.askOf(at, "harbour.read", "", nil)
 					c.Assert(json.Unmarshal(raw, &s), qt.IsNil)
-					for _, r := range s.Routers {
+					for _, r := range s.Proxies {
 						if r.Ready {
 							names = append(names, r.Name)
 						}
@@ -113,13 +113,13 @@
 		time.Sleep(4 * time.Second)
 		whole := func() bool {
 			for at := range h.Masters {
-				var s harbourmaster.Survey
+				var s server.ClusterStatus
 				_, raw := h.askOf(at, "harbour.read", "", nil)
 				if json.Unmarshal(raw, &s) != nil {
 					return false
 				}
 				ready := 0
-				for _, r := range s.Routers {
+				for _, r := range s.Proxies {
 					if r.Ready {
 						ready++
 					}
@@ -139,17 +139,17 @@
 		time.Sleep(4 * time.Second) // routers move back
 		c.Check(whole(), qt.IsTrue)
 
-		said := lines.Said.Load()
+		said := stream.FramesWritten.Load()
 		time.Sleep(2 * time.Second)
-		calm := lines.Said.Load() - said
-		said = lines.Said.Load()
+		calm := stream.FramesWritten.Load() - said
+		said = stream.FramesWritten.Load()
 		h.Masters[2].Kill()
 		time.Sleep(500 * time.Millisecond)
 		h.Masters[2].mustStart()
 		until(c, 5*time.Second, "all have all routers", whole)
 		time.Sleep(3 * time.Second)
 		c.Check(whole(), qt.IsTrue)
-		c.Logf("%d frames for a restart, %d in two calm seconds", lines.Said.Load()-said, calm)
-		c.Check(lines.Said.Load()-said < 560, qt.IsTrue, qt.Commentf("%d", lines.Said.Load()-said))
+		c.Logf("%d frames for a restart, %d in two calm seconds", stream.FramesWritten.Load()-said, calm)
+		c.Check(stream.FramesWritten.Load()-said < 560, qt.IsTrue, qt.Commentf("%d", stream.FramesWritten.Load()-said))
 	})
 }
--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -15,16 +15,16 @@
 
 	"github.com/rs/zerolog"
 
-	"portflow/internal/balancer/config"
-	"portflow/internal/balancer/list"
-	"portflow/internal/balancer/node"
-	"portflow/internal/balancer/settings"
-	"portflow/internal/parts/chance"
-	"portflow/internal/parts/router"
-	"portflow/internal/parts/storm"
+	"portflow/internal/decision"
+	"portflow/internal/dispatch"
+	"portflow/internal/random"
+	"portflow/internal/retryguard"
+	"portflow/internal/router"
+	"portflow/internal/router/config"
+	"portflow/internal/router/discovery"
+	"portflow/internal/router/settings"
 	"portflow/internal/standin"
 	"portflow/internal/standin/servers"
-	"portflow/rules"
 )
 
 // loopback plays an experiment on sockets: the program's own routers, and stand-ins around them.
@@ -33,7 +33,7 @@
 	book    *book
 	began   time.Time
 	mu      sync.Mutex
-	draw    chance.Source
+	draw    random.Source
 	hosts   []*servers.Host
 	around  *servers.Around
 	effects servers.Shared
@@ -53,7 +53,7 @@
 	if s.Trial || s.Routers > 16 || s.Hosts > 64 {
 		return Result{}, errors.New("lab: no trial, 16 routers and 64 hosts at most on sockets")
 	}
-	l := &loopback{Storm: s, book: newBook(s), began: time.Now(), draw: chance.Source{Seed: s.Seed},
+	l := &loopback{Storm: s, book: newBook(s), began: time.Now(), draw: random.Source{Seed: s.Seed},
 		effects: servers.Shared{Effects: standin.Effects{Memory: 2e9}},
 		client:  http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512, IdleConnTimeout: time.Second}}}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -72,8 +72,8 @@
 		return Result{}, err
 	}
 	defer l.around.Close()
-	var nodes []*node.Node
-	var spies []*storm.Guard
+	var nodes []*router.Node
+	var spies []*retryguard.Guard
 	configs, err := l.configs()
 	if err != nil {
 		return Result{}, err
@@ -83,7 +83,7 @@
 		if err != nil {
 			return Result{}, err
 		}
-		n, err := node.StartWith(ctx, c, g, nil, zerolog.Nop())
+		n, err := router.StartWith(ctx, c, g, nil, zerolog.Nop())
 		if err != nil {
 			return Result{}, err
 		}
@@ -136,9 +136,9 @@
 
 // configs are the routers', with free addresses.
 func (l *loopback) configs() ([]config.Config, error) {
-	known := list.Message{List: router.List{Form: rules.Whole}}
+	known := discovery.Message{List: dispatch.List{Form: decision.Whole}}
 	for _, h := range l.hosts {
-		known.Hosts = append(known.Hosts, router.Host{Name: h.Name, Address: h.Address, Build: 1, Size: 1})
+		known.Hosts = append(known.Hosts, dispatch.Host{Name: h.Name, Address: h.Address, Build: 1, Size: 1})
 	}
 	var all []config.Config
 	var peers []netip.AddrPort
@@ -158,7 +158,7 @@
 		peers = append(peers, at)
 		all = append(all, config.Config{Name: "n" + strconv.Itoa(rank), Listen: listen, Discovery: l.around.Address,
 			Platform: l.around.Address, Seed: l.Seed*100 + uint64(rank), Cores: 1, Memory: 192 << 20, Sockets: 1024, PeerListen: at,
-			Known: known, News: router.News{News: rules.News{Build: 1, Standing: rules.Released, Cap: 1, Age: 60e9}},
+			Known: known, News: dispatch.News{News: decision.News{Build: 1, Standing: decision.Released, Cap: 1, Age: 60e9}},
 			Settings: settings.Settings{Settings: l.settings(rank), Bands: []string{bands[0].name, bands[1].name}, Carriers: carriers,
 				Zones: []string{"hall"}, Kinds: []string{"m"}, ConnectIn: 250e6, IdleIn: 30e9}})
 	}
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -7,37 +7,37 @@
 	"sync"
 	"time"
 
-	"portflow/internal/parts/chance"
-	"portflow/internal/parts/storm"
+	"portflow/internal/decision"
+	"portflow/internal/random"
+	"portflow/internal/retryguard"
 	"portflow/internal/standin"
-	"portflow/rules"
 )
 
 // Storm is one experiment: hosts go and return, and clients ask again.
 type Storm struct {
-	Routers int           `json:"Routers"`
-	Hosts   int           `json:"Hosts"`
-	Clients int           `json:"Clients"`
-	Outage  time.Duration `json:"Outage"`
-	Kind    string        `json:"Kind"`    // what goes: "hosts", "half", "list", "carrier" or "none"
-	Carrier int           `json:"Carrier"` // whose keys a storm of one carrier is about
-	Policy  string        `json:"Policy"`  // "on", "off", or a baseline: "fixed", "budget", "throttle"
-	Heed    float64       `json:"Heed"`
-	Marks   bool          `json:"Marks"`
-	Again   bool          `json:"Again"` // a second outage, 3 s after the hosts' return
-	Busy    bool          `json:"Busy"`  // one router has nine tenths of the traffic
-	Trial   bool          `json:"Trial"` // a build is on trial meanwhile, on every fifth host
-	Load    float64       `json:"Load"`  // calm traffic's part of what the hosts can do
-	Calm    time.Duration `json:"Calm"`
-	After   time.Duration `json:"After"`
-	Seed    uint64        `json:"Seed"`
-	Tuning  storm.Tuning  `json:"Tuning"`
+	Routers int               `json:"Routers"`
+	Hosts   int               `json:"Hosts"`
+	Clients int               `json:"Clients"`
+	Outage  time.Duration     `json:"Outage"`
+	Kind    string            `json:"Kind"`    // what goes: "hosts", "half", "list", "carrier" or "none"
+	Carrier int               `json:"Carrier"` // whose keys a storm of one carrier is about
+	Policy  string            `json:"Policy"`  // "on", "off", or a baseline: "fixed", "budget", "throttle"
+	Heed    float64           `json:"Heed"`
+	Marks   bool              `json:"Marks"`
+	Again   bool              `json:"Again"` // a second outage, 3 s after the hosts' return
+	Busy    bool              `json:"Busy"`  // one router has nine tenths of the traffic
+	Trial   bool              `json:"Trial"` // a build is on trial meanwhile, on every fifth host
+	Load    float64           `json:"Load"`  // calm traffic's part of what the hosts can do
+	Calm    time.Duration     `json:"Calm"`
+	After   time.Duration     `json:"After"`
+	Seed    uint64            `json:"Seed"`
+	Tuning  retryguard.Tuning `json:"Tuning"`
 }
 
 // Defaults are those of the command line.
 func Defaults() Storm {
 	return Storm{Routers: 3, Hosts: 10, Clients: 2000, Outage: 5 * time.Second, Kind: "hosts", Policy: "on", Heed: 0.7,
-		Load: 0.6, Calm: 6 * time.Second, After: 15 * time.Second, Seed: 1, Tuning: storm.Defaults()}
+		Load: 0.6, Calm: 6 * time.Second, After: 15 * time.Second, Seed: 1, Tuning: retryguard.Defaults()}
 }
 
 // Result is what a run tells; the greatest load counts what came to returning hosts over any 500 ms as a multiple of
@@ -76,13 +76,13 @@
 
 // bands are the experiment's: short work of little worth that may repeat, and marked work of more.
 var bands = []struct {
-	rules.Band
+	decision.Band
 	name       string
 	share      float64
 	least, top int64 // work
 }{
-	{rules.Band{Contract: 1500e6, CutOff: 5000e6, Repeat: rules.Replayable, Importance: 1}, "display", 0.65, 140e6, 240e6},
-	{rules.Band{Contract: 750e6, CutOff: 3000e6, Repeat: rules.Referenced, Memory: 2000e6, Importance: 5}, "accept", 0.35, 84e6, 140e6},
+	{decision.Band{Contract: 1500e6, CutOff: 5000e6, Repeat: decision.Replayable, Importance: 1}, "display", 0.65, 140e6, 240e6},
+	{decision.Band{Contract: 750e6, CutOff: 3000e6, Repeat: decision.Referenced, Memory: 2000e6, Importance: 5}, "accept", 0.35, 84e6, 140e6},
 }
 
 var carrierShares = []float64{0.63, 0.22, 0.15}
@@ -107,16 +107,16 @@
 func (s Storm) end() int64 { return int64(s.Calm + s.Outage + s.After) }
 
 // settings are a router's.
-func (s Storm) settings(rank int) rules.Settings {
-	out := rules.Settings{Rank: rank, Routers: s.Routers, OverShare: 0.1, Tick: 5e6, MaxHandOffs: 3, Copies: true,
-		Recalls: true, Peers: s.Routers > 1, MaxAdvice: maxTold, Gate: rules.Share, OnVotes: 1, BackVotes: 1, VoteLife: 4e9,
+func (s Storm) settings(rank int) decision.Settings {
+	out := decision.Settings{Rank: rank, Routers: s.Routers, OverShare: 0.1, Tick: 5e6, MaxHandOffs: 3, Copies: true,
+		Recalls: true, Peers: s.Routers > 1, MaxAdvice: maxTold, Gate: decision.Share, OnVotes: 1, BackVotes: 1, VoteLife: 4e9,
 		VoteWait: 800e6, Free: 2, FirstCap: 0.25, Beside: true, KeysStay: true, FlagShare: 0.15, ColdFrom: 0.33, ColdFor: 4e9,
 		FallMultiple: 2}
 	for _, b := range bands {
 		out.Bands = append(out.Bands, b.Band)
 	}
 	for _, share := range carrierShares {
-		out.Carriers = append(out.Carriers, rules.Carrier{PerSecond: 2 * share * s.rate()})
+		out.Carriers = append(out.Carriers, decision.Carrier{PerSecond: 2 * share * s.rate()})
 	}
 	return out
 }
@@ -129,7 +129,7 @@
 }
 
 // guard is a router's, by the policy; nil for none.
-func (s Storm) guard(rank int, now int64) (guard, *storm.Guard, error) {
+func (s Storm) guard(rank int, now int64) (guard, *retryguard.Guard, error) {
 	switch s.Policy {
 	case "off":
 		return nil, nil, nil
@@ -138,17 +138,17 @@
 	case "budget":
 		return &budget{}, nil, nil
 	case "throttle":
-		return &throttle{draw: chance.Source{Seed: s.Seed + uint64(rank)}}, nil, nil
+		return &throttle{draw: random.Source{Seed: s.Seed + uint64(rank)}}, nil, nil
 	case "on":
 	default:
 		return nil, nil, fmt.Errorf("lab: policy %q is unknown", s.Policy)
 	}
-	set := storm.Settings{Tuning: s.Tuning, Carriers: len(carrierShares), Routers: s.Routers, ColdFrom: 0.33, ColdFor: 4e9,
+	set := retryguard.Settings{Tuning: s.Tuning, Carriers: len(carrierShares), Routers: s.Routers, ColdFrom: 0.33, ColdFor: 4e9,
 		MaxAdvice: maxTold}
 	for _, b := range bands {
-		set.Bands = append(set.Bands, storm.Band{Contract: b.Contract, CutOff: b.CutOff, Importance: b.Importance})
+		set.Bands = append(set.Bands, retryguard.Band{Contract: b.Contract, CutOff: b.CutOff, Importance: b.Importance})
 	}
-	g, err := storm.New(set, s.Seed*1000+uint64(rank), now)
+	g, err := retryguard.New(set, s.Seed*1000+uint64(rank), now)
 	return g, g, err
 }
 
@@ -298,7 +298,7 @@
 }
 
 // next draws a new command of a client.
-func (s Storm) next(now int64, client int, d *chance.Source) *command {
+func (s Storm) next(now int64, client int, d *random.Source) *command {
 	c := &command{band: 1}
 	if d.Next() < bands[0].share {
 		c.band = 0
@@ -320,7 +320,7 @@
 	return c
 }
 
-func (c *command) work(d *chance.Source) int64 {
+func (c *command) work(d *random.Source) int64 {
 	b := bands[c.band]
 	return b.least + int64(d.Next()*float64(b.top-b.least))
 }
--- a/internal/lab/storm_test.go
+++ b/internal/lab/storm_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"portflow/internal/parts/chance"
+	"portflow/internal/random"
 )
 
 // The hard cases of a retry storm, each in virtual time: returning hosts get no more than the ceiling, service is back
@@ -131,7 +131,7 @@
 			t.Error("played", s)
 		}
 	}
-	d := &chance.Source{Seed: 1}
+	d := &random.Source{Seed: 1}
 	if c := Defaults().next(0, 3, d); c.key != 4 {
 		t.Error(c)
 	}
--- a/internal/lab/tonnage.go
+++ b/internal/lab/tonnage.go
@@ -8,9 +8,9 @@
 	"math"
 	"slices"
 
-	"portflow/internal/harbour/manifest"
-	"portflow/internal/harbour/tonnage"
-	"portflow/internal/parts/chance"
+	"portflow/internal/cluster/config"
+	"portflow/internal/quota"
+	"portflow/internal/random"
 )
 
 // This file plays callers' shares in virtual time over many routers and zones: the parts that the harbour's processes use,
@@ -51,7 +51,7 @@
 
 // way is one way of holding callers to their shares.
 type way interface {
-	take(now int64, router int, name string) tonnage.Verdict
+	take(now int64, router int, name string) quota.Decision
 	tick(now int64) (bytes int)
 	live(router int, up bool, now int64)
 	cut(zone int, cut bool, now int64)
@@ -59,9 +59,9 @@
 
 // PlayTonnage plays one.
 func PlayTonnage(p Tonnage) (Tally, error) {
-	shares := []manifest.Share{{Name: "rush", Service: "desk", Header: "X-Agency", Caller: caller, PerS: p.PerS, Burst: p.PerS}}
+	shares := []config.Quota{{Name: "rush", Service: "desk", CallerHeader: "X-Agency", Caller: caller, Rate: p.PerS, Burst: p.PerS}}
 	for n := range p.Others {
-		shares = append(shares, manifest.Share{Name: fmt.Sprint("small-", n), Service: "desk", Header: "X-Agency", Caller: fmt.Sprint("c", n), PerS: 1, Burst: 3})
+		shares = append(shares, config.Quota{Name: fmt.Sprint("small-", n), Service: "desk", CallerHeader: "X-Agency", Caller: fmt.Sprint("c", n), Rate: 1, Burst: 3})
 	}
 	var w way
 	switch p.Way {
@@ -72,7 +72,7 @@
 	default:
 		return Tally{}, fmt.Errorf("way: %q is none of dealt, count, usage, sketch", p.Way)
 	}
-	draw := chance.Source{Seed: p.Seed}
+	draw := random.Source{Seed: p.Seed}
 	up := make([]bool, p.Routers)
 	for r := range up {
 		up[r] = true
@@ -127,7 +127,7 @@
 			r := to(now)
 			v := w.take(now, r, caller)
 			remaining[r], said[r] = v.Remaining/max(1, v.Limit), now
-			if v.In {
+			if v.Admitted {
 				taken = append(taken, now)
 				t.Map[r][now/int64(1e9)]++
 			}
@@ -135,7 +135,7 @@
 		for range poisson(float64(p.Others) * 0.7 * float64(tallyStep) / 1e9) {
 			n := int(draw.Next() * float64(p.Others))
 			small++
-			if w.take(now, to(-1), fmt.Sprint("c", n)).In {
+			if w.take(now, to(-1), fmt.Sprint("c", n)).Admitted {
 				smallIn++
 			}
 		}
@@ -239,37 +239,37 @@
 // dealt is the harbour's way: the meters and dealers that its processes use, with the ways between them.
 type dealt struct {
 	mail
-	meters  []*tonnage.Meter
+	meters  []*quota.Meter
 	up      []bool
-	dealers []*tonnage.Dealer
-	shares  []manifest.Share
+	dealers []*quota.Allocator
+	shares  []config.Quota
 	off     int // the zone that is cut off, -1 for none
 	offAt   int64
 }
 
-func newDealt(p Tonnage, shares []manifest.Share) *dealt {
+func newDealt(p Tonnage, shares []config.Quota) *dealt {
 	d := &dealt{shares: shares, off: -1}
 	for z := range p.Zones {
-		d.dealers = append(d.dealers, tonnage.NewDealer())
-		d.dealers[z].Set(map[string][]manifest.Share{"desk": shares})
+		d.dealers = append(d.dealers, quota.NewAllocator())
+		d.dealers[z].SetQuotas(map[string][]config.Quota{"desk": shares})
 	}
 	for range p.Routers {
 		d.up = append(d.up, true)
-		d.meters = append(d.meters, tonnage.NewMeter(shares, p.Routers, 0))
+		d.meters = append(d.meters, quota.NewMeter(shares, p.Routers, 0))
 	}
 	return d
 }
 
 func (d *dealt) zone(r int) int { return r % len(d.dealers) }
 
-func (d *dealt) take(now int64, r int, name string) tonnage.Verdict {
-	return d.meters[r].Take(now, name, false, tonnage.None)
+func (d *dealt) take(now int64, r int, name string) quota.Decision {
+	return d.meters[r].Admit(now, name, false, quota.NoHeadroom)
 }
 
 func (d *dealt) live(r int, up bool, now int64) {
 	d.up[r] = up
 	if !up {
-		d.dealers[d.zone(r)].Gone(fmt.Sprint(r))
+		d.dealers[d.zone(r)].RemoveRouter(fmt.Sprint(r))
 	} else {
 		n := 0
 		for _, x := range d.up {
@@ -277,7 +277,7 @@
 				n++
 			}
 		}
-		d.meters[r] = tonnage.NewMeter(d.shares, n, now)
+		d.meters[r] = quota.NewMeter(d.shares, n, now)
 	}
 }
 
@@ -293,7 +293,7 @@
 
 func (d *dealt) tick(now int64) (bytes int) {
 	d.deliver(now)
-	if now%tonnage.DealEvery != 0 {
+	if now%quota.AllocationInterval != 0 {
 		return 0
 	}
 	live := 0
@@ -307,39 +307,39 @@
 			continue
 		}
 		if now%int64(1e9) == 0 {
-			m.Set(d.shares, live, now)
+			m.SetQuotas(d.shares, live, now)
 		}
 		all := m.Reports(now)
 		if len(all) > 0 {
 			bytes += size(all)
 		}
-		d.post(now+nearby, func() { d.dealers[d.zone(r)].Told(now+nearby, fmt.Sprint(r), all, nil) })
+		d.post(now+nearby, func() { d.dealers[d.zone(r)].AddReports(now+nearby, fmt.Sprint(r), all, nil) })
 	}
 	for z, x := range d.dealers {
-		sums, _ := x.Sums()
+		sums, _ := x.Usage()
 		for to, other := range d.dealers {
 			if to == z {
 				continue
 			}
 			if d.off == z || d.off == to {
 				if now-d.offAt >= silence {
-					other.Lost(now, fmt.Sprint(z))
+					other.ZoneLost(now, fmt.Sprint(z))
 				}
 				continue
 			}
 			if len(sums) > 0 {
 				bytes += size(sums)
 			}
-			d.post(now+crossing, func() { other.Zone(now+crossing, fmt.Sprint(z), sums, nil) })
+			d.post(now+crossing, func() { other.MergeZone(now+crossing, fmt.Sprint(z), sums, nil) })
 		}
 		if d.off == z && now-d.offAt >= silence { // it hears too few others, and deals no more
 			continue
 		}
-		for router, all := range x.Deal(now) {
+		for router, all := range x.Allocate(now) {
 			r := 0
 			fmt.Sscan(router, &r)
 			bytes += size(all)
-			d.post(now+nearby, func() { d.meters[r].Dealt(now+nearby, all) })
+			d.post(now+nearby, func() { d.meters[r].ApplyAllocations(now+nearby, all) })
 		}
 	}
 	return bytes
@@ -416,10 +416,10 @@
 
 const toldEvery = int64(500e6)
 
-func newTold(p Tonnage, shares []manifest.Share) *told {
+func newTold(p Tonnage, shares []config.Quota) *told {
 	t := &told{way: p.Way, routers: p.Routers, limits: map[string]float64{}, off: -1}
 	for _, s := range shares {
-		t.limits[s.Caller] = s.PerS
+		t.limits[s.Caller] = s.Rate
 	}
 	for range p.Routers {
 		t.up = append(t.up, true)
@@ -437,7 +437,7 @@
 	return exact{}
 }
 
-func (t *told) take(now int64, r int, name string) (v tonnage.Verdict) {
+func (t *told) take(now int64, r int, name string) (v quota.Decision) {
 	limit := t.limits[name]
 	rate, burst := limit/float64(t.routers), max(1, limit/float64(t.routers))
 	if t.way != "count" {
@@ -471,7 +471,7 @@
 	b.at = now
 	if b.tokens >= 1 {
 		b.tokens--
-		v.In = true
+		v.Admitted = true
 	}
 	return v
 }
--- a/internal/lab/trial/client.go
+++ b/internal/lab/trial/client.go
@@ -25,8 +25,8 @@
 	perConn      = 40                      // requests that a kept connection is used for at most
 )
 
-// client is one that asks again and again in one style.
-type client struct {
+// trialClient is one that asks again and again in one style.
+type trialClient struct {
 	rig   *rig
 	name  string
 	style Style
@@ -59,7 +59,7 @@
 }
 
 // run asks until the trial's requests are over.
-func (c *client) run(stop <-chan struct{}) {
+func (c *trialClient) run(stop <-chan struct{}) {
 	var conn *connection
 	defer func() {
 		if conn != nil {
@@ -88,7 +88,7 @@
 }
 
 // use sends what the client's style sends at once, and reports whether the connection is used again.
-func (c *client) use(conn *connection) bool {
+func (c *trialClient) use(conn *connection) bool {
 	n := 1
 	if c.style == Pipelined {
 		n = 2 + c.rng.IntN(pipelineMost-1)
@@ -124,7 +124,7 @@
 }
 
 // connect opens a connection to a proxy by chance, also to one that ends.
-func (c *client) connect() *connection {
+func (c *trialClient) connect() *connection {
 	proxy := c.rng.IntN(len(c.rig.proxies))
 	opened := c.rig.clock.now()
 	conn, err := net.DialTimeout("tcp", at(proxyIP(proxy), frontPort), time.Second)
@@ -135,12 +135,12 @@
 	return &connection{Conn: conn, in: bufio.NewReaderSize(conn, 16<<10), proxy: proxy, at: opened}
 }
 
-func (c *client) between(low, high time.Duration) time.Duration {
+func (c *trialClient) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(c.rng.Int64N(int64(high-low)))
 }
 
 // query draws a request.
-func (c *client) query(proxy int) query {
+func (c *trialClient) query(proxy int) query {
 	c.count++
 	r := c.rig.traffic[c.rng.IntN(len(c.rig.traffic))]
 	q := query{method: "GET", path: r.prefix, answer: c.rng.IntN(2000), wait: c.between(longestWait/2, longestWait)}
@@ -168,7 +168,7 @@
 }
 
 // exchange writes requests one behind the other while it reads their answers. It reports whether the connection may be used on.
-func (c *client) exchange(conn *connection, all []query) bool {
+func (c *trialClient) exchange(conn *connection, all []query) bool {
 	wrote := make([]chan error, len(all)) // each gets the outcome of one write; closed where that is not begun
 	for n := range wrote {
 		wrote[n] = make(chan error, 1)
@@ -203,7 +203,7 @@
 }
 
 // writeAll writes requests until one of them can't be written.
-func (c *client) writeAll(conn *connection, all []query, wrote []chan error) {
+func (c *trialClient) writeAll(conn *connection, all []query, wrote []chan error) {
 	failed := false
 	for n := range all {
 		if failed {
@@ -269,7 +269,7 @@
 const closes = "closes"
 
 // read takes one answer.
-func (c *client) read(conn *connection, q *query, sent bool) {
+func (c *trialClient) read(conn *connection, q *query, sent bool) {
 	a := &q.attempt
 	conn.SetReadDeadline(time.Now().Add(a.Deadline - c.rig.clock.now() + patience))
 	resp, err := http.ReadResponse(conn.in, &http.Request{Method: q.method})
--- a/internal/lab/trial/disturb.go
+++ b/internal/lab/trial/disturb.go
@@ -60,7 +60,7 @@
 		return
 	}
 	s := Signal{Proxy: -1, Kind: kind, At: r.clock.now()}
-	if p.role == "fairway" {
+	if p.role == "proxy" {
 		s.Proxy = p.index
 	}
 	switch kind {
--- a/internal/lab/trial/host.go
+++ b/internal/lab/trial/host.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"portflow/internal/harbour/pilot"
+	"portflow/internal/client"
 )
 
 const (
@@ -119,7 +119,7 @@
 		"current-status": map[string]any{"server-state": state, "sequence": v.sequence.Add(1)}})
 	all := controlAddresses()
 	near := append(append([]string(nil), all[v.zone:]...), all[:v.zone]...)
-	p := pilot.Pilot{Control: near, HTTP: v.rig.http, Limit: 4 * time.Second}
+	p := client.Client{Addresses: near, HTTP: v.rig.http, Timeout: 4 * time.Second}
 	p.Call(ctx, call, v.id, body)
 }
 
--- a/internal/lab/trial/operator.go
+++ b/internal/lab/trial/operator.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"portflow/internal/harbour/pilot"
+	"portflow/internal/client"
 )
 
 // Kinds of changes.
@@ -224,7 +224,7 @@
 // send makes one call, and remembers it.
 func (o *operator) send(ctx context.Context, kind string, items []Item) error {
 	err := o.call(ctx, kind, items, o.rng.IntN(zones))
-	if errors.Is(err, pilot.ErrNobody) {
+	if errors.Is(err, client.ErrNoAnswer) {
 		o.unclear = append(o.unclear, items)
 	}
 	if kind == changeAgain || kind == changeOlder || kind == changeUnclear {
@@ -241,7 +241,7 @@
 func (c *council) call(ctx context.Context, kind string, items []Item, first int) error {
 	all := controlAddresses()
 	first %= len(all)
-	p := pilot.Pilot{Control: append(append([]string(nil), all[first:]...), all[:first]...), HTTP: c.rig.http, Limit: callIn}
+	p := client.Client{Addresses: append(append([]string(nil), all[first:]...), all[:first]...), HTTP: c.rig.http, Timeout: callIn}
 	c.mu.Lock()
 	c.changes.Sent(items)
 	c.mu.Unlock()
@@ -252,12 +252,12 @@
 	defer c.mu.Unlock()
 	c.counts[kind]++
 	c.windows = merge(c.windows, Interval{began, ended + terms.Configuration + time.Second})
-	var refused *pilot.Refused
+	var refused *client.ResponseError
 	switch {
 	case err == nil:
 		c.results["200"]++
 		c.rig.violate(c.changes.Acknowledged(items)...)
-	case errors.As(err, &refused) && !errors.Is(err, pilot.ErrNobody):
+	case errors.As(err, &refused) && !errors.Is(err, client.ErrNoAnswer):
 		c.results[fmt.Sprint(refused.Status)]++
 		c.changes.Refused(items)
 		if kind != changeRace {
--- a/internal/lab/trial/process.go
+++ b/internal/lab/trial/process.go
@@ -31,7 +31,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	data := ""
-	if p.role == "harbourmaster" {
+	if p.role == "control" {
 		data = filepath.Join(p.rig.dir, p.name+".data")
 	}
 	path := filepath.Join(p.rig.dir, p.name+".conf")
@@ -119,7 +119,7 @@
 // its main function ends it whatever it would do with it, and says nothing of the program.
 func (p *process) serves(within time.Duration) bool {
 	address := at(p.ip, controlPort)
-	if p.role == "fairway" {
+	if p.role == "proxy" {
 		address = at(p.ip, frontPort)
 	}
 	for began := time.Now(); time.Since(began) < within; time.Sleep(20 * time.Millisecond) {
--- a/internal/lab/trial/report.go
+++ b/internal/lab/trial/report.go
@@ -22,10 +22,10 @@
 	Changes  map[string]int   `json:"changes"` // by kind
 	Results  map[string]int   `json:"results"` // of changes
 	Signals  map[string]int   `json:"signals"`
-	Struck   []Signal
+	Struck   []Signal         `json:"struck"`
 	Others   map[string]int64 `json:"others"`
 	Violated int              `json:"violated"`
-	Cuts     []string         // the first requests without a whole answer, one a line
+	Cuts     []string         `json:"cuts"` // the first requests without a whole answer, one a line
 	First    []Violation      `json:"violations"`
 	Dir      string           `json:"dir"`
 }
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"portflow/internal/harbour/pilot"
+	"portflow/internal/client"
 )
 
 // Options are how a trial runs.
@@ -36,7 +36,7 @@
 
 // Defaults are the options of the short form.
 func Defaults() Options {
-	return Options{Program: "target/harbour", Lasts: 18 * time.Second, Seed: 1, Clients: 120, Kills: 12, Restarts: 2, Requests: 1_000_000}
+	return Options{Program: "target/portflowd", Lasts: 18 * time.Second, Seed: 1, Clients: 120, Kills: 12, Restarts: 2, Requests: 1_000_000}
 }
 
 // The parts of the load's time: nothing else, changes, changes beside signals, nothing else.
@@ -143,11 +143,11 @@
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 5 * time.Second}}}
 	r.council = &council{rig: r, changes: NewChanges(), counts: map[string]int{}, results: map[string]int{}}
 	for z := range zones {
-		r.control = append(r.control, &process{name: fmt.Sprintf("control-%d", z+1), ip: controlIP(z), role: "harbourmaster",
+		r.control = append(r.control, &process{name: fmt.Sprintf("control-%d", z+1), ip: controlIP(z), role: "control",
 			duties: "control,directory", zone: z, index: z, rig: r})
 	}
 	for n := range zones * proxiesPerZone {
-		r.proxies = append(r.proxies, &process{name: fmt.Sprintf("proxy-%d", n+1), ip: proxyIP(n), role: "fairway", duties: "front",
+		r.proxies = append(r.proxies, &process{name: fmt.Sprintf("proxy-%d", n+1), ip: proxyIP(n), role: "proxy", duties: "front",
 			zone: n % zones, index: n, rig: r})
 	}
 	return r, nil
@@ -179,7 +179,7 @@
 func (r *rig) end() {
 	for _, p := range r.processes() {
 		p.kill()
-		if p.role == "harbourmaster" && !r.options.Keep {
+		if p.role == "control" && !r.options.Keep {
 			os.RemoveAll(filepath.Join(r.dir, p.name+".data"))
 		}
 	}
@@ -238,7 +238,7 @@
 	var clients sync.WaitGroup
 	styles := []Style{Kept, Pipelined, Resting, Fresh}
 	for n := range r.options.Clients {
-		c := &client{rig: r, name: fmt.Sprintf("%016x-%d", r.options.Seed, n), style: styles[n%len(styles)], zone: n % zones, rng: r.rng(uint64(10_000 + n))}
+		c := &trialClient{rig: r, name: fmt.Sprintf("%016x-%d", r.options.Seed, n), style: styles[n%len(styles)], zone: n % zones, rng: r.rng(uint64(10_000 + n))}
 		clients.Go(func() { c.run(stop) })
 	}
 	part := func(of float64) time.Duration { return time.Duration(of * float64(r.options.Lasts)) }
@@ -278,7 +278,7 @@
 	for _, p := range r.control {
 		who := p.name + " " + when
 		began := time.Now()
-		one := pilot.Pilot{Control: []string{at(p.ip, controlPort)}, HTTP: r.http, Limit: readIn}
+		one := client.Client{Addresses: []string{at(p.ip, controlPort)}, HTTP: r.http, Timeout: readIn}
 		raw, err := one.Call(ctx, "configuration.read", "", nil)
 		if err != nil {
 			r.violate(Violation{"CONFIGURATION: not read", fmt.Sprintf("%s: after %v: %v", who, time.Since(began), err)})
--- a/internal/parts/pace/ahead.go
+++ b/internal/pacing/ahead.go
@@ -1,4 +1,4 @@
-package pace
+package pacing
 
 // Nth is the n of the every n-th host that a router uses which needs so many of them: of powers of two some hosts stay
 // when n changes.
--- a/internal/parts/pace/pace.go
+++ b/internal/pacing/pace.go
@@ -1,6 +1,6 @@
-// Package pace decides when a router makes the calls that every router of its fleet may want to make in the same
+// Package pacing decides when a router makes the calls that every router of its fleet may want to make in the same
 // moment: what does no harm in one does in hundreds. It has no clock and no chance of its own.
-package pace
+package pacing
 
 // Calls is the pace of calls to one service that serves the whole fleet in turn.
 type Calls struct {
--- a/internal/parts/pace/pace_test.go
+++ b/internal/pacing/pace_test.go
@@ -1,10 +1,10 @@
-package pace
+package pacing
 
 import (
 	"slices"
 	"testing"
 
-	"portflow/internal/parts/chance"
+	"portflow/internal/random"
 	"portflow/internal/standin"
 )
 
@@ -16,7 +16,7 @@
 		at       int64
 		failures int
 	}
-	draw := chance.Source{Seed: 7}
+	draw := random.Source{Seed: 7}
 	var waits []caller
 	for range c.Routers {
 		waits = append(waits, caller{at: c.First(draw.Next())})
--- a/internal/parts/pace/trace_test.go
+++ b/internal/pacing/trace_test.go
@@ -1,4 +1,4 @@
-package pace
+package pacing
 
 import (
 	"math/rand/v2"
--- a/internal/harbour/fairway/allocs_test.go
+++ b/internal/proxy/allocs_test.go
@@ -1,4 +1,4 @@
-package fairway
+package proxy
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// allocsMost is how many allocations a small request may cost the process, all parts of it: connections, rules, library.
-const allocsMost = 146
+// maxAllocations is how many allocations a small request may cost the process, all parts of it: connections, rules, library.
+const maxAllocations = 146
 
 // What a request costs in allocations, counted over many on one kept connection to one host: both ends of it here allocate
 // nothing.
@@ -41,7 +41,7 @@
 			}()
 		}
 	}()
-	_, at := routed(t, &script{at: l.Addr().String()})
+	_, at := startRouted(t, &scriptedHost{address: l.Addr().String()})
 	c, err := net.Dial("tcp", at)
 	qt.Assert(t, err, qt.IsNil)
 	defer c.Close()
@@ -68,5 +68,5 @@
 	play()
 	least := min(play(), play(), play()) // what ticks in the background adds a little
 	t.Logf("%.1f allocations a request", least)
-	qt.Check(t, least <= allocsMost, qt.IsTrue, qt.Commentf("%.1f", least))
+	qt.Check(t, least <= maxAllocations, qt.IsTrue, qt.Commentf("%.1f", least))
 }
--- a/internal/harbour/attempt/attempt_test.go
+++ b/internal/proxy/attempt/attempt_test.go
@@ -7,16 +7,16 @@
 )
 
 // What is known after each event in each phase, as a table: where a row has no entry the event changes nothing.
-func TestAfter(t *testing.T) {
+func TestNext(t *testing.T) {
 	c := qt.New(t)
-	begun, partly, written := Attempt{Begun, MayHaveRun}, Attempt{Partly, MayHaveRun}, Attempt{Written, MayHaveRun}
-	never, maybe, ran := Attempt{Over, NotRun}, Attempt{Over, MayHaveRun}, Attempt{Over, Ran}
+	begun, partly, written := Attempt{WriteBegun, MayHaveRun}, Attempt{PartlyWritten, MayHaveRun}, Attempt{Written, MayHaveRun}
+	never, maybe, ran := Attempt{Ended, NotRun}, Attempt{Ended, MayHaveRun}, Attempt{Ended, Ran}
 	opening, open := Attempt{}, Attempt{Phase: Open}
 	type row map[Event]Attempt
-	before := row{Refused: never, Connected: open, Writing: begun, WroteNone: never, TurnedAway: opening, Misdirected: opening, Answered: opening,
-		WrongID: opening, Cut: opening, Extra: opening, Reset: never, Silence: never, Cancel: never}
-	ends := row{Refused: maybe, WroteNone: maybe, TurnedAway: never, Misdirected: never, Answered: ran, WrongID: maybe, Cut: maybe, Extra: maybe,
-		Reset: maybe, Silence: maybe, Cancel: maybe}
+	before := row{ConnectFailed: never, Connected: open, WriteStarted: begun, WroteNone: never, TurnedAway: opening, Misdirected: opening, Answered: opening,
+		WrongID: opening, Truncated: opening, UnexpectedBytes: opening, ConnectionReset: never, TimedOut: never, Canceled: never}
+	ends := row{ConnectFailed: maybe, WroteNone: maybe, TurnedAway: never, Misdirected: never, Answered: ran, WrongID: maybe, Truncated: maybe, UnexpectedBytes: maybe,
+		ConnectionReset: maybe, TimedOut: maybe, Canceled: maybe}
 	with := func(more row) row {
 		all := row{}
 		for _, r := range []row{ends, more} {
@@ -39,7 +39,7 @@
 			if !changes {
 				expected = from
 			}
-			c.Check(from.After(e), qt.Equals, expected, qt.Commentf("%v, %v: %v", from.Phase, from.Knowledge, e))
+			c.Check(from.Next(e), qt.Equals, expected, qt.Commentf("%v, %v: %v", from.Phase, from.Execution, e))
 		}
 	}
 }
@@ -50,7 +50,7 @@
 	c := qt.New(t)
 	play := func(r Request, all ...Event) Request {
 		for _, e := range all {
-			r, _ = r.On(e)
+			r, _ = r.Apply(e)
 		}
 		return r
 	}
@@ -62,35 +62,35 @@
 	for _, e := range Events() {
 		for _, sent := range []bool{false, true} {
 			once, twice := begin(Request{}), begin(Request{Idempotent: true})
-			c.Check(once.MaySend(), qt.IsFalse)
+			c.Check(once.MayAttempt(), qt.IsFalse)
 			if sent {
-				once, twice = play(once, Connected, Writing, WroteAll, e), play(twice, Connected, Writing, WroteAll, e)
+				once, twice = play(once, Connected, WriteStarted, WroteAll, e), play(twice, Connected, WriteStarted, WroteAll, e)
 			} else {
 				once, twice = play(once, e), play(twice, e)
 			}
-			over := once.Last().Phase == Over
-			c.Check(once.MaySend(), qt.Equals, over && once.Known() == NotRun, qt.Commentf("%v, %v", e, sent))
-			c.Check(once.Settle().MayRefuse(), qt.Equals, once.Known() == NotRun)
-			c.Check(twice.MaySend(), qt.Equals, over, qt.Commentf("%v, %v", e, sent))
+			over := once.Current().Phase == Ended
+			c.Check(once.MayAttempt(), qt.Equals, over && once.Execution() == NotRun, qt.Commentf("%v, %v", e, sent))
+			c.Check(once.Settle().MayRefuse(), qt.Equals, once.Execution() == NotRun)
+			c.Check(twice.MayAttempt(), qt.Equals, over, qt.Commentf("%v, %v", e, sent))
 			c.Check(twice.Settle().MayRefuse(), qt.IsTrue)
-			c.Check(once.MayRefuse() || once.Settle().MaySend(), qt.IsFalse)
-			_, ok := once.Settle().On(Writing)
+			c.Check(once.MayRefuse() || once.Settle().MayAttempt(), qt.IsFalse)
+			_, ok := once.Settle().Apply(WriteStarted)
 			c.Check(ok, qt.IsFalse)
-			if over && once.MaySend() { // what a first attempt leaves open a second doesn't close
-				again := play(begin(once), Connected, Writing, Reset)
-				c.Check(again.Known(), qt.Equals, MayHaveRun)
-				c.Check(play(again, TurnedAway).Known(), qt.Equals, MayHaveRun)
+			if over && once.MayAttempt() { // what a first attempt leaves open a second doesn't close
+				again := play(begin(once), Connected, WriteStarted, ConnectionReset)
+				c.Check(again.Execution(), qt.Equals, MayHaveRun)
+				c.Check(play(again, TurnedAway).Execution(), qt.Equals, MayHaveRun)
 			}
 		}
 	}
-	r := play(begin(Request{}), Connected, Writing)
-	_, ok := r.On(Writing) // on a second connection
+	r := play(begin(Request{}), Connected, WriteStarted)
+	_, ok := r.Apply(WriteStarted) // on a second connection
 	c.Check(ok, qt.IsFalse)
-	_, ok = Request{}.On(Writing)
+	_, ok = Request{}.Apply(WriteStarted)
 	c.Check(ok, qt.IsFalse)
 }
 
-func TestJudge(t *testing.T) {
+func TestClassify(t *testing.T) {
 	c := qt.New(t)
 	fine := func(change func(*Answer)) Answer {
 		a := Answer{Status: 200, IDs: []string{"a"}, Sealed: true}
@@ -107,25 +107,25 @@
 		"an error":               {"a", Answer{Status: 500, IDs: []string{"a"}}, Answered, nil},
 		"turned away":            {"a", Answer{Status: 503, IDs: []string{"a"}, NotRun: true}, TurnedAway, nil},
 		"misdirected":            {"a", Answer{Status: 421, IDs: []string{"a"}}, Misdirected, nil},
-		"another's":              {"a", fine(func(a *Answer) { a.IDs = []string{"b"} }), WrongID, ErrOther},
-		"another's not run":      {"a", Answer{Status: 503, IDs: []string{"b"}, NotRun: true}, WrongID, ErrOther},
-		"another's 421":          {"a", Answer{Status: 421, IDs: []string{"b"}}, WrongID, ErrOther},
-		"nobody's":               {"a", fine(func(a *Answer) { a.IDs = nil }), WrongID, ErrOther},
-		"nobody's error":         {"a", Answer{Status: 404}, WrongID, ErrOther},
-		"two requests'":          {"a", fine(func(a *Answer) { a.IDs = []string{"a", "b"} }), WrongID, ErrOther},
+		"another's":              {"a", fine(func(a *Answer) { a.IDs = []string{"b"} }), WrongID, ErrWrongRequest},
+		"another's not run":      {"a", Answer{Status: 503, IDs: []string{"b"}, NotRun: true}, WrongID, ErrWrongRequest},
+		"another's 421":          {"a", Answer{Status: 421, IDs: []string{"b"}}, WrongID, ErrWrongRequest},
+		"nobody's":               {"a", fine(func(a *Answer) { a.IDs = nil }), WrongID, ErrWrongRequest},
+		"nobody's error":         {"a", Answer{Status: 404}, WrongID, ErrWrongRequest},
+		"two requests'":          {"a", fine(func(a *Answer) { a.IDs = []string{"a", "b"} }), WrongID, ErrWrongRequest},
 		"one's twice":            {"a", fine(func(a *Answer) { a.IDs = []string{"a", "a"} }), Answered, nil},
 		"to one without an id":   {"", Answer{Status: 400, NotRun: true}, TurnedAway, nil},
-		"an id to one without":   {"", fine(func(*Answer) {}), WrongID, ErrOther},
-		"no seal":                {"a", fine(func(a *Answer) { a.Sealed = false }), Extra, ErrSeal},
-		"encoded":                {"a", fine(func(a *Answer) { a.Encoded = true }), Extra, ErrEncoded},
-		"switched":               {"a", fine(func(a *Answer) { a.Status = 101 }), Extra, ErrSwitched},
-		"a success that is none": {"a", fine(func(a *Answer) { a.NotRun = true }), Extra, ErrBoth},
+		"an id to one without":   {"", fine(func(*Answer) {}), WrongID, ErrWrongRequest},
+		"no seal":                {"a", fine(func(a *Answer) { a.Sealed = false }), UnexpectedBytes, ErrMissingSeal},
+		"encoded":                {"a", fine(func(a *Answer) { a.Encoded = true }), UnexpectedBytes, ErrUnexpectedEncoding},
+		"switched":               {"a", fine(func(a *Answer) { a.Status = 101 }), UnexpectedBytes, ErrProtocolSwitch},
+		"a success that is none": {"a", fine(func(a *Answer) { a.NotRun = true }), UnexpectedBytes, ErrContradictory},
 	} {
-		e, err := Judge(x.id, x.is)
+		e, err := Classify(x.id, x.is)
 		c.Check(e, qt.Equals, x.want, qt.Commentf("%s", name))
 		c.Check(err, qt.Equals, x.err, qt.Commentf("%s", name))
 	}
 	for status := 100; status < 600; status++ {
-		c.Check(Promises(status), qt.Equals, status == 408 || status == 421 || status == 429 || status == 503)
+		c.Check(PromisesNotRun(status), qt.Equals, status == 408 || status == 421 || status == 429 || status == 503)
 	}
 }
--- a/internal/harbour/attempt/model_test.go
+++ b/internal/proxy/attempt/model_test.go
@@ -10,8 +10,8 @@
 )
 
 var (
-	harms = flag.Int("harms", 3, "losses, resets, silences, copies and cancels in one history of the model")
-	tries = flag.Int("tries", 2, "attempts of one request in it")
+	faultKinds    = flag.Int("harms", 3, "losses, resets, silences, copies and cancels in one history of the model")
+	attemptLimits = flag.Int("tries", 2, "attempts of one request in it")
 )
 
 // The model: two clients with a request each that may run once, a router with two connections, and a host, as small machines.
@@ -22,46 +22,46 @@
 	kind Event
 }
 
-var nothing = message{of: -1}
+var noMessage = message{of: -1}
 
-type line struct {
-	up      bool // for the router
-	holder  int8
-	wire    int8 // the request on its way to the host
-	part    bool // of which only the beginning was written
-	early   bool // the host has answered it all the same, and reads on
-	working int8 // the request that the host has
-	back    [2]message
-	last    message // that the host said
-	had     uint8   // requests that were written on it, as the router remembers
+type connection struct {
+	open         bool // for the router
+	request      int8
+	wire         int8 // the request on its way to the host
+	part         bool // of which only the beginning was written
+	early        bool // the host has answered it all the same, and reads on
+	working      int8 // the request that the host has
+	answers      [2]message
+	lastAnswer   message // that the host said
+	sentAttempts uint8   // requests that were written on it, as the router remembers
 }
 
-type side uint8
+type clientState uint8
 
 const (
-	sending side = iota
-	waits
-	gone
-	succeeded
-	refused
-	failed
+	clientSending clientState = iota
+	clientWaiting
+	clientGone
+	clientSucceeded
+	clientRefused
+	clientFailed
 )
 
-type asked struct {
-	is     Request
-	client side
-	line   int8
-	tries  uint8
-	runs   uint8
-	early  uint8 // of the runs, those for which a part of it was enough
-	passed bool  // its body went on as it came: the router doesn't have it any more
-	stale  bool  // the router has read only a part of it
+type modelRequest struct {
+	state      Request
+	client     clientState
+	connection int8
+	attempts   uint8
+	runs       uint8
+	early      uint8 // of the runs, those for which a part of it was enough
+	passed     bool  // its body went on as it came: the router doesn't have it any more
+	stale      bool  // the router has read only a part of it
 }
 
 type world struct {
-	asked [2]asked
-	lines [2]line
-	harms uint8
+	requests    [2]modelRequest
+	connections [2]connection
+	faultsLeft  uint8
 }
 
 // mutation takes a part of the machine out.
@@ -73,25 +73,25 @@
 
 type model struct {
 	mutation
-	tries uint8
-	seen  map[world]bool
-	queue []world
-	steps int
-	wrong map[string]bool
-	ends  map[side]map[bool]int // by how a client's request ended, and whether it ran
+	attempts   uint8
+	visited    map[world]bool
+	queue      []world
+	steps      int
+	violations map[string]bool
+	ends       map[clientState]map[bool]int // by how a client's request ended, and whether it ran
 }
 
-func (m *model) broken(format string, args ...any) { m.wrong[fmt.Sprintf(format, args...)] = true }
+func (m *model) broken(format string, args ...any) { m.violations[fmt.Sprintf(format, args...)] = true }
 
 // reach is a state that a step leads to.
 func (m *model) reach(w world) {
 	m.steps++
-	for i, a := range w.asked {
+	for i, a := range w.requests {
 		if a.runs > 1 {
 			m.broken("TWICE: request %d", i)
 			return
 		}
-		if a.runs > 0 && a.client == refused {
+		if a.runs > 0 && a.client == clientRefused {
 			m.broken("REFUSED: request %d", i)
 			return
 		}
@@ -100,31 +100,31 @@
 			return
 		}
 	}
-	if !m.seen[w] {
-		for _, a := range w.asked {
+	if !m.visited[w] {
+		for _, a := range w.requests {
 			m.ends[a.client][a.runs > 0]++
 		}
-		m.seen[w] = true
+		m.visited[w] = true
 		m.queue = append(m.queue, w)
 	}
 }
 
 // on tells a request's attempt an event; where the attempt is over its line is free, or closed.
 func (m *model) on(w *world, i int8, e Event) {
-	a := &w.asked[i]
-	whole := a.is.now.Phase == Written || m.keepEarly
-	a.is, _ = a.is.On(e)
-	if m.noMayHaveRun && a.is.past == MayHaveRun {
-		a.is.past = NotRun
+	a := &w.requests[i]
+	whole := a.state.current.Phase == Written || m.keepEarly
+	a.state, _ = a.state.Apply(e)
+	if m.noMayHaveRun && a.state.ended == MayHaveRun {
+		a.state.ended = NotRun
 	}
-	if a.is.busy && a.is.now.Phase != Opening {
+	if a.state.busy && a.state.current.Phase != Connecting {
 		return
 	}
-	if l := &w.lines[a.line]; true {
-		l.holder = -1
-		l.up = l.up && (e == Answered || e == TurnedAway || e == Misdirected) && !a.is.busy && whole
+	if l := &w.connections[a.connection]; true {
+		l.request = -1
+		l.open = l.open && (e == Answered || e == TurnedAway || e == Misdirected) && !a.state.busy && whole
 	}
-	a.line = -1
+	a.connection = -1
 }
 
 func (m *model) judge(w *world, to int8, x message) (Event, error) {
@@ -138,24 +138,24 @@
 		a = Answer{Status: 503, IDs: []string{its}, NotRun: true}
 	case Misdirected:
 		a = Answer{Status: 421, IDs: []string{its}}
-	case Extra:
+	case UnexpectedBytes:
 		a = Answer{}
 	}
 	if m.notRunFirst && (x.kind == TurnedAway || x.kind == Misdirected) {
 		return x.kind, nil
 	}
-	if e, err := Judge(id, a); err != nil || x.kind != Cut {
+	if e, err := Classify(id, a); err != nil || x.kind != Truncated {
 		return e, err
 	}
-	return Cut, io.ErrUnexpectedEOF // as its body is read
+	return Truncated, io.ErrUnexpectedEOF // as its body is read
 }
 
 func (m *model) say(w world, c int, x message) (world, bool) {
-	l := &w.lines[c]
-	l.last = x
-	for k := range l.back {
-		if l.back[k] == nothing {
-			l.back[k] = x
+	l := &w.connections[c]
+	l.lastAnswer = x
+	for k := range l.answers {
+		if l.answers[k] == noMessage {
+			l.answers[k] = x
 			return w, true
 		}
 	}
@@ -164,9 +164,9 @@
 
 func (m *model) step(w world) {
 	harm := func(do func(w *world)) {
-		if w.harms > 0 {
+		if w.faultsLeft > 0 {
 			x := w
-			x.harms--
+			x.faultsLeft--
 			do(&x)
 			m.reach(x)
 		}
@@ -176,92 +176,92 @@
 		do(&x)
 		m.reach(x)
 	}
-	for k := range w.asked {
-		i, a := int8(k), w.asked[k]
-		if a.client == sending {
-			calm(func(w *world) { w.asked[i].client = waits })
+	for k := range w.requests {
+		i, a := int8(k), w.requests[k]
+		if a.client == clientSending {
+			calm(func(w *world) { w.requests[i].client = clientWaiting })
 			harm(func(w *world) {
-				a := &w.asked[i]
-				a.client, a.stale = gone, true
+				a := &w.requests[i]
+				a.client, a.stale = clientGone, true
 				if !m.streams {
 					return
 				}
-				if a.is = a.is.Settle(); a.line < 0 || a.is.now.Phase < Begun {
+				if a.state = a.state.Settle(); a.connection < 0 || a.state.current.Phase < WriteBegun {
 					return
 				}
-				if l := &w.lines[a.line]; m.endsWhole && l.wire == i {
+				if l := &w.connections[a.connection]; m.endsWhole && l.wire == i {
 					l.part = false
 				}
-				m.on(w, i, Cancel)
+				m.on(w, i, Canceled)
 			})
 			if !m.sendEarly && !m.streams {
 				continue
 			}
 		}
-		if a.client == waits || a.client == sending {
-			if a.line < 0 { // a connection for the attempt that waits for one, or for another
-				for c, l := range w.lines {
-					if l.holder >= 0 || !l.up && (l.wire >= 0 || l.working >= 0) || l.up && l.had&(1<<i) != 0 && !m.noSpent {
+		if a.client == clientWaiting || a.client == clientSending {
+			if a.connection < 0 { // a connection for the attempt that waits for one, or for another
+				for c, l := range w.connections {
+					if l.request >= 0 || !l.open && (l.wire >= 0 || l.working >= 0) || l.open && l.sentAttempts&(1<<i) != 0 && !m.noSpent {
 						continue
 					}
 					calm(func(w *world) {
-						a := &w.asked[i]
-						if !a.is.busy {
-							if a.tries >= m.tries || a.passed && !m.resends {
+						a := &w.requests[i]
+						if !a.state.busy {
+							if a.attempts >= m.attempts || a.passed && !m.resends {
 								return
 							}
 							var ok bool
-							if a.is, ok = a.is.Begin(); !ok {
+							if a.state, ok = a.state.Begin(); !ok {
 								return
 							}
-							a.tries++
+							a.attempts++
 						}
-						if !l.up {
-							w.lines[c] = line{up: true, wire: -1, working: -1, back: [2]message{nothing, nothing}, last: nothing}
+						if !l.open {
+							w.connections[c] = connection{open: true, wire: -1, working: -1, answers: [2]message{noMessage, noMessage}, lastAnswer: noMessage}
 						}
-						w.lines[c].holder, a.line = i, int8(c)
-						a.is, _ = a.is.On(Connected)
+						w.connections[c].request, a.connection = i, int8(c)
+						a.state, _ = a.state.Apply(Connected)
 					})
 				}
 			}
 			calm(func(w *world) { // the final answer: what is under way is called off
-				a := &w.asked[i]
-				a.is = a.is.Settle()
-				if a.client = failed; a.is.MayRefuse() {
-					a.client = refused
+				a := &w.requests[i]
+				a.state = a.state.Settle()
+				if a.client = clientFailed; a.state.MayRefuse() {
+					a.client = clientRefused
 				}
-				if a.line >= 0 && a.is.now.Phase >= Begun {
-					m.on(w, i, Cancel)
+				if a.connection >= 0 && a.state.current.Phase >= WriteBegun {
+					m.on(w, i, Canceled)
 				}
 			})
 			harm(func(w *world) {
-				a := &w.asked[i]
-				a.is, a.client = a.is.Settle(), gone
-				if a.line >= 0 && a.is.now.Phase >= Begun {
-					m.on(w, i, Cancel)
+				a := &w.requests[i]
+				a.state, a.client = a.state.Settle(), clientGone
+				if a.connection >= 0 && a.state.current.Phase >= WriteBegun {
+					m.on(w, i, Canceled)
 				}
 			})
 		}
-		if a.line < 0 {
+		if a.connection < 0 {
 			continue
 		}
-		if a.is.now.Phase == Open { // the connection's side of it doesn't know yet whether the answer is given
+		if a.state.current.Phase == Open { // the connection's side of it doesn't know yet whether the answer is given
 			write := func(w *world) bool {
-				a, l := &w.asked[i], &w.lines[w.asked[i].line]
-				was := a.is.Settled
-				a.is.Settled = was && !m.noSettle
+				a, l := &w.requests[i], &w.connections[w.requests[i].connection]
+				was := a.state.Settled
+				a.state.Settled = was && !m.noSettle
 				var ok bool
-				a.is, ok = a.is.On(Writing)
-				if a.is.Settled = was; !ok {
-					m.on(w, i, Cancel)
+				a.state, ok = a.state.Apply(WriteStarted)
+				if a.state.Settled = was; !ok {
+					m.on(w, i, Canceled)
 					return false
 				}
-				l.had |= 1 << i
+				l.sentAttempts |= 1 << i
 				a.stale = a.stale || a.passed // only its end goes out
 				return true
 			}
 			put := func(w *world, part bool) {
-				l := &w.lines[w.asked[i].line]
+				l := &w.connections[w.requests[i].connection]
 				if l.wire >= 0 && l.part {
 					m.broken("UNASKED: request %d goes on as the end of another", i)
 				}
@@ -269,7 +269,7 @@
 					l.wire, l.part = i, part
 				}
 			}
-			coming := m.streams && a.client == sending
+			coming := m.streams && a.client == clientSending
 			if !coming {
 				calm(func(w *world) {
 					if write(w) {
@@ -285,7 +285,7 @@
 			more(func(w *world) {
 				if write(w) {
 					put(w, true)
-					w.asked[i].passed = m.streams
+					w.requests[i].passed = m.streams
 					m.on(w, i, WrotePart)
 				}
 			})
@@ -301,60 +301,60 @@
 				harm(func(w *world) {
 					if write(w) {
 						put(w, !all)
-						w.asked[i].passed = m.streams
+						w.requests[i].passed = m.streams
 						m.on(w, i, WrotePart)
-						c := w.asked[i].line
-						m.on(w, i, Reset)
-						w.lines[c].up = m.keepPart
+						c := w.requests[i].connection
+						m.on(w, i, ConnectionReset)
+						w.connections[c].open = m.keepPart
 					}
 				})
 			}
 		}
-		if a.is.now.Phase == Partly && a.client != sending {
+		if a.state.current.Phase == PartlyWritten && a.client != clientSending {
 			calm(func(w *world) { // the rest goes
-				l := &w.lines[w.asked[i].line]
+				l := &w.connections[w.requests[i].connection]
 				if l.part = false; l.early {
 					l.wire, l.early = -1, false
 				}
 				m.on(w, i, WroteAll)
 			})
 		}
-		if a.is.now.Phase >= Begun {
-			harm(func(w *world) { m.on(w, i, Silence) })
+		if a.state.current.Phase >= WriteBegun {
+			harm(func(w *world) { m.on(w, i, TimedOut) })
 		}
 		harm(func(w *world) { // reset; what was on its way may be read all the same
-			c := a.line
-			w.lines[c].back = [2]message{nothing, nothing}
-			m.on(w, i, Reset)
-			w.lines[c].up = false
+			c := a.connection
+			w.connections[c].answers = [2]message{noMessage, noMessage}
+			m.on(w, i, ConnectionReset)
+			w.connections[c].open = false
 		})
 	}
-	for c, l := range w.lines {
-		if l.back[0] != nothing && l.up {
+	for c, l := range w.connections {
+		if l.answers[0] != noMessage && l.open {
 			calm(func(w *world) {
-				l := &w.lines[c]
-				x := l.back[0]
-				l.back = [2]message{l.back[1], nothing}
-				if l.holder < 0 { // unasked
-					l.up = false
+				l := &w.connections[c]
+				x := l.answers[0]
+				l.answers = [2]message{l.answers[1], noMessage}
+				if l.request < 0 { // unasked
+					l.open = false
 					return
 				}
-				i := l.holder
+				i := l.request
 				e, err := m.judge(w, i, x)
-				if before := w.asked[i].is.now.Phase < Begun; before || err != nil {
+				if before := w.requests[i].state.current.Phase < WriteBegun; before || err != nil {
 					m.on(w, i, e)
-					l.up = false
+					l.open = false
 					return
 				}
 				m.on(w, i, e)
-				a := &w.asked[i]
-				if e != Answered || a.client != waits && a.client != sending {
+				a := &w.requests[i]
+				if e != Answered || a.client != clientWaiting && a.client != clientSending {
 					return
 				}
 				if x.of != i || a.runs == 0 || x.kind != Answered {
 					m.broken("MIXED: request %d got what is %v of request %d", i, x.kind, x.of)
 				}
-				a.is, a.client = a.is.Settle(), succeeded
+				a.state, a.client = a.state.Settle(), clientSucceeded
 			})
 		}
 		if l.wire >= 0 {
@@ -362,62 +362,62 @@
 				for _, kind := range []Event{Answered, TurnedAway} {
 					harm(func(w *world) {
 						if kind == Answered {
-							w.asked[l.wire].runs++
-							w.asked[l.wire].early++
+							w.requests[l.wire].runs++
+							w.requests[l.wire].early++
 						}
 						*w, _ = m.say(*w, c, message{l.wire, kind})
-						w.lines[c].early = true
+						w.connections[c].early = true
 					})
 				}
 			}
 			if !l.part && l.working < 0 {
-				calm(func(w *world) { w.lines[c].working, w.lines[c].wire = l.wire, -1 })
+				calm(func(w *world) { w.connections[c].working, w.connections[c].wire = l.wire, -1 })
 			}
-			if !l.up {
-				calm(func(w *world) { w.lines[c].wire, w.lines[c].early = -1, false }) // lost with the connection
+			if !l.open {
+				calm(func(w *world) { w.connections[c].wire, w.connections[c].early = -1, false }) // lost with the connection
 			}
 		}
 		if l.working >= 0 {
-			for _, kind := range []Event{Answered, TurnedAway, Misdirected, Cut, Extra} {
+			for _, kind := range []Event{Answered, TurnedAway, Misdirected, Truncated, UnexpectedBytes} {
 				do := calm
-				if kind >= Cut {
+				if kind >= Truncated {
 					do = harm
 				}
 				do(func(w *world) {
-					l := &w.lines[c]
-					if kind == Answered || kind >= Cut {
-						w.asked[l.working].runs++
+					l := &w.connections[c]
+					if kind == Answered || kind >= Truncated {
+						w.requests[l.working].runs++
 					}
 					*w, _ = m.say(*w, c, message{l.working, kind})
-					w.lines[c].working = -1
+					w.connections[c].working = -1
 				})
 			}
 			harm(func(w *world) { // it runs and says nothing
-				w.asked[l.working].runs++
-				w.lines[c].working = -1
+				w.requests[l.working].runs++
+				w.connections[c].working = -1
 			})
-			if !l.up {
-				calm(func(w *world) { w.lines[c].working = -1 }) // dropped
+			if !l.open {
+				calm(func(w *world) { w.connections[c].working = -1 }) // dropped
 			}
 		}
-		if l.last != nothing { // once more
-			harm(func(w *world) { *w, _ = m.say(*w, c, l.last) })
+		if l.lastAnswer != noMessage { // once more
+			harm(func(w *world) { *w, _ = m.say(*w, c, l.lastAnswer) })
 		}
 	}
 }
 
 // explore plays all histories, or until enough says so.
 func explore(m mutation, harms, tries int, enough func(*model) bool) *model {
-	x := &model{mutation: m, tries: uint8(tries), seen: map[world]bool{}, wrong: map[string]bool{}, ends: map[side]map[bool]int{}}
-	for s := sending; s <= failed; s++ {
+	x := &model{mutation: m, attempts: uint8(tries), visited: map[world]bool{}, violations: map[string]bool{}, ends: map[clientState]map[bool]int{}}
+	for s := clientSending; s <= clientFailed; s++ {
 		x.ends[s] = map[bool]int{}
 	}
-	w := world{harms: uint8(harms)}
-	for i := range w.asked {
-		w.asked[i].line = -1
+	w := world{faultsLeft: uint8(harms)}
+	for i := range w.requests {
+		w.requests[i].connection = -1
 	}
-	for c := range w.lines {
-		w.lines[c] = line{holder: -1, wire: -1, working: -1, back: [2]message{nothing, nothing}, last: nothing}
+	for c := range w.connections {
+		w.connections[c] = connection{request: -1, wire: -1, working: -1, answers: [2]message{noMessage, noMessage}, lastAnswer: noMessage}
 	}
 	x.reach(w)
 	for len(x.queue) > 0 && !enough(x) {
@@ -431,21 +431,21 @@
 // Every history of the model keeps the rules; -args -harms 4 -tries 3 plays those with four harms and three attempts.
 func TestModel(t *testing.T) {
 	for _, streams := range []bool{false, true} {
-		t.Run(map[bool]string{false: "held whole", true: "passed on as they come"}[streams], func(t *testing.T) { keepsRules(t, streams) })
+		t.Run(map[bool]string{false: "held whole", true: "passed on as they come"}[streams], func(t *testing.T) { assertNoViolations(t, streams) })
 	}
 }
 
-func keepsRules(t *testing.T, streams bool) {
-	harms := *harms
+func assertNoViolations(t *testing.T, streams bool) {
+	harms := *faultKinds
 	if streams { // has more to go wrong
 		harms--
 	}
-	m := explore(mutation{streams: streams}, harms, *tries, func(*model) bool { return false })
-	t.Logf("%d states, %d steps, %d harms, %d attempts; ended, by whether they ran: %v", len(m.seen), m.steps, harms, *tries, m.ends)
-	for x := range m.wrong {
+	m := explore(mutation{streams: streams}, harms, *attemptLimits, func(*model) bool { return false })
+	t.Logf("%d states, %d steps, %d harms, %d attempts; ended, by whether they ran: %v", len(m.visited), m.steps, harms, *attemptLimits, m.ends)
+	for x := range m.violations {
 		t.Error(x)
 	}
-	for s, want := range map[side][2]bool{gone: {true, true}, succeeded: {false, true}, refused: {true, false}, failed: {true, true}} {
+	for s, want := range map[clientState][2]bool{clientGone: {true, true}, clientSucceeded: {false, true}, clientRefused: {true, false}, clientFailed: {true, true}} {
 		if got := [2]bool{m.ends[s][false] > 0, m.ends[s][true] > 0}; got != want { // it is no model of a router that never sends, or never refuses
 			t.Errorf("ended %d, not run and run: %v", s, got)
 		}
@@ -472,7 +472,7 @@
 		"passed on without 'may have run'":        {mutation{streams: true, noMayHaveRun: true}, []string{"REFUSED"}},
 	} {
 		found := func(m *model, rule string) bool {
-			for w := range m.wrong {
+			for w := range m.violations {
 				if strings.HasPrefix(w, rule) {
 					return true
 				}
@@ -484,9 +484,9 @@
 		})
 		for _, rule := range x.finds {
 			if !found(m, rule) {
-				t.Errorf("%s: no %s in %d states", name, rule, len(m.seen))
+				t.Errorf("%s: no %s in %d states", name, rule, len(m.visited))
 			}
 		}
-		t.Logf("%s: %d states, %v", name, len(m.seen), m.wrong)
+		t.Logf("%s: %d states, %v", name, len(m.visited), m.violations)
 	}
 }
--- a/internal/harbour/attempt/trace_test.go
+++ b/internal/proxy/attempt/trace_test.go
@@ -29,14 +29,14 @@
 				for range draw.IntN(3) {
 					a.IDs = append(a.IDs, fmt.Sprint(draw.IntN(2)))
 				}
-				e, err := Judge([]string{"", "0", "1"}[draw.IntN(3)], a)
-				d.Add(e, err, Promises(a.Status))
+				e, err := Classify([]string{"", "0", "1"}[draw.IntN(3)], a)
+				d.Add(e, err, PromisesNotRun(a.Status))
 			default:
 				events := Events()
-				r, ok = r.On(events[draw.IntN(len(events))])
+				r, ok = r.Apply(events[draw.IntN(len(events))])
 			}
-			last := r.Last()
-			d.Add(ok, r.Known(), last.Phase, last.Knowledge, r.MayRefuse(), r.MaySend(), r.Settled)
+			last := r.Current()
+			d.Add(ok, r.Execution(), last.Phase, last.Execution, r.MayRefuse(), r.MayAttempt(), r.Settled)
 			if draw.IntN(20) == 0 {
 				r = Request{Idempotent: draw.IntN(2) == 0}
 			}
--- a/internal/harbour/fairway/backlog.go
+++ b/internal/proxy/backlog.go
@@ -1,4 +1,4 @@
-package fairway
+package proxy
 
 import (
 	"net"
--- a/internal/harbour/fairway/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -1,4 +1,4 @@
-package fairway
+package proxy
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 )
 
 // BenchmarkBodies is what a request with a body costs the process, on one kept connection to one host: go test -bench Bodies
-// -run '^$' ./internal/harbour/fairway. The host's side is in it, with about ten allocations.
+// -run '^$' ./internal/proxy. The host's side is in it, with about ten allocations.
 func BenchmarkBodies(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(b, err, qt.IsNil)
@@ -38,7 +38,7 @@
 			}()
 		}
 	}()
-	_, at := routed(b, &script{at: l.Addr().String()})
+	_, at := startRouted(b, &scriptedHost{address: l.Addr().String()})
 	for _, size := range []int{1 << 10, 64 << 10, 1 << 20} {
 		for _, chunked := range []bool{false, true} {
 			framing, body := fmt.Sprintf("Content-Length: %d\r\n\r\n", size), bytes.Repeat([]byte("b"), size)
--- a/internal/harbour/fairway/changes_test.go
+++ b/internal/proxy/changes_test.go
@@ -1,4 +1,4 @@
-package fairway
+package proxy
 
 import (
 	"bufio"
@@ -12,9 +12,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"portflow/internal/harbour/berths"
-	"portflow/internal/harbour/manifest"
-	"portflow/internal/harbour/signals"
+	"portflow/internal/cluster/config"
+	"portflow/internal/cluster/instance"
+	"portflow/internal/cluster/update"
 )
 
 const routeColumns = `"table-columns":["name","host-name","path-prefix","route-kind","timeout-s","target-s","priority-level","service","maximum-attempts","version"]`
@@ -45,19 +45,19 @@
 }
 
 // hostNote is what control says of the n-th host.
-func hostNote(n int, at string, state berths.State, sequence uint64, silent bool) signals.Note {
-	return signals.Note{Host: &berths.Host{ID: fmt.Sprint("i-", n), Service: "desk", Address: at, Zone: "z", Version: "v1", Slots: 1,
-		State: state, Sequence: sequence, Silent: silent}}
+func hostNote(n int, at string, state instance.State, sequence uint64, silent bool) update.Change {
+	return update.Change{Instance: &instance.Instance{ID: fmt.Sprint("i-", n), Service: "desk", Address: at, Zone: "z", Version: "v1", Slots: 1,
+		State: state, Sequence: sequence, Unresponsive: silent}}
 }
 
 // A request that was read gets its one whole answer whatever change comes while it waits for a host, is worked on, is sent again,
 // or has a part of its answer; and so does the one that stands behind it on its connection.
 func TestChangesBesideRequests(t *testing.T) {
 	type world struct {
-		f    *Fairway
-		host *script
+		f    *Proxy
+		host *scriptedHost
 	}
-	item := func(w world, i manifest.Item) { w.f.publish(w.f.board.Take([]signals.Note{{Item: &i}}, false)) }
+	item := func(w world, i config.Item) { w.f.publish(w.f.endpoints.Apply([]update.Change{{Item: &i}}, false)) }
 	changes := map[string]func(t *testing.T, w world){
 		"route dropped": func(t *testing.T, w world) {
 			tell(t, w.f, `{"set-items":{},"drop-names":{"routes":[{"name":"long","version":"00000005"}]}}`)
@@ -88,48 +88,48 @@
 			tell(t, w.f, strings.Replace(strings.Replace(setRoutes([]string{"desk"}), `140`, `1`, 1), `"00000001"]]`, `"00000005"]]`, 1))
 		},
 		"evacuated": func(t *testing.T, w world) {
-			item(w, manifest.Item{Kind: manifest.Evacuations, Name: "z", Version: 1, Body: []byte(`{"begun":true}`)})
+			item(w, config.Item{Kind: config.KindEvacuations, Name: "z", Version: 1, Body: []byte(`{"begun":true}`)})
 		},
 		"another version settled": func(t *testing.T, w world) {
-			item(w, manifest.Item{Kind: manifest.Settled, Name: "desk", Version: 9, Body: []byte(`{"version":"v2"}`)})
+			item(w, config.Item{Kind: config.KindStableVersions, Name: "desk", Version: 9, Body: []byte(`{"version":"v2"}`)})
 		},
 		"rollout": func(t *testing.T, w world) {
-			item(w, manifest.Item{Kind: manifest.Rollouts, Name: "desk", Version: 2, Body: []byte(`{"order":1,"target":"v2","state":1}`)})
+			item(w, config.Item{Kind: config.KindRollouts, Name: "desk", Version: 2, Body: []byte(`{"order":1,"target":"v2","state":1}`)})
 		},
 		"host draining": func(t *testing.T, w world) {
-			w.f.publish(w.f.board.Take([]signals.Note{hostNote(0, w.host.at, berths.Draining, 2, false)}, false))
+			w.f.publish(w.f.endpoints.Apply([]update.Change{hostNote(0, w.host.address, instance.Draining, 2, false)}, false))
 		},
 		"host silent": func(t *testing.T, w world) {
-			w.f.publish(w.f.board.Take([]signals.Note{hostNote(0, w.host.at, 0, 2, true)}, false))
+			w.f.publish(w.f.endpoints.Apply([]update.Change{hostNote(0, w.host.address, 0, 2, true)}, false))
 		},
 		"host gone": func(t *testing.T, w world) {
-			w.f.publish(w.f.board.Take([]signals.Note{hostNote(0, w.host.at, berths.Gone, 2, false)}, false))
+			w.f.publish(w.f.endpoints.Apply([]update.Change{hostNote(0, w.host.address, instance.Gone, 2, false)}, false))
 		},
-		"another snapshot, of nothing": func(t *testing.T, w world) { w.f.publish(w.f.board.Take(nil, true)) },
+		"another snapshot, of nothing": func(t *testing.T, w world) { w.f.publish(w.f.endpoints.Apply(nil, true)) },
 	}
-	long := strings.Repeat("y", 4*largest)
+	long := strings.Repeat("y", 4*maxBufferedAnswer)
 	states := map[string]string{"worked on": "200", "streams": "200", "sent again": "200", "waits": "200 503"} // and what may be answered
 	for state, want := range states {
 		for name, change := range changes {
 			t.Run(state+"/"+name, func(t *testing.T) {
 				t.Parallel()
 				came, goOn := make(chan bool, 100), make(chan bool)
-				h := stand(t, func(n int, r *http.Request, body string) (string, bool) {
+				h := startScriptedHost(t, func(n int, r *http.Request, body string) (string, bool) {
 					if state == "sent again" && n == 1 {
-						return unrun(r.Header.Get("Attempt-Id")), true
+						return notRunAnswer(r.Header.Get("Attempt-Id")), true
 					}
 					if state != "streams" {
 						came <- true
 						<-goOn
 					}
-					return good(r, "x"), true
+					return goodAnswer(r, "x"), true
 				})
 				if state == "streams" {
 					h = streaming(t, long, came, goOn)
 				}
-				f, at := routed(t, h)
+				f, at := startRouted(t, h)
 				f.mu.Lock()
-				f.publish(f.board.Take([]signals.Note{hostNote(0, h.at, 0, 1, false)}, false))
+				f.publish(f.endpoints.Apply([]update.Change{hostNote(0, h.address, 0, 1, false)}, false))
 				tell(t, f, setRoutes(nil, longRoute("safe_method", "desk", 20, 4, 2)))
 				f.mu.Unlock()
 				many := int64(1)
@@ -147,8 +147,8 @@
 					conns[i] = c
 				}
 				<-came
-				until(t, func() bool { return f.counts.taken.Load() >= many })
-				if handed := f.counts.rings[0].Load(); state == "waits" {
+				waitUntil(t, func() bool { return f.counters.received.Load() >= many })
+				if handed := f.counters.byRing[0].Load(); state == "waits" {
 					qt.Assert(t, handed < many, qt.IsTrue, qt.Commentf("%d of %d are handed on", handed, many))
 				}
 				f.mu.Lock()
@@ -160,13 +160,13 @@
 					r, err := http.ReadResponse(in, nil)
 					qt.Assert(t, err, qt.IsNil)
 					body, err := io.ReadAll(r.Body)
-					qt.Assert(t, err, qt.IsNil, qt.Commentf("cut: %s", &f.counts.cuts))
+					qt.Assert(t, err, qt.IsNil, qt.Commentf("cut: %s", &f.counters.cuts))
 					qt.Check(t, strings.Contains(want, r.Status[:3]), qt.IsTrue, qt.Commentf("%s", r.Status))
 					if r.StatusCode == 200 {
 						qt.Check(t, len(body), qt.Equals, map[bool]int{true: len(long), false: 1}[state == "streams"])
 					}
 					_, err = http.ReadResponse(in, nil) // of the one behind, whichever it is
-					qt.Check(t, err, qt.IsNil, qt.Commentf("behind; cut: %s", &f.counts.cuts))
+					qt.Check(t, err, qt.IsNil, qt.Commentf("behind; cut: %s", &f.counters.cuts))
 				}
 			})
 		}
@@ -174,7 +174,7 @@
 }
 
 // streaming is a host that gives half of a long answer, and the rest once it may.
-func streaming(t *testing.T, long string, came chan<- bool, goOn <-chan bool) *script {
+func streaming(t *testing.T, long string, came chan<- bool, goOn <-chan bool) *scriptedHost {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() { l.Close() })
@@ -188,7 +188,7 @@
 		<-goOn
 		io.WriteString(w, long[len(long)/2:])
 	}))
-	return &script{at: l.Addr().String()}
+	return &scriptedHost{address: l.Addr().String()}
 }
 
 // Requests are taken, served and, once their time is up, answered while a change of the configuration has the process's lock,
@@ -196,16 +196,16 @@
 func TestRequestsBesideALongChange(t *testing.T) {
 	never := make(chan bool)
 	t.Cleanup(func() { close(never) })
-	h := stand(t, func(_ int, r *http.Request, _ string) (string, bool) {
+	h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) {
 		if strings.HasSuffix(r.URL.Path, "never") {
 			<-never
 		}
-		return good(r, "x"), true
+		return goodAnswer(r, "x"), true
 	})
-	f, at := routed(t, h)
+	f, at := startRouted(t, h)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, x := range []struct{ target, want string }{{"/look/x", "200"}, {"/look/never", "504"}, {"/nowhere", "404"}, {"/look/x", "200"}} {
-		qt.Check(t, status(ask(t, at, "GET", x.target, "a", "")), qt.Equals, x.want, qt.Commentf("%s", x.target))
+		qt.Check(t, status(exchange(t, at, "GET", x.target, "a", "")), qt.Equals, x.want, qt.Commentf("%s", x.target))
 	}
 }
--- a/internal/harbour/fairway/cuts_test.go
+++ b/internal/proxy/cuts_test.go
@@ -1,4 +1,4 @@
-package fairway
+package proxy
 
 import (
 	"fmt"
@@ -12,29 +12,29 @@
 
 // Each connection that the process ends is counted under its cause, once.
 func TestCutsByCause(t *testing.T) {
-	h := stand(t, func(_ int, r *http.Request, _ string) (string, bool) { return good(r, "x"), true })
+	h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, "x"), true })
 	never := make(chan bool)
 	t.Cleanup(func() { close(never) })
-	slow := stand(t, func(_ int, r *http.Request, _ string) (string, bool) { <-never; return "", false })
-	for why, play := range map[cut]func(f *Fairway, c net.Conn){
-		cutIdle: func(f *Fairway, c net.Conn) {
+	slow := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) { <-never; return "", false })
+	for why, play := range map[cutCause]func(f *Proxy, c net.Conn){
+		cutIdle: func(f *Proxy, c net.Conn) {
 			setLimits(t, f, `"header-bytes":16384,"body-bytes":1048576,"header-timeout-s":3,"idle-timeout-s":0.05`)
 			io.WriteString(c, virtualRequest)
 			io.Copy(io.Discard, c)
 		},
-		cutHead: func(f *Fairway, c net.Conn) {
+		cutHead: func(f *Proxy, c net.Conn) {
 			setLimits(t, f, `"header-bytes":16384,"body-bytes":1048576,"header-timeout-s":0.05,"idle-timeout-s":15`)
 			io.WriteString(c, virtualRequest) // from the next head on
 			io.ReadFull(c, make([]byte, 12))
 			io.WriteString(c, virtualRequest[:20])
 			io.Copy(io.Discard, c)
 		},
-		cutGone: func(f *Fairway, c net.Conn) {
+		cutGone: func(f *Proxy, c net.Conn) {
 			io.WriteString(c, virtualRequest)
-			until(t, func() bool { return f.open.Load() > 0 })
+			waitUntil(t, func() bool { return f.openRequests.Load() > 0 })
 			c.Close()
 		},
-		cutUnread: func(f *Fairway, c net.Conn) {
+		cutUnread: func(f *Proxy, c net.Conn) {
 			fmt.Fprintf(c, "POST /nowhere HTTP/1.1\r\nHost: desk.example\r\nContent-Length: 1000000\r\n\r\n")
 			io.ReadFull(c, make([]byte, 12))
 			c.Close()
@@ -45,13 +45,13 @@
 			if why == cutGone {
 				host = slow
 			}
-			f, at := routed(t, host)
+			f, at := startRouted(t, host)
 			c, err := net.Dial("tcp", at)
 			qt.Assert(t, err, qt.IsNil)
 			defer c.Close()
 			play(f, c)
-			until(t, func() bool { return f.counts.cuts.String() != "" })
-			qt.Check(t, f.counts.cuts.String(), qt.Equals, fmt.Sprintf(" cut.%s=1", why))
+			waitUntil(t, func() bool { return f.counters.cuts.String() != "" })
+			qt.Check(t, f.counters.cuts.String(), qt.Equals, fmt.Sprintf(" cut.%s=1", why))
 		})
 	}
 }
--- a/internal/harbour/fairway/early_test.go
+++ b/internal/proxy/early_test.go
@@ -1,4 +1,4 @@
-package fairway
+package proxy
 
 import (
 	"bufio"
@@ -15,11 +15,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// narrow is a network whose connections to hosts hold little on their way, so that a long body stands still where a host
+// smallWindowNetwork is a network whose connections to hosts hold little on their way, so that a long body stands still where a host
 // doesn't read it.
-type narrow struct{ *loopback }
+type smallWindowNetwork struct{ *loopback }
 
-func (n narrow) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (n smallWindowNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := n.loopback.Dial(ctx, network, address)
 	if err == nil {
 		c.(*net.TCPConn).SetWriteBuffer(64 << 10)
@@ -27,23 +27,23 @@
 	return c, err
 }
 
-// hasty is a host that answers the first request before it has read its body. What comes on that connection then is told once
+// earlyHost is a host that answers the first request before it has read its body. What comes on that connection then is told once
 // goOn is closed; the connection is kept, or ends right behind the answer. Later connections are served as any other.
-type hasty struct {
-	*script
-	answer func(id string) string
-	keeps  bool
-	goOn   chan struct{}
-	rest   chan string // all that came behind the head of the first request
+type earlyHost struct {
+	*scriptedHost
+	answer          func(id string) string
+	keepsConnection bool
+	proceed         chan struct{}
+	rest            chan string // all that came behind the head of the first request
 }
 
-func standHasty(t *testing.T, keeps bool, answer func(id string) string) *hasty {
+func startEarlyHost(t *testing.T, keeps bool, answer func(id string) string) *earlyHost {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() { l.Close() })
-	h := &hasty{answer: answer, keeps: keeps, goOn: make(chan struct{}), rest: make(chan string, 1)}
-	h.script = &script{t: t, at: l.Addr().String(), say: func(_ int, r *http.Request, body string) (string, bool) {
-		return good(r, "later"), true
+	h := &earlyHost{answer: answer, keepsConnection: keeps, proceed: make(chan struct{}), rest: make(chan string, 1)}
+	h.scriptedHost = &scriptedHost{t: t, address: l.Addr().String(), respond: func(_ int, r *http.Request, body string) (string, bool) {
+		return goodAnswer(r, "later"), true
 	}}
 	go func() {
 		for n := 1; ; n++ {
@@ -56,13 +56,13 @@
 				continue
 			}
 			c.(*net.TCPConn).SetReadBuffer(64 << 10)
-			go h.first(c)
+			go h.readFirst(c)
 		}
 	}()
 	return h
 }
 
-func (h *hasty) first(c net.Conn) {
+func (h *earlyHost) readFirst(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReaderSize(c, 4<<10)
 	r, err := http.ReadRequest(in)
@@ -70,12 +70,12 @@
 		return
 	}
 	h.mu.Lock()
-	h.came = append(h.came, arrival{1, r.Method, r.RequestURI, r.Host, r.Header, "", r.TransferEncoding})
+	h.received = append(h.received, arrival{1, r.Method, r.RequestURI, r.Host, r.Header, "", r.TransferEncoding})
 	h.mu.Unlock()
-	if io.WriteString(c, h.answer(r.Header.Get("Attempt-Id"))); !h.keeps {
+	if io.WriteString(c, h.answer(r.Header.Get("Attempt-Id"))); !h.keepsConnection {
 		return
 	}
-	<-h.goOn
+	<-h.proceed
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	rest, _ := io.ReadAll(in)
 	h.rest <- string(rest)
@@ -96,18 +96,18 @@
 		"failed": func(id string) string {
 			return "HTTP/1.1 500 no\r\nAttempt-Id: " + id + "\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n"
 		},
-		"turned away":     unrun,
-		"another's":       func(string) string { return unrun("other") },
-		"too large to be": func(id string) string { return strings.Replace(unrun(id), "503", "413", 1) },
+		"turned away":     notRunAnswer,
+		"another's":       func(string) string { return notRunAnswer("other") },
+		"too large to be": func(id string) string { return strings.Replace(notRunAnswer(id), "503", "413", 1) },
 	}
 	for name, answer := range answers {
 		for _, keeps := range []bool{true, false} {
 			t.Run(fmt.Sprint(name, ", keeps ", keeps), func(t *testing.T) {
-				h := standHasty(t, keeps, answer)
+				h := startEarlyHost(t, keeps, answer)
 				l := &loopback{}
-				_, at := routedBy(t, narrow{l}, l, h.script)
+				_, at := startRoutedBy(t, smallWindowNetwork{l}, l, h.scriptedHost)
 				body := strings.Repeat("b", longBody)
-				got := ask(t, at, "POST", "/issue/x", "u1", body)
+				got := exchange(t, at, "POST", "/issue/x", "u1", body)
 				switch name {
 				case "served", "served, empty":
 					if keeps {
@@ -124,14 +124,14 @@
 					qt.Check(t, got, qt.Contains, "later")
 				}
 				for n := range 20 {
-					qt.Check(t, status(ask(t, at, "GET", "/look/x", fmt.Sprint("s", n), "")), qt.Equals, "200")
+					qt.Check(t, status(exchange(t, at, "GET", "/look/x", fmt.Sprint("s", n), "")), qt.Equals, "200")
 				}
-				for _, x := range h.arrivals()[1:] {
+				for _, x := range h.requests()[1:] {
 					qt.Check(t, x.conn > 1, qt.IsTrue)
 					qt.Check(t, x.body == "" || x.body == body, qt.IsTrue, qt.Commentf("%d bytes", len(x.body)))
 				}
 				if keeps {
-					close(h.goOn)
+					close(h.proceed)
 					rest := <-h.rest
 					qt.Check(t, len(bytes.TrimLeft([]byte(rest), "b")), qt.Equals, 0, qt.Commentf("other bytes where the body is due"))
 					qt.Check(t, len(rest) < longBody, qt.IsTrue, qt.Commentf("the test has no early answer"))
@@ -146,14 +146,14 @@
 func TestSealsAndStatuses(t *testing.T) {
 	code := 0
 	unrun := ""
-	h := stand(t, func(_ int, r *http.Request, _ string) (string, bool) {
+	h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) {
 		return fmt.Sprintf("HTTP/1.1 %d x\r\nAttempt-Id: %s\r\nServer-Seal: s\r\n%sContent-Length: 0\r\n\r\n", code, r.Header.Get("Attempt-Id"), unrun), true
 	})
-	_, at := routed(t, h)
+	_, at := startRouted(t, h)
 	for _, code = range []int{200, 201, 206, 299, 300, 304, 400, 401, 404, 408, 409, 413, 421, 425, 429, 431, 500, 501, 502, 503, 504, 507, 599, 600, 999} {
 		for _, unrun = range []string{"", "Request-Not-Run: 1\r\n"} {
 			for _, target := range []string{"/look/x", "/issue/x"} {
-				got := raw(t, at, "POST "+target+" HTTP/1.1\r\nHost: desk.example\r\nConnection: close\r\nTime-Remaining: 60\r\nAttempt-Id: u1\r\nContent-Length: 4\r\n\r\nbody", false)
+				got := rawExchange(t, at, "POST "+target+" HTTP/1.1\r\nHost: desk.example\r\nConnection: close\r\nTime-Remaining: 60\r\nAttempt-Id: u1\r\nContent-Length: 4\r\n\r\nbody", false)
 				sealed := strings.Contains(got, "Server-Seal")
 				qt.Check(t, !sealed || status(got) == fmt.Sprint(code), qt.IsTrue, qt.Commentf("%d %q: %q", code, unrun, got))
 				qt.Check(t, sealed || status(got) >= "500", qt.IsTrue, qt.Commentf("%d %q: %q", code, unrun, got))
--- /dev/null
+++ b/internal/proxy/endpoint/board_test.go
@@ -0,0 +1,140 @@
+package endpoint
+
+import (
+	"fmt"
+	"runtime"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"portflow/internal/cluster/instance"
+	"portflow/internal/cluster/outlier"
+	"portflow/internal/cluster/update"
+	"portflow/internal/decision"
+)
+
+func newTestTable() *Table {
+	return NewTable("a1", Location{Zone: "a", Region: "r"}, map[string]string{"a": "r", "b": "r"})
+}
+
+// Routers lend to those that are short, unless more than half of a zone's are: then nobody has anything to lend.
+func TestWhichProxiesLend(t *testing.T) {
+	for short, want := range map[int]int{0: 1, 1: BorrowedWeight, 2: BorrowedWeight, 3: 1, 4: 1} {
+		c := qt.New(t)
+		b := newTestTable()
+		for i := range 4 {
+			for _, z := range []string{"a", "b"} {
+				b.Apply([]update.Change{{Proxy: &update.Proxy{Name: fmt.Sprint(z, i), Zone: z, Ready: true, RegisteredAt: 1, LacksCapacity: z == "a" && i < short}}}, false)
+			}
+		}
+		_, _, all, counted := b.ProxyRank()
+		c.Check(counted, qt.IsTrue)
+		c.Check(all["a"][0].Weight, qt.Equals, want, qt.Commentf("%d short", short))
+		c.Check(all["a"][3].Weight, qt.Equals, 1)
+		c.Check(all["b"][0].Weight, qt.Equals, 1)
+	}
+}
+
+// A host that is set aside takes nothing until its time is over, then comes back, and is forgotten once it is back; an older
+// judgement changes nothing.
+func TestEjectedHosts(t *testing.T) {
+	c := qt.New(t)
+	b := newTestTable()
+	b.Apply([]update.Change{{Instance: &instance.Instance{ID: "h", Service: "desk", Zone: "a", Sequence: 1}}}, false)
+	health := func() decision.Health { return b.Hosts("desk")[0].Health }
+	c.Check(health(), qt.Equals, decision.Ready)
+	changes := b.Apply([]update.Change{{Ejection: &outlier.Ejection{ID: "h", Service: "desk", EjectedUntil: 100e9, ProbationUntil: 150e9}}}, false)
+	c.Check(changes.Services["desk"], qt.IsTrue)
+	c.Check(health(), qt.Equals, decision.Draining)
+	c.Check(b.EndEjections(99e9), qt.HasLen, 0)
+	b.Apply([]update.Change{{Ejection: &outlier.Ejection{ID: "h", Service: "desk", EjectedUntil: 90e9, ProbationUntil: 95e9}}}, false)
+	c.Check(health(), qt.Equals, decision.Draining)
+	changes = b.Apply([]update.Change{{Ejection: &outlier.Ejection{ID: "h", Service: "desk", EjectedUntil: 100.1e9, ProbationUntil: 150.1e9}}}, false) // the same by another way
+	c.Check(changes.Services, qt.HasLen, 0)
+	c.Check(b.EndEjections(100e9)["desk"], qt.IsTrue)
+	c.Check(b.EndEjections(101e9), qt.HasLen, 0)
+	c.Check(health(), qt.Equals, decision.Ready)
+	b.Apply([]update.Change{{Ejection: &outlier.Ejection{ID: "h", Service: "desk", EjectedUntil: 300e9, ProbationUntil: 350e9}}}, false)
+	c.Check(health(), qt.Equals, decision.Draining)
+	b.EndEjections(400e9)
+	c.Check(health(), qt.Equals, decision.Ready)
+	c.Check(b.Ejections, qt.HasLen, 0)
+}
+
+// manyHosts is a board that knows so many hosts of a hundred services.
+func manyHosts(hosts int) *Table {
+	b := newTestTable()
+	for n := range hosts {
+		b.Apply([]update.Change{{Instance: &instance.Instance{ID: fmt.Sprintf("h%05d", n), Service: fmt.Sprint("s", min(n/20, 99)), Zone: "a", Sequence: 1}}}, false)
+	}
+	return b
+}
+
+// What a change of one host costs follows the hosts of its service, and not all hosts: a router that knew 4,200 sorted all of
+// them at each change, and 220 times after a snapshot.
+func TestCostOfHosts(t *testing.T) {
+	c := qt.New(t)
+	bytes := func(b *Table) uint64 {
+		var before, after runtime.MemStats
+		runtime.ReadMemStats(&before)
+		for range 20 {
+			b.Hosts("s3")
+			b.InstancesOf("s3")
+			b.ForgetGone("s3")
+		}
+		runtime.ReadMemStats(&after)
+		return (after.TotalAlloc - before.TotalAlloc) / 20
+	}
+	few, all := bytes(manyHosts(100)), bytes(manyHosts(2000))
+	t.Logf("bytes: %d at 100 hosts, %d at 2,000", few, all)
+	c.Check(all < few*2, qt.IsTrue)
+}
+
+// The hosts of a service are those that were told last, whatever came between: one that ended goes once the rules know, and one
+// that is told under another service is that one's.
+func TestHostsOfService(t *testing.T) {
+	c := qt.New(t)
+	b := manyHosts(60)
+	c.Check(b.Hosts("s1"), qt.HasLen, 20)
+	b.Apply([]update.Change{{Instance: &instance.Instance{ID: "h00020", Sequence: 2, State: instance.Gone}}}, false) // as a leave tells it
+	c.Check(b.Hosts("s1"), qt.HasLen, 20)
+	c.Check(b.Hosts("s1")[0].Health, qt.Equals, decision.Gone)
+	b.ForgetGone("s1")
+	c.Check(b.Hosts("s1"), qt.HasLen, 19)
+	c.Check(b.InstancesOf("s1"), qt.HasLen, 19)
+	b.Apply([]update.Change{{Instance: &instance.Instance{ID: "h00021", Service: "s2", Zone: "a", Sequence: 2}}}, false)
+	c.Check(b.Hosts("s1"), qt.HasLen, 18)
+	c.Check(b.Hosts("s2"), qt.HasLen, 21)
+	b.Apply([]update.Change{{Instance: &instance.Instance{ID: "h00022", Service: "s1", Zone: "a", Sequence: 1}}}, true)
+	silent := 0
+	for _, h := range b.Hosts("s1") {
+		if h.Health == decision.Draining {
+			silent++
+		}
+	}
+	c.Check(silent, qt.Equals, 17) // all that the snapshot doesn't name
+	c.Check(b.Instances, qt.HasLen, 59)
+}
+
+// A router that is told anew, and as it was, changes no roster; one that comes, goes, is ready, is short or moves does.
+func TestRouterAnnouncedAgain(t *testing.T) {
+	c := qt.New(t)
+	b := newTestTable()
+	f := update.Proxy{Name: "b1", Zone: "b", Ready: true, RegisteredAt: 5, Owner: "m1"}
+	take := func(change func()) bool {
+		change()
+		f.Revision++
+		x := f
+		return b.Apply([]update.Change{{Proxy: &x}}, false).Proxies
+	}
+	c.Check(take(func() {}), qt.IsTrue)
+	c.Check(take(func() {}), qt.IsFalse)
+	c.Check(take(func() { f.Owner = "m2" }), qt.IsFalse)
+	c.Check(take(func() { f.LacksCapacity = true }), qt.IsTrue)
+	c.Check(take(func() { f.Ready = false }), qt.IsTrue)
+	c.Check(take(func() { f.Ready, f.Zone = true, "a" }), qt.IsTrue)
+	c.Check(take(func() { f.Gone = true }), qt.IsTrue)
+	c.Check(take(func() { f.RegisteredAt, f.Revision, f.Gone = 9, 0, false }), qt.IsTrue)
+	rank, count, _, counted := b.ProxyRank()
+	c.Check([]any{rank, count, counted}, qt.DeepEquals, []any{1, 2, false})
+}
--- a/internal/harbour/lanes/forecast_test.go
+++ b/internal/proxy/endpoint/forecast_test.go
@@ -1,4 +1,4 @@
-package lanes
+package endpoint
 
 import (
 	"math/rand/v2"
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// rush plays a service that bears so many requests at once, for a fifth of a second each: what comes beyond is sent away and
+// rushOfReturns plays a service that bears so many requests at once, for a fifth of a second each: what comes beyond is sent away and
 // comes back when it was told, three times at most. It tells how many were sent away, and how many of these once more.
-func rush(perSecond float64, wait func(now int64) int64, answered func(now int64)) (away, again int) {
+func rushOfReturns(perSecond float64, wait func(now int64) int64, answered func(now int64)) (away, again int) {
 	const slots, work = 30, second / 5
 	draw := rand.New(rand.NewPCG(4, 4))
 	type caller struct {
@@ -59,9 +59,9 @@
 func TestForecast(t *testing.T) {
 	c := qt.New(t)
 	for rate, part := range map[float64]float64{250: 0.3, 400: 0.5, 800: 0.75} {
-		_, fixed := rush(rate, func(int64) int64 { return second / 4 }, func(int64) {})
+		_, fixed := rushOfReturns(rate, func(int64) int64 { return second / 4 }, func(int64) {})
 		var f Forecast
-		away, again := rush(rate, func(now int64) int64 { return f.Wait(now, 2*second) }, f.Answered)
+		away, again := rushOfReturns(rate, func(now int64) int64 { return f.Wait(now, 2*second) }, f.Answered)
 		t.Logf("%.0f a second: %d sent away, %d once more (%d by a fixed wait)", rate, away, again, fixed)
 		c.Check(float64(again) < part*float64(fixed), qt.IsTrue)
 	}
@@ -70,11 +70,11 @@
 	for now := int64(0); now < 5*second; now += second / 100 {
 		f.Answered(now)
 	}
-	c.Check(f.Wait(5*second, second), qt.Equals, shortest)
+	c.Check(f.Wait(5*second, second), qt.Equals, minWait)
 	for range 1000 {
 		f.Wait(5*second, second)
 	}
-	c.Check(f.Wait(5*second, 60*second), qt.Equals, longest)
+	c.Check(f.Wait(5*second, 60*second), qt.Equals, maxWait)
 	c.Check(f.Wait(5*second, 0), qt.Equals, int64(0))
 	c.Check(f.Wait(60*second, second) <= second, qt.IsTrue) // turns that are past are nobody's
 }
--- /dev/null
+++ b/internal/proxy/endpoint/missing_test.go
@@ -0,0 +1,84 @@
+package endpoint
+
+import (
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"portflow/internal/cluster/instance"
+	"portflow/internal/cluster/update"
+	"portflow/internal/decision"
+)
+
+// A router moves to a control process that hasn't heard yet of a host that the former one has told of, and takes its snapshot: the host
+// takes nothing. Once the process has heard of it and says so, it does again, also where it has had no later beat; what its owner says
+// of it, that it is silent or gone, holds as before.
+func TestHostMissingInASnapshot(t *testing.T) {
+	host := func(sequence uint64, silent bool, state instance.State) update.Change {
+		return update.Change{Instance: &instance.Instance{ID: "h", Service: "desk", Address: "10.0.0.1:1", Zone: "z0", Slots: 3, Sequence: sequence, Unresponsive: silent, State: state, Owner: "a"}}
+	}
+	other := update.Change{Instance: &instance.Instance{ID: "x", Service: "desk", Zone: "z0", Slots: 3, Sequence: 9, Owner: "a"}}
+	type take struct {
+		notes    []update.Change
+		snapshot bool
+		want     decision.Health
+		changed  bool // the service's hosts are to be looked at anew
+	}
+	for name, takes := range map[string][]take{
+		"told a little later":        {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(1, false, instance.Ready)}, false, decision.Ready, true}},
+		"in the next snapshot":       {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{other, host(1, false, instance.Ready)}, true, decision.Ready, true}},
+		"told with a later beat":     {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(4, false, instance.Ready)}, false, decision.Ready, true}},
+		"missing twice":              {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{other}, true, decision.Draining, false}, {[]update.Change{host(1, false, instance.Ready)}, false, decision.Ready, true}},
+		"silent by its owner's word": {{[]update.Change{host(1, true, instance.Ready)}, false, decision.Draining, true}, {[]update.Change{host(1, false, instance.Ready)}, false, decision.Draining, false}, {[]update.Change{host(2, false, instance.Ready)}, false, decision.Ready, true}},
+		"missing, then silent":       {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(1, true, instance.Ready)}, false, decision.Draining, true}},
+		"missing, then it leaves":    {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(2, false, instance.Draining)}, false, decision.Draining, true}},
+		"gone":                       {{[]update.Change{host(2, false, instance.Gone)}, false, decision.Gone, true}, {[]update.Change{host(1, false, instance.Ready)}, false, decision.Gone, false}},
+		"named":                      {{[]update.Change{other, host(1, false, instance.Ready)}, true, decision.Ready, false}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := qt.New(t)
+			b := NewTable("front", Location{Zone: "z0", Region: "r0"}, map[string]string{"z0": "r0"})
+			b.Apply([]update.Change{other, host(1, false, instance.Ready)}, true)
+			for n, x := range takes {
+				got := b.Apply(x.notes, x.snapshot)
+				c.Check(got.Services["desk"], qt.Equals, x.changed, qt.Commentf("step %d", n))
+				for _, h := range b.Hosts("desk") {
+					if h.Name == "h" {
+						c.Check(h.Health, qt.Equals, x.want, qt.Commentf("step %d", n))
+					} else {
+						c.Check(h.Health, qt.Equals, decision.Ready)
+					}
+				}
+			}
+		})
+	}
+}
+
+// A host that is silent or missing for ten minutes is taken for gone, and known anew by a later word.
+func TestRemoveStale(t *testing.T) {
+	c := qt.New(t)
+	b := NewTable("front", Location{Zone: "z0", Region: "r0"}, map[string]string{"z0": "r0"})
+	note := func(id string, sequence uint64, silent bool) update.Change {
+		return update.Change{Instance: &instance.Instance{ID: id, Service: "desk", Zone: "z0", Slots: 3, Sequence: sequence, Unresponsive: silent, Owner: "a"}}
+	}
+	b.Apply([]update.Change{note("back", 1, true), note("missing", 1, false), note("silent", 1, true), note("well", 1, false)}, true)
+	b.Apply([]update.Change{note("back", 1, true), note("silent", 1, true), note("well", 1, false)}, true)
+	const minute = int64(60e9)
+	for n := range int64(11) {
+		if n == 5 {
+			b.Apply([]update.Change{note("back", 2, false)}, false)
+		}
+		c.Check(b.RemoveStale(n*minute), qt.HasLen, 0, qt.Commentf("minute %d", n))
+	}
+	c.Check(b.RemoveStale(11*minute), qt.DeepEquals, map[string]bool{"desk": true})
+	health := map[string]decision.Health{}
+	for _, h := range b.Hosts("desk") {
+		health[h.Name] = h.Health
+	}
+	c.Check(health, qt.DeepEquals, map[string]decision.Health{"back": decision.Ready, "missing": decision.Gone, "silent": decision.Gone, "well": decision.Ready})
+	b.ForgetGone("desk")
+	c.Check(b.RemoveStale(12*minute), qt.HasLen, 0)
+	c.Check(len(b.Instances)+len(b.silentSince)+len(b.missing), qt.Equals, 2)
+	c.Check(b.Apply([]update.Change{note("silent", 7, false)}, false).Services["desk"], qt.IsTrue)
+	c.Check(b.Hosts("desk"), qt.HasLen, 3)
+}
--- a/internal/harbour/lanes/shares_test.go
+++ b/internal/proxy/endpoint/shares_test.go
@@ -1,4 +1,4 @@
-package lanes
+package endpoint
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"portflow/internal/harbour/berths"
+	"portflow/internal/cluster/instance"
 )
 
 // Over all routers the parts at a host never come to more than its bounds: at any number of routers, wherever they are, with
@@ -16,38 +16,38 @@
 	c := qt.New(t)
 	for _, n := range []int{6, 13, 92, 300} {
 		for _, lost := range []string{"", "z0", "r0"} {
-			regions, all := map[string]string{}, Roster{}
+			regions, all := map[string]string{}, ProxyList{}
 			for z := range 6 {
 				regions[fmt.Sprint("z", z)] = fmt.Sprint("r", z/2)
 			}
 			for i := range n {
 				z := fmt.Sprint("z", i%6)
 				if z != lost && regions[z] != lost {
-					all[z] = append(all[z], Router{fmt.Sprint("router-", i), 1})
+					all[z] = append(all[z], Proxy{fmt.Sprint("router-", i), 1})
 				}
 			}
-			terms := Terms{Overrun: 1.5, Slack: 5, ColdPerS: 5.4}
+			terms := ColdBounds{Overrun: 1.5, Slack: 5, PerSecond: 5.4}
 			least := 1000
 			uses := map[string]int{}
 			for host := range 40 {
-				h := berths.Host{ID: fmt.Sprint("host-", host), Zone: "z0", Slots: 3}
+				h := instance.Instance{ID: fmt.Sprint("host-", host), Zone: "z0", Slots: 3}
 				open, cold := 0, 0
 				for z, routers := range all {
 					for _, r := range routers {
 						name := r.Name
-						p := Part(h, name, Place{z, regions[z]}, regions, all, terms)
-						open += p.Open
-						cold += p.Cold
-						if p.Open > 0 {
+						p := ShareOf(h, name, Location{z, regions[z]}, regions, all, terms)
+						open += p.Concurrent
+						cold += p.ColdPerSecond
+						if p.Concurrent > 0 {
 							uses[name]++
 						}
 					}
 				}
 				c.Check(cold, qt.Equals, 11, qt.Commentf("%d routers, lost %q: a second at a cold host", n, lost))
-				c.Check(open <= (deep+near+far)*h.Slots, qt.IsTrue, qt.Commentf("%d routers, lost %q: %d open", n, lost, open))
+				c.Check(open <= (ownZoneDepth+sameRegionDepth+otherRegionDepth)*h.Slots, qt.IsTrue, qt.Commentf("%d routers, lost %q: %d open", n, lost, open))
 				least = min(least, open)
 			}
-			c.Check(least >= far*3, qt.IsTrue, qt.Commentf("%d routers, lost %q: only %d open", n, lost, least))
+			c.Check(least >= otherRegionDepth*3, qt.IsTrue, qt.Commentf("%d routers, lost %q: only %d open", n, lost, least))
 			for z, routers := range all {
 				for _, r := range routers {
 					if name := r.Name; n < 300 {
@@ -63,17 +63,17 @@
 func TestFewPartsMove(t *testing.T) {
 	c := qt.New(t)
 	regions := map[string]string{"z0": "r0"}
-	var routers []Router
+	var routers []Proxy
 	for i := range 20 {
-		routers = append(routers, Router{fmt.Sprint("router-", i), 1})
+		routers = append(routers, Proxy{fmt.Sprint("router-", i), 1})
 	}
 	moved, held := 0, 0
 	for host := range 200 {
-		h := berths.Host{ID: fmt.Sprint("host-", host), Zone: "z0", Slots: 3}
+		h := instance.Instance{ID: fmt.Sprint("host-", host), Zone: "z0", Slots: 3}
 		for _, r := range routers {
 			name := r.Name
 			part := func(n int) int {
-				return Part(h, name, Place{"z0", "r0"}, regions, Roster{"z0": routers[:n]}, Terms{}).Open
+				return ShareOf(h, name, Location{"z0", "r0"}, regions, ProxyList{"z0": routers[:n]}, ColdBounds{}).Concurrent
 			}
 			if a, b := part(19), part(20); name != "router-19" {
 				held += a
@@ -90,18 +90,18 @@
 	c := qt.New(t)
 	for _, n := range []int{13, 92} {
 		draw := rand.New(rand.NewPCG(uint64(n), 3))
-		regions, usual := map[string]string{}, Roster{}
+		regions, usual := map[string]string{}, ProxyList{}
 		for i := range n {
 			z := fmt.Sprint("z", i%6)
 			regions[z] = fmt.Sprint("r", i%6/2)
-			usual[z] = append(usual[z], Router{fmt.Sprint("router-", i), 1})
+			usual[z] = append(usual[z], Proxy{fmt.Sprint("router-", i), 1})
 		}
-		weigh := func(short map[string]bool) Roster {
-			all := usual.Usual()
+		weigh := func(short map[string]bool) ProxyList {
+			all := usual.EvenWeights()
 			for _, routers := range all {
 				for i := range routers {
 					if short[routers[i].Name] {
-						routers[i].Weight = Lend
+						routers[i].Weight = BorrowedWeight
 					}
 				}
 			}
@@ -110,9 +110,9 @@
 		type router struct {
 			name string
 			zone string
-			is   Roster
-			past Past
-			next []Former // what it will hear, and when
+			is   ProxyList
+			past History
+			next []FormerList // what it will hear, and when
 		}
 		var all []*router
 		for z, routers := range usual {
@@ -120,7 +120,7 @@
 				all = append(all, &router{name: r.Name, zone: z, is: usual})
 			}
 		}
-		hosts := []berths.Host{{ID: "host-1", Zone: "z0", Slots: 3}, {ID: "host-2", Zone: "z1", Slots: 3}, {ID: "host-3", Zone: "z5", Slots: 5}}
+		hosts := []instance.Instance{{ID: "host-1", Zone: "z0", Slots: 3}, {ID: "host-2", Zone: "z1", Slots: 3}, {ID: "host-3", Zone: "z5", Slots: 5}}
 		short := map[string]bool{}
 		for now := int64(0); now < 40*second; now += second / 10 {
 			if draw.IntN(20) == 0 {
@@ -132,30 +132,34 @@
 					if len(r.next) > 0 {
 						at = max(at, r.next[len(r.next)-1].Until)
 					}
-					r.next = append(r.next, Former{Roster: told, Until: at})
+					r.next = append(r.next, FormerList{Proxies: told, Until: at})
 				}
 			}
 			open := make([]int, len(hosts))
 			for _, r := range all {
 				for len(r.next) > 0 && r.next[0].Until <= now {
-					r.past = r.past.Then(now, r.is, true)
-					r.is, r.next = r.next[0].Roster, r.next[1:]
+					r.past = r.past.Append(now, r.is, true)
+					r.is, r.next = r.next[0].Proxies, r.next[1:]
 				}
 				for i, h := range hosts {
-					part := func(x Roster) int { return Part(h, r.name, Place{r.zone, regions[r.zone]}, regions, x, Terms{}).Open }
-					least, until := r.past.Open(now, r.is, part)
+					part := func(x ProxyList) int {
+						return ShareOf(h, r.name, Location{r.zone, regions[r.zone]}, regions, x, ColdBounds{}).Concurrent
+					}
+					least, until := r.past.LeastConcurrent(now, r.is, part)
 					c.Assert(until > now, qt.IsTrue)
 					open[i] += least
 				}
 			}
 			for i, h := range hosts {
-				c.Assert(open[i] <= (deep+near+far)*h.Slots, qt.IsTrue, qt.Commentf("%d routers, %d at %s", n, open[i], h.ID))
+				c.Assert(open[i] <= (ownZoneDepth+sameRegionDepth+otherRegionDepth)*h.Slots, qt.IsTrue, qt.Commentf("%d routers, %d at %s", n, open[i], h.ID))
 			}
 		}
 		gains, usually := 0, 0
 		for host := range 40 {
-			h := berths.Host{ID: fmt.Sprint("host-", host), Zone: "z0", Slots: 3}
-			part := func(x Roster) int { return Part(h, "router-0", Place{"z0", "r0"}, regions, x, Terms{}).Open }
+			h := instance.Instance{ID: fmt.Sprint("host-", host), Zone: "z0", Slots: 3}
+			part := func(x ProxyList) int {
+				return ShareOf(h, "router-0", Location{"z0", "r0"}, regions, x, ColdBounds{}).Concurrent
+			}
 			usually += part(usual)
 			gains += part(weigh(map[string]bool{"router-0": true}))
 		}
@@ -165,9 +169,9 @@
 
 // A router is short once a fifth of what it hands off has gone to other zones for a second and a half, and gives back what was lent after four seconds in
 // which it needed none of it.
-func TestShort(t *testing.T) {
+func TestShortage(t *testing.T) {
 	c := qt.New(t)
-	var s Short
+	var s Shortage
 	for i, x := range []struct {
 		all, away, over int
 		want            bool
@@ -177,16 +181,16 @@
 		{50, 0, 0, true}, {50, 0, 1, true},
 		{9, 0, 0, true}, {9, 0, 0, true}, {9, 0, 0, true}, {9, 0, 0, true}, {9, 0, 0, true}, {9, 0, 0, true}, {9, 0, 0, true}, {9, 0, 0, false},
 	} {
-		c.Check(s.Look(x.all, x.away, x.over), qt.Equals, x.want, qt.Commentf("look %d", i))
+		c.Check(s.Check(x.all, x.away, x.over), qt.Equals, x.want, qt.Commentf("look %d", i))
 	}
 }
 
 func TestWindow(t *testing.T) {
 	c := qt.New(t)
-	var w Window
+	var w SlidingWindow
 	sent := []int64{}
 	for now := int64(0); now < 5*second; now += second / 50 {
-		if w.Room(now, 3) {
+		if w.Allows(now, 3) {
 			w.Add(now)
 			sent = append(sent, now)
 		}
--- a/internal/harbour/fairway/finishing_test.go
+++ b/internal/proxy/finishing_test.go
@@ -1,4 +1,4 @@
-package fairway
+package proxy
 
 import (
 	"bufio"
@@ -16,21 +16,21 @@
 // A request that a router reads while it ends is refused, so that its client knows that it has not run: the connection isn't just closed.
 func TestReadWhileItEnds(t *testing.T) {
 	c := qt.New(t)
-	h := stand(t, func(_ int, r *http.Request, _ string) (string, bool) { return good(r, "x"), true })
-	f, at := routed(t, h)
-	qt.Check(t, status(ask(t, at, "GET", "/look/x", "before", "")), qt.Equals, "200")
+	h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, "x"), true })
+	f, at := startRouted(t, h)
+	qt.Check(t, status(exchange(t, at, "GET", "/look/x", "before", "")), qt.Equals, "200")
 	conn, err := net.Dial("tcp", at)
 	c.Assert(err, qt.IsNil)
 	defer conn.Close()
-	until(t, func() bool { return f.unfinished.Load() == 1 }) // the server has the connection, and nothing has come on it
-	f.leaving.Store(true)
-	f.ending.Store(true)
+	waitUntil(t, func() bool { return f.unfinished.Load() == 1 }) // the server has the connection, and nothing has come on it
+	f.draining.Store(true)
+	f.refusing.Store(true)
 	over := make(chan bool)
 	go func() {
-		f.finish(10 * time.Second)
+		f.finishConnections(10 * time.Second)
 		close(over)
 	}()
-	until(t, func() bool { // it takes no connections any more
+	waitUntil(t, func() bool { // it takes no connections any more
 		x, err := net.Dial("tcp", at)
 		if err == nil {
 			x.Close()
@@ -46,7 +46,7 @@
 	conn.Close()
 	<-over
 	c.Check(f.unfinished.Load(), qt.Equals, int64(0))
-	c.Check(counted(h)["late"], qt.Equals, 0)
+	c.Check(countWrites(h)["late"], qt.Equals, 0)
 }
 
 // gated is a network whose listeners accept once they are let; until then connections wait.
@@ -88,9 +88,9 @@
 func TestAcceptedBeforeItEnds(t *testing.T) {
 	c := qt.New(t)
 	g := &gated{loopback: &loopback{}, let: make(chan bool)}
-	f, at := routedBy(t, g, g.loopback)
-	f.leaving.Store(true)
-	f.ending.Store(true)
+	f, at := startRoutedBy(t, g, g.loopback)
+	f.draining.Store(true)
+	f.refusing.Store(true)
 	var all []net.Conn
 	for n := range 5 {
 		conn, err := net.Dial("tcp", at)
@@ -99,9 +99,9 @@
 		fmt.Fprintf(conn, "GET /look/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: waits-%d\r\n\r\n", n)
 		all = append(all, conn)
 	}
-	until(t, func() bool { return f.front.Load() != nil })
-	go f.finish(10 * time.Second)
-	until(t, func() bool { return g.looked.Load() > 1 || g.ended.Load() > 0 })
+	waitUntil(t, func() bool { return f.front.Load() != nil })
+	go f.finishConnections(10 * time.Second)
+	waitUntil(t, func() bool { return g.looked.Load() > 1 || g.ended.Load() > 0 })
 	close(g.let)
 	for _, conn := range all {
 		conn.SetReadDeadline(time.Now().Add(10 * time.Second))
--- a/internal/harbour/fairway/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -1,4 +1,4 @@
-package fairway
+package proxy
 
 import (
 	"bufio"
@@ -16,42 +16,42 @@
 	"testing"
 	"time"
 
-	"portflow/internal/harbour/attempt"
-	"portflow/internal/parts/hosts"
-	"portflow/internal/parts/router"
-	"portflow/rules"
+	"portflow/internal/decision"
+	"portflow/internal/dispatch"
+	"portflow/internal/proxy/attempt"
+	"portflow/internal/upstream"
 )
 
-// told is a connection that answers what is written on it with bytes, and then ends.
-type told struct {
-	mu    sync.Mutex
-	turn  sync.Cond
-	raw   []byte
-	asked bool
-	over  bool
+// scriptedConn is a connection that answers what is written on it with bytes, and then ends.
+type scriptedConn struct {
+	mu        sync.Mutex
+	changed   sync.Cond
+	raw       []byte
+	requested bool
+	closed    bool
 }
 
-func newTold(raw []byte) *told {
-	c := &told{raw: raw}
-	c.turn.L = &c.mu
+func newScriptedConn(raw []byte) *scriptedConn {
+	c := &scriptedConn{raw: raw}
+	c.changed.L = &c.mu
 	return c
 }
 
-func (c *told) Write(b []byte) (int, error) {
+func (c *scriptedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked = true
-	c.turn.Broadcast()
+	c.requested = true
+	c.changed.Broadcast()
 	return len(b), nil
 }
 
-func (c *told) Read(b []byte) (int, error) {
+func (c *scriptedConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for !c.asked && !c.over {
-		c.turn.Wait()
+	for !c.requested && !c.closed {
+		c.changed.Wait()
 	}
-	if c.over || len(c.raw) == 0 {
+	if c.closed || len(c.raw) == 0 {
 		return 0, io.EOF
 	}
 	n := copy(b, c.raw)
@@ -59,20 +59,20 @@
 	return n, nil
 }
 
-func (c *told) Close() error {
+func (c *scriptedConn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.over = true
-	c.turn.Broadcast()
+	c.closed = true
+	c.changed.Broadcast()
 	return nil
 }
 
-func (c *told) Pending() bool                    { return false }
-func (c *told) LocalAddr() net.Addr              { return &net.TCPAddr{} }
-func (c *told) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
-func (c *told) SetDeadline(time.Time) error      { return nil }
-func (c *told) SetReadDeadline(time.Time) error  { return nil }
-func (c *told) SetWriteDeadline(time.Time) error { return nil }
+func (c *scriptedConn) Pending() bool                    { return false }
+func (c *scriptedConn) LocalAddr() net.Addr              { return &net.TCPAddr{} }
+func (c *scriptedConn) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
+func (c *scriptedConn) SetDeadline(time.Time) error      { return nil }
+func (c *scriptedConn) SetReadDeadline(time.Time) error  { return nil }
+func (c *scriptedConn) SetWriteDeadline(time.Time) error { return nil }
 
 // FuzzHostAnswers: whatever a host sends, what is passed on is a whole answer with the request's id, and a seal where it is a
 // success; that a request has not run is only known where such an answer says so.
@@ -92,33 +92,33 @@
 	}
 	f.Fuzz(func(t *testing.T, raw []byte, head bool) {
 		const most = 64 // bytes that are read whole
-		p := hosts.New(hosts.Options{Protocol: speech{most}, ConnectIn: time.Second, IdleIn: time.Second, Most: 2,
-			Dial: func(context.Context, string, string) (net.Conn, error) { return newTold(raw), nil }})
+		p := upstream.New(upstream.Options{Protocol: hostProtocol{most}, ConnectIn: time.Second, IdleIn: time.Second, Most: 2,
+			Dial: func(context.Context, string, string) (net.Conn, error) { return newScriptedConn(raw), nil }})
 		defer p.End()
 		method := "POST"
 		if head {
 			method = "HEAD"
 		}
-		c := &cargo{id: "a", header: http.Header{"Attempt-Id": {"a"}}, stream: make(chan *stream, 1)}
-		c.begin()
-		done := make(chan router.Outcome, 1)
-		p.HandOff(router.Host{Name: "i", Address: "10.0.0.1:1"}, &router.Request{Method: method, Target: "/", Cargo: c}, 5*time.Second,
-			func(o router.Outcome) {
-				o.Ending, _ = c.end(o.Ending)
+		c := &clientRequest{id: "a", header: http.Header{"Attempt-Id": {"a"}}, streams: make(chan *streamedReply, 1)}
+		c.beginAttempt()
+		done := make(chan dispatch.Outcome, 1)
+		p.HandOff(dispatch.Host{Name: "i", Address: "10.0.0.1:1"}, &dispatch.Request{Method: method, Target: "/", Cargo: c}, 5*time.Second,
+			func(o dispatch.Outcome) {
+				o.Ending, _ = c.endAttempt(o.Ending)
 				done <- o
 			})
 		var long []byte
-		var o router.Outcome
+		var o dispatch.Outcome
 		select {
 		case o = <-done:
-		case s := <-c.stream:
+		case s := <-c.streams:
 			var err error
 			long, err = io.ReadAll(s.rest)
 			long = append(append([]byte{}, s.body...), long...)
 			s.done <- err
 			o = <-done
 		}
-		known := c.settle().Known()
+		known := c.settle().Execution()
 		// as another reads the same bytes
 		in := bufio.NewReader(bytes.NewReader(raw))
 		var resp *http.Response
@@ -133,7 +133,7 @@
 			body, err = io.ReadAll(resp.Body)
 		}
 		switch o.Ending {
-		case rules.Fulfilled, rules.Failed, rules.TurnedAway:
+		case decision.Fulfilled, decision.Failed, decision.TurnedAway:
 			a := o.Reply.(*reply)
 			if long == nil {
 				long = a.body
@@ -141,10 +141,10 @@
 			if err != nil || a.status != resp.StatusCode || len(resp.Header["Attempt-Id"]) == 0 || resp.Header.Get("Attempt-Id") != "a" || !bytes.Equal(long, body) {
 				t.Fatalf("%d %q passed, read as %v %q, %v", a.status, long, resp, body, err)
 			}
-			if a.status < 300 && a.header.Get("Server-Seal") == "" || o.Ending == rules.Fulfilled && attempt.Promises(a.status) {
+			if a.status < 300 && a.header.Get("Server-Seal") == "" || o.Ending == decision.Fulfilled && attempt.PromisesNotRun(a.status) {
 				t.Fatalf("%+v", a)
 			}
-			if unrun := resp.Header.Get("Request-Not-Run") != "" || a.status == 421; unrun != (known == attempt.NotRun) || unrun != (o.Ending == rules.TurnedAway) {
+			if unrun := resp.Header.Get("Request-Not-Run") != "" || a.status == 421; unrun != (known == attempt.NotRun) || unrun != (o.Ending == decision.TurnedAway) {
 				t.Fatalf("%+v: %v", a, known)
 			}
 		default:
@@ -155,18 +155,18 @@
 	})
 }
 
-// visitor is a client's connection that sends bytes, in parts, and ends once nothing is asked any more.
-type visitor struct {
-	mu    sync.Mutex
-	turn  sync.Cond
-	raw   []byte
-	part  int
-	until time.Time
-	over  chan bool
-	once  sync.Once
+// fuzzClient is a client's connection that sends bytes, in parts, and ends once nothing is asked any more.
+type fuzzClient struct {
+	mu      sync.Mutex
+	changed sync.Cond
+	raw     []byte
+	chunk   int
+	until   time.Time
+	done    chan bool
+	once    sync.Once
 }
 
-func (v *visitor) Read(b []byte) (int, error) {
+func (v *fuzzClient) Read(b []byte) (int, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for len(v.raw) == 0 || len(b) == 1 { // the server's look for whether the client is still there reads one byte
@@ -176,44 +176,44 @@
 		if !v.until.IsZero() && !v.until.After(time.Now()) {
 			return 0, os.ErrDeadlineExceeded
 		}
-		v.turn.Wait()
+		v.changed.Wait()
 	}
-	n := copy(b, v.raw[:min(len(v.raw), v.part)])
+	n := copy(b, v.raw[:min(len(v.raw), v.chunk)])
 	v.raw = v.raw[n:]
 	return n, nil
 }
 
-func (v *visitor) SetReadDeadline(t time.Time) error {
+func (v *fuzzClient) SetReadDeadline(t time.Time) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.until = t
-	v.turn.Broadcast()
+	v.changed.Broadcast()
 	return nil
 }
 
-func (v *visitor) Close() error {
-	v.once.Do(func() { close(v.over) })
+func (v *fuzzClient) Close() error {
+	v.once.Do(func() { close(v.done) })
 	return nil
 }
 
-func (v *visitor) Write(b []byte) (int, error)      { return len(b), nil }
-func (v *visitor) LocalAddr() net.Addr              { return &net.TCPAddr{} }
-func (v *visitor) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
-func (v *visitor) SetDeadline(t time.Time) error    { return v.SetReadDeadline(t) }
-func (v *visitor) SetWriteDeadline(time.Time) error { return nil }
+func (v *fuzzClient) Write(b []byte) (int, error)      { return len(b), nil }
+func (v *fuzzClient) LocalAddr() net.Addr              { return &net.TCPAddr{} }
+func (v *fuzzClient) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
+func (v *fuzzClient) SetDeadline(t time.Time) error    { return v.SetReadDeadline(t) }
+func (v *fuzzClient) SetWriteDeadline(time.Time) error { return nil }
 
-// door is a listener that lets visitors in by hand.
-type door struct{ visitors chan net.Conn }
+// fuzzListener is a listener that lets visitors in by hand.
+type fuzzListener struct{ clients chan net.Conn }
 
-func (d door) Accept() (net.Conn, error) {
-	c, ok := <-d.visitors
+func (d fuzzListener) Accept() (net.Conn, error) {
+	c, ok := <-d.clients
 	if !ok {
 		return nil, net.ErrClosed
 	}
 	return c, nil
 }
-func (d door) Close() error   { return nil }
-func (d door) Addr() net.Addr { return &net.TCPAddr{} }
+func (d fuzzListener) Close() error   { return nil }
+func (d fuzzListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 var lengthLine, codingLine = regexp.MustCompile(`(?im)^content-length:`), regexp.MustCompile(`(?im)^transfer-encoding:`)
 
@@ -232,28 +232,28 @@
 		f.Add([]byte(x), 4096)
 		f.Add([]byte(x), 5)
 	}
-	h := stand(f, func(_ int, r *http.Request, _ string) (string, bool) {
-		whole := good(r, "x")
+	h := startScriptedHost(f, func(_ int, r *http.Request, _ string) (string, bool) {
+		whole := goodAnswer(r, "x")
 		if r.Method == "HEAD" {
-			whole = good(r, "")
+			whole = goodAnswer(r, "")
 		}
 		return whole, true
 	})
-	w, _ := routed(f, h)
-	d := door{make(chan net.Conn)}
-	go w.clients(d)
+	w, _ := startRouted(f, h)
+	d := fuzzListener{make(chan net.Conn)}
+	go w.serveClients(d)
 	f.Fuzz(func(t *testing.T, raw []byte, part int) {
 		if len(raw) > 16<<10 {
 			return
 		}
 		h.mu.Lock()
-		h.came = nil
+		h.received = nil
 		h.mu.Unlock()
-		v := &visitor{raw: raw, part: max(1, part), over: make(chan bool)}
-		v.turn.L = &v.mu
-		d.visitors <- v
+		v := &fuzzClient{raw: raw, chunk: max(1, part), done: make(chan bool)}
+		v.changed.L = &v.mu
+		d.clients <- v
 		select {
-		case <-v.over:
+		case <-v.done:
 		case <-time.After(20 * time.Second):
 			t.Fatal("no end")
 		}
@@ -284,7 +284,7 @@
 			}
 			read = append(read, fmt.Sprintf("%s %s %q %q", r.Method, r.RequestURI, r.Header["Attempt-Id"], body))
 		}
-		for _, x := range h.arrivals() {
+		for _, x := range h.requests() {
 			is := fmt.Sprintf("%s %s %q %q", x.method, x.target, x.header["Attempt-Id"], x.body)
 			for len(read) > 0 && read[0] != is {
 				read = read[1:]
--- a/internal/harbour/fairway/gone_test.go
+++ b/internal/proxy/gone_test.go
@@ -1,4 +1,4 @@
-package fairway
+package proxy
 
 import (
 	"bufio"
@@ -18,13 +18,13 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"portflow/internal/harbour/manifest"
-	"portflow/internal/parts/hosts"
-	"portflow/internal/parts/router"
+	"portflow/internal/cluster/config"
+	"portflow/internal/dispatch"
+	"portflow/internal/upstream"
 )
 
-// until waits for what is to come soon.
-func until(t *testing.T, what func() bool) {
+// waitUntil waits for what is to come soon.
+func waitUntil(t *testing.T, what func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !what(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -36,14 +36,14 @@
 // A client that went while its request stood behind another on its connection gets nothing done any more.
 func TestGoneBehindAnother(t *testing.T) {
 	came, goOn := make(chan bool), make(chan bool)
-	h := stand(t, func(_ int, r *http.Request, _ string) (string, bool) {
+	h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) {
 		if r.Header.Get("Attempt-Id") == "first" {
 			came <- true
 			<-goOn
 		}
-		return good(r, "x"), true
+		return goodAnswer(r, "x"), true
 	})
-	f, at := routed(t, h)
+	f, at := startRouted(t, h)
 	one := func(id, body string) string {
 		return fmt.Sprintf("POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 	}
@@ -55,10 +55,10 @@
 		io.WriteString(c, one("behind", []string{"", "body"}[n%2]))
 		c.Close()
 		goOn <- true
-		until(t, func() bool { return f.counts.gone.Load() > int64(n) || counted(h)["behind"] > 0 })
+		waitUntil(t, func() bool { return f.counters.clientGone.Load() > int64(n) || countWrites(h)["behind"] > 0 })
 	}
-	until(t, func() bool { return f.open.Load() == 0 })
-	qt.Check(t, counted(h)["behind"], qt.Equals, 0)
+	waitUntil(t, func() bool { return f.openRequests.Load() == 0 })
+	qt.Check(t, countWrites(h)["behind"], qt.Equals, 0)
 	c, err := net.Dial("tcp", at) // one that stays is served
 	qt.Assert(t, err, qt.IsNil)
 	defer c.Close()
@@ -73,18 +73,18 @@
 		qt.Check(t, resp.StatusCode, qt.Equals, 200)
 		io.Copy(io.Discard, resp.Body)
 	}
-	qt.Check(t, counted(h)["stays"], qt.Equals, 1)
+	qt.Check(t, countWrites(h)["stays"], qt.Equals, 1)
 }
 
-// barred is a network whose connections come up once it is let.
-type barred struct {
+// blockedNetwork is a network whose connections come up once it is let.
+type blockedNetwork struct {
 	*loopback
-	let chan bool
+	allow chan bool
 }
 
-func (b barred) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (b blockedNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	select {
-	case <-b.let:
+	case <-b.allow:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -94,24 +94,24 @@
 // A client that goes while a connection to the host comes up gets nothing done.
 func TestGoneWhileConnecting(t *testing.T) {
 	for range 10 {
-		h := stand(t, func(_ int, r *http.Request, _ string) (string, bool) { return good(r, "x"), true })
+		h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, "x"), true })
 		l, let := &loopback{}, make(chan bool)
-		f, at := routedBy(t, barred{l, let}, l, h)
+		f, at := startRoutedBy(t, blockedNetwork{l, let}, l, h)
 		c, err := net.Dial("tcp", at)
 		qt.Assert(t, err, qt.IsNil)
 		io.WriteString(c, "POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: gone\r\nContent-Length: 4\r\n\r\nbody")
-		until(t, func() bool { return f.counts.rings[0].Load() == 1 })
+		waitUntil(t, func() bool { return f.counters.byRing[0].Load() == 1 })
 		c.Close()
-		until(t, func() bool { return f.counts.gone.Load() == 1 })
+		waitUntil(t, func() bool { return f.counters.clientGone.Load() == 1 })
 		close(let)
-		qt.Check(t, status(ask(t, at, "POST", "/issue/x", "stays", "body")), qt.Equals, "200")
-		qt.Check(t, counted(h), qt.DeepEquals, map[string]int{"stays": 1})
+		qt.Check(t, status(exchange(t, at, "POST", "/issue/x", "stays", "body")), qt.Equals, "200")
+		qt.Check(t, countWrites(h), qt.DeepEquals, map[string]int{"stays": 1})
 	}
 }
 
 // A host that is in the midst of a long answer is let go with its client, also while it says nothing.
 func TestGoneInALongAnswer(t *testing.T) {
-	for _, framing := range []string{"", fmt.Sprintf("Content-Length: %d\r\n", 9*largest), "Transfer-Encoding: chunked\r\n"} {
+	for _, framing := range []string{"", fmt.Sprintf("Content-Length: %d\r\n", 9*maxBufferedAnswer), "Transfer-Encoding: chunked\r\n"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		qt.Assert(t, err, qt.IsNil)
 		defer l.Close()
@@ -127,7 +127,7 @@
 			if err != nil {
 				return
 			}
-			part := strings.Repeat("x", largest+5)
+			part := strings.Repeat("x", maxBufferedAnswer+5)
 			if strings.HasPrefix(framing, "T") {
 				part = fmt.Sprintf("%x\r\n%s", 2*len(part), part)
 			}
@@ -135,11 +135,11 @@
 			in.ReadByte()
 			ended <- time.Now()
 		}()
-		_, at := routed(t, &script{at: l.Addr().String()})
+		_, at := startRouted(t, &scriptedHost{address: l.Addr().String()})
 		c, err := net.Dial("tcp", at)
 		qt.Assert(t, err, qt.IsNil)
 		io.WriteString(c, "GET /look/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: a\r\n\r\n")
-		_, err = io.ReadFull(c, make([]byte, largest))
+		_, err = io.ReadFull(c, make([]byte, maxBufferedAnswer))
 		qt.Assert(t, err, qt.IsNil)
 		began := time.Now()
 		c.Close()
@@ -153,7 +153,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		defer far.Close()
-		c := &caller{Conn: near, limits: func() manifest.Bounds { return manifest.Bounds{IdleFor: 15e9} }}
+		c := &clientConn{Conn: near, limits: func() config.Limits { return config.Limits{IdleTimeout: 15e9} }}
 		began := time.Now()
 		_, err := c.Write([]byte("answer"))
 		qt.Check(t, errors.Is(err, os.ErrDeadlineExceeded), qt.IsTrue, qt.Commentf("%v", err))
@@ -165,34 +165,34 @@
 	})
 }
 
-// heard is a host's connection that keeps what was written.
-type heard struct {
-	*told
+// recordingWriter is a host's connection that keeps what was written.
+type recordingWriter struct {
+	*scriptedConn
 	wrote bytes.Buffer
 }
 
-func (h *heard) Write(b []byte) (int, error) {
+func (h *recordingWriter) Write(b []byte) (int, error) {
 	h.wrote.Write(b)
-	return h.told.Write(b)
+	return h.scriptedConn.Write(b)
 }
 
 // A host is told the time that is left when it gets the request, however long its connection took to come up.
 func TestTimeRemaining(t *testing.T) {
 	for _, slow := range []time.Duration{0, time.Millisecond, 50 * time.Millisecond, 390 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			c := &heard{told: newTold([]byte("HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nServer-Seal: s\r\nContent-Length: 2\r\n\r\nhi"))}
-			p := hosts.New(hosts.Options{Protocol: speech{largest}, ConnectIn: connectIn, IdleIn: time.Second, Most: 2,
+			c := &recordingWriter{scriptedConn: newScriptedConn([]byte("HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nServer-Seal: s\r\nContent-Length: 2\r\n\r\nhi"))}
+			p := upstream.New(upstream.Options{Protocol: hostProtocol{maxBufferedAnswer}, ConnectIn: connectTimeout, IdleIn: time.Second, Most: 2,
 				Dial: func(context.Context, string, string) (net.Conn, error) {
 					time.Sleep(slow)
 					return c, nil
 				}})
 			defer p.End()
-			load := &cargo{id: "a", header: http.Header{"Attempt-Id": {"a"}, "Time-Remaining": {"99999"}}, stream: make(chan *stream, 1)}
-			load.begin()
-			done := make(chan router.Outcome, 1)
+			load := &clientRequest{id: "a", header: http.Header{"Attempt-Id": {"a"}, "Time-Remaining": {"99999"}}, streams: make(chan *streamedReply, 1)}
+			load.beginAttempt()
+			done := make(chan dispatch.Outcome, 1)
 			began := time.Now()
-			p.HandOff(router.Host{Name: "i", Address: "10.0.0.1:1"}, &router.Request{Method: "POST", Target: "/", Body: []byte("b"), Cargo: load}, 700*time.Millisecond,
-				func(o router.Outcome) { done <- o })
+			p.HandOff(dispatch.Host{Name: "i", Address: "10.0.0.1:1"}, &dispatch.Request{Method: "POST", Target: "/", Body: []byte("b"), Cargo: load}, 700*time.Millisecond,
+				func(o dispatch.Outcome) { done <- o })
 			<-done
 			took := time.Since(began)
 			r, err := http.ReadRequest(bufio.NewReader(&c.wrote))
@@ -201,7 +201,7 @@
 			ms, err := strconv.Atoi(r.Header.Get("Time-Remaining"))
 			qt.Assert(t, err, qt.IsNil)
 			left := (700*time.Millisecond - took).Milliseconds()
-			qt.Check(t, int64(ms) <= left+renewed && int64(ms) >= left, qt.IsTrue, qt.Commentf("%d told, %d left", ms, left))
+			qt.Check(t, int64(ms) <= left+staleMilliseconds && int64(ms) >= left, qt.IsTrue, qt.Commentf("%d told, %d left", ms, left))
 		})
 	}
 }
--- a/internal/harbour/fairway/http_test.go
+++ b/internal/proxy/http_test.go
@@ -1,4 +1,4 @@
-package fairway
+package proxy
 
 import (
 	"bufio"
@@ -23,27 +23,27 @@
 		"none": {"", "200"}, "two": {hints, "200"}, "no end": {strings.Repeat(hints, 200), "502"},
 		"not run, informational": {"HTTP/1.1 102 Processing\r\nAttempt-Id: u1\r\nRequest-Not-Run: 1\r\n\r\n", "200"},
 	} {
-		h := stand(t, func(_ int, r *http.Request, _ string) (string, bool) { return x.before + good(r, "ran"), true })
-		_, at := routed(t, h)
-		got := ask(t, at, "POST", "/issue/x", "u1", "body")
+		h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) { return x.before + goodAnswer(r, "ran"), true })
+		_, at := startRouted(t, h)
+		got := exchange(t, at, "POST", "/issue/x", "u1", "body")
 		qt.Check(t, status(got), qt.Equals, x.want, qt.Commentf("%s: %.300q", name, got))
 		qt.Check(t, strings.Count(got, "HTTP/1.1"), qt.Equals, 1, qt.Commentf("%s: %.300q", name, got))
-		qt.Check(t, len(h.arrivals()), qt.Equals, 1, qt.Commentf("%s", name))
+		qt.Check(t, len(h.requests()), qt.Equals, 1, qt.Commentf("%s", name))
 	}
 }
 
 // Expect: 100-continue is answered by the router, once it wants the body; hosts aren't asked. What is refused by its head alone
 // is refused before its body comes, and nothing goes to a host.
 func TestExpectContinue(t *testing.T) {
-	h := stand(t, func(_ int, r *http.Request, body string) (string, bool) { return good(r, body), true })
-	_, at := routed(t, h)
+	h := startScriptedHost(t, func(_ int, r *http.Request, body string) (string, bool) { return goodAnswer(r, body), true })
+	_, at := startRouted(t, h)
 	for name, x := range map[string]struct{ head, body, want string }{
 		"taken":          {"POST /issue/x HTTP/1.1\r\nContent-Length: 4\r\nExpect: 100-continue\r\n", "body", "200"},
 		"no route":       {"POST /nowhere HTTP/1.1\r\nContent-Length: 4\r\nExpect: 100-continue\r\n", "", "404"},
 		"too long":       {"POST /issue/x HTTP/1.1\r\nContent-Length: 99999999\r\nExpect: 100-continue\r\n", "", "413"},
 		"something else": {"POST /issue/x HTTP/1.1\r\nContent-Length: 4\r\nExpect: a miracle\r\n", "", "417"},
 	} {
-		before := len(h.arrivals())
+		before := len(h.requests())
 		c, err := net.Dial("tcp", at)
 		qt.Assert(t, err, qt.IsNil)
 		c.SetDeadline(time.Now().Add(5 * time.Second))
@@ -52,14 +52,14 @@
 		first, _ := in.ReadString('\n')
 		if x.body != "" {
 			qt.Check(t, first, qt.Equals, "HTTP/1.1 100 Continue\r\n", qt.Commentf("%s", name))
-			qt.Check(t, len(h.arrivals()), qt.Equals, before)
+			qt.Check(t, len(h.requests()), qt.Equals, before)
 			in.ReadString('\n')
 			io.WriteString(c, x.body)
 			first, _ = in.ReadString('\n')
 		}
 		qt.Check(t, status(first), qt.Equals, x.want, qt.Commentf("%s", name))
 		c.Close()
-		all := h.arrivals()[before:]
+		all := h.requests()[before:]
 		qt.Check(t, len(all) == 1, qt.Equals, x.body != "", qt.Commentf("%s", name))
 		for _, in := range all {
 			qt.Check(t, in.header.Get("Expect"), qt.Equals, "")
@@ -70,16 +70,16 @@
 
 // Trailers are left out, both ways: what is held whole goes on with a length. Nothing in them counts as a header.
 func TestTrailers(t *testing.T) {
-	h := stand(t, func(n int, r *http.Request, _ string) (string, bool) {
+	h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) {
 		id := r.Header.Get("Attempt-Id")
 		if id == "u2" { // its seal comes behind the body: that is none
 			return fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nTransfer-Encoding: chunked\r\nTrailer: Server-Seal\r\n\r\n2\r\nhi\r\n0\r\nServer-Seal: s\r\n\r\n", id), true
 		}
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: s\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n2\r\nhi\r\n0\r\nX-Sum: 1\r\nAttempt-Id: other\r\n\r\n", id), true
 	})
-	_, at := routed(t, h)
+	_, at := startRouted(t, h)
 	send := func(id string) string {
-		return raw(t, at, "POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nConnection: close\r\nAttempt-Id: "+id+
+		return rawExchange(t, at, "POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nConnection: close\r\nAttempt-Id: "+id+
 			"\r\nTransfer-Encoding: chunked\r\nTrailer: X-Late, Time-Remaining\r\n\r\n4\r\nbody\r\n0\r\nX-Late: 1\r\nAttempt-Id: other\r\nTime-Remaining: 1\r\n\r\n", false)
 	}
 	got := send("u1")
@@ -87,7 +87,7 @@
 	qt.Check(t, got, qt.Contains, "Content-Length: 2\r\n")
 	qt.Check(t, got, qt.Not(qt.Contains), "X-Sum")
 	qt.Check(t, status(send("u2")), qt.Equals, "502")
-	in := h.arrivals()[0]
+	in := h.requests()[0]
 	qt.Check(t, in.body, qt.Equals, "body")
 	qt.Check(t, in.coding, qt.HasLen, 0)
 	qt.Check(t, in.header["Attempt-Id"], qt.DeepEquals, []string{"u1"})
@@ -97,54 +97,54 @@
 
 // Heads up to the limit go on whole; a request's beyond it is answered 431 and goes nowhere, a host's beyond 16 KB is no answer.
 func TestLongHeads(t *testing.T) {
-	h := stand(t, func(_ int, r *http.Request, _ string) (string, bool) {
+	h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) {
 		if r.Header.Get("Attempt-Id") == "long" {
-			return strings.Replace(good(r, "x"), "Server-Seal", "X-Long: "+strings.Repeat("y", 20<<10)+"\r\nServer-Seal", 1), true
+			return strings.Replace(goodAnswer(r, "x"), "Server-Seal", "X-Long: "+strings.Repeat("y", 20<<10)+"\r\nServer-Seal", 1), true
 		}
-		return good(r, "x"), true
+		return goodAnswer(r, "x"), true
 	})
-	_, at := routed(t, h)
+	_, at := startRouted(t, h)
 	for n, want := range map[int]string{100: "200", 3000: "200", 12000: "200", 17000: "431", 40000: "431", 2 << 20: "431"} {
-		before := len(h.arrivals())
-		got := ask(t, at, "POST", "/issue/x", "u1", "body", "X-Long: "+strings.Repeat("z", n))
+		before := len(h.requests())
+		got := exchange(t, at, "POST", "/issue/x", "u1", "body", "X-Long: "+strings.Repeat("z", n))
 		if got == "" && n > 1<<20 { // the connection was reset while the rest was still coming
 			got = "HTTP/1.1 431"
 		}
 		qt.Check(t, status(got), qt.Equals, want, qt.Commentf("%d: %.200q", n, got))
-		all := h.arrivals()[before:]
+		all := h.requests()[before:]
 		qt.Check(t, len(all) == 1, qt.Equals, want == "200", qt.Commentf("%d", n))
 		for _, in := range all {
 			qt.Check(t, len(in.header.Get("X-Long")), qt.Equals, n)
 		}
 	}
-	qt.Check(t, status(ask(t, at, "POST", "/issue/x", "long", "body")), qt.Equals, "502")
+	qt.Check(t, status(exchange(t, at, "POST", "/issue/x", "long", "body")), qt.Equals, "502")
 }
 
 // An upgrade that a client asks for is not taken up: it gets the answer that it would get without, and hosts aren't asked.
 func TestUpgradeIsPassedOver(t *testing.T) {
-	h := stand(t, func(_ int, r *http.Request, _ string) (string, bool) { return good(r, "x"), true })
-	_, at := routed(t, h)
+	h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, "x"), true })
+	_, at := startRouted(t, h)
 	for _, to := range []string{"websocket", "h2c", "HTTP/2.0"} {
-		got := ask(t, at, "GET", "/look/x", "s1", "", "Connection: Upgrade, HTTP2-Settings", "Upgrade: "+to, "HTTP2-Settings: AAMAAABkAAQCAAAAAAIAAAAA")
+		got := exchange(t, at, "GET", "/look/x", "s1", "", "Connection: Upgrade, HTTP2-Settings", "Upgrade: "+to, "HTTP2-Settings: AAMAAABkAAQCAAAAAAIAAAAA")
 		qt.Check(t, status(got), qt.Equals, "200", qt.Commentf("%q", got))
 	}
-	for _, in := range h.arrivals() {
+	for _, in := range h.requests() {
 		qt.Check(t, in.header.Get("Upgrade")+in.header.Get("HTTP2-Settings")+in.header.Get("Connection"), qt.Equals, "")
 	}
-	preface := raw(t, at, "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", false)
+	preface := rawExchange(t, at, "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", false)
 	qt.Check(t, strings.Contains(preface, " 200 "), qt.IsFalse, qt.Commentf("%q", preface))
 }
 
 // A kept connection of a client: answers come in the order of its requests, each with its own id, also where the first takes
 // longest, where one is refused between, and where the last one's body is cut off.
 func TestKeptConnection(t *testing.T) {
-	h := stand(t, func(_ int, r *http.Request, body string) (string, bool) {
+	h := startScriptedHost(t, func(_ int, r *http.Request, body string) (string, bool) {
 		if strings.HasSuffix(r.URL.Path, "slow") {
 			time.Sleep(30 * time.Millisecond)
 		}
-		return good(r, r.Header.Get("Attempt-Id")+body), true
+		return goodAnswer(r, r.Header.Get("Attempt-Id")+body), true
 	})
-	_, at := routed(t, h)
+	_, at := startRouted(t, h)
 	one := func(method, target, id, body string) string {
 		return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: %s\r\nContent-Length: %d\r\n\r\n%s", method, target, id, len(body), body)
 	}
@@ -164,7 +164,7 @@
 	c.(*net.TCPConn).CloseWrite()
 	last, _ := io.ReadAll(in)
 	qt.Check(t, strings.HasPrefix(string(last), "HTTP/1.1 400"), qt.IsTrue, qt.Commentf("%q", last))
-	came := counted(h)
+	came := countWrites(h)
 	qt.Check(t, came["cut"], qt.Equals, 0)
 	for id, n := range came {
 		qt.Check(t, n, qt.Equals, 1, qt.Commentf("%s", id))
--- a/internal/harbour/fairway/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -1,4 +1,4 @@
-package fairway
+package proxy
 
 import (
 	"bufio"
@@ -16,35 +16,35 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"portflow/internal/harbour/manifest"
-	"portflow/internal/harbour/signals"
-	"portflow/internal/parts/room"
+	"portflow/internal/cluster/config"
+	"portflow/internal/cluster/update"
+	"portflow/internal/connlimit"
 )
 
 // virtualClient is a client of a real net/http server on a pipe in virtual time, whose limits the test changes.
 type virtualClient struct {
 	net.Conn
 	in     *bufio.Reader
-	limits *atomic.Pointer[manifest.Bounds]
+	limits *atomic.Pointer[config.Limits]
 }
 
 // serveVirtually begins to serve one client by these limits. The server itself is made as before any limits have come.
-func serveVirtually(t *testing.T, limits manifest.Bounds, handler http.HandlerFunc) virtualClient {
+func serveVirtually(t *testing.T, limits config.Limits, handler http.HandlerFunc) virtualClient {
 	near, far := net.Pipe()
-	var force atomic.Pointer[manifest.Bounds]
+	var force atomic.Pointer[config.Limits]
 	force.Store(&limits)
-	place := room.New(2, 2).Enter(nil)
-	c := &caller{Conn: near, place: place, limits: func() manifest.Bounds { return *force.Load() }, since: time.Now()}
-	place.Fill(room.Silent, func() { c.Close() })
+	place := connlimit.New(2, 2).Enter(nil)
+	c := &clientConn{Conn: near, slot: place, limits: func() config.Limits { return *force.Load() }, since: time.Now()}
+	place.Fill(connlimit.Silent, func() { c.Close() })
 	take := func(w http.ResponseWriter, r *http.Request) {
-		r.Context().Value(callerKey{}).(*caller).take()
+		r.Context().Value(clientConnKey{}).(*clientConn).beginRequest()
 		handler(w, r)
 	}
-	d := door{make(chan net.Conn, 1)}
-	d.visitors <- c
-	close(d.visitors)
-	s := &http.Server{Handler: http.HandlerFunc(take), ReadHeaderTimeout: time.Duration(manifest.Usual.HeaderFor),
-		IdleTimeout: time.Duration(manifest.Usual.IdleFor), ConnState: new(Fairway).note, ConnContext: withCaller, ErrorLog: silent}
+	d := fuzzListener{make(chan net.Conn, 1)}
+	d.clients <- c
+	close(d.clients)
+	s := &http.Server{Handler: http.HandlerFunc(take), ReadHeaderTimeout: time.Duration(config.DefaultLimits.HeaderTimeout),
+		IdleTimeout: time.Duration(config.DefaultLimits.IdleTimeout), ConnState: new(Proxy).connStateChanged, ConnContext: withClientConn, ErrorLog: discardLog}
 	go s.Serve(d)
 	t.Cleanup(func() { far.Close() })
 	return virtualClient{Conn: far, in: bufio.NewReader(far), limits: &force}
@@ -66,26 +66,26 @@
 func TestLimitsInForce(t *testing.T) {
 	head := virtualRequest[:len(virtualRequest)-2]
 	for name, x := range map[string]struct {
-		before, after manifest.Bounds
+		before, after config.Limits
 		play          func(v virtualClient, change func())
 		want          string
 	}{
 		"a head slower than the first limits allowed": {
-			manifest.Bounds{HeaderFor: 10e9, IdleFor: 15e9}, manifest.Bounds{HeaderFor: 10e9, IdleFor: 15e9},
+			config.Limits{HeaderTimeout: 10e9, IdleTimeout: 15e9}, config.Limits{HeaderTimeout: 10e9, IdleTimeout: 15e9},
 			func(v virtualClient, _ func()) {
 				io.WriteString(v, head)
 				time.Sleep(9 * time.Second)
 				io.WriteString(v, "\r\n")
 			}, "200"},
 		"a head too slow for lower limits": {
-			manifest.Bounds{HeaderFor: 1e9, IdleFor: 15e9}, manifest.Bounds{},
+			config.Limits{HeaderTimeout: 1e9, IdleTimeout: 15e9}, config.Limits{},
 			func(v virtualClient, _ func()) {
 				io.WriteString(v, head)
 				time.Sleep(1100 * time.Millisecond)
 				io.WriteString(v, "\r\n")
 			}, "cut"},
 		"header-timeout-s raised during a head": {
-			manifest.Bounds{HeaderFor: 2e9, IdleFor: 15e9}, manifest.Bounds{HeaderFor: 6e9, IdleFor: 15e9},
+			config.Limits{HeaderTimeout: 2e9, IdleTimeout: 15e9}, config.Limits{HeaderTimeout: 6e9, IdleTimeout: 15e9},
 			func(v virtualClient, change func()) {
 				io.WriteString(v, head)
 				time.Sleep(time.Second)
@@ -94,7 +94,7 @@
 				io.WriteString(v, "\r\n")
 			}, "200"},
 		"header-timeout-s lowered during a head": {
-			manifest.Bounds{HeaderFor: 6e9, IdleFor: 15e9}, manifest.Bounds{HeaderFor: 1e9, IdleFor: 15e9},
+			config.Limits{HeaderTimeout: 6e9, IdleTimeout: 15e9}, config.Limits{HeaderTimeout: 1e9, IdleTimeout: 15e9},
 			func(v virtualClient, change func()) {
 				io.WriteString(v, head)
 				change()
@@ -102,7 +102,7 @@
 				io.WriteString(v, "\r\n")
 			}, "200"},
 		"idle-timeout-s raised while idle": {
-			manifest.Bounds{HeaderFor: 3e9, IdleFor: 5e9}, manifest.Bounds{HeaderFor: 3e9, IdleFor: 20e9},
+			config.Limits{HeaderTimeout: 3e9, IdleTimeout: 5e9}, config.Limits{HeaderTimeout: 3e9, IdleTimeout: 20e9},
 			func(v virtualClient, change func()) {
 				io.WriteString(v, virtualRequest)
 				v.status()
@@ -111,7 +111,7 @@
 				io.WriteString(v, virtualRequest)
 			}, "200"},
 		"idle-timeout-s lowered while idle": {
-			manifest.Bounds{HeaderFor: 3e9, IdleFor: 20e9}, manifest.Bounds{HeaderFor: 3e9, IdleFor: 1e9},
+			config.Limits{HeaderTimeout: 3e9, IdleTimeout: 20e9}, config.Limits{HeaderTimeout: 3e9, IdleTimeout: 1e9},
 			func(v virtualClient, change func()) {
 				io.WriteString(v, virtualRequest)
 				v.status()
@@ -120,7 +120,7 @@
 				io.WriteString(v, virtualRequest)
 			}, "200"},
 		"idle for longer than is allowed": {
-			manifest.Bounds{HeaderFor: 3e9, IdleFor: 5e9}, manifest.Bounds{},
+			config.Limits{HeaderTimeout: 3e9, IdleTimeout: 5e9}, config.Limits{},
 			func(v virtualClient, _ func()) {
 				io.WriteString(v, virtualRequest)
 				v.status()
@@ -128,7 +128,7 @@
 				io.WriteString(v, virtualRequest)
 			}, "cut"},
 		"a pipelined head beside a short idle-timeout-s": {
-			manifest.Bounds{HeaderFor: 3e9, IdleFor: 1e9}, manifest.Bounds{},
+			config.Limits{HeaderTimeout: 3e9, IdleTimeout: 1e9}, config.Limits{},
 			func(v virtualClient, _ func()) {
 				go io.WriteString(v, virtualRequest+head)
 				v.status()
@@ -151,8 +151,8 @@
 
 // The body of a pipelined request has the time that bodies have, also where idle-timeout-s is shorter.
 func TestPipelinedBodyBesideShortIdle(t *testing.T) {
-	h := stand(t, func(_ int, r *http.Request, body string) (string, bool) { return good(r, body), true })
-	f, at := routed(t, h)
+	h := startScriptedHost(t, func(_ int, r *http.Request, body string) (string, bool) { return goodAnswer(r, body), true })
+	f, at := startRouted(t, h)
 	setLimits(t, f, `"header-bytes":16384,"body-bytes":1048576,"header-timeout-s":3,"idle-timeout-s":0.05`)
 	c, err := net.Dial("tcp", at)
 	qt.Assert(t, err, qt.IsNil)
@@ -175,12 +175,12 @@
 }
 
 // setLimits puts new limits in force, as if control had told them.
-func setLimits(t testing.TB, f *Fairway, limits string) {
+func setLimits(t testing.TB, f *Proxy, limits string) {
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	version := 1
-	if i, ok := f.board.Set.Get(manifest.Key{Kind: manifest.Limits, Name: manifest.Limits}); ok {
+	if i, ok := f.endpoints.Set.Lookup(config.Key{Kind: config.KindLimits, Name: config.KindLimits}); ok {
 		version = int(i.Version) + 1
 	}
 	tell(t, f, fmt.Sprintf(`{"set-items":{"limits":{%s,"version":"%08d"}},"drop-names":{"routes":[]}}`, limits, version))
@@ -189,19 +189,19 @@
 // A request that has come by the time that its connection's idle deadline is looked at is read, and the connection is not closed.
 func TestArrivalAtTheIdleDeadline(t *testing.T) {
 	near, far := pair(t)
-	c := &caller{Conn: near, phase: idling, place: room.New(1, 1).Try(), limits: func() manifest.Bounds { return manifest.Bounds{HeaderFor: 3e9, IdleFor: 1} }}
+	c := &clientConn{Conn: near, phase: idling, slot: connlimit.New(1, 1).Try(), limits: func() config.Limits { return config.Limits{HeaderTimeout: 3e9, IdleTimeout: 1} }}
 	_, err := near.Read(make([]byte, 100)) // the byte that shows it to be up
 	qt.Assert(t, err, qt.IsNil)
 	io.WriteString(far, virtualRequest)
-	until(t, func() bool { return c.peek() == bytesWait })
+	waitUntil(t, func() bool { return c.peek() == bytesWait })
 	near.SetReadDeadline(time.Unix(1, 0)) // which has passed before the read: the kernel isn't asked any more
 	b := make([]byte, 100)
 	n, err := c.Read(b)
 	qt.Check(t, err, qt.IsNil)
 	qt.Check(t, string(b[:n]), qt.Equals, virtualRequest)
 
-	c.take() // and with nothing there it ends
-	c.rest()
+	c.beginRequest() // and with nothing there it ends
+	c.markIdle()
 	near.SetReadDeadline(time.Unix(1, 0))
 	_, err = c.Read(b)
 	qt.Check(t, errors.Is(err, os.ErrDeadlineExceeded), qt.IsTrue, qt.Commentf("%v", err))
@@ -222,47 +222,47 @@
 }
 
 // tell puts a change of the configuration in force, as if control had told it; the caller holds the lock.
-func tell(t testing.TB, f *Fairway, change string) {
+func tell(t testing.TB, f *Proxy, change string) {
 	t.Helper()
-	items, err := manifest.Read([]byte(change))
+	items, err := config.ParseChange([]byte(change))
 	qt.Assert(t, err, qt.IsNil)
-	var notes []signals.Note
+	var notes []update.Change
 	for i := range items {
-		notes = append(notes, signals.Note{Item: &items[i]})
+		notes = append(notes, update.Change{Item: &items[i]})
 	}
-	f.publish(f.board.Take(notes, false))
+	f.publish(f.endpoints.Apply(notes, false))
 }
 
 // A question about the router itself is answered by it, and the framing of what comes behind is looked at as closely as ever.
 func TestAsteriskOptions(t *testing.T) {
-	h := stand(t, func(_ int, r *http.Request, body string) (string, bool) { return good(r, body), true })
-	_, at := routed(t, h)
-	got := raw(t, at, "OPTIONS * HTTP/1.1\r\nHost: desk.example\r\n\r\n"+
+	h := startScriptedHost(t, func(_ int, r *http.Request, body string) (string, bool) { return goodAnswer(r, body), true })
+	_, at := startRouted(t, h)
+	got := rawExchange(t, at, "OPTIONS * HTTP/1.1\r\nHost: desk.example\r\n\r\n"+
 		"POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: a\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nbody", true)
 	qt.Check(t, status(got), qt.Equals, "200", qt.Commentf("%q", got))
 	qt.Check(t, strings.Contains(got, "HTTP/1.1 400"), qt.IsTrue, qt.Commentf("%q", got))
-	qt.Check(t, h.arrivals(), qt.HasLen, 0)
+	qt.Check(t, h.requests(), qt.HasLen, 0)
 }
 
 // header-bytes binds as it stands, raised and lowered, whatever stood as the process began.
 func TestHeaderBytesInForce(t *testing.T) {
-	h := stand(t, func(_ int, r *http.Request, body string) (string, bool) { return good(r, body), true })
-	f, at := routed(t, h)
+	h := startScriptedHost(t, func(_ int, r *http.Request, body string) (string, bool) { return goodAnswer(r, body), true })
+	f, at := startRouted(t, h)
 	for _, x := range []struct {
 		limit, head int
 		want        string
 	}{{16 << 10, 30 << 10, "431"}, {64 << 10, 30 << 10, "200"}, {64 << 10, 60 << 10, "200"}, {64 << 10, 80 << 10, "431"},
 		{2 << 10, 3 << 10, "431"}, {2 << 10, 30 << 10, "431"}, {2 << 10, 1 << 10, "200"}, {16 << 10, 12 << 10, "200"}} {
 		setLimits(t, f, fmt.Sprintf(`"header-bytes":%d,"body-bytes":1048576,"header-timeout-s":3,"idle-timeout-s":15`, x.limit))
-		got := ask(t, at, "POST", "/issue/x", "a", "body", "X-Long: "+strings.Repeat("z", x.head))
+		got := exchange(t, at, "POST", "/issue/x", "a", "body", "X-Long: "+strings.Repeat("z", x.head))
 		qt.Check(t, status(got), qt.Equals, x.want, qt.Commentf("%d of %d: %.100q", x.head, x.limit, got))
 	}
 }
 
 // A kept connection takes a longer head once that is allowed, and one that is longer than that ends it.
 func TestHeaderBytesRaisedOnKeptConnection(t *testing.T) {
-	h := stand(t, func(_ int, r *http.Request, body string) (string, bool) { return good(r, body), true })
-	f, at := routed(t, h)
+	h := startScriptedHost(t, func(_ int, r *http.Request, body string) (string, bool) { return goodAnswer(r, body), true })
+	f, at := startRouted(t, h)
 	c, err := net.Dial("tcp", at)
 	qt.Assert(t, err, qt.IsNil)
 	defer c.Close()
@@ -287,22 +287,22 @@
 // longer than that; and a lowered idle-timeout-s binds no request that was taken before.
 func TestSlowReader(t *testing.T) {
 	for name, x := range map[string]struct {
-		then, now manifest.Bounds
+		then, now config.Limits
 		pause     time.Duration
 		whole     bool
 	}{
-		"slow":                           {manifest.Bounds{IdleFor: 5e9}, manifest.Bounds{IdleFor: 5e9}, 4 * time.Second, true},
-		"too slow":                       {manifest.Bounds{IdleFor: 5e9}, manifest.Bounds{IdleFor: 5e9}, 6 * time.Second, false},
-		"idle-timeout-s lowered for one": {manifest.Bounds{IdleFor: 5e9}, manifest.Bounds{IdleFor: 1e9}, 4 * time.Second, true},
-		"idle-timeout-s raised for one":  {manifest.Bounds{IdleFor: 1e9}, manifest.Bounds{IdleFor: 5e9}, 4 * time.Second, true},
+		"slow":                           {config.Limits{IdleTimeout: 5e9}, config.Limits{IdleTimeout: 5e9}, 4 * time.Second, true},
+		"too slow":                       {config.Limits{IdleTimeout: 5e9}, config.Limits{IdleTimeout: 5e9}, 6 * time.Second, false},
+		"idle-timeout-s lowered for one": {config.Limits{IdleTimeout: 5e9}, config.Limits{IdleTimeout: 1e9}, 4 * time.Second, true},
+		"idle-timeout-s raised for one":  {config.Limits{IdleTimeout: 1e9}, config.Limits{IdleTimeout: 5e9}, 4 * time.Second, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				near, far := net.Pipe()
 				defer far.Close()
 				limits := x.then
-				c := &caller{Conn: near, limits: func() manifest.Bounds { return limits }}
-				c.take()
+				c := &clientConn{Conn: near, limits: func() config.Limits { return limits }}
+				c.beginRequest()
 				limits = x.now
 				answer := strings.Repeat("x", 1000)
 				var got atomic.Int64
@@ -332,7 +332,7 @@
 func TestEvictedBesideARequest(t *testing.T) {
 	b := make([]byte, 100)
 	for name, x := range map[string]struct {
-		phase   phase
+		phase   connPhase
 		sent    string
 		readAll bool // by the time that its place is wanted
 		ends    bool
@@ -348,12 +348,12 @@
 		t.Run(name, func(t *testing.T) {
 			near, far := pair(t)
 			near.Read(b) // the byte that shows it to be up
-			r := room.New(1, 1)
-			c := &caller{Conn: near, place: r.Try(), phase: x.phase, since: time.Now(), limits: func() manifest.Bounds { return manifest.Usual }}
-			c.place.Fill(map[phase]room.Use{idling: room.Idle, readingHead: room.Silent}[x.phase], c.evict)
+			r := connlimit.New(1, 1)
+			c := &clientConn{Conn: near, slot: r.Try(), phase: x.phase, since: time.Now(), limits: func() config.Limits { return config.DefaultLimits }}
+			c.slot.Fill(map[connPhase]connlimit.Use{idling: connlimit.Idle, readingHead: connlimit.Silent}[x.phase], c.evict)
 			io.WriteString(far, x.sent)
 			if x.sent != "" {
-				until(t, func() bool { return c.peek() == bytesWait })
+				waitUntil(t, func() bool { return c.peek() == bytesWait })
 			}
 			if x.readAll {
 				_, err := c.Read(b)
@@ -367,7 +367,7 @@
 			}
 			if !x.ends { // and all goes on as ever
 				c.SetReadDeadline(time.Time{})
-				c.take()
+				c.beginRequest()
 				_, err := io.WriteString(c, "answer")
 				qt.Check(t, err, qt.IsNil)
 				n, err := far.Read(b)
@@ -381,8 +381,8 @@
 // Who sends a long body and reads afterwards gets the answer of a refusal that came meanwhile, as after a route was dropped or
 // body-bytes lowered: the connection isn't reset below it. Nothing of what is left is read as another request.
 func TestRefusedBesideALongBody(t *testing.T) {
-	h := stand(t, func(_ int, r *http.Request, body string) (string, bool) { return good(r, "x"), true })
-	f, at := routed(t, h)
+	h := startScriptedHost(t, func(_ int, r *http.Request, body string) (string, bool) { return goodAnswer(r, "x"), true })
+	f, at := startRouted(t, h)
 	setLimits(t, f, `"header-bytes":16384,"body-bytes":100000000,"header-timeout-s":3,"idle-timeout-s":15`)
 	const size = 48 << 20 // beyond what the sockets hold
 	chunk := strings.Repeat("GET /look/smuggled HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: s\r\n\r\n", 1<<20/64)[:1<<20]
@@ -435,8 +435,8 @@
 				qt.Assert(t, err, qt.IsNil)
 				qt.Check(t, r.Status[:3], qt.Equals, "200")
 			}
-			qt.Check(t, counted(h)["s"], qt.Equals, 0)
-			qt.Check(t, counted(h)["a"], qt.Equals, 0)
+			qt.Check(t, countWrites(h)["s"], qt.Equals, 0)
+			qt.Check(t, countWrites(h)["a"], qt.Equals, 0)
 		})
 	}
 }
@@ -444,7 +444,7 @@
 // A write whose deadline passes before it is tried, as on a machine that is loaded or was frozen, is tried all the same.
 func TestWriteAfterItsDeadline(t *testing.T) {
 	near, far := pair(t)
-	c := &caller{Conn: near, limits: func() manifest.Bounds { return manifest.Bounds{IdleFor: 1} }} // it passes at once
+	c := &clientConn{Conn: near, limits: func() config.Limits { return config.Limits{IdleTimeout: 1} }} // it passes at once
 	answer := strings.Repeat("x", 100)
 	got := make(chan int)
 	go func() {
@@ -464,14 +464,14 @@
 func TestEvictedAsAHeadEnds(t *testing.T) {
 	near, far := pair(t)
 	near.Read(make([]byte, 1)) // the byte that shows it to be up
-	c := &caller{Conn: near, place: room.New(1, 1).Try(), phase: readingHead, since: time.Now(), limits: func() manifest.Bounds { return manifest.Usual }}
+	c := &clientConn{Conn: near, slot: connlimit.New(1, 1).Try(), phase: readingHead, since: time.Now(), limits: func() config.Limits { return config.DefaultLimits }}
 	c.observe([]byte(virtualRequest[:20]), 4096)
 	c.evict()
 	c.observe([]byte(virtualRequest[20:]), 4096) // by a read that had returned before
 	c.SetReadDeadline(time.Time{})
-	c.take()
-	qt.Check(t, c.evicted, qt.IsFalse)
-	c.rest()
+	c.beginRequest()
+	qt.Check(t, c.evicting, qt.IsFalse)
+	c.markIdle()
 	c.SetReadDeadline(time.Now().Add(time.Second))
 	io.WriteString(far, virtualRequest)
 	b := make([]byte, 100)
@@ -479,5 +479,5 @@
 	qt.Check(t, err, qt.IsNil)
 	qt.Check(t, string(b[:n]), qt.Equals, virtualRequest)
 	c.evict() // of one that is whole
-	qt.Check(t, c.evicted, qt.IsFalse)
+	qt.Check(t, c.evicting, qt.IsFalse)
 }
--- a/internal/harbour/fairway/lingering_test.go
+++ b/internal/proxy/lingering_test.go
@@ -1,4 +1,4 @@
-package fairway
+package proxy
 
 import (
 	"bufio"
@@ -23,12 +23,12 @@
 // A router that ends closes each connection after its next answer. What a client has pipelined behind that request is not read then;
 // the connection must not be reset because of it, as a reset takes the rest of the answer away.
 func TestAnswerBeforeAClose(t *testing.T) {
-	for _, length := range []int{100 << 10, largest + 100<<10} { // read whole, and passed on as it comes
+	for _, length := range []int{100 << 10, maxBufferedAnswer + 100<<10} { // read whole, and passed on as it comes
 		c := qt.New(t)
 		answer := strings.Repeat("a", length)
-		h := stand(t, func(_ int, r *http.Request, _ string) (string, bool) { return good(r, answer), true })
-		f, at := routed(t, h)
-		f.leaving.Store(true)
+		h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, answer), true })
+		f, at := startRouted(t, h)
+		f.draining.Store(true)
 		conn, err := narrowDialer.Dial("tcp", at)
 		c.Assert(err, qt.IsNil)
 		defer conn.Close()
@@ -45,6 +45,6 @@
 		body, err := io.ReadAll(resp.Body)
 		c.Check(err, qt.IsNil, qt.Commentf("%d bytes", length))
 		c.Check(len(body), qt.Equals, length)
-		c.Check(counted(h), qt.DeepEquals, map[string]int{"first": 1})
+		c.Check(countWrites(h), qt.DeepEquals, map[string]int{"first": 1})
 	}
 }
