--- a/internal/lab/hollow/child.go
+++ b/internal/lab/hollow/child.go
@@ -32,78 +32,78 @@
 
 // The roles of the processes that a play starts.
 const (
-	control = "harbourmaster"
-	traffic = "fairway"
+	controlRole = "harbourmaster"
+	proxyRole   = "fairway"
 )
 
-// start is what a child process is told first.
-type start struct {
-	Role string            `json:"Role"`
-	Boot settings.Settings `json:"Boot"`
-	Data string            `json:"Data"`
-	Seed uint64            `json:"Seed"`
+// childStart is what a child process is told first.
+type childStart struct {
+	Role     string            `json:"Role"`
+	Settings settings.Settings `json:"Boot"`
+	DataDir  string            `json:"Data"`
+	Seed     uint64            `json:"Seed"`
 }
 
-// Stat is what a process has spent since its start.
-type Stat struct {
-	CPU       time.Duration `json:"cpu_ns"` // by getrusage
-	RSS       int64         `json:"rss_bytes"`
-	Peak      int64         `json:"peak_bytes"`
-	Heap      int64         `json:"heap_bytes"`
-	Allocated int64         `json:"allocated_bytes"`
-	Mallocs   int64         `json:"mallocs"`
-	Open      int           `json:"descriptors"`
-	Said      int64         `json:"said"`       // frames on lines
-	SaidBytes int64         `json:"said_bytes"` // of them
-	Beats     int64         `json:"beats"`      // empty frames
-	Disk      int64         `json:"disk_bytes"`
+// ProcessStats is what a process has spent since its start.
+type ProcessStats struct {
+	CPU        time.Duration `json:"cpu_ns"` // by getrusage
+	RSS        int64         `json:"rss_bytes"`
+	Peak       int64         `json:"peak_bytes"`
+	Heap       int64         `json:"heap_bytes"`
+	Allocated  int64         `json:"allocated_bytes"`
+	Mallocs    int64         `json:"mallocs"`
+	OpenFiles  int           `json:"descriptors"`
+	FramesSent int64         `json:"said"`       // frames on lines
+	BytesSent  int64         `json:"said_bytes"` // of them
+	Heartbeats int64         `json:"beats"`      // empty frames
+	DiskBytes  int64         `json:"disk_bytes"`
 }
 
-// Child runs a process of a play until its input ends: a start first, then words, each answered by a line.
-func Child(in io.Reader, out io.Writer) error {
-	lines := bufio.NewReader(in)
-	first, err := lines.ReadBytes('\n')
+// RunChild runs a process of a play until its input ends: a start first, then words, each answered by a line.
+func RunChild(in io.Reader, out io.Writer) error {
+	commands := bufio.NewReader(in)
+	first, err := commands.ReadBytes('\n')
 	if err != nil {
 		return err
 	}
-	var s start
-	if err := json.Unmarshal(first, &s); err != nil {
+	var started childStart
+	if err := json.Unmarshal(first, &started); err != nil {
 		return err
 	}
-	debug.SetMemoryLimit(int64(s.Boot.MemoryMB) << 20 * 3 / 5)
+	debug.SetMemoryLimit(int64(started.Settings.MemoryMB) << 20 * 3 / 5)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	water := &fenced{own: s.Boot.IP}
-	switch s.Role {
-	case control:
-		disk, err := store.OpenDir(s.Data)
+	partitioned := &partitionedNetwork{localIP: started.Settings.IP}
+	switch started.Role {
+	case controlRole:
+		disk, err := store.OpenDir(started.DataDir)
 		if err != nil {
 			return err
 		}
-		if err := master(ctx, s, water, disk); err != nil {
+		if err := startControl(ctx, started, partitioned, disk); err != nil {
 			return err
 		}
-	case traffic:
-		if _, err := proxy.Start(ctx, proxy.Options{Settings: s.Boot, Network: water, Seed: s.Seed}); err != nil {
+	case proxyRole:
+		if _, err := proxy.Start(ctx, proxy.Options{Settings: started.Settings, Network: partitioned, Seed: started.Seed}); err != nil {
 			return err
 		}
 	default:
-		return fmt.Errorf("role: %q", s.Role)
+		return fmt.Errorf("role: %q", started.Role)
 	}
 	fmt.Fprintln(out, "{}")
 	for {
-		word, err := lines.ReadString('\n')
+		command, err := commands.ReadString('\n')
 		if err != nil {
 			pprof.StopCPUProfile()
 			return nil
 		}
-		verb, rest, _ := strings.Cut(strings.TrimSpace(word), " ")
+		verb, rest, _ := strings.Cut(strings.TrimSpace(command), " ")
 		var answer any = struct{}{}
 		switch verb {
 		case "stat":
-			answer = stat(s.Data)
+			answer = processStats(started.DataDir)
 		case "cut": // no prefix: joined again
-			water.cut(strings.Fields(rest))
+			partitioned.setBlocked(strings.Fields(rest))
 		case "profile":
 			pprof.StopCPUProfile()
 			if rest != "" {
@@ -121,61 +121,61 @@
 	}
 }
 
-func master(ctx context.Context, s start, water network.Network, disk storage.Storage) error {
-	_, err := server.Start(ctx, server.Options{Settings: s.Boot, MinPerZone: 1, Network: water, Storage: disk, Seed: s.Seed})
+func startControl(ctx context.Context, started childStart, partitioned network.Network, disk storage.Storage) error {
+	_, err := server.Start(ctx, server.Options{Settings: started.Settings, MinPerZone: 1, Network: partitioned, Storage: disk, Seed: started.Seed})
 	return err
 }
 
-func stat(data string) (s Stat) {
-	var u syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
-	s.CPU = time.Duration(u.Utime.Nano() + u.Stime.Nano())
-	s.Peak = u.Maxrss << 10
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	s.Heap, s.Allocated, s.Mallocs = int64(m.HeapAlloc), int64(m.TotalAlloc), int64(m.Mallocs)
+func processStats(data string) (stats ProcessStats) {
+	var usage syscall.Rusage
+	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+	stats.CPU = time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+	stats.Peak = usage.Maxrss << 10
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	stats.Heap, stats.Allocated, stats.Mallocs = int64(memory.HeapAlloc), int64(memory.TotalAlloc), int64(memory.Mallocs)
 	if raw, err := os.ReadFile("/proc/self/statm"); err == nil {
 		var size, pages int64
 		fmt.Sscan(string(raw), &size, &pages)
-		s.RSS = pages * int64(os.Getpagesize())
+		stats.RSS = pages * int64(os.Getpagesize())
 	}
-	if all, err := os.ReadDir("/proc/self/fd"); err == nil {
-		s.Open = len(all)
+	if files, err := os.ReadDir("/proc/self/fd"); err == nil {
+		stats.OpenFiles = len(files)
 	}
-	s.Said, s.SaidBytes, s.Beats = stream.FramesWritten.Load(), stream.FrameBytesWritten.Load(), stream.HeartbeatsWritten.Load()
+	stats.FramesSent, stats.BytesSent, stats.Heartbeats = stream.FramesWritten.Load(), stream.FrameBytesWritten.Load(), stream.HeartbeatsWritten.Load()
 	if data != "" {
 		filepath.WalkDir(data, func(_ string, d fs.DirEntry, err error) error {
 			if err == nil && !d.IsDir() {
 				if i, err := d.Info(); err == nil {
-					s.Disk += i.Size()
+					stats.DiskBytes += i.Size()
 				}
 			}
 			return nil
 		})
 	}
-	return s
+	return stats
 }
 
-// fenced is the machine's network, of which parts can be cut off: what is sent there is lost without a word.
-type fenced struct {
-	own string
-	mu  sync.Mutex
-	off []string // prefixes of addresses
+// partitionedNetwork is the machine's network, of which parts can be cut off: what is sent there is lost without a word.
+type partitionedNetwork struct {
+	localIP string
+	mu      sync.Mutex
+	blocked []string // prefixes of addresses
 
 }
 
-var errOff = errors.New("no way there")
+var errUnreachable = errors.New("no way there")
 
-func (f *fenced) cut(prefixes []string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.off = prefixes
+func (n *partitionedNetwork) setBlocked(prefixes []string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.blocked = prefixes
 }
 
-func (f *fenced) away(ip string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, p := range f.off {
+func (n *partitionedNetwork) isBlocked(ip string) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, p := range n.blocked {
 		if strings.HasPrefix(ip, p) {
 			return true
 		}
@@ -183,125 +183,125 @@
 	return false
 }
 
-func (f *fenced) Dial(ctx context.Context, network, to string) (net.Conn, error) {
-	host, _, _ := net.SplitHostPort(to)
-	if f.away(host) {
+func (n *partitionedNetwork) Dial(ctx context.Context, proto, target string) (net.Conn, error) {
+	host, _, _ := net.SplitHostPort(target)
+	if n.isBlocked(host) {
 		<-ctx.Done()
-		return nil, errOff
+		return nil, errUnreachable
 	}
-	d := net.Dialer{KeepAlive: -1, LocalAddr: &net.TCPAddr{IP: net.ParseIP(f.own)}}
-	c, err := d.DialContext(ctx, network, to)
+	dialer := net.Dialer{KeepAlive: -1, LocalAddr: &net.TCPAddr{IP: net.ParseIP(n.localIP)}}
+	c, err := dialer.DialContext(ctx, proto, target)
 	if err != nil {
 		return nil, err
 	}
-	return &fencedConn{c, f, host}, nil
+	return &partitionedConn{c, n, host}, nil
 }
 
-func (f *fenced) Listen(at string) (net.Listener, error) {
+func (n *partitionedNetwork) Listen(at string) (net.Listener, error) {
 	l, err := network.Host{}.Listen(at)
-	return fencedListener{l, f}, err
+	return partitionedListener{l, n}, err
 }
 
-func (f *fenced) ListenPacket(at string) (net.PacketConn, error) {
+func (n *partitionedNetwork) ListenPacket(at string) (net.PacketConn, error) {
 	c, err := network.Host{}.ListenPacket(at)
-	return fencedPacket{c, f}, err
+	return partitionedPacketConn{c, n}, err
 }
 
-type fencedListener struct {
+type partitionedListener struct {
 	net.Listener
-	f *fenced
+	network *partitionedNetwork
 }
 
-func (l fencedListener) Accept() (net.Conn, error) {
+func (l partitionedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-	return &fencedConn{c, l.f, host}, nil
+	return &partitionedConn{c, l.network, host}, nil
 }
 
-type fencedConn struct {
+type partitionedConn struct {
 	net.Conn
-	f    *fenced
-	peer string
+	network *partitionedNetwork
+	peer    string
 }
 
-func (c *fencedConn) Write(b []byte) (int, error) {
-	if c.f.away(c.peer) {
+func (c *partitionedConn) Write(b []byte) (int, error) {
+	if c.network.isBlocked(c.peer) {
 		c.Conn.Close() // a frame that is lost can't be made good later
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
-type fencedPacket struct {
+type partitionedPacketConn struct {
 	net.PacketConn
-	f *fenced
+	network *partitionedNetwork
 }
 
-func (c fencedPacket) WriteTo(b []byte, to net.Addr) (int, error) {
-	if host, _, err := net.SplitHostPort(to.String()); err == nil && c.f.away(host) {
+func (c partitionedPacketConn) WriteTo(b []byte, to net.Addr) (int, error) {
+	if host, _, err := net.SplitHostPort(to.String()); err == nil && c.network.isBlocked(host) {
 		return len(b), nil
 	}
 	return c.PacketConn.WriteTo(b, to)
 }
 
-// process is a child as its parent holds it.
-type process struct {
-	cmd *exec.Cmd
-	in  io.WriteCloser
-	out *bufio.Reader
-	mu  sync.Mutex
-	log *os.File
+// childProcess is a child as its parent holds it.
+type childProcess struct {
+	cmd    *exec.Cmd
+	stdin  io.WriteCloser
+	stdout *bufio.Reader
+	mu     sync.Mutex
+	log    *os.File
 }
 
-// spawn starts a child: this very program, told to be one by the command word.
-func spawn(command []string, s start, log string) (*process, error) {
+// startChild starts a child: this very program, told to be one by the command word.
+func startChild(command []string, started childStart, logPath string) (*childProcess, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	f, err := os.Create(log)
+	logFile, err := os.Create(logPath)
 	if err != nil {
 		return nil, err
 	}
-	c := exec.Command(self, command...)
-	c.Stderr = f
-	c.Env = append(os.Environ(), "GOMAXPROCS=1")
-	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	p := &process{cmd: c, log: f}
-	if p.in, err = c.StdinPipe(); err != nil {
+	cmd := exec.Command(self, command...)
+	cmd.Stderr = logFile
+	cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	p := &childProcess{cmd: cmd, log: logFile}
+	if p.stdin, err = cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
-	out, err := c.StdoutPipe()
+	out, err := cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	p.out = bufio.NewReader(out)
-	if err := c.Start(); err != nil {
+	p.stdout = bufio.NewReader(out)
+	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	raw, err := json.Marshal(s)
+	raw, err := json.Marshal(started)
 	if err != nil {
 		return nil, err
 	}
-	return p, p.ask(string(raw), nil)
+	return p, p.call(string(raw), nil)
 }
 
-func (p *process) ask(word string, answer any) error {
+func (p *childProcess) call(command string, answer any) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, err := fmt.Fprintln(p.in, word); err != nil {
+	if _, err := fmt.Fprintln(p.stdin, command); err != nil {
 		return err
 	}
-	raw, err := p.out.ReadBytes('\n')
+	raw, err := p.stdout.ReadBytes('\n')
 	if err != nil {
-		why := []byte("no word")
+		reason := []byte("no word")
 		if all, err := os.ReadFile(p.log.Name()); err == nil && len(all) > 0 {
-			why = all[max(0, len(all)-400):]
+			reason = all[max(0, len(all)-400):]
 		}
-		return fmt.Errorf("a process has ended: %w: %s", err, why)
+		return fmt.Errorf("a process has ended: %w: %s", err, reason)
 	}
 	if answer == nil {
 		return nil
@@ -309,7 +309,7 @@
 	return json.Unmarshal(raw, answer)
 }
 
-func (p *process) kill() {
+func (p *childProcess) kill() {
 	p.cmd.Process.Kill()
 	p.cmd.Wait()
 	p.log.Close()
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -22,7 +22,7 @@
 	"portflow/internal/control/registry"
 )
 
-func packed(raw []byte) []byte {
+func compress(raw []byte) []byte {
 	var b bytes.Buffer
 	w, _ := flate.NewWriter(&b, flate.BestSpeed)
 	w.Write(raw)
@@ -31,7 +31,7 @@
 }
 
 // A hollow router reads of each word what control's own encoding says, deflated or not, and of a long one its beginning.
-func TestReadHead(t *testing.T) {
+func TestParseFrame(t *testing.T) {
 	c := qt.New(t)
 	notes := []update.Change{{Instance: &instance.Instance{ID: "h"}}, {Proxy: &update.Proxy{Name: "r"}}, {Proxy: &update.Proxy{Name: "q"}},
 		{Item: &config.Item{Kind: "routes", Name: "probe", Version: 3}}}
@@ -41,26 +41,26 @@
 	}
 	for _, x := range []struct {
 		word update.Message
-		want head
+		want frameHeader
 	}{
-		{update.Message{Hello: &update.Hello{Name: "m"}}, head{Kind: Greeting}},
-		{update.Message{Status: &update.Status{Complete: true, HasQuorum: true}}, head{Kind: Status, Whole: true, Majority: true}},
-		{update.Message{Status: &update.Status{}}, head{Kind: Status}},
-		{update.Message{Quota: &update.QuotaUpdate{}}, head{Kind: Tons}},
-		{update.Message{Consensus: json.RawMessage(`{"k":"c"}`)}, head{Kind: Other}},
-		{update.Message{Batch: &update.Batch{Incarnation: "l", From: 3, To: 9, Changes: notes}}, head{Kind: Batch, Life: "l", From: 3, To: 9, Hosts: 1, Fronts: 2, Items: 1}},
-		{update.Message{Batch: &update.Batch{Incarnation: "l", To: 9}}, head{Kind: Batch, Life: "l", To: 9}},
-		{update.Message{Batch: &update.Batch{Incarnation: "l", To: 9, Snapshot: true, Changes: long}}, head{Kind: Snapshot, Life: "l", To: 9}},
+		{update.Message{Hello: &update.Hello{Name: "m"}}, frameHeader{Kind: HelloFrame}},
+		{update.Message{Status: &update.Status{Complete: true, HasQuorum: true}}, frameHeader{Kind: StatusFrame, Complete: true, Quorum: true}},
+		{update.Message{Status: &update.Status{}}, frameHeader{Kind: StatusFrame}},
+		{update.Message{Quota: &update.QuotaUpdate{}}, frameHeader{Kind: QuotaFrame}},
+		{update.Message{Consensus: json.RawMessage(`{"k":"c"}`)}, frameHeader{Kind: OtherFrame}},
+		{update.Message{Batch: &update.Batch{Incarnation: "l", From: 3, To: 9, Changes: notes}}, frameHeader{Kind: BatchFrame, Incarnation: "l", From: 3, To: 9, Hosts: 1, Routers: 2, Items: 1}},
+		{update.Message{Batch: &update.Batch{Incarnation: "l", To: 9}}, frameHeader{Kind: BatchFrame, Incarnation: "l", To: 9}},
+		{update.Message{Batch: &update.Batch{Incarnation: "l", To: 9, Snapshot: true, Changes: long}}, frameHeader{Kind: SnapshotFrame, Incarnation: "l", To: 9}},
 	} {
 		raw, err := json.Marshal(x.word)
 		c.Assert(err, qt.IsNil)
 		for _, deflated := range []bool{false, true} {
 			if deflated {
-				raw = packed(raw)
+				raw = compress(raw)
 			}
-			h, err := readHead(raw, deflated)
+			h, err := parseFrame(raw, deflated)
 			c.Assert(err, qt.IsNil)
-			if h.Body = nil; h.Kind == Snapshot {
+			if h.Body = nil; h.Kind == SnapshotFrame {
 				h.Hosts = 0
 			}
 			c.Check(h, qt.DeepEquals, x.want)
@@ -70,61 +70,61 @@
 	c.Assert(err, qt.IsNil)
 	have := 0
 	for _, w := range cut.Messages { // a snapshot in chunks
-		h, err := readHead(packed(w), true)
+		h, err := parseFrame(compress(w), true)
 		c.Assert(err, qt.IsNil)
-		c.Check(h.Part.Received > have, qt.IsTrue)
-		have = h.Part.Received
-		c.Check(h, qt.DeepEquals, head{Kind: Snapshot, Life: "l", To: 9, Part: update.Progress{Name: "l.1", Received: have}, Of: len(long)})
+		c.Check(h.Progress.Received > have, qt.IsTrue)
+		have = h.Progress.Received
+		c.Check(h, qt.DeepEquals, frameHeader{Kind: SnapshotFrame, Incarnation: "l", To: 9, Progress: update.Progress{Name: "l.1", Received: have}, ChunkTotal: len(long)})
 	}
 	c.Check(have, qt.Equals, len(long))
 }
 
-func FuzzReadHead(f *testing.F) {
+func FuzzParseFrame(f *testing.F) {
 	f.Add([]byte(`{"n":{"l":"x","t":3,"s":true,"n":[]}}`), false)
-	f.Add(packed([]byte(`{"n":{"l":"x","f":2,"t":3}}`)), true)
+	f.Add(compress([]byte(`{"n":{"l":"x","f":2,"t":3}}`)), true)
 	f.Add([]byte(`{"s":{"w":true}}`), false)
-	f.Fuzz(func(t *testing.T, raw []byte, deflated bool) { readHead(raw, deflated) })
+	f.Fuzz(func(t *testing.T, raw []byte, deflated bool) { parseFrame(raw, deflated) })
 }
 
 // The plan of the target has a control process in each region before any has two, and no machine's address twice.
-func TestPlan(t *testing.T) {
+func TestPlanControlZones(t *testing.T) {
 	c := qt.New(t)
-	p := Target()
-	c.Assert(p.check(), qt.IsNil)
-	c.Check(p.homes(), qt.DeepEquals, []int{0, 3, 6, 9, 1, 4, 7})
-	c.Check(ring(0, 0), qt.Equals, 0)
-	c.Check(ring(0, 2), qt.Equals, 1)
-	c.Check(ring(2, 3), qt.Equals, 2)
-	for _, spoil := range []func(*Plan){func(p *Plan) { p.Routers = mostRouters + 1 }, func(p *Plan) { p.Hosts = mostHosts + 1 }, func(p *Plan) { p.Core = 12 },
-		func(p *Plan) { p.Calm = time.Hour }, func(p *Plan) { p.Services = 0 }, func(p *Plan) { p.Real = mostReal + 1 }} {
-		p := Target()
-		spoil(&p)
-		c.Check(p.check(), qt.IsNotNil)
+	p := TargetPlan()
+	c.Assert(p.validate(), qt.IsNil)
+	c.Check(p.controlZones(), qt.DeepEquals, []int{0, 3, 6, 9, 1, 4, 7})
+	c.Check(distance(0, 0), qt.Equals, 0)
+	c.Check(distance(0, 2), qt.Equals, 1)
+	c.Check(distance(2, 3), qt.Equals, 2)
+	for _, invalidate := range []func(*Plan){func(p *Plan) { p.Routers = maxRouters + 1 }, func(p *Plan) { p.Hosts = maxHosts + 1 }, func(p *Plan) { p.Voters = 12 },
+		func(p *Plan) { p.IdleTime = time.Hour }, func(p *Plan) { p.Services = 0 }, func(p *Plan) { p.RealRouters = maxRealRouters + 1 }} {
+		p := TargetPlan()
+		invalidate(&p)
+		c.Check(p.validate(), qt.IsNotNil)
 	}
 	seen := map[string]bool{}
 	for z := range p.Zones {
-		for _, n := range slices.Concat([]int{0}, seq(100, 1099), seq(2000, 2000+mostRouters/p.Zones), seq(4000, 4000+mostReal)) {
+		for _, n := range slices.Concat([]int{0}, sequenceOf(100, 1099), sequenceOf(2000, 2000+maxRouters/p.Zones), sequenceOf(4000, 4000+maxRealRouters)) {
 			c.Assert(seen[address(z, n)], qt.IsFalse)
 			seen[address(z, n)] = true
 		}
 	}
 }
 
-func seq(a, b int) (all []int) {
+func sequenceOf(a, b int) (all []int) {
 	for n := a; n <= b; n++ {
 		all = append(all, n)
 	}
 	return all
 }
 
-// core is what a control process knows of so many routers and hosts, with so many routes.
-func core(routers, hosts, routes int) *registry.State {
+// newTestRegistry is what a control process knows of so many routers and hosts, with so many routes.
+func newTestRegistry(routers, hosts, routes int) *registry.State {
 	items := config.NewSet()
 	for n := range routes {
 		items.Merge(config.Item{Kind: config.KindRoutes, Name: fmt.Sprintf("route-%04d", n), Version: 1, Body: []byte(`{"name":"route","path-prefix":"/r","service":"s"}`)})
 	}
 	self := membership.Member{IP: "10.0.0.1", ID: "d", Name: "m", Zone: "a"}
-	s := registry.NewState(update.Hello{Name: "m", IP: self.IP, Zone: "a", Control: true}, consensus.New(self, "life", 1, consensus.HardState{DiskID: "d"}, items, 1), int64(beat))
+	s := registry.NewState(update.Hello{Name: "m", IP: self.IP, Zone: "a", Control: true}, consensus.New(self, "life", 1, consensus.HardState{DiskID: "d"}, items, 1), int64(heartbeatInterval))
 	for n := range hosts {
 		h, _ := s.Instances.Heartbeat(1, instance.Instance{ID: fmt.Sprintf("host-%05d", n), Service: "s", Zone: "a", Address: "10.0.1.1:80", Version: "v", Slots: 6, Sequence: 1})
 		s.PublishInstance(h, true)
@@ -135,8 +135,8 @@
 	return s
 }
 
-// said is how many notes and bytes a follower is told for what a call changes.
-func said(s *registry.State, control bool, change func()) (notes, size int) {
+// changesFor is how many notes and bytes a follower is told for what a call changes.
+func changesFor(s *registry.State, control bool, change func()) (notes, size int) {
 	at := s.Updates.Last()
 	change()
 	all, _ := s.Updates.After(at)
@@ -152,7 +152,7 @@
 	type cost struct{ Beat, Drain, Router, Item, Snapshot int }
 	costs := map[[3]int]cost{}
 	for _, size := range [][3]int{{10, 100, 100}, {510, 100, 100}, {10, 4200, 100}, {10, 100, 3200}} {
-		s := core(size[0], size[1], size[2])
+		s := newTestRegistry(size[0], size[1], size[2])
 		h := s.Instances.Lookup("host-00007")
 		beat := func(state instance.State) func() {
 			return func() {
@@ -163,14 +163,14 @@
 			}
 		}
 		var x cost
-		notes, size0 := said(s, false, beat(instance.Ready))
+		notes, size0 := changesFor(s, false, beat(instance.Ready))
 		c.Check(notes, qt.Equals, 0)
 		x.Beat = size0
-		notes, x.Drain = said(s, false, beat(instance.Draining))
+		notes, x.Drain = changesFor(s, false, beat(instance.Draining))
 		c.Check(notes, qt.Equals, 1)
-		notes, x.Router = said(s, false, func() { s.ClaimProxy(3, s.Proxies["router-0003"]) })
+		notes, x.Router = changesFor(s, false, func() { s.ClaimProxy(3, s.Proxies["router-0003"]) })
 		c.Check(notes, qt.Equals, 1)
-		notes, x.Item = said(s, false, func() {
+		notes, x.Item = changesFor(s, false, func() {
 			i := config.Item{Kind: config.KindRoutes, Name: "route-0003", Version: 2, Body: []byte(`{"name":"route"}`)}
 			c.Assert(s.Set.Merge(i), qt.IsTrue)
 			s.Publish(1, []config.Item{i}, true)
@@ -195,26 +195,26 @@
 }
 
 // Spreads are told in milliseconds, with those that never came beside them.
-func TestSpread(t *testing.T) {
+func TestLatencies(t *testing.T) {
 	c := qt.New(t)
-	s := spread([]time.Duration{3e6, 1e6, 2e6}, 1)
-	c.Check(s, qt.Equals, Spread{N: 3, P50: 2, P99: 2, Worst: 3, Never: 1})
-	c.Check(spread(nil, 2), qt.Equals, Spread{Never: 2})
+	s := latencies([]time.Duration{3e6, 1e6, 2e6}, 1)
+	c.Check(s, qt.Equals, Latencies{Count: 3, P50: 2, P99: 2, Worst: 3, TimedOut: 1})
+	c.Check(latencies(nil, 2), qt.Equals, Latencies{TimedOut: 2})
 }
 
 // A figure that grows with the square of the routers has the power 2, and plots of it are written; one play has no slope.
-func TestSlopes(t *testing.T) {
+func TestGrowthExponent(t *testing.T) {
 	c := qt.New(t)
 	var all []Result
 	for _, n := range []int{10, 100, 300} {
-		r := Result{Plan: Plan{Routers: n}, Control: []Rate{{CPU: float64(n*n) / 1e6, Peak: 50}, {CPU: 0, Peak: float64(n)}}, Parts: map[string]Part{}}
+		r := Result{Plan: Plan{Routers: n}, Control: []ProcessRate{{Cores: float64(n*n) / 1e6, PeakMB: 50}, {Cores: 0, PeakMB: float64(n)}}, Phases: map[string]Phase{}}
 		all = append(all, r)
 	}
-	c.Check(math.Abs(Slope(all, Figures[0])-2) < 1e-9, qt.IsTrue)
-	c.Check(Figures[1].Of(all[2]), qt.Equals, 300.0)
+	c.Check(math.Abs(GrowthExponent(all, Metrics[0])-2) < 1e-9, qt.IsTrue)
+	c.Check(Metrics[1].Value(all[2]), qt.Equals, 300.0)
 	dir := t.TempDir()
-	c.Assert(Plot(dir, all), qt.IsNil)
+	c.Assert(WritePlot(dir, all), qt.IsNil)
 	_, err := os.Stat(filepath.Join(dir, "cores-of-the-busiest-control-process--calm.svg"))
 	c.Check(err, qt.IsNil)
-	c.Check(Plot(dir, all[:1]), qt.ErrorMatches, ".*two plays.*")
+	c.Check(WritePlot(dir, all[:1]), qt.ErrorMatches, ".*two plays.*")
 }
--- a/internal/lab/hollow/plot.go
+++ b/internal/lab/hollow/plot.go
@@ -12,14 +12,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Figure is one that grows with the fleet.
-type Figure struct {
+// Metric is one that grows with the fleet.
+type Metric struct {
 	Name  string
-	Of    func(Result) float64
-	Bound float64 // 0 where there is none
+	Value func(Result) float64
+	Limit float64 // 0 where there is none
 }
 
-func busiest(of func(Rate) float64) func(Result) float64 {
+func busiestControl(of func(ProcessRate) float64) func(Result) float64 {
 	return func(r Result) (most float64) {
 		for _, x := range r.Control {
 			most = max(most, of(x))
@@ -28,63 +28,63 @@
 	}
 }
 
-func first(of func(Rate) float64) func(Result) float64 {
+func firstControl(of func(ProcessRate) float64) func(Result) float64 {
 	return func(r Result) float64 {
-		if len(r.Real) == 0 {
+		if len(r.RealProxies) == 0 {
 			return math.NaN()
 		}
-		return of(r.Real[0])
+		return of(r.RealProxies[0])
 	}
 }
 
-// Figures are those that the plots show.
-var Figures = []Figure{
-	{"cores of the busiest control process, calm", busiest(func(x Rate) float64 { return x.CPU }), 1},
-	{"peak MB of the largest control process", busiest(func(x Rate) float64 { return x.Peak }), 256},
-	{"descriptors of a control process", busiest(func(x Rate) float64 { return float64(x.Descriptors) }), 0},
-	{"cores of a router, no traffic", first(func(x Rate) float64 { return x.CPU }), 0.013},
-	{"peak MB of a router", first(func(x Rate) float64 { return x.Peak }), 256},
+// Metrics are those that the plots show.
+var Metrics = []Metric{
+	{"cores of the busiest control process, calm", busiestControl(func(x ProcessRate) float64 { return x.Cores }), 1},
+	{"peak MB of the largest control process", busiestControl(func(x ProcessRate) float64 { return x.PeakMB }), 256},
+	{"descriptors of a control process", busiestControl(func(x ProcessRate) float64 { return float64(x.Descriptors) }), 0},
+	{"cores of a router, no traffic", firstControl(func(x ProcessRate) float64 { return x.Cores }), 0.013},
+	{"peak MB of a router", firstControl(func(x ProcessRate) float64 { return x.PeakMB }), 256},
 	{"bytes a second to a router, calm", func(r Result) float64 {
-		p := r.Parts["calm"]
-		return float64(p.Far[0]+p.Far[1]+p.Far[2])/p.Took/float64(r.Routers) + 2*r.Shuffles
+		p := r.Phases["calm"]
+		return float64(p.BytesByDistance[0]+p.BytesByDistance[1]+p.BytesByDistance[2])/p.Seconds/float64(r.Routers) + 2*r.GossipBytesPerRouter
 	}, 4096},
 	{"kB of a snapshot, deflated", func(r Result) float64 {
-		p := r.Parts["start"]
-		return float64(p.Kinds["snapshot"]) / float64(max(1, p.Frames["snapshot"])) / 1024
+		p := r.Phases["start"]
+		return float64(p.FrameBytes["snapshot"]) / float64(max(1, p.Frames["snapshot"])) / 1024
 	}, 0},
-	{"ms until a change is told, p99", func(r Result) float64 { return r.Force.P99 }, 4000},
-	{"ms until a router follows at a start of all, worst", func(r Result) float64 { return r.Ready.Worst }, 0},
+	{"ms until a change is told, p99", func(r Result) float64 { return r.ChangeApplied.P99 }, 4000},
+	{"ms until a router follows at a start of all, worst", func(r Result) float64 { return r.StartReady.Worst }, 0},
 	{"ms until a restarted router follows, worst", func(r Result) float64 { return r.Restarted.Worst }, 0},
 }
 
-// Slope is the power with which a figure grows with the number of routers, from the first of some plays to the last; 0 where
+// GrowthExponent is the power with which a figure grows with the number of routers, from the first of some plays to the last; 0 where
 // one of them has no such figure.
-func Slope(all []Result, f Figure) float64 {
+func GrowthExponent(all []Result, f Metric) float64 {
 	a, b := all[0], all[len(all)-1]
-	power := math.Log(f.Of(b)/f.Of(a)) / math.Log(float64(b.Routers)/float64(a.Routers))
+	power := math.Log(f.Value(b)/f.Value(a)) / math.Log(float64(b.Routers)/float64(a.Routers))
 	if math.IsNaN(power) || math.IsInf(power, 0) {
 		return 0
 	}
 	return power
 }
 
-// Plot draws each figure over the number of routers, with its line to the target and its bound, as SVG files in a folder. The
+// WritePlot draws each figure over the number of routers, with its line to the target and its bound, as SVG files in a folder. The
 // results are in the order of their routers.
-func Plot(dir string, all []Result) error {
+func WritePlot(dir string, all []Result) error {
 	if len(all) < 2 {
 		return fmt.Errorf("a slope needs two plays, and there are %d", len(all))
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	for _, f := range Figures {
+	for _, f := range Metrics {
 		p := plot.New()
 		p.Title.Text = f.Name
 		p.X.Label.Text = "routers"
 		p.Legend.Top, p.Legend.Left = true, true
 		var points plotter.XYs
 		for _, r := range all {
-			if y := f.Of(r); !math.IsNaN(y) {
+			if y := f.Value(r); !math.IsNaN(y) {
 				points = append(points, plotter.XY{X: float64(r.Routers), Y: y})
 			}
 		}
@@ -92,9 +92,9 @@
 			continue
 		}
 		last := points[len(points)-1]
-		target := float64(max(Target().Routers, int(last.X)))
-		line := plotter.XYs{last, {X: target, Y: last.Y * math.Pow(target/last.X, Slope(all, f))}}
-		if err := addLines(p, points, line, f.Bound, target); err != nil {
+		target := float64(max(TargetPlan().Routers, int(last.X)))
+		line := plotter.XYs{last, {X: target, Y: last.Y * math.Pow(target/last.X, GrowthExponent(all, f))}}
+		if err := addSeries(p, points, line, f.Limit, target); err != nil {
 			return err
 		}
 		name := strings.Map(func(r rune) rune {
@@ -110,7 +110,7 @@
 	return nil
 }
 
-func addLines(p *plot.Plot, points, line plotter.XYs, bound, target float64) error {
+func addSeries(p *plot.Plot, points, line plotter.XYs, bound, target float64) error {
 	l, s, err := plotter.NewLinePoints(points)
 	if err != nil {
 		return err
--- a/internal/lab/hollow/snapshot_test.go
+++ b/internal/lab/hollow/snapshot_test.go
@@ -15,7 +15,7 @@
 // take it in; in chunks, and in one frame, as routers of before get it.
 func BenchmarkRouterSnapshot(b *testing.B) {
 	for _, x := range [][4]int{{1, 4, 10, 0}, {13, 107, 100, 0}, {92, 757, 1000, 0}, {510, 4200, 3200, 33000}} {
-		s := core(x[0], x[1], 0)
+		s := newTestRegistry(x[0], x[1], 0)
 		for n := range x[2] {
 			s.Set.Merge(config.Item{Kind: config.KindRoutes, Name: fmt.Sprintf("route-%04d", n), Version: 1, Body: fmt.Appendf(nil,
 				`{"host-name":"desk-%d.example","maximum-attempts":2,"name":"route-%04d","path-prefix":"/r%d/","priority-level":1,"route-kind":"unsafe_method","service":"service-%d","target-s":0.8,"timeout-s":2}`, n%40, n, n, n%220)})
@@ -27,24 +27,24 @@
 		name := fmt.Sprintf("%d-routes-%d-shares-%d-hosts", x[2], x[3], x[1])
 		b.Run(name+"/chunks", func(b *testing.B) {
 			b.ReportAllocs()
-			made, took := time.Hour, time.Hour // the least of all, as others load the machine
-			var bytes, most, chunks int
+			made, elapsed := time.Hour, time.Hour // the least of all, as others load the machine
+			var bytes, highest, chunks int
 			for b.Loop() {
-				began := time.Now()
+				start := time.Now()
 				notes := s.Snapshot(1, false)
 				c, err := update.NewSnapshot(update.SnapshotHeader{Name: "l.1", Incarnation: "l", To: 1}, notes, func(w []byte) []byte {
-					most = max(most, len(w))
+					highest = max(highest, len(w))
 					return stream.EncodeFrame(w)
 				})
 				if err != nil {
 					b.Fatal(err)
 				}
-				made, bytes, chunks = min(made, time.Since(began)), c.Bytes, len(c.Messages)
+				made, bytes, chunks = min(made, time.Since(start)), c.Bytes, len(c.Messages)
 				plain, err := update.NewSnapshot(update.SnapshotHeader{Name: "l.1", Incarnation: "l", To: 1}, notes, func(w []byte) []byte { return w })
 				if err != nil {
 					b.Fatal(err)
 				}
-				began = time.Now()
+				start = time.Now()
 				var a update.Assembly
 				for _, raw := range plain.Messages {
 					var w update.Message
@@ -58,38 +58,38 @@
 				if _, ok := a.Finish(update.Batch{Incarnation: "l", From: 1, To: 1}); !ok {
 					b.Fatal("not whole")
 				}
-				took = min(took, time.Since(began))
+				elapsed = min(elapsed, time.Since(start))
 			}
-			report(b, most, bytes, chunks, made, took)
+			reportSizes(b, highest, bytes, chunks, made, elapsed)
 		})
 		b.Run(name+"/one", func(b *testing.B) {
 			b.ReportAllocs()
-			made, took := time.Hour, time.Hour
-			var bytes, most int
+			made, elapsed := time.Hour, time.Hour
+			var bytes, highest int
 			for b.Loop() {
-				began := time.Now()
+				start := time.Now()
 				raw, err := json.Marshal(update.Message{Batch: &update.Batch{Incarnation: "l", To: 1, Snapshot: true, Changes: s.Snapshot(1, false)}})
 				if err != nil {
 					b.Fatal(err)
 				}
-				most, bytes = len(raw), len(stream.EncodeFrame(raw))
-				made = min(made, time.Since(began))
-				began = time.Now()
+				highest, bytes = len(raw), len(stream.EncodeFrame(raw))
+				made = min(made, time.Since(start))
+				start = time.Now()
 				var w update.Message
 				if err := json.Unmarshal(raw, &w); err != nil {
 					b.Fatal(err)
 				}
-				took = min(took, time.Since(began))
+				elapsed = min(elapsed, time.Since(start))
 			}
-			report(b, most, bytes, 1, made, took)
+			reportSizes(b, highest, bytes, 1, made, elapsed)
 		})
 	}
 }
 
-func report(b *testing.B, most, bytes, chunks int, made, took time.Duration) {
-	b.ReportMetric(float64(most), "longest-inflated")
+func reportSizes(b *testing.B, highest, bytes, chunks int, made, elapsed time.Duration) {
+	b.ReportMetric(float64(highest), "longest-inflated")
 	b.ReportMetric(float64(bytes), "on-the-line")
 	b.ReportMetric(float64(chunks), "frames")
 	b.ReportMetric(float64(made.Microseconds())/1e3, "made-ms")
-	b.ReportMetric(float64(took.Microseconds())/1e3, "taken-ms")
+	b.ReportMetric(float64(elapsed.Microseconds())/1e3, "taken-ms")
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -13,10 +13,10 @@
 )
 
 //go:embed report.html
-var page string
+var reportTemplate string
 
-// Report writes plots (SVG and PNG) and a page of a run into a folder.
-func Report(dir string, s Storm, r Result) error {
+// WriteReport writes plots (SVG and PNG) and a page of a run into a folder.
+func WriteReport(dir string, s StormExperiment, r Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -26,14 +26,14 @@
 	p.Legend.Top = true
 	line := func(row []float64, scale float64) plotter.XYs {
 		points := make(plotter.XYs, 0, len(row))
-		for i := 0; i+window <= len(row); i += window {
-			points = append(points, plotter.XY{X: float64(i) * step.Seconds(), Y: sum(row, i, i+window) / window * scale})
+		for i := 0; i+loadWindow <= len(row); i += loadWindow {
+			points = append(points, plotter.XY{X: float64(i) * step.Seconds(), Y: sum(row, i, i+loadWindow) / loadWindow * scale})
 		}
 		return points
 	}
 	per := 1 / step.Seconds()
 	if err := plotutil.AddLines(p, "offered (tries)", line(r.Series.Offered, per), "admitted (commands' worth)",
-		line(r.Series.Admitted, per/work), "capacity (commands)", line(r.Series.Capacity, 1/work),
+		line(r.Series.Admitted, per/meanWorkSeconds), "capacity (commands)", line(r.Series.Capacity, 1/meanWorkSeconds),
 		"served in time", line(r.Series.Served, per)); err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 			return err
 		}
 	}
-	t, err := template.New("report").Parse(page)
+	t, err := template.New("report").Parse(reportTemplate)
 	if err != nil {
 		return err
 	}
@@ -52,7 +52,7 @@
 	}
 	defer f.Close()
 	return t.Execute(f, struct {
-		Storm
+		StormExperiment
 		Result
 	}{s, r})
 }
--- a/internal/lab/scenario/days_test.go
+++ b/internal/lab/scenario/days_test.go
@@ -57,50 +57,50 @@
 faults = [ { at = 3.0, kind = "strand" }, { at = 5.0, kind = "grade", how = "mute" } ]
 `
 
-func pond(t *testing.T) *Drawer {
+func newTestGenerator(t *testing.T) *Generator {
 	t.Helper()
-	kinds, err := ReadKinds(listText)
+	kinds, err := ParseCatalog(listText)
 	qt.Assert(t, err, qt.IsNil)
-	site, err := ReadSite(siteText)
+	site, err := ParseSite(siteText)
 	qt.Assert(t, err, qt.IsNil)
-	d, err := NewDrawer(kinds, site)
+	d, err := NewGenerator(kinds, site)
 	qt.Assert(t, err, qt.IsNil)
 	return d
 }
 
 // What the list tells is read as it stands: variants without remarks, defaults, fields, what may be added where.
-func TestReadKinds(t *testing.T) {
-	c := pond(t).Catalogue
+func TestParseCatalog(t *testing.T) {
+	c := newTestGenerator(t).Catalog
 	for name, hows := range map[string][]string{
 		"leak": {"slow", "gone"}, "swap": {}, "strand": {"dry", "far", "deep", "dark"}, "strand_still": {}, "tow": {"out"}, "fog": {"half", "part"}, "paper": {"lines", "weights"},
 		"spoil": {"torn", "empty"}, "reuse": {"slowly"}, "grade": {"rude", "mute", "late", "beside"}, "calm": {"warm"},
 	} {
 		k, ok := c.Kind(name)
 		qt.Check(t, ok, qt.IsTrue, qt.Commentf(name))
-		qt.Check(t, k.Hows, qt.DeepEquals, hows, qt.Commentf(name))
-		qt.Check(t, k.Machines, qt.Equals, slices.Contains([]string{"strand", "strand_still", "tow", "fog"}, name), qt.Commentf(name))
+		qt.Check(t, k.Variants, qt.DeepEquals, hows, qt.Commentf(name))
+		qt.Check(t, k.TargetsMachines, qt.Equals, slices.Contains([]string{"strand", "strand_still", "tow", "fog"}, name), qt.Commentf(name))
 	}
 	qt.Check(t, len(c.Kinds), qt.Equals, 11)
 	leak, _ := c.Kind("leak")
 	qt.Check(t, leak.Defaults["share"], qt.Equals, 0.2)
 	qt.Check(t, c.Defaults, qt.DeepEquals, map[string]float64{"for_s": 4, "gap_s": 2})
 	qt.Check(t, c.Fields, qt.DeepEquals, []string{"class", "count", "for_s", "gap_s", "on", "service", "share", "x", "zone"})
-	qt.Check(t, c.Servers, qt.DeepEquals, []string{"wide", "full"})
+	qt.Check(t, c.ServerVariants, qt.DeepEquals, []string{"wide", "full"})
 	qt.Check(t, c.Roles, qt.DeepEquals, []string{"captain", "mate", "cook"})
-	qt.Check(t, c.After, qt.DeepEquals, []string{"again", "slowly", "twice"})
-	qt.Check(t, c.Only, qt.DeepEquals, map[string][]string{"slowly": {"tow"}})
-	qt.Check(t, c.Cuts, qt.DeepEquals, []string{"loud", "clear"})
+	qt.Check(t, c.Suffixes, qt.DeepEquals, []string{"again", "slowly", "twice"})
+	qt.Check(t, c.SuffixKinds, qt.DeepEquals, map[string][]string{"slowly": {"tow"}})
+	qt.Check(t, c.LinkVariants, qt.DeepEquals, []string{"loud", "clear"})
 	qt.Check(t, c.Closings, qt.DeepEquals, []string{"dark_all", "wet_all"})
-	qt.Check(t, c.ClosingHows, qt.DeepEquals, []string{"early", "late"})
+	qt.Check(t, c.ClosingVariants, qt.DeepEquals, []string{"early", "late"})
 }
 
 // The same seed gives the same day, another one another.
-func TestSameSeedSameDay(t *testing.T) {
+func TestSameSeedSameScenario(t *testing.T) {
 	seen := map[string]uint64{}
 	for seed := uint64(1); seed <= 200; seed++ {
-		one, err := pond(t).Draw(seed, 0, nil)
+		one, err := newTestGenerator(t).Generate(seed, 0, nil)
 		qt.Assert(t, err, qt.IsNil)
-		two, err := pond(t).Draw(seed, 0, nil)
+		two, err := newTestGenerator(t).Generate(seed, 0, nil)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, one.TOML(), qt.Equals, two.TOML())
 		other, twin := seen[one.TOML()]
@@ -111,18 +111,18 @@
 
 // Each kind comes alone with each of its variants, and each closing fault and none, within the first seeds; after them
 // days hold two kinds or three, each kind somewhere more than once a day and with variants.
-func TestEveryKindComes(t *testing.T) {
-	d := pond(t)
+func TestEveryKindIsGenerated(t *testing.T) {
+	d := newTestGenerator(t)
 	alone, closings, often, mixed := map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}
-	for seed := 1; seed <= d.Singles()+300; seed++ {
-		day, err := d.Draw(uint64(seed), 0, nil)
+	for seed := 1; seed <= d.SingleKinds()+300; seed++ {
+		sc, err := d.Generate(uint64(seed), 0, nil)
 		qt.Assert(t, err, qt.IsNil)
-		entries := append(slices.Clone(day.Plan), day.Faults...)
+		entries := append(slices.Clone(sc.Plan), sc.Faults...)
 		kinds := lo.CountValuesBy(entries, Entry.Kind)
-		if seed <= d.Singles() {
+		if seed <= d.SingleKinds() {
 			qt.Assert(t, len(kinds), qt.Equals, 1)
-			alone[entries[0].Kind()+" "+strings.Join(entries[0].How(), " ")] = true
-			closings[day.Closing.Kind()] = true
+			alone[entries[0].Kind()+" "+strings.Join(entries[0].Variant(), " ")] = true
+			closings[sc.Closing.Kind()] = true
 			continue
 		}
 		qt.Assert(t, len(kinds) >= 1 && len(kinds) <= 3, qt.IsTrue, qt.Commentf("seed %d: %v", seed, kinds))
@@ -132,43 +132,43 @@
 		}
 	}
 	for _, k := range d.Kinds {
-		for _, how := range append(k.Hows, "") {
-			qt.Check(t, alone[k.Name+" "+how], qt.IsTrue, qt.Commentf("%s %q", k.Name, how))
+		for _, outcome := range append(k.Variants, "") {
+			qt.Check(t, alone[k.Name+" "+outcome], qt.IsTrue, qt.Commentf("%s %q", k.Name, outcome))
 		}
 		qt.Check(t, mixed[k.Name] && often[k.Name], qt.IsTrue, qt.Commentf("%s", k.Name))
 	}
-	for _, how := range []string{"strand captain", "strand mate", "strand captain twice", "fog loud", "fog clear", "fog cook", "leak wide", "leak full", "tow slowly",
+	for _, outcome := range []string{"strand captain", "strand mate", "strand captain twice", "fog loud", "fog clear", "fog cook", "leak wide", "leak full", "tow slowly",
 		"spoil upside_down"} {
-		qt.Check(t, alone[how], qt.IsTrue, qt.Commentf(how))
+		qt.Check(t, alone[outcome], qt.IsTrue, qt.Commentf(outcome))
 	}
-	for _, how := range []string{"strand slowly", "leak captain", "strand loud", "paper captain"} {
-		qt.Check(t, alone[how], qt.IsFalse, qt.Commentf(how))
+	for _, outcome := range []string{"strand slowly", "leak captain", "strand loud", "paper captain"} {
+		qt.Check(t, alone[outcome], qt.IsFalse, qt.Commentf(outcome))
 	}
 	qt.Check(t, closings, qt.DeepEquals, map[string]bool{"": true, "dark_all": true, "wet_all": true})
 }
 
 // A day file is TOML; read again it holds what was drawn, in the right lists, within bounds, with the site's traffic and
 // its lowest floors and without its days' own marks.
-func TestDayFile(t *testing.T) {
-	d := pond(t)
+func TestScenarioFile(t *testing.T) {
+	d := newTestGenerator(t)
 	traffic := 0
 	for seed := uint64(1); seed <= 500; seed++ {
-		day, err := d.Draw(seed, 0, nil)
+		sc, err := d.Generate(seed, 0, nil)
 		qt.Assert(t, err, qt.IsNil)
 		var all map[string]any
-		_, err = toml.Decode(day.TOML(), &all)
-		qt.Assert(t, err, qt.IsNil, qt.Commentf("%s", day.TOML()))
-		read := tables(all["day"])
+		_, err = toml.Decode(sc.TOML(), &all)
+		qt.Assert(t, err, qt.IsNil, qt.Commentf("%s", sc.TOML()))
+		read := tableList(all["day"])
 		qt.Assert(t, len(read), qt.Equals, 1)
-		for field, entries := range map[string][]Entry{"plan": day.Plan, "faults": day.Faults} {
-			got := tables(read[0][field])
+		for field, entries := range map[string][]Entry{"plan": sc.Plan, "faults": sc.Faults} {
+			got := tableList(read[0][field])
 			qt.Assert(t, len(got), qt.Equals, len(entries))
 			for i, g := range got {
 				qt.Assert(t, g, qt.DeepEquals, map[string]any(entries[i]))
 				qt.Assert(t, d.Planned[Entry(g).Kind()], qt.Equals, field == "plan")
-				at := number(g["at"])
-				qt.Assert(t, at >= 20*firstMoment && at <= 20*lastMoment, qt.IsTrue)
-				qt.Assert(t, number(g["share"]) <= 1, qt.IsTrue)
+				at := numberValue(g["at"])
+				qt.Assert(t, at >= 20*earliestStart && at <= 20*latestStart, qt.IsTrue)
+				qt.Assert(t, numberValue(g["share"]) <= 1, qt.IsTrue)
 			}
 		}
 		qt.Assert(t, read[0]["seed"], qt.Equals, int64(seed))
@@ -176,7 +176,7 @@
 		qt.Assert(t, read[0]["floor_zones"], qt.DeepEquals, []any{0.3})
 		_, marked := read[0]["one"]
 		qt.Assert(t, marked, qt.IsFalse)
-		if l := tables(read[0]["traffic"]); len(l) > 0 {
+		if l := tableList(read[0]["traffic"]); len(l) > 0 {
 			traffic++
 			qt.Assert(t, l[0], qt.DeepEquals, map[string]any{"zone": "east", "per_s": 3.0, "mix": map[string]any{"ask": 1.5}})
 		}
@@ -186,59 +186,59 @@
 
 // What the bench would turn away or pass over is found, with its place.
 func TestCheck(t *testing.T) {
-	d := pond(t)
+	d := newTestGenerator(t)
 	for name, c := range map[string]struct {
-		day  Day
+		day  Scenario
 		says string
 	}{
-		"unknown kind":     {Day{Faults: []Entry{{"at": 1.0, "kind": "whale"}}}, `day .*, faults 1: kind "whale": not in the list of pond.*`},
-		"kind not listed":  {Day{Faults: []Entry{{"at": 1.0}}}, `.*kind "": not in the list.*`},
-		"unknown field":    {Day{Faults: []Entry{{"at": 1.0, "kind": "leak", "depth": 1.0}}}, `.*leak: field "depth" is none of.*`},
-		"unknown variant":  {Day{Faults: []Entry{{"at": 1.0, "kind": "leak", "how": "slow captain"}}}, `.*leak: how "captain" is none of slow, gone, wide, full`},
-		"kept to another":  {Day{Faults: []Entry{{"at": 1.0, "kind": "strand", "how": "mate slowly"}}}, `.*strand: how "slowly" is none of.*`},
-		"no such zone":     {Day{Faults: []Entry{{"at": 1.0, "kind": "leak", "zone": "north"}}}, `.*leak: zone "north" is none of east, west`},
-		"no moment":        {Day{Faults: []Entry{{"kind": "leak"}}}, `.*at is wanted`},
-		"too early":        {Day{Faults: []Entry{{"at": -1.0, "kind": "leak"}}}, `.*at -1 is below 0`},
-		"after the day":    {Day{Faults: []Entry{{"at": 1.0, "kind": "leak"}, {"at": 20.0, "kind": "leak"}}}, `.*faults 2: at 20: the day lasts 20 s`},
-		"share over 1":     {Day{Faults: []Entry{{"at": 1.0, "kind": "leak", "share": 1.5}}}, `.*share 1.5 is out of bounds.*`},
-		"half of one":      {Day{Faults: []Entry{{"at": 1.0, "kind": "fog", "count": 1.5}}}, `.*count 1.5 is out of bounds.*`},
-		"wrong list":       {Day{Plan: []Entry{{"at": 1.0, "kind": "leak"}}}, `.*plan 1: kind leak stands in the wrong list`},
-		"unknown closing":  {Day{Closing: Entry{"kind": "storm"}}, `.*closing kind "storm": none of dark_all, wet_all`},
-		"closing's how":    {Day{Closing: Entry{"kind": "wet_all", "how": "slow"}}, `.*closing how "slow": none of early, late, aimed`},
-		"closing's field":  {Day{Closing: Entry{"kind": "wet_all", "at": 3.0}}, `.*closing field "at": kind, down_s, how`},
-		"closing's length": {Day{Closing: Entry{"kind": "wet_all", "down_s": 0.0}}, `.*closing down_s 0: above 0 is wanted`},
+		"unknown kind":     {Scenario{Faults: []Entry{{"at": 1.0, "kind": "whale"}}}, `day .*, faults 1: kind "whale": not in the list of pond.*`},
+		"kind not listed":  {Scenario{Faults: []Entry{{"at": 1.0}}}, `.*kind "": not in the list.*`},
+		"unknown field":    {Scenario{Faults: []Entry{{"at": 1.0, "kind": "leak", "depth": 1.0}}}, `.*leak: field "depth" is none of.*`},
+		"unknown variant":  {Scenario{Faults: []Entry{{"at": 1.0, "kind": "leak", "how": "slow captain"}}}, `.*leak: how "captain" is none of slow, gone, wide, full`},
+		"kept to another":  {Scenario{Faults: []Entry{{"at": 1.0, "kind": "strand", "how": "mate slowly"}}}, `.*strand: how "slowly" is none of.*`},
+		"no such zone":     {Scenario{Faults: []Entry{{"at": 1.0, "kind": "leak", "zone": "north"}}}, `.*leak: zone "north" is none of east, west`},
+		"no moment":        {Scenario{Faults: []Entry{{"kind": "leak"}}}, `.*at is wanted`},
+		"too early":        {Scenario{Faults: []Entry{{"at": -1.0, "kind": "leak"}}}, `.*at -1 is below 0`},
+		"after the day":    {Scenario{Faults: []Entry{{"at": 1.0, "kind": "leak"}, {"at": 20.0, "kind": "leak"}}}, `.*faults 2: at 20: the day lasts 20 s`},
+		"share over 1":     {Scenario{Faults: []Entry{{"at": 1.0, "kind": "leak", "share": 1.5}}}, `.*share 1.5 is out of bounds.*`},
+		"half of one":      {Scenario{Faults: []Entry{{"at": 1.0, "kind": "fog", "count": 1.5}}}, `.*count 1.5 is out of bounds.*`},
+		"wrong list":       {Scenario{Plan: []Entry{{"at": 1.0, "kind": "leak"}}}, `.*plan 1: kind leak stands in the wrong list`},
+		"unknown closing":  {Scenario{Closing: Entry{"kind": "storm"}}, `.*closing kind "storm": none of dark_all, wet_all`},
+		"closing's how":    {Scenario{Closing: Entry{"kind": "wet_all", "how": "slow"}}, `.*closing how "slow": none of early, late, aimed`},
+		"closing's field":  {Scenario{Closing: Entry{"kind": "wet_all", "at": 3.0}}, `.*closing field "at": kind, down_s, how`},
+		"closing's length": {Scenario{Closing: Entry{"kind": "wet_all", "down_s": 0.0}}, `.*closing down_s 0: above 0 is wanted`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			qt.Check(t, d.Check(c.day), qt.ErrorMatches, c.says)
 		})
 	}
-	_, err := d.Draw(0, 0, nil)
+	_, err := d.Generate(0, 0, nil)
 	qt.Check(t, err, qt.ErrorMatches, "seeds count from 1")
 }
 
 // Wishes hold, what they leave open is drawn, and bad ones are told by line and field.
-func TestWishes(t *testing.T) {
-	d := pond(t)
-	wishes, err := d.ReadWishes("# a remark\nstrand on=core count=1 how=captain,twice at=4.5 + paper how=lines # and one here\n? whale + paper\n\nleak + closing=wet_all how=late\npaper + closing=none\n")
+func TestRequests(t *testing.T) {
+	d := newTestGenerator(t)
+	requests, err := d.ParseRequests("# a remark\nstrand on=core count=1 how=captain,twice at=4.5 + paper how=lines # and one here\n? whale + paper\n\nleak + closing=wet_all how=late\npaper + closing=none\n")
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, len(wishes), qt.Equals, 3)
+	qt.Assert(t, len(requests), qt.Equals, 3)
 	for seed := uint64(1); seed <= 60; seed++ {
 		for mix := range 4 {
-			day, err := d.Draw(seed, mix, wishes)
+			sc, err := d.Generate(seed, mix, requests)
 			qt.Assert(t, err, qt.IsNil)
-			kinds := lo.Uniq(lo.Map(append(slices.Clone(day.Plan), day.Faults...), func(e Entry, _ int) string { return e.Kind() }))
+			kinds := lo.Uniq(lo.Map(append(slices.Clone(sc.Plan), sc.Faults...), func(e Entry, _ int) string { return e.Kind() }))
 			switch seed % 3 {
 			case 1:
-				strands := lo.Filter(day.Faults, func(e Entry, _ int) bool { return e.Kind() == "strand" && e["at"] == 4.5 })
+				strands := lo.Filter(sc.Faults, func(e Entry, _ int) bool { return e.Kind() == "strand" && e["at"] == 4.5 })
 				qt.Assert(t, len(strands), qt.Equals, 1)
 				qt.Assert(t, strands[0]["how"], qt.Equals, "captain twice")
 				qt.Assert(t, strands[0]["count"], qt.Equals, int64(1))
 				qt.Assert(t, strands[0]["share"], qt.IsNil)
 				qt.Assert(t, slices.Contains(kinds, "paper"), qt.IsTrue)
 			case 2:
-				qt.Assert(t, day.Closing, qt.DeepEquals, Entry{"kind": "wet_all", "how": "late", "down_s": 1.0})
+				qt.Assert(t, sc.Closing, qt.DeepEquals, Entry{"kind": "wet_all", "how": "late", "down_s": 1.0})
 			case 0:
-				qt.Assert(t, len(day.Closing), qt.Equals, 0)
+				qt.Assert(t, len(sc.Closing), qt.Equals, 0)
 				if mix < 2 {
 					qt.Assert(t, kinds, qt.DeepEquals, []string{"paper"})
 				}
@@ -256,7 +256,7 @@
 		"leak + closing=storm":           `wishes, line 1: closing kind "storm".*`,
 		"closing=none + closing=wet_all": `wishes, line 1: closing stands twice`,
 	} {
-		_, err := d.ReadWishes(text)
+		_, err := d.ParseRequests(text)
 		qt.Check(t, err, qt.ErrorMatches, says, qt.Commentf(text))
 	}
 }
@@ -268,7 +268,7 @@
 		"no closing":  {"leak: share (.1) fail", "kinds: no line tells of closing faults.*"},
 		"named twice": {listText + "leak: again", `kinds, line 18: leak stands twice`},
 	} {
-		_, err := ReadKinds(c.text)
+		_, err := ParseCatalog(c.text)
 		qt.Check(t, err, qt.ErrorMatches, c.says, qt.Commentf(name))
 	}
 	for name, c := range map[string]struct{ text, says string }{
@@ -280,38 +280,38 @@
 		"no kind, 2":  {strings.Replace(siteText, `kind = "strand", on`, "on", 1), "site: troubles 1: no kind"},
 		"zone's form": {strings.Replace(siteText, `{ name = "east", region = "e" }, { name = "west", region = "w" }`, `"east"`, 1), "site: zones and services.*"},
 	} {
-		_, err := ReadSite(c.text)
+		_, err := ParseSite(c.text)
 		qt.Check(t, err, qt.ErrorMatches, c.says, qt.Commentf(name))
 	}
-	kinds, err := ReadKinds(listText + "whale: share (.1) are swallowed\n")
+	kinds, err := ParseCatalog(listText + "whale: share (.1) are swallowed\n")
 	qt.Assert(t, err, qt.IsNil)
-	site, err := ReadSite(siteText)
+	site, err := ParseSite(siteText)
 	qt.Assert(t, err, qt.IsNil)
-	_, err = NewDrawer(kinds, site)
+	_, err = NewGenerator(kinds, site)
 	qt.Check(t, err, qt.ErrorMatches, "kind whale: no day of pond.*")
-	other, err := ReadSite(strings.Replace(strings.Replace(siteText, "pond", "lake", 1), `kind = "swap"`, `kind = "whale"`, 1))
+	other, err := ParseSite(strings.Replace(strings.Replace(siteText, "pond", "lake", 1), `kind = "swap"`, `kind = "whale"`, 1))
 	qt.Assert(t, err, qt.IsNil)
-	site.Learn(other)
-	d, err := NewDrawer(kinds, site)
+	site.LearnFrom(other)
+	d, err := NewGenerator(kinds, site)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, d.Planned["whale"] && d.Planned["swap"], qt.IsTrue)
 }
 
 // A journal entry is read whole or told of; the line and the table show what broke.
-func TestPlayed(t *testing.T) {
+func TestRunResult(t *testing.T) {
 	entry := func(days string) string {
 		return fmt.Sprintf(`{"id":"0a1b2c3d","head":"f00","site":"pond","error":null,"days":[%s]}`, days)
 	}
 	good := `{"G":0.8,"name":"own-1-leak","seed":1,"troubles":["leak"],"score":0.8,"rules":{},"fault":null,"gate":true,"short":[],"served":0.9}`
 	bad := `{"G":0.4,"name":"own-2-leak-fog","seed":2,"troubles":["leak","fog","fog"],"score":0,"rules":{"TWICE":2,"LOST":1},"fault":"a process ended","gate":false,"short":["too little"],"served":0.5}`
-	one, err := ReadEntry([]byte(entry(good)))
+	one, err := ParseRunResult([]byte(entry(good)))
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, one.Broke(), qt.IsFalse)
-	two, err := ReadEntry([]byte(entry(bad)))
+	qt.Check(t, one.Failed(), qt.IsFalse)
+	two, err := ParseRunResult([]byte(entry(bad)))
 	qt.Assert(t, err, qt.IsNil)
 	two.Closing = "wet_all late"
-	qt.Check(t, two.Broke(), qt.IsTrue)
-	two.Idle = pond(t).Befell(`what happened
+	qt.Check(t, two.Failed(), qt.IsTrue)
+	two.NotStarted = newTestGenerator(t).NotStarted(`what happened
     8.18 s to     9.18 s  tow (out) 
    13.67 s to    16.67 s  paper (lines) 
     4.99 s to     6.0 s  strand a-1, a-2 and 3 more
@@ -320,10 +320,10 @@
     -1.0 s to      6.0 s  leak
 the list was not settled: 1.0 s to 2.0 s
 `)
-	qt.Check(t, two.Idle, qt.DeepEquals, []string{"tow (out)", "strand (captain twice)", "leak"})
+	qt.Check(t, two.NotStarted, qt.DeepEquals, []string{"tow (out)", "strand (captain twice)", "leak"})
 	qt.Check(t, two.String(), qt.Matches, `pond +2  0\.40  served 0\.500  gate failed own-2-leak-fog, closing wet_all late  BROKEN LOST 1, TWICE 2  FAULT a process ended  \(befell nobody: tow \(out\), strand \(captain twice\), leak\)  SHORT too little`)
 	var table strings.Builder
-	Table(&table, []Played{one, two})
+	FormatTable(&table, []RunResult{one, two})
 	lines := strings.Split(strings.TrimSpace(table.String()), "\n")
 	for i, want := range []string{`site +kind +days +broken +faults +gate failed +worth lowest`, `pond +all +2 +1 +1 +1 +0\.60 +0\.40`, `pond +closing none +1 +0 +0 +0 +0\.80 +0\.80`,
 		`pond +closing wet_all late +1 +1 +1 +1 +0\.40 +0\.40`, `pond +fog +1 +1 +1 +1 +0\.40 +0\.40`, `pond +leak +2 +1 +1 +1 +0\.60 +0\.40`} {
@@ -336,31 +336,31 @@
 		entry(`{"G":1}`):        "journal entry 0a1b2c3d: days.0..name and head are wanted",
 		`{"id":"9","error":"it can't be read","days":[]}`: "journal entry 9: it can't be read",
 	} {
-		_, err := ReadEntry([]byte(text))
+		_, err := ParseRunResult([]byte(text))
 		qt.Check(t, err, qt.ErrorMatches, says, qt.Commentf(text))
 	}
 }
 
 // Whatever text comes in, reading it ends, and what it accepts draws days that pass their own check.
-func FuzzDraw(f *testing.F) {
+func FuzzGenerate(f *testing.F) {
 	f.Add(listText, siteText, uint64(3))
 	f.Add("leak: how: ((a\nclosing = { kind = b }", siteText, uint64(9))
 	f.Add("leak: share (.1); how: x\nclosing = { kind = b | c, down_s } how d: e", strings.ReplaceAll(siteText, "strand", "leak"), uint64(200))
 	f.Fuzz(func(t *testing.T, list, site string, seed uint64) {
-		kinds, err := ReadKinds(list)
+		kinds, err := ParseCatalog(list)
 		if err != nil {
 			return
 		}
-		s, err := ReadSite(site)
+		s, err := ParseSite(site)
 		if err != nil {
 			return
 		}
-		d, err := NewDrawer(kinds, s)
+		d, err := NewGenerator(kinds, s)
 		if err != nil {
 			return
 		}
-		if day, err := d.Draw(seed, 0, nil); err == nil {
-			day.TOML()
+		if sc, err := d.Generate(seed, 0, nil); err == nil {
+			sc.TOML()
 		}
 	})
 }
--- a/internal/lab/scenario/kinds.go
+++ b/internal/lab/scenario/kinds.go
@@ -15,58 +15,58 @@
 
 // Kind is one kind of trouble or of planned work, as its line in the list says.
 type Kind struct {
-	Name     string
-	Hows     []string           // variants that its line names
-	Words    []string           // words of its line, to find the fields that it speaks of
-	Defaults map[string]float64 // by field, where the line gives one in brackets
-	Machines bool               // it befalls machines, so roles and what may stand after them fit
-	Cuts     bool               // it cuts links
+	Name            string
+	Variants        []string           // variants that its line names
+	Words           []string           // words of its line, to find the fields that it speaks of
+	Defaults        map[string]float64 // by field, where the line gives one in brackets
+	TargetsMachines bool               // it befalls machines, so roles and what may stand after them fit
+	CutsLinks       bool               // it cuts links
 }
 
-// Catalogue is what a list of kinds tells.
-type Catalogue struct {
-	Kinds       []Kind
-	Fields      []string            // that the head of the list names
-	Defaults    map[string]float64  // by field, from the head
-	Servers     []string            // variants for kinds that befall servers
-	Roles       []string            // variants for kinds that befall machines: which one
-	After       []string            // that may stand after a role
-	Only        map[string][]string // of After: kinds that it is kept to
-	Cuts        []string            // variants for cuts
-	Closings    []string
-	ClosingHows []string // variants of closings
+// Catalog is what a list of kinds tells.
+type Catalog struct {
+	Kinds           []Kind
+	Fields          []string            // that the head of the list names
+	Defaults        map[string]float64  // by field, from the head
+	ServerVariants  []string            // variants for kinds that befall servers
+	Roles           []string            // variants for kinds that befall machines: which one
+	Suffixes        []string            // that may stand after a role
+	SuffixKinds     map[string][]string // of After: kinds that it is kept to
+	LinkVariants    []string            // variants for cuts
+	Closings        []string
+	ClosingVariants []string // variants of closings
 }
 
 // Kind finds one by name.
-func (c Catalogue) Kind(name string) (Kind, bool) {
+func (c Catalog) Kind(name string) (Kind, bool) {
 	return lo.Find(c.Kinds, func(k Kind) bool { return k.Name == name })
 }
 
 var (
-	line     = regexp.MustCompile(`^([a-z][a-z_]*): (.*)$`)
-	brackets = regexp.MustCompile(`\([^()]*\)`)
-	word     = regexp.MustCompile(`^[a-z][a-z_]*$`)
-	defaults = regexp.MustCompile(`\b([a-z_]+):? \((\.?[0-9][0-9.]*)\)`)
-	spanned  = regexp.MustCompile(`\b([a-z_]+): [^.;:()]*\((\.?[0-9][0-9.]*)\)`)
-	headed   = regexp.MustCompile(`(?:^|[.;] )((?:[a-z_]+, )*[a-z_]+): `)
-	named    = regexp.MustCompile(`(?:how|[(;] ?\+) ([a-z_]+): `)
-	striking = regexp.MustCompile(`\b(machines?|disks?|SIG[A-Z]+)\b`)
+	kindLine       = regexp.MustCompile(`^([a-z][a-z_]*): (.*)$`)
+	parenthesized  = regexp.MustCompile(`\([^()]*\)`)
+	identifier     = regexp.MustCompile(`^[a-z][a-z_]*$`)
+	numericDefault = regexp.MustCompile(`\b([a-z_]+):? \((\.?[0-9][0-9.]*)\)`)
+	rangedDefault  = regexp.MustCompile(`\b([a-z_]+): [^.;:()]*\((\.?[0-9][0-9.]*)\)`)
+	headerFields   = regexp.MustCompile(`(?:^|[.;] )((?:[a-z_]+, )*[a-z_]+): `)
+	namedVariant   = regexp.MustCompile(`(?:how|[(;] ?\+) ([a-z_]+): `)
+	machineWord    = regexp.MustCompile(`\b(machines?|disks?|SIG[A-Z]+)\b`)
 )
 
-// ReadKinds reads a list of kinds: a head of sentences, then a line for each kind, its name before a colon. A list without
+// ParseCatalog reads a list of kinds: a head of sentences, then a line for each kind, its name before a colon. A list without
 // kinds, two lines of one name and a list that tells of no closing fault are errors.
-func ReadKinds(text string) (Catalogue, error) {
-	c := Catalogue{Defaults: map[string]float64{}, Only: map[string][]string{}}
+func ParseCatalog(text string) (Catalog, error) {
+	c := Catalog{Defaults: map[string]float64{}, SuffixKinds: map[string][]string{}}
 	for n, l := range strings.Split(text, "\n") {
-		m := line.FindStringSubmatch(l)
+		m := kindLine.FindStringSubmatch(l)
 		if m == nil {
-			c.head(l)
+			c.parseHeader(l)
 			continue
 		}
 		if _, ok := c.Kind(m[1]); ok {
 			return c, fmt.Errorf("kinds, line %d: %s stands twice", n+1, m[1])
 		}
-		c.Kinds = append(c.Kinds, readKind(m[1], m[2]))
+		c.Kinds = append(c.Kinds, parseKind(m[1], m[2]))
 	}
 	if len(c.Kinds) == 0 {
 		return c, fmt.Errorf("kinds: no line of %d names a kind (NAME: what it does)", strings.Count(text, "\n")+1)
@@ -76,9 +76,9 @@
 	}
 	c.Fields = lo.Uniq(c.Fields)
 	// a line needn't say again what its neighbour says: kinds whose names begin alike befall alike
-	striking := lo.FilterMap(c.Kinds, func(k Kind, _ int) (string, bool) { return k.family(), k.Machines })
+	striking := lo.FilterMap(c.Kinds, func(k Kind, _ int) (string, bool) { return k.family(), k.TargetsMachines })
 	for i := range c.Kinds {
-		c.Kinds[i].Machines = slices.Contains(striking, c.Kinds[i].family())
+		c.Kinds[i].TargetsMachines = slices.Contains(striking, c.Kinds[i].family())
 	}
 	return c, nil
 }
@@ -89,9 +89,9 @@
 	return first
 }
 
-func readKind(name, text string) Kind {
-	k := Kind{Name: name, Defaults: map[string]float64{}, Machines: striking.MatchString(text), Cuts: strings.Contains(text, "cut off")}
-	for _, m := range defaults.FindAllStringSubmatch(text, -1) {
+func parseKind(name, text string) Kind {
+	k := Kind{Name: name, Defaults: map[string]float64{}, TargetsMachines: machineWord.MatchString(text), CutsLinks: strings.Contains(text, "cut off")}
+	for _, m := range numericDefault.FindAllStringSubmatch(text, -1) {
 		if v, err := strconv.ParseFloat(m[2], 64); err == nil {
 			if _, ok := k.Defaults[m[1]]; !ok {
 				k.Defaults[m[1]] = v
@@ -99,15 +99,15 @@
 		}
 	}
 	k.Words = strings.FieldsFunc(text, func(r rune) bool { return (r < 'a' || r > 'z') && r != '_' })
-	k.Hows = hows(text)
+	k.Variants = variantsOf(text)
 	return k
 }
 
-// hows finds the variants of a line: what stands after "how:", up to the clause's end and without remarks in brackets, and
+// variantsOf finds the variants of a line: what stands after "how:", up to the clause's end and without remarks in brackets, and
 // "how NAME:", also with what may stand beside it, "(+ NAME:". Within brackets only what stands before a comma counts.
-func hows(text string) []string {
+func variantsOf(text string) []string {
 	var found []string
-	for _, m := range named.FindAllStringSubmatch(text, -1) {
+	for _, m := range namedVariant.FindAllStringSubmatch(text, -1) {
 		found = append(found, m[1])
 	}
 	for i := 0; ; {
@@ -120,22 +120,22 @@
 		if strings.Count(text[:i], "(") > strings.Count(text[:i], ")") {
 			clause = clause[:strings.IndexAny(clause+")", "),;")]
 		} else {
-			for brackets.MatchString(clause) {
-				clause = brackets.ReplaceAllString(clause, "")
+			for parenthesized.MatchString(clause) {
+				clause = parenthesized.ReplaceAllString(clause, "")
 			}
 			clause = clause[:strings.IndexAny(clause+";", ";)")]
 		}
 		for _, w := range strings.FieldsFunc(clause, func(r rune) bool { return r == ' ' || r == ',' || r == '+' }) {
-			if word.MatchString(w) {
+			if identifier.MatchString(w) {
 				found = append(found, w)
 			}
 		}
 	}
 }
 
-// head reads a line of the head: fields and their defaults, what 'how' may also hold, closing faults.
-func (c *Catalogue) head(l string) {
-	for _, m := range spanned.FindAllStringSubmatch(l, -1) {
+// parseHeader reads a line of the head: fields and their defaults, what 'how' may also hold, closing faults.
+func (c *Catalog) parseHeader(l string) {
+	for _, m := range rangedDefault.FindAllStringSubmatch(l, -1) {
 		if v, err := strconv.ParseFloat(m[2], 64); err == nil {
 			c.Defaults[m[1]] = v
 		}
@@ -143,46 +143,46 @@
 	if kinds, ok := strings.CutPrefix(l, "closing = { kind = "); ok {
 		kinds = kinds[:strings.IndexAny(kinds+"}", ",}")]
 		for _, w := range strings.Split(kinds, "|") {
-			if w = strings.TrimSpace(w); word.MatchString(w) {
+			if w = strings.TrimSpace(w); identifier.MatchString(w) {
 				c.Closings = append(c.Closings, w)
 			}
 		}
-		c.ClosingHows = hows(l)
+		c.ClosingVariants = variantsOf(l)
 		return
 	}
-	for _, m := range headed.FindAllStringSubmatch(l, -1) {
+	for _, m := range headerFields.FindAllStringSubmatch(l, -1) {
 		c.Fields = append(c.Fields, strings.Split(m[1], ", ")...)
 	}
 	bare := l
-	for brackets.MatchString(bare) {
-		bare = brackets.ReplaceAllString(bare, "")
+	for parenthesized.MatchString(bare) {
+		bare = parenthesized.ReplaceAllString(bare, "")
 	}
 	for _, s := range strings.Split(bare, ".") {
 		s = strings.TrimSpace(s)
 		if _, rest, ok := strings.Cut(s, "For servers, 'how' may also hold "); ok {
-			c.Servers = append(c.Servers, listed(rest)...)
+			c.ServerVariants = append(c.ServerVariants, splitList(rest)...)
 		} else if _, rest, ok := strings.Cut(s, "For machines, 'how' may also hold "); ok {
-			c.Roles = append(c.Roles, listed(rest)...)
+			c.Roles = append(c.Roles, splitList(rest)...)
 		} else if _, rest, ok := strings.Cut(s, "After these may stand "); ok {
 			for _, part := range strings.Split(rest, " and") {
 				// a part may be kept to one kind: ", for KIND, a, b"
 				of, only := strings.CutPrefix(strings.Trim(part, " ,"), "for ")
 				kind, rest, _ := strings.Cut(of, ",")
-				for _, w := range listed(lo.Ternary(only, rest, of)) {
-					c.After = append(c.After, w)
+				for _, w := range splitList(lo.Ternary(only, rest, of)) {
+					c.Suffixes = append(c.Suffixes, w)
 					if only {
-						c.Only[w] = append(c.Only[w], kind)
+						c.SuffixKinds[w] = append(c.SuffixKinds[w], kind)
 					}
 				}
 			}
 		} else if _, rest, ok := strings.Cut(s, "Cuts are silent unless 'how' holds "); ok {
-			c.Cuts = append(c.Cuts, listed(rest)...)
+			c.LinkVariants = append(c.LinkVariants, splitList(rest)...)
 		}
 	}
-	slices.Sort(c.After)
+	slices.Sort(c.Suffixes)
 }
 
-func listed(s string) []string {
+func splitList(s string) []string {
 	return lo.Filter(strings.FieldsFunc(s, func(r rune) bool { return r == ' ' || r == ',' }),
-		func(w string, _ int) bool { return w != "or" && w != "and" && word.MatchString(w) })
+		func(w string, _ int) bool { return w != "or" && w != "and" && identifier.MatchString(w) })
 }
--- a/internal/lab/simulation/answers_test.go
+++ b/internal/lab/simulation/answers_test.go
@@ -14,27 +14,27 @@
 
 // Answers of calls that are no struct have the same names as ever: hosts, clients and operators read them.
 func TestNamesOfAnswers(t *testing.T) {
-	day(t, small, 4*time.Second, func(c *qt.C, h *Harbour) {
-		client := h.client(h.Sea.Process("10.1.201.3"), time.Second)
+	playScenario(t, smallLayout, 4*time.Second, func(c *qt.C, h *Cluster) {
+		client := h.httpClient(h.Network.Process("10.1.201.3"), time.Second)
 		defer client.CloseIdleConnections()
 		call := func(z int, name, of, body string) string {
-			status, answer, err := post(context.Background(), client, h.Masters[z].Boot.ListenAddresses["control"], name, of, []byte(body))
+			status, answer, err := callRPC(context.Background(), client, h.Controls[z].Settings.ListenAddresses["control"], name, of, []byte(body))
 			c.Assert(err, qt.IsNil)
 			return fmt.Sprintf("%d %s", status, answer)
 		}
 		beat := `{"address":"10.1.0.99:80","information":{"service":"unused","version":"v1","zone-name":"%s","slot-count":1},"current-status":{"sequence":1,"server-state":"ready"}}`
-		c.Check(call(0, "instances.heartbeat", "here", fmt.Sprintf(beat, zone(0))), qt.Equals, "200 {}")
-		c.Check(call(0, "instances.heartbeat", "there", fmt.Sprintf(beat, zone(1))), qt.Equals,
-			fmt.Sprintf(`200 {"heartbeat-address":%q}`, h.Masters[1].Boot.ListenAddresses["control"]))
+		c.Check(call(0, "instances.heartbeat", "here", fmt.Sprintf(beat, zoneName(0))), qt.Equals, "200 {}")
+		c.Check(call(0, "instances.heartbeat", "there", fmt.Sprintf(beat, zoneName(1))), qt.Equals,
+			fmt.Sprintf(`200 {"heartbeat-address":%q}`, h.Controls[1].Settings.ListenAddresses["control"]))
 		c.Check(call(0, "instances.leave", "here", ""), qt.Equals, "200 ")
 		c.Check(call(0, "rollouts.begin", "", `{"service":"desk","target-version":"v2","duration-s":60}`), qt.Equals, "200 ")
 		c.Check(call(0, "rollouts.read", "desk", ""), qt.Equals, `200 {"server-state":"running","target-version":"v2"}`)
 		c.Check(call(0, "rollouts.read", "none", ""), qt.Equals, `404 {"error":"missing","reason":"of: no rollout of \"none\""}`)
-		c.Check(call(0, "evacuation.begin", zone(1), ""), qt.Equals, "200 ")
-		c.Check(call(0, "evacuation.finish", zone(1), ""), qt.Equals, "200 ")
+		c.Check(call(0, "evacuation.begin", zoneName(1), ""), qt.Equals, "200 ")
+		c.Check(call(0, "evacuation.finish", zoneName(1), ""), qt.Equals, "200 ")
 		c.Check(call(0, "configuration.modify", "", `{"set-items":{}}`), qt.Equals, "200 {}")
 
-		resp, err := client.Get("http://" + h.Masters[0].Boot.ListenAddresses["directory"] + "/-/resolution?name=desk.example&zone-name=" + zone(0) + "&region-name=" + region(0))
+		resp, err := client.Get("http://" + h.Controls[0].Settings.ListenAddresses["directory"] + "/-/resolution?name=desk.example&zone-name=" + zoneName(0) + "&region-name=" + regionName(0))
 		c.Assert(err, qt.IsNil)
 		defer resp.Body.Close()
 		raw, err := io.ReadAll(resp.Body)
--- a/internal/lab/simulation/attempts_test.go
+++ b/internal/lab/simulation/attempts_test.go
@@ -21,124 +21,124 @@
 	"portflow/internal/random"
 )
 
-var rough = flag.Int("rough", 6, "drawn days of hosts with bad answers to play")
+var faultyHostRuns = flag.Int("rough", 6, "drawn days of hosts with bad answers to play")
 
-// quirk is something that a bad host does with an answer.
-type quirk uint8
+// responseFault is something that a bad host does with an answer.
+type responseFault uint8
 
 const (
-	lost      quirk = iota // it runs, says nothing and keeps the connection
-	broken                 // it runs and resets the connection
-	closed                 // it runs and closes it
-	unread                 // it closes it without having run
-	late                   // it answers after a second or two
-	doubled                // its answer comes twice at once
-	copied                 // and once more some time later, in the place of another's
-	unrun                  // it turns it away, in two copies
-	unrunLate              // it turns it away, and once more some time later
-	cut                    // its answer ends early
-	noise                  // it sends bytes that are no answer
-	behind                 // it sends some behind its answer
-	another                // it says another's id
-	nobodys                // it says none
-	switched               // it changes the protocol
-	hinted                 // it sends 1xx before
-	chunked                // it answers in chunks, with trailers
-	endless                // its answer has no stated end, and is reset on the way
-	unframed               // its answer has no stated end, and ends with its connection
-	early                  // it turns it away, or answers, before it has read its body, and reads on
-	promising              // it runs, and answers 429 without a word that it did not
-	quirks
+	noResponse        responseFault = iota // it runs, says nothing and keeps the connection
+	resetAfterRun                          // it runs and resets the connection
+	closedAfterRun                         // it runs and closes it
+	closedBeforeRun                        // it closes it without having run
+	lateResponse                           // it answers after a second or two
+	duplicateResponse                      // its answer comes twice at once
+	lateDuplicate                          // and once more some time later, in the place of another's
+	rejectedTwice                          // it turns it away, in two copies
+	rejectedTwiceLate                      // it turns it away, and once more some time later
+	truncatedResponse                      // its answer ends early
+	leadingGarbage                         // it sends bytes that are no answer
+	trailingGarbage                        // it sends some behind its answer
+	wrongAttemptID                         // it says another's id
+	missingAttemptID                       // it says none
+	protocolSwitch                         // it changes the protocol
+	interimResponses                       // it sends 1xx before
+	chunkedResponse                        // it answers in chunks, with trailers
+	unframedReset                          // its answer has no stated end, and is reset on the way
+	unframedResponse                       // its answer has no stated end, and ends with its connection
+	earlyRejection                         // it turns it away, or answers, before it has read its body, and reads on
+	bare429                                // it runs, and answers 429 without a word that it did not
+	responseFaults
 )
 
-var quirkNames = [quirks]string{"lost", "broken", "closed", "unread", "late", "doubled", "copied", "unrun", "unrun late", "cut", "noise", "behind",
+var responseFaultNames = [responseFaults]string{"lost", "broken", "closed", "unread", "late", "doubled", "copied", "unrun", "unrun late", "cut", "noise", "behind",
 	"another's", "nobody's", "switched", "hinted", "chunked", "endless", "unframed", "early", "promising"}
 
-// roughDay is one drawn day.
-type roughDay struct {
-	*Harbour
-	mu   sync.Mutex
-	draw random.Source
-	did  map[string]int
-	over map[string]bool // addresses whose first host has ended, and routers that were stopped
+// faultyHostRun is one drawn day.
+type faultyHostRun struct {
+	*Cluster
+	mu      sync.Mutex
+	rng     random.Source
+	counts  map[string]int
+	stopped map[string]bool // addresses whose first host has ended, and routers that were stopped
 }
 
-// router is one that was not stopped yet.
-func (d *roughDay) router() *Fairway {
+// takeProxy is one that was not stopped yet.
+func (r *faultyHostRun) takeProxy() *ProxyNode {
 	for {
-		if f := d.Fairways[d.n(len(d.Fairways))]; !d.over[f.Boot.Name] {
-			d.over[f.Boot.Name] = true
-			return f
+		if proxyNode := r.Proxies[r.intn(len(r.Proxies))]; !r.stopped[proxyNode.Settings.Name] {
+			r.stopped[proxyNode.Settings.Name] = true
+			return proxyNode
 		}
 	}
 }
 
-func (d *roughDay) n(n int) int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return int(d.draw.Next() * float64(n))
+func (r *faultyHostRun) intn(n int) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return int(r.rng.Float64() * float64(n))
 }
 
-func (d *roughDay) note(what string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.did[what]++
+func (r *faultyHostRun) count(label string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.counts[label]++
 }
 
-// ends crashes a host that has its address to itself.
-func (d *roughDay) ends() *Quay {
+// crashHost crashes a host that has its address to itself.
+func (r *faultyHostRun) crashHost() *Host {
 	for {
-		if q := d.Quays[d.n(len(d.Quays))]; !d.over[q.Address] {
-			d.over[q.Address] = true
-			q.Crash()
-			return q
+		if host := r.Hosts[r.intn(len(r.Hosts))]; !r.stopped[host.Address] {
+			r.stopped[host.Address] = true
+			host.Crash()
+			return host
 		}
 	}
 }
 
-// host starts a host that speaks for itself, at an address that may have been another's; of its requests so many in a hundred
+// startFaultyHost starts a host that speaks for itself, at an address that may have been another's; of its requests so many in a hundred
 // are answered by each of its quirks.
-func (d *roughDay) host(service string, z int, address string, part int, has ...quirk) *Quay {
-	d.Harbour.mu.Lock()
-	d.lastHost++
-	n := d.lastHost
-	d.Harbour.mu.Unlock()
+func (r *faultyHostRun) startFaultyHost(service string, zoneIndex int, address string, faultPercent int, faults ...responseFault) *Host {
+	r.Cluster.mu.Lock()
+	r.lastHost++
+	n := r.lastHost
+	r.Cluster.mu.Unlock()
 	if address == "" {
-		address = fmt.Sprintf("10.%d.64.%d:9000", z+1, n)
+		address = fmt.Sprintf("10.%d.64.%d:9000", zoneIndex+1, n)
 	}
-	q := &Quay{h: d.Harbour, ID: fmt.Sprintf("i-%04d", n), Service: service, Zone: zone(z), Version: "v1", Address: address, Work: d.Work,
-		slots: make(chan struct{}, d.Slots), state: "ready", server: &http.Server{}}
-	q.process = d.Sea.Process(q.IP())
-	ctx, cancel := context.WithCancel(d.ctx)
-	q.cancel = cancel
-	l, err := q.process.Listen(address)
+	host := &Host{cluster: r.Cluster, ID: fmt.Sprintf("i-%04d", n), Service: service, Zone: zoneName(zoneIndex), Version: "v1", Address: address, ServiceTime: r.ServiceTime,
+		slots: make(chan struct{}, r.Concurrency), state: "ready", server: &http.Server{}}
+	host.process = r.Network.Process(host.IP())
+	ctx, cancel := context.WithCancel(r.ctx)
+	host.cancel = cancel
+	ln, err := host.process.Listen(address)
 	if err != nil {
 		panic(err)
 	}
-	d.Harbour.mu.Lock()
-	d.Quays = append(d.Quays, q)
-	d.Harbour.mu.Unlock()
-	d.all.Go(func() { q.beat(ctx, z) })
-	d.all.Go(func() {
+	r.Cluster.mu.Lock()
+	r.Hosts = append(r.Hosts, host)
+	r.Cluster.mu.Unlock()
+	r.background.Go(func() { host.sendHeartbeats(ctx, zoneIndex) })
+	r.background.Go(func() {
 		for {
-			c, err := l.Accept()
+			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			d.all.Go(func() { d.serve(ctx, q, c, part, has) })
+			r.background.Go(func() { r.serveConn(ctx, host, c, faultPercent, faults) })
 		}
 	})
-	return q
+	return host
 }
 
-// serve is one connection of such a host.
-func (d *roughDay) serve(ctx context.Context, q *Quay, c net.Conn, part int, has []quirk) {
-	defer c.Close()
+// serveConn is one connection of such a host.
+func (r *faultyHostRun) serveConn(ctx context.Context, host *Host, nc net.Conn, faultPercent int, faults []responseFault) {
+	defer nc.Close()
 	var mu sync.Mutex // whole answers, whoever sends them
-	say := func(text string) {
+	write := func(text string) {
 		mu.Lock()
 		defer mu.Unlock()
-		io.WriteString(c, text)
+		io.WriteString(nc, text)
 	}
 	wait := func(t time.Duration) {
 		select {
@@ -146,186 +146,186 @@
 		case <-ctx.Done():
 		}
 	}
-	in, before := bufio.NewReader(c), "none"
+	reader, previousID := bufio.NewReader(nc), "none"
 	for {
-		r, err := http.ReadRequest(in)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		id := r.Header.Get("Attempt-Id")
-		echo := "Attempt-Id: " + id + "\r\n"
-		if r.ContentLength > window && d.n(100) < part && slices.Contains(has, early) && r.Header.Get("Expected-Instance") == q.ID {
-			d.note(quirkNames[early])
-			q.arrived(id)
-			say("HTTP/1.1 503 Service Unavailable\r\n" + echo + "Request-Not-Run: full\r\nContent-Length: 0\r\n\r\n")
-			wait(time.Duration(d.n(400)) * time.Millisecond)
-			rest, err := io.ReadAll(r.Body)
+		id := req.Header.Get("Attempt-Id")
+		idHeader := "Attempt-Id: " + id + "\r\n"
+		if req.ContentLength > sendWindow && r.intn(100) < faultPercent && slices.Contains(faults, earlyRejection) && req.Header.Get("Expected-Instance") == host.ID {
+			r.count(responseFaultNames[earlyRejection])
+			host.recordArrival(id)
+			write("HTTP/1.1 503 Service Unavailable\r\n" + idHeader + "Request-Not-Run: full\r\nContent-Length: 0\r\n\r\n")
+			wait(time.Duration(r.intn(400)) * time.Millisecond)
+			rest, err := io.ReadAll(req.Body)
 			if strings.Trim(string(rest), "b") != "" {
-				d.broken("UNASKED: other bytes in the body of %s", id)
+				r.violation("UNASKED: other bytes in the body of %s", id)
 			}
 			if err != nil {
 				return
 			}
 			continue
 		}
-		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return
 		}
-		if r.Header.Get("Expected-Instance") != q.ID {
-			d.note("misdirected")
-			say("HTTP/1.1 421 Misdirected Request\r\n" + echo + "Content-Length: 0\r\n\r\n")
+		if req.Header.Get("Expected-Instance") != host.ID {
+			r.count("misdirected")
+			write("HTTP/1.1 421 Misdirected Request\r\n" + idHeader + "Content-Length: 0\r\n\r\n")
 			continue
 		}
-		q.arrived(id)
-		does := quirks
-		if d.n(100) < part {
-			does = has[d.n(len(has))]
-			d.note(quirkNames[does])
+		host.recordArrival(id)
+		fault := responseFaults
+		if r.intn(100) < faultPercent {
+			fault = faults[r.intn(len(faults))]
+			r.count(responseFaultNames[fault])
 		}
-		full := "HTTP/1.1 503 Service Unavailable\r\n" + echo + "Request-Not-Run: full\r\nContent-Length: 0\r\n\r\n"
-		free := func() {}
+		rejection := "HTTP/1.1 503 Service Unavailable\r\n" + idHeader + "Request-Not-Run: full\r\nContent-Length: 0\r\n\r\n"
+		release := func() {}
 		select {
-		case q.slots <- struct{}{}:
-			free = func() { <-q.slots }
+		case host.slots <- struct{}{}:
+			release = func() { <-host.slots }
 		default: // it has no queue
-			does = unrun
+			fault = rejectedTwice
 		}
-		switch does {
-		case unread:
-			free()
+		switch fault {
+		case closedBeforeRun:
+			release()
 			return
-		case unrun, unrunLate:
-			free()
-			say(full)
-			if does == unrunLate {
-				wait(time.Duration(d.n(40)) * time.Millisecond)
+		case rejectedTwice, rejectedTwiceLate:
+			release()
+			write(rejection)
+			if fault == rejectedTwiceLate {
+				wait(time.Duration(r.intn(40)) * time.Millisecond)
 			}
-			say(full)
-			before = id
+			write(rejection)
+			previousID = id
 			continue
 		}
-		d.Harbour.mu.Lock()
-		d.runs[id]++
-		q.runs++
-		d.Harbour.mu.Unlock()
-		wait(q.Work/2 + time.Duration(d.n(int(q.Work))))
-		free()
-		body := q.ID + " ran " + id
-		head := func(id string) string {
-			return "HTTP/1.1 200 OK\r\n" + id + "Server-Seal: " + q.ID + "\r\n"
+		r.Cluster.mu.Lock()
+		r.executions[id]++
+		host.executions++
+		r.Cluster.mu.Unlock()
+		wait(host.ServiceTime/2 + time.Duration(r.intn(int(host.ServiceTime))))
+		release()
+		body := host.ID + " ran " + id
+		responseHead := func(id string) string {
+			return "HTTP/1.1 200 OK\r\n" + id + "Server-Seal: " + host.ID + "\r\n"
 		}
-		whole := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head(echo), len(body), body)
-		switch does {
-		case lost:
+		okResponse := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", responseHead(idHeader), len(body), body)
+		switch fault {
+		case noResponse:
 			continue
-		case broken:
-			c.(*conn).reset()
+		case resetAfterRun:
+			nc.(*conn).reset()
 			return
-		case closed:
+		case closedAfterRun:
 			return
-		case late:
-			wait(time.Duration(500+d.n(2000)) * time.Millisecond)
-			say(whole)
-		case doubled:
-			say(whole + whole)
-		case copied:
-			say(whole)
-			d.all.Go(func() {
-				wait(time.Duration(d.n(300)) * time.Millisecond)
-				say(whole)
+		case lateResponse:
+			wait(time.Duration(500+r.intn(2000)) * time.Millisecond)
+			write(okResponse)
+		case duplicateResponse:
+			write(okResponse + okResponse)
+		case lateDuplicate:
+			write(okResponse)
+			r.background.Go(func() {
+				wait(time.Duration(r.intn(300)) * time.Millisecond)
+				write(okResponse)
 			})
-		case cut:
-			say(whole[:d.n(len(whole))])
+		case truncatedResponse:
+			write(okResponse[:r.intn(len(okResponse))])
 			return
-		case noise:
-			say("\xff\x00what\r\n\r\n" + whole)
-		case behind:
-			say(whole + "\r\n\x00")
-		case another:
-			say(strings.Replace(whole, id, before, 1))
-		case nobodys:
-			say(strings.Replace(whole, echo, "", 1))
-		case switched:
-			say("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n" + echo + "Server-Seal: s\r\n\r\n")
-		case hinted:
-			say("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nAttempt-Id: " + before + "\r\nRequest-Not-Run: 1\r\n\r\n" + whole)
-		case chunked:
-			say(fmt.Sprintf("%sTransfer-Encoding: chunked\r\nTrailer: X\r\n\r\n%x;y\r\n%s\r\n0\r\nX: 1\r\n\r\n", head(echo), len(body), body))
-		case endless:
-			say(head(echo) + "\r\n" + body[:d.n(len(body))])
-			wait(time.Duration(d.n(10)) * time.Millisecond)
-			c.(*conn).reset()
+		case leadingGarbage:
+			write("\xff\x00what\r\n\r\n" + okResponse)
+		case trailingGarbage:
+			write(okResponse + "\r\n\x00")
+		case wrongAttemptID:
+			write(strings.Replace(okResponse, id, previousID, 1))
+		case missingAttemptID:
+			write(strings.Replace(okResponse, idHeader, "", 1))
+		case protocolSwitch:
+			write("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n" + idHeader + "Server-Seal: s\r\n\r\n")
+		case interimResponses:
+			write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nAttempt-Id: " + previousID + "\r\nRequest-Not-Run: 1\r\n\r\n" + okResponse)
+		case chunkedResponse:
+			write(fmt.Sprintf("%sTransfer-Encoding: chunked\r\nTrailer: X\r\n\r\n%x;y\r\n%s\r\n0\r\nX: 1\r\n\r\n", responseHead(idHeader), len(body), body))
+		case unframedReset:
+			write(responseHead(idHeader) + "\r\n" + body[:r.intn(len(body))])
+			wait(time.Duration(r.intn(10)) * time.Millisecond)
+			nc.(*conn).reset()
 			return
-		case unframed:
-			say(head(echo) + "\r\n" + body)
+		case unframedResponse:
+			write(responseHead(idHeader) + "\r\n" + body)
 			return
-		case promising:
-			say("HTTP/1.1 429 Too Many Requests\r\n" + echo + "Content-Length: 0\r\n\r\n")
+		case bare429:
+			write("HTTP/1.1 429 Too Many Requests\r\n" + idHeader + "Content-Length: 0\r\n\r\n")
 		default:
-			say(whole)
+			write(okResponse)
 		}
-		before = id
+		previousID = id
 	}
 }
 
-// visitors are clients that pipeline, go away in the middle of a body, or with their request at a host.
-func (d *roughDay) visitors(z int, lasts time.Duration) {
-	p := d.Sea.Process(fmt.Sprintf("10.%d.201.1", z+1))
-	until := time.Now().Add(lasts)
-	for n := 0; time.Now().Before(until); n++ {
-		time.Sleep(time.Duration(50+d.n(200)) * time.Millisecond)
-		kind, to := d.n(4), d.pick(z)
-		d.all.Go(func() {
-			ctx, cancel := context.WithTimeout(d.ctx, time.Second)
+// runRudeClients are clients that pipeline, go away in the middle of a body, or with their request at a host.
+func (r *faultyHostRun) runRudeClients(zoneIndex int, duration time.Duration) {
+	process := r.Network.Process(fmt.Sprintf("10.%d.201.1", zoneIndex+1))
+	deadline := time.Now().Add(duration)
+	for n := 0; time.Now().Before(deadline); n++ {
+		time.Sleep(time.Duration(50+r.intn(200)) * time.Millisecond)
+		kind, address := r.intn(4), r.pickProxy(zoneIndex)
+		r.background.Go(func() {
+			ctx, cancel := context.WithTimeout(r.ctx, time.Second)
 			defer cancel()
-			c, err := p.Dial(ctx, "tcp", to)
+			nc, err := process.Dial(ctx, "tcp", address)
 			if err != nil {
 				return
 			}
-			defer c.Close()
-			text, ids := "", []string{}
+			defer nc.Close()
+			requests, ids := "", []string{}
 			for k := range 3 {
-				id := fmt.Sprintf("visit-%d-%d-%d", z, n, k)
+				id := fmt.Sprintf("visit-%d-%d-%d", zoneIndex, n, k)
 				ids = append(ids, id)
-				text += fmt.Sprintf("POST %sx HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: %s\r\nTime-Remaining: 2000\r\nContent-Length: 9\r\n\r\n123456789", issue.Prefix, id)
+				requests += fmt.Sprintf("POST %sx HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: %s\r\nTime-Remaining: 2000\r\nContent-Length: 9\r\n\r\n123456789", unsafeRoute.Prefix, id)
 			}
-			end := func(id, how string) {
-				d.Harbour.mu.Lock()
-				defer d.Harbour.mu.Unlock()
-				if d.asked = append(d.asked, time.Now()); d.ended[id] == "" || how != "gone" {
-					d.ended[id] = how
+			recordOutcome := func(id, outcome string) {
+				r.Cluster.mu.Lock()
+				defer r.Cluster.mu.Unlock()
+				if r.requests = append(r.requests, time.Now()); r.outcomes[id] == "" || outcome != "gone" {
+					r.outcomes[id] = outcome
 				}
 			}
-			one := text[:len(text)/3]
+			first := requests[:len(requests)/3]
 			switch kind {
 			case 0: // in the middle of a body: its id was never sent whole, and no host may run it
-				io.WriteString(c, one[:len(one)-1-d.n(8)])
-				time.Sleep(time.Duration(d.n(200)) * time.Millisecond)
-				if d.n(2) == 0 {
-					c.(*conn).reset()
+				io.WriteString(nc, first[:len(first)-1-r.intn(8)])
+				time.Sleep(time.Duration(r.intn(200)) * time.Millisecond)
+				if r.intn(2) == 0 {
+					nc.(*conn).reset()
 				}
-				d.note("half a body")
+				r.count("half a body")
 			case 1:
-				end(ids[0], "gone")
-				io.WriteString(c, one)
-				time.Sleep(time.Duration(d.n(150)) * time.Millisecond)
-				if d.n(2) == 0 {
-					c.(*conn).reset()
+				recordOutcome(ids[0], "gone")
+				io.WriteString(nc, first)
+				time.Sleep(time.Duration(r.intn(150)) * time.Millisecond)
+				if r.intn(2) == 0 {
+					nc.(*conn).reset()
 				}
-				d.note("client gone")
+				r.count("client gone")
 			default:
 				if kind == 3 { // long bodies
-					text = strings.ReplaceAll(text, "Content-Length: 9\r\n\r\n123456789", fmt.Sprintf("Content-Length: %d\r\n\r\n", 5*window)+strings.Repeat("b", 5*window))
-					d.note("long bodies")
+					requests = strings.ReplaceAll(requests, "Content-Length: 9\r\n\r\n123456789", fmt.Sprintf("Content-Length: %d\r\n\r\n", 5*sendWindow)+strings.Repeat("b", 5*sendWindow))
+					r.count("long bodies")
 				}
 				for _, id := range ids {
-					end(id, "gone")
+					recordOutcome(id, "gone")
 				}
-				d.all.Go(func() { io.WriteString(c, text) })
-				c.SetReadDeadline(time.Now().Add(8 * time.Second))
-				in := bufio.NewReader(c)
+				r.background.Go(func() { io.WriteString(nc, requests) })
+				nc.SetReadDeadline(time.Now().Add(8 * time.Second))
+				reader := bufio.NewReader(nc)
 				for _, id := range ids {
-					resp, err := http.ReadResponse(in, nil)
+					resp, err := http.ReadResponse(reader, nil)
 					if err != nil {
 						break
 					}
@@ -333,110 +333,110 @@
 					if err != nil {
 						break
 					}
-					if end(id, fmt.Sprint(resp.StatusCode)); resp.StatusCode == 200 && !strings.HasSuffix(string(body), " ran "+id) {
-						d.broken("MIXED: %s got %q", id, body)
+					if recordOutcome(id, fmt.Sprint(resp.StatusCode)); resp.StatusCode == 200 && !strings.HasSuffix(string(body), " ran "+id) {
+						r.violation("MIXED: %s got %q", id, body)
 					}
 					if resp.Close {
 						break
 					}
 				}
-				d.note("pipelined")
+				r.count("pipelined")
 			}
 		})
 	}
 }
 
-// rougher are what happens besides on such a day.
-var rougher = []struct {
+// disturbances are what happens besides on such a day.
+var disturbances = []struct {
 	name string
-	do   func(d *roughDay) (undo func())
+	do   func(d *faultyHostRun) (undo func())
 }{
-	{"nothing", func(d *roughDay) func() { return nil }},
-	{"a router is killed while it is busy", func(d *roughDay) func() {
-		f := d.router()
+	{"nothing", func(d *faultyHostRun) func() { return nil }},
+	{"a router is killed while it is busy", func(d *faultyHostRun) func() {
+		f := d.takeProxy()
 		f.Kill()
 		return func() {
 			if err := f.Start(); err != nil {
-				d.broken("a router does not start: %v", err)
+				d.violation("a router does not start: %v", err)
 			}
 		}
 	}},
-	{"a router drains, and is killed before it is done", func(d *roughDay) func() {
-		f, done := d.router(), make(chan bool)
-		d.all.Go(func() {
+	{"a router drains, and is killed before it is done", func(d *faultyHostRun) func() {
+		f, done := d.takeProxy(), make(chan bool)
+		d.background.Go(func() {
 			defer close(done)
 			f.Running.Drain()
 		})
-		time.Sleep(time.Duration(d.n(1500)) * time.Millisecond)
+		time.Sleep(time.Duration(d.intn(1500)) * time.Millisecond)
 		f.Kill()
 		return func() {
 			<-done
 			if err := f.Start(); err != nil {
-				d.broken("a router does not start: %v", err)
+				d.violation("a router does not start: %v", err)
 			}
 		}
 	}},
-	{"a router is cut off from hosts", func(d *roughDay) func() {
-		f, q := d.Fairways[d.n(len(d.Fairways))], d.Quays[d.n(len(d.Quays))]
-		d.Sea.Cut(f.Boot.IP, q.IP(), true)
-		return func() { d.Sea.Cut(f.Boot.IP, q.IP(), false) }
+	{"a router is cut off from hosts", func(d *faultyHostRun) func() {
+		f, q := d.Proxies[d.intn(len(d.Proxies))], d.Hosts[d.intn(len(d.Hosts))]
+		d.Network.SetPartition(f.Settings.IP, q.IP(), true)
+		return func() { d.Network.SetPartition(f.Settings.IP, q.IP(), false) }
 	}},
-	{"an address is another's", func(d *roughDay) func() {
-		q := d.ends()
-		time.Sleep(time.Duration(d.n(300)) * time.Millisecond)
+	{"an address is another's", func(d *faultyHostRun) func() {
+		q := d.crashHost()
+		time.Sleep(time.Duration(d.intn(300)) * time.Millisecond)
 		var z int
 		fmt.Sscanf(q.Zone, "z%d", &z)
-		d.host("mail", z, q.Address, 0)
-		return func() { d.host("desk", z, "", 0) }
+		d.startFaultyHost("mail", z, q.Address, 0)
+		return func() { d.startFaultyHost("desk", z, "", 0) }
 	}},
-	{"an address is a new life's", func(d *roughDay) func() {
-		q := d.ends()
+	{"an address is a new life's", func(d *faultyHostRun) func() {
+		q := d.crashHost()
 		var z int
 		fmt.Sscanf(q.Zone, "z%d", &z)
-		d.host("desk", z, q.Address, 0)
+		d.startFaultyHost("desk", z, q.Address, 0)
 		return nil
 	}},
-	{"a host is dark", func(d *roughDay) func() {
-		q := d.Quays[d.n(len(d.Quays))]
-		d.Sea.Down(q.IP(), true)
-		return func() { d.Sea.Down(q.IP(), false) }
+	{"a host is dark", func(d *faultyHostRun) func() {
+		q := d.Hosts[d.intn(len(d.Hosts))]
+		d.Network.SetPoweredOff(q.IP(), true)
+		return func() { d.Network.SetPoweredOff(q.IP(), false) }
 	}},
 }
 
-// playRough plays one day in virtual time and tells what was done and how it ended.
-func playRough(t *testing.T, seed int) (did map[string]int, served, asked int) {
-	one, two := rougher[seed%len(rougher)], rougher[seed/len(rougher)%len(rougher)]
+// playFaultyHosts plays one day in virtual time and tells what was done and how it ended.
+func playFaultyHosts(t *testing.T, seed int) (counts map[string]int, served, requests int) {
+	firstDisturbance, secondDisturbance := disturbances[seed%len(disturbances)], disturbances[seed/len(disturbances)%len(disturbances)]
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		l := Layout{Zones: 3, Routers: 2, Services: []string{"desk", "mail"}, Work: 40 * time.Millisecond, Slots: 3, Rate: 8, Seed: uint64(seed)}
-		h := New(l)
-		c.Assert(h.Start(), qt.IsNil)
-		c.Cleanup(h.Stop)
-		d := &roughDay{Harbour: h, draw: random.Source{Seed: uint64(seed)*7919 + 1}, did: map[string]int{}, over: map[string]bool{}}
-		for z := range l.Zones {
+		layout := Layout{Zones: 3, ProxiesPerZone: 2, Services: []string{"desk", "mail"}, ServiceTime: 40 * time.Millisecond, Concurrency: 3, Rate: 8, Seed: uint64(seed)}
+		cluster := New(layout)
+		c.Assert(cluster.Start(), qt.IsNil)
+		c.Cleanup(cluster.Stop)
+		run := &faultyHostRun{Cluster: cluster, rng: random.Source{Seed: uint64(seed)*7919 + 1}, counts: map[string]int{}, stopped: map[string]bool{}}
+		for z := range layout.Zones {
 			for range 2 {
-				var has []quirk
-				part := []int{0, 5, 20, 40}[d.n(4)]
-				for range 1 + d.n(4) {
-					has = append(has, quirk(d.n(int(quirks))))
+				var faults []responseFault
+				faultPercent := []int{0, 5, 20, 40}[run.intn(4)]
+				for range 1 + run.intn(4) {
+					faults = append(faults, responseFault(run.intn(int(responseFaults))))
 				}
-				d.host("desk", z, "", part, has...)
+				run.startFaultyHost("desk", z, "", faultPercent, faults...)
 			}
 		}
 		time.Sleep(2 * time.Second)
-		configure(c, h, h.Configure(true, look, issue), 0)
+		configure(c, cluster, cluster.ChangeBody(true, safeRoute, unsafeRoute), 0)
 		time.Sleep(1500 * time.Millisecond)
-		lasts := 5 * time.Second
+		duration := 5 * time.Second
 		var tally Tally
-		for z := range l.Zones {
-			h.Traffic(&tally, z, look, l.Rate, lasts)
-			h.Traffic(&tally, z, issue, 2*l.Rate, lasts)
-			h.all.Go(func() { d.visitors(z, lasts) })
+		for z := range layout.Zones {
+			cluster.GenerateTraffic(&tally, z, safeRoute, layout.Rate, duration)
+			cluster.GenerateTraffic(&tally, z, unsafeRoute, 2*layout.Rate, duration)
+			cluster.background.Go(func() { run.runRudeClients(z, duration) })
 		}
-		time.Sleep(time.Second + time.Duration(d.n(500))*time.Millisecond)
-		undo := []func(){one.do(d)}
-		time.Sleep(time.Duration(d.n(800)) * time.Millisecond)
-		undo = append(undo, two.do(d))
+		time.Sleep(time.Second + time.Duration(run.intn(500))*time.Millisecond)
+		undo := []func(){firstDisturbance.do(run)}
+		time.Sleep(time.Duration(run.intn(800)) * time.Millisecond)
+		undo = append(undo, secondDisturbance.do(run))
 		time.Sleep(1500 * time.Millisecond)
 		for _, f := range undo {
 			if f != nil {
@@ -444,36 +444,36 @@
 			}
 		}
 		time.Sleep(8 * time.Second)
-		var how string
-		served, asked, how = tally.Counts()
-		did = d.did
-		c.Check(h.Judge(), qt.HasLen, 0, qt.Commentf("seed %d, %s, %s: %s", seed, one.name, two.name, how))
+		var summary string
+		served, requests, summary = tally.Counts()
+		counts = run.counts
+		c.Check(cluster.Verify(), qt.HasLen, 0, qt.Commentf("seed %d, %s, %s: %s", seed, firstDisturbance.name, secondDisturbance.name, summary))
 	})
-	return did, served, asked
+	return counts, served, requests
 }
 
 // Days on which hosts' answers are lost, late, doubled and spoilt, addresses are used again, routers killed while they are busy
 // or drain, and clients pipeline and go away: nothing is mixed up, nothing runs twice, and what is refused has not run.
 // -args -rough 10000 plays as many, from -from on.
-func TestRoughDays(t *testing.T) {
-	all, served, asked := map[string]int{}, 0, 0
-	for seed := *from; seed < *from+*rough; seed++ {
+func TestFaultyHostResponses(t *testing.T) {
+	counts, served, requests := map[string]int{}, 0, 0
+	for seed := *firstSeed; seed < *firstSeed+*faultyHostRuns; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			did, s, a := playRough(t, seed)
-			for what, n := range did {
-				all[what] += n
+			runCounts, runServed, runRequests := playFaultyHosts(t, seed)
+			for label, n := range runCounts {
+				counts[label] += n
 			}
-			served, asked = served+s, asked+a
+			served, requests = served+runServed, requests+runRequests
 		})
-		if (seed-*from+1)%500 == 0 {
-			t.Logf("%d days: %d of %d served, %v", seed-*from+1, served, asked, all)
+		if (seed-*firstSeed+1)%500 == 0 {
+			t.Logf("%d days: %d of %d served, %v", seed-*firstSeed+1, served, requests, counts)
 		}
 	}
-	t.Logf("%d days: %d of %d served", *rough, served, asked)
-	for _, what := range slices.Sorted(maps.Keys(all)) {
-		t.Logf("%s: %d", what, all[what])
+	t.Logf("%d days: %d of %d served", *faultyHostRuns, served, requests)
+	for _, label := range slices.Sorted(maps.Keys(counts)) {
+		t.Logf("%s: %d", label, counts[label])
 	}
-	if asked == 0 || float64(served) < 0.5*float64(asked) {
-		t.Errorf("%d of %d served", served, asked)
+	if requests == 0 || float64(served) < 0.5*float64(requests) {
+		t.Errorf("%d of %d served", served, requests)
 	}
 }
--- a/internal/lab/simulation/compacting_test.go
+++ b/internal/lab/simulation/compacting_test.go
@@ -15,8 +15,8 @@
 	"portflow/internal/control/store"
 )
 
-// bulky is a share whose body doesn't shrink by packing.
-func bulky(draw *rand.Rand, n int, version uint64) config.Item {
+// bulkyChange is a share whose body doesn't shrink by packing.
+func bulkyChange(draw *rand.Rand, n int, version uint64) config.Item {
 	return config.Item{Kind: config.KindQuotas, Name: fmt.Sprint("tenant-", n), Version: version,
 		Body: fmt.Appendf(nil, `{"name":"tenant-%d","x":"%x%x%x%x%x%x%x%x"}`, n, draw.Uint64(), draw.Uint64(), draw.Uint64(), draw.Uint64(),
 			draw.Uint64(), draw.Uint64(), draw.Uint64(), draw.Uint64())}
@@ -25,20 +25,20 @@
 // While the store compacts, an order waits for its own sync, and now and then for one full buffer to be written, which is two
 // more, and a table that is being made before it, two again: the store may miss its own word that a buffer is full, and then
 // writes that one when the next is. Counted in virtual time, on a disk whose syncs take 5 ms, at 36,200 items and 10,000 changes. The disk stays far under the 64 MB of small sites.
-func TestCompactingHoldsNothingUp(t *testing.T) {
+func TestCompactionDoesNotBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		d := NewDisk()
-		d.Delay = 5 * time.Millisecond
-		book, _, _, _, err := store.Open(d.Handle())
+		d.SyncDelay = 5 * time.Millisecond
+		st, _, _, _, err := store.Open(d.Open())
 		c.Assert(err, qt.IsNil)
 		draw := rand.New(rand.NewPCG(1, 1))
-		var took []time.Duration
-		most, tables, last := 0, 0, int64(0)
+		var latencies []time.Duration
+		highest, tables, last := 0, 0, int64(0)
 		write := func(items ...config.Item) {
-			began := time.Now()
-			c.Assert(book.Write(items, map[string][]byte{"number": fmt.Append(nil, len(took))}, false), qt.IsNil)
-			took = append(took, time.Since(began))
+			start := time.Now()
+			c.Assert(st.Write(items, map[string][]byte{"number": fmt.Append(nil, len(latencies))}, false), qt.IsNil)
+			latencies = append(latencies, time.Since(start))
 			size := 0
 			d.mu.Lock()
 			for fd, f := range d.files {
@@ -48,35 +48,35 @@
 				}
 			}
 			d.mu.Unlock()
-			most = max(most, size)
+			highest = max(highest, size)
 		}
 		var all []config.Item
 		for n := range 36200 {
-			all = append(all, bulky(draw, n, 1))
+			all = append(all, bulkyChange(draw, n, 1))
 		}
 		for part := range slices.Chunk(all, 500) {
 			write(part...)
 		}
-		loading := slices.Max(took)
-		took = nil
+		loading := slices.Max(latencies)
+		latencies = nil
 		for n := range 10000 {
-			write(bulky(draw, draw.IntN(36200), uint64(n+2)))
+			write(bulkyChange(draw, draw.IntN(36200), uint64(n+2)))
 		}
-		c.Assert(book.Close(), qt.IsNil)
+		c.Assert(st.Close(), qt.IsNil)
 		late := 0
-		for _, x := range took {
-			if x > d.Delay {
+		for _, x := range latencies {
+			if x > d.SyncDelay {
 				late++
 			}
 		}
-		slices.Sort(took)
+		slices.Sort(latencies)
 		t.Logf("worst write %v while loading, %v of 10,000 changes, %d of them over one sync; %d tables made; at most %.1f MB",
-			loading, took[len(took)-1], late, tables, float64(most)/1e6)
-		c.Check(loading <= 5*d.Delay, qt.IsTrue)
-		c.Check(took[len(took)-1] <= 5*d.Delay, qt.IsTrue)
+			loading, latencies[len(latencies)-1], late, tables, float64(highest)/1e6)
+		c.Check(loading <= 5*d.SyncDelay, qt.IsTrue)
+		c.Check(latencies[len(latencies)-1] <= 5*d.SyncDelay, qt.IsTrue)
 		c.Check(late <= 5, qt.IsTrue) // the changes fill so many buffers
 		c.Check(tables > 8, qt.IsTrue)
-		c.Check(most < 24<<20, qt.IsTrue, qt.Commentf("%d bytes", most))
+		c.Check(highest < 24<<20, qt.IsTrue, qt.Commentf("%d bytes", highest))
 		time.Sleep(2 * time.Second)
 	})
 }
--- a/internal/lab/simulation/core_test.go
+++ b/internal/lab/simulation/core_test.go
@@ -21,163 +21,165 @@
 	"portflow/internal/random"
 )
 
-// pulse sends one small order after another, and keeps which were confirmed and when: what was confirmed must stand at the
+// steadyWriter sends one small order after another, and keeps which were confirmed and when: what was confirmed must stand at the
 // end, and the longest time between two of them is what a change of the core cost its callers.
-type pulse struct {
-	h         *Harbour
-	mu        sync.Mutex
-	confirmed [pulseRoutes]uint64 // the highest version of each route
-	sent      [pulseRoutes]uint64
-	at        []time.Time
-	stop      chan bool
-	ended     chan bool
+type steadyWriter struct {
+	cluster     *Cluster
+	mu          sync.Mutex
+	confirmed   [writerRoutes]uint64 // the highest version of each route
+	sent        [writerRoutes]uint64
+	confirmedAt []time.Time
+	stop        chan bool
+	done        chan bool
 }
 
-const pulseRoutes = 20
+const writerRoutes = 20
 
-func (h *Harbour) pulse() *pulse {
-	p := &pulse{h: h, stop: make(chan bool), ended: make(chan bool)}
-	client := h.client(h.Sea.Process("10.200.0.30"), time.Second)
+func (cl *Cluster) startWriter() *steadyWriter {
+	writer := &steadyWriter{cluster: cl, stop: make(chan bool), done: make(chan bool)}
+	client := cl.httpClient(cl.Network.Process("10.200.0.30"), time.Second)
 	go func() {
-		defer close(p.ended)
+		defer close(writer.done)
 		defer client.CloseIdleConnections()
 		for n, to := 0, 0; ; n++ {
 			select {
-			case <-p.stop:
+			case <-writer.stop:
 				return
 			case <-time.After(20 * time.Millisecond):
 			}
-			r, v := n%pulseRoutes, uint64(n+10)
-			change := h.Configure(false, Route{Name: fmt.Sprint("pulse-", r), Prefix: fmt.Sprintf("/pulse/%d/", r), Service: "desk", Version: fmt.Sprintf("%08d", v), Safe: true})
-			p.mu.Lock()
-			p.sent[r] = v
-			p.mu.Unlock()
-			for range len(h.Masters) {
-				if status, _, err := post(h.ctx, client, h.control(to), "configuration.modify", "", change); err == nil && status == 200 {
-					p.mu.Lock()
-					p.confirmed[r] = v
-					p.at = append(p.at, time.Now())
-					p.mu.Unlock()
+			r, v := n%writerRoutes, uint64(n+10)
+			change := cl.ChangeBody(false, Route{Name: fmt.Sprint("pulse-", r), Prefix: fmt.Sprintf("/pulse/%d/", r), Service: "desk", Version: fmt.Sprintf("%08d", v), Idempotent: true})
+			writer.mu.Lock()
+			writer.sent[r] = v
+			writer.mu.Unlock()
+			for range len(cl.Controls) {
+				if status, _, err := callRPC(cl.ctx, client, cl.controlAddress(to), "configuration.modify", "", change); err == nil && status == 200 {
+					writer.mu.Lock()
+					writer.confirmed[r] = v
+					writer.confirmedAt = append(writer.confirmedAt, time.Now())
+					writer.mu.Unlock()
 					break
 				}
-				to = (to + 1) % len(h.Masters)
+				to = (to + 1) % len(cl.Controls)
 			}
 		}
 	}()
-	return p
+	return writer
 }
 
-// gap is the longest time without a confirmed order from a moment on.
-func (p *pulse) gap(from time.Time) (most time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// longestGap is the longest time without a confirmed order from a moment on.
+func (w *steadyWriter) longestGap(from time.Time) (longest time.Duration) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	last := from
-	for _, at := range p.at {
+	for _, at := range w.confirmedAt {
 		if at.After(from) {
-			most, last = max(most, at.Sub(last)), at
+			longest, last = max(longest, at.Sub(last)), at
 		}
 	}
-	return max(most, time.Since(last))
+	return max(longest, time.Since(last))
 }
 
-func (p *pulse) end() { close(p.stop); <-p.ended }
+func (w *steadyWriter) close() { close(w.stop); <-w.done }
 
-// holds checks at one process that all that was confirmed stands.
-func (p *pulse) holds(c *qt.C, at int) {
-	_, raw := p.h.ask1(at, "configuration.read", nil)
-	for r, v := range p.confirmed {
-		m := regexp.MustCompile(fmt.Sprintf(`"pulse-%d"[^\]]*"(\d{8})"\]`, r)).FindSubmatch(raw)
-		if v == 0 {
+// checkConfirmed checks at one process that all that was confirmed stands.
+func (w *steadyWriter) checkConfirmed(c *qt.C, control int) {
+	_, raw := w.cluster.callOne(control, "configuration.read", nil)
+	for route, version := range w.confirmed {
+		match := regexp.MustCompile(fmt.Sprintf(`"pulse-%d"[^\]]*"(\d{8})"\]`, route)).FindSubmatch(raw)
+		if version == 0 {
 			continue
 		}
-		got := uint64(0)
-		if m != nil {
-			got, _ = strconv.ParseUint(string(m[1]), 10, 64)
+		stored := uint64(0)
+		if match != nil {
+			stored, _ = strconv.ParseUint(string(match[1]), 10, 64)
 		}
-		c.Check(got >= v && got <= p.sent[r], qt.IsTrue, qt.Commentf("at %d: route %d stands at %d, confirmed %d, sent %d", at, r, got, v, p.sent[r]))
+		c.Check(stored >= version && stored <= w.sent[route], qt.IsTrue, qt.Commentf("at %d: route %d stands at %d, confirmed %d, sent %d", control, route, stored, version, w.sent[route]))
 	}
 }
 
-// ask1 makes one call to one process.
-func (h *Harbour) ask1(at int, call string, body any) (int, []byte) {
+// callOne makes one call to one process.
+func (cl *Cluster) callOne(at int, call string, body any) (int, []byte) {
 	raw := []byte(nil)
 	if body != nil {
 		raw, _ = json.Marshal(body)
 	}
-	return h.askOf(at, call, "", raw)
+	return cl.callOneFor(at, call, "", raw)
 }
 
-func (h *Harbour) askOf(at int, call, of string, raw []byte) (int, []byte) {
-	client := h.client(h.Sea.Process("10.200.0.31"), 2*time.Second)
+func (cl *Cluster) callOneFor(at int, call, target string, raw []byte) (int, []byte) {
+	client := cl.httpClient(cl.Network.Process("10.200.0.31"), 2*time.Second)
 	defer client.CloseIdleConnections()
-	status, answer, err := post(context.Background(), client, h.control(at), call, of, raw)
+	status, reply, err := callRPC(context.Background(), client, cl.controlAddress(at), call, target, raw)
 	if err != nil {
 		return 0, []byte(err.Error())
 	}
-	return status, answer
+	return status, reply
 }
 
-func (h *Harbour) core(at int) (s server.CoreStatus) {
-	_, raw := h.ask1(at, "core.read", nil)
-	json.Unmarshal(raw, &s)
-	return s
+func (cl *Cluster) coreStatus(at int) (coreStatus server.CoreStatus) {
+	_, raw := cl.callOne(at, "core.read", nil)
+	json.Unmarshal(raw, &coreStatus)
+	return coreStatus
 }
 
-func (h *Harbour) change(at int, do, who, with string, dry, force bool) (out server.CoreChangeResult, status int, raw []byte) {
-	status, raw = h.ask1(at, "core.change", server.CoreChange{Action: do, Member: who, Replacement: with, DryRun: dry, Force: force})
+func (cl *Cluster) changeCore(at int, do, who, with string, dry, force bool) (out server.CoreChangeResult, status int, raw []byte) {
+	status, raw = cl.callOne(at, "core.change", server.CoreChange{Action: do, Member: who, Replacement: with, DryRun: dry, Force: force})
 	json.Unmarshal(raw, &out)
 	return out, status, raw
 }
 
-func names(all []server.CoreMember) []string {
+func memberNames(all []server.CoreMember) []string {
 	return lo.Map(all, func(x server.CoreMember, _ int) string { return x.Name })
 }
 
-// until waits for something, and tells how long that took; it fails after a while.
-func until(c *qt.C, most time.Duration, what string, is func() bool) time.Duration {
-	began := time.Now()
-	for !is() {
-		if time.Since(began) > most {
-			c.Errorf("%s: not within %v", what, most)
-			return most
+// waitUntil waits for something, and tells how long that took; it fails after a while.
+func waitUntil(c *qt.C, limit time.Duration, label string, condition func() bool) time.Duration {
+	start := time.Now()
+	for !condition() {
+		if time.Since(start) > limit {
+			c.Errorf("%s: not within %v", label, limit)
+			return limit
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
 
-// cored plays something in a harbour of control processes alone, a zone each.
-func cored(t *testing.T, zones int, seed uint64, happens func(c *qt.C, h *Harbour)) {
+// withControls plays something in a harbour of control processes alone, a zone each.
+func withControls(t *testing.T, zones int, seed uint64, scenario func(c *qt.C, cluster *Cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := New(Layout{Zones: zones, Services: []string{"desk"}, Seed: seed})
-		c.Assert(h.Start(), qt.IsNil)
-		defer h.Stop()
+		cluster := New(Layout{Zones: zones, Services: []string{"desk"}, Seed: seed})
+		c.Assert(cluster.Start(), qt.IsNil)
+		defer cluster.Stop()
 		time.Sleep(2 * time.Second)
-		configure(c, h, h.Configure(true, look), 0)
-		until(c, 10*time.Second, "all are members", func() bool { return len(h.core(0).Members) == zones && h.core(0).Tolerates == zones-zones/2-1 })
-		happens(c, h)
+		configure(c, cluster, cluster.ChangeBody(true, safeRoute), 0)
+		waitUntil(c, 10*time.Second, "all are members", func() bool {
+			return len(cluster.coreStatus(0).Members) == zones && cluster.coreStatus(0).Tolerates == zones-zones/2-1
+		})
+		scenario(c, cluster)
 	})
 }
 
-// one tells whether all that run have one list and one number, are in touch and whole; nothing may be ordered meanwhile.
-func (h *Harbour) one(members int) bool { return h.listed(members, true) }
+// converged tells whether all that run have one list and one number, are in touch and whole; nothing may be ordered meanwhile.
+func (cl *Cluster) converged(members int) bool { return cl.sameMembership(members, true) }
 
-// listed is one, with the number or without it.
-func (h *Harbour) listed(members int, number bool) bool {
+// sameMembership is one, with the number or without it.
+func (cl *Cluster) sameMembership(members int, number bool) bool {
 	first := server.CoreStatus{}
-	for at, m := range h.Masters {
-		if m.cancel == nil {
+	for at, node := range cl.Controls {
+		if node.cancel == nil {
 			continue
 		}
-		s := h.core(at)
-		if s.Status != "in touch" || !s.Current || len(s.Members) != members {
+		coreStatus := cl.coreStatus(at)
+		if coreStatus.Status != "in touch" || !coreStatus.Current || len(coreStatus.Members) != members {
 			return false
 		}
 		if first.Node == "" {
-			first = s
+			first = coreStatus
 		}
-		if s.Epoch != first.Epoch || number && s.Index != first.Index {
+		if coreStatus.Epoch != first.Epoch || number && coreStatus.Index != first.Index {
 			return false
 		}
 	}
@@ -187,47 +189,47 @@
 // A member that is let go while it lives isn't voted in again by itself, also not after a restart; it is by an order, or
 // with a new disk. A dry run changes nothing.
 func TestCoreRemovedAndAdded(t *testing.T) {
-	cored(t, 6, 3, func(c *qt.C, h *Harbour) {
-		name := h.Masters[2].Boot.Name
-		s := h.core(1)
-		c.Check(s.Tolerates, qt.Equals, 2)
-		c.Check(s.ToleratedZones, qt.HasLen, 6)
-		out, status, _ := h.change(1, "remove", name, "", true, false)
+	withControls(t, 6, 3, func(c *qt.C, cluster *Cluster) {
+		name := cluster.Controls[2].Settings.Name
+		coreStatus := cluster.coreStatus(1)
+		c.Check(coreStatus.Tolerates, qt.Equals, 2)
+		c.Check(coreStatus.ToleratedZones, qt.HasLen, 6)
+		out, status, _ := cluster.changeCore(1, "remove", name, "", true, false)
 		c.Check(status, qt.Equals, 200)
 		c.Check(out.Done, qt.IsFalse)
 		c.Check(out.Tolerates, qt.Equals, [2]int{2, 2})
-		c.Check(h.core(1).Epoch, qt.Equals, s.Epoch)
+		c.Check(cluster.coreStatus(1).Epoch, qt.Equals, coreStatus.Epoch)
 
 		for range 2 { // again it finds that it stands
-			out, status, raw := h.change(1, "remove", name, "", false, false)
+			out, status, raw := cluster.changeCore(1, "remove", name, "", false, false)
 			c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
 			c.Check(out.Done, qt.IsTrue)
 		}
 		out1 := func() bool {
-			s := h.core(4)
-			return len(s.Members) == 5 && slices.Contains(names(s.Learners), name) && slices.Contains(names(s.Excluded), name)
+			coreStatus := cluster.coreStatus(4)
+			return len(coreStatus.Members) == 5 && slices.Contains(memberNames(coreStatus.Learners), name) && slices.Contains(memberNames(coreStatus.Excluded), name)
 		}
 		time.Sleep(8 * time.Second)
-		c.Check(out1(), qt.IsTrue, qt.Commentf("%+v", h.core(4)))
-		epoch := h.core(4).Epoch
-		c.Check(epoch, qt.Equals, s.Epoch+1)
-		h.Masters[2].Kill()
-		h.Masters[2].mustStart()
+		c.Check(out1(), qt.IsTrue, qt.Commentf("%+v", cluster.coreStatus(4)))
+		epoch := cluster.coreStatus(4).Epoch
+		c.Check(epoch, qt.Equals, coreStatus.Epoch+1)
+		cluster.Controls[2].Kill()
+		cluster.Controls[2].mustStart()
 		time.Sleep(8 * time.Second)
-		c.Check(out1(), qt.IsTrue, qt.Commentf("%+v", h.core(4)))
-		c.Check(h.core(2).Status, qt.Equals, "in touch")
+		c.Check(out1(), qt.IsTrue, qt.Commentf("%+v", cluster.coreStatus(4)))
+		c.Check(cluster.coreStatus(2).Status, qt.Equals, "in touch")
 
-		_, status, raw := h.change(2, "add", name, "", false, false)
+		_, status, raw := cluster.changeCore(2, "add", name, "", false, false)
 		c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
-		until(c, time.Second, "it is in", func() bool { return h.one(6) })
-		c.Check(h.core(0).Excluded, qt.HasLen, 0)
+		waitUntil(c, time.Second, "it is in", func() bool { return cluster.converged(6) })
+		c.Check(cluster.coreStatus(0).Excluded, qt.HasLen, 0)
 
-		_, status, _ = h.change(0, "remove", name, "", false, false)
+		_, status, _ = cluster.changeCore(0, "remove", name, "", false, false)
 		c.Check(status, qt.Equals, 200)
-		h.Masters[2].Kill()
-		h.Masters[2].Disk.Wipe()
-		h.Masters[2].mustStart()
-		until(c, 8*time.Second, "it is in with a new disk", func() bool { return h.one(6) })
+		cluster.Controls[2].Kill()
+		cluster.Controls[2].Disk.Wipe()
+		cluster.Controls[2].mustStart()
+		waitUntil(c, 8*time.Second, "it is in with a new disk", func() bool { return cluster.converged(6) })
 		for _, x := range []struct {
 			do, who, with, says string
 			status              int
@@ -237,7 +239,7 @@
 			{"replace", name, "nobody", "is not heard", 404},
 			{"burn", name, "", "not remove, add or replace", 400},
 		} {
-			_, status, raw := h.change(1, x.do, x.who, x.with, false, false)
+			_, status, raw := cluster.changeCore(1, x.do, x.who, x.with, false, false)
 			c.Check(status, qt.Equals, x.status, qt.Commentf("%s", raw))
 			c.Check(string(raw), qt.Contains, x.says)
 		}
@@ -246,49 +248,49 @@
 
 // What would leave no loss to bear is refused, and with --force done; what leaves no majority that is heard never is.
 func TestCoreRemovalRefused(t *testing.T) {
-	cored(t, 3, 4, func(c *qt.C, h *Harbour) {
-		_, status, raw := h.change(0, "remove", h.Masters[2].Boot.IP, "", false, false)
+	withControls(t, 3, 4, func(c *qt.C, cluster *Cluster) {
+		_, status, raw := cluster.changeCore(0, "remove", cluster.Controls[2].Settings.IP, "", false, false)
 		c.Check(status, qt.Equals, 400)
 		c.Check(string(raw), qt.Contains, "would bear no loss")
-		out, status, _ := h.change(0, "remove", h.Masters[2].Boot.IP, "", false, true)
+		out, status, _ := cluster.changeCore(0, "remove", cluster.Controls[2].Settings.IP, "", false, true)
 		c.Check(status, qt.Equals, 200)
 		c.Check(out.Tolerates, qt.Equals, [2]int{1, 0})
-		until(c, 2*time.Second, "one core of two", func() bool { return h.one(2) })
-		h.Masters[1].Kill()
+		waitUntil(c, 2*time.Second, "one core of two", func() bool { return cluster.converged(2) })
+		cluster.Controls[1].Kill()
 		time.Sleep(2 * time.Second)
-		_, status, _ = h.change(0, "remove", h.Masters[0].Boot.IP, "", false, true)
+		_, status, _ = cluster.changeCore(0, "remove", cluster.Controls[0].Settings.IP, "", false, true)
 		c.Check(status, qt.Equals, 503) // without a majority nothing is ordered
 	})
-	cored(t, 3, 5, func(c *qt.C, h *Harbour) {
-		h.Masters[1].Kill()
+	withControls(t, 3, 5, func(c *qt.C, cluster *Cluster) {
+		cluster.Controls[1].Kill()
 		time.Sleep(2 * time.Second)
-		_, status, raw := h.change(0, "remove", h.Masters[2].Boot.IP, "", false, true)
+		_, status, raw := cluster.changeCore(0, "remove", cluster.Controls[2].Settings.IP, "", false, true)
 		c.Check(status, qt.Equals, 400)
 		c.Check(string(raw), qt.Contains, "can't be taken over")
-		_, status, _ = h.change(0, "remove", h.Masters[1].Boot.IP, "", false, true)
+		_, status, _ = cluster.changeCore(0, "remove", cluster.Controls[1].Settings.IP, "", false, true)
 		c.Check(status, qt.Equals, 200) // the lost one goes: two of two
 	})
 }
 
 // A lost machine is replaced by order, at once: its successor is in another zone, so that it wouldn't go by itself.
 func TestCoreReplacedByOrder(t *testing.T) {
-	cored(t, 6, 6, func(c *qt.C, h *Harbour) {
-		lost := h.Masters[5].Boot
-		h.Masters[5].Replace()
-		m := h.Masters[5]
-		m.Boot.Zone, m.Boot.Region = h.Masters[4].Boot.Zone, h.Masters[4].Boot.Region
-		m.mustStart()
+	withControls(t, 6, 6, func(c *qt.C, cluster *Cluster) {
+		lost := cluster.Controls[5].Settings
+		cluster.Controls[5].Replace()
+		node := cluster.Controls[5]
+		node.Settings.Zone, node.Settings.Region = cluster.Controls[4].Settings.Zone, cluster.Controls[4].Settings.Region
+		node.mustStart()
 		standsBy := func() bool { // its zone has a member: it is ready, and isn't voted in by itself
-			s := h.core(0)
-			return len(s.Members) == 6 && len(s.Learners) == 1 && s.Learners[0].Name == m.Boot.Name && s.Learners[0].CaughtUp
+			coreStatus := cluster.coreStatus(0)
+			return len(coreStatus.Members) == 6 && len(coreStatus.Learners) == 1 && coreStatus.Learners[0].Name == node.Settings.Name && coreStatus.Learners[0].CaughtUp
 		}
-		until(c, 8*time.Second, "it stands by", standsBy)
+		waitUntil(c, 8*time.Second, "it stands by", standsBy)
 		time.Sleep(6 * time.Second)
-		c.Check(standsBy(), qt.IsTrue, qt.Commentf("%+v", h.core(0)))
-		_, status, raw := h.change(3, "replace", lost.Name, m.Boot.Name, false, false)
+		c.Check(standsBy(), qt.IsTrue, qt.Commentf("%+v", cluster.coreStatus(0)))
+		_, status, raw := cluster.changeCore(3, "replace", lost.Name, node.Settings.Name, false, false)
 		c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
-		until(c, 2*time.Second, "one core", func() bool { return h.one(6) })
-		c.Check(names(h.core(0).Excluded), qt.DeepEquals, []string{lost.Name})
+		waitUntil(c, 2*time.Second, "one core", func() bool { return cluster.converged(6) })
+		c.Check(memberNames(cluster.coreStatus(0).Excluded), qt.DeepEquals, []string{lost.Name})
 	})
 }
 
@@ -296,67 +298,67 @@
 // come back after all with their disks, are fenced, and join: one core, one state, orders are confirmed.
 func TestCoreRecovered(t *testing.T) {
 	for seed := range uint64(3) {
-		cored(t, 6, 20+seed, func(c *qt.C, h *Harbour) {
-			p := h.pulse()
+		withControls(t, 6, 20+seed, func(c *qt.C, cluster *Cluster) {
+			writer := cluster.startWriter()
 			time.Sleep(time.Second)
-			status, raw := h.ask1(4, "core.recover", map[string]any{"confirm": ""})
+			status, raw := cluster.callOne(4, "core.recover", map[string]any{"confirm": ""})
 			c.Check(status, qt.Equals, 400)
 			c.Check(string(raw), qt.Contains, "more than half of the members are heard")
-			for _, m := range h.Masters[:4] {
-				m.Kill()
+			for _, node := range cluster.Controls[:4] {
+				node.Kill()
 			}
 			time.Sleep(4 * time.Second)
-			p.end()
-			began := time.Now()
-			status, _, _ = h.Order("configuration.modify", "", h.Configure(false, issue), 2*time.Second, 4)
+			writer.close()
+			start := time.Now()
+			status, _, _ = cluster.Call("configuration.modify", "", cluster.ChangeBody(false, unsafeRoute), 2*time.Second, 4)
 			c.Check(status, qt.Equals, 0) // two of six take nothing
 			at := 4
-			if h.core(5).Index > h.core(4).Index {
+			if cluster.coreStatus(5).Index > cluster.coreStatus(4).Index {
 				at = 5
 			}
 			var r server.CoreRecovery
-			status, raw = h.ask1(at, "core.recover", map[string]any{})
+			status, raw = cluster.callOne(at, "core.recover", map[string]any{})
 			c.Assert(status, qt.Equals, 200, qt.Commentf("%s", raw))
 			c.Assert(json.Unmarshal(raw, &r), qt.IsNil)
 			c.Check(r.Done, qt.IsFalse)
 			c.Check(r.Losses, qt.HasLen, 5) // four silent, and what only they hold
-			old := h.core(at)
+			old := cluster.coreStatus(at)
 			c.Check(r.ConfirmPhrase, qt.Equals, fmt.Sprintf("epoch %d number %d", old.Epoch, old.Index))
-			status, _ = h.ask1(at, "core.recover", map[string]any{"confirm": "epoch 1 number 1"})
+			status, _ = cluster.callOne(at, "core.recover", map[string]any{"confirm": "epoch 1 number 1"})
 			c.Check(status, qt.Equals, 400)
 			for range 2 { // the same once more finds that it is done
-				status, raw = h.ask1(at, "core.recover", map[string]any{"confirm": r.ConfirmPhrase})
+				status, raw = cluster.callOne(at, "core.recover", map[string]any{"confirm": r.ConfirmPhrase})
 				c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
 				c.Check(string(raw), qt.Contains, `"done":true`)
 			}
-			c.Check(h.core(at).Epoch > old.Epoch && h.core(at).Index > old.Index, qt.IsTrue)
-			until(c, 5*time.Second, "the other joins", func() bool { return h.one(2) })
-			change := issue
-			status, _, _ = h.Order("configuration.modify", "", h.Configure(false, change), 2*time.Second, 9-at)
+			c.Check(cluster.coreStatus(at).Epoch > old.Epoch && cluster.coreStatus(at).Index > old.Index, qt.IsTrue)
+			waitUntil(c, 5*time.Second, "the other joins", func() bool { return cluster.converged(2) })
+			change := unsafeRoute
+			status, _, _ = cluster.Call("configuration.modify", "", cluster.ChangeBody(false, change), 2*time.Second, 9-at)
 			c.Check(status, qt.Equals, 200)
-			c.Logf("seed %d: %v from the call to the first confirmed order", seed, time.Since(began).Round(10*time.Millisecond))
-			h.Masters[0].mustStart()
-			h.Masters[1].mustStart()
-			until(c, 10*time.Second, "two old ones join", func() bool { return h.one(4) })
-			for i := range h.Masters {
+			c.Logf("seed %d: %v from the call to the first confirmed order", seed, time.Since(start).Round(10*time.Millisecond))
+			cluster.Controls[0].mustStart()
+			cluster.Controls[1].mustStart()
+			waitUntil(c, 10*time.Second, "two old ones join", func() bool { return cluster.converged(4) })
+			for i := range cluster.Controls {
 				if i < 2 || i > 3 {
-					_, raw := h.ask1(i, "configuration.read", nil)
+					_, raw := cluster.callOne(i, "configuration.read", nil)
 					c.Check(string(raw), qt.Contains, "/issue/")
-					p.holds(c, i) // the two had all that was confirmed
+					writer.checkConfirmed(c, i) // the two had all that was confirmed
 				}
 			}
-			for _, m := range h.Masters { // and all of it is on disk
-				m.Kill()
+			for _, node := range cluster.Controls { // and all of it is on disk
+				node.Kill()
 			}
 			time.Sleep(time.Second)
 			for _, i := range []int{0, 1, 4, 5} {
-				h.Masters[i].Disk.PowerLoss(i%2 == 0)
-				h.Masters[i].mustStart()
+				cluster.Controls[i].Disk.PowerLoss(i%2 == 0)
+				cluster.Controls[i].mustStart()
 			}
-			until(c, 10*time.Second, "one core again", func() bool { return h.one(4) })
-			h.Masters[2].mustStart()
-			h.Masters[3].mustStart()
-			until(c, 10*time.Second, "all six", func() bool { return h.one(6) })
+			waitUntil(c, 10*time.Second, "one core again", func() bool { return cluster.converged(4) })
+			cluster.Controls[2].mustStart()
+			cluster.Controls[3].mustStart()
+			waitUntil(c, 10*time.Second, "all six", func() bool { return cluster.converged(6) })
 		})
 	}
 }
@@ -364,56 +366,56 @@
 // The disk of the process that is to be the whole core hangs: as long as nothing of the recovery is on it, the call isn't
 // acknowledged, however often it is sent.
 func TestRecoveryIsAcknowledgedFromDisk(t *testing.T) {
-	cored(t, 3, 41, func(c *qt.C, h *Harbour) {
-		for _, m := range h.Masters[1:] {
+	withControls(t, 3, 41, func(c *qt.C, h *Cluster) {
+		for _, m := range h.Controls[1:] {
 			m.Kill()
 		}
 		time.Sleep(4 * time.Second)
-		old := h.core(0)
+		old := h.coreStatus(0)
 		confirm := map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", old.Epoch, old.Index)}
-		h.Masters[0].Disk.hang(true)
+		h.Controls[0].Disk.setHanging(true)
 		for range 3 {
-			status, raw := h.ask1(0, "core.recover", confirm)
+			status, raw := h.callOne(0, "core.recover", confirm)
 			c.Check(status, qt.Not(qt.Equals), 200, qt.Commentf("%s", raw))
 		}
-		h.Masters[0].Disk.hang(false)
+		h.Controls[0].Disk.setHanging(false)
 		time.Sleep(time.Second)
-		status, raw := h.ask1(0, "core.recover", confirm)
+		status, raw := h.callOne(0, "core.recover", confirm)
 		c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
-		h.Masters[0].Kill()
-		h.Masters[0].Disk.PowerLoss(false)
-		h.Masters[0].mustStart()
-		until(c, 5*time.Second, "one core of one", func() bool { return h.one(1) })
-		c.Check(h.core(0).Epoch > old.Epoch, qt.IsTrue)
+		h.Controls[0].Kill()
+		h.Controls[0].Disk.PowerLoss(false)
+		h.Controls[0].mustStart()
+		waitUntil(c, 5*time.Second, "one core of one", func() bool { return h.converged(1) })
+		c.Check(h.coreStatus(0).Epoch > old.Epoch, qt.IsTrue)
 	})
 }
 
 // The core is parted, not lost, and the operator was wrong: the four go on by the old list, and confirm, until they hear the
 // recovered one. Then they give way, and nothing is confirmed by the old list any more; what they confirmed meanwhile is
 // lost, as the call says.
-func TestCoreRecoveredWhileOthersLive(t *testing.T) {
-	cored(t, 6, 31, func(c *qt.C, h *Harbour) {
-		cut := func(on bool) {
+func TestCoreRecoveredWhileOthersRun(t *testing.T) {
+	withControls(t, 6, 31, func(c *qt.C, cluster *Cluster) {
+		partition := func(on bool) {
 			for a := range 4 {
 				for b := 4; b < 6; b++ {
-					h.Sea.Cut(h.Masters[a].Boot.IP, h.Masters[b].Boot.IP, on)
+					cluster.Network.SetPartition(cluster.Controls[a].Settings.IP, cluster.Controls[b].Settings.IP, on)
 				}
 			}
 		}
-		cut(true)
+		partition(true)
 		time.Sleep(4 * time.Second)
-		status, by, _ := h.Order("configuration.modify", "", h.Configure(false, issue), 2*time.Second, 0)
+		status, by, _ := cluster.Call("configuration.modify", "", cluster.ChangeBody(false, unsafeRoute), 2*time.Second, 0)
 		c.Check(status, qt.Equals, 200)
 		c.Check(by < 4, qt.IsTrue)
-		old := h.core(4)
-		status, raw := h.ask1(4, "core.recover", map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", old.Epoch, old.Index)})
+		old := cluster.coreStatus(4)
+		status, raw := cluster.callOne(4, "core.recover", map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", old.Epoch, old.Index)})
 		c.Assert(status, qt.Equals, 200, qt.Commentf("%s", raw))
-		cut(false)
-		until(c, 12*time.Second, "one core", func() bool { return h.one(6) })
-		for i := range h.Masters {
-			_, raw := h.ask1(i, "configuration.read", nil)
+		partition(false)
+		waitUntil(c, 12*time.Second, "one core", func() bool { return cluster.converged(6) })
+		for i := range cluster.Controls {
+			_, raw := cluster.callOne(i, "configuration.read", nil)
 			c.Check(string(raw), qt.Not(qt.Contains), "/issue/")
-			c.Check(h.core(i).Epoch > 1<<32, qt.IsTrue)
+			c.Check(cluster.coreStatus(i).Epoch > 1<<32, qt.IsTrue)
 		}
 	})
 }
@@ -422,30 +424,30 @@
 // the one with the higher draw is the later by epoch and by number, and the other gives way with all that it had confirmed.
 func TestCoreRecoveredTwice(t *testing.T) {
 	for seed := range uint64(4) {
-		cored(t, 6, 40+seed, func(c *qt.C, h *Harbour) {
-			for _, m := range h.Masters[:4] {
-				m.Kill()
+		withControls(t, 6, 40+seed, func(c *qt.C, cluster *Cluster) {
+			for _, node := range cluster.Controls[:4] {
+				node.Kill()
 			}
-			h.Sea.Cut(h.Masters[4].Boot.IP, h.Masters[5].Boot.IP, true)
+			cluster.Network.SetPartition(cluster.Controls[4].Settings.IP, cluster.Controls[5].Settings.IP, true)
 			time.Sleep(4 * time.Second)
 			for at := 4; at < 6; at++ {
-				s := h.core(at)
-				status, raw := h.ask1(at, "core.recover", map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", s.Epoch, s.Index)})
+				coreStatus := cluster.coreStatus(at)
+				status, raw := cluster.callOne(at, "core.recover", map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", coreStatus.Epoch, coreStatus.Index)})
 				c.Assert(status, qt.Equals, 200, qt.Commentf("%s", raw))
-				status, raw = h.ask1(at, "configuration.modify", json.RawMessage(h.Configure(false,
+				status, raw = cluster.callOne(at, "configuration.modify", json.RawMessage(cluster.ChangeBody(false,
 					Route{Name: fmt.Sprint("at-", at), Prefix: fmt.Sprintf("/at/%d/", at), Service: "desk", Version: "00000009"})))
 				c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
 			}
-			a, b := h.core(4), h.core(5)
+			a, b := cluster.coreStatus(4), cluster.coreStatus(5)
 			c.Check(a.Epoch != b.Epoch && (a.Epoch > b.Epoch) == (a.Index > b.Index), qt.IsTrue, qt.Commentf("%+v %+v", a, b))
 			later := lo.Ternary(a.Epoch > b.Epoch, 4, 5)
-			h.Sea.Cut(h.Masters[4].Boot.IP, h.Masters[5].Boot.IP, false)
-			for _, m := range h.Masters[:4] {
-				m.mustStart()
+			cluster.Network.SetPartition(cluster.Controls[4].Settings.IP, cluster.Controls[5].Settings.IP, false)
+			for _, node := range cluster.Controls[:4] {
+				node.mustStart()
 			}
-			until(c, 15*time.Second, "one core", func() bool { return h.one(6) })
-			for i := range h.Masters {
-				_, raw := h.ask1(i, "configuration.read", nil)
+			waitUntil(c, 15*time.Second, "one core", func() bool { return cluster.converged(6) })
+			for i := range cluster.Controls {
+				_, raw := cluster.callOne(i, "configuration.read", nil)
 				c.Check(string(raw), qt.Contains, fmt.Sprintf("/at/%d/", later))
 				c.Check(string(raw), qt.Not(qt.Contains), fmt.Sprintf("/at/%d/", 9-later))
 			}
@@ -458,39 +460,42 @@
 func TestCoreLeaving(t *testing.T) {
 	for zones := 3; zones <= 7; zones++ {
 		for _, at := range []int{0, 2} { // who proposes for the others, and another
-			cored(t, zones, uint64(50+zones), func(c *qt.C, h *Harbour) {
+			withControls(t, zones, uint64(50+zones), func(c *qt.C, cluster *Cluster) {
 				out := zones > 3 && zones%2 == 0
-				p := h.pulse()
+				writer := cluster.startWriter()
 				time.Sleep(3 * time.Second)
-				calm, began := p.gap(time.Now().Add(-3*time.Second)), time.Now()
-				h.Masters[at].Leave()
-				left := time.Since(began)
+				idle, start := writer.longestGap(time.Now().Add(-3*time.Second)), time.Now()
+				cluster.Controls[at].Shutdown()
+				left := time.Since(start)
 				time.Sleep(5 * time.Second)
-				gap := p.gap(began)
-				s := h.core(1)
-				c.Check(s.Members, qt.HasLen, zones-lo.Ternary(out, 1, 0))
-				c.Check(s.Tolerates, qt.Equals, lo.Ternary(out, (zones-1)/2, zones-1-zones/2-1))
+				gap := writer.longestGap(start)
+				coreStatus := cluster.coreStatus(1)
+				c.Check(coreStatus.Members, qt.HasLen, zones-lo.Ternary(out, 1, 0))
+				c.Check(coreStatus.Tolerates, qt.Equals, lo.Ternary(out, (zones-1)/2, zones-1-zones/2-1))
 				c.Check(left < 3*time.Second, qt.IsTrue, qt.Commentf("%v", left))
 				c.Check(gap < 1500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", gap))
 				back := time.Now()
-				h.Masters[at].mustStart()
-				joined := until(c, 8*time.Second, "it is back", func() bool { s := h.core(1); return len(s.Members) == zones && s.Tolerates == zones-zones/2-1 })
+				cluster.Controls[at].mustStart()
+				joined := waitUntil(c, 8*time.Second, "it is back", func() bool {
+					coreStatus := cluster.coreStatus(1)
+					return len(coreStatus.Members) == zones && coreStatus.Tolerates == zones-zones/2-1
+				})
 				time.Sleep(2 * time.Second)
-				gapBack := p.gap(back)
+				gapBack := writer.longestGap(back)
 
-				h.Masters[at].Kill() // the same without a word
+				cluster.Controls[at].Kill() // the same without a word
 				killed := time.Now()
 				time.Sleep(5 * time.Second)
-				gapKilled := p.gap(killed)
-				h.Masters[at].mustStart()
+				gapKilled := writer.longestGap(killed)
+				cluster.Controls[at].mustStart()
 				time.Sleep(5 * time.Second)
-				p.end()
+				writer.close()
 				c.Logf("%d members, at %d: voted out %v in %v; without a confirmed order: calm %v, leaving %v, coming back %v (after %v), killed %v; %d orders",
-					zones, at, out, left.Round(time.Millisecond), calm.Round(time.Millisecond), gap.Round(time.Millisecond), gapBack.Round(time.Millisecond),
-					joined.Round(time.Millisecond), gapKilled.Round(time.Millisecond), len(p.at))
-				until(c, 5*time.Second, "one core", func() bool { return h.one(zones) })
-				for i := range h.Masters {
-					p.holds(c, i)
+					zones, at, out, left.Round(time.Millisecond), idle.Round(time.Millisecond), gap.Round(time.Millisecond), gapBack.Round(time.Millisecond),
+					joined.Round(time.Millisecond), gapKilled.Round(time.Millisecond), len(writer.confirmedAt))
+				waitUntil(c, 5*time.Second, "one core", func() bool { return cluster.converged(zones) })
+				for i := range cluster.Controls {
+					writer.checkConfirmed(c, i)
 				}
 			})
 		}
@@ -502,45 +507,45 @@
 func TestCoreLeavingTogether(t *testing.T) {
 	for seed := range uint64(4) {
 		for _, many := range []int{2, 6} {
-			cored(t, 6, 70+seed, func(c *qt.C, h *Harbour) {
-				p := h.pulse()
+			withControls(t, 6, 70+seed, func(c *qt.C, cluster *Cluster) {
+				writer := cluster.startWriter()
 				time.Sleep(time.Second)
 				var all sync.WaitGroup
 				for i := range many {
 					all.Go(func() {
 						time.Sleep(time.Duration(i) * time.Duration(seed) * 7 * time.Millisecond)
-						h.Masters[i].Leave()
+						cluster.Controls[i].Shutdown()
 					})
 				}
 				all.Wait()
 				time.Sleep(3 * time.Second)
 				if many == 2 {
-					s := h.core(4)
-					c.Check(s.Members, qt.HasLen, 5)
-					c.Check(s.Tolerates, qt.Equals, 1)
-					c.Check(s.Current, qt.IsTrue)
+					coreStatus := cluster.coreStatus(4)
+					c.Check(coreStatus.Members, qt.HasLen, 5)
+					c.Check(coreStatus.Tolerates, qt.Equals, 1)
+					c.Check(coreStatus.Current, qt.IsTrue)
 				}
-				p.end()
+				writer.close()
 				away := 1 + int(seed)
-				for i, m := range h.Masters {
-					if i != away && m.cancel == nil {
-						m.mustStart()
+				for i, node := range cluster.Controls {
+					if i != away && node.cancel == nil {
+						node.mustStart()
 					}
 				}
-				until(c, 10*time.Second, "one core without one", func() bool {
-					s := h.core((away + 1) % 6)
-					return s.Status == "in touch" && s.Current && s.Tolerates >= 1
+				waitUntil(c, 10*time.Second, "one core without one", func() bool {
+					coreStatus := cluster.coreStatus((away + 1) % 6)
+					return coreStatus.Status == "in touch" && coreStatus.Current && coreStatus.Tolerates >= 1
 				})
-				c.Check(len(h.core((away+1)%6).Members) >= 5, qt.IsTrue) // one at most was voted out
-				for i, m := range h.Masters {
-					if m.cancel != nil {
-						p.holds(c, i)
+				c.Check(len(cluster.coreStatus((away+1)%6).Members) >= 5, qt.IsTrue) // one at most was voted out
+				for i, node := range cluster.Controls {
+					if node.cancel != nil {
+						writer.checkConfirmed(c, i)
 					}
 				}
-				if h.Masters[away].cancel == nil {
-					h.Masters[away].mustStart()
+				if cluster.Controls[away].cancel == nil {
+					cluster.Controls[away].mustStart()
 				}
-				until(c, 10*time.Second, "one core", func() bool { return h.one(6) })
+				waitUntil(c, 10*time.Second, "one core", func() bool { return cluster.converged(6) })
 			})
 		}
 	}
@@ -548,73 +553,94 @@
 
 // One that hears nobody is told to end: it ends within half of its grace, counted still.
 func TestCoreLeavingCutOff(t *testing.T) {
-	cored(t, 6, 77, func(c *qt.C, h *Harbour) {
+	withControls(t, 6, 77, func(c *qt.C, cluster *Cluster) {
 		for i := 1; i < 6; i++ {
-			h.Sea.Cut(h.Masters[0].Boot.IP, h.Masters[i].Boot.IP, true)
+			cluster.Network.SetPartition(cluster.Controls[0].Settings.IP, cluster.Controls[i].Settings.IP, true)
 		}
-		began := time.Now()
-		h.Masters[0].Leave() // before it knows
-		c.Check(time.Since(began) <= 3*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
+		start := time.Now()
+		cluster.Controls[0].Shutdown() // before it knows
+		c.Check(time.Since(start) <= 3*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(start)))
 		time.Sleep(4 * time.Second)
-		s := h.core(3)
-		c.Check(s.Members, qt.HasLen, 6)
-		c.Check(s.Tolerates, qt.Equals, 1)
+		coreStatus := cluster.coreStatus(3)
+		c.Check(coreStatus.Members, qt.HasLen, 6)
+		c.Check(coreStatus.Tolerates, qt.Equals, 1)
 	})
 }
 
 // The time from a loss until the core bears as much as before it, as it is and as a process counts it.
-func TestCoreMargin(t *testing.T) {
+func TestCoreTolerance(t *testing.T) {
 	for name, x := range map[string]struct {
-		harm func(h *Harbour) // at process 3
-		back func(h *Harbour)
+		harm func(cluster *Cluster) // at process 3
+		back func(cluster *Cluster)
 	}{
-		"killed, and started after 1 s": {func(h *Harbour) { h.Masters[3].Kill() }, func(h *Harbour) { time.Sleep(time.Second); h.Masters[3].mustStart() }},
-		"without power, and started after 10 s": {func(h *Harbour) { h.Sea.Down(h.Masters[3].Boot.IP, true); h.Masters[3].Kill() }, func(h *Harbour) {
+		"killed, and started after 1 s": {func(cluster *Cluster) { cluster.Controls[3].Kill() }, func(cluster *Cluster) { time.Sleep(time.Second); cluster.Controls[3].mustStart() }},
+		"without power, and started after 10 s": {func(cluster *Cluster) {
+			cluster.Network.SetPoweredOff(cluster.Controls[3].Settings.IP, true)
+			cluster.Controls[3].Kill()
+		}, func(cluster *Cluster) {
 			time.Sleep(10 * time.Second)
-			h.Sea.Down(h.Masters[3].Boot.IP, false)
-			h.Masters[3].mustStart()
+			cluster.Network.SetPoweredOff(cluster.Controls[3].Settings.IP, false)
+			cluster.Controls[3].mustStart()
 		}},
-		"wiped, and started at once":           {func(h *Harbour) { h.Masters[3].Kill(); h.Masters[3].Disk.Wipe() }, func(h *Harbour) { h.Masters[3].mustStart() }},
-		"replaced by a new machine at once":    {func(h *Harbour) { h.Sea.Down(h.Masters[3].Boot.IP, true); h.Masters[3].Replace() }, func(h *Harbour) { h.Masters[3].mustStart() }},
-		"replaced by a new machine after 10 s": {func(h *Harbour) { h.Sea.Down(h.Masters[3].Boot.IP, true); h.Masters[3].Replace() }, func(h *Harbour) { time.Sleep(10 * time.Second); h.Masters[3].mustStart() }},
-		"lost for good, and removed by order": {func(h *Harbour) { h.Sea.Down(h.Masters[3].Boot.IP, true); h.Masters[3].Kill() }, func(h *Harbour) {
+		"wiped, and started at once": {func(cluster *Cluster) { cluster.Controls[3].Kill(); cluster.Controls[3].Disk.Wipe() }, func(cluster *Cluster) { cluster.Controls[3].mustStart() }},
+		"replaced by a new machine at once": {func(cluster *Cluster) {
+			cluster.Network.SetPoweredOff(cluster.Controls[3].Settings.IP, true)
+			cluster.Controls[3].Replace()
+		}, func(cluster *Cluster) { cluster.Controls[3].mustStart() }},
+		"replaced by a new machine after 10 s": {func(cluster *Cluster) {
+			cluster.Network.SetPoweredOff(cluster.Controls[3].Settings.IP, true)
+			cluster.Controls[3].Replace()
+		}, func(cluster *Cluster) { time.Sleep(10 * time.Second); cluster.Controls[3].mustStart() }},
+		"lost for good, and removed by order": {func(cluster *Cluster) {
+			cluster.Network.SetPoweredOff(cluster.Controls[3].Settings.IP, true)
+			cluster.Controls[3].Kill()
+		}, func(cluster *Cluster) {
 			time.Sleep(10 * time.Second)
-			h.change(0, "remove", h.Masters[3].Boot.Name, "", false, false)
+			cluster.changeCore(0, "remove", cluster.Controls[3].Settings.Name, "", false, false)
+		}},
+		"frozen for 8 s": {func(cluster *Cluster) { cluster.Network.Freeze(cluster.Controls[3].Settings.IP, true) }, func(cluster *Cluster) {
+			time.Sleep(8 * time.Second)
+			cluster.Network.Freeze(cluster.Controls[3].Settings.IP, false)
 		}},
-		"frozen for 8 s": {func(h *Harbour) { h.Sea.Freeze(h.Masters[3].Boot.IP, true) }, func(h *Harbour) { time.Sleep(8 * time.Second); h.Sea.Freeze(h.Masters[3].Boot.IP, false) }},
 	} {
-		cored(t, 6, 80, func(c *qt.C, h *Harbour) {
-			p := h.pulse()
+		withControls(t, 6, 80, func(c *qt.C, cluster *Cluster) {
+			writer := cluster.startWriter()
 			time.Sleep(time.Second)
-			began := time.Now()
-			x.harm(h)
-			h.all.Go(func() { x.back(h) })
-			seen := until(c, 5*time.Second, name+": the loss is seen", func() bool { s := h.core(1); return s.Tolerance.SinceSeconds > 0 || s.Tolerance.LastSeconds > 0 })
-			until(c, 30*time.Second, name+": the margin is back", func() bool { s := h.core(1); return s.Tolerates == 2 && s.Tolerance.LastSeconds > 0 })
-			restored := time.Since(began)
+			start := time.Now()
+			x.harm(cluster)
+			cluster.background.Go(func() { x.back(cluster) })
+			seen := waitUntil(c, 5*time.Second, name+": the loss is seen", func() bool {
+				coreStatus := cluster.coreStatus(1)
+				return coreStatus.Tolerance.SinceSeconds > 0 || coreStatus.Tolerance.LastSeconds > 0
+			})
+			waitUntil(c, 30*time.Second, name+": the margin is back", func() bool {
+				coreStatus := cluster.coreStatus(1)
+				return coreStatus.Tolerates == 2 && coreStatus.Tolerance.LastSeconds > 0
+			})
+			restored := time.Since(start)
 			time.Sleep(4 * time.Second)
-			s := h.core(1)
-			p.end()
-			c.Check(s.Tolerance.SinceSeconds, qt.Equals, 0.0)
-			c.Check(s.Tolerance.LastSeconds > 0 && s.Tolerance.LastSeconds <= restored.Seconds()+0.2, qt.IsTrue, qt.Commentf("%+v", s.Tolerance))
+			coreStatus := cluster.coreStatus(1)
+			writer.close()
+			c.Check(coreStatus.Tolerance.SinceSeconds, qt.Equals, 0.0)
+			c.Check(coreStatus.Tolerance.LastSeconds > 0 && coreStatus.Tolerance.LastSeconds <= restored.Seconds()+0.2, qt.IsTrue, qt.Commentf("%+v", coreStatus.Tolerance))
 			c.Logf("%s: seen after %v, margin back after %v (counted: %.2f s), %d members at the end; longest without a confirmed order %v", name,
-				seen.Round(10*time.Millisecond), restored.Round(10*time.Millisecond), s.Tolerance.LastSeconds, len(s.Members), p.gap(began).Round(10*time.Millisecond))
-			for i, m := range h.Masters {
-				if m.cancel != nil {
-					p.holds(c, i)
+				seen.Round(10*time.Millisecond), restored.Round(10*time.Millisecond), coreStatus.Tolerance.LastSeconds, len(coreStatus.Members), writer.longestGap(start).Round(10*time.Millisecond))
+			for i, node := range cluster.Controls {
+				if node.cancel != nil {
+					writer.checkConfirmed(c, i)
 				}
 			}
 		})
 	}
 }
 
-var replacements = flag.Int("replacements", 0, "drawn replacements and starts of the core to play, instead of a few")
+var replacementRuns = flag.Int("replacements", 0, "drawn replacements and starts of the core to play, instead of a few")
 
-// draws plays a few seeds, or as many as -replacements says from -from on.
-func draws(t *testing.T, few int, play func(t *testing.T, seed int)) {
-	first, many := 0, lo.Ternary(raced, few/4, few)
-	if *replacements > 0 {
-		first, many = *from, *replacements
+// drawSeeds plays a few seeds, or as many as -replacements says from -from on.
+func drawSeeds(t *testing.T, few int, play func(t *testing.T, seed int)) {
+	first, many := 0, lo.Ternary(raceEnabled, few/4, few)
+	if *replacementRuns > 0 {
+		first, many = *firstSeed, *replacementRuns
 	}
 	for seed := first; seed < first+many; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -624,19 +650,19 @@
 	}
 }
 
-// lists watches the members that each process goes by: of one epoch there is one list.
-type lists struct {
-	mu   sync.Mutex
-	seen map[uint64]string
-	all  sync.WaitGroup
-	stop chan bool
+// membershipRecorder watches the members that each process goes by: of one epoch there is one list.
+type membershipRecorder struct {
+	mu      sync.Mutex
+	byEpoch map[uint64]string
+	pending sync.WaitGroup
+	stop    chan bool
 }
 
-func (h *Harbour) lists(c *qt.C) *lists {
-	w := &lists{seen: map[uint64]string{}, stop: make(chan bool)}
-	for at := range h.Masters {
-		w.all.Go(func() {
-			client := h.client(h.Sea.Process(fmt.Sprint("10.200.0.", 40+at)), time.Second)
+func (cl *Cluster) recordMemberships(c *qt.C) *membershipRecorder {
+	w := &membershipRecorder{byEpoch: map[uint64]string{}, stop: make(chan bool)}
+	for at := range cl.Controls {
+		w.pending.Go(func() {
+			client := cl.httpClient(cl.Network.Process(fmt.Sprint("10.200.0.", 40+at)), time.Second)
 			defer client.CloseIdleConnections()
 			for {
 				select {
@@ -644,17 +670,17 @@
 					return
 				case <-time.After(100 * time.Millisecond):
 				}
-				status, raw, err := post(h.ctx, client, h.control(at), "core.read", "", nil)
-				var s server.CoreStatus
-				if err != nil || status != 200 || json.Unmarshal(raw, &s) != nil || s.Epoch == 0 {
+				status, raw, err := callRPC(cl.ctx, client, cl.controlAddress(at), "core.read", "", nil)
+				var coreStatus server.CoreStatus
+				if err != nil || status != 200 || json.Unmarshal(raw, &coreStatus) != nil || coreStatus.Epoch == 0 {
 					continue
 				}
-				is := fmt.Sprint(lo.Map(s.Members, func(x server.CoreMember, _ int) string { return x.IP + "/" + x.DiskID }))
+				is := fmt.Sprint(lo.Map(coreStatus.Members, func(x server.CoreMember, _ int) string { return x.IP + "/" + x.DiskID }))
 				w.mu.Lock()
-				if was, there := w.seen[s.Epoch]; there && was != is {
-					c.Errorf("two lists of epoch %d: %s at %d, and %s", s.Epoch, is, at, was)
+				if was, there := w.byEpoch[coreStatus.Epoch]; there && was != is {
+					c.Errorf("two lists of epoch %d: %s at %d, and %s", coreStatus.Epoch, is, at, was)
 				}
-				w.seen[s.Epoch] = is
+				w.byEpoch[coreStatus.Epoch] = is
 				w.mu.Unlock()
 			}
 		})
@@ -662,20 +688,20 @@
 	return w
 }
 
-func (w *lists) end() int { close(w.stop); w.all.Wait(); return len(w.seen) }
+func (r *membershipRecorder) close() int { close(r.stop); r.pending.Wait(); return len(r.byEpoch) }
 
 // A first start in any order of the machines, up to seconds apart, with a seed that comes late or only after the core has
 // taken orders: there is one core, of all in the end, and nothing that was confirmed is lost.
 func TestCoreFirstStart(t *testing.T) {
-	draws(t, 24, func(t *testing.T, seed int) {
+	drawSeeds(t, 24, func(t *testing.T, seed int) {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			draw := random.Source{Seed: uint64(seed)*31 + 7}
-			n := func(n int) int { return int(draw.Next() * float64(n)) }
-			h := New(Layout{Zones: 3 + n(5), Services: []string{"desk"}, Seed: uint64(seed)})
-			defer h.Stop()
-			w := h.lists(c)
-			order := make([]int, len(h.Masters))
+			rng := random.Source{Seed: uint64(seed)*31 + 7}
+			n := func(n int) int { return int(rng.Float64() * float64(n)) }
+			cluster := New(Layout{Zones: 3 + n(5), Services: []string{"desk"}, Seed: uint64(seed)})
+			defer cluster.Stop()
+			w := cluster.recordMemberships(c)
+			order := make([]int, len(cluster.Controls))
 			for i := range order {
 				order[i] = i
 			}
@@ -690,81 +716,81 @@
 			for _, i := range order {
 				if i != late {
 					time.Sleep(time.Duration(n(apart)) * time.Millisecond)
-					h.Masters[i].mustStart()
+					cluster.Controls[i].mustStart()
 				}
 			}
-			began := time.Now()
+			start := time.Now()
 			up := len(order) - lo.Ternary(late >= 0, 1, 0)
 			first := order[0]
 			if first == late {
 				first = order[1]
 			}
-			took := until(c, 20*time.Second, "a core of those that are up", func() bool { return len(h.core(first).Members) == up && h.one(up) })
-			status, _, raw := h.Order("configuration.modify", "", h.Configure(true, look), 5*time.Second, first)
+			elapsed := waitUntil(c, 20*time.Second, "a core of those that are up", func() bool { return len(cluster.coreStatus(first).Members) == up && cluster.converged(up) })
+			status, _, raw := cluster.Call("configuration.modify", "", cluster.ChangeBody(true, safeRoute), 5*time.Second, first)
 			c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
-			p := h.pulse()
+			writer := cluster.startWriter()
 			time.Sleep(2 * time.Second)
 			if late >= 0 {
-				h.Masters[late].mustStart()
+				cluster.Controls[late].mustStart()
 			}
-			until(c, 20*time.Second, "a core of all", func() bool { return h.listed(len(order), false) })
-			p.end()
-			until(c, 2*time.Second, "with one state", func() bool { return h.one(len(order)) })
-			for i := range h.Masters {
-				p.holds(c, i)
+			waitUntil(c, 20*time.Second, "a core of all", func() bool { return cluster.sameMembership(len(order), false) })
+			writer.close()
+			waitUntil(c, 2*time.Second, "with one state", func() bool { return cluster.converged(len(order)) })
+			for i := range cluster.Controls {
+				writer.checkConfirmed(c, i)
 			}
 			c.Logf("seed %d: %d processes in the order %v, up to %d ms apart, seed %d down: one core %v after the last start, %d epochs; at the end %v after its start",
-				seed, len(order), order, apart, late, took.Round(10*time.Millisecond), w.end(), time.Since(began).Round(time.Second))
+				seed, len(order), order, apart, late, elapsed.Round(10*time.Millisecond), w.close(), time.Since(start).Round(time.Second))
 		})
 	})
 }
 
-// lose has a process lost in a drawn way, and gives what brings it back, and whether its disk stays.
-func (h *Harbour) lose(n func(int) int, m *Master) (how string, back func()) {
-	ip := m.Boot.IP
+// replaceLost has a process lost in a drawn way, and gives what brings it back, and whether its disk stays.
+func (cl *Cluster) replaceLost(n func(int) int, node *ControlNode) (outcome string, back func()) {
+	ip := node.Settings.IP
 	switch n(5) {
 	case 0:
-		m.Kill()
-		return "killed", m.mustStart
+		node.Kill()
+		return "killed", node.mustStart
 	case 1:
-		h.Sea.Down(ip, true)
-		m.Kill()
-		m.Disk.PowerLoss(n(2) == 0)
-		return "without power", func() { h.Sea.Down(ip, false); m.mustStart() }
+		cl.Network.SetPoweredOff(ip, true)
+		node.Kill()
+		node.Disk.PowerLoss(n(2) == 0)
+		return "without power", func() { cl.Network.SetPoweredOff(ip, false); node.mustStart() }
 	case 2:
-		h.Sea.Freeze(ip, true)
-		m.Disk.hang(true)
-		return "frozen", func() { m.Disk.hang(false); h.Sea.Freeze(ip, false) }
+		cl.Network.Freeze(ip, true)
+		node.Disk.setHanging(true)
+		return "frozen", func() { node.Disk.setHanging(false); cl.Network.Freeze(ip, false) }
 	case 3:
-		for _, x := range h.Masters {
-			if x != m {
-				h.Sea.Cut(ip, x.Boot.IP, true)
+		for _, x := range cl.Controls {
+			if x != node {
+				cl.Network.SetPartition(ip, x.Settings.IP, true)
 			}
 		}
 		return "cut", func() {
-			for _, x := range h.Masters {
-				if x != m {
-					h.Sea.Cut(ip, x.Boot.IP, false)
+			for _, x := range cl.Controls {
+				if x != node {
+					cl.Network.SetPartition(ip, x.Settings.IP, false)
 				}
 			}
 		}
 	}
-	m.Leave()
-	return "told to end", m.mustStart
+	node.Shutdown()
+	return "told to end", node.mustStart
 }
 
 // A machine is lost for good and replaced, and at some step of that another one is lost; at times a third, so that no
 // majority is left, until they are back. Nothing that was confirmed is lost, of one epoch there is one list, and orders go on
 // by themselves.
 func TestCoreSecondLoss(t *testing.T) {
-	draws(t, 40, func(t *testing.T, seed int) {
-		cored(t, []int{4, 5, 6, 6, 7}[seed%5], uint64(seed), func(c *qt.C, h *Harbour) {
-			draw := random.Source{Seed: uint64(seed)*17 + 3}
-			n := func(n int) int { return int(draw.Next() * float64(n)) }
-			ms := func(most int) { time.Sleep(time.Duration(n(most)) * time.Millisecond) }
-			w, p := h.lists(c), h.pulse()
+	drawSeeds(t, 40, func(t *testing.T, seed int) {
+		withControls(t, []int{4, 5, 6, 6, 7}[seed%5], uint64(seed), func(c *qt.C, cluster *Cluster) {
+			rng := random.Source{Seed: uint64(seed)*17 + 3}
+			n := func(n int) int { return int(rng.Float64() * float64(n)) }
+			ms := func(highest int) { time.Sleep(time.Duration(n(highest)) * time.Millisecond) }
+			w, writer := cluster.recordMemberships(c), cluster.startWriter()
 			ms(1000)
-			zones := len(h.Masters)
+			zones := len(cluster.Controls)
 			a := n(zones)
 			b := (a + 1 + n(zones-1)) % zones
 			third := (b + 1) % zones
@@ -772,29 +798,29 @@
 				third = (third + 1) % zones
 			}
 			if n(3) == 0 {
-				h.Masters[a].Leave()
+				cluster.Controls[a].Shutdown()
 			}
-			h.Sea.Down(h.Masters[a].Boot.IP, true)
-			h.Masters[a].Replace()
+			cluster.Network.SetPoweredOff(cluster.Controls[a].Settings.IP, true)
+			cluster.Controls[a].Replace()
 			var all sync.WaitGroup
 			comes := time.Duration(n([]int{50, 2000, 6000}[seed%3])) * time.Millisecond
 			all.Go(func() { // its successor comes at some time, and perhaps goes again at once and comes with another disk
 				time.Sleep(comes)
-				h.Masters[a].mustStart()
+				cluster.Controls[a].mustStart()
 				if seed%4 == 0 {
 					time.Sleep(time.Duration(seed%7) * 100 * time.Millisecond)
-					h.Masters[a].Kill()
-					h.Masters[a].Disk.Wipe()
-					h.Masters[a].mustStart()
+					cluster.Controls[a].Kill()
+					cluster.Controls[a].Disk.Wipe()
+					cluster.Controls[a].mustStart()
 				}
 			})
 			ms(8000)
-			how, back := h.lose(n, h.Masters[b])
+			outcome, back := cluster.replaceLost(n, cluster.Controls[b])
 			lost := time.Now()
 			also, backToo := "", func() {}
 			if n(3) == 0 {
 				ms(3000)
-				also, backToo = h.lose(n, h.Masters[third])
+				also, backToo = cluster.replaceLost(n, cluster.Controls[third])
 			}
 			time.Sleep(time.Duration(1+n(8)) * time.Second)
 			if n(2) == 0 {
@@ -805,19 +831,19 @@
 			backToo()
 			all.Wait()
 			returned := time.Now()
-			until(c, 30*time.Second, "one core again", func() bool {
-				s := h.core(0)
-				return s.Tolerates == len(s.Members)-len(s.Members)/2-1 && len(s.Members) >= zones && h.listed(len(s.Members), false)
+			waitUntil(c, 30*time.Second, "one core again", func() bool {
+				coreStatus := cluster.coreStatus(0)
+				return coreStatus.Tolerates == len(coreStatus.Members)-len(coreStatus.Members)/2-1 && len(coreStatus.Members) >= zones && cluster.sameMembership(len(coreStatus.Members), false)
 			})
-			healed, worst := time.Since(returned), p.gap(lost)
-			c.Check(p.gap(returned) < 6*time.Second, qt.IsTrue, qt.Commentf("%v", p.gap(returned)))
-			p.end()
-			until(c, 2*time.Second, "with one state", func() bool { return h.one(len(h.core(0).Members)) })
-			for i := range h.Masters {
-				p.holds(c, i)
+			healed, worst := time.Since(returned), writer.longestGap(lost)
+			c.Check(writer.longestGap(returned) < 6*time.Second, qt.IsTrue, qt.Commentf("%v", writer.longestGap(returned)))
+			writer.close()
+			waitUntil(c, 2*time.Second, "with one state", func() bool { return cluster.converged(len(cluster.coreStatus(0).Members)) })
+			for i := range cluster.Controls {
+				writer.checkConfirmed(c, i)
 			}
 			c.Logf("seed %d: %d processes, %d replaced, %d %s, and %s: %d orders confirmed, longest without one %v since the second loss; one core %v after the last was back, %d epochs",
-				seed, zones, a, b, how, cmp.Or(also, "no other"), len(p.at), worst.Round(10*time.Millisecond), healed.Round(10*time.Millisecond), w.end())
+				seed, zones, a, b, outcome, cmp.Or(also, "no other"), len(writer.confirmedAt), worst.Round(10*time.Millisecond), healed.Round(10*time.Millisecond), w.close())
 		})
 	})
 }
@@ -825,49 +851,49 @@
 // The member that proposes for the others is cut off for 20 s, wholly or one way, or stands still, while orders go on; it
 // comes back to what was decided meanwhile, and confirmed nothing by itself.
 func TestCoreProposerAway(t *testing.T) {
-	for name, x := range map[string]func(h *Harbour, ip, other string, on bool){
-		"cut":                  func(h *Harbour, ip, other string, on bool) { h.Sea.Cut(ip, other, on) },
-		"cut, what it sends":   func(h *Harbour, ip, other string, on bool) { h.Sea.CutWay(ip, other, on) },
-		"cut, what it is sent": func(h *Harbour, ip, other string, on bool) { h.Sea.CutWay(other, ip, on) },
-		"frozen": func(h *Harbour, ip, other string, on bool) {
-			h.Sea.Freeze(ip, on)
-			h.Masters[0].Disk.hang(on)
+	for name, x := range map[string]func(cluster *Cluster, ip, other string, on bool){
+		"cut":                  func(cluster *Cluster, ip, other string, on bool) { cluster.Network.SetPartition(ip, other, on) },
+		"cut, what it sends":   func(cluster *Cluster, ip, other string, on bool) { cluster.Network.SetOneWayPartition(ip, other, on) },
+		"cut, what it is sent": func(cluster *Cluster, ip, other string, on bool) { cluster.Network.SetOneWayPartition(other, ip, on) },
+		"frozen": func(cluster *Cluster, ip, other string, on bool) {
+			cluster.Network.Freeze(ip, on)
+			cluster.Controls[0].Disk.setHanging(on)
 		},
 	} {
-		for _, zones := range lo.Ternary(raced, []int{6}, []int{3, 6}) {
-			cored(t, zones, 90, func(c *qt.C, h *Harbour) {
-				w, p := h.lists(c), h.pulse()
+		for _, zones := range lo.Ternary(raceEnabled, []int{6}, []int{3, 6}) {
+			withControls(t, zones, 90, func(c *qt.C, cluster *Cluster) {
+				w, writer := cluster.recordMemberships(c), cluster.startWriter()
 				time.Sleep(time.Second)
 				away := func(on bool) {
-					for _, m := range h.Masters[1:] {
-						x(h, h.Masters[0].Boot.IP, m.Boot.IP, on)
+					for _, node := range cluster.Controls[1:] {
+						x(cluster, cluster.Controls[0].Settings.IP, node.Settings.IP, on)
 					}
 				}
-				began := time.Now()
+				start := time.Now()
 				away(true)
 				time.Sleep(5 * time.Second)
 				alone := 0
 				for range 10 { // by now it knows; all in all 21 s
-					if status, _ := h.ask1(0, "configuration.modify", json.RawMessage(h.Configure(false, issue))); status == 200 {
+					if status, _ := cluster.callOne(0, "configuration.modify", json.RawMessage(cluster.ChangeBody(false, unsafeRoute))); status == 200 {
 						alone++
 					}
 					time.Sleep(1650 * time.Millisecond)
 				}
 				c.Check(alone, qt.Equals, 0, qt.Commentf(name))
 				away(false)
-				worst, back := p.gap(began), time.Now()
-				until(c, 10*time.Second, "one core", func() bool { return h.listed(zones, false) })
+				worst, back := writer.longestGap(start), time.Now()
+				waitUntil(c, 10*time.Second, "one core", func() bool { return cluster.sameMembership(zones, false) })
 				healed := time.Since(back)
 				time.Sleep(2 * time.Second)
-				again := p.gap(back)
-				p.end()
-				until(c, 2*time.Second, "with one state", func() bool { return h.one(zones) })
+				again := writer.longestGap(back)
+				writer.close()
+				waitUntil(c, 2*time.Second, "with one state", func() bool { return cluster.converged(zones) })
 				c.Check(worst < 4*time.Second && again < 2*time.Second, qt.IsTrue, qt.Commentf("%s: %v, %v", name, worst, again))
-				for i := range h.Masters {
-					p.holds(c, i)
+				for i := range cluster.Controls {
+					writer.checkConfirmed(c, i)
 				}
 				c.Logf("%s of %d: longest without a confirmed order %v, when it came back %v; one core after %v, %d epochs, %d orders", name, zones,
-					worst.Round(10*time.Millisecond), again.Round(10*time.Millisecond), healed.Round(10*time.Millisecond), w.end(), len(p.at))
+					worst.Round(10*time.Millisecond), again.Round(10*time.Millisecond), healed.Round(10*time.Millisecond), w.close(), len(writer.confirmedAt))
 			})
 		}
 	}
@@ -878,53 +904,53 @@
 // taken over what stands, and no order is lost. (Were the two more than half of the old list, as of three, they would be the
 // old core once more: a disk that is put back has forgotten its vote on the list that came after. docs/operate/core.md says so.)
 func TestCoreOldDisk(t *testing.T) {
-	cored(t, 4, 95, func(c *qt.C, h *Harbour) {
-		w := h.lists(c)
-		image := diskCopied(h.Masters[1].Disk)
-		old := &Master{h: h, Boot: h.Masters[2].Boot, Disk: h.Masters[2].Disk}
-		h.Masters[2].Replace()
-		h.Masters[2].mustStart()
-		until(c, 10*time.Second, "replaced", func() bool { return h.one(4) })
-		p := h.pulse()
+	withControls(t, 4, 95, func(c *qt.C, cluster *Cluster) {
+		w := cluster.recordMemberships(c)
+		image := copyDisk(cluster.Controls[1].Disk)
+		old := &ControlNode{cluster: cluster, Settings: cluster.Controls[2].Settings, Disk: cluster.Controls[2].Disk}
+		cluster.Controls[2].Replace()
+		cluster.Controls[2].mustStart()
+		waitUntil(c, 10*time.Second, "replaced", func() bool { return cluster.converged(4) })
+		writer := cluster.startWriter()
 		time.Sleep(150 * time.Second) // more changes than are kept
-		p.mu.Lock()
-		many := len(p.at)
-		p.mu.Unlock()
+		writer.mu.Lock()
+		many := len(writer.confirmedAt)
+		writer.mu.Unlock()
 		c.Check(many > 560, qt.IsTrue, qt.Commentf("%d", many))
 
-		h.Masters[1].Kill()
-		image.Delay = 5 * time.Millisecond
-		h.Masters[1].Disk = image
-		for _, m := range h.Masters {
-			if m != h.Masters[1] {
-				h.Sea.Cut(h.Masters[1].Boot.IP, m.Boot.IP, true)
-				h.Sea.Cut(old.Boot.IP, m.Boot.IP, true)
+		cluster.Controls[1].Kill()
+		image.SyncDelay = 5 * time.Millisecond
+		cluster.Controls[1].Disk = image
+		for _, node := range cluster.Controls {
+			if node != cluster.Controls[1] {
+				cluster.Network.SetPartition(cluster.Controls[1].Settings.IP, node.Settings.IP, true)
+				cluster.Network.SetPartition(old.Settings.IP, node.Settings.IP, true)
 			}
 		}
 		old.mustStart()
-		h.Masters[1].mustStart()
+		cluster.Controls[1].mustStart()
 		time.Sleep(4 * time.Second) // the two by themselves
-		c.Check(old.Standing(), qt.Equals, "adrift")
-		c.Check(h.Masters[1].Standing(), qt.Equals, "adrift")
-		status, _ := h.ask1(1, "configuration.modify", json.RawMessage(h.Configure(false, issue)))
+		c.Check(old.Status(), qt.Equals, "adrift")
+		c.Check(cluster.Controls[1].Status(), qt.Equals, "adrift")
+		status, _ := cluster.callOne(1, "configuration.modify", json.RawMessage(cluster.ChangeBody(false, unsafeRoute)))
 		c.Check(status, qt.Equals, 503)
-		for _, m := range h.Masters {
-			if m != h.Masters[1] {
-				h.Sea.Cut(h.Masters[1].Boot.IP, m.Boot.IP, false)
-				h.Sea.Cut(old.Boot.IP, m.Boot.IP, false)
+		for _, node := range cluster.Controls {
+			if node != cluster.Controls[1] {
+				cluster.Network.SetPartition(cluster.Controls[1].Settings.IP, node.Settings.IP, false)
+				cluster.Network.SetPartition(old.Settings.IP, node.Settings.IP, false)
 			}
 		}
-		h.Masters = append(h.Masters, old)
-		until(c, 10*time.Second, "all are in touch, the old one stands by", func() bool {
-			learners := h.core(0).Learners
-			return h.listed(4, false) && len(learners) == 1 && learners[0].IP == old.Boot.IP
+		cluster.Controls = append(cluster.Controls, old)
+		waitUntil(c, 10*time.Second, "all are in touch, the old one stands by", func() bool {
+			learners := cluster.coreStatus(0).Learners
+			return cluster.sameMembership(4, false) && len(learners) == 1 && learners[0].IP == old.Settings.IP
 		})
-		p.end()
-		until(c, 2*time.Second, "with one state", func() bool { return h.one(4) })
-		for i := range h.Masters {
-			p.holds(c, i)
+		writer.close()
+		waitUntil(c, 2*time.Second, "with one state", func() bool { return cluster.converged(4) })
+		for i := range cluster.Controls {
+			writer.checkConfirmed(c, i)
 		}
-		w.end()
+		w.close()
 	})
 }
 
@@ -933,56 +959,56 @@
 func TestCoreRecoveredRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := New(Layout{Zones: 6, Routers: 1, Services: []string{"desk"}, Seed: 33})
-		c.Assert(h.Start(), qt.IsNil)
-		defer h.Stop()
+		cluster := New(Layout{Zones: 6, ProxiesPerZone: 1, Services: []string{"desk"}, Seed: 33})
+		c.Assert(cluster.Start(), qt.IsNil)
+		defer cluster.Stop()
 		time.Sleep(2 * time.Second)
-		configure(c, h, h.Configure(true, look), 0)
-		until(c, 10*time.Second, "all are members", func() bool { return h.one(6) })
-		cut := func(on bool) {
+		configure(c, cluster, cluster.ChangeBody(true, safeRoute), 0)
+		waitUntil(c, 10*time.Second, "all are members", func() bool { return cluster.converged(6) })
+		partition := func(on bool) {
 			for a := range 4 {
 				for b := 4; b < 6; b++ {
-					h.Sea.Cut(h.Masters[a].Boot.IP, h.Masters[b].Boot.IP, on)
+					cluster.Network.SetPartition(cluster.Controls[a].Settings.IP, cluster.Controls[b].Settings.IP, on)
 				}
 			}
 		}
-		cut(true)
+		partition(true)
 		time.Sleep(4 * time.Second)
-		changed := look
+		changed := safeRoute
 		changed.Version, changed.Prefix = "00000007", "/looked/"
-		status, _, _ := h.Order("configuration.modify", "", h.Configure(false, issue, changed), 2*time.Second, 0)
+		status, _, _ := cluster.Call("configuration.modify", "", cluster.ChangeBody(false, unsafeRoute, changed), 2*time.Second, 0)
 		c.Check(status, qt.Equals, 200)
 		time.Sleep(2 * time.Second)
-		c.Check(h.Fairways[0].Running.RouteVersions(), qt.DeepEquals, map[string]uint64{"safe-look": 7, "issue": 1})
-		old := h.core(4)
-		status, raw := h.ask1(4, "core.recover", map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", old.Epoch, old.Index)})
+		c.Check(cluster.Proxies[0].Running.RouteVersions(), qt.DeepEquals, map[string]uint64{"safe-look": 7, "issue": 1})
+		old := cluster.coreStatus(4)
+		status, raw := cluster.callOne(4, "core.recover", map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", old.Epoch, old.Index)})
 		c.Assert(status, qt.Equals, 200, qt.Commentf("%s", raw))
-		cut(false)
-		until(c, 12*time.Second, "one core", func() bool { return h.one(6) })
+		partition(false)
+		waitUntil(c, 12*time.Second, "one core", func() bool { return cluster.converged(6) })
 		time.Sleep(3 * time.Second)
-		for _, f := range h.Fairways {
-			c.Check(f.Running.RouteVersions(), qt.DeepEquals, map[string]uint64{"safe-look": 1}, qt.Commentf(f.Boot.Name))
+		for _, px := range cluster.Proxies {
+			c.Check(px.Running.RouteVersions(), qt.DeepEquals, map[string]uint64{"safe-look": 1}, qt.Commentf(px.Settings.Name))
 		}
-		status, _, _ = h.Order("configuration.modify", "", h.Configure(false, issue), 2*time.Second, 1)
+		status, _, _ = cluster.Call("configuration.modify", "", cluster.ChangeBody(false, unsafeRoute), 2*time.Second, 1)
 		c.Check(status, qt.Equals, 200)
 		time.Sleep(2 * time.Second)
-		for _, f := range h.Fairways {
-			c.Check(f.Running.RouteVersions(), qt.DeepEquals, map[string]uint64{"safe-look": 1, "issue": 1}, qt.Commentf(f.Boot.Name))
+		for _, px := range cluster.Proxies {
+			c.Check(px.Running.RouteVersions(), qt.DeepEquals, map[string]uint64{"safe-look": 1, "issue": 1}, qt.Commentf(px.Settings.Name))
 		}
 	})
 }
 
 // Among many routers, of which each process knows a few, whoever of the core isn't named by the settings is found at once all
 // the same: it dials those that are.
-func TestCoreFoundAmongMany(t *testing.T) {
+func TestCoreDiscoveredAmongMany(t *testing.T) {
 	for _, routers := range []int{15, 40} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			h := New(Layout{Zones: 6, Routers: routers, Services: []string{"desk"}, Seed: uint64(routers)})
-			c.Assert(h.Start(), qt.IsNil)
-			defer h.Stop()
-			took := until(c, 3*time.Second, "all are members", func() bool { return h.listed(6, false) })
-			c.Logf("%d routers: %v", 6*routers, took)
+			cluster := New(Layout{Zones: 6, ProxiesPerZone: routers, Services: []string{"desk"}, Seed: uint64(routers)})
+			c.Assert(cluster.Start(), qt.IsNil)
+			defer cluster.Stop()
+			elapsed := waitUntil(c, 3*time.Second, "all are members", func() bool { return cluster.sameMembership(6, false) })
+			c.Logf("%d routers: %v", 6*routers, elapsed)
 		})
 	}
 }
--- a/internal/lab/simulation/disk.go
+++ b/internal/lab/simulation/disk.go
@@ -14,14 +14,14 @@
 // Disk is a disk in memory, as goleveldb writes to it. A loss of power keeps what was synced, and perhaps a part of what
 // was written since.
 type Disk struct {
-	mu     sync.Mutex
-	files  map[storage.FileDesc]*file
-	meta   storage.FileDesc
-	Delay  time.Duration // of a sync
-	Refuse bool          // writes and syncs fail
-	full   bool          // takes no more bytes: of a write the first half stays
-	Syncs  int
-	hangs  chan struct{} // closed when syncs go on; nil while they do
+	mu         sync.Mutex
+	files      map[storage.FileDesc]*file
+	meta       storage.FileDesc
+	SyncDelay  time.Duration // of a sync
+	FailWrites bool          // writes and syncs fail
+	full       bool          // takes no more bytes: of a write the first half stays
+	SyncCount  int
+	resumeSync chan struct{} // closed when syncs go on; nil while they do
 }
 
 type file struct {
@@ -30,8 +30,8 @@
 }
 
 var (
-	errRefused = errors.New("the disk refuses to write")
-	errFull    = errors.New("no space left on the disk")
+	errWriteFailed = errors.New("the disk refuses to write")
+	errNoSpace     = errors.New("no space left on the disk")
 )
 
 // NewDisk makes an empty one.
@@ -44,37 +44,37 @@
 	d.files, d.meta = map[storage.FileDesc]*file{}, storage.FileDesc{}
 }
 
-// set makes syncs take so long, and has it refuse to write or not.
-func (d *Disk) set(delay time.Duration, refuse bool) {
+// SetFaults makes syncs take so long, and has it refuse to write or not.
+func (d *Disk) SetFaults(delay time.Duration, failWrites bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.Delay, d.Refuse = delay, refuse
+	d.SyncDelay, d.FailWrites = delay, failWrites
 }
 
-// fill has it take no more bytes, or again.
-func (d *Disk) fill(full bool) {
+// setFull has it take no more bytes, or again.
+func (d *Disk) setFull(complete bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.full = full
+	d.full = complete
 }
 
-// hang has syncs wait, or go on.
-func (d *Disk) hang(hangs bool) {
+// setHanging has syncs wait, or go on.
+func (d *Disk) setHanging(hanging bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case hangs && d.hangs == nil:
-		d.hangs = make(chan struct{})
-	case !hangs && d.hangs != nil:
-		close(d.hangs)
-		d.hangs = nil
+	case hanging && d.resumeSync == nil:
+		d.resumeSync = make(chan struct{})
+	case !hanging && d.resumeSync != nil:
+		close(d.resumeSync)
+		d.resumeSync = nil
 	}
 }
 
-func (d *Disk) syncs() int {
+func (d *Disk) syncCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.Syncs
+	return d.SyncCount
 }
 
 // PowerLoss keeps what was synced; torn says that half of what was written since stays too.
@@ -92,36 +92,36 @@
 	}
 }
 
-// Handle is the disk as one life of a process has it.
-func (d *Disk) Handle() storage.Storage { return &handle{disk: d} }
+// Open is the disk as one life of a process has it.
+func (d *Disk) Open() storage.Storage { return &diskHandle{disk: d} }
 
-type handle struct {
-	disk *Disk
-	mu   sync.Mutex
-	over bool
+type diskHandle struct {
+	disk   *Disk
+	mu     sync.Mutex
+	closed bool
 }
 
-type nolock struct{}
+type nopLocker struct{}
 
-func (nolock) Unlock() {}
+func (nopLocker) Unlock() {}
 
-func (h *handle) Lock() (storage.Locker, error) { return nolock{}, nil }
-func (h *handle) Log(string)                    {}
+func (h *diskHandle) Lock() (storage.Locker, error) { return nopLocker{}, nil }
+func (h *diskHandle) Log(string)                    {}
 
-func (h *handle) SetMeta(fd storage.FileDesc) error {
+func (h *diskHandle) SetMeta(fd storage.FileDesc) error {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
 	switch {
-	case h.disk.Refuse:
-		return errRefused
+	case h.disk.FailWrites:
+		return errWriteFailed
 	case h.disk.full:
-		return errFull
+		return errNoSpace
 	}
 	h.disk.meta = fd
 	return nil
 }
 
-func (h *handle) GetMeta() (storage.FileDesc, error) {
+func (h *diskHandle) GetMeta() (storage.FileDesc, error) {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
 	if h.disk.meta.Zero() {
@@ -130,7 +130,7 @@
 	return h.disk.meta, nil
 }
 
-func (h *handle) List(t storage.FileType) (all []storage.FileDesc, err error) {
+func (h *diskHandle) List(t storage.FileType) (all []storage.FileDesc, err error) {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
 	for fd := range h.disk.files {
@@ -142,32 +142,32 @@
 	return all, nil
 }
 
-type reader struct{ *bytes.Reader }
+type fileReader struct{ *bytes.Reader }
 
-func (reader) Close() error { return nil }
+func (fileReader) Close() error { return nil }
 
-func (h *handle) Open(fd storage.FileDesc) (storage.Reader, error) {
+func (h *diskHandle) Open(fd storage.FileDesc) (storage.Reader, error) {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
 	f := h.disk.files[fd]
 	if f == nil {
 		return nil, os.ErrNotExist
 	}
-	return reader{bytes.NewReader(slices.Clone(f.data))}, nil
+	return fileReader{bytes.NewReader(slices.Clone(f.data))}, nil
 }
 
-func (h *handle) Create(fd storage.FileDesc) (storage.Writer, error) {
+func (h *diskHandle) Create(fd storage.FileDesc) (storage.Writer, error) {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
-	if h.disk.Refuse {
-		return nil, errRefused
+	if h.disk.FailWrites {
+		return nil, errWriteFailed
 	}
 	f := &file{}
 	h.disk.files[fd] = f
-	return &writer{handle: h, file: f}, nil
+	return &fileWriter{handle: h, file: f}, nil
 }
 
-func (h *handle) Remove(fd storage.FileDesc) error {
+func (h *diskHandle) Remove(fd storage.FileDesc) error {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
 	if h.disk.files[fd] == nil {
@@ -177,7 +177,7 @@
 	return nil
 }
 
-func (h *handle) Rename(from, to storage.FileDesc) error {
+func (h *diskHandle) Rename(from, to storage.FileDesc) error {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
 	f := h.disk.files[from]
@@ -189,61 +189,61 @@
 	return nil
 }
 
-func (h *handle) Close() error { return nil }
+func (h *diskHandle) Close() error { return nil }
 
-// end keeps what a process that was killed may still be about to write from the disk.
-func (h *handle) end() {
+// invalidate keeps what a process that was killed may still be about to write from the disk.
+func (h *diskHandle) invalidate() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.over = true
+	h.closed = true
 }
 
-func (h *handle) dead() bool {
+func (h *diskHandle) invalid() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.over
+	return h.closed
 }
 
-type writer struct {
-	handle *handle
+type fileWriter struct {
+	handle *diskHandle
 	file   *file
 }
 
-func (w *writer) Write(b []byte) (int, error) {
+func (w *fileWriter) Write(b []byte) (int, error) {
 	d := w.handle.disk
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.Refuse || w.handle.dead() {
-		return 0, errRefused
+	if d.FailWrites || w.handle.invalid() {
+		return 0, errWriteFailed
 	}
 	if d.full && len(b) > 0 {
 		w.file.data = append(w.file.data, b[:len(b)/2]...)
-		return len(b) / 2, errFull
+		return len(b) / 2, errNoSpace
 	}
 	w.file.data = append(w.file.data, b...)
 	return len(b), nil
 }
 
-func (w *writer) Sync() error {
+func (w *fileWriter) Sync() error {
 	d := w.handle.disk
 	d.mu.Lock()
-	n, wait := len(w.file.data), d.Delay
+	n, wait := len(w.file.data), d.SyncDelay
 	d.mu.Unlock()
 	time.Sleep(wait)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for d.hangs != nil {
-		hangs := d.hangs
+	for d.resumeSync != nil {
+		resume := d.resumeSync
 		d.mu.Unlock()
-		<-hangs
+		<-resume
 		d.mu.Lock()
 	}
-	if d.Refuse || w.handle.dead() {
-		return errRefused
+	if d.FailWrites || w.handle.invalid() {
+		return errWriteFailed
 	}
 	w.file.synced = max(w.file.synced, min(n, len(w.file.data)))
-	d.Syncs++
+	d.SyncCount++
 	return nil
 }
 
-func (w *writer) Close() error { return nil }
+func (w *fileWriter) Close() error { return nil }
