--- a/internal/lab/simulation/drawn_test.go
+++ b/internal/lab/simulation/drawn_test.go
@@ -20,394 +20,394 @@
 )
 
 var (
-	seeds = flag.Int("seeds", 4, "drawn days to play")
-	from  = flag.Int("from", 1, "the first of them")
+	randomRuns = flag.Int("seeds", 4, "drawn days to play")
+	firstSeed  = flag.Int("from", 1, "the first of them")
 )
 
 var (
-	ends  = map[string]int{}             // of all rollouts, to see that both kinds came
-	took  = map[string][]time.Duration{} // until an order was acknowledged, by the harm that went on
-	whole []time.Duration                // from the closing fault's end until all control processes are in touch
+	rolloutOutcomes = map[string]int{}             // of all rollouts, to see that both kinds came
+	ackLatencies    = map[string][]time.Duration{} // until an order was acknowledged, by the harm that went on
+	recoveryTimes   []time.Duration                // from the closing fault's end until all control processes are in touch
 )
 
-// operator sends changes and remembers what was sent and acknowledged.
-type operator struct {
-	h     *Harbour
-	draw  random.Source
-	sent  map[string]map[string]bool // by route and version: the prefixes that were sent
-	won   map[string]string          // by route and version: the one that was acknowledged
-	acked map[string]string          // by route: the newest version that was acknowledged
-	next  int
-	late  int               // orders that a calm core did not take in time
-	mu    sync.Mutex        // over the chance and what follows
-	now   string            // the harm that goes on
-	by    int               // who acknowledged last
-	ends  map[string]string // by version: how its rollout ended
-	evac  string            // the state that z0 was last ordered into, if that was acknowledged
+// randomOperator sends changes and remembers what was sent and acknowledged.
+type randomOperator struct {
+	cluster         *Cluster
+	rng             random.Source
+	sent            map[string]map[string]bool // by route and version: the prefixes that were sent
+	acceptedPrefix  map[string]string          // by route and version: the one that was acknowledged
+	ackedVersion    map[string]string          // by route: the newest version that was acknowledged
+	nextVersion     int
+	overdue         int               // orders that a calm core did not take in time
+	mu              sync.Mutex        // over the chance and what follows
+	currentFault    string            // the harm that goes on
+	lastAckedBy     int               // who acknowledged last
+	rolloutEnds     map[string]string // by version: how its rollout ended
+	ackedEvacuation string            // the state that z0 was last ordered into, if that was acknowledged
 }
 
-func (o *operator) n(n int) int {
+func (o *randomOperator) intn(n int) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return int(o.draw.Next() * float64(n))
+	return int(o.rng.Float64() * float64(n))
 }
 
-// goesOn notes the harm that goes on.
-func (o *operator) goesOn(harm string) {
+// setFault notes the harm that goes on.
+func (o *randomOperator) setFault(fault string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.now = harm
+	o.currentFault = fault
 }
 
-// change sends one change of one of four routes to a control process by chance; twice sends another of the same version to
+// sendChange sends one change of one of four routes to a control process by chance; twice sends another of the same version to
 // another at once.
-func (o *operator) change(twice bool) {
-	o.next += 1 + o.n(3)
-	version := config.FormatVersion(uint64(o.next))
-	route := fmt.Sprintf("r%d", o.n(4))
-	many := 1
-	if twice {
-		many = 2
+func (o *randomOperator) sendChange(conflicting bool) {
+	o.nextVersion += 1 + o.intn(3)
+	version := config.FormatVersion(uint64(o.nextVersion))
+	route := fmt.Sprintf("r%d", o.intn(4))
+	senders := 1
+	if conflicting {
+		senders = 2
 	}
-	type ending struct {
+	type callEnd struct {
 		prefix string
 		status int
 	}
-	done := make(chan ending, many)
-	for k := range many {
+	results := make(chan callEnd, senders)
+	for k := range senders {
 		prefix := fmt.Sprintf("/%s-%s-%d/", route, version, k)
 		if o.sent[route+version] == nil {
 			o.sent[route+version] = map[string]bool{}
 		}
 		o.sent[route+version][prefix] = true
-		first := o.n(len(o.h.Masters))
-		body := o.h.Configure(false, Route{Name: route, Prefix: prefix, Service: "desk", Version: version})
+		first := o.intn(len(o.cluster.Controls))
+		body := o.cluster.ChangeBody(false, Route{Name: route, Prefix: prefix, Service: "desk", Version: version})
 		go func() {
-			status, by, _ := o.h.Order("configuration.modify", "", body, 8*time.Second, first)
+			status, answeredBy, _ := o.cluster.Call("configuration.modify", "", body, 8*time.Second, first)
 			o.mu.Lock()
-			o.by = max(0, by)
+			o.lastAckedBy = max(0, answeredBy)
 			o.mu.Unlock()
-			done <- ending{prefix, status}
+			results <- callEnd{prefix, status}
 		}()
 	}
-	began, refused := time.Now(), 0
-	for range many {
-		switch e := <-done; {
-		case e.status == 200 && o.won[route+version] != "":
-			o.h.broken("TWICE: %s %s was acknowledged as %s and as %s", route, version, o.won[route+version], e.prefix)
-		case e.status == 200:
-			o.won[route+version] = e.prefix
-			o.acked[route] = max(o.acked[route], version)
-		case e.status == 409:
+	start, refused := time.Now(), 0
+	for range senders {
+		switch result := <-results; {
+		case result.status == 200 && o.acceptedPrefix[route+version] != "":
+			o.cluster.violation("TWICE: %s %s was acknowledged as %s and as %s", route, version, o.acceptedPrefix[route+version], result.prefix)
+		case result.status == 200:
+			o.acceptedPrefix[route+version] = result.prefix
+			o.ackedVersion[route] = max(o.ackedVersion[route], version)
+		case result.status == 409:
 			refused++
 		default:
-			o.late++
+			o.overdue++
 		}
 	}
-	if refused > 0 && o.won[route+version] == "" { // right only where the other one was taken
-		o.late += refused
+	if refused > 0 && o.acceptedPrefix[route+version] == "" { // right only where the other one was taken
+		o.overdue += refused
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	took[o.now] = append(took[o.now], time.Since(began))
+	ackLatencies[o.currentFault] = append(ackLatencies[o.currentFault], time.Since(start))
 }
 
-func (o *operator) evacuate() {
-	call := []string{"evacuation.begin", "evacuation.finish"}[o.n(2)]
-	o.evac = ""
-	if status, _, _ := o.h.Order(call, "z0", nil, 8*time.Second, o.n(len(o.h.Masters))); status == 200 {
-		o.evac = call
+func (o *randomOperator) toggleEvacuation() {
+	call := []string{"evacuation.begin", "evacuation.finish"}[o.intn(2)]
+	o.ackedEvacuation = ""
+	if status, _, _ := o.cluster.Call(call, "z0", nil, 8*time.Second, o.intn(len(o.cluster.Controls))); status == 200 {
+		o.ackedEvacuation = call
 	} else {
-		o.late++
+		o.overdue++
 	}
 }
 
-// harm does one harm of those that the settings tolerate, and undoes it. It tells what it did.
-func (o *operator) harm() string {
-	h := o.h
-	at := o.n(len(h.Masters))
-	m := h.Masters[at]
-	lasts := time.Duration(1+o.n(4)) * time.Second
-	defer o.goesOn("calm")
-	if other := h.Masters[(at+1+o.n(5))%6]; o.n(3) == 0 { // two at once: another's disk is slow
-		other.Disk.set(125*time.Millisecond, false)
-		defer other.Disk.set(5*time.Millisecond, false)
+// injectFault does one harm of those that the settings tolerate, and undoes it. It tells what it did.
+func (o *randomOperator) injectFault() string {
+	cluster := o.cluster
+	index := o.intn(len(cluster.Controls))
+	node := cluster.Controls[index]
+	duration := time.Duration(1+o.intn(4)) * time.Second
+	defer o.setFault("calm")
+	if other := cluster.Controls[(index+1+o.intn(5))%6]; o.intn(3) == 0 { // two at once: another's disk is slow
+		other.Disk.SetFaults(125*time.Millisecond, false)
+		defer other.Disk.SetFaults(5*time.Millisecond, false)
 	}
-	switch kind := o.n(9); kind {
+	switch kind := o.intn(9); kind {
 	case 0, 1: // killed, or without power
-		o.goesOn("down")
-		m.Kill()
+		o.setFault("down")
+		node.Kill()
 		if kind == 1 {
-			h.Sea.Down(m.Boot.IP, true)
-			m.Disk.PowerLoss(o.n(2) == 0)
+			cluster.Network.SetPoweredOff(node.Settings.IP, true)
+			node.Disk.PowerLoss(o.intn(2) == 0)
 		}
-		time.Sleep(lasts)
-		h.Sea.Down(m.Boot.IP, false)
-		m.mustStart()
-		return fmt.Sprint("down ", m.Boot.IP)
+		time.Sleep(duration)
+		cluster.Network.SetPoweredOff(node.Settings.IP, false)
+		node.mustStart()
+		return fmt.Sprint("down ", node.Settings.IP)
 	case 2:
-		o.goesOn("wiped")
-		m.Kill()
-		m.Disk.Wipe()
-		time.Sleep(lasts)
-		m.mustStart()
-		return fmt.Sprint("wiped ", m.Boot.IP)
+		o.setFault("wiped")
+		node.Kill()
+		node.Disk.Wipe()
+		time.Sleep(duration)
+		node.mustStart()
+		return fmt.Sprint("wiped ", node.Settings.IP)
 	case 3, 4: // cut off from the others, or from half of them
-		o.goesOn("cut")
-		for i, x := range h.Masters {
-			if x != m && (kind == 3 || i%2 == 0) {
-				h.Sea.Cut(m.Boot.IP, x.Boot.IP, true)
+		o.setFault("cut")
+		for i, peer := range cluster.Controls {
+			if peer != node && (kind == 3 || i%2 == 0) {
+				cluster.Network.SetPartition(node.Settings.IP, peer.Settings.IP, true)
 			}
 		}
-		time.Sleep(lasts + 2*time.Second)
-		for _, x := range h.Masters {
-			h.Sea.Cut(m.Boot.IP, x.Boot.IP, false)
+		time.Sleep(duration + 2*time.Second)
+		for _, peer := range cluster.Controls {
+			cluster.Network.SetPartition(node.Settings.IP, peer.Settings.IP, false)
 		}
-		return fmt.Sprint("cut ", m.Boot.IP)
+		return fmt.Sprint("cut ", node.Settings.IP)
 	case 5:
-		o.goesOn("slow disk")
-		m.Disk.set(125*time.Millisecond, false)
-		time.Sleep(lasts)
-		m.Disk.set(5*time.Millisecond, false)
-		return fmt.Sprint("slow disk ", m.Boot.IP)
+		o.setFault("slow disk")
+		node.Disk.SetFaults(125*time.Millisecond, false)
+		time.Sleep(duration)
+		node.Disk.SetFaults(5*time.Millisecond, false)
+		return fmt.Sprint("slow disk ", node.Settings.IP)
 	case 6:
-		o.goesOn("refusing disk")
-		m.Disk.set(5*time.Millisecond, true)
-		time.Sleep(lasts)
-		m.Disk.set(5*time.Millisecond, false)
-		return fmt.Sprint("refusing disk ", m.Boot.IP)
+		o.setFault("refusing disk")
+		node.Disk.SetFaults(5*time.Millisecond, true)
+		time.Sleep(duration)
+		node.Disk.SetFaults(5*time.Millisecond, false)
+		return fmt.Sprint("refusing disk ", node.Settings.IP)
 	case 7: // a region is without power
-		o.goesOn("region")
-		two := []*Master{m, h.Masters[at^1]}
-		for _, x := range two {
-			x.Kill()
-			h.Sea.Down(x.Boot.IP, true)
-			x.Disk.PowerLoss(o.n(2) == 0)
+		o.setFault("region")
+		region := []*ControlNode{node, cluster.Controls[index^1]}
+		for _, peer := range region {
+			peer.Kill()
+			cluster.Network.SetPoweredOff(peer.Settings.IP, true)
+			peer.Disk.PowerLoss(o.intn(2) == 0)
 		}
-		time.Sleep(lasts + time.Second)
-		for _, x := range two {
-			h.Sea.Down(x.Boot.IP, false)
-			x.mustStart()
+		time.Sleep(duration + time.Second)
+		for _, peer := range region {
+			cluster.Network.SetPoweredOff(peer.Settings.IP, false)
+			peer.mustStart()
 		}
 		return "region down"
 	default: // all at once; the disks stay
-		o.goesOn("all killed")
-		for _, x := range h.Masters {
-			x.Kill()
+		o.setFault("all killed")
+		for _, peer := range cluster.Controls {
+			peer.Kill()
 		}
 		time.Sleep(time.Second)
-		for _, x := range h.Masters {
-			x.mustStart()
+		for _, peer := range cluster.Controls {
+			peer.mustStart()
 		}
 		return "all killed"
 	}
 }
 
-// rollouts orders one after the other, has routers vote this way and that, and notes every end that any control process
+// runRollouts orders one after the other, has routers vote this way and that, and notes every end that any control process
 // tells: of one order there may be one only.
-func (o *operator) rollouts(until chan bool) {
-	h, draw := o.h, random.Source{Seed: uint64(o.n(1 << 30))}
-	client := h.client(h.Sea.Process("10.200.0.3"), time.Second)
+func (o *randomOperator) runRollouts(stop chan bool) {
+	cluster, rng := o.cluster, random.Source{Seed: uint64(o.intn(1 << 30))}
+	client := cluster.httpClient(cluster.Network.Process("10.200.0.3"), time.Second)
 	defer client.CloseIdleConnections()
 	for n := 2; ; n++ {
 		target := fmt.Sprint("v", n)
-		status, _, _ := h.Order("rollouts.begin", "", []byte(`{"service":"desk","target-version":"`+target+`","duration-s":5}`), 8*time.Second, int(draw.Next()*6))
-		back := []float64{0, 0.02, 0.1, 0.5}[int(draw.Next()*4)] // how many of the votes
+		status, _, _ := cluster.Call("rollouts.begin", "", []byte(`{"service":"desk","target-version":"`+target+`","duration-s":5}`), 8*time.Second, int(rng.Float64()*6))
+		rollbackShare := []float64{0, 0.02, 0.1, 0.5}[int(rng.Float64()*4)] // how many of the votes
 		for range 24 {
 			select {
-			case <-until:
+			case <-stop:
 				return
 			case <-time.After(250 * time.Millisecond):
 			}
-			for _, f := range h.Fairways {
-				if status == 200 && draw.Next() < 0.7 {
-					f.Running.SendVote(update.Vote{Service: "desk", Number: uint64(n - 1), Verdict: uint8(lo.Ternary(draw.Next() < back, decision.Back, decision.On))})
+			for _, px := range cluster.Proxies {
+				if status == 200 && rng.Float64() < 0.7 {
+					px.Running.SendVote(update.Vote{Service: "desk", Number: uint64(n - 1), Verdict: uint8(lo.Ternary(rng.Float64() < rollbackShare, decision.RollBack, decision.Advance))})
 				}
 			}
-			at := h.Masters[int(draw.Next()*6)]
-			if status, raw, err := post(h.ctx, client, at.Boot.ListenAddresses["control"], "rollouts.read", "desk", nil); err == nil && status == 200 {
-				var v map[string]string
-				json.Unmarshal(raw, &v)
-				if end := v["server-state"]; end != "running" {
-					if was := o.ends[v["target-version"]]; was != "" && was != end {
-						h.broken("LOST: %s was %s and is %s", v["target-version"], was, end)
+			node := cluster.Controls[int(rng.Float64()*6)]
+			if status, raw, err := callRPC(cluster.ctx, client, node.Settings.ListenAddresses["control"], "rollouts.read", "desk", nil); err == nil && status == 200 {
+				var reply map[string]string
+				json.Unmarshal(raw, &reply)
+				if outcome := reply["server-state"]; outcome != "running" {
+					if previous := o.rolloutEnds[reply["target-version"]]; previous != "" && previous != outcome {
+						cluster.violation("LOST: %s was %s and is %s", reply["target-version"], previous, outcome)
 					}
-					o.ends[v["target-version"]] = end
+					o.rolloutEnds[reply["target-version"]] = outcome
 				}
 			}
 		}
 	}
 }
 
-// check reads the configuration at one control process; if it answers, nothing acknowledged may be missing.
-func (o *operator) check(c *qt.C, at int, harms []string) {
-	client := o.h.client(o.h.Sea.Process("10.200.0.2"), time.Second)
+// checkAcked reads the configuration at one control process; if it answers, nothing acknowledged may be missing.
+func (o *randomOperator) checkAcked(c *qt.C, index int, faults []string) {
+	client := o.cluster.httpClient(o.cluster.Network.Process("10.200.0.2"), time.Second)
 	defer client.CloseIdleConnections()
-	status, raw, err := post(o.h.ctx, client, o.h.Masters[at].Boot.ListenAddresses["control"], "configuration.read", "", nil)
+	status, raw, err := callRPC(o.cluster.ctx, client, o.cluster.Controls[index].Settings.ListenAddresses["control"], "configuration.read", "", nil)
 	if err != nil || status != 200 {
 		return
 	}
 	items, err := config.ParseChange([]byte(`{"set-items":` + string(raw) + `}`))
 	c.Assert(err, qt.IsNil)
-	now := map[string]uint64{}
+	stored := map[string]uint64{}
 	for _, i := range items {
-		now[i.Name] = i.Version
+		stored[i.Name] = i.Version
 	}
-	for route, version := range o.acked {
-		c.Check(config.FormatVersion(now[route]) >= version, qt.IsTrue, qt.Commentf("LOST: %s answered without %s %s; %v",
-			o.h.Masters[at].Boot.Name, route, version, harms))
+	for route, version := range o.ackedVersion {
+		c.Check(config.FormatVersion(stored[route]) >= version, qt.IsTrue, qt.Commentf("LOST: %s answered without %s %s; %v",
+			o.cluster.Controls[index].Settings.Name, route, version, faults))
 	}
 }
 
-// drawn plays one day of a seed: changes, races, evacuations and harms, a closing fault right after an acknowledgement, and
+// playRandomSchedule plays one day of a seed: changes, races, evacuations and harms, a closing fault right after an acknowledgement, and
 // then all is held against what was acknowledged.
-func drawn(t *testing.T, seed int) {
+func playRandomSchedule(t *testing.T, seed int) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		l := small
-		l.Zones, l.Routers, l.Hosts, l.Seed = 6, 1, 1, uint64(seed)
-		h := New(l)
-		c.Assert(h.Start(), qt.IsNil)
-		defer h.Stop()
+		layout := smallLayout
+		layout.Zones, layout.ProxiesPerZone, layout.HostsPerZone, layout.Seed = 6, 1, 1, uint64(seed)
+		cluster := New(layout)
+		c.Assert(cluster.Start(), qt.IsNil)
+		defer cluster.Stop()
 		time.Sleep(2 * time.Second)
-		o := &operator{h: h, draw: random.Source{Seed: uint64(seed) * 977}, sent: map[string]map[string]bool{}, won: map[string]string{}, acked: map[string]string{}, ends: map[string]string{}, now: "calm"}
-		status, _, answer := h.Order("configuration.modify", "", h.Configure(true, look), 5*time.Second, 0)
-		c.Assert(status, qt.Equals, 200, qt.Commentf("%s", answer))
-		watching, watched := make(chan bool), make(chan bool)
+		op := &randomOperator{cluster: cluster, rng: random.Source{Seed: uint64(seed) * 977}, sent: map[string]map[string]bool{}, acceptedPrefix: map[string]string{}, ackedVersion: map[string]string{}, rolloutEnds: map[string]string{}, currentFault: "calm"}
+		status, _, reply := cluster.Call("configuration.modify", "", cluster.ChangeBody(true, safeRoute), 5*time.Second, 0)
+		c.Assert(status, qt.Equals, 200, qt.Commentf("%s", reply))
+		stopWatch, watchDone := make(chan bool), make(chan bool)
 		go func() { // no router goes back
-			defer close(watched)
-			seen := map[string]uint64{}
+			defer close(watchDone)
+			highest := map[string]uint64{}
 			for {
 				select {
-				case <-watching:
+				case <-stopWatch:
 					return
 				case <-time.After(50 * time.Millisecond):
 				}
-				for _, f := range h.Fairways {
-					for name, v := range f.Running.RouteVersions() {
-						k := f.Boot.Name + " " + name
-						if v < seen[k] {
-							h.broken("CONFIG: %s went back from %d to %d", k, seen[k], v)
+				for _, px := range cluster.Proxies {
+					for name, v := range px.Running.RouteVersions() {
+						k := px.Settings.Name + " " + name
+						if v < highest[k] {
+							cluster.violation("CONFIG: %s went back from %d to %d", k, highest[k], v)
 						}
-						seen[k] = max(seen[k], v)
+						highest[k] = max(highest[k], v)
 					}
 				}
 			}
 		}()
-		rolling, rolled := make(chan bool), make(chan bool)
+		stopRollouts, rolloutsDone := make(chan bool), make(chan bool)
 		go func() {
-			defer close(rolled)
-			o.rollouts(rolling)
+			defer close(rolloutsDone)
+			op.runRollouts(stopRollouts)
 		}()
-		var harms []string
+		var faults []string
 		for range 3 {
-			over := make(chan bool)
+			faultOver := make(chan bool)
 			go func() {
-				defer close(over)
-				time.Sleep(time.Duration(o.n(500)) * time.Millisecond)
-				harms = append(harms, o.harm())
+				defer close(faultOver)
+				time.Sleep(time.Duration(op.intn(500)) * time.Millisecond)
+				faults = append(faults, op.injectFault())
 			}()
 			for range 6 {
-				time.Sleep(time.Duration(100+o.n(500)) * time.Millisecond)
-				if o.n(4) == 0 {
-					o.evacuate()
+				time.Sleep(time.Duration(100+op.intn(500)) * time.Millisecond)
+				if op.intn(4) == 0 {
+					op.toggleEvacuation()
 				} else {
-					o.change(o.n(4) == 0)
+					op.sendChange(op.intn(4) == 0)
 				}
 			}
-			<-over
+			<-faultOver
 			time.Sleep(5 * time.Second) // back for good before the next
 		}
-		o.change(false)
-		closing := o.n(3)
-		for i, m := range h.Masters {
-			m.Kill()
+		op.sendChange(false)
+		closing := op.intn(3)
+		for i, node := range cluster.Controls {
+			node.Kill()
 			if closing > 0 {
-				m.Disk.PowerLoss(i%2 == 0)
+				node.Disk.PowerLoss(i%2 == 0)
 			}
 		}
 		if closing == 2 {
-			h.Masters[o.by].Disk.Wipe()
+			cluster.Controls[op.lastAckedBy].Disk.Wipe()
 		}
 		time.Sleep(1300 * time.Millisecond)
-		for _, m := range h.Masters {
-			m.mustStart()
-			time.Sleep(time.Duration(o.n(150)) * time.Millisecond)
+		for _, node := range cluster.Controls {
+			node.mustStart()
+			time.Sleep(time.Duration(op.intn(150)) * time.Millisecond)
 		}
-		began, all := time.Now(), make(chan bool)
+		start, recovered := time.Now(), make(chan bool)
 		go func() {
-			defer close(all)
-			for _, m := range h.Masters {
-				for m.Standing() != "in touch" && time.Since(began) < 4*time.Second {
+			defer close(recovered)
+			for _, node := range cluster.Controls {
+				for node.Status() != "in touch" && time.Since(start) < 4*time.Second {
 					time.Sleep(10 * time.Millisecond)
 				}
 			}
-			whole = append(whole, time.Since(began))
+			recoveryTimes = append(recoveryTimes, time.Since(start))
 		}()
 		for i := range 60 { // whoever answers knows all that was acknowledged, from its first answer on
-			o.check(c, i%len(h.Masters), harms)
+			op.checkAcked(c, i%len(cluster.Controls), faults)
 			time.Sleep(50 * time.Millisecond)
 		}
 		time.Sleep(2 * time.Second)
-		<-all
-		close(watching)
-		<-watched
-		close(rolling)
-		<-rolled
-		for _, end := range o.ends {
-			ends[end]++
+		<-recovered
+		close(stopWatch)
+		<-watchDone
+		close(stopRollouts)
+		<-rolloutsDone
+		for _, end := range op.rolloutEnds {
+			rolloutOutcomes[end]++
 		}
-		c.Check(h.Broken, qt.HasLen, 0)
-		c.Check(o.late, qt.Equals, 0, qt.Commentf("orders not taken; %v", harms))
+		c.Check(cluster.Violations, qt.HasLen, 0)
+		c.Check(op.overdue, qt.Equals, 0, qt.Commentf("orders not taken; %v", faults))
 		var first string
-		for i := range h.Masters {
-			status, by, answer := h.Order("configuration.read", "", nil, time.Second, i)
-			c.Assert([2]int{status, by}, qt.Equals, [2]int{200, i}, qt.Commentf("%v, closing %d: %s is %s", harms, closing, h.Masters[i].Boot.Name, h.Masters[i].Standing()))
+		for i := range cluster.Controls {
+			status, by, reply := cluster.Call("configuration.read", "", nil, time.Second, i)
+			c.Assert([2]int{status, by}, qt.Equals, [2]int{200, i}, qt.Commentf("%v, closing %d: %s is %s", faults, closing, cluster.Controls[i].Settings.Name, cluster.Controls[i].Status()))
 			if first == "" {
-				first = string(answer)
+				first = string(reply)
 			}
-			c.Check(string(answer), qt.Equals, first, qt.Commentf("%v", harms))
+			c.Check(string(reply), qt.Equals, first, qt.Commentf("%v", faults))
 		}
 		items, err := config.ParseChange([]byte(`{"set-items":` + first + `}`))
 		c.Assert(err, qt.IsNil)
-		now := map[string]config.Item{}
+		stored := map[string]config.Item{}
 		for _, i := range items {
-			now[i.Name] = i
+			stored[i.Name] = i
 		}
-		for route, version := range o.acked {
-			i, there := now[route]
-			c.Check(there && config.FormatVersion(i.Version) >= version, qt.IsTrue,
-				qt.Commentf("LOST: %s %s was acknowledged, %d stands; %v, closing %d", route, version, i.Version, harms, closing))
+		for route, version := range op.ackedVersion {
+			i, found := stored[route]
+			c.Check(found && config.FormatVersion(i.Version) >= version, qt.IsTrue,
+				qt.Commentf("LOST: %s %s was acknowledged, %d stands; %v, closing %d", route, version, i.Version, faults, closing))
 			prefix, _ := i.Tree()["path-prefix"].(string)
-			c.Check(o.sent[route+config.FormatVersion(i.Version)][prefix], qt.IsTrue, qt.Commentf("%s %s was never sent", route, prefix))
-			if won := o.won[route+config.FormatVersion(i.Version)]; won != "" {
-				c.Check(prefix, qt.Equals, won, qt.Commentf("LOST: of two contents of one version; %v, closing %d", harms, closing))
+			c.Check(op.sent[route+config.FormatVersion(i.Version)][prefix], qt.IsTrue, qt.Commentf("%s %s was never sent", route, prefix))
+			if accepted := op.acceptedPrefix[route+config.FormatVersion(i.Version)]; accepted != "" {
+				c.Check(prefix, qt.Equals, accepted, qt.Commentf("LOST: of two contents of one version; %v, closing %d", faults, closing))
 			}
 		}
-		if o.evac != "" {
-			_, _, answer := h.Order("harbour.read", "", nil, time.Second, 0)
+		if op.ackedEvacuation != "" {
+			_, _, reply := cluster.Call("harbour.read", "", nil, time.Second, 0)
 			var s struct{ Evacuated []string }
-			c.Assert(json.Unmarshal(answer, &s), qt.IsNil)
-			c.Check(len(s.Evacuated) == 1, qt.Equals, o.evac == "evacuation.begin", qt.Commentf("LOST: %s; %v", o.evac, harms))
+			c.Assert(json.Unmarshal(reply, &s), qt.IsNil)
+			c.Check(len(s.Evacuated) == 1, qt.Equals, op.ackedEvacuation == "evacuation.begin", qt.Commentf("LOST: %s; %v", op.ackedEvacuation, faults))
 		}
-		for _, f := range h.Fairways {
-			for name, v := range f.Running.RouteVersions() {
-				c.Check(v, qt.Equals, now[name].Version, qt.Commentf("%s has %s", f.Boot.Name, name))
+		for _, px := range cluster.Proxies {
+			for name, v := range px.Running.RouteVersions() {
+				c.Check(v, qt.Equals, stored[name].Version, qt.Commentf("%s has %s", px.Settings.Name, name))
 			}
 		}
 	})
 }
 
 // Days drawn by seeds; -args -seeds 1000 plays as many.
-func TestDrawnDays(t *testing.T) {
-	for seed := *from; seed < *from+*seeds; seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { drawn(t, seed) })
+func TestRandomSchedules(t *testing.T) {
+	for seed := *firstSeed; seed < *firstSeed+*randomRuns; seed++ {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRandomSchedule(t, seed) })
 	}
-	t.Log("rollouts ended", ends)
-	for harm, all := range took {
+	t.Log("rollouts ended", rolloutOutcomes)
+	for fault, all := range ackLatencies {
 		slices.Sort(all)
-		t.Logf("%s: %d orders, acknowledged after %v (median), %v (worst)", harm, len(all), all[len(all)/2], all[len(all)-1])
+		t.Logf("%s: %d orders, acknowledged after %v (median), %v (worst)", fault, len(all), all[len(all)/2], all[len(all)-1])
 	}
-	slices.Sort(whole)
-	t.Logf("all in touch %v (median), %v (worst) after the last one's start", whole[len(whole)/2], whole[len(whole)-1])
+	slices.Sort(recoveryTimes)
+	t.Logf("all in touch %v (median), %v (worst) after the last one's start", recoveryTimes[len(recoveryTimes)/2], recoveryTimes[len(recoveryTimes)-1])
 }
--- a/internal/lab/simulation/gathered_test.go
+++ b/internal/lab/simulation/gathered_test.go
@@ -12,32 +12,32 @@
 
 // Hosts end one after the other, a hundred a second: each of them is news to all, and goes to each router with what came close to it,
 // not by itself. A single change goes at once.
-func TestNewsIsGathered(t *testing.T) {
+func TestUpdatesAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		l := small
-		l.Zones, l.Routers, l.Hosts, l.Rate = 6, 4, 10, 1
-		h := opened(c, l)
+		layout := smallLayout
+		layout.Zones, layout.ProxiesPerZone, layout.HostsPerZone, layout.Rate = 6, 4, 10, 1
+		cluster := startCluster(c, layout)
 		time.Sleep(4 * time.Second)
-		said := stream.FramesWritten.Load()
-		for _, q := range h.Quays[:50] {
-			q.Drain()
+		sent := stream.FramesWritten.Load()
+		for _, host := range cluster.Hosts[:50] {
+			host.Drain()
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
-		frames := stream.FramesWritten.Load() - said
+		frames := stream.FramesWritten.Load() - sent
 		c.Logf("%d frames for 50 hosts, 24 routers and 6 control processes", frames)
 		c.Check(frames < 490, qt.IsTrue, qt.Commentf("%d", frames))
-		for _, f := range h.Fairways {
-			c.Check(f.Running.UsableHosts("desk"), qt.Equals, 10)
+		for _, px := range cluster.Proxies {
+			c.Check(px.Running.UsableHosts("desk"), qt.Equals, 10)
 		}
 
-		changed := look
+		changed := safeRoute
 		changed.Version = "0000000a"
-		configure(c, h, h.Configure(false, changed), 0)
+		configure(c, cluster, cluster.ChangeBody(false, changed), 0)
 		time.Sleep(40 * time.Millisecond) // one way between regions
-		for _, f := range h.Fairways {
-			c.Check(f.Running.RouteVersions()[look.Name], qt.Equals, uint64(10), qt.Commentf(f.Boot.Name))
+		for _, px := range cluster.Proxies {
+			c.Check(px.Running.RouteVersions()[safeRoute.Name], qt.Equals, uint64(10), qt.Commentf(px.Settings.Name))
 		}
 	})
 }
--- a/internal/lab/simulation/hard_test.go
+++ b/internal/lab/simulation/hard_test.go
@@ -16,89 +16,89 @@
 // Hard histories: the same operators and checks as those of TestHistories, beside the harms that it lacks, two of one kind at
 // once among them, and a closing fault right after an order was acknowledged. Their seeds lie above hard.
 
-var hardSeeds = flag.Int("hard", 0, "hard histories to play, instead of a few")
+var hardHistories = flag.Int("hard", 0, "hard histories to play, instead of a few")
 
 const (
-	hard     = 1_000_000
-	marginIn = 15 * time.Second // until the core bears again what it bore, once the harms are over
+	hardSeedBase   = 1_000_000
+	toleranceLimit = 15 * time.Second // until the core bears again what it bore, once the harms are over
 )
 
-// worse plays one history's harms.
-type worse struct {
-	*watch
-	lasted map[*Master]time.Time // since when its disk has lasted
+// faultInjector plays one history's harms.
+type faultInjector struct {
+	*recorder
+	diskSince map[*ControlNode]time.Time // since when its disk has lasted
 }
 
-// worst does a few harms, one kind after the other, each waiting for the core to bear losses again, and closes.
-func (w *watch) worst() {
-	x := &worse{watch: w, lasted: map[*Master]time.Time{}}
-	for _, m := range w.h.Masters {
-		x.lasted[m] = time.Now()
+// injectHardFaults does a few harms, one kind after the other, each waiting for the core to bear losses again, and closes.
+func (rc *recorder) injectHardFaults() {
+	in := &faultInjector{recorder: rc, diskSince: map[*ControlNode]time.Time{}}
+	for _, node := range rc.cluster.Controls {
+		in.diskSince[node] = time.Now()
 	}
-	w.rest(500, 1500)
-	for range 1 + w.n(3) {
-		x.round()
+	rc.sleepBetween(500, 1500)
+	for range 1 + rc.intn(3) {
+		in.injectRound()
 	}
-	if w.n(4) > 0 {
-		x.close()
+	if rc.intn(4) > 0 {
+		in.injectClosingFault()
 	}
 }
 
-// round does harms of one kind to one process or, in a core that bears it, to two; at times a lesser one of another beside it.
-func (x *worse) round() {
-	h := x.h
-	some := []*Master{h.Masters[x.victim()]}
-	if len(h.Masters) >= 6 && x.n(2) == 0 {
-		at := (slices.Index(h.Masters, some[0]) + 1 + x.n(len(h.Masters)-1)) % len(h.Masters)
-		some = append(some, h.Masters[at])
-	}
-	undo := []func(){x.harms(some)}
-	lasts := time.Duration(2000+x.n(4000)) * time.Millisecond
-	if x.n(4) == 0 {
-		lasts = time.Duration(20+x.n(6)) * time.Second
-	}
-	if x.n(3) == 0 {
-		undo = append(undo, x.nuisance(slices.Index(h.Masters, some[0])))
-	}
-	time.Sleep(lasts)
+// injectRound does harms of one kind to one process or, in a core that bears it, to two; at times a lesser one of another beside it.
+func (in *faultInjector) injectRound() {
+	cluster := in.cluster
+	nodes := []*ControlNode{cluster.Controls[in.pickVictim()]}
+	if len(cluster.Controls) >= 6 && in.intn(2) == 0 {
+		second := (slices.Index(cluster.Controls, nodes[0]) + 1 + in.intn(len(cluster.Controls)-1)) % len(cluster.Controls)
+		nodes = append(nodes, cluster.Controls[second])
+	}
+	undo := []func(){in.injectFault(nodes)}
+	duration := time.Duration(2000+in.intn(4000)) * time.Millisecond
+	if in.intn(4) == 0 {
+		duration = time.Duration(20+in.intn(6)) * time.Second
+	}
+	if in.intn(3) == 0 {
+		undo = append(undo, in.injectMinorFault(slices.Index(cluster.Controls, nodes[0])))
+	}
+	time.Sleep(duration)
 	for _, u := range slices.Backward(undo) {
 		u()
 	}
-	x.margin()
-	x.rest(300, 1500)
+	in.awaitTolerance()
+	in.sleepBetween(300, 1500)
 }
 
-// margin waits until all are members and hear each other, which must come by itself.
-func (x *worse) margin() {
-	all := len(x.h.Masters)
-	for until := time.Now().Add(marginIn); !x.h.listed(all, false) || x.h.core(0).Tolerates != all-all/2-1; time.Sleep(100 * time.Millisecond) {
-		if time.Now().After(until) {
-			x.mu.Lock()
-			defer x.mu.Unlock()
-			x.fault("the margin isn't back", "%v after %v", marginIn, x.record.harms[len(x.record.harms)-1])
+// awaitTolerance waits until all are members and hear each other, which must come by itself.
+func (in *faultInjector) awaitTolerance() {
+	size := len(in.cluster.Controls)
+	for deadline := time.Now().Add(toleranceLimit); !in.cluster.sameMembership(size, false) || in.cluster.coreStatus(0).Tolerates != size-size/2-1; time.Sleep(100 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			in.mu.Lock()
+			defer in.mu.Unlock()
+			in.violation("the margin isn't back", "%v after %v", toleranceLimit, in.history.faults[len(in.history.faults)-1])
 			return
 		}
 	}
 }
 
-// victim is one of those of whom more hangs: who confirmed or was read last, who proposes, whose disk has lasted longest; or
+// pickVictim is one of those of whom more hangs: who confirmed or was read last, who proposes, whose disk has lasted longest; or
 // anyone.
-func (x *worse) victim() int {
-	switch x.n(4) {
+func (in *faultInjector) pickVictim() int {
+	switch in.intn(4) {
 	case 0:
 		return 0 // the lowest IP number
 	case 1:
-		oldest := slices.MinFunc(x.h.Masters, func(a, b *Master) int { return x.lasted[a].Compare(x.lasted[b]) })
-		return slices.Index(x.h.Masters, oldest)
+		oldest := slices.MinFunc(in.cluster.Controls, func(a, b *ControlNode) int { return in.diskSince[a].Compare(in.diskSince[b]) })
+		return slices.Index(in.cluster.Controls, oldest)
 	}
-	return x.target()
+	return in.pickTarget()
 }
 
-// each does something to each, and undoes it.
-func each(some []*Master, do func(*Master) func()) func() {
+// applyToAll does something to each, and undoes it.
+func applyToAll(nodes []*ControlNode, apply func(*ControlNode) func()) func() {
 	var undo []func()
-	for _, m := range some {
-		undo = append(undo, do(m))
+	for _, node := range nodes {
+		undo = append(undo, apply(node))
 	}
 	return func() {
 		for _, u := range undo {
@@ -107,215 +107,215 @@
 	}
 }
 
-// harms does one kind of harm to some, and gives what undoes it.
-func (x *worse) harms(some []*Master) (undo func()) {
-	h := x.h
-	did := func(what string) {
-		x.record.harms = append(x.record.harms, fmt.Sprintf("%s, %d %s", what, len(some), some[0].Boot.IP))
-	}
-	empty := func(m *Master) {
-		m.Disk.Wipe()
-		x.lasted[m] = time.Now()
-	}
-	down := func(m *Master, wiped bool) func() {
-		m.Kill()
-		h.Sea.Down(m.Boot.IP, true)
-		if m.Disk.PowerLoss(x.n(2) == 0); wiped {
-			empty(m)
+// injectFault does one kind of harm to some, and gives what undoes it.
+func (in *faultInjector) injectFault(nodes []*ControlNode) (undo func()) {
+	cluster := in.cluster
+	record := func(label string) {
+		in.history.faults = append(in.history.faults, fmt.Sprintf("%s, %d %s", label, len(nodes), nodes[0].Settings.IP))
+	}
+	wipe := func(node *ControlNode) {
+		node.Disk.Wipe()
+		in.diskSince[node] = time.Now()
+	}
+	powerOff := func(node *ControlNode, wiped bool) func() {
+		node.Kill()
+		cluster.Network.SetPoweredOff(node.Settings.IP, true)
+		if node.Disk.PowerLoss(in.intn(2) == 0); wiped {
+			wipe(node)
 		}
-		return func() { h.Sea.Down(m.Boot.IP, false); m.mustStart() }
+		return func() { cluster.Network.SetPoweredOff(node.Settings.IP, false); node.mustStart() }
 	}
 	nothing := func() {}
-	switch x.n(17) {
+	switch in.intn(17) {
 	case 0: // the time of day jumps and later jumps back; who starts meanwhile, or afterwards, goes by it
-		did("clocks step")
-		ahead := lo.Ternary(x.n(2) == 0, time.Duration(1), -1)
-		by, again := ahead*time.Duration(100+x.n(7_200_000))*time.Millisecond, x.n(2) == 0
-		return each(some, func(m *Master) func() {
-			if m.Apart = by; again {
-				m.Kill()
-				m.mustStart()
+		record("clocks step")
+		sign := lo.Ternary(in.intn(2) == 0, time.Duration(1), -1)
+		skew, restart := sign*time.Duration(100+in.intn(7_200_000))*time.Millisecond, in.intn(2) == 0
+		return applyToAll(nodes, func(node *ControlNode) func() {
+			if node.ClockSkew = skew; restart {
+				node.Kill()
+				node.mustStart()
 			}
 			return func() {
-				m.Apart = 0
-				if x.n(2) == 0 {
-					m.Kill()
-					m.mustStart()
+				node.ClockSkew = 0
+				if in.intn(2) == 0 {
+					node.Kill()
+					node.mustStart()
 				}
 			}
 		})
 	case 1: // for long
-		some = some[:1]
-		some[0] = h.Masters[0]
-		did("proposer frozen")
-		freeze := each(some, x.frozen)
-		time.Sleep(time.Duration(18+x.n(5)) * time.Second)
+		nodes = nodes[:1]
+		nodes[0] = cluster.Controls[0]
+		record("proposer frozen")
+		freeze := applyToAll(nodes, in.freeze)
+		time.Sleep(time.Duration(18+in.intn(5)) * time.Second)
 		return freeze
 	case 2:
-		did("frozen")
-		return each(some, x.frozen)
+		record("frozen")
+		return applyToAll(nodes, in.freeze)
 	case 3: // the new machine first, then SIGTERM
-		did("replaced as planned")
-		return each(some, x.planned)
+		record("replaced as planned")
+		return applyToAll(nodes, in.replaceAsPlanned)
 	case 4:
-		did("gone for good")
-		return each(some, func(m *Master) func() {
-			m.Replace()
-			x.lasted[m] = time.Now()
-			return m.mustStart
+		record("gone for good")
+		return applyToAll(nodes, func(node *ControlNode) func() {
+			node.Replace()
+			in.diskSince[node] = time.Now()
+			return node.mustStart
 		})
 	case 5:
-		did("other seeds")
-		x.seeds()
-		return each(some, func(m *Master) func() {
-			m.Kill()
-			m.mustStart()
+		record("other seeds")
+		in.changeSeeds()
+		return applyToAll(nodes, func(node *ControlNode) func() {
+			node.Kill()
+			node.mustStart()
 			return nothing
 		})
 	case 6:
-		did("full disk")
-		return each(some, func(m *Master) func() {
-			m.Disk.fill(true)
-			return func() { m.Disk.fill(false) }
+		record("full disk")
+		return applyToAll(nodes, func(node *ControlNode) func() {
+			node.Disk.setFull(true)
+			return func() { node.Disk.setFull(false) }
 		})
 	case 7:
-		did("hanging disk")
-		return each(some, func(m *Master) func() {
-			m.Disk.hang(true)
-			return func() { m.Disk.hang(false) }
+		record("hanging disk")
+		return applyToAll(nodes, func(node *ControlNode) func() {
+			node.Disk.setHanging(true)
+			return func() { node.Disk.setHanging(false) }
 		})
 	case 8:
-		did("connections reset")
-		for range 1 + x.n(8) {
-			for _, m := range some {
-				h.Sea.Reset(m.Boot.IP, 0.5)
+		record("connections reset")
+		for range 1 + in.intn(8) {
+			for _, node := range nodes {
+				cluster.Network.ResetConnections(node.Settings.IP, 0.5)
 			}
-			x.rest(50, 800)
+			in.sleepBetween(50, 800)
 		}
 		return nothing
 	case 9: // an operator sends the same again
-		did("acknowledgements lost")
-		return each(h.Masters, func(m *Master) func() {
-			ip := m.Boot.IP
-			for i := range x.clients {
-				h.Sea.Lossy(ip, operatorIP(i), 0.7)
+		record("acknowledgements lost")
+		return applyToAll(cluster.Controls, func(node *ControlNode) func() {
+			ip := node.Settings.IP
+			for i := range in.clients {
+				cluster.Network.SetLoss(ip, operatorIP(i), 0.7)
 			}
 			return func() {
-				for i := range x.clients {
-					h.Sea.Lossy(ip, operatorIP(i), 0)
+				for i := range in.clients {
+					cluster.Network.SetLoss(ip, operatorIP(i), 0)
 				}
 			}
 		})
 	case 10: // acknowledged or not
-		did("without power after a change was sent")
+		record("without power after a change was sent")
 		var sent sync.WaitGroup
-		sent.Go(func() { x.send(x.n(2), x.order(false, false)[0], 4, false) })
-		x.rest(5, 400)
-		back := each(some, func(m *Master) func() { return down(m, false) })
+		sent.Go(func() { in.sendChange(in.intn(2), in.newChanges(false, false)[0], 4, false) })
+		in.sleepBetween(5, 400)
+		restore := applyToAll(nodes, func(node *ControlNode) func() { return powerOff(node, false) })
 		sent.Wait()
-		return back
+		return restore
 	case 11:
-		did("wiped after an acknowledgement")
-		if x.acknowledged() {
-			x.mu.Lock()
-			some[0] = h.Masters[x.took]
-			x.mu.Unlock()
-			some = lo.Uniq(some)
+		record("wiped after an acknowledgement")
+		if in.sendAcknowledged() {
+			in.mu.Lock()
+			nodes[0] = cluster.Controls[in.lastConfirmedBy]
+			in.mu.Unlock()
+			nodes = lo.Uniq(nodes)
 		}
-		return each(some, func(m *Master) func() { return down(m, true) })
+		return applyToAll(nodes, func(node *ControlNode) func() { return powerOff(node, true) })
 	case 12, 13, 14:
-		way := []string{"both ways", "what it sends", "what it is sent"}[x.n(3)]
-		if x.n(3) == 0 { // from the other control processes alone
-			did("cut off, " + way)
-			return each(some, func(m *Master) func() { return x.cut(m, way, false) })
+		direction := []string{"both ways", "what it sends", "what it is sent"}[in.intn(3)]
+		if in.intn(3) == 0 { // from the other control processes alone
+			record("cut off, " + direction)
+			return applyToAll(nodes, func(node *ControlNode) func() { return in.cutOff(node, direction, false) })
 		}
-		did("zone cut, " + way) // its control process and its routers; clients still reach it
-		return each(some, func(m *Master) func() { return x.cut(m, way, true) })
+		record("zone cut, " + direction) // its control process and its routers; clients still reach it
+		return applyToAll(nodes, func(node *ControlNode) func() { return in.cutOff(node, direction, true) })
 	case 15: // SIGTERM, one after the other
-		did("all restarted in turn")
-		for _, m := range h.Masters {
-			m.Leave()
-			m.mustStart()
-			x.rest(500, 1000)
-			x.margin()
+		record("all restarted in turn")
+		for _, node := range cluster.Controls {
+			node.Shutdown()
+			node.mustStart()
+			in.sleepBetween(500, 1000)
+			in.awaitTolerance()
 		}
 		return nothing
 	}
-	did("refusing disk")
-	return each(some, func(m *Master) func() {
-		m.Disk.set(5*time.Millisecond, true)
-		return func() { m.Disk.set(5*time.Millisecond, false) }
+	record("refusing disk")
+	return applyToAll(nodes, func(node *ControlNode) func() {
+		node.Disk.SetFaults(5*time.Millisecond, true)
+		return func() { node.Disk.SetFaults(5*time.Millisecond, false) }
 	})
 }
 
-// frozen has a machine stand still.
-func (x *worse) frozen(m *Master) func() {
-	x.h.Sea.Freeze(m.Boot.IP, true)
-	m.Disk.hang(true)
+// freeze has a machine stand still.
+func (in *faultInjector) freeze(node *ControlNode) func() {
+	in.cluster.Network.Freeze(node.Settings.IP, true)
+	node.Disk.setHanging(true)
 	return func() {
-		m.Disk.hang(false)
-		x.h.Sea.Freeze(m.Boot.IP, false)
+		node.Disk.setHanging(false)
+		in.cluster.Network.Freeze(node.Settings.IP, false)
 	}
 }
 
-// planned has a new machine start, and the old one leave within a second or once the new one is in touch.
-func (x *worse) planned(m *Master) func() {
-	next := m.Successor()
+// replaceAsPlanned has a new machine start, and the old one leave within a second or once the new one is in touch.
+func (in *faultInjector) replaceAsPlanned(node *ControlNode) func() {
+	next := node.NewSuccessor()
 	next.mustStart()
-	if x.n(2) == 0 {
+	if in.intn(2) == 0 {
 		time.Sleep(time.Second)
 	} else {
-		for until := time.Now().Add(8 * time.Second); next.Standing() != "in touch" && time.Now().Before(until); {
+		for deadline := time.Now().Add(8 * time.Second); next.Status() != "in touch" && time.Now().Before(deadline); {
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
-	m.Leave()
-	m.become(next)
-	x.lasted[m] = time.Now()
+	node.Shutdown()
+	node.replaceWith(next)
+	in.diskSince[node] = time.Now()
 	return func() {}
 }
 
-// seeds has the settings name other seeds, of as many zones; who starts from now on goes by them.
-func (x *worse) seeds() {
-	h, from := x.h, x.n(len(x.h.Masters))
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// changeSeeds has the settings name other seeds, of as many zones; who starts from now on goes by them.
+func (in *faultInjector) changeSeeds() {
+	cluster, from := in.cluster, in.intn(len(in.cluster.Controls))
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
 	var seeds []string
 	for i := range 3 {
-		seeds = append(seeds, fmt.Sprintf("%s:%d", h.Masters[(from+i)%len(h.Masters)].Boot.IP, controlPort))
+		seeds = append(seeds, fmt.Sprintf("%s:%d", cluster.Controls[(from+i)%len(cluster.Controls)].Settings.IP, controlPort))
 	}
-	for _, m := range h.Masters {
-		m.Boot.SeedNodes = seeds
+	for _, node := range cluster.Controls {
+		node.Settings.SeedNodes = seeds
 	}
-	for _, f := range h.Fairways {
-		f.Boot.SeedNodes = seeds
+	for _, px := range cluster.Proxies {
+		px.Settings.SeedNodes = seeds
 	}
 }
 
-// cut cuts a control process off from the others, or all machines of its zone from those of the other zones.
-func (x *worse) cut(m *Master, way string, zone bool) (undo func()) {
-	h := x.h
+// cutOff cuts a control process off from the others, or all machines of its zone from those of the other zones.
+func (in *faultInjector) cutOff(node *ControlNode, way string, zone bool) (undo func()) {
+	cluster := in.cluster
 	var ips []string
-	for _, m := range h.Masters {
-		ips = append(ips, m.Boot.IP)
+	for _, node := range cluster.Controls {
+		ips = append(ips, node.Settings.IP)
 	}
-	for _, f := range h.Fairways {
-		if zone && !slices.Contains(ips, f.Boot.IP) {
-			ips = append(ips, f.Boot.IP)
+	for _, px := range cluster.Proxies {
+		if zone && !slices.Contains(ips, px.Settings.IP) {
+			ips = append(ips, px.Settings.IP)
 		}
 	}
-	z := zoneOf(m.Boot.IP)
+	z := zoneIndexOf(node.Settings.IP)
 	turn := func(cut bool) {
 		for _, in := range ips {
 			for _, out := range ips {
-				if zoneOf(in) != z || zoneOf(out) == z {
+				if zoneIndexOf(in) != z || zoneIndexOf(out) == z {
 					continue
 				}
 				if way != "what it is sent" {
-					h.Sea.CutWay(in, out, cut)
+					cluster.Network.SetOneWayPartition(in, out, cut)
 				}
 				if way != "what it sends" {
-					h.Sea.CutWay(out, in, cut)
+					cluster.Network.SetOneWayPartition(out, in, cut)
 				}
 			}
 		}
@@ -324,35 +324,35 @@
 	return func() { turn(false) }
 }
 
-// acknowledged has an order of some kind be acknowledged just now, and tells whether one was.
-func (x *worse) acknowledged() bool {
+// sendAcknowledged has an order of some kind be acknowledged just now, and tells whether one was.
+func (in *faultInjector) sendAcknowledged() bool {
 	for range 6 {
-		switch x.n(4) {
+		switch in.intn(4) {
 		case 0: // an evacuation, begun or ended
-			if x.evac(x.n(2), x.n(len(x.h.Masters)), x.n(2) == 0) {
+			if in.sendEvacuation(in.intn(2), in.intn(len(in.cluster.Controls)), in.intn(2) == 0) {
 				return true
 			}
 		case 1:
-			x.mu.Lock()
-			x.targets++
-			target := fmt.Sprint("c", x.targets)
-			x.mu.Unlock()
-			x.begin(x.n(2), target, 3)
-			x.mu.Lock()
-			begun := slices.ContainsFunc(x.rolls, func(t timed) bool {
-				op := t.op.(rollOp)
+			in.mu.Lock()
+			in.targets++
+			target := fmt.Sprint("c", in.targets)
+			in.mu.Unlock()
+			in.beginRollout(in.intn(2), target, 3)
+			in.mu.Lock()
+			begun := slices.ContainsFunc(in.rollouts, func(t timedCall) bool {
+				op := t.op.(rolloutOp)
 				return !op.read && op.target == target && op.status == 200
 			})
-			x.mu.Unlock()
+			in.mu.Unlock()
 			if begun {
 				return true
 			}
 		default:
-			o := x.order(false, false)[0]
-			x.send(x.n(2), o, 4, false)
-			x.mu.Lock()
+			o := in.newChanges(false, false)[0]
+			in.sendChange(in.intn(2), o, 4, false)
+			in.mu.Lock()
 			taken := o.status == 200
-			x.mu.Unlock()
+			in.mu.Unlock()
 			if taken {
 				return true
 			}
@@ -361,89 +361,89 @@
 	return false
 }
 
-// close strikes within 4 ms of an acknowledgement: all lose power, all are killed, or one loses its disk and the others their
+// injectClosingFault strikes within 4 ms of an acknowledgement: all lose power, all are killed, or one loses its disk and the others their
 // power or nothing. Half of the time most disks are slow, as what isn't synced would else be so long before the
 // acknowledgement has come. Whoever answers afterwards must know what was confirmed, from its first answer on.
-func (x *worse) close() {
-	h := x.h
-	if x.n(2) == 0 {
-		for _, m := range h.Masters {
-			m.Disk.set(time.Duration(5+x.n(4)*40)*time.Millisecond, false)
+func (in *faultInjector) injectClosingFault() {
+	cluster := in.cluster
+	if in.intn(2) == 0 {
+		for _, node := range cluster.Controls {
+			node.Disk.SetFaults(time.Duration(5+in.intn(4)*40)*time.Millisecond, false)
 		}
 	}
-	x.acknowledged()
-	time.Sleep(time.Duration(x.n(4000)) * time.Microsecond)
-	x.mu.Lock()
-	took := x.took
-	x.mu.Unlock()
-	what := []string{"all without power", "wiped, the others without power", "wiped", "all killed"}[x.n(4)]
+	in.sendAcknowledged()
+	time.Sleep(time.Duration(in.intn(4000)) * time.Microsecond)
+	in.mu.Lock()
+	took := in.lastConfirmedBy
+	in.mu.Unlock()
+	label := []string{"all without power", "wiped, the others without power", "wiped", "all killed"}[in.intn(4)]
 	at := took
-	if x.n(3) == 0 {
-		at = x.victim()
+	if in.intn(3) == 0 {
+		at = in.pickVictim()
 	}
-	for i, m := range h.Masters {
-		wiped := i == at && strings.HasPrefix(what, "wiped")
-		if what == "wiped" && !wiped {
+	for i, node := range cluster.Controls {
+		wiped := i == at && strings.HasPrefix(label, "wiped")
+		if label == "wiped" && !wiped {
 			continue
 		}
-		m.Kill()
-		if what != "all killed" {
-			m.Disk.PowerLoss(x.n(2) == 0)
+		node.Kill()
+		if label != "all killed" {
+			node.Disk.PowerLoss(in.intn(2) == 0)
 		}
 		if wiped {
-			m.Disk.Wipe()
+			node.Disk.Wipe()
 		}
 	}
-	x.record.harms = append(x.record.harms, "closing, "+what+" "+h.Masters[at].Boot.IP)
-	x.rest(300, 3000)
-	for _, m := range h.Masters {
-		m.Disk.set(5*time.Millisecond, false)
+	in.history.faults = append(in.history.faults, "closing, "+label+" "+cluster.Controls[at].Settings.IP)
+	in.sleepBetween(300, 3000)
+	for _, node := range cluster.Controls {
+		node.Disk.SetFaults(5*time.Millisecond, false)
 	}
-	first := x.n(len(h.Masters))
-	for i := range h.Masters {
-		if m := h.Masters[(first+i)%len(h.Masters)]; m.cancel == nil {
-			m.mustStart()
-			time.Sleep(time.Duration(x.n(2)*x.n(300)) * time.Millisecond)
+	first := in.intn(len(cluster.Controls))
+	for i := range cluster.Controls {
+		if node := cluster.Controls[(first+i)%len(cluster.Controls)]; node.cancel == nil {
+			node.mustStart()
+			time.Sleep(time.Duration(in.intn(2)*in.intn(300)) * time.Millisecond)
 		}
 	}
 	for i := range 60 {
-		x.look(i%2, i%len(h.Masters))
+		in.readConfiguration(i%2, i%len(cluster.Controls))
 		if i%4 == 0 {
-			x.survey(0, x.n(len(h.Masters)))
-			x.rollout(1, x.n(len(h.Masters)))
+			in.readCluster(0, in.intn(len(cluster.Controls)))
+			in.readRollout(1, in.intn(len(cluster.Controls)))
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	x.margin()
+	in.awaitTolerance()
 }
 
 // Hard histories; -args -hard 1000 -from 1 plays as many, and TestHistories with -from 1000001 the same ones.
 func TestHardHistories(t *testing.T) {
-	n := *hardSeeds
+	n := *hardHistories
 	if n == 0 {
-		n = lo.Ternary(raced, 6, 80)
+		n = lo.Ternary(raceEnabled, 6, 80)
 	}
 	var mu sync.Mutex
-	harms, faults := map[string]int{}, map[string][]int{}
+	faultCounts, faults := map[string]int{}, map[string][]int{}
 	t.Run("seeds", func(t *testing.T) {
-		for seed := hard + *from; seed < hard+*from+n; seed++ {
+		for seed := hardSeedBase + *firstSeed; seed < hardSeedBase+*firstSeed+n; seed++ {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				r := play(t, seed)
+				r := playHistory(t, seed)
 				mu.Lock()
 				defer mu.Unlock()
-				for _, what := range r.harms {
-					harms[what[:strings.LastIndexByte(what, ' ')]]++
+				for _, label := range r.faults {
+					faultCounts[label[:strings.LastIndexByte(label, ' ')]]++
 				}
-				for _, kind := range slices.Sorted(maps.Keys(r.faults)) {
+				for _, kind := range slices.Sorted(maps.Keys(r.violations)) {
 					faults[kind] = append(faults[kind], seed)
-					t.Errorf("%s (%d times): %s; %v", kind, len(r.faults[kind]), r.faults[kind][0], strings.Join(r.harms, ", "))
+					t.Errorf("%s (%d times): %s; %v", kind, len(r.violations[kind]), r.violations[kind][0], strings.Join(r.faults, ", "))
 				}
 			})
 		}
 	})
-	for _, what := range slices.Sorted(maps.Keys(harms)) {
-		t.Log(what, harms[what])
+	for _, label := range slices.Sorted(maps.Keys(faultCounts)) {
+		t.Log(label, faultCounts[label])
 	}
 	for _, kind := range slices.Sorted(maps.Keys(faults)) {
 		slices.Sort(faults[kind])
--- a/internal/lab/simulation/history_check_test.go
+++ b/internal/lab/simulation/history_check_test.go
@@ -14,193 +14,193 @@
 	"github.com/samber/lo"
 )
 
-// check holds the history against what must be: first plain rules, which name the fault, then the models.
-func (w *watch) check() {
-	for _, b := range w.h.Broken {
-		w.fault("broken", "%s", b)
+// checkHistory holds the history against what must be: first plain rules, which name the fault, then the models.
+func (rc *recorder) checkHistory() {
+	for _, violation := range rc.cluster.Violations {
+		rc.violation("broken", "%s", violation)
 	}
-	byContent := map[int16]*order{}
-	for _, o := range w.orders {
-		for _, c := range o.items {
-			byContent[c.id] = o
+	changeOf := map[int16]*change{}
+	for _, ch := range rc.changes {
+		for _, c := range ch.items {
+			changeOf[c.id] = ch
 		}
-		if o.status == 409 && !slices.ContainsFunc(o.items, func(c content) bool { return c.rivals >= 0 }) {
-			w.fault("409 without a rival", "order %d", o.n)
+		if ch.status == 409 && !slices.ContainsFunc(ch.items, func(c content) bool { return c.conflict >= 0 }) {
+			rc.violation("409 without a rival", "order %d", ch.id)
 		}
-		for _, a := range o.again {
-			if o.status == 200 && a.status != 200 {
-				w.fault("confirmed, then refused", "order %d got %d", o.n, a.status)
+		for _, a := range ch.repeats {
+			if ch.status == 200 && a.status != 200 {
+				rc.violation("confirmed, then refused", "order %d got %d", ch.id, a.status)
 			}
 		}
 	}
-	seen := map[int16]string{}
-	maps.Copy(seen, w.forced)
-	for _, r := range w.readings {
-		for _, id := range r.seen {
-			seen[id] = fmt.Sprint("reading at ", r.at)
+	observed := map[int16]string{}
+	maps.Copy(observed, rc.active)
+	for _, rd := range rc.reads {
+		for _, id := range rd.contents {
+			observed[id] = fmt.Sprint("reading at ", rd.control)
 		}
 	}
-	delete(seen, 0)
+	delete(observed, 0)
 	rivals := map[int]int16{}
-	for _, id := range slices.Sorted(maps.Keys(seen)) {
-		c := w.contents[id]
-		if o := byContent[id]; o.status == 409 {
-			w.fault("refused and in force", "order %d, %s: %s; %+v, refused from %d to %d, then %+v", o.n, c.prefix, seen[id], o.items, o.began, o.ended, o.again)
+	for _, id := range slices.Sorted(maps.Keys(observed)) {
+		c := rc.contents[id]
+		if ch := changeOf[id]; ch.status == 409 {
+			rc.violation("refused and in force", "order %d, %s: %s; %+v, refused from %d to %d, then %+v", ch.id, c.prefix, observed[id], ch.items, ch.firstSent, ch.answeredAt, ch.repeats)
 		}
-		if c.rivals < 0 {
+		if c.conflict < 0 {
 			continue
 		}
-		if x, there := rivals[c.rivals]; there {
-			w.fault("two contents of one version", "r%d %d: %s at %s, %s at %s", c.route, c.version, w.contents[x].prefix, seen[x], c.prefix, seen[id])
+		if x, there := rivals[c.conflict]; there {
+			rc.violation("two contents of one version", "r%d %d: %s at %s, %s at %s", c.route, c.version, rc.contents[x].prefix, observed[x], c.prefix, observed[id])
 		}
-		rivals[c.rivals] = id
-		for _, x := range w.contents[1:] {
-			if o := byContent[x.id]; x.rivals == c.rivals && x.id != id && o.status == 200 && !w.superseded(o, x) {
-				w.fault(lo.Ternary(byContent[id].status == 200, "two confirmed under one version", "confirmed, and another in force"), "r%d %d: order %d, and order %d that is in force", x.route, x.version, o.n, byContent[id].n)
+		rivals[c.conflict] = id
+		for _, x := range rc.contents[1:] {
+			if ch := changeOf[x.id]; x.conflict == c.conflict && x.id != id && ch.status == 200 && !rc.superseded(ch, x) {
+				rc.violation(lo.Ternary(changeOf[id].status == 200, "two confirmed under one version", "confirmed, and another in force"), "r%d %d: order %d, and order %d that is in force", x.route, x.version, ch.id, changeOf[id].id)
 			}
 		}
 	}
-	slices.SortFunc(w.readings, func(a, b reading) int { return int(a.call - b.call) })
-	for i, r := range w.readings {
-		for _, earlier := range w.readings[:i] {
+	slices.SortFunc(rc.reads, func(a, violation read) int { return int(a.calledAt - violation.calledAt) })
+	for i, rd := range rc.reads {
+		for _, earlier := range rc.reads[:i] {
 			for route, v := range earlier.versions {
-				if earlier.ret < r.call && r.seen[route] > 0 && r.versions[route] < v {
-					w.fault("a reading behind another", "at %d: r%d is at %d, was at %d at %d", r.at, route, r.versions[route], v, earlier.at)
+				if earlier.returnedAt < rd.calledAt && rd.contents[route] > 0 && rd.versions[route] < v {
+					rc.violation("a reading behind another", "at %d: r%d is at %d, was at %d at %d", rd.control, route, rd.versions[route], v, earlier.control)
 				}
 			}
 		}
-		for _, o := range w.orders {
-			if o.status == 200 && o.ended < r.call {
-				for _, c := range o.items {
+		for _, ch := range rc.changes {
+			if ch.status == 200 && ch.answeredAt < rd.calledAt {
+				for _, c := range ch.items {
 					// a drop may stand where nothing is seen
-					if r.versions[c.route] < c.version && !(r.seen[c.route] == 0 && w.dropped(c.route, c.version, r.ret)) {
-						w.fault("a reading behind what was confirmed", "at %d: r%d is at %d, order %d of %d was confirmed %v before", r.at, c.route, r.versions[c.route],
-							o.n, c.version, time.Duration(r.call-o.ended))
+					if rd.versions[c.route] < c.version && !(rd.contents[c.route] == 0 && rc.dropped(c.route, c.version, rd.returnedAt)) {
+						rc.violation("a reading behind what was confirmed", "at %d: r%d is at %d, order %d of %d was confirmed %v before", rd.control, c.route, rd.versions[c.route],
+							ch.id, c.version, time.Duration(rd.calledAt-ch.answeredAt))
 					}
 				}
 			}
 		}
-		for _, o := range w.orders {
+		for _, ch := range rc.changes {
 			part, missing := false, false
-			for _, c := range o.items {
-				part = part || c.prefix != "" && r.seen[c.route] == c.id
-				missing = missing || r.versions[c.route] < c.version && r.seen[c.route] != 0 || r.versions[c.route] == c.version && r.seen[c.route] != c.id
+			for _, c := range ch.items {
+				part = part || c.prefix != "" && rd.contents[c.route] == c.id
+				missing = missing || rd.versions[c.route] < c.version && rd.contents[c.route] != 0 || rd.versions[c.route] == c.version && rd.contents[c.route] != c.id
 			}
 			if part && missing {
-				w.fault("in part in a reading", "order %d at %d", o.n, r.at)
+				rc.violation("in part in a reading", "order %d at %d", ch.id, rd.control)
 			}
 		}
 	}
-	first := map[string]int64{} // by target: when it was sent first
-	for _, a := range w.rolls {
-		if x := a.op.(rollOp); !x.read {
-			first[x.target] = min(x.call, cmp.Or(first[x.target], x.call))
+	firstSent := map[string]int64{} // by target: when it was sent first
+	for _, a := range rc.rollouts {
+		if x := a.op.(rolloutOp); !x.read {
+			firstSent[x.target] = min(x.calledAt, cmp.Or(firstSent[x.target], x.calledAt))
 		}
 	}
-	for i, a := range w.rolls {
-		x := a.op.(rollOp)
-		for _, b := range w.rolls[:i] {
-			y := b.op.(rollOp)
-			from, by := min(first[x.target], first[y.target]), max(x.ret, y.ret)
-			if !x.read && !y.read && x.status == 200 && y.status == 200 && x.target != y.target && by < w.ends(from) {
-				w.fault("two rollouts begun at once", "%s and %s", x.target, y.target)
+	for i, a := range rc.rollouts {
+		x := a.op.(rolloutOp)
+		for _, violation := range rc.rollouts[:i] {
+			y := violation.op.(rolloutOp)
+			from, by := min(firstSent[x.target], firstSent[y.target]), max(x.returnedAt, y.returnedAt)
+			if !x.read && !y.read && x.status == 200 && y.status == 200 && x.target != y.target && by < rc.earliestEnd(from) {
+				rc.violation("two rollouts begun at once", "%s and %s", x.target, y.target)
 			}
 		}
 	}
-	w.linear("configuration", configuration(w.contents), w.confOps())
-	w.linear("evacuation", evacuation, w.timedOps(w.evacs))
-	w.linear("rollouts", rollouts(w.ends), w.timedOps(w.rolls))
+	rc.checkLinearizable("configuration", configModel(rc.contents), rc.configOps())
+	rc.checkLinearizable("evacuation", evacuationModel, rc.timedOperations(rc.evacuations))
+	rc.checkLinearizable("rollouts", rolloutModel(rc.earliestEnd), rc.timedOperations(rc.rollouts))
 }
 
-// ends is when at the earliest a rollout has ended that was begun at one time or later: routers have voted, or its term is
+// earliestEnd is when at the earliest a rollout has ended that was begun at one time or later: routers have voted, or its term is
 // nearly over.
-func (w *watch) ends(from int64) int64 {
-	by := from + (termFor-2)*int64(time.Second)
-	for _, at := range w.votes {
+func (rc *recorder) earliestEnd(from int64) int64 {
+	end := from + (rolloutSeconds-2)*int64(time.Second)
+	for _, at := range rc.votedAt {
 		if at >= from {
-			by = min(by, at)
+			end = min(end, at)
 		}
 	}
-	return by
+	return end
 }
 
 // superseded tells whether an order's content may have lain under a later version already when the order was confirmed.
-func (w *watch) superseded(o *order, c content) bool {
-	return slices.ContainsFunc(w.orders, func(x *order) bool {
-		return x.began > 0 && x.began < o.ended && x.status != 409 && slices.ContainsFunc(x.items, func(i content) bool { return i.route == c.route && i.version > c.version })
+func (rc *recorder) superseded(ch *change, c content) bool {
+	return slices.ContainsFunc(rc.changes, func(x *change) bool {
+		return x.firstSent > 0 && x.firstSent < ch.answeredAt && x.status != 409 && slices.ContainsFunc(x.items, func(i content) bool { return i.route == c.route && i.version > c.version })
 	})
 }
 
 // dropped tells whether a route may have been dropped by a time, by a version as high or higher.
-func (w *watch) dropped(route int, version uint64, by int64) bool {
-	return slices.ContainsFunc(w.orders, func(x *order) bool {
-		return x.began > 0 && x.began < by && slices.ContainsFunc(x.items, func(i content) bool {
+func (rc *recorder) dropped(route int, version uint64, by int64) bool {
+	return slices.ContainsFunc(rc.changes, func(x *change) bool {
+		return x.firstSent > 0 && x.firstSent < by && slices.ContainsFunc(x.items, func(i content) bool {
 			return i.route == route && i.version >= version && i.prefix == ""
 		})
 	})
 }
 
-// confOps are the calls about the configuration. What readings show narrows when an order that isn't refused can have come in
+// configOps are the calls about the configuration. What readings show narrows when an order that isn't refused can have come in
 // force, as a version that stands is never followed by a lower one: not after the first reading that saw it ended, and not
 // before the last one that saw a lower version began. The model judges as before, it only tries less.
-func (w *watch) confOps() (ops []porcupine.Operation) {
-	add := func(op confOp, call, ret int64) {
+func (rc *recorder) configOps() (ops []porcupine.Operation) {
+	add := func(op configOp, call, ret int64) {
 		ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: op, Call: call, Return: ret})
 	}
-	for _, o := range w.orders {
-		if o.began == 0 {
+	for _, ch := range rc.changes {
+		if ch.firstSent == 0 {
 			continue
 		}
-		items := lo.Map(o.items, func(c content, _ int) content { return w.contents[c.id] })
-		call, ret := o.began, lo.Ternary(o.status == 0, never, o.ended)
-		if o.status == 0 || o.status == 200 {
-			call, ret = w.narrowed(items, call, ret)
+		items := lo.Map(ch.items, func(c content, _ int) content { return rc.contents[c.id] })
+		call, ret := ch.firstSent, lo.Ternary(ch.status == 0, never, ch.answeredAt)
+		if ch.status == 0 || ch.status == 200 {
+			call, ret = rc.narrowed(items, call, ret)
 		}
-		add(confOp{items: items, status: lo.Ternary(o.status == 200 || o.status == 409, o.status, 0), spare: o.status != 409 && w.spare(items, ret)}, call, ret)
-		for _, a := range o.again {
-			if o.status == 409 && a.status == 200 { // only where nothing of it could come in force any more
-				add(confOp{items: items, status: 200}, a.call, a.ret)
+		add(configOp{items: items, status: lo.Ternary(ch.status == 200 || ch.status == 409, ch.status, 0), removable: ch.status != 409 && rc.removable(items, ret)}, call, ret)
+		for _, a := range ch.repeats {
+			if ch.status == 409 && a.status == 200 { // only where nothing of it could come in force any more
+				add(configOp{items: items, status: 200}, a.calledAt, a.returnedAt)
 			}
 		}
 	}
-	for _, r := range w.readings {
-		add(confOp{read: true, seen: r.seen}, r.call, r.ret)
+	for _, r := range rc.reads {
+		add(configOp{read: true, contents: r.contents}, r.calledAt, r.returnedAt)
 	}
 	return ops
 }
 
-// spare tells whether an order that isn't refused may come in last of all and then change nothing, or nothing that is seen, and
+// removable tells whether an order that isn't refused may come in last of all and then change nothing, or nothing that is seen, and
 // is unlikely to have been needed before: it has no end, or all its routes were read at later versions before its end; no
 // reading saw any of it, it drops nothing, and no rival of it was refused.
-func (w *watch) spare(items []content, ret int64) bool {
+func (rc *recorder) removable(items []content, ret int64) bool {
 	passed := ret == never
-	for _, r := range w.readings {
-		over := r.ret < ret
+	for _, r := range rc.reads {
+		over := r.returnedAt < ret
 		for _, c := range items {
-			if r.seen[c.route] == c.id {
+			if r.contents[c.route] == c.id {
 				return false
 			}
-			over = over && r.seen[c.route] > 0 && r.versions[c.route] > c.version
+			over = over && r.contents[c.route] > 0 && r.versions[c.route] > c.version
 		}
 		passed = passed || over
 	}
 	return passed && !slices.ContainsFunc(items, func(c content) bool {
-		return c.prefix == "" || c.rivals >= 0 && slices.ContainsFunc(w.orders, func(o *order) bool {
-			return o.status == 409 && slices.ContainsFunc(o.items, func(x content) bool { return w.contents[x.id].rivals == c.rivals })
+		return c.prefix == "" || c.conflict >= 0 && slices.ContainsFunc(rc.changes, func(o *change) bool {
+			return o.status == 409 && slices.ContainsFunc(o.items, func(x content) bool { return rc.contents[x.id].conflict == c.conflict })
 		})
 	})
 }
 
 // narrowed is the time in which an order can have come in force, from the time between its call and its answer.
-func (w *watch) narrowed(items []content, call, ret int64) (from, by int64) {
+func (rc *recorder) narrowed(items []content, call, ret int64) (from, by int64) {
 	from, by = call, ret
-	for _, r := range w.readings {
+	for _, r := range rc.reads {
 		for _, c := range items {
-			switch id := r.seen[c.route]; {
+			switch id := r.contents[c.route]; {
 			case id == c.id && c.prefix != "":
-				by = min(by, r.ret)
+				by = min(by, r.returnedAt)
 			case id > 0 && r.versions[c.route] < c.version:
-				from = max(from, r.call)
+				from = max(from, r.calledAt)
 			}
 		}
 	}
@@ -210,48 +210,48 @@
 	return from, by
 }
 
-func (w *watch) timedOps(all []timed) (ops []porcupine.Operation) {
+func (rc *recorder) timedOperations(all []timedCall) (ops []porcupine.Operation) {
 	for _, t := range all {
-		ret := t.ret
-		if ret == never && t.call < w.calm { // what is unclear is decided or gone by then
-			ret = w.calm
+		ret := t.returnedAt
+		if ret == never && t.calledAt < rc.settledAt { // what is unclear is decided or gone by then
+			ret = rc.settledAt
 		}
-		ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: t.op, Call: t.call, Return: ret})
+		ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: t.op, Call: t.calledAt, Return: ret})
 	}
 	return ops
 }
 
-// linear holds calls against a model, first without those that are spare: where there is an order without them there is one
+// checkLinearizable holds calls against a model, first without those that are spare: where there is an order without them there is one
 // with them. If there is none, they are all tried.
-func (w *watch) linear(what string, m porcupine.Model, ops []porcupine.Operation) {
-	some := slices.DeleteFunc(slices.Clone(ops), func(o porcupine.Operation) bool {
-		op, is := o.Input.(confOp)
-		return is && op.spare
+func (rc *recorder) checkLinearizable(label string, model porcupine.Model, ops []porcupine.Operation) {
+	required := slices.DeleteFunc(slices.Clone(ops), func(o porcupine.Operation) bool {
+		op, is := o.Input.(configOp)
+		return is && op.removable
 	})
-	if len(some) < len(ops) {
-		if ok, _ := ordered(m, some); ok {
+	if len(required) < len(ops) {
+		if ok, _ := findOrder(model, required); ok {
 			return
 		}
 	}
-	switch ok, steps := ordered(m, ops); {
+	switch ok, steps := findOrder(model, ops); {
 	case ok:
-	case steps >= mostSteps:
-		w.fault("not checked: "+what, "%d calls, in %d steps", len(ops), steps)
+	case steps >= maxSteps:
+		rc.violation("not checked: "+label, "%d calls, in %d steps", len(ops), steps)
 	default:
-		w.fault("not linearizable: "+what, "%d calls", len(ops))
+		rc.violation("not linearizable: "+label, "%d calls", len(ops))
 	}
-	if *show {
-		w.write(what, ops)
+	if *printHistory {
+		rc.printOperations(label, ops)
 	}
 }
 
-// ordered tells whether a model allows calls in some order, and in how many of its steps that was found out; it gives up after
+// findOrder tells whether a model allows calls in some order, and in how many of its steps that was found out; it gives up after
 // mostSteps.
-func ordered(m porcupine.Model, ops []porcupine.Operation) (ok bool, steps int64) {
+func findOrder(m porcupine.Model, ops []porcupine.Operation) (ok bool, steps int64) {
 	var n atomic.Int64
 	step := m.Step
 	m.Step = func(state, input, output any) (bool, any) {
-		if n.Add(1) > mostSteps {
+		if n.Add(1) > maxSteps {
 			return false, state
 		}
 		return step(state, input, output)
@@ -260,10 +260,10 @@
 	return ok, n.Load()
 }
 
-// write writes a history down by the times of the calls, in milliseconds.
-func (w *watch) write(what string, ops []porcupine.Operation) {
+// printOperations writes a history down by the times of the calls, in milliseconds.
+func (rc *recorder) printOperations(label string, ops []porcupine.Operation) {
 	slices.SortFunc(ops, func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) })
-	fmt.Println(what, w.seed)
+	fmt.Println(label, rc.seed)
 	for _, op := range ops {
 		ret := "open"
 		if op.Return < never {
@@ -275,78 +275,80 @@
 
 // What a 409 must say, and the plain rules over a history that is written by hand: one order each of two rivals, and what was
 // read and answered again.
-func TestRules(t *testing.T) {
+func TestHistoryRules(t *testing.T) {
 	c := qt.New(t)
-	made := func() *watch {
-		w := &watch{h: &Harbour{}, record: &record{contents: []content{{rivals: -1}}, faults: map[string][]string{}, forced: map[int16]string{}, rivals: 1}}
-		one, two := w.intern(0, 2, "/a/"), w.intern(0, 2, "/b/")
-		alone := w.intern(1, 2, "/c/")
-		one.rivals, two.rivals = 0, 0
+	made := func() *recorder {
+		w := &recorder{cluster: &Cluster{}, history: &history{contents: []content{{conflict: -1}}, violations: map[string][]string{}, active: map[int16]string{}, conflicts: 1}}
+		one, two := w.internContent(0, 2, "/a/"), w.internContent(0, 2, "/b/")
+		alone := w.internContent(1, 2, "/c/")
+		one.conflict, two.conflict = 0, 0
 		w.contents[1], w.contents[2] = one, two
-		w.orders = []*order{{n: 0, items: []content{one}, began: 1, ended: 2, status: 200},
-			{n: 1, items: []content{two, alone}, began: 1, ended: 2, status: 409}}
+		w.changes = []*change{{id: 0, items: []content{one}, firstSent: 1, answeredAt: 2, status: 200},
+			{id: 1, items: []content{two, alone}, firstSent: 1, answeredAt: 2, status: 409}}
 		return w
 	}
-	kinds := func(w *watch) []string { return slices.Sorted(maps.Keys(w.faults)) }
+	kinds := func(w *recorder) []string { return slices.Sorted(maps.Keys(w.violations)) }
 	for name, x := range map[string]struct {
-		do   func(w *watch)
+		do   func(w *recorder)
 		want []string
 	}{
-		"nothing":                 {func(w *watch) {}, nil},
-		"a right 409":             {func(w *watch) { w.refused(w.orders[1], []byte(`{"error":"conflict","reason":"r0: /a/ stands"}`)) }, nil},
-		"no kind of its own":      {func(w *watch) { w.refused(w.orders[1], []byte(`{"error":"outdated"}`)) }, []string{"409 of another kind"}},
-		"without the content":     {func(w *watch) { w.refused(w.orders[1], []byte(`{"error":"conflict","reason":"r0"}`)) }, []string{"409 doesn't say what stands"}},
-		"confirmed, then refused": {func(w *watch) { w.orders[0].again = []answer{{3, 4, 409}} }, []string{"confirmed, then refused"}},
-		"at a router":             {func(w *watch) { w.forced[2] = "there" }, []string{"confirmed, and another in force", "refused and in force"}},
-		"both at routers":         {func(w *watch) { w.forced[1], w.forced[2] = "there", "here" }, []string{"confirmed, and another in force", "refused and in force", "two contents of one version"}},
-		"in part": {func(w *watch) {
-			w.readings = []reading{{call: 3, ret: 4, seen: [routesN]int16{1, 3}, versions: [routesN]uint64{2, 2}}}
+		"nothing": {func(w *recorder) {}, nil},
+		"a right 409": {func(w *recorder) {
+			w.checkConflict(w.changes[1], []byte(`{"error":"conflict","reason":"r0: /a/ stands"}`))
+		}, nil},
+		"no kind of its own":      {func(w *recorder) { w.checkConflict(w.changes[1], []byte(`{"error":"outdated"}`)) }, []string{"409 of another kind"}},
+		"without the content":     {func(w *recorder) { w.checkConflict(w.changes[1], []byte(`{"error":"conflict","reason":"r0"}`)) }, []string{"409 doesn't say what stands"}},
+		"confirmed, then refused": {func(w *recorder) { w.changes[0].repeats = []response{{3, 4, 409}} }, []string{"confirmed, then refused"}},
+		"at a router":             {func(w *recorder) { w.active[2] = "there" }, []string{"confirmed, and another in force", "refused and in force"}},
+		"both at routers":         {func(w *recorder) { w.active[1], w.active[2] = "there", "here" }, []string{"confirmed, and another in force", "refused and in force", "two contents of one version"}},
+		"in part": {func(w *recorder) {
+			w.reads = []read{{calledAt: 3, returnedAt: 4, contents: [routeCount]int16{1, 3}, versions: [routeCount]uint64{2, 2}}}
 		},
 			[]string{"in part in a reading", "not linearizable: configuration", "refused and in force"}},
-		"behind":         {func(w *watch) { w.readings = []reading{{call: 3, ret: 4}} }, []string{"a reading behind what was confirmed", "not linearizable: configuration"}},
-		"both confirmed": {func(w *watch) { w.orders[1].status, w.forced[1] = 200, "there" }, []string{"not linearizable: configuration", "two confirmed under one version"}},
-		"409 alone": {func(w *watch) {
-			w.orders = append(w.orders, &order{n: 2, items: []content{w.intern(2, 3, "/d/")}, began: 5, ended: 6, status: 409})
+		"behind":         {func(w *recorder) { w.reads = []read{{calledAt: 3, returnedAt: 4}} }, []string{"a reading behind what was confirmed", "not linearizable: configuration"}},
+		"both confirmed": {func(w *recorder) { w.changes[1].status, w.active[1] = 200, "there" }, []string{"not linearizable: configuration", "two confirmed under one version"}},
+		"409 alone": {func(w *recorder) {
+			w.changes = append(w.changes, &change{id: 2, items: []content{w.internContent(2, 3, "/d/")}, firstSent: 5, answeredAt: 6, status: 409})
 		}, []string{"409 without a rival", "not linearizable: configuration"}},
-		"seen before it was sent": {func(w *watch) {
-			w.orders = append(w.orders, &order{n: 2, items: []content{w.intern(2, 3, "/d/")}, began: 8, ended: 9, status: 200})
-			w.readings = []reading{{call: 5, ret: 6, seen: [routesN]int16{1, 0, 4}, versions: [routesN]uint64{2, 0, 3}}}
+		"seen before it was sent": {func(w *recorder) {
+			w.changes = append(w.changes, &change{id: 2, items: []content{w.internContent(2, 3, "/d/")}, firstSent: 8, answeredAt: 9, status: 200})
+			w.reads = []read{{calledAt: 5, returnedAt: 6, contents: [routeCount]int16{1, 0, 4}, versions: [routeCount]uint64{2, 0, 3}}}
 		}, []string{"not linearizable: configuration"}},
-		"unclear, seen, then not": {func(w *watch) {
-			w.orders = append(w.orders, &order{n: 2, items: []content{w.intern(2, 3, "/d/")}, began: 3})
-			w.readings = []reading{{call: 5, ret: 6, seen: [routesN]int16{1, 0, 4}, versions: [routesN]uint64{2, 0, 3}},
-				{call: 7, ret: 8, seen: [routesN]int16{1}, versions: [routesN]uint64{2}}}
+		"unclear, seen, then not": {func(w *recorder) {
+			w.changes = append(w.changes, &change{id: 2, items: []content{w.internContent(2, 3, "/d/")}, firstSent: 3})
+			w.reads = []read{{calledAt: 5, returnedAt: 6, contents: [routeCount]int16{1, 0, 4}, versions: [routeCount]uint64{2, 0, 3}},
+				{calledAt: 7, returnedAt: 8, contents: [routeCount]int16{1}, versions: [routeCount]uint64{2}}}
 		}, []string{"not linearizable: configuration"}},
-		"unclear, and a later one that was confirmed isn't seen": {func(w *watch) {
-			w.orders = append(w.orders, &order{n: 2, items: []content{w.intern(0, 4, "/d/")}, began: 3},
-				&order{n: 3, items: []content{w.intern(0, 6, "/e/")}, began: 3, ended: 4, status: 200})
-			w.readings = []reading{{call: 5, ret: 6, seen: [routesN]int16{4}, versions: [routesN]uint64{4}}}
+		"unclear, and a later one that was confirmed isn't seen": {func(w *recorder) {
+			w.changes = append(w.changes, &change{id: 2, items: []content{w.internContent(0, 4, "/d/")}, firstSent: 3},
+				&change{id: 3, items: []content{w.internContent(0, 6, "/e/")}, firstSent: 3, answeredAt: 4, status: 200})
+			w.reads = []read{{calledAt: 5, returnedAt: 6, contents: [routeCount]int16{4}, versions: [routeCount]uint64{4}}}
 		}, []string{"a reading behind what was confirmed", "not linearizable: configuration"}},
-		"unclear, and nobody sees it": {func(w *watch) {
-			w.orders = append(w.orders, &order{n: 2, items: []content{w.intern(0, 4, "/d/")}, began: 3})
-			w.readings = []reading{{call: 5, ret: 6, seen: [routesN]int16{1}, versions: [routesN]uint64{2}}}
+		"unclear, and nobody sees it": {func(w *recorder) {
+			w.changes = append(w.changes, &change{id: 2, items: []content{w.internContent(0, 4, "/d/")}, firstSent: 3})
+			w.reads = []read{{calledAt: 5, returnedAt: 6, contents: [routeCount]int16{1}, versions: [routeCount]uint64{2}}}
 		}, nil},
-		"unclear, and a rival is refused for it": {func(w *watch) {
-			one, two := w.intern(0, 4, "/d/"), w.intern(0, 4, "/e/")
-			one.rivals, two.rivals, w.rivals = 1, 1, 2
+		"unclear, and a rival is refused for it": {func(w *recorder) {
+			one, two := w.internContent(0, 4, "/d/"), w.internContent(0, 4, "/e/")
+			one.conflict, two.conflict, w.conflicts = 1, 1, 2
 			w.contents[one.id], w.contents[two.id] = one, two
-			w.orders = append(w.orders, &order{n: 2, items: []content{one}, began: 3}, &order{n: 3, items: []content{two}, began: 3, ended: 9, status: 409},
-				&order{n: 4, items: []content{w.intern(0, 6, "/f/")}, began: 3, ended: 4, status: 200})
-			w.readings = []reading{{call: 5, ret: 6, seen: [routesN]int16{6}, versions: [routesN]uint64{6}}}
+			w.changes = append(w.changes, &change{id: 2, items: []content{one}, firstSent: 3}, &change{id: 3, items: []content{two}, firstSent: 3, answeredAt: 9, status: 409},
+				&change{id: 4, items: []content{w.internContent(0, 6, "/f/")}, firstSent: 3, answeredAt: 4, status: 200})
+			w.reads = []read{{calledAt: 5, returnedAt: 6, contents: [routeCount]int16{6}, versions: [routeCount]uint64{6}}}
 		}, nil},
-		"confirmed late, when a later one stands": {func(w *watch) {
-			w.orders = append(w.orders, &order{n: 2, items: []content{w.intern(0, 4, "/d/")}, began: 3, ended: 20, status: 200},
-				&order{n: 3, items: []content{w.intern(0, 6, "/e/")}, began: 3, ended: 4, status: 200})
-			w.readings = []reading{{call: 5, ret: 6, seen: [routesN]int16{5}, versions: [routesN]uint64{6}}}
+		"confirmed late, when a later one stands": {func(w *recorder) {
+			w.changes = append(w.changes, &change{id: 2, items: []content{w.internContent(0, 4, "/d/")}, firstSent: 3, answeredAt: 20, status: 200},
+				&change{id: 3, items: []content{w.internContent(0, 6, "/e/")}, firstSent: 3, answeredAt: 4, status: 200})
+			w.reads = []read{{calledAt: 5, returnedAt: 6, contents: [routeCount]int16{5}, versions: [routeCount]uint64{6}}}
 		}, nil},
-		"refused, then taken where it is over in part": {func(w *watch) {
-			w.orders = append(w.orders, &order{n: 2, items: []content{w.intern(0, 4, "/d/")}, began: 5, ended: 6, status: 200})
-			w.orders[1].again = []answer{{7, 8, 200}}
+		"refused, then taken where it is over in part": {func(w *recorder) {
+			w.changes = append(w.changes, &change{id: 2, items: []content{w.internContent(0, 4, "/d/")}, firstSent: 5, answeredAt: 6, status: 200})
+			w.changes[1].repeats = []response{{7, 8, 200}}
 		}, []string{"not linearizable: configuration"}},
 	} {
 		w := made()
 		x.do(w)
-		w.check()
+		w.checkHistory()
 		c.Check(kinds(w), qt.DeepEquals, x.want, qt.Commentf(name))
 	}
 }
--- a/internal/lab/simulation/leaving_test.go
+++ b/internal/lab/simulation/leaving_test.go
@@ -18,31 +18,31 @@
 func TestLeavingRefusesWhatCantEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		l := small
-		l.Zones, l.Routers, l.Hosts, l.Slots, l.Work = 3, 1, 16, 8, 1900*time.Millisecond
-		h := opened(c, l)
+		layout := smallLayout
+		layout.Zones, layout.ProxiesPerZone, layout.HostsPerZone, layout.Concurrency, layout.ServiceTime = 3, 1, 16, 8, 1900*time.Millisecond
+		cluster := startCluster(c, layout)
 		time.Sleep(4 * time.Second)
-		f := h.Fairways[0]
-		client := h.client(h.Sea.Process("10.200.0.41"), 10*time.Second)
+		px := cluster.Proxies[0]
+		client := cluster.httpClient(cluster.Network.Process("10.200.0.41"), 10*time.Second)
 		defer client.CloseIdleConnections()
 		var mu sync.Mutex
 		var all sync.WaitGroup
 		served, refused := 0, 0
-		began := time.Now()
-		all.Go(func() { f.Running.Drain(); f.Kill() })
+		start := time.Now()
+		all.Go(func() { px.Running.Drain(); px.Kill() })
 		for n := range 18 { // until 5.4 s
 			all.Go(func() {
-				sent := time.Since(began)
-				req, _ := http.NewRequest("GET", "http://"+f.Boot.ListenAddresses["front"]+look.Prefix+"x", nil)
+				sent := time.Since(start)
+				req, _ := http.NewRequest("GET", "http://"+px.Settings.ListenAddresses["front"]+safeRoute.Prefix+"x", nil)
 				req.Host = "desk.example"
 				req.Header.Set("Attempt-Id", fmt.Sprint("leaving-", n))
 				req.Header.Set("Time-Remaining", "9000")
 				resp, err := client.Do(req)
-				took := time.Since(began) - sent
+				elapsed := time.Since(start) - sent
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil { // not listened for any more is no cut
-					c.Check(sent <= 3*time.Second || took < 200*time.Millisecond, qt.IsTrue, qt.Commentf("sent after %v, cut after %v: %v", sent, took, err))
+					c.Check(sent <= 3*time.Second || elapsed < 200*time.Millisecond, qt.IsTrue, qt.Commentf("sent after %v, cut after %v: %v", sent, elapsed, err))
 					return
 				}
 				io.Copy(io.Discard, resp.Body)
@@ -56,7 +56,7 @@
 						break
 					}
 					refused++
-					c.Check(took < 200*time.Millisecond, qt.IsTrue, qt.Commentf("sent after %v, refused after %v", sent, took))
+					c.Check(elapsed < 200*time.Millisecond, qt.IsTrue, qt.Commentf("sent after %v, refused after %v", sent, elapsed))
 					c.Check(resp.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
 					c.Check(resp.Header.Get("Connection") == "close" || resp.Close, qt.IsTrue)
 				default:
--- a/internal/lab/simulation/logbook_test.go
+++ b/internal/lab/simulation/logbook_test.go
@@ -16,85 +16,85 @@
 	"portflow/internal/control/store"
 )
 
-func item(name string, version uint64) config.Item {
+func testItem(name string, version uint64) config.Item {
 	body, _ := json.Marshal(map[string]string{"name": name, "path-prefix": "/" + name + "/"})
 	return config.Item{Kind: config.KindRoutes, Name: name, Version: version, Body: body}
 }
 
 // What was synced is there after a loss of power; what was not is there whole or not at all.
-func TestLogbookAfterPowerLoss(t *testing.T) {
+func TestStoreAfterPowerLoss(t *testing.T) {
 	for _, torn := range []bool{false, true} {
 		c := qt.New(t)
 		d := NewDisk()
-		book, items, _, whole, err := store.Open(d.Handle())
+		st, items, _, complete, err := store.Open(d.Open())
 		c.Assert(err, qt.IsNil)
 		c.Check(items, qt.HasLen, 0)
-		c.Check(whole, qt.IsFalse)
+		c.Check(complete, qt.IsFalse)
 		for n := range 200 {
-			c.Assert(book.Write([]config.Item{item(fmt.Sprint("r", n), 1)}, map[string][]byte{"desk#1": []byte("cell")}, n == 0), qt.IsNil)
+			c.Assert(st.Write([]config.Item{testItem(fmt.Sprint("r", n), 1)}, map[string][]byte{"desk#1": []byte("cell")}, n == 0), qt.IsNil)
 		}
 		d.PowerLoss(torn)
-		_, items, cells, whole, err := store.Open(d.Handle())
+		_, items, cells, complete, err := store.Open(d.Open())
 		c.Assert(err, qt.IsNil)
 		c.Check(items, qt.HasLen, 200)
-		c.Check(whole, qt.IsTrue)
+		c.Check(complete, qt.IsTrue)
 		c.Check(string(cells["desk#1"]), qt.Equals, "cell")
 	}
 }
 
 // A disk that refuses for a while is written to again once it doesn't: its process goes on, and was not restarted.
-func TestLogbookAfterRefusal(t *testing.T) {
+func TestStoreAfterWriteFailure(t *testing.T) {
 	c := qt.New(t)
 	d := NewDisk()
-	book, _, _, _, err := store.Open(d.Handle())
+	st, _, _, _, err := store.Open(d.Open())
 	c.Assert(err, qt.IsNil)
-	c.Assert(book.Write([]config.Item{item("r", 1)}, nil, true), qt.IsNil)
-	d.set(0, true)
-	c.Assert(book.Write([]config.Item{item("r", 2)}, nil, false), qt.IsNotNil)
-	d.set(0, false)
-	c.Check(book.Write([]config.Item{item("r", 3)}, nil, false), qt.IsNil)
-	_, items, _, _, err := store.Open(d.Handle())
+	c.Assert(st.Write([]config.Item{testItem("r", 1)}, nil, true), qt.IsNil)
+	d.SetFaults(0, true)
+	c.Assert(st.Write([]config.Item{testItem("r", 2)}, nil, false), qt.IsNotNil)
+	d.SetFaults(0, false)
+	c.Check(st.Write([]config.Item{testItem("r", 3)}, nil, false), qt.IsNil)
+	_, items, _, _, err := store.Open(d.Open())
 	c.Assert(err, qt.IsNil)
-	c.Check(newest(items), qt.Equals, uint64(3))
+	c.Check(newestFile(items), qt.Equals, uint64(3))
 }
 
 // A disk with spoilt bytes is never taken for an empty or an earlier one: an error at the start, or what can still be read
 // with the word that it is not all; the others make that good before this process counts. Only what spoils the last record,
 // as a loss of power would, reads as a write that didn't come through.
-func TestLogbookSpoilt(t *testing.T) {
-	said := map[string]int{}
+func TestStoreCorrupted(t *testing.T) {
+	outcomes := map[string]int{}
 	for at := range 120 {
 		d := NewDisk()
-		book, _, _, _, err := store.Open(d.Handle())
+		st, _, _, _, err := store.Open(d.Open())
 		qt.Assert(t, err, qt.IsNil)
 		for n := range 900 { // three blocks of the journal
-			qt.Assert(t, book.Write([]config.Item{item(fmt.Sprint("r", n%50), uint64(n))}, nil, n == 0), qt.IsNil)
+			qt.Assert(t, st.Write([]config.Item{testItem(fmt.Sprint("r", n%50), uint64(n))}, nil, n == 0), qt.IsNil)
 		}
-		book.Close()
+		st.Close()
 		for fd, f := range d.files {
 			if (fd.Type == storage.TypeManifest) == (at%3 == 0) && len(f.data) > 0 {
 				f.data[at*len(f.data)/120] ^= 0x5a
 			}
 		}
-		again, items, _, whole, err := store.Open(d.Handle())
+		again, items, _, complete, err := store.Open(d.Open())
 		switch {
 		case err != nil:
-			said["error"]++
-		case whole && len(items) == 50 && newest(items) == 899:
-			said["unharmed"]++ // the byte was in nothing that is read
-		case whole:
-			t.Errorf("byte %d: %d of 50 items, the newest %d, and said to be whole", at, len(items), newest(items))
+			outcomes["error"]++
+		case complete && len(items) == 50 && newestFile(items) == 899:
+			outcomes["unharmed"]++ // the byte was in nothing that is read
+		case complete:
+			t.Errorf("byte %d: %d of 50 items, the newest %d, and said to be whole", at, len(items), newestFile(items))
 		default:
-			said["not whole"]++
+			outcomes["not whole"]++
 		}
 		if again != nil {
 			again.Close()
 		}
 	}
-	t.Log(said)
+	t.Log(outcomes)
 }
 
-func newest(items []config.Item) (last uint64) {
+func newestFile(items []config.Item) (last uint64) {
 	for _, i := range items {
 		last = max(last, i.Version)
 	}
@@ -102,17 +102,17 @@
 }
 
 // A journal that is cut at any byte, as by a loss of power, is not spoilt; one with a bad byte before its last record is.
-func TestTornIsNotSpoilt(t *testing.T) {
+func TestTornWriteIsNotCorruption(t *testing.T) {
 	c := qt.New(t)
 	d := NewDisk()
-	book, _, _, _, err := store.Open(d.Handle())
+	st, _, _, _, err := store.Open(d.Open())
 	c.Assert(err, qt.IsNil)
 	for n := range 8 {
-		i := item(fmt.Sprint("r", n), 1)
+		i := testItem(fmt.Sprint("r", n), 1)
 		if n == 3 {
 			i.Body = []byte(`"` + strings.Repeat("x", 70<<10) + `"`) // a record of several blocks
 		}
-		c.Assert(book.Write([]config.Item{i}, nil, false), qt.IsNil)
+		c.Assert(st.Write([]config.Item{i}, nil, false), qt.IsNil)
 	}
 	var raw []byte
 	for fd, f := range d.files {
@@ -138,19 +138,19 @@
 }
 
 // The disk holds what stands and little more, however many changes there were; old drops go.
-func TestLogbookStaysSmall(t *testing.T) {
+func TestStoreStaysSmall(t *testing.T) {
 	c := qt.New(t)
 	d := NewDisk()
-	book, _, _, _, err := store.Open(d.Handle())
+	st, _, _, _, err := store.Open(d.Open())
 	c.Assert(err, qt.IsNil)
 	for n := range 300 {
 		var all []config.Item
 		for r := range 400 {
-			all = append(all, item(fmt.Sprint("r", r), uint64(n+1)))
+			all = append(all, testItem(fmt.Sprint("r", r), uint64(n+1)))
 		}
-		c.Assert(book.Write(all, nil, false), qt.IsNil)
+		c.Assert(st.Write(all, nil, false), qt.IsNil)
 	}
-	book.Close()
+	st.Close()
 	size := 0
 	for _, f := range d.files {
 		size += len(f.data)
@@ -180,57 +180,57 @@
 	for _, routes := range []int{10, 100, 1000} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			l := small
-			l.Zones, l.Routers, l.Hosts = 6, 1, 0
-			h := New(l)
-			c.Assert(h.Start(), qt.IsNil)
-			defer h.Stop()
+			layout := smallLayout
+			layout.Zones, layout.ProxiesPerZone, layout.HostsPerZone = 6, 1, 0
+			cluster := New(layout)
+			c.Assert(cluster.Start(), qt.IsNil)
+			defer cluster.Stop()
 			time.Sleep(2 * time.Second)
 			var all []Route
 			for n := range routes {
-				all = append(all, Route{Name: fmt.Sprint("r", n), Prefix: fmt.Sprintf("/r%d/", n), Service: "desk", Version: "00000001", Safe: true})
+				all = append(all, Route{Name: fmt.Sprint("r", n), Prefix: fmt.Sprintf("/r%d/", n), Service: "desk", Version: "00000001", Idempotent: true})
 			}
-			status, _, answer := h.Order("configuration.modify", "", h.Configure(true, all...), 6*time.Second, 0)
-			c.Assert(status, qt.Equals, 200, qt.Commentf("%s", answer))
+			status, _, reply := cluster.Call("configuration.modify", "", cluster.ChangeBody(true, all...), 6*time.Second, 0)
+			c.Assert(status, qt.Equals, 200, qt.Commentf("%s", reply))
 			time.Sleep(5 * time.Second)
 			syncs := 0
-			for _, m := range h.Masters {
-				syncs -= m.Disk.syncs()
+			for _, node := range cluster.Controls {
+				syncs -= node.Disk.syncCount()
 			}
-			before, _ := h.Sea.across()
+			before, _ := cluster.Network.crossTraffic()
 			time.Sleep(orders * 2400 * time.Millisecond)
-			calm, _ := h.Sea.across()
+			idle, _ := cluster.Network.crossTraffic()
 			for n := range orders { // gossip by chance and words by turns are as much as one order, and not as five
 				all[3].Version = fmt.Sprintf("%08d", n+2)
-				status, _, _ = h.Order("configuration.modify", "", h.Configure(false, all[3]), 2400*time.Millisecond, 1)
+				status, _, _ = cluster.Call("configuration.modify", "", cluster.ChangeBody(false, all[3]), 2400*time.Millisecond, 1)
 				c.Assert(status, qt.Equals, 200)
 				time.Sleep(2400 * time.Millisecond)
 			}
-			after, _ := h.Sea.across()
-			order = append(order, (after-calm-(calm-before))/orders)
-			for _, m := range h.Masters {
-				syncs += m.Disk.syncs()
+			after, _ := cluster.Network.crossTraffic()
+			order = append(order, (after-idle-(idle-before))/orders)
+			for _, node := range cluster.Controls {
+				syncs += node.Disk.syncCount()
 			}
-			c.Check(syncs, qt.Equals, orders*len(h.Masters))
+			c.Check(syncs, qt.Equals, orders*len(cluster.Controls))
 
-			cut := h.Masters[5]
-			for _, m := range h.Masters[:5] {
-				h.Sea.Cut(m.Boot.IP, cut.Boot.IP, true)
+			cut := cluster.Controls[5]
+			for _, node := range cluster.Controls[:5] {
+				cluster.Network.SetPartition(node.Settings.IP, cut.Settings.IP, true)
 			}
 			time.Sleep(4 * time.Second)
 			all[5].Version = "00000003"
-			status, _, _ = h.Order("configuration.modify", "", h.Configure(false, all[5]), 3*time.Second, 1)
+			status, _, _ = cluster.Call("configuration.modify", "", cluster.ChangeBody(false, all[5]), 3*time.Second, 1)
 			c.Assert(status, qt.Equals, 200)
 			time.Sleep(time.Second)
-			before = h.Sea.To(cut.Boot.IP)
-			for _, m := range h.Masters[:5] {
-				h.Sea.Cut(m.Boot.IP, cut.Boot.IP, false)
+			before = cluster.Network.ReceivedBytes(cut.Settings.IP)
+			for _, node := range cluster.Controls[:5] {
+				cluster.Network.SetPartition(node.Settings.IP, cut.Settings.IP, false)
 			}
 			time.Sleep(5 * time.Second)
-			c.Check(cut.Standing(), qt.Equals, "in touch")
-			_, _, answer = h.Order("configuration.read", "", nil, time.Second, 5)
-			c.Check(string(answer), qt.Contains, `"00000003"`)
-			cost = append(cost, h.Sea.To(cut.Boot.IP)-before)
+			c.Check(cut.Status(), qt.Equals, "in touch")
+			_, _, reply = cluster.Call("configuration.read", "", nil, time.Second, 5)
+			c.Check(string(reply), qt.Contains, `"00000003"`)
+			cost = append(cost, cluster.Network.ReceivedBytes(cut.Settings.IP)-before)
 		})
 	}
 	t.Log("bytes to the one that was cut off, at 10, 100 and 1000 routes:", cost)
@@ -241,26 +241,26 @@
 
 // A disk without space refuses what it can't keep, and half a record stays behind. Once there is space the next write is
 // taken without a restart, and what was taken is there after a loss of power.
-func TestLogbookOnFullDisk(t *testing.T) {
+func TestStoreOnFullDisk(t *testing.T) {
 	for _, torn := range []bool{false, true} {
 		c := qt.New(t)
 		d := NewDisk()
-		book, _, _, _, err := store.Open(d.Handle())
+		st, _, _, _, err := store.Open(d.Open())
 		c.Assert(err, qt.IsNil)
-		c.Assert(book.Write([]config.Item{item("r", 1)}, nil, true), qt.IsNil)
+		c.Assert(st.Write([]config.Item{testItem("r", 1)}, nil, true), qt.IsNil)
 		for version := uint64(2); version < 60; version += 2 {
-			d.fill(true)
-			c.Assert(book.Write([]config.Item{item("r", version)}, nil, false), qt.IsNotNil)
-			d.fill(false)
-			c.Assert(book.Write([]config.Item{item("r", version+1)}, nil, false), qt.IsNil)
+			d.setFull(true)
+			c.Assert(st.Write([]config.Item{testItem("r", version)}, nil, false), qt.IsNotNil)
+			d.setFull(false)
+			c.Assert(st.Write([]config.Item{testItem("r", version+1)}, nil, false), qt.IsNil)
 		}
-		d.fill(true)
-		c.Assert(book.Write([]config.Item{item("r", 90)}, nil, false), qt.IsNotNil)
+		d.setFull(true)
+		c.Assert(st.Write([]config.Item{testItem("r", 90)}, nil, false), qt.IsNotNil)
 		d.PowerLoss(torn)
-		d.fill(false)
-		_, items, _, whole, err := store.Open(d.Handle())
+		d.setFull(false)
+		_, items, _, complete, err := store.Open(d.Open())
 		c.Assert(err, qt.IsNil)
-		c.Check(newest(items), qt.Equals, uint64(59))
-		c.Check(whole, qt.IsTrue)
+		c.Check(newestFile(items), qt.Equals, uint64(59))
+		c.Check(complete, qt.IsTrue)
 	}
 }
--- a/internal/lab/simulation/nearer_test.go
+++ b/internal/lab/simulation/nearer_test.go
@@ -9,12 +9,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// lined tells whether one machine holds a line to the control process of another.
-func (h *Harbour) lined(from, to string) bool {
-	h.Sea.mu.Lock()
-	defer h.Sea.mu.Unlock()
-	for x := range h.Sea.conns {
-		if x.local.IP.String() == from && x.remote.IP.String() == to && x.remote.Port == firstPort {
+// connectedControl tells whether one machine holds a line to the control process of another.
+func (cl *Cluster) connectedControl(from, to string) bool {
+	cl.Network.mu.Lock()
+	defer cl.Network.mu.Unlock()
+	for x := range cl.Network.conns {
+		if x.local.IP.String() == from && x.remote.IP.String() == to && x.remote.Port == firstInternalPort {
 			return true
 		}
 	}
@@ -24,59 +24,59 @@
 // The control process of a router's zone is of no use for 20 s: cut off from the others, without power, frozen. The router hangs on
 // another one. It looks every now and then whether the nearer one is of use again, and doesn't let the one that it has go for that:
 // a change that is confirmed meanwhile is in force there as soon as at other times. Once the nearer one is of use, it moves.
-func TestNearerIsTriedBesideTheLine(t *testing.T) {
-	for name, harm := range map[string]func(h *Harbour, m *Master, on bool){
-		"cut off from the others": func(h *Harbour, m *Master, on bool) { h.part(m, on) },
-		"heard, and hears nobody": func(h *Harbour, m *Master, on bool) {
-			for _, x := range h.Masters {
-				if x != m {
-					h.Sea.CutWay(x.Boot.IP, m.Boot.IP, on)
+func TestNearerControlIsTriedWhileConnected(t *testing.T) {
+	for name, fault := range map[string]func(cluster *Cluster, node *ControlNode, on bool){
+		"cut off from the others": func(cluster *Cluster, node *ControlNode, on bool) { cluster.setPartition(node, on) },
+		"heard, and hears nobody": func(cluster *Cluster, node *ControlNode, on bool) {
+			for _, x := range cluster.Controls {
+				if x != node {
+					cluster.Network.SetOneWayPartition(x.Settings.IP, node.Settings.IP, on)
 				}
 			}
 		},
-		"without power": func(h *Harbour, m *Master, on bool) {
-			if h.Sea.Down(m.Boot.IP, on); on {
-				m.Kill()
-				m.Disk.PowerLoss(true)
+		"without power": func(cluster *Cluster, node *ControlNode, on bool) {
+			if cluster.Network.SetPoweredOff(node.Settings.IP, on); on {
+				node.Kill()
+				node.Disk.PowerLoss(true)
 			} else {
-				m.mustStart()
+				node.mustStart()
 			}
 		},
-		"frozen": func(h *Harbour, m *Master, on bool) {
-			h.Sea.Freeze(m.Boot.IP, on)
-			m.Disk.hang(on)
+		"frozen": func(cluster *Cluster, node *ControlNode, on bool) {
+			cluster.Network.Freeze(node.Settings.IP, on)
+			node.Disk.setHanging(on)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				h := opened(c, Layout{Zones: 6, Routers: 2, Services: []string{"desk"}, Seed: 9})
-				m := h.Masters[5]
-				var f *Fairway
-				for _, x := range h.Fairways {
-					if x.Boot.Zone == m.Boot.Zone && x.Boot.IP != m.Boot.IP {
-						f = x
+				cluster := startCluster(c, Layout{Zones: 6, ProxiesPerZone: 2, Services: []string{"desk"}, Seed: 9})
+				node := cluster.Controls[5]
+				var px *ProxyNode
+				for _, x := range cluster.Proxies {
+					if x.Settings.Zone == node.Settings.Zone && x.Settings.IP != node.Settings.IP {
+						px = x
 					}
 				}
-				until(c, 5*time.Second, "hangs on its zone's", func() bool { return h.lined(f.Boot.IP, m.Boot.IP) })
-				harm(h, m, true)
+				waitUntil(c, 5*time.Second, "hangs on its zone's", func() bool { return cluster.connectedControl(px.Settings.IP, node.Settings.IP) })
+				fault(cluster, node, true)
 				time.Sleep(4500 * time.Millisecond) // until it knows, and has left
-				began, worst := time.Now(), time.Duration(0)
-				for n := 0; time.Since(began) < 15*time.Second; n++ {
-					changed := look
+				start, worst := time.Now(), time.Duration(0)
+				for n := 0; time.Since(start) < 15*time.Second; n++ {
+					changed := safeRoute
 					changed.Version = fmt.Sprintf("%08x", n+10)
-					configure(c, h, h.Configure(false, changed), 0)
+					configure(c, cluster, cluster.ChangeBody(false, changed), 0)
 					at := time.Now()
-					for f.Running.RouteVersions()[look.Name] != uint64(n+10) && time.Since(at) < 5*time.Second {
+					for px.Running.RouteVersions()[safeRoute.Name] != uint64(n+10) && time.Since(at) < 5*time.Second {
 						time.Sleep(5 * time.Millisecond)
 					}
 					worst = max(worst, time.Since(at))
 					time.Sleep(130 * time.Millisecond)
 				}
 				c.Check(worst < 200*time.Millisecond, qt.IsTrue, qt.Commentf("in force %v after it was confirmed", worst))
-				harm(h, m, false)
-				back := until(c, 8*time.Second, "moves once it is of use", func() bool {
-					return h.lined(f.Boot.IP, m.Boot.IP) && !h.lined(f.Boot.IP, h.Masters[4].Boot.IP) && m.Standing() == "in touch"
+				fault(cluster, node, false)
+				back := waitUntil(c, 8*time.Second, "moves once it is of use", func() bool {
+					return cluster.connectedControl(px.Settings.IP, node.Settings.IP) && !cluster.connectedControl(px.Settings.IP, cluster.Controls[4].Settings.IP) && node.Status() == "in touch"
 				})
 				c.Logf("%s: in force after %v at the most, back after %v", name, worst, back)
 			})
--- a/internal/lab/simulation/refusing_test.go
+++ b/internal/lab/simulation/refusing_test.go
@@ -19,41 +19,41 @@
 	"portflow/internal/random"
 )
 
-// faulty is a disk whose next so many steps are refused, of the kinds that are chosen.
-type faulty struct {
+// faultyStorage is a disk whose next so many steps are refused, of the kinds that are chosen.
+type faultyStorage struct {
 	storage.Storage
-	mu      sync.Mutex // over what follows: the store compacts beside
-	refuse  int
-	kind    string // "" for all
-	refused int
-	open    int // files that are open
+	mu        sync.Mutex // over what follows: the store compacts beside
+	failAt    int
+	kind      string // "" for all
+	failures  int
+	openFiles int // files that are open
 }
 
-func (f *faulty) step(kind string) error {
+func (f *faultyStorage) step(kind string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.refuse == 0 || f.kind != "" && f.kind != kind {
+	if f.failAt == 0 || f.kind != "" && f.kind != kind {
 		return nil
 	}
-	f.refuse--
-	f.refused++
-	return errRefused
+	f.failAt--
+	f.failures++
+	return errWriteFailed
 }
 
-func (f *faulty) opened(n int) int {
+func (f *faultyStorage) opened(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.open += n
-	return f.open
+	f.openFiles += n
+	return f.openFiles
 }
 
-func (f *faulty) next(n int) {
+func (f *faultyStorage) next(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.refuse = n
+	f.failAt = n
 }
 
-func (f *faulty) Create(fd storage.FileDesc) (storage.Writer, error) {
+func (f *faultyStorage) Create(fd storage.FileDesc) (storage.Writer, error) {
 	if err := f.step("create"); err != nil {
 		return nil, err
 	}
@@ -64,7 +64,7 @@
 	return &faultyWriter{w, f}, err
 }
 
-func (f *faulty) Open(fd storage.FileDesc) (storage.Reader, error) {
+func (f *faultyStorage) Open(fd storage.FileDesc) (storage.Reader, error) {
 	r, err := f.Storage.Open(fd)
 	if err == nil {
 		f.opened(1)
@@ -73,14 +73,14 @@
 	return r, err
 }
 
-func (f *faulty) SetMeta(fd storage.FileDesc) error {
+func (f *faultyStorage) SetMeta(fd storage.FileDesc) error {
 	if err := f.step("meta"); err != nil {
 		return err
 	}
 	return f.Storage.SetMeta(fd)
 }
 
-func (f *faulty) Remove(fd storage.FileDesc) error {
+func (f *faultyStorage) Remove(fd storage.FileDesc) error {
 	if err := f.step("remove"); err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 
 type faultyReader struct {
 	storage.Reader
-	f *faulty
+	f *faultyStorage
 }
 
 func (r *faultyReader) Close() error {
@@ -99,7 +99,7 @@
 
 type faultyWriter struct {
 	storage.Writer
-	f *faulty
+	f *faultyStorage
 }
 
 func (w *faultyWriter) Write(b []byte) (int, error) {
@@ -124,16 +124,16 @@
 
 // After a write that was refused, whatever the step at which it was, the next ones are taken; and what was acknowledged is
 // there at the next start, after a loss of power too, though the one that failed is not sent again. -args -seeds 60 plays more.
-func TestLogbookOpensAgainAfterRefusal(t *testing.T) {
+func TestStoreReopensAfterWriteFailure(t *testing.T) {
 	for _, kind := range []string{"write", "sync", "create", "meta", "remove", ""} {
-		for seed := range uint64(*seeds) {
-			synctest.Test(t, func(t *testing.T) { refusal(qt.New(t), kind, seed) }) // the store waits between its tries
+		for seed := range uint64(*randomRuns) {
+			synctest.Test(t, func(t *testing.T) { playWriteFailure(qt.New(t), kind, seed) }) // the store waits between its tries
 		}
 	}
 }
 
 // copied is what a disk holds at this moment.
-func diskCopied(d *Disk) *Disk {
+func copyDisk(d *Disk) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	x := NewDisk()
@@ -144,96 +144,96 @@
 	return x
 }
 
-// refusal plays one history of writes on a disk that refuses steps of a kind now and then.
-func refusal(c *qt.C, kind string, seed uint64) {
-	draw := random.Source{Seed: seed*31 + uint64(len(kind))}
-	n := func(n int) int { return int(draw.Next() * float64(n)) }
+// playWriteFailure plays one history of writes on a disk that refuses steps of a kind now and then.
+func playWriteFailure(c *qt.C, kind string, seed uint64) {
+	rng := random.Source{Seed: seed*31 + uint64(len(kind))}
+	n := func(n int) int { return int(rng.Float64() * float64(n)) }
 	d := NewDisk()
-	f := &faulty{Storage: d.Handle(), kind: kind}
-	book, _, _, _, err := store.Open(f)
+	f := &faultyStorage{Storage: d.Open(), kind: kind}
+	st, _, _, _, err := store.Open(f)
 	c.Assert(err, qt.IsNil)
-	c.Assert(book.Write(nil, nil, true), qt.IsNil)
+	c.Assert(st.Write(nil, nil, true), qt.IsNil)
 	want := map[string]uint64{}
 	for version := uint64(1); version < 120; version++ {
 		if n(10) == 0 {
 			f.next(1 + n(6))
 		}
 		name := fmt.Sprint("r", n(30))
-		i := item(name, version)
+		i := testItem(name, version)
 		if n(4) == 0 { // long enough that the store begins new files
 			i.Body, _ = json.Marshal(map[string]string{"x": string(make([]byte, 30<<10))})
 		}
 		if n(3) == 0 {
-			if err = book.Replace(nil, []config.Key{i.Key()}, nil, false); err == nil {
+			if err = st.Replace(nil, []config.Key{i.Key()}, nil, false); err == nil {
 				delete(want, name)
 			}
-		} else if err = book.Write([]config.Item{i}, nil, false); err == nil {
+		} else if err = st.Write([]config.Item{i}, nil, false); err == nil {
 			want[name] = version
 		}
 	}
 	f.next(0)
-	c.Assert(book.Write([]config.Item{item("last", 999)}, nil, false), qt.IsNil, qt.Commentf("%s %d", kind, seed))
+	c.Assert(st.Write([]config.Item{testItem("last", 999)}, nil, false), qt.IsNil, qt.Commentf("%s %d", kind, seed))
 	want["last"] = 999
-	left := diskCopied(d) // as a loss of power at this moment leaves it
+	left := copyDisk(d) // as a loss of power at this moment leaves it
 	left.PowerLoss(true)
-	c.Assert(book.Close(), qt.IsNil)
-	c.Check(f.opened(0) <= 2, qt.IsTrue, qt.Commentf("%s %d: %d files are open after %d refusals", kind, seed, f.opened(0), f.refused))
+	c.Assert(st.Close(), qt.IsNil)
+	c.Check(f.opened(0) <= 2, qt.IsTrue, qt.Commentf("%s %d: %d files are open after %d refusals", kind, seed, f.opened(0), f.failures))
 	if n(2) == 0 {
 		left = d
 	}
-	again, items, _, whole, err := store.Open(left.Handle())
+	again, items, _, complete, err := store.Open(left.Open())
 	c.Assert(err, qt.IsNil)
 	have := map[string]uint64{}
 	for _, i := range items {
 		have[i.Name] = i.Version
 	}
-	c.Assert(maps.Equal(have, want), qt.IsTrue, qt.Commentf("%s %d, %d refused, whole %v: have %v, want %v", kind, seed, f.refused, whole, have, want))
-	c.Assert(whole, qt.IsTrue)
+	c.Assert(maps.Equal(have, want), qt.IsTrue, qt.Commentf("%s %d, %d refused, whole %v: have %v, want %v", kind, seed, f.failures, complete, have, want))
+	c.Assert(complete, qt.IsTrue)
 	again.Close()
 	time.Sleep(2 * time.Second) // the store's own goroutines end
 }
 
 // A disk refuses to write for a while and is well again; then a region is lost. Its process is needed for more than half:
 // it has to take orders again without a restart, and keep them.
-func TestDiskRefusedThenRegionLost(t *testing.T) {
+func TestWriteFailureThenRegionLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		l := small
-		l.Zones, l.Routers, l.Hosts = 6, 1, 1
-		h := opened(c, l)
+		layout := smallLayout
+		layout.Zones, layout.ProxiesPerZone, layout.HostsPerZone = 6, 1, 1
+		cluster := startCluster(c, layout)
 		change := func(version string, first int) int {
-			r := look
+			r := safeRoute
 			r.Version, r.Prefix = version, "/look-"+version+"/"
-			status, _, _ := h.Order("configuration.modify", "", h.Configure(false, r), 6*time.Second, first)
+			status, _, _ := cluster.Call("configuration.modify", "", cluster.ChangeBody(false, r), 6*time.Second, first)
 			return status
 		}
-		ill := h.Masters[0]
-		ill.Disk.set(5*time.Millisecond, true)
+		ill := cluster.Controls[0]
+		ill.Disk.SetFaults(5*time.Millisecond, true)
 		c.Check(change("00000002", 1), qt.Equals, 200) // the other five have it
 		time.Sleep(2 * time.Second)
-		ill.Disk.set(5*time.Millisecond, false)
+		ill.Disk.SetFaults(5*time.Millisecond, false)
 		time.Sleep(3 * time.Second)
-		for _, m := range h.Masters[2:4] {
-			m.Kill()
-			h.Sea.Down(m.Boot.IP, true)
+		for _, node := range cluster.Controls[2:4] {
+			node.Kill()
+			cluster.Network.SetPoweredOff(node.Settings.IP, true)
 		}
 		time.Sleep(4 * time.Second)
 		c.Check(change("00000003", 4), qt.Equals, 200)
-		for _, m := range h.Masters { // the ill one's own disk, and one more, hold it
-			m.Kill()
-			m.Disk.PowerLoss(true)
+		for _, node := range cluster.Controls { // the ill one's own disk, and one more, hold it
+			node.Kill()
+			node.Disk.PowerLoss(true)
 		}
 		time.Sleep(time.Second)
-		disk, items, cells, whole, err := store.Open(ill.Disk.Handle())
+		disk, items, cells, complete, err := store.Open(ill.Disk.Open())
 		c.Assert(err, qt.IsNil)
 		disk.Close()
 		var node consensus.HardState // the last change may still be its vote
 		c.Assert(json.Unmarshal(cells["node"], &node), qt.IsNil)
 		items = append(items, node.AcceptedValue...)
-		c.Check(whole, qt.IsTrue)
+		c.Check(complete, qt.IsTrue)
 		newest := uint64(0)
 		for _, i := range items {
-			if i.Kind == config.KindRoutes && i.Name == look.Name {
+			if i.Kind == config.KindRoutes && i.Name == safeRoute.Name {
 				newest = i.Version
 			}
 		}
@@ -242,52 +242,52 @@
 }
 
 // A logbook is closed in the middle of a write that waits for the disk: the write ends first, and virtual time goes on.
-func TestLogbookClosedInTheMiddle(t *testing.T) {
+func TestStoreClosedDuringWrite(t *testing.T) {
 	for _, refuse := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			d := NewDisk()
-			book, _, _, _, err := store.Open(d.Handle())
+			st, _, _, _, err := store.Open(d.Open())
 			c.Assert(err, qt.IsNil)
-			if d.set(0, refuse); refuse {
-				c.Assert(book.Write([]config.Item{item("r", 1)}, nil, false), qt.ErrorIs, errRefused)
-				c.Assert(book.Write([]config.Item{item("r", 1)}, nil, false), qt.ErrorIs, errRefused)
+			if d.SetFaults(0, refuse); refuse {
+				c.Assert(st.Write([]config.Item{testItem("r", 1)}, nil, false), qt.ErrorIs, errWriteFailed)
+				c.Assert(st.Write([]config.Item{testItem("r", 1)}, nil, false), qt.ErrorIs, errWriteFailed)
 			}
-			d.set(125*time.Millisecond, false)
+			d.SetFaults(125*time.Millisecond, false)
 			done := make(chan error, 1)
-			go func() { done <- book.Write([]config.Item{item("r", 2)}, nil, false) }()
+			go func() { done <- st.Write([]config.Item{testItem("r", 2)}, nil, false) }()
 			time.Sleep(50 * time.Millisecond)
-			c.Check(book.Close(), qt.IsNil)
+			c.Check(st.Close(), qt.IsNil)
 			c.Check(<-done, qt.IsNil)
-			c.Check(book.Write(nil, nil, true), qt.ErrorIs, store.ErrClosed)
-			c.Check(book.Reopened.Load() == 1, qt.Equals, refuse)
+			c.Check(st.Write(nil, nil, true), qt.ErrorIs, store.ErrClosed)
+			c.Check(st.Reopened.Load() == 1, qt.Equals, refuse)
 			time.Sleep(2 * time.Second) // the store's own goroutines end
 		})
 	}
 }
 
 // Its process is ended in the middle of a write that waits for the disk, and while the disk refuses: nothing waits for ever.
-func TestKilledWhileTheDiskRefuses(t *testing.T) {
+func TestKilledDuringWriteFailure(t *testing.T) {
 	for _, delay := range []time.Duration{0, 5 * time.Millisecond, 125 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			l := small
-			l.Zones, l.Routers, l.Hosts = 6, 1, 0
-			h := opened(c, l)
+			layout := smallLayout
+			layout.Zones, layout.ProxiesPerZone, layout.HostsPerZone = 6, 1, 0
+			cluster := startCluster(c, layout)
 			for n := range 6 {
-				m := h.Masters[n]
-				go h.Order("configuration.modify", "", h.Configure(false, Route{Name: "r", Prefix: fmt.Sprintf("/r%d/", n), Service: "desk",
+				node := cluster.Controls[n]
+				go cluster.Call("configuration.modify", "", cluster.ChangeBody(false, Route{Name: "r", Prefix: fmt.Sprintf("/r%d/", n), Service: "desk",
 					Version: config.FormatVersion(uint64(n + 2))}), 3*time.Second, (n+1)%6)
-				m.Disk.set(delay, true)
+				node.Disk.SetFaults(delay, true)
 				time.Sleep(time.Duration(n*70) * time.Millisecond)
-				m.Disk.set(delay, n%2 == 0)
+				node.Disk.SetFaults(delay, n%2 == 0)
 				time.Sleep(time.Duration(n*31) * time.Millisecond)
-				m.Kill()
+				node.Kill()
 				time.Sleep(1300 * time.Millisecond)
-				m.Disk.set(5*time.Millisecond, false)
-				c.Assert(m.Start(), qt.IsNil)
+				node.Disk.SetFaults(5*time.Millisecond, false)
+				c.Assert(node.Start(), qt.IsNil)
 				time.Sleep(3 * time.Second)
-				c.Check(m.Standing(), qt.Equals, "in touch")
+				c.Check(node.Status(), qt.Equals, "in touch")
 			}
 		})
 	}
--- a/internal/lab/simulation/sea.go
+++ b/internal/lab/simulation/sea.go
@@ -19,170 +19,170 @@
 	"portflow/internal/random"
 )
 
-// Sea is the network.
-type Sea struct {
-	Delay  func(a, b string) time.Duration // one way, by IP number
-	Silent time.Duration                   // after which a sender gives up what nobody acknowledges
+// Network is the network.
+type Network struct {
+	Delay      func(a, b string) time.Duration // one way, by IP number
+	AckTimeout time.Duration                   // after which a sender gives up what nobody acknowledges
 
-	mu        sync.Mutex
-	listeners map[string]*listener // by address
-	packets   map[string]*packet
-	conns     map[*conn]bool
-	cuts      map[[2]string]bool // from, to
-	down      map[string]bool
-	frozen    map[string]bool
-	lossy     map[[2]string]float64 // from, to: the part of what is sent whose connection breaks instead
-	port      int
-	draw      random.Source
-	Bytes     map[[2]string]int64 // from, to
+	mu          sync.Mutex
+	listeners   map[string]*listener // by address
+	packetConns map[string]*packetConn
+	conns       map[*conn]bool
+	blocked     map[[2]string]bool // from, to
+	down        map[string]bool
+	frozen      map[string]bool
+	lossRates   map[[2]string]float64 // from, to: the part of what is sent whose connection breaks instead
+	port        int
+	rng         random.Source
+	SentBytes   map[[2]string]int64 // from, to
 }
 
-// NewSea makes a calm one.
-func NewSea(delay func(a, b string) time.Duration, seed uint64) *Sea {
-	return &Sea{Delay: delay, Silent: 1500 * time.Millisecond, listeners: map[string]*listener{}, packets: map[string]*packet{},
-		conns: map[*conn]bool{}, cuts: map[[2]string]bool{}, down: map[string]bool{}, frozen: map[string]bool{}, lossy: map[[2]string]float64{}, port: 20000, draw: random.Source{Seed: seed},
-		Bytes: map[[2]string]int64{}}
+// NewNetwork makes a calm one.
+func NewNetwork(delay func(a, b string) time.Duration, seed uint64) *Network {
+	return &Network{Delay: delay, AckTimeout: 1500 * time.Millisecond, listeners: map[string]*listener{}, packetConns: map[string]*packetConn{},
+		conns: map[*conn]bool{}, blocked: map[[2]string]bool{}, down: map[string]bool{}, frozen: map[string]bool{}, lossRates: map[[2]string]float64{}, port: 20000, rng: random.Source{Seed: seed},
+		SentBytes: map[[2]string]int64{}}
 }
 
-// Cut cuts or joins two machines, both ways.
-func (s *Sea) Cut(a, b string, cut bool) {
-	s.part(cut, [2]string{a, b}, [2]string{b, a})
+// SetPartition cuts or joins two machines, both ways.
+func (n *Network) SetPartition(a, b string, blocked bool) {
+	n.setBlocked(blocked, [2]string{a, b}, [2]string{b, a})
 }
 
-// CutWay cuts or joins one direction between two machines: what the first sends doesn't reach the other. As nothing that
+// SetOneWayPartition cuts or joins one direction between two machines: what the first sends doesn't reach the other. As nothing that
 // the other sends is acknowledged either, that gives up after Silent.
-func (s *Sea) CutWay(from, to string, cut bool) {
-	s.part(cut, [2]string{from, to})
+func (n *Network) SetOneWayPartition(from, to string, blocked bool) {
+	n.setBlocked(blocked, [2]string{from, to})
 }
 
 // Freeze has a machine stand still, or go on: nothing comes or goes. Others give up what it doesn't acknowledge; what it had
 // sent itself waits in its memory and goes out when it is thawed. Its processes' timers run on all the same.
-func (s *Sea) Freeze(ip string, frozen bool) {
-	s.mu.Lock()
+func (n *Network) Freeze(ip string, frozen bool) {
+	n.mu.Lock()
 	if frozen {
-		s.frozen[ip] = true
+		n.frozen[ip] = true
 	} else {
-		delete(s.frozen, ip)
+		delete(n.frozen, ip)
 	}
-	s.mu.Unlock()
+	n.mu.Unlock()
 	if !frozen {
-		s.part(false)
+		n.setBlocked(false)
 	}
 }
 
-// part cuts ways, or joins them and lets go on what is held up no longer.
-func (s *Sea) part(cut bool, ways ...[2]string) {
-	s.mu.Lock()
-	for _, x := range ways {
-		if cut {
-			s.cuts[x] = true
+// setBlocked cuts ways, or joins them and lets go on what is held up no longer.
+func (n *Network) setBlocked(blocked bool, directions ...[2]string) {
+	n.mu.Lock()
+	for _, direction := range directions {
+		if blocked {
+			n.blocked[direction] = true
 		} else {
-			delete(s.cuts, x)
+			delete(n.blocked, direction)
 		}
 	}
-	all := s.all()
-	s.mu.Unlock()
-	if !cut {
-		for _, c := range all {
-			c.free()
+	conns := n.allConns()
+	n.mu.Unlock()
+	if !blocked {
+		for _, c := range conns {
+			c.resume()
 		}
 	}
 }
 
-// Reset breaks a part of a machine's connections, drawn by lot; both ends are told. It tells how many.
-func (s *Sea) Reset(ip string, part float64) (n int) {
-	s.mu.Lock()
-	all := s.all()
-	name := func(c *conn) string { return c.local.String() + " " + c.remote.String() }
-	slices.SortFunc(all, func(a, b *conn) int { return strings.Compare(name(a), name(b)) })
-	all = slices.DeleteFunc(all, func(c *conn) bool { return c.local.IP.String() != ip || s.draw.Next() >= part })
-	s.mu.Unlock()
-	for _, c := range all {
+// ResetConnections breaks a part of a machine's connections, drawn by lot; both ends are told. It tells how many.
+func (n *Network) ResetConnections(ip string, fraction float64) (count int) {
+	n.mu.Lock()
+	conns := n.allConns()
+	key := func(c *conn) string { return c.local.String() + " " + c.remote.String() }
+	slices.SortFunc(conns, func(a, b *conn) int { return strings.Compare(key(a), key(b)) })
+	conns = slices.DeleteFunc(conns, func(c *conn) bool { return c.local.IP.String() != ip || n.rng.Float64() >= fraction })
+	n.mu.Unlock()
+	for _, c := range conns {
 		c.reset()
 	}
-	return len(all)
+	return len(conns)
 }
 
-// Lossy has a part of what one machine sends another be lost, 0 for none: the connection breaks in its place, so that a call
+// SetLoss has a part of what one machine sends another be lost, 0 for none: the connection breaks in its place, so that a call
 // was taken and its answer never comes.
-func (s *Sea) Lossy(from, to string, part float64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.lossy, [2]string{from, to})
-	if part > 0 {
-		s.lossy[[2]string{from, to}] = part
-	}
-}
-
-// loses tells whether this piece is lost.
-func (s *Sea) loses(from, to string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	part, lossy := s.lossy[[2]string{from, to}]
-	return lossy && s.draw.Next() < part
-}
-
-// To is how many bytes a machine was sent from others.
-func (s *Sea) To(ip string) (n int64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for x, b := range s.Bytes {
-		if x[1] == ip && x[0] != ip {
-			n += b
+func (n *Network) SetLoss(from, to string, fraction float64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	delete(n.lossRates, [2]string{from, to})
+	if fraction > 0 {
+		n.lossRates[[2]string{from, to}] = fraction
+	}
+}
+
+// dropsNext tells whether this piece is lost.
+func (n *Network) dropsNext(from, to string) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	fraction, lossy := n.lossRates[[2]string{from, to}]
+	return lossy && n.rng.Float64() < fraction
+}
+
+// ReceivedBytes is how many bytes a machine was sent from others.
+func (n *Network) ReceivedBytes(ip string) (total int64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for link, sent := range n.SentBytes {
+		if link[1] == ip && link[0] != ip {
+			total += sent
 		}
 	}
-	return n
+	return total
 }
 
-// all are the connections; the sea is locked.
-func (s *Sea) all() (all []*conn) {
-	for c := range s.conns {
+// allConns are the connections; the sea is locked.
+func (n *Network) allConns() (all []*conn) {
+	for c := range n.conns {
 		all = append(all, c)
 	}
 	return all
 }
 
-// Down takes a machine's power, or gives it back. Its connections are gone without a word.
-func (s *Sea) Down(ip string, down bool) {
-	s.mu.Lock()
-	if down {
-		s.down[ip] = true
+// SetPoweredOff takes a machine's power, or gives it back. Its connections are gone without a word.
+func (n *Network) SetPoweredOff(ip string, off bool) {
+	n.mu.Lock()
+	if off {
+		n.down[ip] = true
 	} else {
-		delete(s.down, ip)
+		delete(n.down, ip)
 	}
-	all := s.all()
-	s.mu.Unlock()
-	for _, c := range all {
-		if down && c.local.IP.String() == ip {
-			c.vanish()
+	conns := n.allConns()
+	n.mu.Unlock()
+	for _, c := range conns {
+		if off && c.local.IP.String() == ip {
+			c.loseSilently()
 		}
 	}
 }
 
-func (s *Sea) parted(from, to string) bool {
-	return s.cuts[[2]string{from, to}] || s.down[from] || s.down[to] || s.frozen[from] || s.frozen[to]
+func (n *Network) isBlocked(from, to string) bool {
+	return n.blocked[[2]string{from, to}] || n.down[from] || n.down[to] || n.frozen[from] || n.frozen[to]
 }
 
 // Process is the network as one process has it.
 type Process struct {
-	sea   *Sea
-	ip    string
-	mu    sync.Mutex
-	over  bool
-	ends  []io.Closer
-	conns []*conn
+	network *Network
+	ip      string
+	mu      sync.Mutex
+	killed  bool
+	closers []io.Closer
+	conns   []*conn
 }
 
 // Process makes one at an IP number.
-func (s *Sea) Process(ip string) *Process { return &Process{sea: s, ip: ip} }
+func (n *Network) Process(ip string) *Process { return &Process{network: n, ip: ip} }
 
 // Kill closes all that the process had open, as the system does for a process that has ended.
 func (p *Process) Kill() {
 	p.mu.Lock()
-	p.over = true
-	ends, conns := p.ends, p.conns
+	p.killed = true
+	closers, conns := p.closers, p.conns
 	p.mu.Unlock()
-	for _, e := range ends {
+	for _, e := range closers {
 		e.Close()
 	}
 	for _, c := range conns {
@@ -190,49 +190,49 @@
 	}
 }
 
-func (p *Process) own(c *conn) {
+func (p *Process) addConn(c *conn) {
 	p.mu.Lock()
-	over := p.over
+	killed := p.killed
 	p.conns = append(p.conns, c)
 	p.mu.Unlock()
-	if over {
+	if killed {
 		c.reset()
 	}
 }
 
 type listener struct {
-	sea     *Sea
+	network *Network
 	process *Process
-	at      *net.TCPAddr
-	queue   chan *conn
+	addr    *net.TCPAddr
+	backlog chan *conn
 	done    chan struct{}
 	once    sync.Once
 }
 
 // Listen waits for connections.
 func (p *Process) Listen(address string) (net.Listener, error) {
-	at, err := net.ResolveTCPAddr("tcp", address)
+	bindAddr, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	s := p.sea
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.listeners[address] != nil {
+	network := p.network
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	if network.listeners[address] != nil {
 		return nil, &net.OpError{Op: "listen", Err: syscall.EADDRINUSE}
 	}
-	l := &listener{sea: s, process: p, at: at, queue: make(chan *conn, 512), done: make(chan struct{})}
-	s.listeners[address] = l
+	ln := &listener{network: network, process: p, addr: bindAddr, backlog: make(chan *conn, 512), done: make(chan struct{})}
+	network.listeners[address] = ln
 	p.mu.Lock()
-	p.ends = append(p.ends, l)
+	p.closers = append(p.closers, ln)
 	p.mu.Unlock()
-	return l, nil
+	return ln, nil
 }
 
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.queue:
-		l.process.own(c)
+	case c := <-l.backlog:
+		l.process.addConn(c)
 		return c, nil
 	case <-l.done:
 		return nil, net.ErrClosed
@@ -241,15 +241,15 @@
 
 func (l *listener) Close() error {
 	l.once.Do(func() {
-		l.sea.mu.Lock()
-		if l.sea.listeners[l.at.String()] == l {
-			delete(l.sea.listeners, l.at.String())
+		l.network.mu.Lock()
+		if l.network.listeners[l.addr.String()] == l {
+			delete(l.network.listeners, l.addr.String())
 		}
-		l.sea.mu.Unlock()
+		l.network.mu.Unlock()
 		close(l.done)
 		for {
 			select {
-			case c := <-l.queue:
+			case c := <-l.backlog:
 				c.reset()
 			default:
 				return
@@ -259,7 +259,7 @@
 	return nil
 }
 
-func (l *listener) Addr() net.Addr { return l.at }
+func (l *listener) Addr() net.Addr { return l.addr }
 
 // Dial connects.
 func (p *Process) Dial(ctx context.Context, _, address string) (net.Conn, error) {
@@ -267,14 +267,14 @@
 	if err != nil {
 		return nil, err
 	}
-	s, ip := p.sea, to.IP.String()
-	way := s.Delay(p.ip, ip)
+	network, ip := p.network, to.IP.String()
+	latency := network.Delay(p.ip, ip)
 	for {
-		s.mu.Lock()
-		parted := s.parted(p.ip, ip) || s.parted(ip, p.ip)
-		s.mu.Unlock()
-		wait := 2 * way
-		if parted {
+		network.mu.Lock()
+		blocked := network.isBlocked(p.ip, ip) || network.isBlocked(ip, p.ip)
+		network.mu.Unlock()
+		wait := 2 * latency
+		if blocked {
 			wait = 200 * time.Millisecond // and once more
 		}
 		select {
@@ -282,142 +282,142 @@
 		case <-ctx.Done():
 			return nil, &net.OpError{Op: "dial", Err: ctx.Err()}
 		}
-		if parted {
+		if blocked {
 			continue
 		}
-		s.mu.Lock()
-		l := s.listeners[address]
-		if l == nil {
-			s.mu.Unlock()
+		network.mu.Lock()
+		target := network.listeners[address]
+		if target == nil {
+			network.mu.Unlock()
 			return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 		}
-		s.port++
-		from := &net.TCPAddr{IP: net.ParseIP(p.ip), Port: s.port%40000 + 20000}
-		a, b := newPair(s, from, to)
-		s.conns[a], s.conns[b] = true, true
-		s.mu.Unlock()
+		network.port++
+		from := &net.TCPAddr{IP: net.ParseIP(p.ip), Port: network.port%40000 + 20000}
+		local, remote := newConnPair(network, from, to)
+		network.conns[local], network.conns[remote] = true, true
+		network.mu.Unlock()
 		select {
-		case l.queue <- b:
+		case target.backlog <- remote:
 		default:
-			a.reset()
+			local.reset()
 			return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 		}
-		p.own(a)
-		return a, nil
+		p.addConn(local)
+		return local, nil
 	}
 }
 
-// piece is some bytes under way, or the end of them.
-type piece struct {
-	data []byte
-	at   time.Time // when they arrive; zero while a cut holds them up
-	end  bool
+// segment is some bytes under way, or the end of them.
+type segment struct {
+	data      []byte
+	arrivesAt time.Time // when they arrive; zero while a cut holds them up
+	fin       bool
 }
 
-// half is one direction of a connection.
-type half struct {
-	mu       sync.Mutex
-	turn     *sync.Cond
-	pieces   []piece
-	size     int
-	err      error // of the reader
-	dead     bool  // the reader's machine lost power: the writer isn't told
-	deadline time.Time
-	alarm    *time.Timer
-	rings    time.Time // when the alarm does
+// pipe is one direction of a connection.
+type pipe struct {
+	mu         sync.Mutex
+	changed    *sync.Cond
+	segments   []segment
+	buffered   int
+	err        error // of the reader
+	readerLost bool  // the reader's machine lost power: the writer isn't told
+	deadline   time.Time
+	timer      *time.Timer
+	firesAt    time.Time // when the alarm does
 }
 
-func newHalf() *half {
-	h := &half{}
-	h.turn = sync.NewCond(&h.mu)
+func newPipe() *pipe {
+	h := &pipe{}
+	h.changed = sync.NewCond(&h.mu)
 	return h
 }
 
-// wake wakes who waits at a time; a reader and a writer may wait, and neither puts off the other's.
-func (h *half) wake(at time.Time) {
-	if h.alarm != nil {
-		if now := time.Now(); h.rings.After(now) && at.After(h.rings) {
+// wakeAt wakes who waits at a time; a reader and a writer may wait, and neither puts off the other's.
+func (p *pipe) wakeAt(at time.Time) {
+	if p.timer != nil {
+		if now := time.Now(); p.firesAt.After(now) && at.After(p.firesAt) {
 			return
 		}
-		h.alarm.Stop()
+		p.timer.Stop()
 	}
-	h.rings = at
-	h.alarm = time.AfterFunc(time.Until(at), func() {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		h.turn.Broadcast()
+	p.firesAt = at
+	p.timer = time.AfterFunc(time.Until(at), func() {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		p.changed.Broadcast()
 	})
 }
 
-func (h *half) fail(err error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.err == nil {
-		h.err = err
+func (p *pipe) fail(err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.err == nil {
+		p.err = err
 	}
-	h.turn.Broadcast()
+	p.changed.Broadcast()
 }
 
-// there tells whether something can be read now; the half is locked.
-func (h *half) there() bool {
-	return h.err != nil || h.dead || len(h.pieces) > 0 && !h.pieces[0].at.IsZero() && !h.pieces[0].at.After(time.Now())
+// readable tells whether something can be read now; the half is locked.
+func (p *pipe) readable() bool {
+	return p.err != nil || p.readerLost || len(p.segments) > 0 && !p.segments[0].arrivesAt.IsZero() && !p.segments[0].arrivesAt.After(time.Now())
 }
 
-func (h *half) read(b []byte) (int, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (p *pipe) read(b []byte) (int, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for {
 		now := time.Now()
 		switch {
-		case h.err != nil:
-			return 0, h.err
-		case h.dead:
+		case p.err != nil:
+			return 0, p.err
+		case p.readerLost:
 			return 0, net.ErrClosed
-		case h.there():
-			p := &h.pieces[0]
-			if p.end {
+		case p.readable():
+			head := &p.segments[0]
+			if head.fin {
 				return 0, io.EOF
 			}
-			n := copy(b, p.data)
-			if p.data = p.data[n:]; len(p.data) == 0 {
-				h.pieces = h.pieces[1:]
+			n := copy(b, head.data)
+			if head.data = head.data[n:]; len(head.data) == 0 {
+				p.segments = p.segments[1:]
 			}
-			h.size -= n
-			h.turn.Broadcast()
+			p.buffered -= n
+			p.changed.Broadcast()
 			return n, nil
-		case !h.deadline.IsZero() && !h.deadline.After(now):
+		case !p.deadline.IsZero() && !p.deadline.After(now):
 			return 0, os.ErrDeadlineExceeded
 		}
-		next := h.deadline
-		if len(h.pieces) > 0 && !h.pieces[0].at.IsZero() && (next.IsZero() || h.pieces[0].at.Before(next)) {
-			next = h.pieces[0].at
+		wake := p.deadline
+		if len(p.segments) > 0 && !p.segments[0].arrivesAt.IsZero() && (wake.IsZero() || p.segments[0].arrivesAt.Before(wake)) {
+			wake = p.segments[0].arrivesAt
 		}
-		if !next.IsZero() {
-			h.wake(next)
+		if !wake.IsZero() {
+			p.wakeAt(wake)
 		}
-		h.turn.Wait()
+		p.changed.Wait()
 	}
 }
 
 // conn is one side of a connection.
 type conn struct {
-	sea           *Sea
+	network       *Network
 	local, remote *net.TCPAddr
-	in, out       *half
-	other         *conn
+	in, out       *pipe
+	peer          *conn
 	once          sync.Once
 	mu            sync.Mutex
-	writeBy       time.Time
+	writeDeadline time.Time
 	closed        bool
-	gone          bool // its machine lost power
+	powerLost     bool // its machine lost power
 }
 
-func newPair(s *Sea, from, to *net.TCPAddr) (*conn, *conn) {
-	there, back := newHalf(), newHalf()
-	a := &conn{sea: s, local: from, remote: to, in: back, out: there}
-	b := &conn{sea: s, local: to, remote: from, in: there, out: back}
-	a.other, b.other = b, a
-	return a, b
+func newConnPair(network *Network, from, to *net.TCPAddr) (*conn, *conn) {
+	outbound, inbound := newPipe(), newPipe()
+	client := &conn{network: network, local: from, remote: to, in: inbound, out: outbound}
+	server := &conn{network: network, local: to, remote: from, in: outbound, out: inbound}
+	client.peer, server.peer = server, client
+	return client, server
 }
 
 func (c *conn) Read(b []byte) (int, error) {
@@ -435,122 +435,122 @@
 func (c *conn) Pending() bool {
 	c.in.mu.Lock()
 	defer c.in.mu.Unlock()
-	return c.in.there()
+	return c.in.readable()
 }
 
-const window = 256 << 10 // bytes that may be under way
+const sendWindow = 256 << 10 // bytes that may be under way
 
 func (c *conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	by, closed, gone := c.writeBy, c.closed, c.gone
+	deadline, closed, powerLost := c.writeDeadline, c.closed, c.powerLost
 	c.mu.Unlock()
-	if closed || gone {
+	if closed || powerLost {
 		return 0, net.ErrClosed
 	}
-	if c.sea.loses(c.local.IP.String(), c.remote.IP.String()) {
+	if c.network.dropsNext(c.local.IP.String(), c.remote.IP.String()) {
 		c.reset()
 		return len(b), nil
 	}
-	h := c.out
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for h.size > window && h.err == nil {
-		if !by.IsZero() && !by.After(time.Now()) {
+	out := c.out
+	out.mu.Lock()
+	defer out.mu.Unlock()
+	for out.buffered > sendWindow && out.err == nil {
+		if !deadline.IsZero() && !deadline.After(time.Now()) {
 			return 0, &net.OpError{Op: "write", Err: os.ErrDeadlineExceeded}
 		}
-		if !by.IsZero() {
-			h.wake(by)
+		if !deadline.IsZero() {
+			out.wakeAt(deadline)
 		}
-		h.turn.Wait()
+		out.changed.Wait()
 	}
-	if h.err != nil {
+	if out.err != nil {
 		return 0, &net.OpError{Op: "write", Err: syscall.EPIPE}
 	}
-	c.put(piece{data: append([]byte(nil), b...)})
+	c.send(segment{data: append([]byte(nil), b...)})
 	return len(b), nil
 }
 
-// put sends a piece; the half is locked.
-func (c *conn) put(p piece) {
+// send sends a piece; the half is locked.
+func (c *conn) send(seg segment) {
 	from, to := c.local.IP.String(), c.remote.IP.String()
-	c.sea.mu.Lock()
-	parted, deaf, frozen := c.sea.parted(from, to), c.sea.parted(to, from), c.sea.frozen[from]
-	c.sea.Bytes[[2]string{from, to}] += int64(len(p.data))
-	c.sea.mu.Unlock()
-	if !parted && c.out.dead { // its power is back, and it knows nothing of the connection
-		c.after(func() {
+	c.network.mu.Lock()
+	blocked, ackBlocked, frozen := c.network.isBlocked(from, to), c.network.isBlocked(to, from), c.network.frozen[from]
+	c.network.SentBytes[[2]string{from, to}] += int64(len(seg.data))
+	c.network.mu.Unlock()
+	if !blocked && c.out.readerLost { // its power is back, and it knows nothing of the connection
+		c.afterDelay(func() {
 			c.in.fail(syscall.ECONNRESET)
 			c.out.fail(syscall.ECONNRESET)
 		})
 	}
-	if !parted && deaf {
-		time.AfterFunc(c.sea.Silent, func() { c.unheard() })
+	if !blocked && ackBlocked {
+		time.AfterFunc(c.network.AckTimeout, func() { c.abortIfUnacknowledged() })
 	}
-	if !parted {
-		p.at = time.Now().Add(c.sea.Delay(from, to))
-		if n := len(c.out.pieces); n > 0 && c.out.pieces[n-1].at.IsZero() {
-			p.at = time.Time{} // behind what is held up
+	if !blocked {
+		seg.arrivesAt = time.Now().Add(c.network.Delay(from, to))
+		if queued := len(c.out.segments); queued > 0 && c.out.segments[queued-1].arrivesAt.IsZero() {
+			seg.arrivesAt = time.Time{} // behind what is held up
 		}
 	} else if !frozen {
-		time.AfterFunc(c.sea.Silent, func() { c.giveUp() })
+		time.AfterFunc(c.network.AckTimeout, func() { c.abortIfStalled() })
 	}
-	c.out.pieces = append(c.out.pieces, p)
-	c.out.size += len(p.data)
-	c.out.turn.Broadcast()
+	c.out.segments = append(c.out.segments, seg)
+	c.out.buffered += len(seg.data)
+	c.out.changed.Broadcast()
 }
 
-// giveUp ends this side if what it sent is still held up.
-func (c *conn) giveUp() {
+// abortIfStalled ends this side if what it sent is still held up.
+func (c *conn) abortIfStalled() {
 	c.out.mu.Lock()
-	held := false
-	for _, p := range c.out.pieces {
-		held = held || p.at.IsZero()
+	stalled := false
+	for _, seg := range c.out.segments {
+		stalled = stalled || seg.arrivesAt.IsZero()
 	}
-	if held {
-		c.out.pieces, c.out.size = nil, 0
+	if stalled {
+		c.out.segments, c.out.buffered = nil, 0
 	}
 	c.out.mu.Unlock()
-	if held {
+	if stalled {
 		c.in.fail(syscall.ETIMEDOUT)
 		c.out.fail(syscall.ETIMEDOUT)
 	}
 }
 
-// unheard ends this side if the way back is still cut, so that nothing of what it sent was acknowledged.
-func (c *conn) unheard() {
+// abortIfUnacknowledged ends this side if the way back is still cut, so that nothing of what it sent was acknowledged.
+func (c *conn) abortIfUnacknowledged() {
 	from, to := c.local.IP.String(), c.remote.IP.String()
-	c.sea.mu.Lock()
-	deaf := c.sea.parted(to, from)
-	c.sea.mu.Unlock()
-	if deaf {
+	c.network.mu.Lock()
+	ackBlocked := c.network.isBlocked(to, from)
+	c.network.mu.Unlock()
+	if ackBlocked {
 		c.in.fail(syscall.ETIMEDOUT)
 		c.out.fail(syscall.ETIMEDOUT)
 	}
 }
 
-// free lets what a cut held up go on.
-func (c *conn) free() {
+// resume lets what a cut held up go on.
+func (c *conn) resume() {
 	from, to := c.local.IP.String(), c.remote.IP.String()
-	c.sea.mu.Lock()
-	parted := c.sea.parted(from, to)
-	c.sea.mu.Unlock()
-	if parted {
+	c.network.mu.Lock()
+	blocked := c.network.isBlocked(from, to)
+	c.network.mu.Unlock()
+	if blocked {
 		return
 	}
 	c.out.mu.Lock()
 	defer c.out.mu.Unlock()
-	for i := range c.out.pieces {
-		if c.out.pieces[i].at.IsZero() {
-			c.out.pieces[i].at = time.Now().Add(c.sea.Delay(from, to))
+	for i := range c.out.segments {
+		if c.out.segments[i].arrivesAt.IsZero() {
+			c.out.segments[i].arrivesAt = time.Now().Add(c.network.Delay(from, to))
 		}
 	}
-	c.out.turn.Broadcast()
+	c.out.changed.Broadcast()
 }
 
-func (c *conn) end() {
-	c.sea.mu.Lock()
-	delete(c.sea.conns, c)
-	c.sea.mu.Unlock()
+func (c *conn) unregister() {
+	c.network.mu.Lock()
+	delete(c.network.conns, c)
+	c.network.mu.Unlock()
 }
 
 // Close ends this side: the other reads what was sent, then the end.
@@ -560,29 +560,29 @@
 		c.closed = true
 		c.mu.Unlock()
 		c.in.mu.Lock()
-		unread := c.in.size > 0
+		unread := c.in.buffered > 0
 		c.in.mu.Unlock()
 		c.in.fail(net.ErrClosed)
 		c.out.mu.Lock()
-		c.put(piece{end: true})
+		c.send(segment{fin: true})
 		c.out.mu.Unlock()
 		if unread { // closing with unread bytes resets
-			c.after(func() { c.other.in.fail(syscall.ECONNRESET) })
+			c.afterDelay(func() { c.peer.in.fail(syscall.ECONNRESET) })
 		}
-		c.after(func() { c.other.out.fail(syscall.EPIPE) })
-		c.end()
+		c.afterDelay(func() { c.peer.out.fail(syscall.EPIPE) })
+		c.unregister()
 	})
 	return nil
 }
 
-// after does something at the other side, once word of it can be there; never over a cut.
-func (c *conn) after(f func()) {
+// afterDelay does something at the other side, once word of it can be there; never over a cut.
+func (c *conn) afterDelay(f func()) {
 	from, to := c.local.IP.String(), c.remote.IP.String()
-	time.AfterFunc(c.sea.Delay(from, to), func() {
-		c.sea.mu.Lock()
-		parted := c.sea.parted(from, to)
-		c.sea.mu.Unlock()
-		if !parted {
+	time.AfterFunc(c.network.Delay(from, to), func() {
+		c.network.mu.Lock()
+		blocked := c.network.isBlocked(from, to)
+		c.network.mu.Unlock()
+		if !blocked {
 			f()
 		}
 	})
@@ -595,26 +595,26 @@
 		c.closed = true
 		c.mu.Unlock()
 		c.in.fail(net.ErrClosed)
-		c.after(func() {
-			c.other.in.fail(syscall.ECONNRESET)
-			c.other.out.fail(syscall.ECONNRESET)
+		c.afterDelay(func() {
+			c.peer.in.fail(syscall.ECONNRESET)
+			c.peer.out.fail(syscall.ECONNRESET)
 		})
 		c.out.fail(net.ErrClosed)
-		c.end()
+		c.unregister()
 	})
 }
 
-// vanish ends this side without a word to the other.
-func (c *conn) vanish() {
+// loseSilently ends this side without a word to the other.
+func (c *conn) loseSilently() {
 	c.once.Do(func() {
 		c.mu.Lock()
-		c.gone = true
+		c.powerLost = true
 		c.mu.Unlock()
 		c.in.mu.Lock()
-		c.in.dead = true
-		c.in.turn.Broadcast()
+		c.in.readerLost = true
+		c.in.changed.Broadcast()
 		c.in.mu.Unlock()
-		c.end()
+		c.unregister()
 	})
 }
 
@@ -630,14 +630,14 @@
 	c.in.mu.Lock()
 	defer c.in.mu.Unlock()
 	c.in.deadline = t
-	c.in.turn.Broadcast()
+	c.in.changed.Broadcast()
 	return nil
 }
 
 func (c *conn) SetWriteDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.writeBy = t
+	c.writeDeadline = t
 	return nil
 }
 
@@ -646,13 +646,13 @@
 	from *net.UDPAddr
 }
 
-// packet is a socket for datagrams; one in fifty is lost.
-type packet struct {
-	sea  *Sea
-	at   *net.UDPAddr
-	in   chan datagram
-	done chan struct{}
-	once sync.Once
+// packetConn is a socket for datagrams; one in fifty is lost.
+type packetConn struct {
+	network  *Network
+	addr     *net.UDPAddr
+	incoming chan datagram
+	done     chan struct{}
+	once     sync.Once
 }
 
 // ListenPacket opens one.
@@ -661,71 +661,71 @@
 	if err != nil {
 		return nil, err
 	}
-	p.sea.mu.Lock()
-	defer p.sea.mu.Unlock()
-	if p.sea.packets[address] != nil {
+	p.network.mu.Lock()
+	defer p.network.mu.Unlock()
+	if p.network.packetConns[address] != nil {
 		return nil, &net.OpError{Op: "listen", Err: syscall.EADDRINUSE}
 	}
-	c := &packet{sea: p.sea, at: at, in: make(chan datagram, 256), done: make(chan struct{})}
-	p.sea.packets[address] = c
+	c := &packetConn{network: p.network, addr: at, incoming: make(chan datagram, 256), done: make(chan struct{})}
+	p.network.packetConns[address] = c
 	p.mu.Lock()
-	p.ends = append(p.ends, c)
+	p.closers = append(p.closers, c)
 	p.mu.Unlock()
 	return c, nil
 }
 
-func (c *packet) ReadFrom(b []byte) (int, net.Addr, error) {
+func (c *packetConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	select {
-	case d := <-c.in:
+	case d := <-c.incoming:
 		return copy(b, d.raw), d.from, nil
 	case <-c.done:
 		return 0, nil, net.ErrClosed
 	}
 }
 
-func (c *packet) WriteTo(b []byte, to net.Addr) (int, error) {
+func (c *packetConn) WriteTo(b []byte, to net.Addr) (int, error) {
 	u, ok := to.(*net.UDPAddr)
 	if !ok {
 		return 0, errors.New("no UDP address")
 	}
-	from, ip := c.at.IP.String(), u.IP.String()
-	c.sea.mu.Lock()
-	lost := c.sea.parted(from, ip) || c.sea.draw.Next() < 0.02
-	c.sea.Bytes[[2]string{from, ip}] += int64(len(b))
-	c.sea.mu.Unlock()
+	from, ip := c.addr.IP.String(), u.IP.String()
+	c.network.mu.Lock()
+	lost := c.network.isBlocked(from, ip) || c.network.rng.Float64() < 0.02
+	c.network.SentBytes[[2]string{from, ip}] += int64(len(b))
+	c.network.mu.Unlock()
 	if lost {
 		return len(b), nil
 	}
-	d := datagram{append([]byte(nil), b...), c.at}
+	d := datagram{append([]byte(nil), b...), c.addr}
 	address := net.JoinHostPort(ip, strconv.Itoa(u.Port))
-	time.AfterFunc(c.sea.Delay(from, ip), func() {
-		c.sea.mu.Lock()
-		x := c.sea.packets[address]
-		c.sea.mu.Unlock()
+	time.AfterFunc(c.network.Delay(from, ip), func() {
+		c.network.mu.Lock()
+		x := c.network.packetConns[address]
+		c.network.mu.Unlock()
 		if x == nil {
 			return
 		}
 		select {
-		case x.in <- d:
+		case x.incoming <- d:
 		default:
 		}
 	})
 	return len(b), nil
 }
 
-func (c *packet) Close() error {
+func (c *packetConn) Close() error {
 	c.once.Do(func() {
-		c.sea.mu.Lock()
-		if c.sea.packets[c.at.String()] == c {
-			delete(c.sea.packets, c.at.String())
+		c.network.mu.Lock()
+		if c.network.packetConns[c.addr.String()] == c {
+			delete(c.network.packetConns, c.addr.String())
 		}
-		c.sea.mu.Unlock()
+		c.network.mu.Unlock()
 		close(c.done)
 	})
 	return nil
 }
 
-func (c *packet) LocalAddr() net.Addr              { return c.at }
-func (c *packet) SetDeadline(time.Time) error      { return nil }
-func (c *packet) SetReadDeadline(time.Time) error  { return nil }
-func (c *packet) SetWriteDeadline(time.Time) error { return nil }
+func (c *packetConn) LocalAddr() net.Addr              { return c.addr }
+func (c *packetConn) SetDeadline(time.Time) error      { return nil }
+func (c *packetConn) SetReadDeadline(time.Time) error  { return nil }
+func (c *packetConn) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/lab/simulation/shares_test.go
+++ b/internal/lab/simulation/shares_test.go
@@ -14,67 +14,67 @@
 	"portflow/internal/random"
 )
 
-var histories = flag.Int("histories", 8, "drawn histories of shares to play")
+var historyRuns = flag.Int("histories", 8, "drawn histories of shares to play")
 
-// shares is a change that sets them: a caller and its requests a second each.
-func shares(version string, all map[string]float64) []byte {
+// withQuotas is a change that sets them: a caller and its requests a second each.
+func withQuotas(version string, all map[string]float64) []byte {
 	rows := [][]any{}
-	for caller, perS := range all {
-		rows = append(rows, []any{"s-" + caller, "desk", "X-Agency", caller, perS, perS, version})
+	for caller, perSecond := range all {
+		rows = append(rows, []any{"s-" + caller, "desk", "X-Agency", caller, perSecond, perSecond, version})
 	}
 	raw, _ := json.Marshal(map[string]any{"set-items": map[string]any{"shares": map[string]any{
 		"table-columns": []string{"name", "service", "caller-header", "caller", "per-s", "burst", "version"}, "table-rows": rows}}})
 	return raw
 }
 
-// peak is a departure peak: one caller asks for many times its share, two others stay within theirs; a zone is lost in the
+// playPeakLoad is a departure peak: one caller asks for many times its share, two others stay within theirs; a zone is lost in the
 // middle. It tells how the quiet ones and the rushing one fared.
-func peak(t *testing.T, on bool, rush float64, lose bool) (quiet, rushing *Tally) {
+func playPeakLoad(t *testing.T, on bool, rush float64, lose bool) (quiet, rushing *Tally) {
 	quiet, rushing = &Tally{}, &Tally{}
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		l := Layout{Zones: 4, Routers: 2, Hosts: 2, Services: []string{"desk"}, Work: 80 * time.Millisecond, Slots: 3, Seed: 3} // 300 a second
-		h := opened(c, l)
+		layout := Layout{Zones: 4, ProxiesPerZone: 2, HostsPerZone: 2, Services: []string{"desk"}, ServiceTime: 80 * time.Millisecond, Concurrency: 3, Seed: 3} // 300 a second
+		cluster := startCluster(c, layout)
 		if on {
-			configure(c, h, shares("00000002", map[string]float64{"rush": 30, "one": 60, "two": 60}), 0)
+			configure(c, cluster, withQuotas("00000002", map[string]float64{"rush": 30, "one": 60, "two": 60}), 0)
 		}
 		time.Sleep(2 * time.Second)
-		lasts := 9 * time.Second
+		duration := 9 * time.Second
 		if testing.Verbose() {
-			lasts = 14 * time.Second
+			duration = 14 * time.Second
 		}
-		for z := range l.Zones {
+		for z := range layout.Zones {
 			for _, caller := range []string{"one", "two", "rush"} {
-				for _, r := range []Route{look, issue} {
+				for _, r := range []Route{safeRoute, unsafeRoute} {
 					r.Name, r.Caller = r.Name+"-"+caller, caller
 					if caller == "rush" {
-						h.Traffic(rushing, z, r, rush/8, lasts)
+						cluster.GenerateTraffic(rushing, z, r, rush/8, duration)
 					} else {
-						h.Traffic(quiet, z, r, 5, lasts)
+						cluster.GenerateTraffic(quiet, z, r, 5, duration)
 					}
 				}
 			}
 		}
 		if lose {
-			time.Sleep(lasts/2 - time.Second)
-			for _, m := range h.Masters[3:] {
-				m.Kill()
-				h.Sea.Down(m.Boot.IP, true)
+			time.Sleep(duration/2 - time.Second)
+			for _, node := range cluster.Controls[3:] {
+				node.Kill()
+				cluster.Network.SetPoweredOff(node.Settings.IP, true)
 			}
-			for _, f := range h.Fairways[6:] {
-				f.Kill()
+			for _, px := range cluster.Proxies[6:] {
+				px.Kill()
 			}
-			for _, q := range h.Quays {
-				if q.Zone == zone(3) {
-					q.Crash()
+			for _, host := range cluster.Hosts {
+				if host.Zone == zoneName(3) {
+					host.Crash()
 				}
 			}
-			time.Sleep(lasts/2 + time.Second)
+			time.Sleep(duration/2 + time.Second)
 		} else {
-			time.Sleep(lasts)
+			time.Sleep(duration)
 		}
 		if on { // what control shows
-			_, _, raw := h.Order("harbour.read", "", nil, time.Second, 0)
+			_, _, raw := cluster.Call("harbour.read", "", nil, time.Second, 0)
 			var s server.ClusterStatus
 			c.Assert(json.Unmarshal(raw, &s), qt.IsNil)
 			c.Assert(s.Quotas, qt.HasLen, 3)
@@ -87,7 +87,7 @@
 			c.Check(len(s.Callers["desk"]) >= 3, qt.IsTrue, qt.Commentf("%+v", s.Callers))
 		}
 		time.Sleep(5 * time.Second)
-		c.Check(h.Judge(), qt.HasLen, 0)
+		c.Check(cluster.Verify(), qt.HasLen, 0)
 	})
 	return quiet, rushing
 }
@@ -102,12 +102,12 @@
 	for _, lose := range losses {
 		c := qt.New(t)
 		part := func(x *Tally) (float64, string) {
-			good, asked, how := x.Counts()
-			return float64(good) / float64(asked), fmt.Sprintf("%d of %d, p99 %v: %s", good, asked, x.p99(), how)
+			good, requests, outcome := x.Counts()
+			return float64(good) / float64(requests), fmt.Sprintf("%d of %d, p99 %v: %s", good, requests, x.p99(), outcome)
 		}
-		calm, _ := peak(t, true, 20, lose)
-		with, rushing := peak(t, true, 600, lose)
-		without, taken := peak(t, false, 600, lose)
+		calm, _ := playPeakLoad(t, true, 20, lose)
+		with, rushing := playPeakLoad(t, true, 600, lose)
+		without, taken := playPeakLoad(t, false, 600, lose)
 		a, sayA := part(calm)
 		b, sayB := part(with)
 		d, sayD := part(without)
@@ -121,25 +121,25 @@
 	}
 }
 
-// history plays a few seconds in which callers are over their shares, and a harm by chance: no request that must not be
+// playQuotaHistory plays a few seconds in which callers are over their shares, and a harm by chance: no request that must not be
 // repeated runs twice, and none runs that was told to come later, over kills, cuts, hosts that end or fail, and late answers.
-func history(t *testing.T, seed uint64) {
+func playQuotaHistory(t *testing.T, seed uint64) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := New(Layout{Zones: 3, Routers: 1, Hosts: 1, Services: []string{"desk"}, Work: 80 * time.Millisecond, Slots: 2, Seed: seed})
-		c.Assert(h.Start(), qt.IsNil)
-		defer h.Stop()
+		cluster := New(Layout{Zones: 3, ProxiesPerZone: 1, HostsPerZone: 1, Services: []string{"desk"}, ServiceTime: 80 * time.Millisecond, Concurrency: 2, Seed: seed})
+		c.Assert(cluster.Start(), qt.IsNil)
+		defer cluster.Stop()
 		time.Sleep(time.Second)
-		configure(c, h, h.Configure(true, look, issue), 0)
-		configure(c, h, shares("00000002", map[string]float64{"a": 8, "b": 4}), 1)
-		draw := random.Source{Seed: seed * 31}
-		n := func(n int) int { return int(draw.Next() * float64(n)) }
+		configure(c, cluster, cluster.ChangeBody(true, safeRoute, unsafeRoute), 0)
+		configure(c, cluster, withQuotas("00000002", map[string]float64{"a": 8, "b": 4}), 1)
+		rng := random.Source{Seed: seed * 31}
+		n := func(n int) int { return int(rng.Float64() * float64(n)) }
 		var tally Tally
-		for z := range h.Zones {
+		for z := range cluster.Zones {
 			for _, caller := range []string{"a", "b", ""} {
-				r := issue
+				r := unsafeRoute
 				r.Name, r.Caller = fmt.Sprint(r.Name, "-", caller), caller
-				h.Traffic(&tally, z, r, 4+20*draw.Next(), 2500*time.Millisecond)
+				cluster.GenerateTraffic(&tally, z, r, 4+20*rng.Float64(), 2500*time.Millisecond)
 			}
 		}
 		time.Sleep(time.Duration(300+n(900)) * time.Millisecond)
@@ -147,28 +147,28 @@
 			z := n(3)
 			switch n(7) {
 			case 0:
-				h.Fairways[z].Kill()
+				cluster.Proxies[z].Kill()
 			case 1:
-				h.Masters[z].Kill()
+				cluster.Controls[z].Kill()
 			case 2:
-				h.Quays[z].Crash()
+				cluster.Hosts[z].Crash()
 			case 3:
-				h.Quays[z].Drain()
+				cluster.Hosts[z].Drain()
 			case 4: // late answers, and ones that never come
-				h.Sea.Cut(h.Fairways[z].Boot.IP, h.Quays[n(3)].IP(), true)
+				cluster.Network.SetPartition(cluster.Proxies[z].Settings.IP, cluster.Hosts[n(3)].IP(), true)
 			case 5:
-				h.Sea.Cut(h.Fairways[z].Boot.IP, h.Masters[z].Boot.IP, true)
+				cluster.Network.SetPartition(cluster.Proxies[z].Settings.IP, cluster.Controls[z].Settings.IP, true)
 			case 6:
-				h.mu.Lock()
-				h.Quays[z].Fail = true
-				h.mu.Unlock()
+				cluster.mu.Lock()
+				cluster.Hosts[z].FailAll = true
+				cluster.mu.Unlock()
 			}
 		}
 		time.Sleep(6 * time.Second)
-		_, asked, how := tally.Counts()
-		c.Check(asked > 20, qt.IsTrue)
-		c.Check(h.Judge(), qt.HasLen, 0, qt.Commentf("seed %d: %s", seed, how))
-		ended.add(tally.By)
+		_, requests, outcome := tally.Counts()
+		c.Check(requests > 20, qt.IsTrue)
+		c.Check(cluster.Verify(), qt.HasLen, 0, qt.Commentf("seed %d: %s", seed, outcome))
+		quotaOutcomes.add(tally.Outcomes)
 	})
 }
 
@@ -176,20 +176,20 @@
 type counter map[string]int
 
 func (c counter) add(all map[string]int) {
-	for how, n := range all {
-		c[how] += n
+	for outcome, n := range all {
+		c[outcome] += n
 	}
 }
 
-var ended = counter{}
+var quotaOutcomes = counter{}
 
 // -args -histories 10000 plays as many.
-func TestShareHistories(t *testing.T) {
-	for seed := range *histories {
-		history(t, uint64(*from+seed))
+func TestQuotaHistories(t *testing.T) {
+	for seed := range *historyRuns {
+		playQuotaHistory(t, uint64(*firstSeed+seed))
 	}
-	t.Log("requests ended", ended)
-	if ended["429"] == 0 || ended["200"] == 0 {
+	t.Log("requests ended", quotaOutcomes)
+	if quotaOutcomes["429"] == 0 || quotaOutcomes["200"] == 0 {
 		t.Error("nothing was held back, or nothing served")
 	}
 }
--- a/internal/lab/simulation/size_test.go
+++ b/internal/lab/simulation/size_test.go
@@ -38,63 +38,63 @@
 	}()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		l := small
-		l.Zones, l.Routers, l.Hosts, l.Services = 3, 10, 7, nil
+		layout := smallLayout
+		layout.Zones, layout.ProxiesPerZone, layout.HostsPerZone, layout.Services = 3, 10, 7, nil
 		for n := range 200 {
-			l.Services = append(l.Services, fmt.Sprint("service-", n))
+			layout.Services = append(layout.Services, fmt.Sprint("service-", n))
 		}
-		h := New(l)
-		c.Assert(h.Start(), qt.IsNil)
-		defer h.Stop()
+		cluster := New(layout)
+		c.Assert(cluster.Start(), qt.IsNil)
+		defer cluster.Stop()
 		time.Sleep(5 * time.Second)
-		t.Logf("| %d hosts, %d routers started |", len(h.Quays), len(h.Fairways))
-		take := func(what string, change []byte) {
+		t.Logf("| %d hosts, %d routers started |", len(cluster.Hosts), len(cluster.Proxies))
+		take := func(label string, change []byte) {
 			at := time.Now()
-			status, by, answer := h.Order("configuration.modify", "", change, 60*time.Second, 0)
-			t.Logf("| %s: %d bytes, %d by %d | %v |", what, len(change), status, by, time.Since(at))
-			c.Assert(status, qt.Equals, 200, qt.Commentf("%.200s", answer))
+			status, by, reply := cluster.Call("configuration.modify", "", change, 60*time.Second, 0)
+			t.Logf("| %s: %d bytes, %d by %d | %v |", label, len(change), status, by, time.Since(at))
+			c.Assert(status, qt.Equals, 200, qt.Commentf("%.200s", reply))
 		}
 		var routes []Route
 		for n := range 3200 {
-			routes = append(routes, Route{Name: fmt.Sprintf("wide-%05d", n), Prefix: fmt.Sprintf("/wide/%d/", n), Service: l.Services[n%200], Version: "00000001"})
+			routes = append(routes, Route{Name: fmt.Sprintf("wide-%05d", n), Prefix: fmt.Sprintf("/wide/%d/", n), Service: layout.Services[n%200], Version: "00000001"})
 		}
-		take("routes", h.Configure(true, routes...))
+		take("routes", cluster.ChangeBody(true, routes...))
 		for part := range 11 {
 			rows := [][]any{}
 			for n := part * 3000; n < (part+1)*3000; n++ {
-				rows = append(rows, []any{fmt.Sprintf("share-%05d", n), l.Services[n%200], "X-Agency", fmt.Sprintf("tenant-%05d", n), 1, 10, "00000001"})
+				rows = append(rows, []any{fmt.Sprintf("share-%05d", n), layout.Services[n%200], "X-Agency", fmt.Sprintf("tenant-%05d", n), 1, 10, "00000001"})
 			}
 			raw, _ := json.Marshal(map[string]any{"set-items": map[string]any{"shares": map[string]any{"table-columns": []string{"name", "service",
 				"caller-header", "caller", "per-s", "burst", "version"}, "table-rows": rows}}})
 			take(fmt.Sprint("shares to ", (part+1)*3000), raw)
 		}
 		all := func(n int) bool {
-			for _, f := range h.Fairways {
-				if v := f.Running.RouteVersions(); !f.Running.Ready() || len(v) != 3200 || v["wide-00007"] != uint64(n) {
+			for _, px := range cluster.Proxies {
+				if v := px.Running.RouteVersions(); !px.Running.Ready() || len(v) != 3200 || v["wide-00007"] != uint64(n) {
 					return false
 				}
 			}
 			return true
 		}
-		wait := func(what string, n int) {
+		wait := func(label string, n int) {
 			at := time.Now()
 			for !all(n) && time.Since(at) < 60*time.Second {
 				time.Sleep(100 * time.Millisecond)
 			}
-			t.Logf("| %s | at all after %v, all %v |", what, time.Since(at), all(n))
+			t.Logf("| %s | at all after %v, all %v |", label, time.Since(at), all(n))
 		}
 		wait("the configuration", 1)
-		for _, f := range h.Fairways {
-			f.Kill()
+		for _, px := range cluster.Proxies {
+			px.Kill()
 		}
 		time.Sleep(5 * time.Second)
-		for _, f := range h.Fairways {
-			c.Assert(f.Start(), qt.IsNil)
+		for _, px := range cluster.Proxies {
+			c.Assert(px.Start(), qt.IsNil)
 		}
 		wait("30 routers started at once", 1)
 		for n := range 5 {
 			routes[7].Version, routes[7].Prefix = fmt.Sprintf("%08x", n+2), fmt.Sprintf("/turn/%d/", n)
-			take("one route", h.Configure(false, routes[7]))
+			take("one route", cluster.ChangeBody(false, routes[7]))
 			wait("it", n+2)
 		}
 	})
--- a/internal/lab/simulation/succeeded_test.go
+++ b/internal/lab/simulation/succeeded_test.go
@@ -12,21 +12,21 @@
 // is, the two that were well all the time go on, as they were more than half before it came.
 func TestCoreSuccessorWiped(t *testing.T) {
 	for _, after := range []time.Duration{0, 800 * time.Millisecond, 1500 * time.Millisecond, 2 * time.Second, 2400 * time.Millisecond, 4 * time.Second} {
-		cored(t, 3, 97, func(c *qt.C, h *Harbour) {
-			m := h.Masters[2]
-			m.Replace()
+		withControls(t, 3, 97, func(c *qt.C, cluster *Cluster) {
+			node := cluster.Controls[2]
+			node.Replace()
 			time.Sleep(after)
-			m.mustStart()
-			until(c, 10*time.Second, "its successor is a member", func() bool {
-				return slices.Contains(names(h.core(0).Members), m.Boot.Name)
+			node.mustStart()
+			waitUntil(c, 10*time.Second, "its successor is a member", func() bool {
+				return slices.Contains(memberNames(cluster.coreStatus(0).Members), node.Settings.Name)
 			})
-			m.Kill()
-			m.Disk.Wipe()
+			node.Kill()
+			node.Disk.Wipe()
 			time.Sleep(5 * time.Second)
-			status, _, raw := h.Order("configuration.modify", "", h.Configure(false, issue), 5*time.Second, 0)
+			status, _, raw := cluster.Call("configuration.modify", "", cluster.ChangeBody(false, unsafeRoute), 5*time.Second, 0)
 			c.Check(status, qt.Equals, 200, qt.Commentf("started after %v: %s", after, raw))
-			m.mustStart()
-			until(c, 10*time.Second, "one core", func() bool { return h.one(3) })
+			node.mustStart()
+			waitUntil(c, 10*time.Second, "one core", func() bool { return cluster.converged(3) })
 		})
 	}
 }
--- a/internal/lab/simulation/traffic_test.go
+++ b/internal/lab/simulation/traffic_test.go
@@ -10,84 +10,84 @@
 	"portflow/internal/random"
 )
 
-// troubled are the troubles of the traffic side; each is done at one time and undone later, where it can be.
-var troubled = []struct {
+// trafficRuns are the troubles of the traffic side; each is done at one time and undone later, where it can be.
+var trafficRuns = []struct {
 	name string
-	do   func(h *Harbour, n func(int) int) (undo func())
+	do   func(h *Cluster, n func(int) int) (undo func())
 }{
-	{"a host crashes", func(h *Harbour, n func(int) int) func() { h.Quays[n(len(h.Quays))].Crash(); return nil }},
-	{"hosts go dark", func(h *Harbour, n func(int) int) func() {
-		a, b := h.Quays[n(len(h.Quays))], h.Quays[n(len(h.Quays))]
-		h.Sea.Down(a.IP(), true)
-		h.Sea.Down(b.IP(), true)
+	{"a host crashes", func(h *Cluster, n func(int) int) func() { h.Hosts[n(len(h.Hosts))].Crash(); return nil }},
+	{"hosts go dark", func(h *Cluster, n func(int) int) func() {
+		a, b := h.Hosts[n(len(h.Hosts))], h.Hosts[n(len(h.Hosts))]
+		h.Network.SetPoweredOff(a.IP(), true)
+		h.Network.SetPoweredOff(b.IP(), true)
 		return func() {
-			h.Sea.Down(a.IP(), false)
-			h.Sea.Down(b.IP(), false)
+			h.Network.SetPoweredOff(a.IP(), false)
+			h.Network.SetPoweredOff(b.IP(), false)
 		}
 	}},
-	{"hosts are replaced", func(h *Harbour, n func(int) int) func() {
+	{"hosts are replaced", func(h *Cluster, n func(int) int) func() {
 		z := n(h.Zones)
-		for _, q := range h.Quays[:len(h.Quays):len(h.Quays)] {
-			if q.Zone == zone(z) {
-				h.Host("desk", z, "v1", time.Second)
+		for _, q := range h.Hosts[:len(h.Hosts):len(h.Hosts)] {
+			if q.Zone == zoneName(z) {
+				h.StartHost("desk", z, "v1", time.Second)
 				q.Drain()
 			}
 		}
 		return nil
 	}},
-	{"a zone is lost and comes back cold", func(h *Harbour, n func(int) int) func() {
+	{"a zone is lost and comes back cold", func(h *Cluster, n func(int) int) func() {
 		z := n(h.Zones)
 		lost := 0
-		for _, q := range h.Quays[:len(h.Quays):len(h.Quays)] {
-			if q.Zone == zone(z) {
+		for _, q := range h.Hosts[:len(h.Hosts):len(h.Hosts)] {
+			if q.Zone == zoneName(z) {
 				q.Crash()
 				lost++
 			}
 		}
-		h.Masters[z].Kill()
-		h.Sea.Down(h.Masters[z].Boot.IP, true)
-		for _, f := range h.Fairways {
-			if f.Boot.Zone == zone(z) {
+		h.Controls[z].Kill()
+		h.Network.SetPoweredOff(h.Controls[z].Settings.IP, true)
+		for _, f := range h.Proxies {
+			if f.Settings.Zone == zoneName(z) {
 				f.Kill()
-				h.Sea.Down(f.Boot.IP, true)
+				h.Network.SetPoweredOff(f.Settings.IP, true)
 			}
 		}
 		return func() {
-			h.Sea.Down(h.Masters[z].Boot.IP, false)
-			h.Masters[z].mustStart()
-			for _, f := range h.Fairways {
-				if f.Boot.Zone == zone(z) {
-					h.Sea.Down(f.Boot.IP, false)
+			h.Network.SetPoweredOff(h.Controls[z].Settings.IP, false)
+			h.Controls[z].mustStart()
+			for _, f := range h.Proxies {
+				if f.Settings.Zone == zoneName(z) {
+					h.Network.SetPoweredOff(f.Settings.IP, false)
 					if err := f.Start(); err != nil {
-						h.broken("a router does not start: %v", err)
+						h.violation("a router does not start: %v", err)
 					}
 				}
 			}
 			for range lost {
-				h.Host("desk", z, "v1", 3*time.Second)
+				h.StartHost("desk", z, "v1", 3*time.Second)
 			}
 		}
 	}},
-	{"half of the routers are killed", func(h *Harbour, n func(int) int) func() {
-		for i, f := range h.Fairways {
+	{"half of the routers are killed", func(h *Cluster, n func(int) int) func() {
+		for i, f := range h.Proxies {
 			if i%2 == 0 {
 				f.Kill()
 			}
 		}
 		return func() {
-			for i, f := range h.Fairways {
+			for i, f := range h.Proxies {
 				if i%2 == 0 {
 					if err := f.Start(); err != nil {
-						h.broken("a router does not start: %v", err)
+						h.violation("a router does not start: %v", err)
 					}
 				}
 			}
 		}
 	}},
-	{"a router is told to leave", func(h *Harbour, n func(int) int) func() {
-		f := h.Fairways[n(len(h.Fairways))]
+	{"a router is told to leave", func(h *Cluster, n func(int) int) func() {
+		f := h.Proxies[n(len(h.Proxies))]
 		done := make(chan bool)
-		h.all.Go(func() {
+		h.background.Go(func() {
 			defer close(done)
 			f.Running.Drain()
 		})
@@ -95,75 +95,75 @@
 			<-done
 			f.Kill()
 			if err := f.Start(); err != nil {
-				h.broken("a router does not start: %v", err)
+				h.violation("a router does not start: %v", err)
 			}
 		}
 	}},
-	{"a router is cut off from control", func(h *Harbour, n func(int) int) func() {
-		f := h.Fairways[n(len(h.Fairways))]
+	{"a router is cut off from control", func(h *Cluster, n func(int) int) func() {
+		f := h.Proxies[n(len(h.Proxies))]
 		cut := func(on bool) {
-			for _, m := range h.Masters {
-				if m.Boot.IP != f.Boot.IP {
-					h.Sea.Cut(f.Boot.IP, m.Boot.IP, on)
+			for _, m := range h.Controls {
+				if m.Settings.IP != f.Settings.IP {
+					h.Network.SetPartition(f.Settings.IP, m.Settings.IP, on)
 				}
 			}
 		}
 		cut(true)
 		return func() { cut(false) }
 	}},
-	{"a control process is killed", func(h *Harbour, n func(int) int) func() {
-		m := h.Masters[n(len(h.Masters))]
+	{"a control process is killed", func(h *Cluster, n func(int) int) func() {
+		m := h.Controls[n(len(h.Controls))]
 		m.Kill()
 		return m.mustStart
 	}},
-	{"hosts fail and hang", func(h *Harbour, n func(int) int) func() {
-		a, b := h.Quays[n(len(h.Quays))], h.Quays[n(len(h.Quays))]
+	{"hosts fail and hang", func(h *Cluster, n func(int) int) func() {
+		a, b := h.Hosts[n(len(h.Hosts))], h.Hosts[n(len(h.Hosts))]
 		set := func(part float64) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			a.Grey, b.Hang = part, part
+			a.FailRate, b.HangRate = part, part
 		}
 		set(0.5)
 		return func() { set(0) }
 	}},
-	{"a zone is evacuated", func(h *Harbour, n func(int) int) func() {
-		z := zone(n(h.Zones))
-		h.Order("evacuation.begin", z, nil, 6*time.Second, n(len(h.Masters)))
-		return func() { h.Order("evacuation.finish", z, nil, 6*time.Second, n(len(h.Masters))) }
+	{"a zone is evacuated", func(h *Cluster, n func(int) int) func() {
+		z := zoneName(n(h.Zones))
+		h.Call("evacuation.begin", z, nil, 6*time.Second, n(len(h.Controls)))
+		return func() { h.Call("evacuation.finish", z, nil, 6*time.Second, n(len(h.Controls))) }
 	}},
-	{"twice the traffic", func(h *Harbour, n func(int) int) func() {
+	{"twice the traffic", func(h *Cluster, n func(int) int) func() {
 		for z := range h.Zones {
-			h.Traffic(&Tally{}, z, Route{Name: "safe-rush", Prefix: look.Prefix, Service: "desk", Safe: true}, 25, 4*time.Second)
+			h.GenerateTraffic(&Tally{}, z, Route{Name: "safe-rush", Prefix: safeRoute.Prefix, Service: "desk", Idempotent: true}, 25, 4*time.Second)
 		}
 		return nil
 	}},
 }
 
-// drawnTraffic plays a day with one trouble, or two of them at once, and holds all that hosts and clients saw against the rules.
-func drawnTraffic(t *testing.T, seed int) (part float64) {
-	one, two := seed%len(troubled), seed/len(troubled)%(len(troubled)+1)
-	name := troubled[one].name
-	if two < len(troubled) && two != one {
-		name += ", " + troubled[two].name
+// playRandomTraffic plays a day with one trouble, or two of them at once, and holds all that hosts and clients saw against the rules.
+func playRandomTraffic(t *testing.T, seed int) (part float64) {
+	one, two := seed%len(trafficRuns), seed/len(trafficRuns)%(len(trafficRuns)+1)
+	name := trafficRuns[one].name
+	if two < len(trafficRuns) && two != one {
+		name += ", " + trafficRuns[two].name
 	}
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		l := Layout{Zones: 6, Routers: 2, Hosts: 3, Services: []string{"desk"}, Work: 80 * time.Millisecond, Slots: 3, Rate: float64(4 + 8*(seed%3)), Seed: uint64(seed), Apart: seed%3 == 2}
-		h := opened(c, l)
+		layout := Layout{Zones: 6, ProxiesPerZone: 2, HostsPerZone: 3, Services: []string{"desk"}, ServiceTime: 80 * time.Millisecond, Concurrency: 3, Rate: float64(4 + 8*(seed%3)), Seed: uint64(seed), SkewClocks: seed%3 == 2}
+		cluster := startCluster(c, layout)
 		time.Sleep(2 * time.Second)
-		lasts := 13 * time.Second
+		duration := 13 * time.Second
 		var tally Tally
-		for z := range l.Zones {
-			h.Traffic(&tally, z, look, 2*l.Rate, lasts)
-			h.Traffic(&tally, z, issue, l.Rate, lasts)
+		for z := range layout.Zones {
+			cluster.GenerateTraffic(&tally, z, safeRoute, 2*layout.Rate, duration)
+			cluster.GenerateTraffic(&tally, z, unsafeRoute, layout.Rate, duration)
 		}
-		draw := random.Source{Seed: uint64(seed) * 7919}
-		n := func(n int) int { return int(draw.Next() * float64(n)) }
+		rng := random.Source{Seed: uint64(seed) * 7919}
+		n := func(n int) int { return int(rng.Float64() * float64(n)) }
 		time.Sleep(time.Second)
-		undo := []func(){troubled[one].do(h, n)}
-		if two < len(troubled) && two != one {
+		undo := []func(){trafficRuns[one].do(cluster, n)}
+		if two < len(trafficRuns) && two != one {
 			time.Sleep(time.Duration(n(1500)) * time.Millisecond)
-			undo = append(undo, troubled[two].do(h, n))
+			undo = append(undo, trafficRuns[two].do(cluster, n))
 		}
 		time.Sleep(4500 * time.Millisecond)
 		for _, f := range undo {
@@ -171,19 +171,19 @@
 				f()
 			}
 		}
-		time.Sleep(lasts)
-		served, asked, how := tally.Counts()
-		part = float64(served) / float64(asked)
-		c.Check(h.Judge(), qt.HasLen, 0, qt.Commentf("seed %d, %s: %s", seed, name, how))
-		c.Check(part > 0.6, qt.IsTrue, qt.Commentf("seed %d, %s: %d of %d, %s", seed, name, served, asked, how))
-		t.Logf("seed %d, %s: %.3f of %d, %s", seed, name, part, asked, how)
+		time.Sleep(duration)
+		served, requests, outcome := tally.Counts()
+		part = float64(served) / float64(requests)
+		c.Check(cluster.Verify(), qt.HasLen, 0, qt.Commentf("seed %d, %s: %s", seed, name, outcome))
+		c.Check(part > 0.6, qt.IsTrue, qt.Commentf("seed %d, %s: %d of %d, %s", seed, name, served, requests, outcome))
+		t.Logf("seed %d, %s: %.3f of %d, %s", seed, name, part, requests, outcome)
 	})
 	return part
 }
 
 // -args -seeds 132 plays each trouble and each two of them once.
-func TestDrawnTraffic(t *testing.T) {
-	for seed := *from - 1; seed < *from-1+*seeds; seed++ {
-		drawnTraffic(t, seed)
+func TestRandomTraffic(t *testing.T) {
+	for seed := *firstSeed - 1; seed < *firstSeed-1+*randomRuns; seed++ {
+		playRandomTraffic(t, seed)
 	}
 }
--- a/internal/lab/simulation/unraced_test.go
+++ b/internal/lab/simulation/unraced_test.go
@@ -2,4 +2,4 @@
 
 package simulation
 
-const raced = false
+const raceEnabled = false
--- a/internal/lab/simulation/watched_test.go
+++ b/internal/lab/simulation/watched_test.go
@@ -21,28 +21,28 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				l := small
-				l.Zones, l.Rate = 6, 2
-				h := opened(c, l)
+				layout := smallLayout
+				layout.Zones, layout.Rate = 6, 2
+				cluster := startCluster(c, layout)
 				time.Sleep(4 * time.Second)
-				for _, f := range h.Fairways {
-					c.Assert(f.Running.UsableHosts("desk"), qt.Equals, 12)
+				for _, px := range cluster.Proxies {
+					c.Assert(px.Running.UsableHosts("desk"), qt.Equals, 12)
 				}
-				m, lost := h.Masters[5], (*Quay)(nil)
-				for _, q := range h.Quays {
-					if q.Zone == m.Boot.Zone {
-						lost = q
+				node, lost := cluster.Controls[5], (*Host)(nil)
+				for _, host := range cluster.Hosts {
+					if host.Zone == node.Settings.Zone {
+						lost = host
 					}
 				}
-				m.Kill()
-				h.Sea.Down(lost.IP(), true)
+				node.Kill()
+				cluster.Network.SetPoweredOff(lost.IP(), true)
 				lost.Crash()
 				time.Sleep(down)
-				m.mustStart()
+				node.mustStart()
 				time.Sleep(9 * time.Second)
 				for range 8 {
-					for _, f := range h.Fairways {
-						c.Check(f.Running.UsableHosts("desk"), qt.Equals, 11, qt.Commentf(f.Boot.Name))
+					for _, px := range cluster.Proxies {
+						c.Check(px.Running.UsableHosts("desk"), qt.Equals, 11, qt.Commentf(px.Settings.Name))
 					}
 					time.Sleep(time.Second)
 				}
@@ -58,13 +58,13 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				l := small
-				l.Zones, l.Rate = 6, 2
-				h := opened(c, l)
+				layout := smallLayout
+				layout.Zones, layout.Rate = 6, 2
+				cluster := startCluster(c, layout)
 				time.Sleep(4 * time.Second)
 				routers := func(at int) (names []string) {
 					var s server.ClusterStatus
-					_, raw := h.askOf(at, "harbour.read", "", nil)
+					_, raw := cluster.callOneFor(at, "harbour.read", "", nil)
 					c.Assert(json.Unmarshal(raw, &s), qt.IsNil)
 					for _, r := range s.Proxies {
 						if r.Ready {
@@ -73,26 +73,26 @@
 					}
 					return names
 				}
-				for at := range h.Masters {
+				for at := range cluster.Controls {
 					c.Assert(routers(at), qt.HasLen, 12)
 				}
-				m, lost := h.Masters[5], (*Fairway)(nil)
-				for _, f := range h.Fairways {
-					if f.Boot.Zone == m.Boot.Zone && f.Boot.IP != m.Boot.IP {
-						lost = f
+				node, lost := cluster.Controls[5], (*ProxyNode)(nil)
+				for _, px := range cluster.Proxies {
+					if px.Settings.Zone == node.Settings.Zone && px.Settings.IP != node.Settings.IP {
+						lost = px
 					}
 				}
-				m.Kill()
-				h.Sea.Down(lost.Boot.IP, true)
+				node.Kill()
+				cluster.Network.SetPoweredOff(lost.Settings.IP, true)
 				lost.Kill()
 				time.Sleep(down)
-				m.mustStart()
+				node.mustStart()
 				time.Sleep(5 * time.Second)
 				for range 6 {
-					for at := range h.Masters {
+					for at := range cluster.Controls {
 						names := routers(at)
 						c.Check(names, qt.HasLen, 11, qt.Commentf("at %d", at))
-						c.Check(slices.Contains(names, lost.Boot.Name), qt.IsFalse, qt.Commentf("at %d: %v", at, names))
+						c.Check(slices.Contains(names, lost.Settings.Name), qt.IsFalse, qt.Commentf("at %d: %v", at, names))
 					}
 					time.Sleep(time.Second)
 				}
@@ -104,17 +104,17 @@
 // A control process is cut off for longer than the others' routers may be on their way elsewhere: it takes them for gone, and the others its
 // own, which hang on others meanwhile. Once it is back all have all routers; that is what a process tells its own once more for, and it does so
 // for nobody who starts, as who starts is told all.
-func TestRosterAfterACut(t *testing.T) {
+func TestRouterListAfterPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		l := small
-		l.Zones, l.Rate = 6, 2
-		h := opened(c, l)
+		layout := smallLayout
+		layout.Zones, layout.Rate = 6, 2
+		cluster := startCluster(c, layout)
 		time.Sleep(4 * time.Second)
-		whole := func() bool {
-			for at := range h.Masters {
+		allKnown := func() bool {
+			for at := range cluster.Controls {
 				var s server.ClusterStatus
-				_, raw := h.askOf(at, "harbour.read", "", nil)
+				_, raw := cluster.callOneFor(at, "harbour.read", "", nil)
 				if json.Unmarshal(raw, &s) != nil {
 					return false
 				}
@@ -130,26 +130,26 @@
 			}
 			return true
 		}
-		c.Assert(whole(), qt.IsTrue)
-		h.part(h.Masters[5], true)
+		c.Assert(allKnown(), qt.IsTrue)
+		cluster.setPartition(cluster.Controls[5], true)
 		time.Sleep(7 * time.Second)
-		c.Check(whole(), qt.IsFalse)
-		h.part(h.Masters[5], false)
-		until(c, 5*time.Second, "all have all routers", whole)
+		c.Check(allKnown(), qt.IsFalse)
+		cluster.setPartition(cluster.Controls[5], false)
+		waitUntil(c, 5*time.Second, "all have all routers", allKnown)
 		time.Sleep(4 * time.Second) // routers move back
-		c.Check(whole(), qt.IsTrue)
+		c.Check(allKnown(), qt.IsTrue)
 
-		said := stream.FramesWritten.Load()
+		sent := stream.FramesWritten.Load()
 		time.Sleep(2 * time.Second)
-		calm := stream.FramesWritten.Load() - said
-		said = stream.FramesWritten.Load()
-		h.Masters[2].Kill()
+		idle := stream.FramesWritten.Load() - sent
+		sent = stream.FramesWritten.Load()
+		cluster.Controls[2].Kill()
 		time.Sleep(500 * time.Millisecond)
-		h.Masters[2].mustStart()
-		until(c, 5*time.Second, "all have all routers", whole)
+		cluster.Controls[2].mustStart()
+		waitUntil(c, 5*time.Second, "all have all routers", allKnown)
 		time.Sleep(3 * time.Second)
-		c.Check(whole(), qt.IsTrue)
-		c.Logf("%d frames for a restart, %d in two calm seconds", stream.FramesWritten.Load()-said, calm)
-		c.Check(stream.FramesWritten.Load()-said < 560, qt.IsTrue, qt.Commentf("%d", stream.FramesWritten.Load()-said))
+		c.Check(allKnown(), qt.IsTrue)
+		c.Logf("%d frames for a restart, %d in two calm seconds", stream.FramesWritten.Load()-sent, idle)
+		c.Check(stream.FramesWritten.Load()-sent < 560, qt.IsTrue, qt.Commentf("%d", stream.FramesWritten.Load()-sent))
 	})
 }
--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -27,59 +27,59 @@
 	"portflow/internal/standin/servers"
 )
 
-// loopback plays an experiment on sockets: the program's own routers, and stand-ins around them.
-type loopback struct {
-	Storm
-	book    *book
-	began   time.Time
-	mu      sync.Mutex
-	draw    random.Source
-	hosts   []*servers.Host
-	around  *servers.Around
-	effects servers.Shared
-	routers []string
-	clients sync.WaitGroup
-	client  http.Client
-	serial  int
+// loopbackRun plays an experiment on sockets: the program's own routers, and stand-ins around them.
+type loopbackRun struct {
+	StormExperiment
+	recorder *recorder
+	start    time.Time
+	mu       sync.Mutex
+	rng      random.Source
+	hosts    []*servers.Host
+	services *servers.Services
+	effects  servers.SharedEffects
+	routers  []string
+	clients  sync.WaitGroup
+	client   http.Client
+	serial   int
 }
 
-var carriers = []string{"c0", "c1", "c2"}
+var carrierNames = []string{"c0", "c1", "c2"}
 
-// Sockets plays an experiment on loopback, in real time.
-func Sockets(s Storm) (Result, error) {
-	if err := s.check(); err != nil {
+// RunSockets plays an experiment on loopback, in real time.
+func RunSockets(exp StormExperiment) (Result, error) {
+	if err := exp.validate(); err != nil {
 		return Result{}, err
 	}
-	if s.Trial || s.Routers > 16 || s.Hosts > 64 {
+	if exp.Trial || exp.Routers > 16 || exp.Hosts > 64 {
 		return Result{}, errors.New("lab: no trial, 16 routers and 64 hosts at most on sockets")
 	}
-	l := &loopback{Storm: s, book: newBook(s), began: time.Now(), draw: random.Source{Seed: s.Seed},
-		effects: servers.Shared{Effects: standin.Effects{Memory: 2e9}},
+	lb := &loopbackRun{StormExperiment: exp, recorder: newRecorder(exp), start: time.Now(), rng: random.Source{Seed: exp.Seed},
+		effects: servers.SharedEffects{EffectLog: standin.EffectLog{Retention: 2e9}},
 		client:  http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512, IdleConnTimeout: time.Second}}}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	for i := range s.Hosts {
-		h := &servers.Host{Name: "h" + strconv.Itoa(i), Effects: &l.effects, Clock: l.clock, Came: l.book.came,
-			Work: func() int64 { return int64(work * 1e9 * (0.6 + 0.8*l.next())) }}
-		if err := h.Begin(s.machine()); err != nil {
+	for i := range exp.Hosts {
+		h := &servers.Host{Name: "h" + strconv.Itoa(i), Effects: &lb.effects, Clock: lb.clock, OnWork: lb.recorder.recordWork,
+			Work: func() int64 { return int64(meanWorkSeconds * 1e9 * (0.6 + 0.8*lb.nextCommand())) }}
+		if err := h.Start(exp.newMachine()); err != nil {
 			return Result{}, err
 		}
-		defer h.End()
-		l.hosts = append(l.hosts, h)
+		defer h.Stop()
+		lb.hosts = append(lb.hosts, h)
 	}
 	var err error
-	if l.around, err = servers.NewAround(`{"release":1,"tranche":0,"mode":"stable","exposure":1,"old_ms":60000}`, l.members(true)); err != nil {
+	if lb.services, err = servers.NewServices(`{"release":1,"tranche":0,"mode":"stable","exposure":1,"old_ms":60000}`, lb.memberList(true)); err != nil {
 		return Result{}, err
 	}
-	defer l.around.Close()
-	var nodes []*router.Node
+	defer lb.services.Close()
+	var nodes []*router.Router
 	var spies []*retryguard.Guard
-	configs, err := l.configs()
+	configs, err := lb.routerConfigs()
 	if err != nil {
 		return Result{}, err
 	}
 	for rank, c := range configs {
-		g, spy, err := s.guard(rank, time.Now().UnixNano())
+		g, spy, err := exp.newGuard(rank, time.Now().UnixNano())
 		if err != nil {
 			return Result{}, err
 		}
@@ -88,41 +88,41 @@
 			return Result{}, err
 		}
 		nodes, spies = append(nodes, n), append(spies, spy)
-		l.routers = append(l.routers, c.Listen)
+		lb.routers = append(lb.routers, c.Listen)
 	}
-	l.began = time.Now()
-	l.play()
-	l.clients.Wait()
-	l.client.CloseIdleConnections()
+	lb.start = time.Now()
+	lb.playOutage()
+	lb.clients.Wait()
+	lb.client.CloseIdleConnections()
 	noticed := make([]int64, len(nodes))
 	for i, n := range nodes {
-		if err := n.Leave(); err != nil {
+		if err := n.Drain(); err != nil {
 			return Result{}, err
 		}
-		if spies[i] != nil && spies[i].Stats.Noticed > 0 {
-			noticed[i] = spies[i].Stats.Noticed - l.began.UnixNano()
+		if spies[i] != nil && spies[i].Stats.FirstStormAt > 0 {
+			noticed[i] = spies[i].Stats.FirstStormAt - lb.start.UnixNano()
 		}
 	}
-	r := l.book.result()
-	l.book.noticed(&r, noticed)
-	r.Duplicates, r.Seconds = l.effects.Twice, time.Since(l.began).Seconds()
-	for _, h := range l.hosts {
+	r := lb.recorder.summarize()
+	lb.recorder.recordDetection(&r, noticed)
+	r.Duplicates, r.Seconds = lb.effects.Duplicates, time.Since(lb.start).Seconds()
+	for _, h := range lb.hosts {
 		if _, fallen := h.Capacity(); fallen {
-			r.Fallen++
+			r.FailedHosts++
 		}
 	}
 	return r, nil
 }
 
-func (l *loopback) clock() int64 { return int64(time.Since(l.began)) }
+func (l *loopbackRun) clock() int64 { return int64(time.Since(l.start)) }
 
-func (l *loopback) next() float64 {
+func (l *loopbackRun) nextCommand() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.draw.Next()
+	return l.rng.Float64()
 }
 
-func (l *loopback) members(there bool) (all []servers.Member) {
+func (l *loopbackRun) memberList(there bool) (all []servers.Member) {
 	for _, h := range l.hosts {
 		m := servers.Member{ID: h.Name, HostPort: h.Address, Locality: "hall", Flavor: "m", Phase: "Ready", Size: 1,
 			UpSince: h.Started(), Image: 1}
@@ -134,11 +134,11 @@
 	return all
 }
 
-// configs are the routers', with free addresses.
-func (l *loopback) configs() ([]config.Config, error) {
-	known := discovery.Message{List: dispatch.List{Form: decision.Whole}}
+// routerConfigs are the routers', with free addresses.
+func (l *loopbackRun) routerConfigs() ([]config.Config, error) {
+	known := discovery.Update{HostsChanged: dispatch.HostsChanged{Kind: decision.Snapshot}}
 	for _, h := range l.hosts {
-		known.Hosts = append(known.Hosts, dispatch.Host{Name: h.Name, Address: h.Address, Build: 1, Size: 1})
+		known.Hosts = append(known.Hosts, dispatch.Host{Name: h.Name, Address: h.Address, Build: 1, Capacity: 1})
 	}
 	var all []config.Config
 	var peers []netip.AddrPort
@@ -156,11 +156,11 @@
 		tcp.Close()
 		udp.Close()
 		peers = append(peers, at)
-		all = append(all, config.Config{Name: "n" + strconv.Itoa(rank), Listen: listen, Discovery: l.around.Address,
-			Platform: l.around.Address, Seed: l.Seed*100 + uint64(rank), Cores: 1, Memory: 192 << 20, Sockets: 1024, PeerListen: at,
-			Known: known, News: dispatch.News{News: decision.News{Build: 1, Standing: decision.Released, Cap: 1, Age: 60e9}},
-			Settings: settings.Settings{Settings: l.settings(rank), Bands: []string{bands[0].name, bands[1].name}, Carriers: carriers,
-				Zones: []string{"hall"}, Kinds: []string{"m"}, ConnectIn: 250e6, IdleIn: 30e9}})
+		all = append(all, config.Config{Name: "n" + strconv.Itoa(rank), Listen: listen, Discovery: l.services.Address,
+			Platform: l.services.Address, Seed: l.Seed*100 + uint64(rank), Cores: 1, Memory: 192 << 20, Sockets: 1024, PeerListen: at,
+			KnownHosts: known, Rollout: dispatch.RolloutChanged{Rollout: decision.Rollout{Build: 1, State: decision.Released, ExposureCap: 1, Age: 60e9}},
+			Settings: settings.Settings{Settings: l.routerSettings(rank), ClassNames: []string{experimentBands[0].name, experimentBands[1].name}, CustomerNames: carrierNames,
+				Zones: []string{"hall"}, Kinds: []string{"m"}, ConnectTimeout: 250e6, IdleTimeout: 30e9}})
 	}
 	for i := range all {
 		all[i].Peers = peers
@@ -168,8 +168,8 @@
 	return all, nil
 }
 
-// play plays the script and the clients' commands, in one goroutine until the end.
-func (l *loopback) play() {
+// playOutage plays the script and the clients' commands, in one goroutine until the end.
+func (l *loopbackRun) playOutage() {
 	at := func(t time.Duration, act func()) {
 		l.clients.Add(1)
 		time.AfterFunc(t, func() {
@@ -181,87 +181,87 @@
 		if l.Kind != "hosts" && (l.Kind != "half" || i%2 == 1) {
 			continue
 		}
-		at(l.Calm, h.End)
-		at(l.Calm+l.Outage+time.Duration(i)*time.Second/time.Duration(len(l.hosts)), func() { h.Return() })
+		at(l.Warmup, h.Stop)
+		at(l.Warmup+l.Outage+time.Duration(i)*time.Second/time.Duration(len(l.hosts)), func() { h.Restart() })
 	}
 	if l.Kind == "list" {
-		at(l.Calm, func() { l.around.List(l.members(false)) })
+		at(l.Warmup, func() { l.services.SetMembers(l.memberList(false)) })
 	}
 	if l.Kind != "carrier" && l.Kind != "none" {
-		back := l.Calm + l.Outage
+		back := l.Warmup + l.Outage
 		if l.Kind != "list" {
 			back += time.Second
 		}
-		at(back, func() { l.around.List(l.members(true)) })
+		at(back, func() { l.services.SetMembers(l.memberList(true)) })
 	}
-	for t := time.Duration(0); t < time.Duration(l.end()); t += step {
+	for t := time.Duration(0); t < time.Duration(l.duration()); t += step {
 		at(t, func() {
 			for i, h := range l.hosts {
 				if can, _ := h.Capacity(); l.Kind != "half" || i%2 == 0 {
-					put(l.book.capacity, int64(t), can)
+					addToSeries(l.recorder.capacity, int64(t), can)
 				}
 			}
 		})
 	}
-	for next := int64(0); next < l.end(); {
-		next += int64(-math.Log(1-l.next()) / l.rate() * 1e9)
+	for next := int64(0); next < l.duration(); {
+		next += int64(-math.Log(1-l.nextCommand()) / l.commandRate() * 1e9)
 		time.Sleep(time.Duration(next - l.clock()))
 		l.mu.Lock()
-		client := int(l.draw.Next() * float64(l.Clients))
-		c := l.Storm.next(l.clock(), client, &l.draw)
+		client := int(l.rng.Float64() * float64(l.Clients))
+		c := l.StormExperiment.newCommand(l.clock(), client, &l.rng)
 		l.mu.Unlock()
 		l.clients.Add(1)
 		go func() {
 			defer l.clients.Done()
-			l.command(c, client)
+			l.runCommand(c, client)
 		}()
 	}
 }
 
-// command plays a client's tries.
-func (l *loopback) command(c *command, client int) {
+// runCommand plays a client's tries.
+func (l *loopbackRun) runCommand(c *command, client int) {
 	for {
-		fulfilled, told := l.try(c, client)
+		fulfilled, advised := l.sendAttempt(c, client)
 		if fulfilled {
 			return
 		}
-		wait, again := c.habit.Next(c.tries-1, told, l.next())
-		if !again || l.clock() > l.end() {
+		wait, again := c.behaviour.NextRetry(c.attempts-1, advised, l.nextCommand())
+		if !again || l.clock() > l.duration() {
 			return
 		}
 		time.Sleep(time.Duration(wait))
 	}
 }
 
-func (l *loopback) try(c *command, client int) (fulfilled bool, told int64) {
-	patient := time.Duration(c.habit.Patience * float64(bands[c.band].CutOff))
+func (l *loopbackRun) sendAttempt(c *command, client int) (fulfilled bool, advised int64) {
+	patient := time.Duration(c.behaviour.Patience * float64(experimentBands[c.band].Timeout))
 	sent := l.clock()
-	l.book.asked(sent, c)
+	l.recorder.recordAttempt(sent, c)
 	l.mu.Lock()
 	l.serial++
 	trace := strconv.Itoa(l.serial)
 	l.mu.Unlock()
 	method, body := http.MethodGet, []byte(nil)
-	if c.mark != "" {
+	if c.idempotencyKey != "" {
 		method, body = http.MethodPost, []byte("x")
 	}
 	rank := client % l.Routers
-	if l.Busy && client%10 != 0 {
+	if l.SkewRouters && client%10 != 0 {
 		rank = 0
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), patient+50*time.Millisecond)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+l.routers[rank]+"/"+bands[c.band].name+"?obj="+strconv.FormatUint(c.key, 16),
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+l.routers[rank]+"/"+experimentBands[c.band].name+"?obj="+strconv.FormatUint(c.key, 16),
 		bytes.NewReader(body))
 	if err != nil {
 		panic(err) // all parts of it are our own
 	}
-	r.Header = http.Header{"X-Trace-Id": {trace}, "X-Qos": {bands[c.band].name}, "X-Customer": {carriers[c.carrier]},
+	r.Header = http.Header{"X-Trace-Id": {trace}, "X-Qos": {experimentBands[c.band].name}, "X-Customer": {carrierNames[c.carrier]},
 		"X-Expires-In": {strconv.FormatInt(patient.Milliseconds(), 10) + "m"}}
-	if c.mark != "" {
-		r.Header.Set("Idempotency-Key", c.mark)
+	if c.idempotencyKey != "" {
+		r.Header.Set("Idempotency-Key", c.idempotencyKey)
 	}
-	if c.habit.Marks && c.tries > 1 {
+	if c.behaviour.SendsIdempotencyKey && c.attempts > 1 {
 		r.Header.Set("X-Second-Try", "1")
 	}
 	resp, err := l.client.Do(r)
@@ -271,9 +271,9 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 		answered, fulfilled = err == nil, err == nil && resp.StatusCode == http.StatusOK
 		if seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-			told = int64(seconds * 1e9)
+			advised = int64(seconds * 1e9)
 		}
 	}
-	l.book.told(l.clock(), sent, c, fulfilled, answered)
-	return fulfilled, told
+	l.recorder.recordOutcome(l.clock(), sent, c, fulfilled, answered)
+	return fulfilled, advised
 }
--- a/internal/lab/storm_test.go
+++ b/internal/lab/storm_test.go
@@ -16,39 +16,39 @@
 // same without the guard must break the ceiling, so that the case shows something.
 func TestHardCases(t *testing.T) {
 	for name, c := range map[string]struct {
-		set  func(*Storm)
+		set  func(*StormExperiment)
 		back float64 // seconds
 		off  bool
 	}{
-		"all hosts":          {func(s *Storm) {}, 5, true},
-		"half of the hosts":  {func(s *Storm) { s.Kind = "half" }, 5, false},
-		"the list":           {func(s *Storm) { s.Kind = "list" }, 2, true},
-		"one carrier's keys": {func(s *Storm) { s.Kind, s.Carrier = "carrier", 1 }, 2, false},
-		"no advice heeded":   {func(s *Storm) { s.Heed = 0 }, 5, true},
-		"all advice heeded":  {func(s *Storm) { s.Heed = 1 }, 5, true},
-		"marked":             {func(s *Storm) { s.Marks = true }, 5, true},
-		"a second outage":    {func(s *Storm) { s.Again, s.After = true, 20*time.Second }, 13, true},
-		"a single busy one":  {func(s *Storm) { s.Busy = true }, 5, true},
-		"thirty routers":     {func(s *Storm) { s.Routers, s.Hosts, s.Clients = 30, 60, 50000 }, 5, true},
-		"calm":               {func(s *Storm) { s.Kind = "none" }, 3, false},
+		"all hosts":          {func(s *StormExperiment) {}, 5, true},
+		"half of the hosts":  {func(s *StormExperiment) { s.Kind = "half" }, 5, false},
+		"the list":           {func(s *StormExperiment) { s.Kind = "list" }, 2, true},
+		"one carrier's keys": {func(s *StormExperiment) { s.Kind, s.Carrier = "carrier", 1 }, 2, false},
+		"no advice heeded":   {func(s *StormExperiment) { s.HeedFraction = 0 }, 5, true},
+		"all advice heeded":  {func(s *StormExperiment) { s.HeedFraction = 1 }, 5, true},
+		"marked":             {func(s *StormExperiment) { s.MarkRetries = true }, 5, true},
+		"a second outage":    {func(s *StormExperiment) { s.SecondOutage, s.Cooldown = true, 20*time.Second }, 13, true},
+		"a single busy one":  {func(s *StormExperiment) { s.SkewRouters = true }, 5, true},
+		"thirty routers":     {func(s *StormExperiment) { s.Routers, s.Hosts, s.Clients = 30, 60, 50000 }, 5, true},
+		"calm":               {func(s *StormExperiment) { s.Kind = "none" }, 3, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(3) {
-				s := Defaults()
+				s := DefaultStorm()
 				s.Seed = seed + 1
 				c.set(&s)
 				r, err := Emulate(s)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if r.Peak > stated || r.RecoveredS < 0 || r.RecoveredS > c.back || r.Duplicates+r.Lost+r.FalseAlarms+r.Fallen+r.Backs > 0 {
+				if r.PeakLoad > loadLimit || r.RecoverySeconds < 0 || r.RecoverySeconds > c.back || r.Duplicates+r.Lost+r.FalseAlarms+r.FailedHosts+r.RollbackVotes > 0 {
 					r.Series = Series{}
 					t.Errorf("seed %d: %+v", s.Seed, r)
 				}
 				s.Policy = "off"
-				if off, err := Emulate(s); err != nil || c.off && off.Peak < 1.5*stated {
-					t.Errorf("off: peak %.2f, %v", off.Peak, err)
+				if off, err := Emulate(s); err != nil || c.off && off.PeakLoad < 1.5*loadLimit {
+					t.Errorf("off: peak %.2f, %v", off.PeakLoad, err)
 				}
 			}
 		})
@@ -56,8 +56,8 @@
 }
 
 // A storm of one carrier's keys must not cost the others: they are served as in calm, and better than without.
-func TestOthersServed(t *testing.T) {
-	s := Defaults()
+func TestOtherCarriersServed(t *testing.T) {
+	s := DefaultStorm()
 	s.Kind, s.Carrier = "carrier", 0
 	on, err := Emulate(s)
 	s.Policy = "off"
@@ -68,8 +68,8 @@
 }
 
 // One seed gives one run.
-func TestSameAgain(t *testing.T) {
-	s := Defaults()
+func TestSameSeedSameResult(t *testing.T) {
+	s := DefaultStorm()
 	s.Trial = true
 	var results []string
 	for range 2 {
@@ -88,24 +88,24 @@
 
 // On sockets, small: the same figures come out of the program's own routers.
 func TestSockets(t *testing.T) {
-	s := Defaults()
-	s.Hosts, s.Calm, s.Outage, s.After = 4, 2*time.Second, 2*time.Second, 4*time.Second
-	r, err := Sockets(s)
-	if err != nil || r.Duplicates+r.Fallen > 0 || r.Commands < 100 || r.FirstTryServed == 0 {
+	s := DefaultStorm()
+	s.Hosts, s.Warmup, s.Outage, s.Cooldown = 4, 2*time.Second, 2*time.Second, 4*time.Second
+	r, err := RunSockets(s)
+	if err != nil || r.Duplicates+r.FailedHosts > 0 || r.Commands < 100 || r.FirstAttemptsServed == 0 {
 		r.Series = Series{}
 		t.Errorf("%+v, %v", r, err)
 	}
 }
 
 func TestReport(t *testing.T) {
-	s := Defaults()
-	s.After = 5 * time.Second
+	s := DefaultStorm()
+	s.Cooldown = 5 * time.Second
 	r, err := Emulate(s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	if err := Report(dir, s, r); err != nil {
+	if err := WriteReport(dir, s, r); err != nil {
 		t.Fatal(err)
 	}
 	for name, want := range map[string]string{"report.html": "2000 clients", "storm.svg": "<svg", "storm.png": "PNG"} {
@@ -117,22 +117,22 @@
 
 // An accept that is asked for again with its mark runs once within the hosts' memory; beyond it, it is its client's
 // doing, and no hand-off of a router's.
-func TestMarks(t *testing.T) {
+func TestIdempotencyKeys(t *testing.T) {
 	e := &emulation{}
-	e.effects.Memory = 2e9
+	e.effects.Retention = 2e9
 	if !e.effects.Run(0, "m", "try1") || e.effects.Run(1e9, "m", "try2") || e.effects.Run(1999e6, "m", "try1") {
 		t.Error("ran again within the memory")
 	}
-	if !e.effects.Run(2e9, "m", "try3") || e.effects.Twice != 0 || !e.effects.Run(4e9, "m", "try3") || e.effects.Twice != 1 {
-		t.Error("beyond the memory", e.effects.Twice)
+	if !e.effects.Run(2e9, "m", "try3") || e.effects.Duplicates != 0 || !e.effects.Run(4e9, "m", "try3") || e.effects.Duplicates != 1 {
+		t.Error("beyond the memory", e.effects.Duplicates)
 	}
-	for _, s := range []Storm{{}, {Routers: 1, Hosts: 1, Clients: 1, Load: 0.5, Kind: "flood"}} {
+	for _, s := range []StormExperiment{{}, {Routers: 1, Hosts: 1, Clients: 1, Load: 0.5, Kind: "flood"}} {
 		if _, err := Emulate(s); err == nil {
 			t.Error("played", s)
 		}
 	}
 	d := &random.Source{Seed: 1}
-	if c := Defaults().next(0, 3, d); c.key != 4 {
+	if c := DefaultStorm().newCommand(0, 3, d); c.key != 4 {
 		t.Error(c)
 	}
 }
