--- a/internal/lab/tonnage.go
+++ b/internal/lab/tonnage.go
@@ -16,376 +16,376 @@
 // This file plays callers' shares in virtual time over many routers and zones: the parts that the harbour's processes use,
 // and the ways that were weighed against them.
 
-// Tonnage is one play.
-type Tonnage struct {
-	Routers int     `json:"Routers"`
-	Zones   int     `json:"Zones"`
-	Way     string  `json:"Way"`     // dealt (the harbour's), count, usage, sketch
-	Trouble string  `json:"Trouble"` // none, one (all of the caller's requests at one router), moves (from one to another), cut (a zone), killed (a third of the routers, back after 5 s), joined
-	PerS    float64 `json:"PerS"`    // the caller's share
-	Times   float64 `json:"Times"`   // what it asks for, over its share
-	Others  int     `json:"Others"`  // small callers, each within its share of 1 a second
-	Lasts   int64   `json:"Lasts"`   // nanoseconds
-	Seed    uint64  `json:"Seed"`
+// QuotaExperiment is one play.
+type QuotaExperiment struct {
+	Routers        int     `json:"Routers"`
+	Zones          int     `json:"Zones"`
+	Method         string  `json:"Way"`     // dealt (the harbour's), count, usage, sketch
+	Fault          string  `json:"Trouble"` // none, one (all of the caller's requests at one router), moves (from one to another), cut (a zone), killed (a third of the routers, back after 5 s), joined
+	QuotaPerSecond float64 `json:"PerS"`    // the caller's share
+	LoadFactor     float64 `json:"Times"`   // what it asks for, over its share
+	SmallCallers   int     `json:"Others"`  // small callers, each within its share of 1 a second
+	Duration       int64   `json:"Lasts"`   // nanoseconds
+	Seed           uint64  `json:"Seed"`
 }
 
-// Tally is how a play went. Rates are requests a second, of the caller.
-type Tally struct {
-	Over1        float64 `json:"over_1s"`  // most within any second, over the share's second and burst
-	Over10       float64 `json:"over_10s"` // most within any ten seconds, over the share's ten and burst
-	Given        float64 `json:"given"`    // part of the share that it got, after three seconds
-	Others       float64 `json:"others"`   // part of the others' requests that was within their shares
-	Apart        float64 `json:"apart"`    // most that two routers in touch differed in what they said remains, of the limit
-	Bytes        float64 `json:"bytes_s"`  // a second, of all routers and zones together
-	BytesARouter float64 `json:"bytes_router_s"`
-	Map          [][]int `json:"-"`      // by router and second: requests of the caller that were taken
-	Back         float64 `json:"back_s"` // after a move: until the new router gives four fifths of the share
+// QuotaResult is how a play went. Rates are requests a second, of the caller.
+type QuotaResult struct {
+	Overshoot1s          float64 `json:"over_1s"`  // most within any second, over the share's second and burst
+	Overshoot10s         float64 `json:"over_10s"` // most within any ten seconds, over the share's ten and burst
+	Granted              float64 `json:"given"`    // part of the share that it got, after three seconds
+	OthersGranted        float64 `json:"others"`   // part of the others' requests that was within their shares
+	MaxDisagreement      float64 `json:"apart"`    // most that two routers in touch differed in what they said remains, of the limit
+	BytesPerSecond       float64 `json:"bytes_s"`  // a second, of all routers and zones together
+	RouterBytesPerSecond float64 `json:"bytes_router_s"`
+	GrantsByRouter       [][]int `json:"-"`      // by router and second: requests of the caller that were taken
+	RecoverySeconds      float64 `json:"back_s"` // after a move: until the new router gives four fifths of the share
 }
 
 const (
-	tallyStep = int64(10e6)
-	crossing  = int64(35e6) // between zones, one way
-	nearby    = int64(1e6)
-	caller    = "rush"
+	quotaStep      = int64(10e6)
+	interZoneDelay = int64(35e6) // between zones, one way
+	inZoneDelay    = int64(1e6)
+	rushingCaller  = "rush"
 )
 
-// way is one way of holding callers to their shares.
-type way interface {
-	take(now int64, router int, name string) quota.Decision
-	tick(now int64) (bytes int)
-	live(router int, up bool, now int64)
-	cut(zone int, cut bool, now int64)
+// quotaMethod is one way of holding callers to their shares.
+type quotaMethod interface {
+	allow(now int64, router int, name string) quota.Decision
+	step(now int64) (bytes int)
+	setRouterUp(router int, up bool, now int64)
+	setPartition(zone int, cut bool, now int64)
 }
 
-// PlayTonnage plays one.
-func PlayTonnage(p Tonnage) (Tally, error) {
-	shares := []config.Quota{{Name: "rush", Service: "desk", CallerHeader: "X-Agency", Caller: caller, Rate: p.PerS, Burst: p.PerS}}
-	for n := range p.Others {
-		shares = append(shares, config.Quota{Name: fmt.Sprint("small-", n), Service: "desk", CallerHeader: "X-Agency", Caller: fmt.Sprint("c", n), Rate: 1, Burst: 3})
+// RunQuotaExperiment plays one.
+func RunQuotaExperiment(exp QuotaExperiment) (QuotaResult, error) {
+	quotas := []config.Quota{{Name: "rush", Service: "desk", CallerHeader: "X-Agency", Caller: rushingCaller, Rate: exp.QuotaPerSecond, Burst: exp.QuotaPerSecond}}
+	for n := range exp.SmallCallers {
+		quotas = append(quotas, config.Quota{Name: fmt.Sprint("small-", n), Service: "desk", CallerHeader: "X-Agency", Caller: fmt.Sprint("c", n), Rate: 1, Burst: 3})
 	}
-	var w way
-	switch p.Way {
+	var method quotaMethod
+	switch exp.Method {
 	case "dealt":
-		w = newDealt(p, shares)
+		method = newAllocatedQuota(exp, quotas)
 	case "count", "usage", "sketch":
-		w = newTold(p, shares)
+		method = newBaselineQuota(exp, quotas)
 	default:
-		return Tally{}, fmt.Errorf("way: %q is none of dealt, count, usage, sketch", p.Way)
-	}
-	draw := random.Source{Seed: p.Seed}
-	up := make([]bool, p.Routers)
-	for r := range up {
-		up[r] = true
-		if p.Trouble == "joined" && r%3 == 0 {
-			up[r] = false
-			w.live(r, false, 0)
+		return QuotaResult{}, fmt.Errorf("way: %q is none of dealt, count, usage, sketch", exp.Method)
+	}
+	rng := random.Source{Seed: exp.Seed}
+	up := make([]bool, exp.Routers)
+	for router := range up {
+		up[router] = true
+		if exp.Fault == "joined" && router%3 == 0 {
+			up[router] = false
+			method.setRouterUp(router, false, 0)
 		}
 	}
-	t := Tally{Map: make([][]int, p.Routers)}
-	for r := range t.Map {
-		t.Map[r] = make([]int, p.Lasts/int64(1e9)+1)
+	result := QuotaResult{GrantsByRouter: make([][]int, exp.Routers)}
+	for router := range result.GrantsByRouter {
+		result.GrantsByRouter[router] = make([]int, exp.Duration/int64(1e9)+1)
 	}
-	var taken []int64
-	var small, smallIn, bytes float64
-	begins, moved, back := 3*int64(1e9), p.Lasts/2, int64(0)
+	var granted []int64
+	var smallRequests, smallGranted, bytes float64
+	measureFrom, movedAt, recoveredAt := 3*int64(1e9), exp.Duration/2, int64(0)
 	remaining := map[int]float64{} // by router: what it said last, and when
-	said := map[int]int64{}
-	to := func(now int64) int {
+	reportedAt := map[int]int64{}
+	pickRouter := func(now int64) int {
 		switch {
-		case p.Trouble == "one", p.Trouble == "moves" && now < moved:
+		case exp.Fault == "one", exp.Fault == "moves" && now < movedAt:
 			return 0
-		case p.Trouble == "moves":
-			return p.Routers - 1
+		case exp.Fault == "moves":
+			return exp.Routers - 1
 		}
 		for { // the directory names those that are up
-			if r := int(draw.Next() * float64(p.Routers)); up[r] {
-				return r
+			if router := int(rng.Float64() * float64(exp.Routers)); up[router] {
+				return router
 			}
 		}
 	}
 	poisson := func(mean float64) (n int) {
-		for x := draw.Next(); x > math.Exp(-mean); n++ {
-			x *= draw.Next()
+		for x := rng.Float64(); x > math.Exp(-mean); n++ {
+			x *= rng.Float64()
 		}
 		return n
 	}
-	for now := int64(0); now < p.Lasts; now += tallyStep {
-		switch at := now - p.Lasts/2; {
-		case at == 0 && p.Trouble == "cut":
-			w.cut(1, true, now)
-		case at == int64(8e9) && p.Trouble == "cut":
-			w.cut(1, false, now)
-		case (at == 0 || at == int64(5e9)) && p.Trouble == "killed", at == 0 && p.Trouble == "joined":
-			for r := range up {
-				if r%3 == 0 {
-					up[r] = p.Trouble == "joined" || at > 0
-					w.live(r, up[r], now)
+	for now := int64(0); now < exp.Duration; now += quotaStep {
+		switch offset := now - exp.Duration/2; {
+		case offset == 0 && exp.Fault == "cut":
+			method.setPartition(1, true, now)
+		case offset == int64(8e9) && exp.Fault == "cut":
+			method.setPartition(1, false, now)
+		case (offset == 0 || offset == int64(5e9)) && exp.Fault == "killed", offset == 0 && exp.Fault == "joined":
+			for router := range up {
+				if router%3 == 0 {
+					up[router] = exp.Fault == "joined" || offset > 0
+					method.setRouterUp(router, up[router], now)
 				}
 			}
 		}
-		for range poisson(p.PerS * p.Times * float64(tallyStep) / 1e9) {
-			r := to(now)
-			v := w.take(now, r, caller)
-			remaining[r], said[r] = v.Remaining/max(1, v.Limit), now
-			if v.Admitted {
-				taken = append(taken, now)
-				t.Map[r][now/int64(1e9)]++
+		for range poisson(exp.QuotaPerSecond * exp.LoadFactor * float64(quotaStep) / 1e9) {
+			router := pickRouter(now)
+			decision := method.allow(now, router, rushingCaller)
+			remaining[router], reportedAt[router] = decision.Remaining/max(1, decision.Limit), now
+			if decision.Admitted {
+				granted = append(granted, now)
+				result.GrantsByRouter[router][now/int64(1e9)]++
 			}
 		}
-		for range poisson(float64(p.Others) * 0.7 * float64(tallyStep) / 1e9) {
-			n := int(draw.Next() * float64(p.Others))
-			small++
-			if w.take(now, to(-1), fmt.Sprint("c", n)).Admitted {
-				smallIn++
+		for range poisson(float64(exp.SmallCallers) * 0.7 * float64(quotaStep) / 1e9) {
+			n := int(rng.Float64() * float64(exp.SmallCallers))
+			smallRequests++
+			if method.allow(now, pickRouter(-1), fmt.Sprint("c", n)).Admitted {
+				smallGranted++
 			}
 		}
-		bytes += float64(w.tick(now))
-		if now > begins && (p.Trouble == "calm" || p.Trouble == "none" || p.Trouble == "one") && now%int64(1e9) == 0 { // what routers said of late
+		bytes += float64(method.step(now))
+		if now > measureFrom && (exp.Fault == "calm" || exp.Fault == "none" || exp.Fault == "one") && now%int64(1e9) == 0 { // what routers said of late
 			low, high := 1.0, 0.0
-			for r, x := range remaining {
-				if now-said[r] < int64(300e6) {
+			for router, x := range remaining {
+				if now-reportedAt[router] < int64(300e6) {
 					low, high = min(low, x), max(high, x)
 				}
 			}
-			t.Apart = max(t.Apart, high-low)
+			result.MaxDisagreement = max(result.MaxDisagreement, high-low)
 		}
 	}
-	within := func(span int64) (most int) {
-		from := 0
-		for i, at := range taken {
-			for at-taken[from] >= span {
-				from++
+	mostWithin := func(span int64) (highest int) {
+		first := 0
+		for i, offset := range granted {
+			for offset-granted[first] >= span {
+				first++
 			}
-			most = max(most, i-from+1)
+			highest = max(highest, i-first+1)
 		}
-		return most
-	}
-	t.Over1 = (float64(within(1e9)) - 2*p.PerS) / p.PerS
-	t.Over10 = (float64(within(10e9)) - 11*p.PerS) / p.PerS
-	after := 0
-	for _, at := range taken {
-		if at >= begins {
-			after++
+		return highest
+	}
+	result.Overshoot1s = (float64(mostWithin(1e9)) - 2*exp.QuotaPerSecond) / exp.QuotaPerSecond
+	result.Overshoot10s = (float64(mostWithin(10e9)) - 11*exp.QuotaPerSecond) / exp.QuotaPerSecond
+	grantedAfterStart := 0
+	for _, offset := range granted {
+		if offset >= measureFrom {
+			grantedAfterStart++
 		}
 	}
-	t.Given = float64(after) / (p.PerS * float64(p.Lasts-begins) / 1e9)
-	if p.Trouble == "moves" {
-		for now := moved; now < p.Lasts-int64(1e9) && back == 0; now += int64(100e6) {
+	result.Granted = float64(grantedAfterStart) / (exp.QuotaPerSecond * float64(exp.Duration-measureFrom) / 1e9)
+	if exp.Fault == "moves" {
+		for now := movedAt; now < exp.Duration-int64(1e9) && recoveredAt == 0; now += int64(100e6) {
 			n := 0
-			for _, at := range taken {
-				if at >= now && at < now+int64(1e9) {
+			for _, offset := range granted {
+				if offset >= now && offset < now+int64(1e9) {
 					n++
 				}
 			}
-			if float64(n) >= 0.8*p.PerS {
-				back = now
+			if float64(n) >= 0.8*exp.QuotaPerSecond {
+				recoveredAt = now
 			}
 		}
-		t.Back = float64(back-moved) / 1e9
+		result.RecoverySeconds = float64(recoveredAt-movedAt) / 1e9
 	}
-	if small > 0 {
-		t.Others = smallIn / small
+	if smallRequests > 0 {
+		result.OthersGranted = smallGranted / smallRequests
 	}
-	t.Bytes = bytes / (float64(p.Lasts) / 1e9)
-	t.BytesARouter = t.Bytes / float64(p.Routers)
-	return t, nil
+	result.BytesPerSecond = bytes / (float64(exp.Duration) / 1e9)
+	result.RouterBytesPerSecond = result.BytesPerSecond / float64(exp.Routers)
+	return result, nil
 }
 
-// Draw draws what a caller was given over time: a row a router (the first most), a column a second, and the sum below.
-func (t Tally) Draw(w io.Writer, perS float64, most int) {
+// Render draws what a caller was given over time: a row a router (the first most), a column a second, and the sum below.
+func (r QuotaResult) Render(w io.Writer, perSecond float64, maxRows int) {
 	const shades = " .:-=+*#%@"
-	fmt.Fprintf(w, "requests of the rushing caller taken, by router and second; blank is none, @ its whole share of %.0f and more\n", perS)
-	sums := make([]int, len(t.Map[0]))
-	for r, row := range t.Map {
+	fmt.Fprintf(w, "requests of the rushing caller taken, by router and second; blank is none, @ its whole share of %.0f and more\n", perSecond)
+	sums := make([]int, len(r.GrantsByRouter[0]))
+	for router, row := range r.GrantsByRouter {
 		line := make([]byte, len(row))
-		for s, n := range row {
-			sums[s] += n
-			line[s] = shades[min(len(shades)-1, int(math.Ceil(float64(n)/perS*float64(len(shades)-1))))]
+		for second, n := range row {
+			sums[second] += n
+			line[second] = shades[min(len(shades)-1, int(math.Ceil(float64(n)/perSecond*float64(len(shades)-1))))]
 		}
-		if r < most {
-			fmt.Fprintf(w, "router %3d |%s|\n", r, line)
+		if router < maxRows {
+			fmt.Fprintf(w, "router %3d |%s|\n", router, line)
 		}
 	}
-	if len(t.Map) > most {
-		fmt.Fprintf(w, "and %d more\n", len(t.Map)-most)
+	if len(r.GrantsByRouter) > maxRows {
+		fmt.Fprintf(w, "and %d more\n", len(r.GrantsByRouter)-maxRows)
 	}
 	fmt.Fprintln(w, "all, a second:", sums[:len(sums)-1])
 }
 
-// later is what is on its way.
-type later struct {
-	at int64
-	do func()
+// delayedCall is what is on its way.
+type delayedCall struct {
+	at  int64
+	run func()
 }
 
-// mail delivers what is on its way.
-type mail struct{ all []later }
+// delayQueue delivers what is on its way.
+type delayQueue struct{ pending []delayedCall }
 
-func (m *mail) post(at int64, do func()) { m.all = append(m.all, later{at, do}) }
+func (q *delayQueue) post(at int64, do func()) { q.pending = append(q.pending, delayedCall{at, do}) }
 
-func (m *mail) deliver(now int64) {
-	due := slices.DeleteFunc(slices.Clone(m.all), func(l later) bool { return l.at > now })
-	m.all = slices.DeleteFunc(m.all, func(l later) bool { return l.at <= now })
+func (q *delayQueue) runDue(now int64) {
+	due := slices.DeleteFunc(slices.Clone(q.pending), func(l delayedCall) bool { return l.at > now })
+	q.pending = slices.DeleteFunc(q.pending, func(l delayedCall) bool { return l.at <= now })
 	for _, l := range due {
-		l.do()
+		l.run()
 	}
 }
 
-func size(v any) int {
+func encodedSize(v any) int {
 	raw, _ := json.Marshal(v)
 	return len(raw) + 4
 }
 
-// dealt is the harbour's way: the meters and dealers that its processes use, with the ways between them.
-type dealt struct {
-	mail
-	meters  []*quota.Meter
-	up      []bool
-	dealers []*quota.Allocator
-	shares  []config.Quota
-	off     int // the zone that is cut off, -1 for none
-	offAt   int64
+// allocatedQuota is the harbour's way: the meters and dealers that its processes use, with the ways between them.
+type allocatedQuota struct {
+	delayQueue
+	meters             []*quota.Meter
+	routerUp           []bool
+	allocators         []*quota.Allocator
+	quotas             []config.Quota
+	isolatedZone       int // the zone that is cut off, -1 for none
+	partitionChangedAt int64
 }
 
-func newDealt(p Tonnage, shares []config.Quota) *dealt {
-	d := &dealt{shares: shares, off: -1}
-	for z := range p.Zones {
-		d.dealers = append(d.dealers, quota.NewAllocator())
-		d.dealers[z].SetQuotas(map[string][]config.Quota{"desk": shares})
+func newAllocatedQuota(exp QuotaExperiment, quotas []config.Quota) *allocatedQuota {
+	method := &allocatedQuota{quotas: quotas, isolatedZone: -1}
+	for z := range exp.Zones {
+		method.allocators = append(method.allocators, quota.NewAllocator())
+		method.allocators[z].SetQuotas(map[string][]config.Quota{"desk": quotas})
 	}
-	for range p.Routers {
-		d.up = append(d.up, true)
-		d.meters = append(d.meters, quota.NewMeter(shares, p.Routers, 0))
+	for range exp.Routers {
+		method.routerUp = append(method.routerUp, true)
+		method.meters = append(method.meters, quota.NewMeter(quotas, exp.Routers, 0))
 	}
-	return d
+	return method
 }
 
-func (d *dealt) zone(r int) int { return r % len(d.dealers) }
+func (m *allocatedQuota) zoneOf(r int) int { return r % len(m.allocators) }
 
-func (d *dealt) take(now int64, r int, name string) quota.Decision {
-	return d.meters[r].Admit(now, name, false, quota.NoHeadroom)
+func (m *allocatedQuota) allow(now int64, router int, name string) quota.Decision {
+	return m.meters[router].Admit(now, name, false, quota.NoHeadroom)
 }
 
-func (d *dealt) live(r int, up bool, now int64) {
-	d.up[r] = up
+func (m *allocatedQuota) setRouterUp(r int, up bool, now int64) {
+	m.routerUp[r] = up
 	if !up {
-		d.dealers[d.zone(r)].RemoveRouter(fmt.Sprint(r))
+		m.allocators[m.zoneOf(r)].RemoveRouter(fmt.Sprint(r))
 	} else {
-		n := 0
-		for _, x := range d.up {
+		live := 0
+		for _, x := range m.routerUp {
 			if x {
-				n++
+				live++
 			}
 		}
-		d.meters[r] = quota.NewMeter(d.shares, n, now)
+		m.meters[r] = quota.NewMeter(m.quotas, live, now)
 	}
 }
 
-func (d *dealt) cut(zone int, cut bool, now int64) {
-	d.off, d.offAt = -1, now
+func (m *allocatedQuota) setPartition(zone int, cut bool, now int64) {
+	m.isolatedZone, m.partitionChangedAt = -1, now
 	if cut {
-		d.off = zone
+		m.isolatedZone = zone
 	}
 }
 
-// silence is how long a process needs to notice that a line is dead.
-const silence = int64(1800e6)
+// peerTimeout is how long a process needs to notice that a line is dead.
+const peerTimeout = int64(1800e6)
 
-func (d *dealt) tick(now int64) (bytes int) {
-	d.deliver(now)
+func (m *allocatedQuota) step(now int64) (bytes int) {
+	m.runDue(now)
 	if now%quota.AllocationInterval != 0 {
 		return 0
 	}
 	live := 0
-	for _, x := range d.up {
-		if x {
+	for _, allocator := range m.routerUp {
+		if allocator {
 			live++
 		}
 	}
-	for r, m := range d.meters {
-		if !d.up[r] {
+	for r, meter := range m.meters {
+		if !m.routerUp[r] {
 			continue
 		}
 		if now%int64(1e9) == 0 {
-			m.SetQuotas(d.shares, live, now)
+			meter.SetQuotas(m.quotas, live, now)
 		}
-		all := m.Reports(now)
-		if len(all) > 0 {
-			bytes += size(all)
+		reports := meter.Reports(now)
+		if len(reports) > 0 {
+			bytes += encodedSize(reports)
 		}
-		d.post(now+nearby, func() { d.dealers[d.zone(r)].AddReports(now+nearby, fmt.Sprint(r), all, nil) })
+		m.post(now+inZoneDelay, func() { m.allocators[m.zoneOf(r)].AddReports(now+inZoneDelay, fmt.Sprint(r), reports, nil) })
 	}
-	for z, x := range d.dealers {
-		sums, _ := x.Usage()
-		for to, other := range d.dealers {
-			if to == z {
+	for zone, allocator := range m.allocators {
+		usage, _ := allocator.Usage()
+		for to, other := range m.allocators {
+			if to == zone {
 				continue
 			}
-			if d.off == z || d.off == to {
-				if now-d.offAt >= silence {
-					other.ZoneLost(now, fmt.Sprint(z))
+			if m.isolatedZone == zone || m.isolatedZone == to {
+				if now-m.partitionChangedAt >= peerTimeout {
+					other.ZoneLost(now, fmt.Sprint(zone))
 				}
 				continue
 			}
-			if len(sums) > 0 {
-				bytes += size(sums)
+			if len(usage) > 0 {
+				bytes += encodedSize(usage)
 			}
-			d.post(now+crossing, func() { other.MergeZone(now+crossing, fmt.Sprint(z), sums, nil) })
+			m.post(now+interZoneDelay, func() { other.MergeZone(now+interZoneDelay, fmt.Sprint(zone), usage, nil) })
 		}
-		if d.off == z && now-d.offAt >= silence { // it hears too few others, and deals no more
+		if m.isolatedZone == zone && now-m.partitionChangedAt >= peerTimeout { // it hears too few others, and deals no more
 			continue
 		}
-		for router, all := range x.Allocate(now) {
+		for router, reports := range allocator.Allocate(now) {
 			r := 0
 			fmt.Sscan(router, &r)
-			bytes += size(all)
-			d.post(now+nearby, func() { d.meters[r].ApplyAllocations(now+nearby, all) })
+			bytes += encodedSize(reports)
+			m.post(now+inZoneDelay, func() { m.meters[r].ApplyAllocations(now+inZoneDelay, reports) })
 		}
 	}
 	return bytes
 }
 
-// told are the other ways: even parts by count; what all used lately, told to all, which each router foretells and takes a
+// baselineQuota are the other ways: even parts by count; what all used lately, told to all, which each router foretells and takes a
 // part of the requests by; and the same with counts in a sketch.
-type told struct {
-	mail
-	way     string
-	routers int
-	limits  map[string]float64
-	off     int
-	up      []bool
-	buckets []map[string]*evenly
-	since   []counter // by router: what was taken since it told last
-	came    []counter // and what came
-	known   []view    // by router: what all used, as of the last news
+type baselineQuota struct {
+	delayQueue
+	method       string
+	routers      int
+	limits       map[string]float64
+	isolatedZone int
+	routerUp     []bool
+	buckets      []map[string]*tokenBucket
+	unreported   []counter   // by router: what was taken since it told last
+	arrived      []counter   // and what came
+	views        []usageView // by router: what all used, as of the last news
 }
 
-type evenly struct {
-	tokens float64
-	at     int64
+type tokenBucket struct {
+	tokens     float64
+	refilledAt int64
 }
 
 type counter interface {
 	add(name string)
-	get(name string) float64
+	count(name string) float64
 	size() int
 }
 
-type exact map[string]float64
+type exactCounts map[string]float64
 
-func (e exact) add(name string)         { e[name]++ }
-func (e exact) get(name string) float64 { return e[name] }
-func (e exact) size() (n int) {
+func (e exactCounts) add(name string)           { e[name]++ }
+func (e exactCounts) count(name string) float64 { return e[name] }
+func (e exactCounts) size() (n int) {
 	for name := range e {
 		n += len(name) + 12
 	}
 	return n
 }
 
-// sketch counts in four rows of 256 places.
-type sketch [4][256]float64
+// countMinSketch counts in four rows of 256 places.
+type countMinSketch [4][256]float64
 
-func (s *sketch) place(row int, name string) int {
+func (s *countMinSketch) index(row int, name string) int {
 	f := fnv.New32a()
 	f.Write([]byte{byte(row)})
 	f.Write([]byte(name))
@@ -393,127 +393,127 @@
 	return int((x ^ x>>16) % 256)
 }
 
-func (s *sketch) add(name string) {
+func (s *countMinSketch) add(name string) {
 	for row := range s {
-		s[row][s.place(row, name)]++
+		s[row][s.index(row, name)]++
 	}
 }
 
-func (s *sketch) get(name string) float64 {
+func (s *countMinSketch) count(name string) float64 {
 	least := math.Inf(1)
 	for row := range s {
-		least = min(least, s[row][s.place(row, name)])
+		least = min(least, s[row][s.index(row, name)])
 	}
 	return least
 }
 
-func (s *sketch) size() int { return 4 * 256 * 2 }
+func (s *countMinSketch) size() int { return 4 * 256 * 2 }
 
-type view struct {
-	came, before []counter // of all routers, in the last interval and the one before it
-	at           int64
+type usageView struct {
+	arrived, before []counter // of all routers, in the last interval and the one before it
+	at              int64
 }
 
-const toldEvery = int64(500e6)
+const exchangeInterval = int64(500e6)
 
-func newTold(p Tonnage, shares []config.Quota) *told {
-	t := &told{way: p.Way, routers: p.Routers, limits: map[string]float64{}, off: -1}
-	for _, s := range shares {
-		t.limits[s.Caller] = s.Rate
+func newBaselineQuota(exp QuotaExperiment, quotas []config.Quota) *baselineQuota {
+	method := &baselineQuota{method: exp.Method, routers: exp.Routers, limits: map[string]float64{}, isolatedZone: -1}
+	for _, q := range quotas {
+		method.limits[q.Caller] = q.Rate
 	}
-	for range p.Routers {
-		t.up = append(t.up, true)
-		t.buckets = append(t.buckets, map[string]*evenly{})
-		t.since, t.came = append(t.since, t.counter()), append(t.came, t.counter())
-		t.known = append(t.known, view{})
+	for range exp.Routers {
+		method.routerUp = append(method.routerUp, true)
+		method.buckets = append(method.buckets, map[string]*tokenBucket{})
+		method.unreported, method.arrived = append(method.unreported, method.newCounter()), append(method.arrived, method.newCounter())
+		method.views = append(method.views, usageView{})
 	}
-	return t
+	return method
 }
 
-func (t *told) counter() counter {
-	if t.way == "sketch" {
-		return &sketch{}
+func (m *baselineQuota) newCounter() counter {
+	if m.method == "sketch" {
+		return &countMinSketch{}
 	}
-	return exact{}
+	return exactCounts{}
 }
 
-func (t *told) take(now int64, r int, name string) (v quota.Decision) {
-	limit := t.limits[name]
-	rate, burst := limit/float64(t.routers), max(1, limit/float64(t.routers))
-	if t.way != "count" {
-		t.came[r].add(name)
+func (m *baselineQuota) allow(now int64, router int, name string) (decision quota.Decision) {
+	limit := m.limits[name]
+	rate, burst := limit/float64(m.routers), max(1, limit/float64(m.routers))
+	if m.method != "count" {
+		m.arrived[router].add(name)
 		rate, burst = limit, limit
-		sum := func(all []counter) (x float64) {
+		perSecond := func(all []counter) (x float64) {
 			for _, c := range all {
-				x += c.get(name)
+				x += c.count(name)
 			}
-			return x / (float64(toldEvery) / 1e9)
+			return x / (float64(exchangeInterval) / 1e9)
 		}
-		if k := t.known[r]; k.came != nil {
-			is := sum(k.came)
-			is += max(0, is-sum(k.before)) * float64(now-k.at) / float64(toldEvery) // foretold as it went on growing
-			if own := t.came[r].get(name) / max(0.1, float64(now-k.at)/1e9); own > is {
-				is = own
+		if known := m.views[router]; known.arrived != nil {
+			used := perSecond(known.arrived)
+			used += max(0, used-perSecond(known.before)) * float64(now-known.at) / float64(exchangeInterval) // foretold as it went on growing
+			if own := m.arrived[router].count(name) / max(0.1, float64(now-known.at)/1e9); own > used {
+				used = own
 			}
-			draw := fnv.New32a()
-			fmt.Fprint(draw, now, r, t.came[r].get(name))
-			if is > limit && float64(draw.Sum32()%10007)/10007 > limit/is {
-				return v
+			hash := fnv.New32a()
+			fmt.Fprint(hash, now, router, m.arrived[router].count(name))
+			if used > limit && float64(hash.Sum32()%10007)/10007 > limit/used {
+				return decision
 			}
 		}
 	}
-	b := t.buckets[r][name]
-	if b == nil {
-		b = &evenly{tokens: burst, at: now}
-		t.buckets[r][name] = b
+	bucket := m.buckets[router][name]
+	if bucket == nil {
+		bucket = &tokenBucket{tokens: burst, refilledAt: now}
+		m.buckets[router][name] = bucket
 	}
-	b.tokens = min(burst, b.tokens+rate*float64(now-b.at)/1e9)
-	b.at = now
-	if b.tokens >= 1 {
-		b.tokens--
-		v.Admitted = true
+	bucket.tokens = min(burst, bucket.tokens+rate*float64(now-bucket.refilledAt)/1e9)
+	bucket.refilledAt = now
+	if bucket.tokens >= 1 {
+		bucket.tokens--
+		decision.Admitted = true
 	}
-	return v
+	return decision
 }
 
-func (t *told) live(r int, up bool, _ int64) {
-	t.up[r] = up
+func (m *baselineQuota) setRouterUp(router int, up bool, _ int64) {
+	m.routerUp[router] = up
 	if up {
-		t.buckets[r], t.known[r] = map[string]*evenly{}, view{}
+		m.buckets[router], m.views[router] = map[string]*tokenBucket{}, usageView{}
 	}
 }
 
-func (t *told) cut(zone int, cut bool, _ int64) {
-	if t.off = -1; cut {
-		t.off = zone
+func (m *baselineQuota) setPartition(zone int, cut bool, _ int64) {
+	if m.isolatedZone = -1; cut {
+		m.isolatedZone = zone
 	}
 }
 
-func (t *told) tick(now int64) (bytes int) {
-	t.deliver(now)
-	if t.way == "count" || now%toldEvery != 0 {
+func (m *baselineQuota) step(now int64) (bytes int) {
+	m.runDue(now)
+	if m.method == "count" || now%exchangeInterval != 0 {
 		return 0
 	}
 	const zones = 6
 	for side := range 2 { // those that are cut off hear each other only
-		var came []counter
-		for r, c := range t.came {
-			if t.up[r] && (r%zones == t.off) == (side == 1) {
-				came = append(came, c)
-				bytes += c.size()
+		var arrived []counter
+		for router, counts := range m.arrived {
+			if m.routerUp[router] && (router%zones == m.isolatedZone) == (side == 1) {
+				arrived = append(arrived, counts)
+				bytes += counts.size()
 			}
 		}
-		for r := range t.came {
-			if t.up[r] && (r%zones == t.off) == (side == 1) {
-				if len(came) > 0 {
-					bytes += came[0].size()
+		for router := range m.arrived {
+			if m.routerUp[router] && (router%zones == m.isolatedZone) == (side == 1) {
+				if len(arrived) > 0 {
+					bytes += arrived[0].size()
 				}
-				t.post(now+2*crossing, func() { t.known[r] = view{came, t.known[r].came, now} })
+				m.post(now+2*interZoneDelay, func() { m.views[router] = usageView{arrived, m.views[router].arrived, now} })
 			}
 		}
 	}
-	for r := range t.came {
-		t.came[r] = t.counter()
+	for router := range m.arrived {
+		m.arrived[router] = m.newCounter()
 	}
 	return bytes
 }
--- a/internal/pacing/ahead.go
+++ b/internal/pacing/ahead.go
@@ -1,8 +1,8 @@
 package pacing
 
-// Nth is the n of the every n-th host that a router uses which needs so many of them: of powers of two some hosts stay
+// SubsetStride is the n of the every n-th host that a router uses which needs so many of them: of powers of two some hosts stay
 // when n changes.
-func Nth(hosts int, need float64) int {
+func SubsetStride(hosts int, need float64) int {
 	n := 1
 	for float64(hosts) >= need*2*float64(n) && hosts >= 2*n {
 		n *= 2
@@ -10,35 +10,35 @@
 	return n
 }
 
-// First is the first host that a router of some rank uses, where it uses every n-th.
-func First(n, rank int) int { return n - 1 - rank%n }
+// SubsetOffset is the first host that a router of some rank uses, where it uses every n-th.
+func SubsetOffset(n, rank int) int { return n - 1 - rank%n }
 
-// Order is which of so many hosts a router opens connections to before its first command: its part of them, beginning at
+// PreconnectOrder is which of so many hosts a router opens connections to before its first command: its part of them, beginning at
 // another one than the next router with the same part, as it may not come to all.
-func Order(hosts, rank int) (order []int) {
-	n := Nth(hosts, Fewest)
-	for i := First(n, rank); i < hosts; i += n {
+func PreconnectOrder(hosts, rank int) (order []int) {
+	stride := SubsetStride(hosts, MinHosts)
+	for i := SubsetOffset(stride, rank); i < hosts; i += stride {
 		order = append(order, i)
 	}
 	if len(order) > 0 {
-		shift := rank / n % len(order)
+		shift := rank / stride % len(order)
 		order = append(order[shift:len(order):len(order)], order[:shift]...)
 	}
 	return order
 }
 
-// Fewest is how many hosts a router uses that has little traffic: enough to choose between two that are up.
-const Fewest = 12
+// MinHosts is how many hosts a router uses that has little traffic: enough to choose between two that are up.
+const MinHosts = 12
 
-// uneven is how many times the mean a busy router's traffic may be: where fronts deal out connections some get several.
-const uneven = 4
+// imbalance is how many times the mean a busy router's traffic may be: where fronts deal out connections some get several.
+const imbalance = 4
 
-// Ahead is how many connections a router opens before its first command: as many as it has in use at once if it is a
+// PreconnectCount is how many connections a router opens before its first command: as many as it has in use at once if it is a
 // busy one of a fleet that takes so many commands a second, each of which takes so many seconds. What is opened in vain
 // costs hosts a handshake and a place, by every router that starts in the same moment. 0 says that the rate isn't known.
-func Ahead(perSecond, takes float64, routers int) int {
+func PreconnectCount(perSecond, latency float64, routers int) int {
 	if perSecond <= 0 {
 		return 0
 	}
-	return max(Fewest, int(uneven*perSecond*takes/float64(max(1, routers))+0.5))
+	return max(MinHosts, int(imbalance*perSecond*latency/float64(max(1, routers))+0.5))
 }
--- a/internal/proxy/endpoint/board.go
+++ b/internal/proxy/endpoint/board.go
@@ -260,8 +260,8 @@
 		if _, asked := evacuated[h.Zone]; !asked {
 			evacuated[h.Zone] = t.Evacuated(h.Zone)
 		}
-		x := dispatch.Host{Name: h.ID, Address: h.Address, Size: float64(max(1, h.Slots)), Build: int(r.StableBuild()),
-			Health: decision.Ready, Ring: t.Ring(h.Zone)}
+		x := dispatch.Host{Name: h.ID, Address: h.Address, Capacity: float64(max(1, h.Slots)), Build: int(r.StableBuild()),
+			Health: decision.Ready, Distance: t.Ring(h.Zone)}
 		trial := r.State == rollout.Running && h.Version == r.Target
 		if trial {
 			x.Build = int(r.Number)
--- a/internal/proxy/endpoint/forecast.go
+++ b/internal/proxy/endpoint/forecast.go
@@ -22,8 +22,8 @@
 
 // Wait is after how long one that is sent away now should come back, nanoseconds: at most most, as it would not wait longer.
 func (f *Forecast) Wait(now, most int64) int64 {
-	f.answers.Fade(now, answerMemory)
-	pace := max(minRate, f.answers.N/(float64(answerMemory)/float64(second))) * returningShare
+	f.answers.Decay(now, answerMemory)
+	pace := max(minRate, f.answers.Count/(float64(answerMemory)/float64(second))) * returningShare
 	turn := max(f.nextReturn, now) + int64(float64(second)/pace)
 	if turn-now > maxWait { // no more are promised a turn than will have one
 		turn = now + maxWait
--- a/internal/proxy/fairway.go
+++ b/internal/proxy/fairway.go
@@ -50,7 +50,7 @@
 	clock       dispatch.Clock
 	upstreams   *upstream.Pool
 	gossiper    *gossip.Gossiper
-	connections *connlimit.Room
+	connections *connlimit.Limiter
 	server      atomic.Pointer[http.Server]
 
 	mu           sync.Mutex // over the board and all that follows
@@ -119,8 +119,8 @@
 	f.endpoints = endpoint.NewTable(b.Name, endpoint.Location{Zone: b.Zone, Region: b.Region}, b.ZoneRegions)
 	half := max(64, (b.Descriptors-300)/2)
 	f.connections = connlimit.New(half, half*3/4)
-	f.upstreams = upstream.New(upstream.Options{Protocol: hostProtocol{maxBufferedAnswer}, ConnectIn: connectTimeout, IdleIn: upstreamIdleTimeout, Most: half,
-		Dial: o.Network.Dial, Panicked: func(v any, stack []byte) {
+	f.upstreams = upstream.New(upstream.Options{Protocol: hostProtocol{maxBufferedAnswer}, ConnectTimeout: connectTimeout, IdleTimeout: upstreamIdleTimeout, MaxConns: half,
+		Dial: o.Network.Dial, OnPanic: func(v any, stack []byte) {
 			f.counters.panics.Add(1)
 			klog.ErrorS(fmt.Errorf("%v", v), "hand-off", "stack", string(stack))
 		}})
@@ -184,7 +184,7 @@
 		v.listVersion++
 		v.rank, v.count, v.proxies, v.counted = p.endpoints.ProxyRank()
 		for _, s := range p.services {
-			s.dispatcher.Post(dispatch.Number{Rank: v.rank, Routers: v.count})
+			s.dispatcher.Post(dispatch.RankChanged{Rank: v.rank, Routers: v.count})
 		}
 	}
 	if c.Routing || c.Proxies {
@@ -205,7 +205,7 @@
 			s.rollout = r
 			s.notifyRollout(r.DecisionInput(p.clock(), trialShare(p.Settings.Terms)))
 		}
-		s.dispatcher.Post(dispatch.List{Form: decision.Changes, Hosts: all})
+		s.dispatcher.Post(dispatch.HostsChanged{Kind: decision.Delta, Hosts: all})
 		p.endpoints.ForgetGone(name)
 	}
 }
@@ -218,7 +218,7 @@
 func (p *Proxy) receiveGossip(topic string, raw []byte) {
 	v := p.snapshot.Load()
 	if s := v.services[topic]; s != nil && v.count > 1 {
-		s.dispatcher.Post(dispatch.Heard{Peer: (v.rank + 1) % v.count, Message: raw})
+		s.dispatcher.Post(dispatch.GossipReceived{Peer: (v.rank + 1) % v.count, Message: raw})
 	}
 }
 
@@ -226,9 +226,9 @@
 type service struct {
 	proxy       *Proxy
 	name        string
-	dispatcher  *dispatch.Router
+	dispatcher  *dispatch.Dispatcher
 	rollout     pilotageRollout
-	rolloutNews atomic.Pointer[decision.News]
+	rolloutNews atomic.Pointer[decision.Rollout]
 	trialTicks  int // ticks of a trial; the reducer's
 
 	mu        sync.Mutex
@@ -269,27 +269,27 @@
 func (p *Proxy) startService(name string) *service {
 	s := &service{proxy: p, name: name, hosts: map[string]*hostState{}, bands: map[bandKey]int{}, outliers: outlier.NewRecorder()}
 	s.dispatcher = dispatch.New(p.clock, zerolog.New(decisionLog{name}))
-	v := decision.News{Standing: decision.Released, Cap: 1, Age: 3600e9}
+	v := decision.Rollout{State: decision.Released, ExposureCap: 1, Age: 3600e9}
 	s.rolloutNews.Store(&v)
-	go s.dispatcher.Run(p.ctx, dispatch.Start{Settings: decisionSettings(p.Settings.Terms), Seed: p.Seed ^ uint64(len(p.services)+1)<<32, News: dispatch.News{News: v}},
-		dispatch.Out{Hosts: s, Platform: s, Peers: s, List: s})
+	go s.dispatcher.Run(p.ctx, dispatch.Config{Settings: decisionSettings(p.Settings.Terms), Seed: p.Seed ^ uint64(len(p.services)+1)<<32, Rollout: dispatch.RolloutChanged{Rollout: v}},
+		dispatch.Outputs{Upstream: s, Platform: s, Peers: s, HostWatcher: s})
 	if old := p.snapshot.Load(); old != nil && old.count > 0 {
-		s.dispatcher.Post(dispatch.Number{Rank: old.rank, Routers: old.count})
+		s.dispatcher.Post(dispatch.RankChanged{Rank: old.rank, Routers: old.count})
 	}
 	return s
 }
 
 // decisionSettings are the rules' for a service. What they say of all routers is divided by their number as that is told.
 func decisionSettings(b settings.Terms) decision.Settings {
-	return decision.Settings{Routers: 1, Tick: int64(5e6), MaxHandOffs: 1, Recalls: true, Patient: true, Mixed: true, Certain: true,
-		MaxAdvice: int64(500e6), Peers: true, Gate: decision.Share, OnVotes: voterCount, BackVotes: voterCount, VoteLife: voteLifetime,
-		VoteWait: int64(500e6), AgainSlack: b.BudgetSlack / 2, FreeOfAll: b.ExposureSlack * 0.7, FirstCap: trialShare(b), Beside: true}
+	return decision.Settings{Routers: 1, TimerResolution: int64(5e6), MaxAttempts: 1, Cancellation: true, NoEarlyRetry: true, MixedTargets: true, RequireCertainty: true,
+		MaxRetryAfter: int64(500e6), Gossip: true, Gate: decision.MajorityVote, AdvanceVotes: voterCount, RollBackVotes: voterCount, VoteLifetime: voteLifetime,
+		VoteTimeout: int64(500e6), FleetRetryBurst: b.BudgetSlack / 2, FleetTrialBurst: b.ExposureSlack * 0.7, FirstStageCap: trialShare(b), SideBySide: true}
 }
 
 // notifyRollout tells the rules how the rollout stands.
-func (s *service) notifyRollout(n decision.News) {
+func (s *service) notifyRollout(n decision.Rollout) {
 	s.rolloutNews.Store(&n)
-	s.dispatcher.Post(dispatch.News{News: n})
+	s.dispatcher.Post(dispatch.RolloutChanged{Rollout: n})
 }
 
 // updateHosts takes up what is known of the hosts now.
@@ -326,11 +326,11 @@
 			return maxBands - 1
 		}
 		s.bands[k] = n
-		b := decision.Band{Contract: r.LatencyTarget, CutOff: r.Timeout, Repeat: decision.SingleUse, Importance: math.Pow(2, -float64(r.Priority)), LateOf: 0.3}
+		b := decision.RequestClass{LatencyTarget: r.LatencyTarget, Timeout: r.Timeout, Idempotency: decision.NonIdempotent, Value: math.Pow(2, -float64(r.Priority)), LateValue: 0.3}
 		if r.Idempotent {
-			b.Repeat = decision.Replayable
+			b.Idempotency = decision.Idempotent
 		}
-		s.dispatcher.Post(dispatch.Band{Band: b})
+		s.dispatcher.Post(dispatch.ClassAdded{RequestClass: b})
 	}
 	return n
 }
@@ -393,12 +393,12 @@
 	return time.Duration(s.forecast.Wait(now, max(0, cutOff-now)/3))
 }
 
-// HandOff sends a request to a host; the rules chose it a moment ago.
-func (s *service) HandOff(to dispatch.Host, r *dispatch.Request, left time.Duration, done func(dispatch.Outcome)) dispatch.HandOff {
-	c := r.Cargo.(*clientRequest)
+// Forward sends a request to a host; the rules chose it a moment ago.
+func (s *service) Forward(to dispatch.Host, r *dispatch.Request, left time.Duration, done func(dispatch.Outcome)) dispatch.Attempt {
+	c := r.Payload.(*clientRequest)
 	if !c.beginAttempt() { // it may have run, or one is out: the rules don't ask for that
 		s.proxy.counters.withheld.Add(1)
-		go done(dispatch.Outcome{Ending: decision.Unsent})
+		go done(dispatch.Outcome{Result: decision.Unsent})
 		return unsentAttempt{}
 	}
 	s.mu.Lock()
@@ -414,16 +414,16 @@
 		}
 	}
 	s.mu.Unlock()
-	s.proxy.counters.byRing[to.Ring].Add(1)
-	if s.proxy.forwarded.all.Add(1); to.Ring > 0 && !c.hasHomes {
+	s.proxy.counters.byRing[to.Distance].Add(1)
+	if s.proxy.forwarded.all.Add(1); to.Distance > 0 && !c.hasHomes {
 		s.proxy.forwarded.otherZone.Add(1)
 	}
 	if c.attemptCount++; c.attemptCount > 1 {
 		s.proxy.counters.retried.Add(1)
 	}
-	return s.proxy.upstreams.HandOff(to, r, left, func(o dispatch.Outcome) {
+	return s.proxy.upstreams.Forward(to, r, left, func(o dispatch.Outcome) {
 		var odd attempt.Event
-		if o.Ending, odd = c.endAttempt(o.Ending); odd != 0 {
+		if o.Result, odd = c.endAttempt(o.Result); odd != 0 {
 			s.proxy.counters.invalidAnswers[odd].Add(1)
 		}
 		s.mu.Lock()
@@ -432,15 +432,15 @@
 		}
 		s.inFlight--
 		now := s.proxy.clock()
-		s.outliers.RequestEnded(now, to.Name, began, outlierOutcomes[o.Ending])
-		if o.Ending == decision.Fulfilled || o.Ending == decision.Failed {
+		s.outliers.RequestEnded(now, to.Name, began, outlierOutcomes[o.Result])
+		if o.Result == decision.Succeeded || o.Result == decision.Failed {
 			s.forecast.Answered(now)
 			if s.meter != nil {
 				s.load.Add(now, loadMemory, float64(now-began)/float64(second))
 			}
 		}
 		s.mu.Unlock()
-		s.proxy.counters.endings[o.Ending].Add(1)
+		s.proxy.counters.endings[o.Result].Add(1)
 		if a, ok := o.Reply.(*reply); ok && a.misdirected && b != nil {
 			s.proxy.markReplaced(to.Name)
 		}
@@ -451,13 +451,13 @@
 // unsentAttempt is a hand-off that was not begun.
 type unsentAttempt struct{}
 
-func (unsentAttempt) Recall() {}
-func (unsentAttempt) Revoke() {}
+func (unsentAttempt) Cancel()       {}
+func (unsentAttempt) CancelUnsent() {}
 
 // outlierOutcomes is what the endings of hand-offs say of their hosts.
-var outlierOutcomes = [...]outlier.Outcome{decision.Fulfilled: outlier.Success, decision.Failed: outlier.Failure, decision.TurnedAway: outlier.Inconclusive,
-	decision.TimedOut: outlier.Failure, decision.NoConnect: outlier.Inconclusive, decision.Reset: outlier.Failure, decision.Recalled: outlier.Inconclusive,
-	decision.Unsent: outlier.Inconclusive, decision.Spoilt: outlier.Failure}
+var outlierOutcomes = [...]outlier.Outcome{decision.Succeeded: outlier.Success, decision.Failed: outlier.Failure, decision.Rejected: outlier.Inconclusive,
+	decision.TimedOut: outlier.Failure, decision.ConnectFailed: outlier.Inconclusive, decision.ConnectionReset: outlier.Failure, decision.Canceled: outlier.Inconclusive,
+	decision.Unsent: outlier.Inconclusive, decision.InvalidAnswer: outlier.Failure}
 
 // reportOutliers tells control of hosts that do badly, and goes on with those that come back.
 func (p *Proxy) reportOutliers() {
@@ -479,8 +479,8 @@
 	}
 }
 
-// Close closes the idle connections to an address.
-func (s *service) Close(address string) { s.proxy.upstreams.Close(address) }
+// CloseIdle closes the idle connections to an address.
+func (s *service) CloseIdle(address string) { s.proxy.upstreams.CloseIdle(address) }
 
 // Forget lets an address go.
 func (s *service) Forget(address string) { s.proxy.upstreams.Forget(address) }
@@ -496,23 +496,23 @@
 	}
 	s.proxy.SendVote(p)
 	n := *s.rolloutNews.Load()
-	n.Reply = true
-	go s.dispatcher.Post(dispatch.News{News: n}) // the rules are in the middle of a step
+	n.VoteReply = true
+	go s.dispatcher.Post(dispatch.RolloutChanged{Rollout: n}) // the rules are in the middle of a step
 }
 
 // trialStatistics is what the rules go by; it is for the midst of an effect.
 func (s *service) trialStatistics() *update.Evidence {
-	j := s.dispatcher.Judged()
-	return &update.Evidence{Outcomes: j.Outcomes, Excess: j.Excess, Error: j.Error, Threshold: j.Threshold, Allowance: j.Left}
+	j := s.dispatcher.TrialStatistics()
+	return &update.Evidence{Outcomes: j.Outcomes, Excess: j.Excess, Error: j.StandardError, Threshold: j.Threshold, Allowance: j.RemainingBurst}
 }
 
 // statisticsEvery is how many ticks of the rules lie between two times that a voter tells control its figures.
 const statisticsEvery = 20
 
-// Tell gossips: while a version is on trial, as there is nothing to be said else. Those who vote tell control what they see.
-func (s *service) Tell(_ int, message []byte) {
+// SendGossip gossips: while a version is on trial, as there is nothing to be said else. Those who vote tell control what they see.
+func (s *service) SendGossip(_ int, message []byte) {
 	n := s.rolloutNews.Load()
-	if n.Standing != decision.OnTrial {
+	if n.State != decision.OnTrial {
 		return
 	}
 	s.proxy.gossiper.Send(s.name, message)
@@ -536,7 +536,7 @@
 func (p *Proxy) randomFloat() float64 {
 	p.randomMu.Lock()
 	defer p.randomMu.Unlock()
-	return p.random.Next()
+	return p.random.Float64()
 }
 
 // RouteVersions are those of the routes that this router goes by, dropped ones too.
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -92,9 +92,9 @@
 	}
 	f.Fuzz(func(t *testing.T, raw []byte, head bool) {
 		const most = 64 // bytes that are read whole
-		p := upstream.New(upstream.Options{Protocol: hostProtocol{most}, ConnectIn: time.Second, IdleIn: time.Second, Most: 2,
+		p := upstream.New(upstream.Options{Protocol: hostProtocol{most}, ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 2,
 			Dial: func(context.Context, string, string) (net.Conn, error) { return newScriptedConn(raw), nil }})
-		defer p.End()
+		defer p.Shutdown()
 		method := "POST"
 		if head {
 			method = "HEAD"
@@ -102,9 +102,9 @@
 		c := &clientRequest{id: "a", header: http.Header{"Attempt-Id": {"a"}}, streams: make(chan *streamedReply, 1)}
 		c.beginAttempt()
 		done := make(chan dispatch.Outcome, 1)
-		p.HandOff(dispatch.Host{Name: "i", Address: "10.0.0.1:1"}, &dispatch.Request{Method: method, Target: "/", Cargo: c}, 5*time.Second,
+		p.Forward(dispatch.Host{Name: "i", Address: "10.0.0.1:1"}, &dispatch.Request{Method: method, Target: "/", Payload: c}, 5*time.Second,
 			func(o dispatch.Outcome) {
-				o.Ending, _ = c.endAttempt(o.Ending)
+				o.Result, _ = c.endAttempt(o.Result)
 				done <- o
 			})
 		var long []byte
@@ -132,8 +132,8 @@
 		if err == nil {
 			body, err = io.ReadAll(resp.Body)
 		}
-		switch o.Ending {
-		case decision.Fulfilled, decision.Failed, decision.TurnedAway:
+		switch o.Result {
+		case decision.Succeeded, decision.Failed, decision.Rejected:
 			a := o.Reply.(*reply)
 			if long == nil {
 				long = a.body
@@ -141,15 +141,15 @@
 			if err != nil || a.status != resp.StatusCode || len(resp.Header["Attempt-Id"]) == 0 || resp.Header.Get("Attempt-Id") != "a" || !bytes.Equal(long, body) {
 				t.Fatalf("%d %q passed, read as %v %q, %v", a.status, long, resp, body, err)
 			}
-			if a.status < 300 && a.header.Get("Server-Seal") == "" || o.Ending == decision.Fulfilled && attempt.PromisesNotRun(a.status) {
+			if a.status < 300 && a.header.Get("Server-Seal") == "" || o.Result == decision.Succeeded && attempt.PromisesNotRun(a.status) {
 				t.Fatalf("%+v", a)
 			}
-			if unrun := resp.Header.Get("Request-Not-Run") != "" || a.status == 421; unrun != (known == attempt.NotRun) || unrun != (o.Ending == decision.TurnedAway) {
+			if unrun := resp.Header.Get("Request-Not-Run") != "" || a.status == 421; unrun != (known == attempt.NotRun) || unrun != (o.Result == decision.Rejected) {
 				t.Fatalf("%+v: %v", a, known)
 			}
 		default:
 			if known == attempt.NotRun {
-				t.Fatalf("%d: nothing of %q says that it did not run", o.Ending, raw)
+				t.Fatalf("%d: nothing of %q says that it did not run", o.Result, raw)
 			}
 		}
 	})
--- a/internal/proxy/gone_test.go
+++ b/internal/proxy/gone_test.go
@@ -181,17 +181,17 @@
 	for _, slow := range []time.Duration{0, time.Millisecond, 50 * time.Millisecond, 390 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			c := &recordingWriter{scriptedConn: newScriptedConn([]byte("HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nServer-Seal: s\r\nContent-Length: 2\r\n\r\nhi"))}
-			p := upstream.New(upstream.Options{Protocol: hostProtocol{maxBufferedAnswer}, ConnectIn: connectTimeout, IdleIn: time.Second, Most: 2,
+			p := upstream.New(upstream.Options{Protocol: hostProtocol{maxBufferedAnswer}, ConnectTimeout: connectTimeout, IdleTimeout: time.Second, MaxConns: 2,
 				Dial: func(context.Context, string, string) (net.Conn, error) {
 					time.Sleep(slow)
 					return c, nil
 				}})
-			defer p.End()
+			defer p.Shutdown()
 			load := &clientRequest{id: "a", header: http.Header{"Attempt-Id": {"a"}, "Time-Remaining": {"99999"}}, streams: make(chan *streamedReply, 1)}
 			load.beginAttempt()
 			done := make(chan dispatch.Outcome, 1)
 			began := time.Now()
-			p.HandOff(dispatch.Host{Name: "i", Address: "10.0.0.1:1"}, &dispatch.Request{Method: "POST", Target: "/", Body: []byte("b"), Cargo: load}, 700*time.Millisecond,
+			p.Forward(dispatch.Host{Name: "i", Address: "10.0.0.1:1"}, &dispatch.Request{Method: "POST", Target: "/", Body: []byte("b"), Payload: load}, 700*time.Millisecond,
 				func(o dispatch.Outcome) { done <- o })
 			<-done
 			took := time.Since(began)
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -33,9 +33,9 @@
 	near, far := net.Pipe()
 	var force atomic.Pointer[config.Limits]
 	force.Store(&limits)
-	place := connlimit.New(2, 2).Enter(nil)
+	place := connlimit.New(2, 2).Acquire(nil)
 	c := &clientConn{Conn: near, slot: place, limits: func() config.Limits { return *force.Load() }, since: time.Now()}
-	place.Fill(connlimit.Silent, func() { c.Close() })
+	place.Attach(connlimit.StateNew, func() { c.Close() })
 	take := func(w http.ResponseWriter, r *http.Request) {
 		r.Context().Value(clientConnKey{}).(*clientConn).beginRequest()
 		handler(w, r)
@@ -189,7 +189,7 @@
 // A request that has come by the time that its connection's idle deadline is looked at is read, and the connection is not closed.
 func TestArrivalAtTheIdleDeadline(t *testing.T) {
 	near, far := pair(t)
-	c := &clientConn{Conn: near, phase: idling, slot: connlimit.New(1, 1).Try(), limits: func() config.Limits { return config.Limits{HeaderTimeout: 3e9, IdleTimeout: 1} }}
+	c := &clientConn{Conn: near, phase: idling, slot: connlimit.New(1, 1).TryAcquire(), limits: func() config.Limits { return config.Limits{HeaderTimeout: 3e9, IdleTimeout: 1} }}
 	_, err := near.Read(make([]byte, 100)) // the byte that shows it to be up
 	qt.Assert(t, err, qt.IsNil)
 	io.WriteString(far, virtualRequest)
@@ -349,8 +349,8 @@
 			near, far := pair(t)
 			near.Read(b) // the byte that shows it to be up
 			r := connlimit.New(1, 1)
-			c := &clientConn{Conn: near, slot: r.Try(), phase: x.phase, since: time.Now(), limits: func() config.Limits { return config.DefaultLimits }}
-			c.slot.Fill(map[connPhase]connlimit.Use{idling: connlimit.Idle, readingHead: connlimit.Silent}[x.phase], c.evict)
+			c := &clientConn{Conn: near, slot: r.TryAcquire(), phase: x.phase, since: time.Now(), limits: func() config.Limits { return config.DefaultLimits }}
+			c.slot.Attach(map[connPhase]connlimit.State{idling: connlimit.StateIdle, readingHead: connlimit.StateNew}[x.phase], c.evict)
 			io.WriteString(far, x.sent)
 			if x.sent != "" {
 				waitUntil(t, func() bool { return c.peek() == bytesWait })
@@ -464,7 +464,7 @@
 func TestEvictedAsAHeadEnds(t *testing.T) {
 	near, far := pair(t)
 	near.Read(make([]byte, 1)) // the byte that shows it to be up
-	c := &clientConn{Conn: near, slot: connlimit.New(1, 1).Try(), phase: readingHead, since: time.Now(), limits: func() config.Limits { return config.DefaultLimits }}
+	c := &clientConn{Conn: near, slot: connlimit.New(1, 1).TryAcquire(), phase: readingHead, since: time.Now(), limits: func() config.Limits { return config.DefaultLimits }}
 	c.observe([]byte(virtualRequest[:20]), 4096)
 	c.evict()
 	c.observe([]byte(virtualRequest[20:]), 4096) // by a read that had returned before
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -374,7 +374,7 @@
 	go func() { // the rules are in the middle of a step, and the lock may be held by who posts to them
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.control != nil && decision.Verdict(poll.Verdict) <= decision.Back {
+		if p.control != nil && decision.Verdict(poll.Verdict) <= decision.RollBack {
 			p.control.stream.Send(update.Message{Votes: []update.Vote{poll}})
 		}
 	}()
--- a/internal/proxy/sends_test.go
+++ b/internal/proxy/sends_test.go
@@ -153,28 +153,28 @@
 // answer is given.
 func TestEndingsReportedToDecision(t *testing.T) {
 	c := qt.New(t)
-	unrun := map[decision.Ending]bool{decision.TurnedAway: true, decision.NoConnect: true, decision.Unsent: true}
-	for e := decision.Fulfilled; e <= decision.Spoilt; e++ {
+	unrun := map[decision.Result]bool{decision.Rejected: true, decision.ConnectFailed: true, decision.Unsent: true}
+	for e := decision.Succeeded; e <= decision.InvalidAnswer; e++ {
 		for _, sent := range []bool{false, true} {
 			x := &clientRequest{streams: make(chan *streamedReply, 1)}
 			c.Assert(x.beginAttempt(), qt.IsTrue)
 			c.Check(x.beginAttempt(), qt.IsFalse)
 			if sent {
-				c.Assert(x.Write(1), qt.IsTrue)
+				c.Assert(x.BeginWrite(1), qt.IsTrue)
 				x.Wrote(9, nil)
-				c.Check(x.Write(2), qt.IsFalse)
-				c.Check(x.Spent(1) && !x.Spent(2), qt.IsTrue)
+				c.Check(x.BeginWrite(2), qt.IsFalse)
+				c.Check(x.WrittenOn(1) && !x.WrittenOn(2), qt.IsTrue)
 			}
 			told, _ := x.endAttempt(e)
 			known := x.settle()
 			c.Check(unrun[told] || told <= decision.Failed && !sent, qt.Equals, known.Execution() == attempt.NotRun, qt.Commentf("%d, %v: %d", e, sent, told))
-			c.Check(x.Write(3), qt.IsFalse)
+			c.Check(x.BeginWrite(3), qt.IsFalse)
 		}
 	}
 	x := &clientRequest{streams: make(chan *streamedReply, 1)}
 	x.beginAttempt()
 	c.Check(x.settle().MayRefuse(), qt.IsTrue)
-	c.Check(x.Write(1), qt.IsFalse) // a hand-off that was under way
+	c.Check(x.BeginWrite(1), qt.IsFalse) // a hand-off that was under way
 	c.Check(x.offerStream(&streamedReply{}), qt.IsFalse)
 }
 
@@ -183,7 +183,7 @@
 	x := &clientRequest{streams: make(chan *streamedReply, 1)}
 	s := &streamedReply{done: make(chan error, 1)}
 	x.beginAttempt()
-	x.Write(1)
+	x.BeginWrite(1)
 	qt.Assert(t, x.offerStream(s), qt.IsTrue)
 	x.settle()
 	qt.Check(t, <-s.done, qt.Equals, errSettled)
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -40,8 +40,8 @@
 	byRing                                          [3]atomic.Int64 // hand-offs to this zone, its region, beyond
 }
 
-var endingNames = [...]string{decision.Fulfilled: "fulfilled", decision.Failed: "failed", decision.TurnedAway: "turned_away", decision.TimedOut: "timed_out",
-	decision.NoConnect: "no_connect", decision.Reset: "reset", decision.Recalled: "recalled", decision.Unsent: "unsent", decision.Spoilt: "spoilt"}
+var endingNames = [...]string{decision.Succeeded: "fulfilled", decision.Failed: "failed", decision.Rejected: "turned_away", decision.TimedOut: "timed_out",
+	decision.ConnectFailed: "no_connect", decision.ConnectionReset: "reset", decision.Canceled: "recalled", decision.Unsent: "unsent", decision.InvalidAnswer: "spoilt"}
 
 func (c *counters) String() string {
 	var b strings.Builder
@@ -111,20 +111,20 @@
 // limitedListener keeps clients' connections within their room.
 type limitedListener struct {
 	net.Listener
-	limiter *connlimit.Room
+	limiter *connlimit.Limiter
 	cuts    *cutCounts
 	limits  func() config.Limits
 }
 
 func (l *limitedListener) Accept() (net.Conn, error) {
-	place := l.limiter.Enter(nil)
+	place := l.limiter.Acquire(nil)
 	c, err := l.Listener.Accept()
 	if err != nil {
-		place.Leave()
+		place.Release()
 		return nil, err
 	}
 	v := &clientConn{Conn: c, slot: place, cuts: l.cuts, limits: l.limits, phase: readingHead, since: time.Now()}
-	place.Fill(connlimit.Silent, v.evict)
+	place.Attach(connlimit.StateNew, v.evict)
 	return v, nil
 }
 
@@ -140,7 +140,7 @@
 // clientConn is a client's connection. It sees how a request is framed, which net/http doesn't tell.
 type clientConn struct {
 	net.Conn
-	slot              *connlimit.Place
+	slot              *connlimit.Slot
 	cuts              *cutCounts // nil where nobody counts
 	limits            func() config.Limits
 	mu                sync.Mutex
@@ -178,7 +178,7 @@
 	c.framing.Read(read)
 	c.mu.Unlock()
 	if begins {
-		c.slot.Set(connlimit.Begun)
+		c.slot.SetState(connlimit.StateReading)
 	}
 }
 
@@ -266,7 +266,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.phase, c.idleFor, c.evicting, c.answered = handling, c.limits().IdleTimeout, false, false
-	return c.framing.Take()
+	return c.framing.Next()
 }
 
 // Write gives a client that takes nothing as long as one that says nothing, by the limits that stood when its request was taken
@@ -377,7 +377,7 @@
 }
 
 func (c *clientConn) Close() error {
-	defer c.slot.Leave()
+	defer c.slot.Release()
 	c.linger()
 	return c.Conn.Close()
 }
@@ -403,10 +403,10 @@
 	p.unfinished.Add(v.unfinished(s))
 	switch s {
 	case http.StateActive:
-		v.slot.Set(connlimit.Busy)
+		v.slot.SetState(connlimit.StateActive)
 	case http.StateIdle:
 		v.markIdle()
-		v.slot.Set(connlimit.Idle)
+		v.slot.SetState(connlimit.StateIdle)
 	}
 }
 
@@ -440,7 +440,7 @@
 		}
 	}()
 	if known {
-		if x := framed; x.Doubtful() || x.Codings > 0 && !r.ProtoAtLeast(1, 1) { // the library passes over codings there
+		if x := framed; x.Ambiguous() || x.TransferEncodings > 0 && !r.ProtoAtLeast(1, 1) { // the library passes over codings there
 			p.refuse(w, apierror.Malformed, 0)
 			return
 		}
@@ -495,23 +495,23 @@
 			return
 		}
 	}
-	answers := make(dispatch.Chan, 1)
+	answers := make(dispatch.AnswerChan, 1)
 	load.host, load.header, load.hasHomes = r.Host, forwardedHeader(r.Header), len(route.HomeRegions) > 0
-	c := &dispatch.Command{Band: s.bandOf(route), CutOff: began + left, Answer: answers, Most: route.MaxAttempts,
-		May:     func(h dispatch.Host) bool { return s.mayUse(h, route.HomeRegions) },
-		Request: &dispatch.Request{Method: r.Method, Target: r.RequestURI, Body: body, Cargo: load}}
+	c := &dispatch.Call{Class: s.bandOf(route), Deadline: began + left, Responder: answers, MaxAttempts: route.MaxAttempts,
+		Allowed: func(h dispatch.Host) bool { return s.mayUse(h, route.HomeRegions) },
+		Request: &dispatch.Request{Method: r.Method, Target: r.RequestURI, Body: body, Payload: load}}
 	if known && from.clientGone() {
 		p.counters.clientGone.Add(1)
 		p.counters.cuts.add(cutGone)
 		panic(http.ErrAbortHandler)
 	}
-	s.dispatcher.Post(dispatch.Taken{Command: c})
+	s.dispatcher.Post(dispatch.RequestReceived{Call: c})
 	select {
 	case a := <-answers:
 		p.writeAnswer(w, s, a, c, load.settle())
 	case t := <-load.streams:
 		load.settle()
-		s.dispatcher.Post(dispatch.Streams{Command: c})
+		s.dispatcher.Post(dispatch.StreamStarted{Call: c})
 		if t.length < 0 && !r.ProtoAtLeast(1, 1) { // the connection's end would be its only one, also where it is cut
 			t.done <- attempt.ErrNoStatedEnd
 			p.refuse(w, apierror.UpstreamBroken, 0)
@@ -522,7 +522,7 @@
 		load.settle()
 		p.counters.clientGone.Add(1)
 		p.counters.cuts.add(cutGone)
-		s.dispatcher.Post(dispatch.Left{Command: c})
+		s.dispatcher.Post(dispatch.ClientGone{Call: c})
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -670,18 +670,18 @@
 }
 
 // writeAnswer gives a request's final answer; known is what is for ever known of its attempts.
-func (p *Proxy) writeAnswer(w http.ResponseWriter, s *service, a dispatch.Answer, c *dispatch.Command, known attempt.Request) {
+func (p *Proxy) writeAnswer(w http.ResponseWriter, s *service, a dispatch.Answer, c *dispatch.Call, known attempt.Request) {
 	h, _ := a.Reply.(*reply)
 	switch {
-	case a.Kind == dispatch.Fulfilled && h != nil:
+	case a.Kind == dispatch.Succeeded && h != nil:
 		p.writeReply(w, h)
-	case a.Kind == dispatch.Dismissed && known.MayRefuse():
-		p.refuse(w, apierror.Overloaded, s.retryAfter(c.CutOff))
+	case a.Kind == dispatch.Rejected && known.MayRefuse():
+		p.refuse(w, apierror.Overloaded, s.retryAfter(c.Deadline))
 	case h != nil && !h.notRun && !attempt.PromisesNotRun(h.status):
 		p.writeReply(w, h)
-	case p.clock() >= c.CutOff-int64(20e6) && known.Execution() == attempt.NotRun:
+	case p.clock() >= c.Deadline-int64(20e6) && known.Execution() == attempt.NotRun:
 		p.refuse(w, apierror.DeadlineExceeded, 0)
-	case p.clock() >= c.CutOff-int64(20e6):
+	case p.clock() >= c.Deadline-int64(20e6):
 		p.refuse(w, apierror.UpstreamTimeout, 0)
 	default:
 		p.refuse(w, apierror.UpstreamBroken, 0)
@@ -759,7 +759,7 @@
 func (p *Proxy) Ready() bool { return p.ready.Load() && !p.draining.Load() }
 
 // Close lets the connections to hosts go; the context that it was started with has ended.
-func (p *Proxy) Close() { p.upstreams.End() }
+func (p *Proxy) Close() { p.upstreams.Shutdown() }
 
 // acceptAfterTerm is for how long after Leave a router takes requests at the most: what is sent later than 3 s after a SIGTERM has a right to
 // its end, whatever is left of the grace.
--- a/internal/proxy/shares.go
+++ b/internal/proxy/shares.go
@@ -63,7 +63,7 @@
 	var slots [3]float64
 	for _, h := range p.endpoints.Hosts(name) {
 		if h.Health == decision.Ready {
-			slots[h.Ring] += h.Size
+			slots[h.Distance] += h.Capacity
 		}
 	}
 	routers := [3]int{}
@@ -111,9 +111,9 @@
 			now := p.clock()
 			s.evenSlots = slots
 			tons.Reports = append(tons.Reports, s.meter.Reports(now)...)
-			s.load.Fade(now, loadMemory)
-			if memory := float64(loadMemory) / float64(second); loads && s.load.N > 0.1 {
-				tons.Loads = append(tons.Loads, quota.Load{Service: name, Completed: s.load.N / memory, Work: s.load.Of / memory})
+			s.load.Decay(now, loadMemory)
+			if memory := float64(loadMemory) / float64(second); loads && s.load.Count > 0.1 {
+				tons.Loads = append(tons.Loads, quota.Load{Service: name, Completed: s.load.Count / memory, Work: s.load.Total / memory})
 			}
 			if census {
 				tons.Callers[name] = s.meter.DrainCallerCounts()
--- a/internal/proxy/speech.go
+++ b/internal/proxy/speech.go
@@ -68,15 +68,15 @@
 	r.invalidAnswer = e
 }
 
-// Spent tells whether it was written on this connection before.
-func (r *clientRequest) Spent(conn any) bool {
+// WrittenOn tells whether it was written on this connection before.
+func (r *clientRequest) WrittenOn(conn any) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Contains(r.conns, conn)
 }
 
-// Write is asked for leave before a first byte goes to a host. There is none once the final answer is given.
-func (r *clientRequest) Write(conn any) (ok bool) {
+// BeginWrite is asked for leave before a first byte goes to a host. There is none once the final answer is given.
+func (r *clientRequest) BeginWrite(conn any) (ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.attempts, ok = r.attempts.Apply(attempt.WriteStarted); ok {
@@ -136,24 +136,24 @@
 }
 
 // endingEvents are the events that endings of hand-offs tell.
-var endingEvents = [...]attempt.Event{decision.Fulfilled: attempt.Answered, decision.Failed: attempt.Answered, decision.TurnedAway: attempt.TurnedAway,
-	decision.TimedOut: attempt.TimedOut, decision.NoConnect: attempt.ConnectFailed, decision.Reset: attempt.ConnectionReset, decision.Recalled: attempt.Canceled,
-	decision.Unsent: attempt.ConnectFailed, decision.Spoilt: attempt.UnexpectedBytes}
+var endingEvents = [...]attempt.Event{decision.Succeeded: attempt.Answered, decision.Failed: attempt.Answered, decision.Rejected: attempt.TurnedAway,
+	decision.TimedOut: attempt.TimedOut, decision.ConnectFailed: attempt.ConnectFailed, decision.ConnectionReset: attempt.ConnectionReset, decision.Canceled: attempt.Canceled,
+	decision.Unsent: attempt.ConnectFailed, decision.InvalidAnswer: attempt.UnexpectedBytes}
 
 // endAttempt ends the present attempt, and tells the rules no more of it than is known: they send again, and refuse, what surely
 // has not run.
-func (r *clientRequest) endAttempt(e decision.Ending) (told decision.Ending, odd attempt.Event) {
+func (r *clientRequest) endAttempt(e decision.Result) (told decision.Result, odd attempt.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.bodyMemory.release()
 	r.attempts, _ = r.attempts.Apply(endingEvents[e])
 	switch known := r.attempts.Current().Execution; {
-	case known == attempt.NotRun && (e == decision.Reset || e == decision.TimedOut || e == decision.Spoilt):
-		e = decision.NoConnect
-	case known == attempt.NotRun && e == decision.Recalled:
+	case known == attempt.NotRun && (e == decision.ConnectionReset || e == decision.TimedOut || e == decision.InvalidAnswer):
+		e = decision.ConnectFailed
+	case known == attempt.NotRun && e == decision.Canceled:
 		e = decision.Unsent
-	case known != attempt.NotRun && (e == decision.NoConnect || e == decision.Unsent || e == decision.TurnedAway):
-		e = decision.Reset
+	case known != attempt.NotRun && (e == decision.ConnectFailed || e == decision.Unsent || e == decision.Rejected):
+		e = decision.ConnectionReset
 	}
 	return e, r.invalidAnswer
 }
@@ -204,9 +204,9 @@
 	return out
 }
 
-// Request is the client's request as a host gets it. A body that http.Transport can't have anew is never sent again by it.
-func (hostProtocol) Request(to dispatch.Host, r *dispatch.Request, left time.Duration) *http.Request {
-	c := r.Cargo.(*clientRequest)
+// NewRequest is the client's request as a host gets it. A body that http.Transport can't have anew is never sent again by it.
+func (hostProtocol) NewRequest(to dispatch.Host, r *dispatch.Request, left time.Duration) *http.Request {
+	c := r.Payload.(*clientRequest)
 	h := c.header.Clone()
 	h["Expected-Instance"] = []string{to.Name}
 	h["Time-Remaining"] = []string{milliseconds(left)}
@@ -229,8 +229,8 @@
 	return req
 }
 
-// Renew states what is left once there is a connection, where that took a while.
-func (hostProtocol) Renew(r *http.Request, left time.Duration) {
+// RenewDeadline states what is left once there is a connection, where that took a while.
+func (hostProtocol) RenewDeadline(r *http.Request, left time.Duration) {
 	if said := r.Header["Time-Remaining"]; said[0] != "" {
 		if ms, err := strconv.ParseInt(said[0], 10, 64); err == nil && ms > left.Milliseconds()+staleMilliseconds {
 			said[0] = milliseconds(left)
@@ -260,9 +260,9 @@
 	errSettled          = errors.New("the final answer is given")
 )
 
-// Answer reads a host's answer whole, and checks that it is one, and the one to this request.
-func (s hostProtocol) Answer(r *dispatch.Request, resp *http.Response) (dispatch.Outcome, error) {
-	c := r.Cargo.(*clientRequest)
+// ReadAnswer reads a host's answer whole, and checks that it is one, and the one to this request.
+func (s hostProtocol) ReadAnswer(r *dispatch.Request, resp *http.Response) (dispatch.Outcome, error) {
+	c := r.Payload.(*clientRequest)
 	if !c.hasWritten() {
 		c.rejectAnswer(attempt.WrongID)
 		return dispatch.Outcome{}, attempt.ErrWrongRequest
@@ -285,15 +285,15 @@
 	if !bodiless || a.status == http.StatusNoContent {
 		delete(a.header, "Content-Length")
 	}
-	o := dispatch.Outcome{Ending: decision.Failed, Reply: a}
+	o := dispatch.Outcome{Result: decision.Failed, Reply: a}
 	switch {
 	case a.notRun:
-		o.Ending = decision.TurnedAway
+		o.Result = decision.Rejected
 	case a.status < 500 && !attempt.PromisesNotRun(a.status):
-		o.Ending = decision.Fulfilled
+		o.Result = decision.Succeeded
 	}
 	if int64(len(body)) > s.maxBuffered {
-		if o.Ending != decision.Fulfilled {
+		if o.Result != decision.Succeeded {
 			c.rejectAnswer(attempt.UnexpectedBytes)
 			return dispatch.Outcome{}, errUnboundedFailure
 		}
--- a/internal/proxy/stowage_test.go
+++ b/internal/proxy/stowage_test.go
@@ -22,7 +22,7 @@
 	"portflow/internal/upstream"
 )
 
-var _ upstream.Track = (*clientRequest)(nil)
+var _ upstream.WriteTracker = (*clientRequest)(nil)
 
 // What bodies take up is never over what there is for them, and long ones leave a part to short ones.
 func TestReserveBody(t *testing.T) {
@@ -66,10 +66,10 @@
 		for range 2 {
 			qt.Assert(t, x.beginAttempt(), qt.IsTrue)
 			qt.Assert(t, x.beginAttempt(), qt.IsFalse) // takes up nothing
-			x.endAttempt(decision.Reset)
+			x.endAttempt(decision.ConnectionReset)
 		}
 		qt.Assert(t, x.beginAttempt(), qt.IsTrue)
-		leave := []func(){x.release, func() { x.endAttempt(decision.Recalled) }}
+		leave := []func(){x.release, func() { x.endAttempt(decision.Canceled) }}
 		if !handlerFirst {
 			leave[0], leave[1] = leave[1], leave[0]
 		}
--- a/internal/proxy/verdict_test.go
+++ b/internal/proxy/verdict_test.go
@@ -60,7 +60,7 @@
 type trialRouter struct {
 	*trial
 	rank  int
-	rules *decision.Router
+	rules *decision.Engine
 	asked map[uint32]*trialRequest
 }
 
@@ -71,7 +71,7 @@
 
 func (t *trial) after(d int64, do func()) { heap.Push(&t.queue, event{t.now + d, do}) }
 
-func (r *trialRouter) HandOff(command, host uint32, until int64) {
+func (r *trialRouter) StartAttempt(command, host uint32, until int64) {
 	q := r.asked[command]
 	number := q.number
 	q.number++
@@ -114,13 +114,13 @@
 				h.slots--
 				next()
 			}
-			e := decision.Fulfilled
+			e := decision.Succeeded
 			if fails {
 				e = decision.Failed
 			}
-			over := q.over || e == decision.Fulfilled
+			over := q.over || e == decision.Succeeded
 			q.over = over
-			r.rules.Ended(r.now, command, number, e, over, r.now-at, nil)
+			r.rules.AttemptEnded(r.now, command, number, e, over, r.now-at, nil)
 			if q.over {
 				delete(r.asked, command)
 			}
@@ -134,14 +134,14 @@
 	}
 }
 
-func (r *trialRouter) Dismiss(command uint32, _ int64) { r.asked[command].over = true }
-func (r *trialRouter) Scrap(command uint32)            { r.asked[command].over = true }
-func (r *trialRouter) Recall(uint32, int)              {}
-func (r *trialRouter) Close(uint32)                    {}
-func (r *trialRouter) Watch(bool)                      {}
-func (r *trialRouter) Note(string)                     {}
-func (r *trialRouter) Wake(after int64, mark uint64) {
-	r.after(after, func() { r.rules.Woken(r.now, mark) })
+func (r *trialRouter) Reject(command uint32, _ int64) { r.asked[command].over = true }
+func (r *trialRouter) Fail(command uint32)            { r.asked[command].over = true }
+func (r *trialRouter) CancelAttempt(uint32, int)      {}
+func (r *trialRouter) CloseIdle(uint32)               {}
+func (r *trialRouter) WatchHosts(bool)                {}
+func (r *trialRouter) Log(string)                     {}
+func (r *trialRouter) SetTimer(after int64, mark uint64) {
+	r.after(after, func() { r.rules.TimerFired(r.now, mark) })
 }
 
 func (r *trialRouter) Vote(v decision.Verdict, build, _ int) {
@@ -149,18 +149,18 @@
 	r.after(40e6, func() {
 		r.votes[name] = update.Vote{Proxy: name, Number: uint64(build), Verdict: uint8(v), ReceivedAt: r.now}
 		n := r.order.DecisionInput(r.now, 0.08)
-		n.Reply = true
-		r.rules.Hear(r.now, n)
+		n.VoteReply = true
+		r.rules.RolloutChanged(r.now, n)
 	})
 }
 
-func (r *trialRouter) Tell(_ int, message []byte) {
+func (r *trialRouter) SendGossip(_ int, message []byte) {
 	if r.order.State != rollout.Running || r.draw.Float64() < 0.02 {
 		return
 	}
 	to := r.routers[(r.rank+1+r.draw.IntN(len(r.routers)-1))%len(r.routers)]
 	raw := append([]byte(nil), message...)
-	r.after(int64(1e6+r.draw.Float64()*35e6), func() { to.rules.Heard(r.now, (to.rank+1)%len(r.routers), raw) })
+	r.after(int64(1e6+r.draw.Float64()*35e6), func() { to.rules.GossipReceived(r.now, (to.rank+1)%len(r.routers), raw) })
 }
 
 // play plays one rollout to its end and tells it.
@@ -168,10 +168,10 @@
 	t := &trial{draw: rand.New(rand.NewPCG(seed, 3)), kind: kind, votes: map[string]update.Vote{}, now: 1e15}
 	var bounds settings.Terms
 	bounds.BudgetSlack, bounds.ExposureSlack, bounds.ExposureShare = 64, 50, 0.1
-	var listed []decision.Listed
+	var listed []decision.Host
 	for i := range 16 {
 		t.hosts = append(t.hosts, &trialHost{id: uint32(i + 1), slots: 3})
-		listed = append(listed, decision.Listed{ID: uint32(i + 1), Size: 3})
+		listed = append(listed, decision.Host{ID: uint32(i + 1), Capacity: 3})
 	}
 	var roster []update.Proxy
 	for i := range routers {
@@ -186,11 +186,11 @@
 	}
 	each(func(r *trialRouter) {
 		r.rules = decision.New(decisionSettings(bounds), seed*100+uint64(r.rank), t.now, r)
-		r.rules.Hear(t.now, t.order.DecisionInput(t.now, 0))
-		r.rules.Append(decision.Band{Contract: 800e6, CutOff: 5e9, Importance: 0.25, LateOf: 0.3})
-		r.rules.Append(decision.Band{Contract: 1e9, CutOff: 6e9, Repeat: decision.SingleUse, Importance: 0.5, LateOf: 0.3})
-		r.rules.Numbered(t.now, r.rank, routers)
-		r.rules.List(t.now, decision.Changes, listed)
+		r.rules.RolloutChanged(t.now, t.order.DecisionInput(t.now, 0))
+		r.rules.AddClass(decision.RequestClass{LatencyTarget: 800e6, Timeout: 5e9, Value: 0.25, LateValue: 0.3})
+		r.rules.AddClass(decision.RequestClass{LatencyTarget: 1e9, Timeout: 6e9, Idempotency: decision.NonIdempotent, Value: 0.5, LateValue: 0.3})
+		r.rules.RankChanged(t.now, r.rank, routers)
+		r.rules.HostsChanged(t.now, decision.Delta, listed)
 	})
 	var arrive func()
 	arrive = func() {
@@ -204,7 +204,7 @@
 		if t.order.State == rollout.Running {
 			t.taken++
 		}
-		r.rules.Take(t.now, decision.Command{ID: t.lastID, Band: q.band, Left: int64(5e9), Most: 2})
+		r.rules.RequestReceived(t.now, decision.Request{ID: t.lastID, Class: q.band, Remaining: int64(5e9), MaxAttempts: 2})
 		t.after(int64(t.draw.ExpFloat64()/perSecond*1e9), arrive)
 	}
 	arrive()
@@ -212,12 +212,12 @@
 		for i := range 16 {
 			id := uint32(17 + i)
 			t.hosts = append(t.hosts, &trialHost{id: id, slots: 3, build: 1})
-			listed = append(listed, decision.Listed{ID: id, Size: 3, Build: 1})
+			listed = append(listed, decision.Host{ID: id, Capacity: 3, Build: 1})
 		}
 		t.order = rollout.Rollout{Service: "desk", Number: 1, From: "v1", Target: "v2", StartedAt: t.now, Duration: 15e9, State: rollout.Running}
 		each(func(r *trialRouter) {
-			r.rules.Hear(t.now, t.order.DecisionInput(t.now, 0.08))
-			r.rules.List(t.now, decision.Changes, listed)
+			r.rules.RolloutChanged(t.now, t.order.DecisionInput(t.now, 0.08))
+			r.rules.HostsChanged(t.now, decision.Delta, listed)
 		})
 	})
 	var judge func()
--- a/internal/random/chance.go
+++ b/internal/random/chance.go
@@ -12,15 +12,15 @@
 	draws uint64
 }
 
-// Next draws from [0, 1).
-func (s *Source) Next() float64 {
+// Float64 draws from [0, 1).
+func (s *Source) Float64() float64 {
 	s.draws++
-	f := fnv.New64a()
-	var both [16]byte
-	binary.BigEndian.PutUint64(both[:8], s.draws)
-	binary.BigEndian.PutUint64(both[8:], s.Seed)
-	f.Write(both[:])
-	x := f.Sum64()
+	hash := fnv.New64a()
+	var input [16]byte
+	binary.BigEndian.PutUint64(input[:8], s.draws)
+	binary.BigEndian.PutUint64(input[8:], s.Seed)
+	hash.Write(input[:])
+	x := hash.Sum64()
 	x ^= x >> 32
 	x *= 0x9e3779b97f4a7c15
 	return float64(x>>11) / (1 << 53)
--- a/internal/resolver/address.go
+++ b/internal/resolver/address.go
@@ -9,44 +9,44 @@
 
 // Address is that of one peer.
 type Address struct {
-	now   atomic.Pointer[string]
-	moved chan struct{} // gets one when it is another
+	current atomic.Pointer[string]
+	changed chan struct{} // gets one when it is another
 }
 
 // New makes the address that is asked first.
 func New(first string) *Address {
-	a := &Address{moved: make(chan struct{}, 1)}
-	a.now.Store(&first)
+	a := &Address{changed: make(chan struct{}, 1)}
+	a.current.Store(&first)
 	return a
 }
 
-// Now is the present address.
-func (a *Address) Now() string { return *a.now.Load() }
+// Current is the present address.
+func (a *Address) Current() string { return *a.current.Load() }
 
-// Move takes up another address.
-func (a *Address) Move(to string) {
-	a.now.Store(&to)
+// Set takes up another address.
+func (a *Address) Set(to string) {
+	a.current.Store(&to)
 	select {
-	case a.moved <- struct{}{}:
+	case a.changed <- struct{}{}:
 	default:
 	}
 }
 
 // Run runs stay at one address after another until the context ends; a move ends the context of the present one, and
 // the next begins when it has returned.
-func (a *Address) Run(ctx context.Context, stay func(ctx context.Context, at string)) {
+func (a *Address) Run(ctx context.Context, use func(ctx context.Context, at string)) {
 	for ctx.Err() == nil {
-		here, leave := context.WithCancel(ctx)
+		visit, cancel := context.WithCancel(ctx)
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			stay(here, a.Now())
+			use(visit, a.Current())
 		}()
 		select {
-		case <-a.moved:
+		case <-a.changed:
 		case <-ctx.Done():
 		}
-		leave()
+		cancel()
 		<-ended
 	}
 }
--- a/internal/retryguard/prints.go
+++ b/internal/retryguard/prints.go
@@ -2,16 +2,16 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Print is the fingerprint by which a further try is known: a referenced command's mark says which command it is; of
+// FingerprintOf is the fingerprint by which a further try is known: a referenced command's mark says which command it is; of
 // others, the band, carrier and key do, as each try has a new id. 0 is none.
-func Print(band, carrier int, key uint64, mark string) uint64 {
+func FingerprintOf(class, customer int, key uint64, idempotencyKey string) uint64 {
 	x := key
-	if mark != "" {
-		x = xxhash.Sum64String(mark)
+	if idempotencyKey != "" {
+		x = xxhash.Sum64String(idempotencyKey)
 	} else if key == 0 {
 		return 0
 	}
-	return max(1, mix(x^mix(uint64(band)<<32|uint64(uint32(carrier)))))
+	return max(1, mix(x^mix(uint64(class)<<32|uint64(uint32(customer)))))
 }
 
 // mix spreads a number's bits (the finisher of splitmix64).
@@ -22,97 +22,97 @@
 }
 
 const (
-	ways = 4       // entries a bucket; with two buckets a print they fill to nine tenths before one is lost
-	unit = 1 << 22 // nanoseconds, some 4 ms, of the times in an entry; they come round after 275 s
-	span = 1 << 16 // units until then
+	bucketEntries = 4       // entries a bucket; with two buckets a print they fill to nine tenths before one is lost
+	timeUnit      = 1 << 22 // nanoseconds, some 4 ms, of the times in an entry; they come round after 275 s
+	timeUnits     = 1 << 16 // units until then
 )
 
 // entry is a tag of 32 bits, when its command went unserved, and how many units later its appointment is.
 type entry uint64
 
 func pack(tag uint64, made, after uint64) entry {
-	return entry(tag<<32 | made%span<<16 | min(after, span-1))
+	return entry(tag<<32 | made%timeUnits<<16 | min(after, timeUnits-1))
 }
 
-func (e entry) tag() uint64   { return uint64(e) >> 32 }
-func (e entry) made() uint64  { return uint64(e) >> 16 % span }
-func (e entry) after() uint64 { return uint64(e) % span }
+func (e entry) tag() uint64        { return uint64(e) >> 32 }
+func (e entry) rejectedAt() uint64 { return uint64(e) >> 16 % timeUnits }
+func (e entry) delay() uint64      { return uint64(e) % timeUnits }
 
-// Prints remembers commands that lately went unserved, each for a while, in 8 bytes; a set-associative table with two
+// Fingerprints remembers commands that lately went unserved, each for a while, in 8 bytes; a set-associative table with two
 // buckets a print, whose entries age. It takes the bytes it is given and no more: where both buckets are full, the
 // oldest is lost, and the try that follows passes for a first one.
 //
 // A try that never came before is taken for a further one with a chance of 2^-31 for each entry that it meets, eight
 // at most: 4e-9. A plain map takes some 40 bytes an entry and has to be walked to age.
-type Prints struct {
-	entries []entry
-	mask    uint64
-	keep    uint64 // units
-	sweep   int    // the next entry to be looked at for its age
-	Lost    uint64 // entries that gave way before their time
+type Fingerprints struct {
+	entries   []entry
+	mask      uint64
+	lifetime  uint64 // units
+	nextSwept int    // the next entry to be looked at for its age
+	Evicted   uint64 // entries that gave way before their time
 }
 
-// NewPrints makes a table of at most so many bytes that keeps each entry for a time, 200 s at the most.
-func NewPrints(bytes int, keep int64) *Prints {
+// NewFingerprints makes a table of at most so many bytes that keeps each entry for a time, 200 s at the most.
+func NewFingerprints(bytes int, keep int64) *Fingerprints {
 	buckets := 1
-	for buckets*2*ways*8 <= bytes {
+	for buckets*2*bucketEntries*8 <= bytes {
 		buckets *= 2
 	}
-	return &Prints{entries: make([]entry, buckets*ways), mask: uint64(buckets - 1),
-		keep: uint64(min(keep, 200*second) / unit)}
+	return &Fingerprints{entries: make([]entry, buckets*bucketEntries), mask: uint64(buckets - 1),
+		lifetime: uint64(min(keep, 200*second) / timeUnit)}
 }
 
 // buckets are the two that may hold a print; the tag is never 0, which marks an entry that is free.
-func (p *Prints) buckets(print uint64) (tag uint64, at [2][]entry) {
-	tag = print>>32 | 1
-	i, j := print&p.mask, mix(print)&p.mask
-	return tag, [2][]entry{p.entries[i*ways : i*ways+ways], p.entries[j*ways : j*ways+ways]}
+func (p *Fingerprints) buckets(fingerprint uint64) (tag uint64, at [2][]entry) {
+	tag = fingerprint>>32 | 1
+	i, j := fingerprint&p.mask, mix(fingerprint)&p.mask
+	return tag, [2][]entry{p.entries[i*bucketEntries : i*bucketEntries+bucketEntries], p.entries[j*bucketEntries : j*bucketEntries+bucketEntries]}
 }
 
-// old tells an entry's age in units, and whether it counts no more. A clock that was set back makes all old.
-func (p *Prints) old(e entry, now uint64) (uint64, bool) {
-	age := (now - e.made()) % span
-	return age, e == 0 || age > p.keep
+// expired tells an entry's age in units, and whether it counts no more. A clock that was set back makes all old.
+func (p *Fingerprints) expired(e entry, now uint64) (uint64, bool) {
+	age := (now - e.rejectedAt()) % timeUnits
+	return age, e == 0 || age > p.lifetime
 }
 
 // Put remembers that a command went unserved, and until when its client is expected; due is 0 where it is not.
-func (p *Prints) Put(print uint64, now, due int64) {
-	if print == 0 {
+func (p *Fingerprints) Put(fingerprint uint64, now, due int64) {
+	if fingerprint == 0 {
 		return
 	}
-	tag, at := p.buckets(print)
-	made := uint64(now / unit)
-	var place *entry
+	tag, at := p.buckets(fingerprint)
+	unitNow := uint64(now / timeUnit)
+	var target *entry
 	var oldest uint64
 	for _, bucket := range at {
 		for i := range bucket {
-			age, free := p.old(bucket[i], made)
+			age, free := p.expired(bucket[i], unitNow)
 			if free {
-				age = span
+				age = timeUnits
 			}
-			if place == nil || age > oldest {
-				place, oldest = &bucket[i], age
+			if target == nil || age > oldest {
+				target, oldest = &bucket[i], age
 			}
 		}
 	}
-	if oldest < span {
-		p.Lost++
+	if oldest < timeUnits {
+		p.Evicted++
 	}
-	*place = pack(tag, made, uint64(max(0, due-now)/unit))
+	*target = pack(tag, unitNow, uint64(max(0, due-now)/timeUnit))
 }
 
 // Take forgets the oldest entry of a print and tells when its command went unserved and is due, 0 for no appointment.
-func (p *Prints) Take(print uint64, now int64) (made, due int64, ok bool) {
-	if print == 0 {
+func (p *Fingerprints) Take(fingerprint uint64, now int64) (rejectedAt, due int64, ok bool) {
+	if fingerprint == 0 {
 		return 0, 0, false
 	}
-	tag, at := p.buckets(print)
-	units := uint64(now / unit)
+	tag, at := p.buckets(fingerprint)
+	units := uint64(now / timeUnit)
 	var found *entry
 	var oldest uint64
 	for _, bucket := range at {
 		for i := range bucket {
-			if age, free := p.old(bucket[i], units); !free && bucket[i].tag() == tag && (found == nil || age > oldest) {
+			if age, free := p.expired(bucket[i], units); !free && bucket[i].tag() == tag && (found == nil || age > oldest) {
 				found, oldest = &bucket[i], age
 			}
 		}
@@ -120,24 +120,24 @@
 	if found == nil {
 		return 0, 0, false
 	}
-	made = now - int64(oldest)*unit
-	if after := found.after(); after > 0 {
-		due = made + int64(after)*unit
+	rejectedAt = now - int64(oldest)*timeUnit
+	if after := found.delay(); after > 0 {
+		due = rejectedAt + int64(after)*timeUnit
 	}
 	*found = 0
-	return made, due, true
+	return rejectedAt, due, true
 }
 
-// Age clears some entries whose time is over, so that none lives until the times come round.
-func (p *Prints) Age(now int64) {
-	units := uint64(now / unit)
+// Sweep clears some entries whose time is over, so that none lives until the times come round.
+func (p *Fingerprints) Sweep(now int64) {
+	units := uint64(now / timeUnit)
 	for range min(len(p.entries), max(64, len(p.entries)/256)) { // all within 26 s of ticks
-		if _, old := p.old(p.entries[p.sweep], units); old {
-			p.entries[p.sweep] = 0
+		if _, old := p.expired(p.entries[p.nextSwept], units); old {
+			p.entries[p.nextSwept] = 0
 		}
-		p.sweep = (p.sweep + 1) % len(p.entries)
+		p.nextSwept = (p.nextSwept + 1) % len(p.entries)
 	}
 }
 
 // Bytes is what the table takes.
-func (p *Prints) Bytes() int { return 8 * len(p.entries) }
+func (p *Fingerprints) Bytes() int { return 8 * len(p.entries) }
--- a/internal/retryguard/settings.go
+++ b/internal/retryguard/settings.go
@@ -14,51 +14,51 @@
 
 // Tuning is what an operator may set; the schema of the operator's file has the bounds and says what each is for.
 type Tuning struct {
-	On         bool    `json:"on"`
-	Ceiling    float64 `json:"ceiling"`
-	FirstShare float64 `json:"first_share"`
-	Budget     float64 `json:"budget"`
-	Threshold  float64 `json:"threshold"`
-	Memory     int     `json:"memory"`  // bytes
-	Horizon    int64   `json:"horizon"` // nanoseconds
+	On          bool    `json:"on"`
+	Ceiling     float64 `json:"ceiling"`
+	FirstShare  float64 `json:"first_share"`
+	Budget      float64 `json:"budget"`
+	Threshold   float64 `json:"threshold"`
+	MemoryBytes int     `json:"memory"`  // bytes
+	Horizon     int64   `json:"horizon"` // nanoseconds
 }
 
 // Defaults are the settings of a part that is switched on without any.
 func Defaults() Tuning {
-	return Tuning{On: true, Ceiling: 1.1, FirstShare: 0.5, Budget: 0.2, Threshold: 0.25, Memory: 256 << 10, Horizon: 5 * second}
+	return Tuning{On: true, Ceiling: 1.1, FirstShare: 0.5, Budget: 0.2, Threshold: 0.25, MemoryBytes: 256 << 10, Horizon: 5 * second}
 }
 
-// Band is what a guard reads of a band of commands.
-type Band struct {
-	Contract, CutOff int64   // from the client's first byte, nanoseconds
-	Importance       float64 // what one fulfilled in time is worth
+// Class is what a guard reads of a band of commands.
+type Class struct {
+	LatencyTarget, Timeout int64   // from the client's first byte, nanoseconds
+	Value                  float64 // what one fulfilled in time is worth
 }
 
 // Settings are what the deployment says; they come with a router's own settings.
 type Settings struct {
 	Tuning
-	Bands     []Band
-	Carriers  int
-	Routers   int     // of the deployment, this one included
-	ColdFrom  float64 // part of its capacity that a host which has just started has
-	ColdFor   int64   // until it is warm, nanoseconds
-	MaxAdvice int64   // the longest wait that a client may be told, 0 for none
+	Classes       []Class
+	Customers     int
+	Routers       int     // of the deployment, this one included
+	ColdCapacity  float64 // part of its capacity that a host which has just started has
+	WarmUpTime    int64   // until it is warm, nanoseconds
+	MaxRetryAfter int64   // the longest wait that a client may be told, 0 for none
 }
 
 func (s Settings) check() error {
-	t := s.Tuning
-	for _, x := range []struct {
+	tuning := s.Tuning
+	for _, bound := range []struct {
 		name      string
 		is        float64
 		low, high float64
 	}{
-		{"ceiling", t.Ceiling, 0.2, 2}, {"first_share", t.FirstShare, 0, 0.9}, {"budget", t.Budget, 0, 2},
-		{"threshold", t.Threshold, 0.05, 0.9}, {"memory", float64(t.Memory), 4 << 10, 64 << 20},
-		{"horizon", float64(t.Horizon), float64(second / 2), float64(60 * second)},
-		{"bands", float64(len(s.Bands)), 1, math.MaxInt32}, {"routers", float64(s.Routers), 1, math.MaxInt32},
+		{"ceiling", tuning.Ceiling, 0.2, 2}, {"first_share", tuning.FirstShare, 0, 0.9}, {"budget", tuning.Budget, 0, 2},
+		{"threshold", tuning.Threshold, 0.05, 0.9}, {"memory", float64(tuning.MemoryBytes), 4 << 10, 64 << 20},
+		{"horizon", float64(tuning.Horizon), float64(second / 2), float64(60 * second)},
+		{"bands", float64(len(s.Classes)), 1, math.MaxInt32}, {"routers", float64(s.Routers), 1, math.MaxInt32},
 	} {
-		if !(x.is >= x.low && x.is <= x.high) {
-			return fmt.Errorf("storm.%s: %v is not within %v and %v", x.name, x.is, x.low, x.high)
+		if !(bound.is >= bound.low && bound.is <= bound.high) {
+			return fmt.Errorf("storm.%s: %v is not within %v and %v", bound.name, bound.is, bound.low, bound.high)
 		}
 	}
 	return nil
--- a/internal/retryguard/trace_test.go
+++ b/internal/retryguard/trace_test.go
@@ -12,9 +12,9 @@
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 25, []string{"9aa8eda84d93ddbe", "4034c0d95d55fb5c", "926a76439b5d793c", "aa6892acdf423db1"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 7))
-		w := begin(t, set(), seed)
+		w := newWorld(t, testSettings(), seed)
 		type open struct {
-			try    *Try
+			try    *Request
 			number int
 		}
 		var all []open
@@ -24,44 +24,44 @@
 			switch at := draw.IntN(20); {
 			case at < 10 || len(all) == 0:
 				band, key := draw.IntN(2), uint64(draw.IntN(60))
-				x := &Try{Band: band, Carrier: draw.IntN(3), Print: Print(band, int(key%3), key, ""), Marked: draw.IntN(20) == 0, Left: draw.Int64N(5 * second)}
-				in, wait := w.Take(w.now, x)
+				x := &Request{Class: band, Customer: draw.IntN(3), Fingerprint: FingerprintOf(band, int(key%3), key, ""), Retry: draw.IntN(20) == 0, Remaining: draw.Int64N(5 * second)}
+				in, wait := w.Admit(w.now, x)
 				if d.Add(in, wait); in {
-					w.HandedOff(w.now, x, 0)
+					w.AttemptStarted(w.now, x, 0)
 					all = append(all, open{x, 1})
 				}
 			case at < 17:
 				which := draw.IntN(len(all))
 				x := all[which]
-				sign := Sign(draw.IntN(5))
+				sign := Signal(draw.IntN(5))
 				if served {
 					sign = Answered
 				}
-				w.Guard.Ended(w.now, x.try, uint32(1+draw.IntN(10)), sign, sign == Answered, draw.Int64N(second))
+				w.Guard.AttemptEnded(w.now, x.try, uint32(1+draw.IntN(10)), sign, sign == Answered, draw.Int64N(second))
 				if sign != Answered && x.number < 3 && draw.IntN(2) == 0 {
-					w.HandedOff(w.now, x.try, x.number)
+					w.AttemptStarted(w.now, x.try, x.number)
 					all[which].number++
 					break
 				}
 				if sign != Answered {
-					d.Add(w.Dismissed(w.now, x.try, draw.Int64N(second)))
+					d.Add(w.Rejected(w.now, x.try, draw.Int64N(second)))
 				}
 				all[which] = all[len(all)-1]
 				all = all[:len(all)-1]
 			case at < 18:
-				w.Unserved(w.now, all[len(all)-1].try)
+				w.Abandoned(w.now, all[len(all)-1].try)
 				all = all[:len(all)-1]
 			case at < 19 && draw.IntN(5) == 0:
-				hosts := hosts(10, w.now-draw.Int64N(6*second))
+				hosts := listHosts(10, w.now-draw.Int64N(6*second))
 				for i := range hosts {
 					hosts[i].Ready = draw.IntN(3) > 0
 				}
-				w.List(w.now, draw.IntN(2) == 0, hosts[draw.IntN(5):])
+				w.HostsChanged(w.now, draw.IntN(2) == 0, hosts[draw.IntN(5):])
 			case n%100 == 0:
 				served = !served
 			}
 			if n%50 == 0 {
-				d.Add(w.Stats, w.Storm(0), w.Storm(1), w.Storm(2), w.Bytes(), w.fleet.At(w.now), w.fleet.Up(), w.fleet.Whole())
+				d.Add(w.Stats, w.StormActive(0), w.StormActive(1), w.StormActive(2), w.Bytes(), w.capacity.At(w.now), w.capacity.Warm(), w.capacity.Total())
 			}
 		}
 		d.Add(w.Stats)
--- a/internal/router/config/config.go
+++ b/internal/router/config/config.go
@@ -28,8 +28,8 @@
 	PeerListen netip.AddrPort
 	Peers      []netip.AddrPort // by rank
 	Platform   string
-	Known      discovery.Message
-	News       dispatch.News
+	KnownHosts discovery.Update
+	Rollout    dispatch.RolloutChanged
 	Settings   settings.Settings
 }
 
@@ -54,7 +54,7 @@
 	return fields
 }
 
-type file struct {
+type configJSON struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -104,7 +104,7 @@
 
 // Read reads a configuration's text.
 func Read(raw []byte, env func(string) string) (Config, error) {
-	var f file
+	var f configJSON
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return Config{}, err
 	}
@@ -136,10 +136,10 @@
 	if c.Settings, err = settings.Read(f.Settings); err != nil {
 		return c, err
 	}
-	if s := c.Settings; s.ConnectIn < 1 || s.IdleIn < 1 {
-		return c, fmt.Errorf("settings: limits: connectTimeoutNs %d, connIdleNs %d", s.ConnectIn, s.IdleIn)
+	if s := c.Settings; s.ConnectTimeout < 1 || s.IdleTimeout < 1 {
+		return c, fmt.Errorf("settings: limits: connectTimeoutNs %d, connIdleNs %d", s.ConnectTimeout, s.IdleTimeout)
 	}
-	if c.Settings.Peers {
+	if c.Settings.Gossip {
 		if c.PeerListen, err = netip.ParseAddrPort(f.PeerListen); err != nil {
 			return c, fmt.Errorf("peer_listen: %w", err)
 		}
@@ -154,10 +154,10 @@
 			return c, fmt.Errorf("peers: %d for %d routers", len(c.Peers), c.Settings.Routers)
 		}
 	}
-	if c.Known, err = discovery.Decode(f.Known, c.Settings); err != nil {
+	if c.KnownHosts, err = discovery.Decode(f.Known, c.Settings); err != nil {
 		return c, fmt.Errorf("known: %w", err)
 	}
-	if c.News, err = platform.DecodeNews(f.Rollouts.News); err != nil {
+	if c.Rollout, err = platform.DecodeRollout(f.Rollouts.News); err != nil {
 		return c, fmt.Errorf("rollouts.news: %w", err)
 	}
 	return c, nil
--- a/internal/router/config/config_test.go
+++ b/internal/router/config/config_test.go
@@ -18,7 +18,7 @@
 		return map[string]string{"ROUTER_LISTEN": "127.0.0.5:1"}[name]
 	})
 	if err != nil || c.Listen != "127.0.0.5:1" || c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Memory != 192<<20 ||
-		len(c.Known.Hosts) != 1 || c.News.Build != 42 || c.Settings.Bands[0] != "display" || len(c.Peers) != 1 {
+		len(c.KnownHosts.Hosts) != 1 || c.Rollout.Build != 42 || c.Settings.ClassNames[0] != "display" || len(c.Peers) != 1 {
 		t.Fatal(c, err)
 	}
 }
--- a/internal/router/discovery/list_test.go
+++ b/internal/router/discovery/list_test.go
@@ -20,23 +20,23 @@
 
 const member = `{"id":"s-1","host_port":"10.1.0.18:8081","locality":"b","flavor":"m2","cell":3,"phase":"Ready","size":1.5,"up_since_ms":1000,"image_id":41}`
 
-func whole(revision int, members string) string {
+func snapshotJSON(revision int, members string) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, revision, members)
 }
 
 var zones = settings.Settings{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
 
 func TestDecode(t *testing.T) {
-	m, err := Decode([]byte(whole(41, member)), zones)
+	m, err := Decode([]byte(snapshotJSON(41, member)), zones)
 	want := dispatch.Host{Name: "s-1", Address: "10.1.0.18:8081", Zone: 1, Kind: 1, Cell: 3, Health: decision.Ready, Build: 41,
-		Size: 1.5, Started: 1e9}
-	if err != nil || m.Revision != 41 || m.Form != decision.Whole || m.Hosts[0] != want {
+		Capacity: 1.5, StartedAt: 1e9}
+	if err != nil || m.Revision != 41 || m.Kind != decision.Snapshot || m.Hosts[0] != want {
 		t.Fatal(m, err)
 	}
-	for _, raw := range []string{"", "{", "[]", whole(1, ""), whole(1, member+","+member), `{"complete":true,"members":[` + member + `]}`,
-		whole(1, strings.Replace(member, "Ready", "Asleep", 1)), whole(1, strings.Replace(member, "s-1", "", 1)),
-		whole(1, strings.Replace(member, "10.1.0.18:8081", "", 1)), whole(1, strings.Replace(member, "1000", "-1", 1)),
-		whole(1, strings.Replace(member, ":41}", ":70000}", 1))} {
+	for _, raw := range []string{"", "{", "[]", snapshotJSON(1, ""), snapshotJSON(1, member+","+member), `{"complete":true,"members":[` + member + `]}`,
+		snapshotJSON(1, strings.Replace(member, "Ready", "Asleep", 1)), snapshotJSON(1, strings.Replace(member, "s-1", "", 1)),
+		snapshotJSON(1, strings.Replace(member, "10.1.0.18:8081", "", 1)), snapshotJSON(1, strings.Replace(member, "1000", "-1", 1)),
+		snapshotJSON(1, strings.Replace(member, ":41}", ":70000}", 1))} {
 		if m, err := Decode([]byte(raw), zones); err == nil {
 			t.Errorf("%s taken as %v", raw, m)
 		}
@@ -45,8 +45,8 @@
 
 // What can't be used is passed over and asked for again: unreadable text, errors, older and empty lists.
 func TestWatch(t *testing.T) {
-	answers := []string{"{", whole(0, ""), "status", whole(41, member), `{"revision":40,"complete":false,"members":[]}`,
-		whole(42, member), `{"revision":43,"complete":false,"members":[` + strings.Replace(member, "Ready", "Gone", 1) + `]}`}
+	answers := []string{"{", snapshotJSON(0, ""), "status", snapshotJSON(41, member), `{"revision":40,"complete":false,"members":[]}`,
+		snapshotJSON(42, member), `{"revision":43,"complete":false,"members":[` + strings.Replace(member, "Ready", "Gone", 1) + `]}`}
 	asked := make(chan string, len(answers))
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n := len(asked)
@@ -68,7 +68,7 @@
 	defer cancel()
 	go w.Run(ctx)
 	for i, health := range []decision.Health{decision.Ready, decision.Ready, decision.Gone} {
-		if l := (<-events).(dispatch.List); l.Hosts[0].Health != health || (i == 2) != (l.Form == decision.Changes) {
+		if l := (<-events).(dispatch.HostsChanged); l.Hosts[0].Health != health || (i == 2) != (l.Kind == decision.Delta) {
 			t.Error(i, l)
 		}
 	}
@@ -79,8 +79,8 @@
 	}
 }
 
-// stand is a discovery that gives one answer to the first call and is silent to all others.
-func stand(t *testing.T, answer string) (address string, asked chan string) {
+// startDiscovery is a discovery that gives one answer to the first call and is silent to all others.
+func startDiscovery(t *testing.T, answer string) (address string, asked chan string) {
 	asked = make(chan string, 16)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if asked <- r.URL.RequestURI(); answer == "" || r.URL.RawQuery != "" {
@@ -115,7 +115,7 @@
 		set.Subscribe = subscribe
 		failed := make(chan dispatch.Event, 16)
 		w := New(strings.TrimPrefix(s.URL, "http://"), set, zerolog.Nop(), func(e dispatch.Event) { failed <- e })
-		w.Known(41)
+		w.SetKnown(41)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { w.Run(ctx); close(done) }()
@@ -142,10 +142,10 @@
 }
 
 // A move ends the call that waits, and the whole list counts at the other address whatever its revision.
-func TestMove(t *testing.T) {
+func TestSetAddress(t *testing.T) {
 	for _, subscribe := range []bool{false, true} {
-		old, askedOld := stand(t, whole(41, member))
-		next, askedNext := stand(t, whole(7, strings.Replace(member, "Ready", "Terminating", 1)))
+		old, askedOld := startDiscovery(t, snapshotJSON(41, member))
+		next, askedNext := startDiscovery(t, snapshotJSON(7, strings.Replace(member, "Ready", "Terminating", 1)))
 		events := make(chan dispatch.Event, 16)
 		s := zones
 		s.Subscribe = subscribe
@@ -156,14 +156,14 @@
 		if subscribe {
 			w.Watch(true)
 		}
-		if l := (<-events).(dispatch.List); l.Hosts[0].Health != decision.Ready {
+		if l := (<-events).(dispatch.HostsChanged); l.Hosts[0].Health != decision.Ready {
 			t.Error(l)
 		}
 		<-askedOld
 		<-askedOld // the one that waits
-		w.Move("127.0.0.1:1")
-		w.Move(next)
-		if l := (<-events).(dispatch.List); l.Form != decision.Whole || l.Hosts[0].Health != decision.Draining {
+		w.SetAddress("127.0.0.1:1")
+		w.SetAddress(next)
+		if l := (<-events).(dispatch.HostsChanged); l.Kind != decision.Snapshot || l.Hosts[0].Health != decision.Draining {
 			t.Error(l)
 		}
 		if first, second := <-askedNext, <-askedNext; strings.Contains(first, "index") || !strings.Contains(second, "index=7") {
@@ -197,7 +197,7 @@
 					fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{")
 				}
 				http.ReadRequest(bufio.NewReader(c))
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(whole(1, member)), whole(1, member))
+				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(snapshotJSON(1, member)), snapshotJSON(1, member))
 			}()
 		}
 	}()
@@ -212,11 +212,11 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(whole(41, member)))
+	f.Add([]byte(snapshotJSON(41, member)))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		m, err := Decode(raw, zones)
 		for _, h := range m.Hosts {
-			if err == nil && (h.Name == "" || h.Started < 0 || h.Build < 0) {
+			if err == nil && (h.Name == "" || h.StartedAt < 0 || h.Build < 0) {
 				t.Error(h)
 			}
 		}
--- a/internal/router/flow/export/export.go
+++ b/internal/router/flow/export/export.go
@@ -111,10 +111,10 @@
 			s.conn.Close()
 		}
 	}()
-	waits := backoff.Waits{Draw: random.Source{Seed: uint64(e.Domain)<<8 + uint64(i)}}
+	waits := backoff.Backoff{Source: random.Source{Seed: uint64(e.Domain)<<8 + uint64(i)}}
 	failures, lost := 0, false
 	deadline := time.Time{}
-	totals := flow.Sum{}
+	totals := flow.Totals{}
 	for {
 		if ctx.Err() != nil && deadline.IsZero() {
 			e.Flush()
--- a/internal/router/flow/export/export_test.go
+++ b/internal/router/flow/export/export_test.go
@@ -57,9 +57,9 @@
 		label := flow.Label{Side: flow.Side(i % 2)}
 		c := m.Open(label, here, here)
 		label.Carrier, label.Band = uint16(1+i%2), 1
-		c.In(100 + i%7)
+		c.BytesRead(100 + i%7)
 		c.Command(label, uint64(i%50+1))
-		c.Out(1000)
+		c.BytesWritten(1000)
 		c.Answered()
 		if i%2 == 0 {
 			passed.Add(flow.Counts{Forward: uint64(100 + i%7), Reverse: 1000, Commands: 1})
@@ -72,10 +72,10 @@
 }
 
 // until waits for a collector to have so many records.
-func until(t *testing.T, c *collector.Collector, connections int) flow.Sum {
+func until(t *testing.T, c *collector.Collector, connections int) flow.Totals {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		sum, _, stats, lost := c.Sums()
+		sum, _, stats, lost := c.Totals()
 		if int(sum.Connections)+lost >= connections {
 			return sum
 		}
@@ -94,7 +94,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			m := NewMeter(flow.Limits{Active: 60e9, Idle: 15e9, Most: 1024}, 1, 8<<20, clock)
+			m := NewMeter(flow.Limits{Active: 60e9, Idle: 15e9, MaxConnections: 1024}, 1, 8<<20, clock)
 			e := New(options(c, network, client), m, zerolog.Nop())
 			ctx, cancel := context.WithCancel(context.Background())
 			go e.Run(ctx)
@@ -102,9 +102,9 @@
 			sum := until(t, c, 10000)
 			cancel()
 			<-e.Done()
-			c.Vanish()
+			c.Stop()
 			a, _ := m.Account(0)
-			if sum.Counts != passed || a.Exported.Counts != passed || a.Exported.Connections != 10000 || !a.Holds() {
+			if sum.Counts != passed || a.Exported.Counts != passed || a.Exported.Connections != 10000 || !a.Balanced() {
 				t.Errorf("collector %+v, account %+v, passed %+v", sum, a, passed)
 			}
 		})
@@ -117,8 +117,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Vanish()
-	m := NewMeter(flow.Limits{Active: 60e9, Idle: 15e9, Most: 1024}, 1, 64<<10, clock)
+	c.Stop()
+	m := NewMeter(flow.Limits{Active: 60e9, Idle: 15e9, MaxConnections: 1024}, 1, 64<<10, clock)
 	e := New(options(c, "tcp", nil), m, zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
 	go e.Run(ctx)
@@ -127,7 +127,7 @@
 	if a.Folded.Records == 0 || a.Lost.Records != 0 || bytes > 64<<10 {
 		t.Errorf("%+v, %d bytes", a, bytes)
 	}
-	if err := c.Return(); err != nil {
+	if err := c.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	if sum := until(t, c, 5000); sum.Counts != passed {
@@ -135,7 +135,7 @@
 	}
 	cancel()
 	<-e.Done()
-	c.Vanish()
+	c.Stop()
 }
 
 // Over UDP the collector's gaps by sequence are what was lost on the way, and templates come again.
@@ -144,8 +144,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Drop(func(n int) bool { return n > 1 && n%10 == 0 })
-	m := NewMeter(flow.Limits{Active: 60e9, Idle: 15e9, Most: 1024}, 1, 8<<20, clock)
+	c.SetDrop(func(n int) bool { return n > 1 && n%10 == 0 })
+	m := NewMeter(flow.Limits{Active: 60e9, Idle: 15e9, MaxConnections: 1024}, 1, 8<<20, clock)
 	e := New(options(c, "udp", nil), m, zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
 	go e.Run(ctx)
@@ -153,23 +153,23 @@
 	for a, _ := m.Account(0); a.Exported.Connections < 5000; a, _ = m.Account(0) {
 		time.Sleep(time.Millisecond)
 	}
-	c.Drop(nil)
+	c.SetDrop(nil)
 	one := m.Open(flow.Label{}, here, here) // the last that comes shows the gap before it
 	one.Close(false)
 	cancel()
 	<-e.Done()
 	end := time.Now().Add(10 * time.Second)
-	for sum, _, stats, _ := c.Sums(); int(sum.Records)+int(stats.Missed) < 5001; sum, _, stats, _ = c.Sums() {
+	for sum, _, stats, _ := c.Totals(); int(sum.Records)+int(stats.Missed) < 5001; sum, _, stats, _ = c.Totals() {
 		if time.Now().After(end) {
 			t.Fatalf("%+v, %+v", sum, stats)
 		}
 		time.Sleep(time.Millisecond)
 	}
-	sum, _, stats, lost := c.Sums()
+	sum, _, stats, lost := c.Totals()
 	if lost == 0 || stats.Missed == 0 || int(sum.Records)+int(stats.Missed) != 5001 {
 		t.Errorf("%+v, %+v, %d datagrams dropped", sum, stats, lost)
 	}
-	c.Vanish()
+	c.Stop()
 }
 
 // When the router leaves, what is open is cut, told as forced, and flushed within the leave's time.
@@ -178,14 +178,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := NewMeter(flow.Limits{Active: 60e9, Idle: 15e9, Most: 1024}, 1, 1<<20, clock)
+	m := NewMeter(flow.Limits{Active: 60e9, Idle: 15e9, MaxConnections: 1024}, 1, 1<<20, clock)
 	e := New(options(c, "tcp", nil), m, zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
 	go e.Run(ctx)
 	var open []*Conn
 	for range 20 {
 		x := m.Open(flow.Label{}, here, here)
-		x.In(10)
+		x.BytesRead(10)
 		open = append(open, x)
 	}
 	m.Leave()
@@ -195,31 +195,31 @@
 	cancel()
 	<-e.Done()
 	until(t, c, 10)
-	sum, by, _, _ := c.Sums()
+	sum, by, _, _ := c.Totals()
 	if by[flow.Forced].Forward != 200 || sum.Connections != 10 {
 		t.Errorf("%+v, %+v", sum, by)
 	}
-	c.Vanish()
+	c.Stop()
 }
 
 // A command costs no allocation where its connection goes on, and the counters of nothing count nothing.
 func TestNoAllocations(t *testing.T) {
-	m := NewMeter(flow.Limits{Active: 60e9, Idle: 15e9, Most: 1024}, 1, 1<<20, clock)
+	m := NewMeter(flow.Limits{Active: 60e9, Idle: 15e9, MaxConnections: 1024}, 1, 1<<20, clock)
 	c := m.Open(flow.Label{}, here, here)
 	label := flow.Label{Carrier: 1, Band: 1}
 	if n := testing.AllocsPerRun(1000, func() {
-		c.In(100)
+		c.BytesRead(100)
 		c.Command(label, 7)
-		c.Out(100)
+		c.BytesWritten(100)
 		c.Answered()
 	}); n > 0 {
 		t.Error(n, "allocations a command")
 	}
 	var none *Meter
 	x := none.Open(label, here, here)
-	x.In(1)
+	x.BytesRead(1)
 	x.Command(label, 1)
-	x.Out(1)
+	x.BytesWritten(1)
 	x.Answered()
 	x.Close(true)
 	if top := m.Greatest(1); len(top) != 1 || top[0].ID != 7 {
--- a/internal/router/flow/export/meter.go
+++ b/internal/router/flow/export/meter.go
@@ -19,7 +19,7 @@
 	cache   *flow.Cache
 	queues  []*queue
 	leaving bool
-	top     *flow.Top
+	top     *flow.HeavyHitters
 }
 
 // queue is one collector's backlog.
@@ -36,7 +36,7 @@
 
 // NewMeter makes a meter that owes its records to so many collectors, each with a backlog of so many bytes.
 func NewMeter(l flow.Limits, collectors, bytes int, clock func() int64) *Meter {
-	m := &Meter{clock: clock, top: flow.NewTop(crowd, crowdWindow)}
+	m := &Meter{clock: clock, top: flow.NewHeavyHitters(crowd, crowdWindow)}
 	for range collectors {
 		m.queues = append(m.queues, &queue{flow.NewBacklog(bytes), make(chan struct{}, 1)})
 	}
@@ -47,7 +47,7 @@
 // put is called by the cache, under the lock.
 func (m *Meter) put(r flow.Record) {
 	for _, q := range m.queues {
-		q.Put(r)
+		q.Add(r)
 		select {
 		case q.wake <- struct{}{}:
 		default:
@@ -88,17 +88,17 @@
 }
 
 // Account is what became of one collector's records.
-func (m *Meter) Account(collector int) (a flow.Account, bytes int) {
+func (m *Meter) Account(collector int) (a flow.Ledger, bytes int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.queues[collector].Account, m.queues[collector].Bytes()
 }
 
 // Greatest are the keys with most commands in the last ten seconds.
-func (m *Meter) Greatest(n int) []flow.Share {
+func (m *Meter) Greatest(n int) []flow.Estimate {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.top.Greatest(m.clock(), n)
+	return m.top.Largest(m.clock(), n)
 }
 
 // Conn is one connection's counters. All its methods may be called on nil, which counts nothing.
@@ -126,15 +126,15 @@
 	return c
 }
 
-// In counts octets that were read, Out ones that were written.
-func (c *Conn) In(n int) {
+// BytesRead counts octets that were read, Out ones that were written.
+func (c *Conn) BytesRead(n int) {
 	if c != nil && n > 0 {
 		c.in.Add(uint64(n))
 	}
 }
 
-// Out counts octets that were written.
-func (c *Conn) Out(n int) {
+// BytesWritten counts octets that were written.
+func (c *Conn) BytesWritten(n int) {
 	if c != nil && n > 0 {
 		c.out.Add(uint64(n))
 	}
--- a/internal/router/flow/flow_test.go
+++ b/internal/router/flow/flow_test.go
@@ -11,22 +11,22 @@
 const second = int64(1e9)
 
 // counter is a connection's, which the test moves.
-type tally struct{ now, took Counts }
+type testSource struct{ total, taken Counts }
 
-func (t *tally) Take() Counts {
-	d := Counts{t.now.Forward - t.took.Forward, t.now.Reverse - t.took.Reverse, t.now.Commands - t.took.Commands}
-	t.took = t.now
+func (t *testSource) Take() Counts {
+	d := Counts{t.total.Forward - t.taken.Forward, t.total.Reverse - t.taken.Reverse, t.total.Commands - t.taken.Commands}
+	t.taken = t.total
 	return d
 }
 
 type conn struct {
-	tally
+	testSource
 	flow *Flow
 }
 
 // Whatever connections do and however collectors fail: what was counted is exported, waiting, folded or lost after
 // each step, the bound holds, and all that passed is counted once the connections have ended.
-func TestIdentity(t *testing.T) {
+func TestLedgerBalances(t *testing.T) {
 	runs := 10000
 	if testing.Short() {
 		runs = 200
@@ -34,14 +34,14 @@
 	for seed := range uint64(runs) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
 		now := int64(1e18)
-		b := NewBacklog(size * (16 + rnd.IntN(40)))
-		c := NewCache(Limits{Active: 60 * second, Idle: 15 * second, Most: 20}, now, b.Put)
+		b := NewBacklog(recordBytes * (16 + rnd.IntN(40)))
+		c := NewCache(Limits{Active: 60 * second, Idle: 15 * second, MaxConnections: 20}, now, b.Add)
 		var open []*conn
 		var passed Counts
 		ended := uint64(0)
 		check := func(step int) {
-			if !b.Account.Holds() || b.Bytes() > size*b.most || c.Held() != len(open) {
-				t.Fatalf("seed %d, step %d: %+v, %d bytes of %d, %d of %d open", seed, step, b.Account, b.Bytes(), size*b.most, c.Held(), len(open))
+			if !b.Account.Balanced() || b.Bytes() > recordBytes*b.maxRecords || c.Len() != len(open) {
+				t.Fatalf("seed %d, step %d: %+v, %d bytes of %d, %d of %d open", seed, step, b.Account, b.Bytes(), recordBytes*b.maxRecords, c.Len(), len(open))
 			}
 		}
 		for step := range 120 {
@@ -49,12 +49,12 @@
 			switch p := rnd.IntN(10); {
 			case p < 3:
 				x := &conn{}
-				x.flow = c.Open(now, Label{Side: Side(rnd.IntN(2)), Carrier: uint16(rnd.IntN(3))}, netip.AddrPort{}, netip.AddrPort{}, &x.tally)
+				x.flow = c.Open(now, Label{Side: Side(rnd.IntN(2)), Carrier: uint16(rnd.IntN(3))}, netip.AddrPort{}, netip.AddrPort{}, &x.testSource)
 				open = append(open, x)
 			case p < 6 && len(open) > 0:
 				x := open[rnd.IntN(len(open))]
 				d := Counts{uint64(rnd.IntN(9000)), uint64(rnd.IntN(90000)), 1}
-				x.now.Add(d)
+				x.total.Add(d)
 				passed.Add(d)
 				c.Relabel(now, x.flow, Label{Carrier: uint16(rnd.IntN(3)), Band: uint8(rnd.IntN(2))})
 			case p < 7 && len(open) > 0:
@@ -88,13 +88,13 @@
 func TestPeriods(t *testing.T) {
 	now := int64(1e18)
 	var all []Record
-	c := NewCache(Limits{Active: 60 * second, Idle: 15 * second, Most: 10}, now, func(r Record) { all = append(all, r) })
+	c := NewCache(Limits{Active: 60 * second, Idle: 15 * second, MaxConnections: 10}, now, func(r Record) { all = append(all, r) })
 	x := &conn{}
-	x.flow = c.Open(now, Label{Carrier: 1}, netip.AddrPort{}, netip.AddrPort{}, &x.tally)
+	x.flow = c.Open(now, Label{Carrier: 1}, netip.AddrPort{}, netip.AddrPort{}, &x.testSource)
 	for range 3600 {
 		now += second
-		x.now.Forward += 1 << 23
-		x.now.Reverse++
+		x.total.Forward += 1 << 23
+		x.total.Reverse++
 		c.Tick(now)
 	}
 	busy := len(all)
@@ -110,12 +110,12 @@
 			t.Error("periods overlap", r)
 		}
 	}
-	if sum != x.now || busy < 50 || busy > 65 || all[len(all)-1].Reason != Ended || sum.Forward < 1<<32 {
-		t.Errorf("%d records, %+v of %+v, last %+v", len(all), sum, x.now, all[len(all)-1])
+	if sum != x.total || busy < 50 || busy > 65 || all[len(all)-1].Reason != Ended || sum.Forward < 1<<32 {
+		t.Errorf("%d records, %+v of %+v, last %+v", len(all), sum, x.total, all[len(all)-1])
 	}
 	y := &conn{}
-	y.flow = c.Open(now, Label{Carrier: 1}, netip.AddrPort{}, netip.AddrPort{}, &y.tally)
-	y.now.Forward = 5
+	y.flow = c.Open(now, Label{Carrier: 1}, netip.AddrPort{}, netip.AddrPort{}, &y.testSource)
+	y.total.Forward = 5
 	for range 40 {
 		now += second
 		c.Tick(now)
@@ -128,13 +128,13 @@
 }
 
 // Under one backlog, folding loses nothing where plain dropping loses most; and what is heavy keeps its place.
-func TestFoldBesideDropping(t *testing.T) {
-	b := NewBacklog(size * 200)
+func TestFoldingAgainstDropping(t *testing.T) {
+	b := NewBacklog(recordBytes * 200)
 	rnd := rand.New(rand.NewPCG(1, 1))
 	dropped, kept := uint64(0), []uint64{}
 	for i := range 10000 {
 		n := uint64(math.Exp(4 + 8*rnd.Float64()))
-		b.Put(Record{Label: Label{Carrier: uint16(i % 3), Band: uint8(i % 2), Host: string(rune('a' + i%5))}, Counts: Counts{Forward: n, Commands: 1}, Connections: 1,
+		b.Add(Record{Label: Label{Carrier: uint16(i % 3), Band: uint8(i % 2), Host: string(rune('a' + i%5))}, Counts: Counts{Forward: n, Commands: 1}, Connections: 1,
 			Source: netip.MustParseAddrPort("[::1]:1"), Reason: Ended})
 		if kept = append(kept, n); len(kept) > 200 {
 			dropped += kept[0]
@@ -142,33 +142,33 @@
 		}
 	}
 	a := b.Account
-	if a.Lost.Records != 0 || !a.Holds() || a.Folded.Records < 9000 {
+	if a.Lost.Records != 0 || !a.Balanced() || a.Folded.Records < 9000 {
 		t.Errorf("%+v", a)
 	}
 	if dropped < a.Counted.Forward/2 {
 		t.Error("plain dropping lost only", dropped, "of", a.Counted.Forward)
 	}
 	for i := range 500 { // more labels than there is room for: then the oldest go
-		b.Put(Record{Label: Label{Host: string(rune(1000 + i))}, Connections: 1})
+		b.Add(Record{Label: Label{Host: string(rune(1000 + i))}, Connections: 1})
 	}
-	if a := b.Account; a.Lost.Records == 0 || !a.Holds() || b.Bytes() > 200*size {
+	if a := b.Account; a.Lost.Records == 0 || !a.Balanced() || b.Bytes() > 200*recordBytes {
 		t.Errorf("%+v, %d bytes", a, b.Bytes())
 	}
 }
 
 // Who has more than an n-th of all is found, with a sum that is over by no more than stated, beside an exact map.
-func TestTop(t *testing.T) {
+func TestHeavyHitters(t *testing.T) {
 	for _, s := range []float64{1.01, 1.1, 1.3} {
 		const k, n = 256, 300000
 		z := rand.NewZipf(rand.New(rand.NewPCG(2, 1)), s, 1, 1e6)
-		top, exact := NewTop(k, 10*second), map[uint64]uint64{}
+		top, exact := NewHeavyHitters(k, 10*second), map[uint64]uint64{}
 		for range n {
 			id := z.Uint64()
 			exact[id]++
 			top.Add(second, id, 1)
 		}
-		got := map[uint64]Share{}
-		for _, x := range top.Greatest(second, k) {
+		got := map[uint64]Estimate{}
+		for _, x := range top.Largest(second, k) {
 			got[x.ID] = x
 			if x.Sum < exact[x.ID] || x.Sum-x.Error > exact[x.ID] || x.Error > n/k {
 				t.Fatalf("s %v: %+v, exactly %d", s, x, exact[x.ID])
@@ -180,25 +180,25 @@
 			}
 		}
 	}
-	top := NewTop(4, 10*second)
+	top := NewHeavyHitters(4, 10*second)
 	top.Add(second, 1, 100)
 	top.Add(12*second, 2, 10)
-	if x := top.Greatest(16*second, 2); x[0].ID != 1 || x[0].Sum >= 100 || x[0].Sum < 10 {
+	if x := top.Largest(16*second, 2); x[0].ID != 1 || x[0].Sum >= 100 || x[0].Sum < 10 {
 		t.Error("half a window later", x)
 	}
-	if x := top.Greatest(60*second, 2); len(x) != 0 {
+	if x := top.Largest(60*second, 2); len(x) != 0 {
 		t.Error("long after", x)
 	}
 }
 
-func BenchmarkTop(b *testing.B) {
+func BenchmarkHeavyHitters(b *testing.B) {
 	z := rand.NewZipf(rand.New(rand.NewPCG(2, 1)), 1.1, 1, 1e6)
 	ids := make([]uint64, 1<<20)
 	for i := range ids {
 		ids[i] = z.Uint64()
 	}
 	b.Run("top", func(b *testing.B) {
-		top, i := NewTop(256, 10*second), 0
+		top, i := NewHeavyHitters(256, 10*second), 0
 		for b.Loop() {
 			i++
 			top.Add(second, ids[i%len(ids)], 1)
--- a/internal/router/flow/ipfix/decode.go
+++ b/internal/router/flow/ipfix/decode.go
@@ -277,7 +277,7 @@
 			case idDrained:
 				r.Drained = v.Number() == 1
 			case idRecords:
-				r.Many = uint32(v.Number())
+				r.Count = uint32(v.Number())
 			case idConnections:
 				r.Connections = uint32(v.Number())
 			}
--- a/internal/router/flow/ipfix/encode.go
+++ b/internal/router/flow/ipfix/encode.go
@@ -133,7 +133,7 @@
 func (e *Encoder) record(to []byte, t uint16, r *flow.Record) []byte {
 	u32, u64 := binary.BigEndian.AppendUint32, binary.BigEndian.AppendUint64
 	if t != templateFolded {
-		to = append(r.AppendEnds(to), tcp)
+		to = append(r.AppendEndpoints(to), tcp)
 	}
 	to = u64(u64(to, uint64(r.Start/1e6)), uint64(r.End/1e6))
 	to = u64(u64(to, r.Forward), r.Reverse)
@@ -151,11 +151,11 @@
 		drained = 1
 	}
 	to = append(to, drained)
-	return u32(u32(to, r.Many), r.Connections)
+	return u32(u32(to, r.Count), r.Connections)
 }
 
 // Totals appends a message that tells what became of all records so far.
-func (e *Encoder) Totals(to []byte, now int64, a flow.Account) []byte {
+func (e *Encoder) Totals(to []byte, now int64, a flow.Ledger) []byte {
 	begin := len(to)
 	to = e.begin(to, now)
 	set := len(to)
--- a/internal/router/flow/ipfix/golden_test.go
+++ b/internal/router/flow/ipfix/golden_test.go
@@ -16,8 +16,8 @@
 	if n != len(records()) {
 		t.Fatalf("%d records", n)
 	}
-	sum := func(n uint64) flow.Sum {
-		return flow.Sum{Records: n, Connections: n + 1, Counts: flow.Counts{Forward: n + 2, Reverse: n + 3, Commands: n + 4}}
+	sum := func(n uint64) flow.Totals {
+		return flow.Totals{Records: n, Connections: n + 1, Counts: flow.Counts{Forward: n + 2, Reverse: n + 3, Commands: n + 4}}
 	}
-	golden.Equal(t, "messages.bin", e.Totals(raw, 18e17, flow.Account{Counted: sum(10), Exported: sum(20), Waiting: sum(30), Folded: sum(40), Lost: sum(50)}))
+	golden.Equal(t, "messages.bin", e.Totals(raw, 18e17, flow.Ledger{Counted: sum(10), Exported: sum(20), Waiting: sum(30), Folded: sum(40), Lost: sum(50)}))
 }
--- a/internal/router/flow/ipfix/ipfix_test.go
+++ b/internal/router/flow/ipfix/ipfix_test.go
@@ -11,11 +11,11 @@
 func records() []flow.Record {
 	one := flow.Record{Label: flow.Label{Side: flow.Hosts, Carrier: 2, Band: 1, Host: "h7", Build: 42, Drained: true},
 		Counts: flow.Counts{Forward: 1 << 40, Reverse: 7, Commands: 3}, Source: netip.MustParseAddrPort("10.0.0.1:7"),
-		Destination: netip.MustParseAddrPort("10.0.0.2:8081"), Start: 1e18, End: 1e18 + 5e9, Reason: flow.Active, Many: 1, Connections: 1}
+		Destination: netip.MustParseAddrPort("10.0.0.2:8081"), Start: 1e18, End: 1e18 + 5e9, Reason: flow.Active, Count: 1, Connections: 1}
 	six, folded := one, one
 	six.Source = netip.MustParseAddrPort("[2001:db8::1]:9")
 	six.Drained = false
-	folded.Source, folded.Destination, folded.Many = netip.AddrPort{}, netip.AddrPort{}, 99
+	folded.Source, folded.Destination, folded.Count = netip.AddrPort{}, netip.AddrPort{}, 99
 	return []flow.Record{one, six, folded, one, one}
 }
 
@@ -64,7 +64,7 @@
 	if d.Message(m, func(Data) {}); d.Stats.Missed != 4 {
 		t.Error("missed", d.Stats.Missed)
 	}
-	a := flow.Account{Lost: flow.Sum{Records: 9, Counts: flow.Counts{Forward: 2, Reverse: 3}}}
+	a := flow.Ledger{Lost: flow.Totals{Records: 9, Counts: flow.Counts{Forward: 2, Reverse: 3}}}
 	if err := d.Message(e.Totals(nil, 1e18, a), func(x Data) {
 		if !x.Options || x.Values[4].Number() != 9 || x.Values[5].Number() != 5 {
 			t.Error(x)
--- a/internal/router/flow/netflow9/netflow9.go
+++ b/internal/router/flow/netflow9/netflow9.go
@@ -164,7 +164,7 @@
 func (e *Encoder) record(to []byte, t uint16, r *flow.Record) []byte {
 	u32, u64 := binary.BigEndian.AppendUint32, binary.BigEndian.AppendUint64
 	if t != templateFolded {
-		to = append(r.AppendEnds(to), tcp)
+		to = append(r.AppendEndpoints(to), tcp)
 	}
 	to = u32(u32(to, e.up(r.Start)), e.up(r.End))
 	to = append(u64(u64(to, r.Forward), r.Reverse), byte(r.Reason))
@@ -178,7 +178,7 @@
 	if r.Drained {
 		drained = 1
 	}
-	return u32(u32(append(u32(to, r.Build), drained), r.Many), r.Connections)
+	return u32(u32(append(u32(to, r.Build), drained), r.Count), r.Connections)
 }
 
 func name(all []string, i int) string {
@@ -321,7 +321,7 @@
 		case ownDrained:
 			r.Drained = v == 1
 		case ownRecords:
-			r.Many = uint32(v)
+			r.Count = uint32(v)
 		case ownConnections:
 			r.Connections = uint32(v)
 		}
--- a/internal/router/flow/netflow9/netflow9_test.go
+++ b/internal/router/flow/netflow9/netflow9_test.go
@@ -17,10 +17,10 @@
 func records() []flow.Record {
 	one := flow.Record{Label: flow.Label{Side: flow.Hosts, Carrier: 2, Band: 1, Host: "h7", Build: 42, Drained: true},
 		Counts: flow.Counts{Forward: 1 << 40, Reverse: 7, Commands: 3}, Source: netip.MustParseAddrPort("10.0.0.1:7"),
-		Destination: netip.MustParseAddrPort("10.0.0.2:8081"), Start: now - 9e9, End: now - 1e9, Reason: flow.Active, Many: 1, Connections: 1}
+		Destination: netip.MustParseAddrPort("10.0.0.2:8081"), Start: now - 9e9, End: now - 1e9, Reason: flow.Active, Count: 1, Connections: 1}
 	six, folded := one, one
 	six.Source, six.Destination = netip.MustParseAddrPort("[2001:db8::1]:9"), netip.MustParseAddrPort("[2001:db8::2]:9")
-	folded.Source, folded.Destination, folded.Many = netip.AddrPort{}, netip.AddrPort{}, 99
+	folded.Source, folded.Destination, folded.Count = netip.AddrPort{}, netip.AddrPort{}, 99
 	return []flow.Record{one, one, six, folded, one}
 }
 
--- a/internal/router/flow/record.go
+++ b/internal/router/flow/record.go
@@ -63,7 +63,7 @@
 	Start       int64          `json:"Start"`       // Unix nanoseconds
 	End         int64          `json:"End"`         // Unix nanoseconds
 	Reason      Reason         `json:"Reason"`
-	Many        uint32         `json:"Many"`        // records that it stands for, 1 for itself
+	Count       uint32         `json:"Many"`        // records that it stands for, 1 for itself
 	Connections uint32         `json:"Connections"` // connections that ended with it
 }
 
@@ -78,10 +78,10 @@
 	return 6
 }
 
-// AppendEnds appends both addresses and then both ports, in the order of the network, as all our templates have them.
-func (r *Record) AppendEnds(to []byte) []byte {
-	four := r.Family() == 4
-	for _, a := range [...]netip.Addr{r.Source.Addr(), r.Destination.Addr()} {
+// AppendEndpoints appends both addresses and then both ports, in the order of the network, as all our templates have them.
+func (record *Record) AppendEndpoints(to []byte) []byte {
+	four := record.Family() == 4
+	for _, a := range [...]netip.Addr{record.Source.Addr(), record.Destination.Addr()} {
 		if four {
 			x := a.Unmap().As4()
 			to = append(to, x[:]...)
@@ -90,8 +90,8 @@
 			to = append(to, x[:]...)
 		}
 	}
-	return binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint16(to, r.Source.Port()), r.Destination.Port())
+	return binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint16(to, record.Source.Port()), record.Destination.Port())
 }
 
-// size is about what a record takes while it waits, with its place in the queue; names are shared.
-const size = 144
+// recordBytes is about what a record takes while it waits, with its place in the queue; names are shared.
+const recordBytes = 144
--- a/internal/router/ingress/clients_test.go
+++ b/internal/router/ingress/clients_test.go
@@ -16,11 +16,11 @@
 	"portflow/internal/router/settings"
 )
 
-// begin starts a server; what it posts comes on the channel.
-func begin(t *testing.T, most int) (string, *Server, chan dispatch.Event) {
-	s := settings.Settings{Bands: []string{"display", "accept"}, Carriers: []string{"rila", "dunav"}}
-	s.Settings.Bands = []decision.Band{{CutOff: int64(5 * time.Second)},
-		{CutOff: int64(3 * time.Second), Repeat: decision.Referenced}}
+// startServer starts a server; what it posts comes on the channel.
+func startServer(t *testing.T, most int) (string, *Server, chan dispatch.Event) {
+	s := settings.Settings{ClassNames: []string{"display", "accept"}, CustomerNames: []string{"rila", "dunav"}}
+	s.Settings.Classes = []decision.RequestClass{{Timeout: int64(5 * time.Second)},
+		{Timeout: int64(3 * time.Second), Idempotency: decision.IdempotentByKey}}
 	events := make(chan dispatch.Event, 16)
 	v := New(s, 64, most, dispatch.NewClock(), func(e dispatch.Event) { events <- e })
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,7 +32,7 @@
 	return l.Addr().String(), v, events
 }
 
-var tries atomic.Int64 // each has an id of its own
+var lastTraceID atomic.Int64 // each has an id of its own
 
 func dial(t *testing.T, address, text string) (net.Conn, *bufio.Reader) {
 	c, err := net.Dial("tcp", address)
@@ -41,7 +41,7 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	io.WriteString(c, strings.Replace(text, "X-Trace-Id: t1", fmt.Sprint("X-Trace-Id: t", tries.Add(1)), 1))
+	io.WriteString(c, strings.Replace(text, "X-Trace-Id: t1", fmt.Sprint("X-Trace-Id: t", lastTraceID.Add(1)), 1))
 	return c, bufio.NewReader(c)
 }
 
@@ -63,30 +63,30 @@
 const good = "POST /accept?obj=7f HTTP/1.1\r\nHost: s\r\nX-Trace-Id: t1\r\nX-Qos: accept\r\nX-Customer: dunav\r\n" +
 	"X-Expires-In: 480m\r\nIdempotency-Key: k1\r\nContent-Length: 4\r\n\r\nbody"
 
-func TestCommand(t *testing.T) {
-	address, v, events := begin(t, 8)
+func TestRequest(t *testing.T) {
+	address, v, events := startServer(t, 8)
 	_, in := dial(t, address, good)
-	c := (<-events).(dispatch.Taken).Command
-	left := time.Duration(c.CutOff - v.clock())
-	if c.Band != 1 || c.Carrier != 1 || c.Key == 0 || left > 480*time.Millisecond || left < 0 ||
-		fmt.Sprint(*c.Request) != fmt.Sprint(dispatch.Request{Method: "POST", Target: "/accept?obj=7f", Trace: c.Request.Trace, Mark: "k1", Body: []byte("body"), Band: 1, Carrier: 1}) {
+	c := (<-events).(dispatch.RequestReceived).Call
+	left := time.Duration(c.Deadline - v.clock())
+	if c.Class != 1 || c.Customer != 1 || c.Key == 0 || left > 480*time.Millisecond || left < 0 ||
+		fmt.Sprint(*c.Request) != fmt.Sprint(dispatch.Request{Method: "POST", Target: "/accept?obj=7f", TraceID: c.Request.TraceID, IdempotencyKey: "k1", Body: []byte("body"), Class: 1, Customer: 1}) {
 		t.Fatal(c, c.Request)
 	}
-	c.Answer.Give(dispatch.Answer{Body: []byte(strings.Repeat("x", 60000))})
+	c.Responder.Respond(dispatch.Answer{Body: []byte(strings.Repeat("x", 60000))})
 	if code, _, body := status(t, in); code != 200 || len(body) != 60000 {
 		t.Error(code, len(body))
 	}
-	for want, a := range map[int]dispatch.Answer{500: {Kind: dispatch.Scrapped}, 503: {Kind: dispatch.Dismissed, Wait: 250 * time.Millisecond}} {
+	for want, a := range map[int]dispatch.Answer{500: {Kind: dispatch.Failed}, 503: {Kind: dispatch.Rejected, RetryAfter: 250 * time.Millisecond}} {
 		_, in := dial(t, address, good)
-		(<-events).(dispatch.Taken).Command.Answer.Give(a)
+		(<-events).(dispatch.RequestReceived).Call.Responder.Respond(a)
 		if code, h, _ := status(t, in); code != want || want == 503 && h.Get("Retry-After") != "0.250" {
 			t.Error(code, h)
 		}
 	}
 }
 
-func TestNoCommand(t *testing.T) {
-	address, _, events := begin(t, 8)
+func TestInvalidRequest(t *testing.T) {
+	address, _, events := startServer(t, 8)
 	swap := func(from, to string) string { return strings.Replace(good, from, to, 1) }
 	for text, want := range map[string]int{
 		swap("/accept", "/else"):                                            404,
@@ -132,12 +132,12 @@
 }
 
 // A further try that is marked is told to the router as one.
-func TestMarkedTry(t *testing.T) {
-	address, _, events := begin(t, 8)
+func TestMarkedRetry(t *testing.T) {
+	address, _, events := startServer(t, 8)
 	for i, text := range []string{good, strings.Replace(strings.Replace(good, "t1", "t2", 1), "X-Qos", "X-Second-Try: 1\r\nX-Qos", 1)} {
 		conn, _ := dial(t, address, text)
-		if c := (<-events).(dispatch.Taken).Command; c.Again != (i == 1) {
-			t.Error("try", i, "marked", c.Again)
+		if c := (<-events).(dispatch.RequestReceived).Call; c.Retried != (i == 1) {
+			t.Error("try", i, "marked", c.Retried)
 		}
 		conn.Close()
 		<-events
@@ -145,15 +145,15 @@
 }
 
 func TestClientLeaves(t *testing.T) {
-	address, _, events := begin(t, 8)
+	address, _, events := startServer(t, 8)
 	for _, text := range []string{good, strings.Replace(strings.ReplaceAll(good, "accept", "display"), "POST", "GET", 1)} {
 		if strings.HasPrefix(text, "GET") {
 			text = strings.Replace(text, "Content-Length: 4\r\n\r\nbody", "\r\n", 1)
 		}
 		conn, _ := dial(t, address, text)
-		c := (<-events).(dispatch.Taken).Command
+		c := (<-events).(dispatch.RequestReceived).Call
 		conn.Close()
-		if left := (<-events).(dispatch.Left); left.Command != c {
+		if left := (<-events).(dispatch.ClientGone); left.Call != c {
 			t.Error("another command left")
 		}
 	}
@@ -161,10 +161,10 @@
 
 // An id that has come before is another client's: it gets neither that one's answer nor a second hand-off.
 func TestIdOfAnother(t *testing.T) {
-	address, v, events := begin(t, 8)
+	address, v, events := startServer(t, 8)
 	_, first := dial(t, address, good)
-	c := (<-events).(dispatch.Taken).Command
-	again := strings.Replace(good, "t1", c.Request.Trace, 1)
+	c := (<-events).(dispatch.RequestReceived).Call
+	again := strings.Replace(good, "t1", c.Request.TraceID, 1)
 	ask := func() int {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
@@ -178,30 +178,30 @@
 	if code := ask(); code != 409 {
 		t.Error(code)
 	}
-	c.Answer.Give(dispatch.Answer{Body: []byte("mine")})
+	c.Responder.Respond(dispatch.Answer{Body: []byte("mine")})
 	if _, _, body := status(t, first); body != "mine" {
 		t.Error(body)
 	}
 	if code := ask(); code != 409 || len(events) > 0 {
 		t.Error(code, len(events))
 	}
-	now := v.ids.since
+	now := v.recentIDs.since
 	for n := range 1000 { // what is remembered is bounded by time
-		now += v.ids.keep / 10
-		v.ids.add(fmt.Sprint(n), now)
+		now += v.recentIDs.lifetime / 10
+		v.recentIDs.add(fmt.Sprint(n), now)
 	}
-	if n := len(v.ids.now) + len(v.ids.before); n > 25 {
+	if n := len(v.recentIDs.current) + len(v.recentIDs.previous); n > 25 {
 		t.Error(n, "ids held")
 	}
 }
 
 // A client sends one command at a time: what comes before its answer ends the command.
 func TestBytesBeforeTheAnswer(t *testing.T) {
-	address, _, events := begin(t, 8)
+	address, _, events := startServer(t, 8)
 	conn, in := dial(t, address, good)
-	c := (<-events).(dispatch.Taken).Command
+	c := (<-events).(dispatch.RequestReceived).Call
 	io.WriteString(conn, "m")
-	if left := (<-events).(dispatch.Left); left.Command != c {
+	if left := (<-events).(dispatch.ClientGone); left.Call != c {
 		t.Error("another command left")
 	}
 	if code, h, _ := status(t, in); code != 400 || h.Get("Connection") != "close" {
@@ -210,8 +210,8 @@
 }
 
 // However many connections say nothing, or half of a command, one that asks gets its answer.
-func TestSilentMakeRoom(t *testing.T) {
-	address, _, events := begin(t, 8)
+func TestSilentConnectionsAreEvicted(t *testing.T) {
+	address, _, events := startServer(t, 8)
 	for range 200 {
 		dial(t, address, "")
 	}
@@ -219,7 +219,7 @@
 		dial(t, address, good[:50])
 	}
 	_, in := dial(t, address, good)
-	(<-events).(dispatch.Taken).Command.Answer.Give(dispatch.Answer{Body: []byte("hi")})
+	(<-events).(dispatch.RequestReceived).Call.Responder.Respond(dispatch.Answer{Body: []byte("hi")})
 	if code, _, body := status(t, in); code != 200 || body != "hi" {
 		t.Error(code, body)
 	}
@@ -227,14 +227,14 @@
 
 // What never ends is ended, also a body, and also a connection after its command.
 func TestEndedInTime(t *testing.T) {
-	address, _, events := begin(t, 8)
+	address, _, events := startServer(t, 8)
 	since := time.Now()
 	for _, text := range []string{"", good[:50], good[:len(good)-1], good} {
 		t.Run(fmt.Sprint(len(text)), func(t *testing.T) {
 			t.Parallel()
 			_, in := dial(t, address, text)
 			if text == good {
-				(<-events).(dispatch.Taken).Command.Answer.Give(dispatch.Answer{})
+				(<-events).(dispatch.RequestReceived).Call.Responder.Respond(dispatch.Answer{})
 			}
 			io.Copy(io.Discard, in)
 			if took := time.Since(since); took > 2900*time.Millisecond || took < 1900*time.Millisecond {
@@ -245,33 +245,33 @@
 }
 
 // Further commands than there is room for are turned away, as before a router whose connections are all taken.
-func TestBeyondRoom(t *testing.T) {
-	address, _, events := begin(t, 1)
+func TestBeyondOpenRequestLimit(t *testing.T) {
+	address, _, events := startServer(t, 1)
 	_, first := dial(t, address, good)
-	c := (<-events).(dispatch.Taken).Command
+	c := (<-events).(dispatch.RequestReceived).Call
 	_, second := dial(t, address, good)
 	if code, _, _ := status(t, second); code != 503 {
 		t.Error(code)
 	}
-	c.Answer.Give(dispatch.Answer{})
+	c.Responder.Respond(dispatch.Answer{})
 	if code, _, _ := status(t, first); code != 200 {
 		t.Error(code)
 	}
 }
 
 // A router that leaves takes new connections for a while, closes each after its answer, and finishes what it has.
-func TestLeave(t *testing.T) {
-	address, v, events := begin(t, 8)
+func TestDrain(t *testing.T) {
+	address, v, events := startServer(t, 8)
 	_, early := dial(t, address, good)
-	c := (<-events).(dispatch.Taken).Command
+	c := (<-events).(dispatch.RequestReceived).Call
 	left := make(chan error)
-	v.leaving.Store(true)
+	v.draining.Store(true)
 	_, late := dial(t, address, good)
-	(<-events).(dispatch.Taken).Command.Answer.Give(dispatch.Answer{})
+	(<-events).(dispatch.RequestReceived).Call.Responder.Respond(dispatch.Answer{})
 	if code, h, _ := status(t, late); code != 200 || h.Get("Connection") != "close" {
 		t.Error(code, h)
 	}
-	go func() { left <- v.Leave(0) }()
+	go func() { left <- v.Drain(0) }()
 	for { // until the listener is closed
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
@@ -279,7 +279,7 @@
 		}
 		conn.Close()
 	}
-	c.Answer.Give(dispatch.Answer{Body: []byte("hi")})
+	c.Responder.Respond(dispatch.Answer{Body: []byte("hi")})
 	if code, _, body := status(t, early); code != 200 || body != "hi" {
 		t.Error(code, body)
 	}
@@ -288,12 +288,12 @@
 	}
 }
 
-func FuzzExpiry(f *testing.F) {
+func FuzzParseTimeout(f *testing.F) {
 	for _, text := range []string{"480m", "7u", "", "m", "99999999999999m"} {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		if n, err := expiry(text); err == nil && n < 0 {
+		if n, err := parseTimeout(text); err == nil && n < 0 {
 			t.Error(n)
 		}
 	})
--- a/internal/router/ingress/conns.go
+++ b/internal/router/ingress/conns.go
@@ -11,54 +11,54 @@
 	"portflow/internal/router/flow/export"
 )
 
-// connections keeps a server's connections within their room; where it is full, one that is of no use is closed for
+// limitedListener keeps a server's connections within their room; where it is full, one that is of no use is closed for
 // one that comes.
-type connections struct {
+type limitedListener struct {
 	net.Listener
-	room  *connlimit.Room
-	meter *export.Meter // nil where nothing is counted
+	limiter *connlimit.Limiter
+	meter   *export.Meter // nil where nothing is counted
 }
 
-func (c *connections) Accept() (net.Conn, error) {
-	place := c.room.Enter(nil)
-	raw, err := c.Listener.Accept()
+func (l *limitedListener) Accept() (net.Conn, error) {
+	slot := l.limiter.Acquire(nil)
+	raw, err := l.Listener.Accept()
 	if err != nil {
-		place.Leave()
+		slot.Release()
 		return nil, err
 	}
-	v := &clientConn{Conn: raw, place: place, more: make(chan struct{}, 1)}
-	v.flow = c.meter.Open(flow.Label{Side: flow.Clients}, export.Address(raw.RemoteAddr()), export.Address(raw.LocalAddr()))
-	place.Fill(connlimit.Silent, func() { v.Close() })
-	return v, nil
+	conn := &clientConn{Conn: raw, slot: slot, pipelined: make(chan struct{}, 1)}
+	conn.flow = l.meter.Open(flow.Label{Side: flow.Clients}, export.Address(raw.RemoteAddr()), export.Address(raw.LocalAddr()))
+	slot.Attach(connlimit.StateNew, func() { conn.Close() })
+	return conn, nil
 }
 
 // clientConn sees what net/http does not tell a handler: how the bytes of a command are framed, and what comes
 // after them. Clients send one command at a time, so nothing may come until it is answered.
 type clientConn struct {
 	net.Conn
-	place *connlimit.Place
-	flow  *export.Conn
-	mu    sync.Mutex
-	head  httpframing.Head
-	taken bool          // a command is whole, and not answered
-	more  chan struct{} // gets one for what comes then
+	slot      *connlimit.Slot
+	flow      *export.Conn
+	mu        sync.Mutex
+	head      httpframing.Head
+	complete  bool          // a command is whole, and not answered
+	pipelined chan struct{} // gets one for what comes then
 }
 
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.flow.In(n)
+	c.flow.BytesRead(n)
 	if n > 0 {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.taken {
+		if c.complete {
 			select {
-			case c.more <- struct{}{}:
+			case c.pipelined <- struct{}{}:
 			default:
 			}
 		} else {
-			if !c.head.Begun {
-				c.head.Begun = true
-				c.place.Set(connlimit.Begun)
+			if !c.head.Started {
+				c.head.Started = true
+				c.slot.SetState(connlimit.StateReading)
 			}
 			c.head.Read(b[:n])
 		}
@@ -68,38 +68,38 @@
 
 func (c *clientConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.flow.Out(n)
+	c.flow.BytesWritten(n)
 	return n, err
 }
 
 func (c *clientConn) Close() error {
-	defer c.place.Leave()
+	defer c.slot.Release()
 	defer c.flow.Close(false)
 	return c.Conn.Close()
 }
 
-// take tells that a command with a body of this length was read, and whether the bytes that came are just that.
-func (c *clientConn) take(body int) bool {
+// requestRead tells that a command with a body of this length was read, and whether the bytes that came are just that.
+func (c *clientConn) requestRead(body int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.taken = c.head.After == body && c.head.Lengths <= 1
-	if c.taken {
-		c.place.Set(connlimit.Busy)
+	c.complete = c.head.BodyBytes == body && c.head.Lengths <= 1
+	if c.complete {
+		c.slot.SetState(connlimit.StateActive)
 	}
-	return c.taken
+	return c.complete
 }
 
-// answer tells that the answer goes out now: what comes next is another command.
-func (c *clientConn) answer() {
+// answering tells that the answer goes out now: what comes next is another command.
+func (c *clientConn) answering() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.flow.Answered()
-	c.taken, c.head = false, httpframing.Head{}
+	c.complete, c.head = false, httpframing.Head{}
 	select {
-	case <-c.more:
+	case <-c.pipelined:
 	default:
 	}
-	c.place.Set(connlimit.Idle)
+	c.slot.SetState(connlimit.StateIdle)
 }
 
 type connKey struct{}
--- a/internal/router/node_test.go
+++ b/internal/router/node_test.go
@@ -24,19 +24,19 @@
 	"portflow/internal/standin/servers"
 )
 
-// tapped counts a client's own bytes.
-type tapped struct {
+// recordingConn counts a client's own bytes.
+type recordingConn struct {
 	net.Conn
 	in, out *atomic.Uint64
 }
 
-func (c tapped) Read(b []byte) (int, error) {
+func (c recordingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.in.Add(uint64(n))
 	return n, err
 }
 
-func (c tapped) Write(b []byte) (int, error) {
+func (c recordingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.out.Add(uint64(n))
 	return n, err
@@ -50,13 +50,13 @@
 		t.Fatal(err)
 	}
 	began := time.Now()
-	h := &servers.Host{Name: "h0", Effects: &servers.Shared{}, Clock: func() int64 { return int64(time.Since(began)) },
-		Came: func(int64, int64) {}, Work: func() int64 { return 1e6 }}
-	if err := h.Begin(&standin.Machine{Cores: 8, Queue: 1e9}); err != nil {
+	h := &servers.Host{Name: "h0", Effects: &servers.SharedEffects{}, Clock: func() int64 { return int64(time.Since(began)) },
+		OnWork: func(int64, int64) {}, Work: func() int64 { return 1e6 }}
+	if err := h.Start(&standin.Machine{Cores: 8, QueueNanos: 1e9}); err != nil {
 		t.Fatal(err)
 	}
-	defer h.End()
-	around, err := servers.NewAround(`{"release":1,"tranche":0,"mode":"stable","exposure":1,"old_ms":60000}`,
+	defer h.Stop()
+	around, err := servers.NewServices(`{"release":1,"tranche":0,"mode":"stable","exposure":1,"old_ms":60000}`,
 		[]servers.Member{{ID: "h0", HostPort: h.Address, Phase: "Ready", Size: 1, Image: 1}})
 	if err != nil {
 		t.Fatal(err)
@@ -66,12 +66,12 @@
 	listen := l.Addr().String()
 	l.Close()
 	conf := config.Config{Name: "n0", Listen: listen, Discovery: around.Address, Platform: around.Address, Seed: 1, Cores: 1,
-		Memory: 64 << 20, Sockets: 256, News: dispatch.News{News: decision.News{Build: 1, Standing: decision.Released, Cap: 1, Age: 60e9}},
-		Known: discovery.Message{List: dispatch.List{Hosts: []dispatch.Host{{Name: "h0", Address: h.Address, Build: 1, Size: 1}}}},
-		Settings: settings.Settings{Bands: []string{"display"}, Carriers: []string{"rila", "dunav"}, ConnectIn: 250e6, IdleIn: 30e9,
-			Settings: decision.Settings{Routers: 1, Tick: 5e6, MaxHandOffs: 3, Recalls: true, Gate: decision.Share, OnVotes: 1, BackVotes: 1, VoteLife: 4e9,
-				ColdFrom: 0.33, ColdFor: 4e9, FallMultiple: 2, Bands: []decision.Band{{Contract: 1e9, CutOff: 2e9, Importance: 1}},
-				Carriers: []decision.Carrier{{PerSecond: 1000}, {PerSecond: 1000}}}}}
+		Memory: 64 << 20, Sockets: 256, Rollout: dispatch.RolloutChanged{Rollout: decision.Rollout{Build: 1, State: decision.Released, ExposureCap: 1, Age: 60e9}},
+		KnownHosts: discovery.Update{HostsChanged: dispatch.HostsChanged{Hosts: []dispatch.Host{{Name: "h0", Address: h.Address, Build: 1, Capacity: 1}}}},
+		Settings: settings.Settings{ClassNames: []string{"display"}, CustomerNames: []string{"rila", "dunav"}, ConnectTimeout: 250e6, IdleTimeout: 30e9,
+			Settings: decision.Settings{Routers: 1, TimerResolution: 5e6, MaxAttempts: 3, Cancellation: true, Gate: decision.MajorityVote, AdvanceVotes: 1, RollBackVotes: 1, VoteLifetime: 4e9,
+				ColdCapacity: 0.33, WarmUpTime: 4e9, CollapseFactor: 2, Classes: []decision.RequestClass{{LatencyTarget: 1e9, Timeout: 2e9, Value: 1}},
+				Customers: []decision.Customer{{PerSecond: 1000}, {PerSecond: 1000}}}}}
 	s, err := site.Parse("f.star", []byte("site(flows = flows(collectors = ['tcp://"+c.Address+"']))"))
 	if err != nil {
 		t.Fatal(err)
@@ -83,12 +83,12 @@
 	var in, out atomic.Uint64
 	client := http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 		raw, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return tapped{raw, &in, &out}, err
+		return recordingConn{raw, &in, &out}, err
 	}}}
 	const commands = 60
 	for i := range commands {
 		r, _ := http.NewRequest(http.MethodGet, "http://"+listen+"/display?obj="+fmt.Sprint(i%7), nil)
-		r.Header = http.Header{"X-Trace-Id": {fmt.Sprint("t", i)}, "X-Qos": {"display"}, "X-Customer": {conf.Settings.Carriers[i/10%2]},
+		r.Header = http.Header{"X-Trace-Id": {fmt.Sprint("t", i)}, "X-Qos": {"display"}, "X-Customer": {conf.Settings.CustomerNames[i/10%2]},
 			"X-Expires-In": {"900m"}}
 		resp, err := client.Do(r)
 		if err != nil {
@@ -100,20 +100,20 @@
 		resp.Body.Close()
 	}
 	client.CloseIdleConnections()
-	if err := n.Leave(); err != nil {
+	if err := n.Drain(); err != nil {
 		t.Error(err)
 	}
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if all, _, _, _ := c.Sums(); all.Commands >= 2*commands {
+		if all, _, _, _ := c.Totals(); all.Commands >= 2*commands {
 			break
 		}
 	}
-	by, stats := c.Sides()
+	by, stats := c.TotalsBySide()
 	if x := by[flow.Clients]; x.Forward != out.Load() || x.Reverse != in.Load() || x.Commands != commands || x.Connections == 0 {
 		t.Errorf("collector %+v; the client wrote %d and read %d; %+v", x, out.Load(), in.Load(), stats)
 	}
 	if x := by[flow.Hosts]; x.Commands != commands || x.Forward == 0 || x.Reverse == 0 {
 		t.Errorf("of hosts %+v", x)
 	}
-	c.Vanish()
+	c.Stop()
 }
--- a/internal/router/peers/peers.go
+++ b/internal/router/peers/peers.go
@@ -16,66 +16,66 @@
 	"portflow/internal/dispatch"
 )
 
-const longest = 256 // bytes of a datagram
+const maxDatagramBytes = 256 // bytes of a datagram
 
-// Peers is this router's socket among the others'.
-type Peers struct {
-	conn      *net.UDPConn
-	addresses []netip.AddrPort // by rank
-	log       zerolog.Logger
-	post      func(dispatch.Event)
-	failed    func(failures int) // for tests: a read failed, so many in a row
+// Socket is this router's socket among the others'.
+type Socket struct {
+	conn          *net.UDPConn
+	addresses     []netip.AddrPort // by rank
+	log           zerolog.Logger
+	post          func(dispatch.Event)
+	onReadFailure func(failures int) // for tests: a read failed, so many in a row
 }
 
 // Listen opens the socket.
-func Listen(at netip.AddrPort, peers []netip.AddrPort, log zerolog.Logger, post func(dispatch.Event)) (*Peers, error) {
+func Listen(at netip.AddrPort, peers []netip.AddrPort, log zerolog.Logger, post func(dispatch.Event)) (*Socket, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	return &Peers{conn: conn, addresses: peers, log: log, post: post}, nil
+	return &Socket{conn: conn, addresses: peers, log: log, post: post}, nil
 }
 
-// Tell sends a message. A datagram that can't go out at once is lost, as any may be.
-func (p *Peers) Tell(peer int, message []byte) {
-	if peer < 0 || peer >= len(p.addresses) || len(message) > longest {
+// SendGossip sends a message. A datagram that can't go out at once is lost, as any may be.
+func (s *Socket) SendGossip(peer int, message []byte) {
+	if peer < 0 || peer >= len(s.addresses) || len(message) > maxDatagramBytes {
 		return
 	}
-	p.conn.SetWriteDeadline(time.Now().Add(time.Millisecond))
-	if _, err := p.conn.WriteToUDPAddrPort(message, p.addresses[peer]); err != nil {
-		p.log.Debug().Err(err).Int("peer", peer).Msg("tell")
+	s.conn.SetWriteDeadline(time.Now().Add(time.Millisecond))
+	if _, err := s.conn.WriteToUDPAddrPort(message, s.addresses[peer]); err != nil {
+		s.log.Debug().Err(err).Int("peer", peer).Msg("tell")
 	}
 }
 
 // Run reads datagrams, with waits that grow while the socket fails, until the context ends; those of other senders or over
 // the length are dropped.
-func (p *Peers) Run(ctx context.Context) {
-	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
+func (s *Socket) Run(ctx context.Context) {
+	stop := context.AfterFunc(ctx, func() { s.conn.Close() })
 	defer stop()
-	raw := make([]byte, longest+1)
-	var waits backoff.Waits // of its own socket: nobody else is asked
+	raw := make([]byte, maxDatagramBytes+1)
+	var delays backoff.Backoff // of its own socket: nobody else is asked
 	for failures := 0; ; {
-		n, from, err := p.conn.ReadFromUDPAddrPort(raw)
+		size, from, err := s.conn.ReadFromUDPAddrPort(raw)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil { // what an earlier datagram met, or one that stays
 			if failures++; failures == 1 {
-				p.log.Warn().Err(err).Msg("peers")
+				s.log.Warn().Err(err).Msg("peers")
 			}
-			if p.failed != nil {
-				p.failed(failures)
+			if s.onReadFailure != nil {
+				s.onReadFailure(failures)
 			}
 			if failures > 1 {
-				waits.Wait(ctx, failures)
+				delays.Wait(ctx, failures)
 			}
 			continue
 		}
 		failures = 0
-		peer := slices.Index(p.addresses, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
-		if peer < 0 || n > longest {
+		peer := slices.Index(s.addresses, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+		if peer < 0 || size > maxDatagramBytes {
 			continue
 		}
-		p.post(dispatch.Heard{Peer: peer, Message: slices.Clone(raw[:n])})
+		s.post(dispatch.GossipReceived{Peer: peer, Message: slices.Clone(raw[:size])})
 	}
 }
--- a/internal/router/peers/peers_test.go
+++ b/internal/router/peers/peers_test.go
@@ -12,9 +12,9 @@
 	"portflow/internal/dispatch"
 )
 
-func TestHeard(t *testing.T) {
+func TestGossipReceived(t *testing.T) {
 	heard := make(chan dispatch.Event, 4)
-	var all [3]*Peers // the last is no peer of the first
+	var all [3]*Socket // the last is no peer of the first
 	for i := range all {
 		p, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), nil, zerolog.Nop(), func(e dispatch.Event) { heard <- e })
 		if err != nil {
@@ -28,12 +28,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan bool)
 	go func() { all[0].Run(ctx); done <- true }()
-	all[2].Tell(0, []byte("foreign"))
+	all[2].SendGossip(0, []byte("foreign"))
 	all[1].conn.WriteToUDPAddrPort(make([]byte, 300), at(0))
-	all[1].Tell(0, make([]byte, 300))
-	all[1].Tell(7, []byte("nobody"))
-	all[1].Tell(0, []byte("hi"))
-	if h := (<-heard).(dispatch.Heard); h.Peer != 1 || string(h.Message) != "hi" {
+	all[1].SendGossip(0, make([]byte, 300))
+	all[1].SendGossip(7, []byte("nobody"))
+	all[1].SendGossip(0, []byte("hi"))
+	if h := (<-heard).(dispatch.GossipReceived); h.Peer != 1 || string(h.Message) != "hi" {
 		t.Error(h)
 	}
 	cancel()
@@ -41,7 +41,7 @@
 }
 
 // An error of the socket that stays once kept a core busy, and that is a crash where a thread may not run for long.
-func TestErrorThatStays(t *testing.T) {
+func TestPersistentError(t *testing.T) {
 	p, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), nil, zerolog.Nop(), func(dispatch.Event) {})
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 	p.conn.SetReadDeadline(time.Unix(1, 0)) // each read fails at once
 	fourth := make(chan time.Duration, 1)
 	began := time.Now()
-	p.failed = func(failures int) {
+	p.onReadFailure = func(failures int) {
 		if failures == 4 {
 			fourth <- time.Since(began)
 		}
--- a/internal/router/platform/platform_test.go
+++ b/internal/router/platform/platform_test.go
@@ -19,9 +19,9 @@
 
 const news = `{"release":42,"tranche":1,"mode":"canary","exposure":0.28,"old_ms":310}`
 
-var read = decision.News{Build: 42, Stage: 1, Cap: 0.28, Age: 310e6}
+var decodeExamples = decision.Rollout{Build: 42, Stage: 1, ExposureCap: 0.28, Age: 310e6}
 
-func begin(t *testing.T, serve http.HandlerFunc) (*Platform, chan dispatch.Event) {
+func startClient(t *testing.T, serve http.HandlerFunc) (*Client, chan dispatch.Event) {
 	s := httptest.NewServer(serve)
 	t.Cleanup(s.Close)
 	events := make(chan dispatch.Event, 16)
@@ -29,22 +29,22 @@
 		func(e dispatch.Event) { events <- e }), events
 }
 
-func TestDecodeNews(t *testing.T) {
-	if n, err := DecodeNews([]byte(news)); err != nil || n.News != read {
+func TestDecodeRollout(t *testing.T) {
+	if n, err := DecodeRollout([]byte(news)); err != nil || n.Rollout != decodeExamples {
 		t.Fatal(n, err)
 	}
 	for from, to := range map[string]string{`"release":42,`: "", "42": "70000", "canary": "odd", "0.28": "1.5", "310": "-1", ":1": ":-1", "{": ""} {
-		if n, err := DecodeNews([]byte(strings.Replace(news, from, to, 1))); err == nil {
+		if n, err := DecodeRollout([]byte(strings.Replace(news, from, to, 1))); err == nil {
 			t.Errorf("%s for %s taken as %v", to, from, n)
 		}
 	}
 }
 
 func TestVotes(t *testing.T) {
-	for code, want := range map[int]decision.CallEnding{200: decision.Counts, 429: decision.CallsFull, 409: decision.Moot, 500: decision.CallError,
-		400: decision.CallError, 204: decision.CallSilent, 302: decision.CallSilent, 1429: decision.CallSilent, 0: decision.CallSilent, 1: decision.CallSilent} {
+	for code, want := range map[int]decision.VoteResult{200: decision.VoteCounted, 429: decision.VoteThrottled, 409: decision.VoteConflict, 500: decision.VoteFailed,
+		400: decision.VoteFailed, 204: decision.VoteUnanswered, 302: decision.VoteUnanswered, 1429: decision.VoteUnanswered, 0: decision.VoteUnanswered, 1: decision.VoteUnanswered} {
 		asked := make(chan string, 4)
-		p, events := begin(t, func(w http.ResponseWriter, r *http.Request) {
+		p, events := startClient(t, func(w http.ResponseWriter, r *http.Request) {
 			raw, _ := io.ReadAll(r.Body)
 			asked <- r.Method + r.URL.Path + string(raw)
 			switch code {
@@ -55,16 +55,16 @@
 			default:
 				w.Header().Set("Location", "/else")
 				w.WriteHeader(code % 1000)
-				if r, ok := refusals[code]; ok {
-					fmt.Fprintf(w, `{"error":%q}`, r.word)
+				if r, ok := voteRefusals[code]; ok {
+					fmt.Fprintf(w, `{"error":%q}`, r.code)
 				} else {
 					fmt.Fprint(w, news)
 				}
 			}
 		})
-		p.Vote(decision.Back, 42, 1)
-		n := (<-events).(dispatch.News)
-		if !n.Reply || n.Ending != want || want == decision.Counts && (n.Build != 42 || n.Cap != 0.28) {
+		p.Vote(decision.RollBack, 42, 1)
+		n := (<-events).(dispatch.RolloutChanged)
+		if !n.VoteReply || n.VoteResult != want || want == decision.VoteCounted && (n.Build != 42 || n.ExposureCap != 0.28) {
 			t.Errorf("%d: %+v", code, n)
 		}
 		if call := <-asked; call != `POST/api/verdicts{"release":42,"tranche":1,"ruling":"ROLLBACK"}` || len(asked) > 0 {
@@ -74,9 +74,9 @@
 }
 
 // A stream that ends, breaks or brings what can't be read is asked for again.
-func TestNewsStream(t *testing.T) {
+func TestRolloutStream(t *testing.T) {
 	streams := 0
-	p, events := begin(t, func(w http.ResponseWriter, r *http.Request) {
+	p, events := startClient(t, func(w http.ResponseWriter, r *http.Request) {
 		good := `{"type":"report","object":{"unit":"s-1","product":"display","old_ms":1200}}` + "\n"
 		bad := []string{"", "", "???", `{"type":"news","object":{"release":-1}}`, `{"type":"nxws"}`,
 			`{"type":"report","object":{"unit":"s-1","product":"odd","old_ms":1200}}`}
@@ -93,10 +93,10 @@
 	defer cancel()
 	go p.Run(ctx)
 	for range 7 {
-		if n := (<-events).(dispatch.News); n.News != read {
+		if n := (<-events).(dispatch.RolloutChanged); n.Rollout != decodeExamples {
 			t.Error(n)
 		}
-		if r := (<-events).(dispatch.Flagged); r != (dispatch.Flagged{Host: "s-1", Age: 1200e6}) {
+		if r := (<-events).(dispatch.AnswerFlagged); r != (dispatch.AnswerFlagged{Host: "s-1", Age: 1200e6}) {
 			t.Error(r)
 		}
 	}
@@ -130,7 +130,7 @@
 }
 
 // A move ends the stream that is followed; news and votes are another address's from then on.
-func TestMove(t *testing.T) {
+func TestSetAddress(t *testing.T) {
 	stream := func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			fmt.Fprint(w, news)
@@ -141,25 +141,25 @@
 		<-r.Context().Done()
 	}
 	left := make(chan bool)
-	p, events := begin(t, func(w http.ResponseWriter, r *http.Request) { stream(w, r); left <- true })
-	other, _ := begin(t, stream)
+	p, events := startClient(t, func(w http.ResponseWriter, r *http.Request) { stream(w, r); left <- true })
+	other, _ := startClient(t, stream)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go p.Run(ctx)
 	<-events
-	p.Move(other.address.Now())
+	p.SetAddress(other.address.Current())
 	<-left
 	<-events
-	p.Vote(decision.On, 42, 1)
-	if n := (<-events).(dispatch.News); n.Ending != decision.Counts {
+	p.Vote(decision.Advance, 42, 1)
+	if n := (<-events).(dispatch.RolloutChanged); n.VoteResult != decision.VoteCounted {
 		t.Error(n)
 	}
 }
 
-func FuzzDecodeNews(f *testing.F) {
+func FuzzDecodeRollout(f *testing.F) {
 	f.Add([]byte(news))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if n, err := DecodeNews(raw); err == nil && (n.Build < 0 || n.Stage < 0 || n.Age < 0 || !(n.Cap >= 0 && n.Cap <= 1)) {
+		if n, err := DecodeRollout(raw); err == nil && (n.Build < 0 || n.Stage < 0 || n.Age < 0 || !(n.ExposureCap >= 0 && n.ExposureCap <= 1)) {
 			t.Error(n)
 		}
 	})
--- a/internal/router/protocol/speech.go
+++ b/internal/router/protocol/speech.go
@@ -15,35 +15,35 @@
 	"portflow/internal/dispatch"
 )
 
-// Speech is the protocol. Report names the values of load reports, none where there are none.
-type Speech struct{ Report []string }
+// Protocol is the protocol. Report names the values of load reports, none where there are none.
+type Protocol struct{ ReportFields []string }
 
-// Answer reads an answer whole.
-func (p Speech) Answer(_ *dispatch.Request, resp *http.Response) (dispatch.Outcome, error) {
+// ReadAnswer reads an answer whole.
+func (p Protocol) ReadAnswer(_ *dispatch.Request, resp *http.Response) (dispatch.Outcome, error) {
 	body, err := dispatch.ReadBody(resp.Body, resp.ContentLength)
 	if err != nil {
 		return dispatch.Outcome{}, err
 	}
-	o := dispatch.Outcome{Ending: decision.Failed, Report: p.report(resp.Header.Get("Endpoint-Load-Metrics"))}
+	outcome := dispatch.Outcome{Result: decision.Failed, LoadReport: p.parseLoadReport(resp.Header.Get("Endpoint-Load-Metrics"))}
 	switch code := resp.StatusCode; {
 	case code == http.StatusOK:
-		o.Ending, o.Body = decision.Fulfilled, body
+		outcome.Result, outcome.Body = decision.Succeeded, body
 	case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Never-Ran") == "1":
-		o.Ending = decision.TurnedAway
+		outcome.Result = decision.Rejected
 	}
-	return o, nil
+	return outcome, nil
 }
 
-// Request is the command on the wire. http.Transport sends again by itself what has a body that it can have anew,
+// NewRequest is the command on the wire. http.Transport sends again by itself what has a body that it can have anew,
 // and an empty one counts as such: a body that can't be rewound stops that.
-func (Speech) Request(to dispatch.Host, r *dispatch.Request, left time.Duration) *http.Request {
+func (Protocol) NewRequest(to dispatch.Host, r *dispatch.Request, left time.Duration) *http.Request {
 	req := &http.Request{Method: r.Method, URL: &url.URL{Scheme: "http", Host: to.Address, Opaque: r.Target}, Host: to.Address,
-		Header: http.Header{"X-Trace-Id": {r.Trace}, "User-Agent": nil,
+		Header: http.Header{"X-Trace-Id": {r.TraceID}, "User-Agent": nil,
 			"X-Expires-In": {strconv.FormatInt(max(0, left.Milliseconds()), 10) + "m"}},
 		Body: io.NopCloser(bytes.NewReader(r.Body)), ContentLength: int64(len(r.Body))}
-	if r.Mark != "" {
-		req.Header["idempotency-key"] = []string{r.Mark} // in this spelling it is no leave to send again
+	if r.IdempotencyKey != "" {
+		req.Header["idempotency-key"] = []string{r.IdempotencyKey} // in this spelling it is no leave to send again
 	}
 	if len(r.Body) == 0 && r.Method != http.MethodGet {
 		req.Body = http.NoBody // else it would go out in chunks
@@ -51,14 +51,14 @@
 	return req
 }
 
-// names are other names of a report's values, as hosts write them.
-var names = map[string]string{"concurrent": "inflight", "depth": "queue", "load_share": "util", "mean_ms": "latency_ms",
+// fieldAliases are other names of a report's values, as hosts write them.
+var fieldAliases = map[string]string{"concurrent": "inflight", "depth": "queue", "load_share": "util", "mean_ms": "latency_ms",
 	"tps": "qps", "err_ps": "eps"}
 
-// report reads a load report, "TEXT name=value, name=value"; one that lacks a value says nothing.
-func (p Speech) report(text string) []float64 {
+// parseLoadReport reads a load report, "TEXT name=value, name=value"; one that lacks a value says nothing.
+func (p Protocol) parseLoadReport(text string) []float64 {
 	text, ok := strings.CutPrefix(text, "TEXT ")
-	if !ok || len(p.Report) == 0 {
+	if !ok || len(p.ReportFields) == 0 {
 		return nil
 	}
 	values := map[string]float64{}
@@ -69,10 +69,10 @@
 		}
 	}
 	var all []float64
-	for _, name := range p.Report {
+	for _, name := range p.ReportFields {
 		v, ok := values[name]
 		if !ok {
-			v, ok = values[names[name]]
+			v, ok = values[fieldAliases[name]]
 		}
 		if !ok {
 			return nil
--- a/internal/router/protocol/speech_test.go
+++ b/internal/router/protocol/speech_test.go
@@ -6,7 +6,7 @@
 	f.Add("TEXT queue=3, latency_ms=1.5")
 	f.Add("TEXT queue=,,=")
 	f.Fuzz(func(t *testing.T, text string) {
-		if got := (Speech{Report: []string{"depth", "mean_ms"}}).report(text); got != nil && len(got) != 2 {
+		if got := (Protocol{ReportFields: []string{"depth", "mean_ms"}}).parseLoadReport(text); got != nil && len(got) != 2 {
 			t.Error(got)
 		}
 	})
--- a/internal/router/settings/settings.go
+++ b/internal/router/settings/settings.go
@@ -11,14 +11,14 @@
 // Settings are those of the rules and what else a router on sockets needs of the JSON.
 type Settings struct {
 	decision.Settings
-	Bands, Carriers   []string // their names, by position
-	Zones, Kinds      []string
-	ReportFields      []string // the values' names in a load report that comes in answers; none where it does not
-	ConnectIn, IdleIn int64    // how long a connection may take to come up, and may then stand idle
+	ClassNames, CustomerNames   []string // their names, by position
+	Zones, Kinds                []string
+	AnswerReportFields          []string // the values' names in a load report that comes in answers; none where it does not
+	ConnectTimeout, IdleTimeout int64    // how long a connection may take to come up, and may then stand idle
 }
 
-// text is the part of the JSON that is read.
-type text struct {
+// settingsJSON is the part of the JSON that is read.
+type settingsJSON struct {
 	Azs     []string `json:"azs"`
 	Kinds   []string `json:"kinds"`
 	Classes []struct {
@@ -79,65 +79,65 @@
 }
 
 var (
-	repeats = map[string]decision.Repeat{"repeatable": decision.Replayable, "by_key": decision.Referenced, "once": decision.SingleUse}
-	groups  = map[string]decision.Group{"": decision.AllHosts, "all": decision.AllHosts, "zone": decision.SameZone, "cell": decision.SameCell}
-	gates   = map[string]decision.Gate{"single": decision.AnyOne, "majority": decision.Share, "clocked": decision.Clock}
-	reports = map[string]decision.Report{"concurrent": decision.Holding, "depth": decision.Waiting, "load_share": decision.Busy,
-		"mean_ms": decision.MeanTime}
+	idempotencies = map[string]decision.Idempotency{"repeatable": decision.Idempotent, "by_key": decision.IdempotentByKey, "once": decision.NonIdempotent}
+	dedupScopes   = map[string]decision.DedupScope{"": decision.AllHosts, "all": decision.AllHosts, "zone": decision.SameZone, "cell": decision.SameCell}
+	gates         = map[string]decision.Gate{"single": decision.SingleVote, "majority": decision.MajorityVote, "clocked": decision.Timed}
+	loadFields    = map[string]decision.LoadField{"concurrent": decision.InFlight, "depth": decision.QueueLength, "load_share": decision.Utilization,
+		"mean_ms": decision.MeanServiceTime}
 )
 
 // Read reads the settings' JSON; keys that it does not know are skipped.
 func Read(raw []byte) (Settings, error) {
-	var p text
-	if err := json.Unmarshal(raw, &p); err != nil {
+	var in settingsJSON
+	if err := json.Unmarshal(raw, &in); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	fam, lim := p.FamilyInfo, p.Limits
-	s := Settings{Zones: p.Azs, Kinds: p.Kinds, ConnectIn: lim.ConnectTimeoutNs, IdleIn: lim.ConnIdleNs}
+	family, limits := in.FamilyInfo, in.Limits
+	s := Settings{Zones: in.Azs, Kinds: in.Kinds, ConnectTimeout: limits.ConnectTimeoutNs, IdleTimeout: limits.ConnIdleNs}
 	s.Settings = decision.Settings{
-		Rank: p.Rank, Routers: p.ReplicasOfMe, OverShare: p.OverShareWorth, Tick: p.TickNs,
-		Subscribe: p.Discovery == "subscribe", MaxHandOffs: lim.MaxAttempts, Most: lim.OpenCap, Copies: lim.ParallelTries,
-		Recalls: lim.Cancel, Peers: lim.PeerMessages,
-		OnVotes: fam.ToAdvance, BackVotes: fam.BackVotes,
-		HoldVotes: fam.ToPause, VoteLife: fam.VoteTtlNs, VoteWait: fam.VoteWaitNs, Free: fam.SpareTries,
-		CapByBand: fam.CapScope == "per_lane", Guarded: fam.Shielded, Beside: fam.Layout == "side_by_side", KeysStay: fam.KeysStay,
-		FlagShare: fam.ComplaintShare, ColdFrom: p.Contract.ColdFrom, ColdFor: p.Contract.ColdNs,
-		FallMultiple: p.Contract.FallMultiple, AskEvery: p.Contract.AskEveryNs,
+		Rank: in.Rank, Routers: in.ReplicasOfMe, OverQuotaValue: in.OverShareWorth, TimerResolution: in.TickNs,
+		Subscribe: in.Discovery == "subscribe", MaxAttempts: limits.MaxAttempts, MaxOpen: limits.OpenCap, Hedging: limits.ParallelTries,
+		Cancellation: limits.Cancel, Gossip: limits.PeerMessages,
+		AdvanceVotes: family.ToAdvance, RollBackVotes: family.BackVotes,
+		HoldVotes: family.ToPause, VoteLifetime: family.VoteTtlNs, VoteTimeout: family.VoteWaitNs, TrialBurst: family.SpareTries,
+		CapPerClass: family.CapScope == "per_lane", GuardedStages: family.Shielded, SideBySide: family.Layout == "side_by_side", KeyAffinity: family.KeysStay,
+		ReportedShare: family.ComplaintShare, ColdCapacity: in.Contract.ColdFrom, WarmUpTime: in.Contract.ColdNs,
+		CollapseFactor: in.Contract.FallMultiple, FetchInterval: in.Contract.AskEveryNs,
 	}
-	if lim.RetryAfter {
-		s.MaxAdvice = lim.MaxRetryAfterNs
+	if limits.RetryAfter {
+		s.MaxRetryAfter = limits.MaxRetryAfterNs
 	}
-	if len(fam.ExposureCaps) > 0 {
-		s.FirstCap = fam.ExposureCaps[0]
+	if len(family.ExposureCaps) > 0 {
+		s.FirstStageCap = family.ExposureCaps[0]
 	}
 	var ok bool
-	if s.Gate, ok = gates[fam.GateMode]; !ok {
-		return s, fmt.Errorf("settings: gateMode %q is unknown", fam.GateMode)
+	if s.Gate, ok = gates[family.GateMode]; !ok {
+		return s, fmt.Errorf("settings: gateMode %q is unknown", family.GateMode)
 	}
-	if s.Routers < 1 || s.Rank < 0 || s.Rank >= s.Routers || s.Tick < 1 || s.MaxHandOffs < 1 || len(p.Classes) == 0 {
-		return s, fmt.Errorf("settings: rank %d of %d, tick %d, %d attempts, %d classes", s.Rank, s.Routers, s.Tick,
-			s.MaxHandOffs, len(p.Classes))
+	if s.Routers < 1 || s.Rank < 0 || s.Rank >= s.Routers || s.TimerResolution < 1 || s.MaxAttempts < 1 || len(in.Classes) == 0 {
+		return s, fmt.Errorf("settings: rank %d of %d, tick %d, %d attempts, %d classes", s.Rank, s.Routers, s.TimerResolution,
+			s.MaxAttempts, len(in.Classes))
 	}
-	for i, c := range p.Classes {
-		b := decision.Band{Contract: c.AimNs, CutOff: c.HardLimitNs, Memory: c.DedupWindowNs, Importance: c.Worth,
-			LateOf: c.LateWorth}
+	for i, c := range in.Classes {
+		class := decision.RequestClass{LatencyTarget: c.AimNs, Timeout: c.HardLimitNs, DedupWindow: c.DedupWindowNs, Value: c.Worth,
+			LateValue: c.LateWorth}
 		var known bool
-		b.Repeat, ok = repeats[c.Effect]
-		if b.Group, known = groups[c.Group]; !ok || !known || b.Contract < 1 {
+		class.Idempotency, ok = idempotencies[c.Effect]
+		if class.DedupScope, known = dedupScopes[c.Group]; !ok || !known || class.LatencyTarget < 1 {
 			return s, fmt.Errorf("settings: class %d: effect %q, group %q, aim %d", i, c.Effect, c.Group, c.AimNs)
 		}
-		s.Settings.Bands = append(s.Settings.Bands, b)
-		s.Bands = append(s.Bands, c.Name)
+		s.Settings.Classes = append(s.Settings.Classes, class)
+		s.ClassNames = append(s.ClassNames, c.Name)
 	}
-	for _, t := range p.Projects {
-		s.Settings.Carriers = append(s.Settings.Carriers, decision.Carrier{PerSecond: t.AllowancePerS})
-		s.Carriers = append(s.Carriers, t.Name)
+	for _, project := range in.Projects {
+		s.Settings.Customers = append(s.Settings.Customers, decision.Customer{PerSecond: project.AllowancePerS})
+		s.CustomerNames = append(s.CustomerNames, project.Name)
 	}
-	for _, name := range p.Report.Fields {
-		s.Reports = append(s.Reports, reports[name])
+	for _, name := range in.Report.Fields {
+		s.LoadFields = append(s.LoadFields, loadFields[name])
 	}
-	if p.Report.Source == "piggyback" {
-		s.ReportFields = p.Report.Fields
+	if in.Report.Source == "piggyback" {
+		s.AnswerReportFields = in.Report.Fields
 	}
 	return s, nil
 }
--- a/internal/router/settings/settings_test.go
+++ b/internal/router/settings/settings_test.go
@@ -12,8 +12,8 @@
 		"familyInfo":{"gateMode":"clocked","exposureCaps":[0.1]},"rank":1,"replicasOfMe":3,"tickNs":5,
 		"limits":{"maxAttempts":3},"report":{"fields":["depth","later"]}}`
 	s, err := Read([]byte(good))
-	if err != nil || s.Gate != decision.Clock || s.Settings.Bands[0].Group != decision.SameCell || s.Settings.Bands[0].Memory != 5 ||
-		s.Reports[0] != decision.Waiting || s.Reports[1] != decision.Unknown || s.FirstCap != 0.1 {
+	if err != nil || s.Gate != decision.Timed || s.Settings.Classes[0].DedupScope != decision.SameCell || s.Settings.Classes[0].DedupWindow != 5 ||
+		s.LoadFields[0] != decision.QueueLength || s.LoadFields[1] != decision.UnknownField || s.FirstStageCap != 0.1 {
 		t.Fatal(s, err)
 	}
 	for from, to := range map[string]string{`"tickNs":5,`: ``, `"by_key"`: `"no"`, `"clocked"`: `""`, `"rank":1`: `"rank":3`} {
--- a/internal/router/site/script.go
+++ b/internal/router/site/script.go
@@ -9,25 +9,25 @@
 	"go.starlark.net/syntax"
 )
 
-// steps bounds a script's run: a file of some thousand lines takes a hundredth of it, a loop without end a second.
-const steps = 10_000_000
+// maxScriptSteps bounds a script's run: a file of some thousand lines takes a hundredth of it, a loop without end a second.
+const maxScriptSteps = 10_000_000
 
-// parts are the functions that a script may call to describe a part; the schema says what each takes.
-var parts = []string{"storm", "flows"}
+// siteSections are the functions that a script may call to describe a part; the schema says what each takes.
+var siteSections = []string{"storm", "flows"}
 
-// given is what a script handed to site, and where in the script each of its fields stands.
-type given struct {
-	name  string
-	value map[string]any
-	call  syntax.Position
-	lines map[string]map[string]syntax.Position // by part, then by field
+// sectionCall is what a script handed to site, and where in the script each of its fields stands.
+type sectionCall struct {
+	name      string
+	fields    map[string]any
+	call      syntax.Position
+	positions map[string]map[string]syntax.Position // by part, then by field
 }
 
-// place is where a field stands, or the nearest call around it.
-func (g given) place(path []string) string {
+// positionOf is where a field stands, or the nearest call around it.
+func (g sectionCall) positionOf(path []string) string {
 	at := g.call
 	if len(path) > 0 {
-		fields := g.lines[path[0]]
+		fields := g.positions[path[0]]
 		if p, ok := fields[""]; ok {
 			at = p
 		}
@@ -40,9 +40,9 @@
 	return fmt.Sprintf("%s:%d", g.name, at.Line)
 }
 
-// run runs a script and takes what it handed to site.
-func run(name string, text []byte) (given, error) {
-	g := given{name: name, lines: map[string]map[string]syntax.Position{}}
+// runScript runs a script and takes what it handed to site.
+func runScript(name string, text []byte) (sectionCall, error) {
+	g := sectionCall{name: name, positions: map[string]map[string]syntax.Position{}}
 	options := &syntax.FileOptions{TopLevelControl: true}
 	file, err := options.Parse(name, text, 0)
 	if err != nil {
@@ -50,14 +50,14 @@
 	}
 	arguments := keywords(file)
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
-	thread.SetMaxExecutionSteps(steps)
+	thread.SetMaxExecutionSteps(maxScriptSteps)
 	about := map[*starlark.Dict]map[string]syntax.Position{}
 	builtins := starlark.StringDict{
-		"ms":      starlark.NewBuiltin("ms", times(1e6)),
-		"seconds": starlark.NewBuiltin("seconds", times(1e9)),
-		"kib":     starlark.NewBuiltin("kib", times(1<<10)),
+		"ms":      starlark.NewBuiltin("ms", durationFields(1e6)),
+		"seconds": starlark.NewBuiltin("seconds", durationFields(1e9)),
+		"kib":     starlark.NewBuiltin("kib", durationFields(1<<10)),
 	}
-	for _, part := range parts {
+	for _, part := range siteSections {
 		builtins[part] = starlark.NewBuiltin(part, func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple,
 			named []starlark.Tuple) (starlark.Value, error) {
 			if len(args) > 0 {
@@ -80,25 +80,25 @@
 	}
 	builtins["site"] = starlark.NewBuiltin("site", func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple,
 		named []starlark.Tuple) (starlark.Value, error) {
-		if g.value != nil {
+		if g.fields != nil {
 			return nil, fmt.Errorf("called before, in line %d", g.call.Line)
 		}
 		if len(args) > 0 {
 			return nil, errors.New("its parts go by name")
 		}
 		g.call = t.CallFrame(1).Pos
-		g.value = map[string]any{}
+		g.fields = map[string]any{}
 		for _, kv := range named {
 			part := string(kv[0].(starlark.String))
-			value, err := plain(kv[1], 0)
+			value, err := plainValue(kv[1], 0)
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", part, err)
 			}
-			g.value[part] = value
+			g.fields[part] = value
 			if d, ok := kv[1].(*starlark.Dict); ok && about[d] != nil {
-				g.lines[part] = about[d]
+				g.positions[part] = about[d]
 			} else {
-				g.lines[part] = map[string]syntax.Position{"": arguments[[2]int32{g.call.Line, g.call.Col}][part]}
+				g.positions[part] = map[string]syntax.Position{"": arguments[[2]int32{g.call.Line, g.call.Col}][part]}
 			}
 		}
 		return starlark.None, nil
@@ -108,16 +108,16 @@
 		return g, err
 	}
 	if _, err := program.Init(thread, builtins); err != nil {
-		return g, located(name, err)
+		return g, errorAt(name, err)
 	}
-	if g.value == nil {
+	if g.fields == nil {
 		return g, fmt.Errorf("%s: site is never called", name)
 	}
 	return g, nil
 }
 
-// located puts the script's own place of an error before it.
-func located(name string, err error) error {
+// errorAt puts the script's own place of an error before it.
+func errorAt(name string, err error) error {
 	var failed *starlark.EvalError
 	if errors.As(err, &failed) {
 		for _, frame := range failed.CallStack {
@@ -151,8 +151,8 @@
 	return all
 }
 
-// times makes a function that tells a number in whole units: nanoseconds or bytes.
-func times(unit float64) func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error) {
+// durationFields makes a function that tells a number in whole units: nanoseconds or bytes.
+func durationFields(unit float64) func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error) {
 	return func(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
 		var n starlark.Value
 		if err := starlark.UnpackPositionalArgs(b.Name(), args, named, 1, &n); err != nil {
@@ -166,12 +166,12 @@
 	}
 }
 
-const deepest = 8 // levels of lists and dicts in a value; parts have two
+const maxDepth = 8 // levels of lists and dicts in a value; parts have two
 
-// plain turns a value into what JSON knows.
-func plain(v starlark.Value, depth int) (any, error) {
-	if depth > deepest {
-		return nil, fmt.Errorf("more than %d levels", deepest)
+// plainValue turns a value into what JSON knows.
+func plainValue(v starlark.Value, depth int) (any, error) {
+	if depth > maxDepth {
+		return nil, fmt.Errorf("more than %d levels", maxDepth)
 	}
 	switch v := v.(type) {
 	case starlark.NoneType:
@@ -198,7 +198,7 @@
 			if !ok {
 				return nil, fmt.Errorf("key %s is no text", kv[0])
 			}
-			value, err := plain(kv[1], depth+1)
+			value, err := plainValue(kv[1], depth+1)
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", key, err)
 			}
@@ -210,7 +210,7 @@
 		each := v.Iterate()
 		defer each.Done()
 		for x := starlark.Value(nil); each.Next(&x); {
-			value, err := plain(x, depth+1)
+			value, err := plainValue(x, depth+1)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/router/site/site.go
+++ b/internal/router/site/site.go
@@ -29,8 +29,8 @@
 	"portflow/internal/router/flow/ipfix"
 )
 
-// Site is a checked operator's file. A part that is nil is off.
-type Site struct {
+// Config is a checked operator's file. A part that is nil is off.
+type Config struct {
 	Storm *retryguard.Tuning `json:"storm"`
 	Flows *Flows             `json:"flows"`
 }
@@ -59,50 +59,50 @@
 // Schema is the JSON schema (draft 2020-12) of what a script may give.
 func Schema() []byte { return bytes.Clone(schema) }
 
-// largest is what a script may hold, in bytes: some hundred parts' worth.
-const largest = 256 << 10
+// maxFileBytes is what a script may hold, in bytes: some hundred parts' worth.
+const maxFileBytes = 256 << 10
 
 // Read reads the file at a path.
-func Read(path string) (Site, error) {
+func Read(path string) (Config, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return Site{}, err
+		return Config{}, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, largest+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err != nil {
-		return Site{}, fmt.Errorf("%s: %w", path, err)
+		return Config{}, fmt.Errorf("%s: %w", path, err)
 	}
-	if len(text) > largest {
-		return Site{}, fmt.Errorf("%s: more than %d bytes", path, largest)
+	if len(text) > maxFileBytes {
+		return Config{}, fmt.Errorf("%s: more than %d bytes", path, maxFileBytes)
 	}
 	return Parse(path, text)
 }
 
 // Parse reads a script's text; name stands in its errors.
-func Parse(name string, text []byte) (Site, error) {
-	given, err := run(name, text)
+func Parse(name string, text []byte) (Config, error) {
+	given, err := runScript(name, text)
 	if err != nil {
-		return Site{}, err
+		return Config{}, err
 	}
-	if err := check(given); err != nil {
-		return Site{}, err
+	if err := validate(given); err != nil {
+		return Config{}, err
 	}
-	raw, err := json.Marshal(given.value)
+	raw, err := json.Marshal(given.fields)
 	if err != nil {
-		return Site{}, fmt.Errorf("%s: %w", name, err)
+		return Config{}, fmt.Errorf("%s: %w", name, err)
 	}
-	var out Site
-	if _, has := given.value["storm"]; has {
+	var out Config
+	if _, has := given.fields["storm"]; has {
 		tuning := retryguard.Defaults()
 		out.Storm = &tuning
 	}
-	if _, has := given.value["flows"]; has {
+	if _, has := given.fields["flows"]; has {
 		flows := DefaultFlows()
 		out.Flows = &flows
 	}
 	if err := json.Unmarshal(raw, &out); err != nil {
-		return Site{}, fmt.Errorf("%s: %w", name, err)
+		return Config{}, fmt.Errorf("%s: %w", name, err)
 	}
 	if out.Storm != nil && !out.Storm.On {
 		out.Storm = nil
@@ -110,8 +110,8 @@
 	return out, nil
 }
 
-// check compares what a script gave with the schema; all that is wrong comes in one error, a line each.
-func check(g given) error {
+// validate compares what a script gave with the schema; all that is wrong comes in one error, a line each.
+func validate(g sectionCall) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema))
 	if err != nil {
 		return fmt.Errorf("schema: %w", err)
@@ -125,7 +125,7 @@
 		return fmt.Errorf("schema: %w", err)
 	}
 	var wrong *jsonschema.ValidationError
-	if err = compiled.Validate(g.value); !errors.As(err, &wrong) {
+	if err = compiled.Validate(g.fields); !errors.As(err, &wrong) {
 		return err
 	}
 	var all []error
@@ -138,10 +138,10 @@
 		if unknown, ok := e.ErrorKind.(*kind.AdditionalProperties); ok {
 			for _, name := range unknown.Properties {
 				path := append(slices.Clone(e.InstanceLocation), name)
-				all = append(all, fmt.Errorf("%s: site.%s: no such setting", g.place(path), strings.Join(path, ".")))
+				all = append(all, fmt.Errorf("%s: site.%s: no such setting", g.positionOf(path), strings.Join(path, ".")))
 			}
 		} else if len(e.Causes) == 0 {
-			all = append(all, fmt.Errorf("%s: %s: %s", g.place(e.InstanceLocation),
+			all = append(all, fmt.Errorf("%s: %s: %s", g.positionOf(e.InstanceLocation),
 				strings.Join(append([]string{"site"}, e.InstanceLocation...), "."), e.ErrorKind.LocalizedString(words)))
 		}
 	}
--- a/internal/router/site/site_test.go
+++ b/internal/router/site/site_test.go
@@ -81,7 +81,7 @@
 		if len(text) > 1000 {
 			return
 		}
-		if s, err := Parse("f.star", []byte(text)); err == nil && s.Storm != nil && (s.Storm.Ceiling > 2 || s.Storm.Memory < 4096) {
+		if s, err := Parse("f.star", []byte(text)); err == nil && s.Storm != nil && (s.Storm.Ceiling > 2 || s.Storm.MemoryBytes < 4096) {
 			t.Error(s.Storm)
 		}
 	})
