--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -15,20 +15,20 @@
 
 // Codes of the events.
 const (
-	codeReportedWrong = 16
-	codePeersKnown    = 17
-	codeReminder      = 18
-	codeFirst         = 19
-	codeIncoming      = 20
-	codeTrialNews     = 21
-	codeMetrics       = 22
-	codeFromPeer      = 23
-	codeExit          = 24
-	codeProbeDone     = 25
-	codeFinished      = 26
-	codeDropped       = 27
-	codeLedger        = 28
-	codeProvision     = 29
+	eventAnswerFlagged   = 16
+	eventHostsChanged    = 17
+	eventTimerFired      = 18
+	eventStreamStarted   = 19
+	eventRequestReceived = 20
+	eventRolloutChanged  = 21
+	eventMetrics         = 22
+	eventGossipReceived  = 23
+	eventExit            = 24
+	eventProbeDone       = 25
+	eventAttemptEnded    = 26
+	eventClientGone      = 27
+	eventHostList        = 28
+	eventProvision       = 29
 )
 
 // Events, each of one instance but for Ledger.
@@ -37,49 +37,49 @@
 		Seed     uint64
 		Settings decision.Settings
 	}
-	Ledger struct {
+	HostList struct {
 		Number int
-		Hosts  []decision.Listed
+		Hosts  []decision.Host
 	}
-	PeersKnown struct {
-		Form   decision.Form
+	HostsChanged struct {
+		Kind   decision.ListKind
 		Number int
 	}
-	Incoming struct{ Command decision.Command }
-	Metrics  struct {
-		Build, Band, Many, Failed int
-		Mean, Age                 int64
+	RequestReceived struct{ Request decision.Request }
+	Metrics         struct {
+		Build, Class, Count, Failed int
+		Mean, Age                   int64
 	}
-	ReportedWrong struct {
-		Host uint32
-		Band int
-		Age  int64
+	AnswerFlagged struct {
+		Host  uint32
+		Class int
+		Age   int64
 	}
-	First struct {
-		Command uint32
-		Number  int
+	StreamStarted struct {
+		RequestID uint32
+		Number    int
 	}
-	Dropped   struct{ Command uint32 }
-	TrialNews struct{ News decision.News }
-	FromPeer  struct {
-		From int
-		Raw  []byte
+	ClientGone     struct{ RequestID uint32 }
+	RolloutChanged struct{ Rollout decision.Rollout }
+	GossipReceived struct {
+		From    int
+		Message []byte
 	}
-	Exit      struct{}
-	Reminder  struct{ Mark uint64 }
-	ProbeDone struct {
+	Exit       struct{}
+	TimerFired struct{ ID uint64 }
+	ProbeDone  struct {
 		Host   uint32
-		Ending decision.Ending
+		Result decision.Result
 		Took   int64
 		Report []float64
 	}
-	Finished struct {
-		Command uint32
-		Number  int
-		Ending  decision.Ending
-		Over    bool
-		Took    int64
-		Report  []float64
+	AttemptEnded struct {
+		RequestID uint32
+		Number    int
+		Result    decision.Result
+		Done      bool
+		Took      int64
+		Report    []float64
 	}
 )
 
@@ -96,21 +96,21 @@
 }
 
 const (
-	headerLen = 16
-	entryLen  = 26
-	mostBytes = 1 << 30 // far beyond the megabytes that a batch can run to
+	headerBytes    = 16
+	hostEntryBytes = 26
+	maxBatchBytes  = 1 << 30 // far beyond the megabytes that a batch can run to
 )
 
 // ReadBatch reads the next batch; io.EOF says that the input has ended between two.
 func ReadBatch(r io.Reader) (Batch, error) {
-	var head [headerLen]byte
+	var head [headerBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err == io.EOF {
 		return Batch{}, io.EOF
 	} else if err != nil {
 		return Batch{}, fmt.Errorf("batch header: cut short")
 	}
-	many, size := binary.BigEndian.Uint32(head[:]), binary.BigEndian.Uint32(head[4:])
-	if size > mostBytes {
+	count, size := binary.BigEndian.Uint32(head[:]), binary.BigEndian.Uint32(head[4:])
+	if size > maxBatchBytes {
 		return Batch{}, fmt.Errorf("batch header: %d bytes are too many", size)
 	}
 	body := make([]byte, size)
@@ -118,36 +118,36 @@
 		return Batch{}, fmt.Errorf("batch body: %d bytes of %d", n, size)
 	}
 	b := Batch{Clock: int64(binary.BigEndian.Uint64(head[8:]))}
-	at := 0
-	for i := uint32(0); i < many; i++ {
-		if len(body)-at < 5 {
-			return Batch{}, fmt.Errorf("record %d at byte %d: header cut short", i, at)
+	offset := 0
+	for i := uint32(0); i < count; i++ {
+		if len(body)-offset < 5 {
+			return Batch{}, fmt.Errorf("record %d at byte %d: header cut short", i, offset)
 		}
-		code, length := body[at], binary.BigEndian.Uint32(body[at+1:])
-		if uint64(length) > uint64(len(body)-at-5) {
-			return Batch{}, fmt.Errorf("record %d at byte %d: code %d wants %d bytes, %d are left", i, at, code,
-				length, len(body)-at-5)
+		code, length := body[offset], binary.BigEndian.Uint32(body[offset+1:])
+		if uint64(length) > uint64(len(body)-offset-5) {
+			return Batch{}, fmt.Errorf("record %d at byte %d: code %d wants %d bytes, %d are left", i, offset, code,
+				length, len(body)-offset-5)
 		}
-		e, err := event(code, body[at+5:at+5+int(length)])
+		decoded, err := decodeEvent(code, body[offset+5:offset+5+int(length)])
 		if err != nil {
-			return Batch{}, fmt.Errorf("record %d at byte %d: %w", i, at, err)
+			return Batch{}, fmt.Errorf("record %d at byte %d: %w", i, offset, err)
 		}
-		b.Events = append(b.Events, e)
-		at += 5 + int(length)
+		b.Events = append(b.Events, decoded)
+		offset += 5 + int(length)
 	}
-	if at != len(body) {
-		return Batch{}, fmt.Errorf("batch body: %d bytes after the last record", len(body)-at)
+	if offset != len(body) {
+		return Batch{}, fmt.Errorf("batch body: %d bytes after the last record", len(body)-offset)
 	}
 	return b, nil
 }
 
-// fields takes one field after another; the first that is missing or wrong stays as the error.
-type fields struct {
+// fieldReader takes one field after another; the first that is missing or wrong stays as the error.
+type fieldReader struct {
 	raw []byte
 	err error
 }
 
-func (f *fields) bytes(n int, name string) []byte {
+func (f *fieldReader) bytes(n int, name string) []byte {
 	if f.err == nil && (n < 0 || len(f.raw) < n) {
 		f.err = fmt.Errorf("field %s: %d bytes wanted, %d are left", name, n, len(f.raw))
 	}
@@ -158,21 +158,21 @@
 	f.raw = f.raw[n:]
 	return x
 }
-func (f *fields) u8(name string) uint8   { return f.bytes(1, name)[0] }
-func (f *fields) u16(name string) uint16 { return binary.BigEndian.Uint16(f.bytes(2, name)) }
-func (f *fields) u32(name string) uint32 { return binary.BigEndian.Uint32(f.bytes(4, name)) }
-func (f *fields) u64(name string) uint64 { return binary.BigEndian.Uint64(f.bytes(8, name)) }
-func (f *fields) time(name string) int64 {
+func (f *fieldReader) u8(name string) uint8   { return f.bytes(1, name)[0] }
+func (f *fieldReader) u16(name string) uint16 { return binary.BigEndian.Uint16(f.bytes(2, name)) }
+func (f *fieldReader) u32(name string) uint32 { return binary.BigEndian.Uint32(f.bytes(4, name)) }
+func (f *fieldReader) u64(name string) uint64 { return binary.BigEndian.Uint64(f.bytes(8, name)) }
+func (f *fieldReader) time(name string) int64 {
 	x := f.u64(name)
 	if f.err == nil && x > math.MaxInt64/4 {
 		f.err = fmt.Errorf("field %s: %d is no time", name, x)
 	}
 	return int64(x)
 }
-func (f *fields) f32(name string) float64 {
+func (f *fieldReader) f32(name string) float64 {
 	return float64(math.Float32frombits(f.u32(name)))
 }
-func (f *fields) report(name string) []float64 {
+func (f *fieldReader) report(name string) []float64 {
 	n := int(f.u8(name))
 	var values []float64
 	for i := 0; i < n && f.err == nil; i++ {
@@ -181,8 +181,8 @@
 	return values
 }
 
-// word looks up what a number of the wire means.
-func word[T any](f *fields, table map[uint8]T, name string) T {
+// lookUp looks up what a number of the wire means.
+func lookUp[T any](f *fieldReader, table map[uint8]T, name string) T {
 	n := f.u8(name)
 	v, ok := table[n]
 	if !ok && f.err == nil {
@@ -192,146 +192,146 @@
 }
 
 var (
-	forms     = map[uint8]decision.Form{0: decision.Changes, 1: decision.Whole, 2: decision.Cached, 3: decision.CallFailed}
-	healths   = map[uint8]decision.Health{2: decision.Ready, 0: decision.Draining, 1: decision.Gone}
-	standings = map[uint8]decision.Standing{0: decision.OnTrial, 1: decision.GoingBack, 2: decision.Released, 3: decision.Withdrawn}
-	calls     = map[uint8]decision.CallEnding{0: decision.Counts, 9: decision.Moot, 8: decision.CallsFull, 13: decision.CallError,
-		4: decision.CallSilent}
-	endings = map[uint8]decision.Ending{0: decision.Fulfilled, 13: decision.Failed, 8: decision.TurnedAway, 4: decision.TimedOut,
-		14: decision.NoConnect, 10: decision.Reset, 1: decision.Recalled, 9: decision.Unsent}
-	truths = map[uint8]bool{0: false, 1: true}
+	listKinds     = map[uint8]decision.ListKind{0: decision.Delta, 1: decision.Snapshot, 2: decision.CachedSnapshot, 3: decision.FetchFailed}
+	healthStates  = map[uint8]decision.Health{2: decision.Ready, 0: decision.Draining, 1: decision.Gone}
+	rolloutStates = map[uint8]decision.RolloutState{0: decision.OnTrial, 1: decision.RollingBack, 2: decision.Released, 3: decision.RolledBack}
+	voteResults   = map[uint8]decision.VoteResult{0: decision.VoteCounted, 9: decision.VoteConflict, 8: decision.VoteThrottled, 13: decision.VoteFailed,
+		4: decision.VoteUnanswered}
+	results = map[uint8]decision.Result{0: decision.Succeeded, 13: decision.Failed, 8: decision.Rejected, 4: decision.TimedOut,
+		14: decision.ConnectFailed, 10: decision.ConnectionReset, 1: decision.Canceled, 9: decision.Unsent}
+	booleans = map[uint8]bool{0: false, 1: true}
 )
 
-func event(code uint8, raw []byte) (e Event, err error) {
-	f := &fields{raw: raw}
+func decodeEvent(code uint8, raw []byte) (e Event, err error) {
+	fields := &fieldReader{raw: raw}
 	name := ""
-	if code != codeLedger {
-		e.Instance = f.u32("i")
+	if code != eventHostList {
+		e.Instance = fields.u32("i")
 	}
 	switch code {
-	case codeProvision:
+	case eventProvision:
 		name = "Provision"
-		p := Provision{Seed: f.u64("randomSeed")}
-		text := f.bytes(int(f.u32("env")), "env")
-		if f.err == nil {
+		p := Provision{Seed: fields.u64("randomSeed")}
+		text := fields.bytes(int(fields.u32("env")), "env")
+		if fields.err == nil {
 			var all settings.Settings
-			all, f.err = settings.Read(text)
+			all, fields.err = settings.Read(text)
 			p.Settings = all.Settings
 		}
 		e.Body = p
-	case codeLedger:
+	case eventHostList:
 		name = "Ledger"
-		l := Ledger{Number: int(f.u16("setId"))}
-		n := int(f.u32("members"))
-		if f.err == nil && (l.Number > 15 || n > len(f.raw)/entryLen) {
-			f.err = fmt.Errorf("list %d: %d entries in %d bytes", l.Number, n, len(f.raw))
+		list := HostList{Number: int(fields.u16("setId"))}
+		rollout := int(fields.u32("members"))
+		if fields.err == nil && (list.Number > 15 || rollout > len(fields.raw)/hostEntryBytes) {
+			fields.err = fmt.Errorf("list %d: %d entries in %d bytes", list.Number, rollout, len(fields.raw))
 		}
-		for i := 0; i < n && f.err == nil; i++ {
-			l.Hosts = append(l.Hosts, entry(f))
+		for i := 0; i < rollout && fields.err == nil; i++ {
+			list.Hosts = append(list.Hosts, readHost(fields))
 		}
-		e.Body = l
-	case codePeersKnown:
+		e.Body = list
+	case eventHostsChanged:
 		name = "PeersKnown"
-		e.Body = PeersKnown{word(f, forms, "form"), int(f.u16("setId"))}
-		f.u64("epoch")
-	case codeIncoming:
+		e.Body = HostsChanged{lookUp(fields, listKinds, "form"), int(fields.u16("setId"))}
+		fields.u64("epoch")
+	case eventRequestReceived:
 		name = "Incoming"
-		c := decision.Command{ID: f.u32("corr"), Band: int(f.u8("kind")), Carrier: int(f.u16("billing")),
-			Key: f.u64("partitionKey"), Left: f.time("remainingNs"), Hint: f.time("costNs")}
-		flags := f.u8("flags")
+		request := decision.Request{ID: fields.u32("corr"), Class: int(fields.u8("kind")), Customer: int(fields.u16("billing")),
+			Key: fields.u64("partitionKey"), Remaining: fields.time("remainingNs"), Cost: fields.time("costNs")}
+		flags := fields.u8("flags")
 		if flags&1 == 0 {
-			c.Hint = 0
+			request.Cost = 0
 		}
-		e.Body = Incoming{c}
-	case codeMetrics:
+		e.Body = RequestReceived{request}
+	case eventMetrics:
 		name = "Metrics"
-		m := Metrics{Build: int(f.u16("image")), Band: int(f.u8("kind")), Many: int(f.u32("many"))}
-		m.Mean, m.Failed, m.Age = f.time("rttNs"), int(f.u32("errors")), f.time("latenessNs")
-		e.Body = m
-	case codeReportedWrong:
+		metrics := Metrics{Build: int(fields.u16("image")), Class: int(fields.u8("kind")), Count: int(fields.u32("many"))}
+		metrics.Mean, metrics.Failed, metrics.Age = fields.time("rttNs"), int(fields.u32("errors")), fields.time("latenessNs")
+		e.Body = metrics
+	case eventAnswerFlagged:
 		name = "ReportedWrong"
-		e.Body = ReportedWrong{f.u32("host"), int(f.u8("kind")), f.time("latenessNs")}
-	case codeFirst:
+		e.Body = AnswerFlagged{fields.u32("host"), int(fields.u8("kind")), fields.time("latenessNs")}
+	case eventStreamStarted:
 		name = "First"
-		e.Body = First{f.u32("corr"), int(f.u8("copy"))}
-		f.u32("host")
-		f.time("rttNs")
-	case codeDropped:
+		e.Body = StreamStarted{fields.u32("corr"), int(fields.u8("copy"))}
+		fields.u32("host")
+		fields.time("rttNs")
+	case eventClientGone:
 		name = "Dropped"
-		e.Body = Dropped{f.u32("corr")}
-	case codeTrialNews:
+		e.Body = ClientGone{fields.u32("corr")}
+	case eventRolloutChanged:
 		name = "TrialNews"
-		n := decision.News{Build: int(f.u16("image")), Stage: int(f.u8("step"))}
-		n.Standing, n.Reply = word(f, standings, "standing"), word(f, truths, "code")
-		n.Ending, n.Cap, n.Age = word(f, calls, "ending"), f.f32("mostShare"), f.time("latenessNs")
-		if f.err == nil && !(n.Cap >= 0 && n.Cap <= 1) {
-			f.err = fmt.Errorf("field mostShare: %v is no share", n.Cap)
+		rollout := decision.Rollout{Build: int(fields.u16("image")), Stage: int(fields.u8("step"))}
+		rollout.State, rollout.VoteReply = lookUp(fields, rolloutStates, "standing"), lookUp(fields, booleans, "code")
+		rollout.VoteResult, rollout.ExposureCap, rollout.Age = lookUp(fields, voteResults, "ending"), fields.f32("mostShare"), fields.time("latenessNs")
+		if fields.err == nil && !(rollout.ExposureCap >= 0 && rollout.ExposureCap <= 1) {
+			fields.err = fmt.Errorf("field mostShare: %v is no share", rollout.ExposureCap)
 		}
-		e.Body = TrialNews{n}
-	case codeFromPeer:
+		e.Body = RolloutChanged{rollout}
+	case eventGossipReceived:
 		name = "FromPeer"
-		p := FromPeer{From: int(f.u16("from"))}
-		p.Raw = f.bytes(int(f.u16("raw")), "raw")
+		p := GossipReceived{From: int(fields.u16("from"))}
+		p.Message = fields.bytes(int(fields.u16("raw")), "raw")
 		e.Body = p
-	case codeExit:
+	case eventExit:
 		name, e.Body = "Exit", Exit{}
-	case codeReminder:
-		name, e.Body = "Reminder", Reminder{f.u64("ctx")}
-	case codeProbeDone:
+	case eventTimerFired:
+		name, e.Body = "Reminder", TimerFired{fields.u64("ctx")}
+	case eventProbeDone:
 		name = "ProbeDone"
-		e.Body = ProbeDone{f.u32("host"), word(f, endings, "ending"), f.time("rttNs"), f.report("pressure")}
-	case codeFinished:
+		e.Body = ProbeDone{fields.u32("host"), lookUp(fields, results, "ending"), fields.time("rttNs"), fields.report("pressure")}
+	case eventAttemptEnded:
 		name = "Finished"
-		o := Finished{Command: f.u32("corr")}
-		f.u32("host")
-		o.Over, o.Took, o.Number = word(f, truths, "ended"), f.time("rttNs"), int(f.u8("copy"))
-		o.Ending, o.Report = word(f, endings, "ending"), f.report("pressure")
-		e.Body = o
+		ended := AttemptEnded{RequestID: fields.u32("corr")}
+		fields.u32("host")
+		ended.Done, ended.Took, ended.Number = lookUp(fields, booleans, "ended"), fields.time("rttNs"), int(fields.u8("copy"))
+		ended.Result, ended.Report = lookUp(fields, results, "ending"), fields.report("pressure")
+		e.Body = ended
 	default:
 		return e, fmt.Errorf("code %d is unknown", code)
 	}
-	if f.err == nil && len(f.raw) > 0 {
-		f.err = errors.New("bytes after the last field")
+	if fields.err == nil && len(fields.raw) > 0 {
+		fields.err = errors.New("bytes after the last field")
 	}
-	if f.err != nil {
-		return e, fmt.Errorf("%s: %w", name, f.err)
+	if fields.err != nil {
+		return e, fmt.Errorf("%s: %w", name, fields.err)
 	}
 	return e, nil
 }
 
-func entry(f *fields) decision.Listed {
-	l := decision.Listed{ID: f.u32("host"), Zone: int(f.u16("site")), Kind: int(f.u8("hw")), Cell: int(f.u16("bay")),
-		Health: word(f, healths, "state")}
+func readHost(f *fieldReader) decision.Host {
+	host := decision.Host{ID: f.u32("host"), Zone: int(f.u16("site")), Kind: int(f.u8("hw")), Cell: int(f.u16("bay")),
+		Health: lookUp(f, healthStates, "state")}
 	runs := f.f32("runs")
 	if f.err == nil && !(runs >= 0 && runs < 65536) {
 		f.err = fmt.Errorf("field runs: %v is no build", runs)
 	}
-	l.Build, l.Size, l.Started = int(runs), f.f32("share"), f.time("lastStartNs")
-	return l
+	host.Build, host.Capacity, host.StartedAt = int(runs), f.f32("share"), f.time("lastStartNs")
+	return host
 }
 
 // Codes of the actions.
 const (
-	codeRoute     = 16
-	codeSayNo     = 17
-	codeSurrender = 18
-	codeRecall    = 19
-	codeRemind    = 20
-	codeRelease   = 22
-	codeSay       = 23
-	codeDebug     = 24
-	codeListen    = 26
-	codeVote      = 28
+	actionStartAttempt  = 16
+	actionReject        = 17
+	actionFail          = 18
+	actionCancelAttempt = 19
+	actionSetTimer      = 20
+	actionCloseIdle     = 22
+	actionSendGossip    = 23
+	actionLog           = 24
+	actionWatchHosts    = 26
+	actionVote          = 28
 )
 
 // Reply gathers the actions of a batch.
 type Reply struct {
-	many uint32
-	raw  []byte
+	count uint32
+	raw   []byte
 }
 
 func (r *Reply) record(code uint8, instance uint32, length int) {
-	r.many++
+	r.count++
 	r.raw = append(r.raw, code)
 	r.u32(uint32(length + 4))
 	r.u32(instance)
@@ -343,73 +343,73 @@
 
 // WriteTo writes the reply whole, in one write, and empties it.
 func (r *Reply) WriteTo(w io.Writer) (int64, error) {
-	frame := binary.BigEndian.AppendUint32(make([]byte, 0, 8+len(r.raw)), r.many)
+	frame := binary.BigEndian.AppendUint32(make([]byte, 0, 8+len(r.raw)), r.count)
 	frame = binary.BigEndian.AppendUint32(frame, uint32(len(r.raw)))
 	n, err := w.Write(append(frame, r.raw...))
-	r.many, r.raw = 0, r.raw[:0]
+	r.count, r.raw = 0, r.raw[:0]
 	return int64(n), err
 }
 
-// Out writes one instance's effects into a reply.
-type Out struct {
+// Effects writes one instance's effects into a reply.
+type Effects struct {
 	Instance uint32
 	Reply    *Reply
 }
 
-var verdicts = map[decision.Verdict]uint8{decision.NoVote: 0, decision.On: 1, decision.Hold: 2, decision.Back: 3}
+var verdicts = map[decision.Verdict]uint8{decision.NoVote: 0, decision.Advance: 1, decision.Hold: 2, decision.RollBack: 3}
 
-func (o Out) HandOff(command, host uint32, until int64) {
-	o.Reply.record(codeRoute, o.Instance, 16)
-	o.Reply.u32(command)
-	o.Reply.u64(uint64(until))
-	o.Reply.u32(host)
+func (e Effects) StartAttempt(command, host uint32, until int64) {
+	e.Reply.record(actionStartAttempt, e.Instance, 16)
+	e.Reply.u32(command)
+	e.Reply.u64(uint64(until))
+	e.Reply.u32(host)
 }
-func (o Out) Dismiss(command uint32, wait int64) {
-	o.Reply.record(codeSayNo, o.Instance, 12)
-	o.Reply.u32(command)
-	o.Reply.u64(uint64(wait))
+func (e Effects) Reject(command uint32, wait int64) {
+	e.Reply.record(actionReject, e.Instance, 12)
+	e.Reply.u32(command)
+	e.Reply.u64(uint64(wait))
 }
-func (o Out) Scrap(command uint32) {
-	o.Reply.record(codeSurrender, o.Instance, 4)
-	o.Reply.u32(command)
+func (e Effects) Fail(command uint32) {
+	e.Reply.record(actionFail, e.Instance, 4)
+	e.Reply.u32(command)
 }
-func (o Out) Recall(command uint32, number int) {
-	o.Reply.record(codeRecall, o.Instance, 5)
-	o.Reply.u32(command)
-	o.Reply.u8(uint8(number))
+func (e Effects) CancelAttempt(command uint32, number int) {
+	e.Reply.record(actionCancelAttempt, e.Instance, 5)
+	e.Reply.u32(command)
+	e.Reply.u8(uint8(number))
 }
-func (o Out) Vote(v decision.Verdict, build, stage int) {
-	o.Reply.record(codeVote, o.Instance, 4)
-	o.Reply.u8(verdicts[v])
-	o.Reply.u16(uint16(build))
-	o.Reply.u8(uint8(stage))
+func (e Effects) Vote(v decision.Verdict, build, stage int) {
+	e.Reply.record(actionVote, e.Instance, 4)
+	e.Reply.u8(verdicts[v])
+	e.Reply.u16(uint16(build))
+	e.Reply.u8(uint8(stage))
 }
-func (o Out) Tell(peer int, message []byte) {
-	o.Reply.record(codeSay, o.Instance, 6+len(message))
-	o.Reply.u32(uint32(peer))
-	o.Reply.u16(uint16(len(message)))
-	o.Reply.raw = append(o.Reply.raw, message...)
+func (e Effects) SendGossip(peer int, message []byte) {
+	e.Reply.record(actionSendGossip, e.Instance, 6+len(message))
+	e.Reply.u32(uint32(peer))
+	e.Reply.u16(uint16(len(message)))
+	e.Reply.raw = append(e.Reply.raw, message...)
 }
-func (o Out) Wake(after int64, mark uint64) {
-	o.Reply.record(codeRemind, o.Instance, 16)
-	o.Reply.u64(uint64(after))
-	o.Reply.u64(mark)
+func (e Effects) SetTimer(after int64, mark uint64) {
+	e.Reply.record(actionSetTimer, e.Instance, 16)
+	e.Reply.u64(uint64(after))
+	e.Reply.u64(mark)
 }
-func (o Out) Close(host uint32) {
-	o.Reply.record(codeRelease, o.Instance, 4)
-	o.Reply.u32(host)
+func (e Effects) CloseIdle(host uint32) {
+	e.Reply.record(actionCloseIdle, e.Instance, 4)
+	e.Reply.u32(host)
 }
-func (o Out) Watch(on bool) {
-	o.Reply.record(codeListen, o.Instance, 1)
+func (e Effects) WatchHosts(on bool) {
+	e.Reply.record(actionWatchHosts, e.Instance, 1)
 	if on {
-		o.Reply.u8(1)
+		e.Reply.u8(1)
 	} else {
-		o.Reply.u8(0)
+		e.Reply.u8(0)
 	}
 }
-func (o Out) Note(text string) {
+func (e Effects) Log(text string) {
 	text = text[:min(len(text), 200)]
-	o.Reply.record(codeDebug, o.Instance, 2+len(text))
-	o.Reply.u16(uint16(len(text)))
-	o.Reply.raw = append(o.Reply.raw, text...)
+	e.Reply.record(actionLog, e.Instance, 2+len(text))
+	e.Reply.u16(uint16(len(text)))
+	e.Reply.raw = append(e.Reply.raw, text...)
 }
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -83,21 +83,21 @@
 	}
 	want := Batch{Clock: 62, Events: []Event{
 		{1, Provision{Seed: 2, Settings: all.Settings}},
-		{0, Ledger{Number: 3, Hosts: []decision.Listed{
-			{ID: 4, Zone: 5, Kind: 6, Cell: 7, Health: decision.Ready, Build: 8, Size: 1.5, Started: 9},
-			{ID: 10, Zone: 11, Kind: 12, Cell: 13, Health: decision.Draining, Build: 14, Size: 2.5, Started: 15}}}},
-		{16, PeersKnown{Form: decision.Cached, Number: 4}},
-		{18, First{Command: 19, Number: 20}},
-		{23, Incoming{decision.Command{ID: 24, Band: 25, Carrier: 26, Key: 27, Left: 28, Hint: 29}}},
-		{30, Metrics{Build: 31, Band: 32, Many: 33, Mean: 34, Failed: 35, Age: 36}},
-		{37, ReportedWrong{Host: 38, Band: 39, Age: 40}},
-		{41, Dropped{Command: 42}},
-		{43, TrialNews{decision.News{Build: 44, Stage: 45, Standing: decision.Withdrawn, Reply: true, Ending: decision.CallError, Cap: 0.25, Age: 46}}},
-		{47, FromPeer{From: 48, Raw: []byte("abc")}},
+		{0, HostList{Number: 3, Hosts: []decision.Host{
+			{ID: 4, Zone: 5, Kind: 6, Cell: 7, Health: decision.Ready, Build: 8, Capacity: 1.5, StartedAt: 9},
+			{ID: 10, Zone: 11, Kind: 12, Cell: 13, Health: decision.Draining, Build: 14, Capacity: 2.5, StartedAt: 15}}}},
+		{16, HostsChanged{Kind: decision.CachedSnapshot, Number: 4}},
+		{18, StreamStarted{RequestID: 19, Number: 20}},
+		{23, RequestReceived{decision.Request{ID: 24, Class: 25, Customer: 26, Key: 27, Remaining: 28, Cost: 29}}},
+		{30, Metrics{Build: 31, Class: 32, Count: 33, Mean: 34, Failed: 35, Age: 36}},
+		{37, AnswerFlagged{Host: 38, Class: 39, Age: 40}},
+		{41, ClientGone{RequestID: 42}},
+		{43, RolloutChanged{decision.Rollout{Build: 44, Stage: 45, State: decision.RolledBack, VoteReply: true, VoteResult: decision.VoteFailed, ExposureCap: 0.25, Age: 46}}},
+		{47, GossipReceived{From: 48, Message: []byte("abc")}},
 		{49, Exit{}},
-		{50, Reminder{Mark: 51}},
-		{52, ProbeDone{Host: 53, Ending: decision.Reset, Took: 54, Report: []float64{55, 0.5}}},
-		{56, Finished{Command: 57, Over: true, Took: 59, Number: 60, Ending: decision.NoConnect, Report: []float64{61}}},
+		{50, TimerFired{ID: 51}},
+		{52, ProbeDone{Host: 53, Result: decision.ConnectionReset, Took: 54, Report: []float64{55, 0.5}}},
+		{56, AttemptEnded{RequestID: 57, Done: true, Took: 59, Number: 60, Result: decision.ConnectFailed, Report: []float64{61}}},
 	}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read as\n%+v\nnot\n%+v", got, want)
@@ -110,20 +110,20 @@
 // All that a router does is written in the same bytes.
 func TestGoldenReply(t *testing.T) {
 	var r Reply
-	o := Out{0x01020304, &r}
-	o.HandOff(1, 2, math.MaxInt64)
-	o.Dismiss(3, 4)
-	o.Scrap(5)
-	o.Recall(6, 7)
-	for _, v := range []decision.Verdict{decision.NoVote, decision.On, decision.Hold, decision.Back} {
+	o := Effects{0x01020304, &r}
+	o.StartAttempt(1, 2, math.MaxInt64)
+	o.Reject(3, 4)
+	o.Fail(5)
+	o.CancelAttempt(6, 7)
+	for _, v := range []decision.Verdict{decision.NoVote, decision.Advance, decision.Hold, decision.RollBack} {
 		o.Vote(v, 8, 9)
 	}
-	o.Tell(10, []byte("abc"))
-	o.Wake(11, 12)
-	o.Close(13)
-	o.Watch(true)
-	o.Watch(false)
-	o.Note("a note")
+	o.SendGossip(10, []byte("abc"))
+	o.SetTimer(11, 12)
+	o.CloseIdle(13)
+	o.WatchHosts(true)
+	o.WatchHosts(false)
+	o.Log("a note")
 	var raw bytes.Buffer
 	if _, err := r.WriteTo(&raw); err != nil {
 		t.Fatal(err)
@@ -134,12 +134,12 @@
 // Each word of the wire has its number.
 func TestGoldenNumbers(t *testing.T) {
 	for name, ok := range map[string]bool{
-		"forms":     reflect.DeepEqual(forms, map[uint8]decision.Form{0: decision.Changes, 1: decision.Whole, 2: decision.Cached, 3: decision.CallFailed}),
-		"healths":   reflect.DeepEqual(healths, map[uint8]decision.Health{0: decision.Draining, 1: decision.Gone, 2: decision.Ready}),
-		"standings": reflect.DeepEqual(standings, map[uint8]decision.Standing{0: decision.OnTrial, 1: decision.GoingBack, 2: decision.Released, 3: decision.Withdrawn}),
-		"calls":     reflect.DeepEqual(calls, map[uint8]decision.CallEnding{0: decision.Counts, 4: decision.CallSilent, 8: decision.CallsFull, 9: decision.Moot, 13: decision.CallError}),
-		"endings": reflect.DeepEqual(endings, map[uint8]decision.Ending{0: decision.Fulfilled, 1: decision.Recalled, 4: decision.TimedOut, 8: decision.TurnedAway, 9: decision.Unsent, 10: decision.Reset,
-			13: decision.Failed, 14: decision.NoConnect}),
+		"forms":     reflect.DeepEqual(listKinds, map[uint8]decision.ListKind{0: decision.Delta, 1: decision.Snapshot, 2: decision.CachedSnapshot, 3: decision.FetchFailed}),
+		"healths":   reflect.DeepEqual(healthStates, map[uint8]decision.Health{0: decision.Draining, 1: decision.Gone, 2: decision.Ready}),
+		"standings": reflect.DeepEqual(rolloutStates, map[uint8]decision.RolloutState{0: decision.OnTrial, 1: decision.RollingBack, 2: decision.Released, 3: decision.RolledBack}),
+		"calls":     reflect.DeepEqual(voteResults, map[uint8]decision.VoteResult{0: decision.VoteCounted, 4: decision.VoteUnanswered, 8: decision.VoteThrottled, 9: decision.VoteConflict, 13: decision.VoteFailed}),
+		"endings": reflect.DeepEqual(results, map[uint8]decision.Result{0: decision.Succeeded, 1: decision.Canceled, 4: decision.TimedOut, 8: decision.Rejected, 9: decision.Unsent, 10: decision.ConnectionReset,
+			13: decision.Failed, 14: decision.ConnectFailed}),
 	} {
 		if !ok {
 			t.Errorf("%s: other numbers", name)
--- a/internal/standin/collector/collector.go
+++ b/internal/standin/collector/collector.go
@@ -17,21 +17,21 @@
 type Collector struct {
 	Address string
 
-	drop    func(n int) bool
-	network string
-	tls     *tls.Config
-	mu      sync.Mutex
-	sum     flow.Sum
-	v9      bool
-	reasons map[flow.Reason]flow.Sum
-	sides   [2]flow.Sum
-	folded  uint64
-	stats   ipfix.Stats
-	lost    int // records in datagrams that were dropped
-	udp     net.PacketConn
-	tcp     net.Listener
-	conns   map[net.Conn]bool
-	ended   sync.WaitGroup
+	dropDatagram func(n int) bool
+	network      string
+	tls          *tls.Config
+	mu           sync.Mutex
+	sum          flow.Totals
+	netFlow9     bool
+	reasons      map[flow.Reason]flow.Totals
+	sides        [2]flow.Totals
+	folded       uint64
+	stats        ipfix.Stats
+	lost         int // records in datagrams that were dropped
+	udp          net.PacketConn
+	tcp          net.Listener
+	conns        map[net.Conn]bool
+	done         sync.WaitGroup
 }
 
 // New makes one that listens on a free address of the network: udp, tcp or tls, or netflow9 for version 9 over UDP.
@@ -40,12 +40,12 @@
 	if v9 {
 		network = "udp"
 	}
-	c := &Collector{network: network, v9: v9, tls: config, Address: "127.0.0.1:0", reasons: map[flow.Reason]flow.Sum{}}
-	return c, c.Return()
+	c := &Collector{network: network, netFlow9: v9, tls: config, Address: "127.0.0.1:0", reasons: map[flow.Reason]flow.Totals{}}
+	return c, c.Restart()
 }
 
-// Return has it listen, on the address that it had.
-func (c *Collector) Return() error {
+// Restart has it listen, on the address that it had.
+func (c *Collector) Restart() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.conns = map[net.Conn]bool{}
@@ -58,7 +58,7 @@
 			u.SetReadBuffer(4 << 20)
 		}
 		c.udp, c.Address = l, l.LocalAddr().String()
-		c.ended.Go(func() { c.datagrams(l) })
+		c.done.Go(func() { c.readDatagrams(l) })
 		return nil
 	}
 	l, err := net.Listen("tcp", c.Address)
@@ -70,7 +70,7 @@
 		l = tls.NewListener(l, c.tls)
 	}
 	c.tcp = l
-	c.ended.Go(func() {
+	c.done.Go(func() {
 		for {
 			conn, err := l.Accept()
 			if err != nil {
@@ -79,21 +79,21 @@
 			c.mu.Lock()
 			c.conns[conn] = true
 			c.mu.Unlock()
-			c.ended.Go(func() { c.stream(conn) })
+			c.done.Go(func() { c.readStream(conn) })
 		}
 	})
 	return nil
 }
 
-// Drop sets whether to lose the n-th datagram of UDP, counted from 1; nil for none.
-func (c *Collector) Drop(lose func(n int) bool) {
+// SetDrop sets whether to lose the n-th datagram of UDP, counted from 1; nil for none.
+func (c *Collector) SetDrop(lose func(n int) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drop = lose
+	c.dropDatagram = lose
 }
 
-// Vanish closes all that it has open; what had come whole is counted.
-func (c *Collector) Vanish() {
+// Stop closes all that it has open; what had come whole is counted.
+func (c *Collector) Stop() {
 	c.mu.Lock()
 	if c.udp != nil {
 		c.udp.Close()
@@ -105,29 +105,29 @@
 		conn.Close()
 	}
 	c.mu.Unlock()
-	c.ended.Wait()
+	c.done.Wait()
 }
 
-// Sums tells what has come: in all, and by the reason that records ended.
-func (c *Collector) Sums() (all flow.Sum, by map[flow.Reason]flow.Sum, s ipfix.Stats, dropped int) {
+// Totals tells what has come: in all, and by the reason that records ended.
+func (c *Collector) Totals() (all flow.Totals, by map[flow.Reason]flow.Totals, s ipfix.Stats, dropped int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	by = map[flow.Reason]flow.Sum{}
+	by = map[flow.Reason]flow.Totals{}
 	for why, sum := range c.reasons {
 		by[why] = sum
 	}
 	return c.sum, by, c.stats, c.lost
 }
 
-// Folded is how many records came in ones that stand for several.
-func (c *Collector) Folded() uint64 {
+// FoldedRecords is how many records came in ones that stand for several.
+func (c *Collector) FoldedRecords() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.folded
 }
 
-// Sides tells what has come of clients' connections and of hosts'.
-func (c *Collector) Sides() ([2]flow.Sum, ipfix.Stats) {
+// TotalsBySide tells what has come of clients' connections and of hosts'.
+func (c *Collector) TotalsBySide() ([2]flow.Totals, ipfix.Stats) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.sides, c.stats
@@ -148,22 +148,22 @@
 }
 
 func (c *Collector) count(r ipfix.Read) {
-	sum := flow.Sum{Records: uint64(r.Many), Connections: uint64(r.Connections), Counts: r.Counts}
-	if c.sum = add(c.sum, sum); r.Many > 1 {
-		c.folded += uint64(r.Many)
+	sum := flow.Totals{Records: uint64(r.Count), Connections: uint64(r.Connections), Counts: r.Counts}
+	if c.sum = add(c.sum, sum); r.Count > 1 {
+		c.folded += uint64(r.Count)
 	}
 	c.sides[r.Side&1] = add(c.sides[r.Side&1], sum)
 	c.reasons[r.Reason] = add(c.reasons[r.Reason], sum)
 }
 
-func add(a, b flow.Sum) flow.Sum {
+func add(a, b flow.Totals) flow.Totals {
 	a.Records += b.Records
 	a.Connections += b.Connections
 	a.Counts.Add(b.Counts)
 	return a
 }
 
-func (c *Collector) datagrams(l net.PacketConn) {
+func (c *Collector) readDatagrams(l net.PacketConn) {
 	d, older := ipfix.NewDecoder(ipfix.Documentation), netflow9.NewDecoder()
 	b := make([]byte, 1<<16)
 	for n := 1; ; n++ {
@@ -172,9 +172,9 @@
 			return
 		}
 		c.mu.Lock()
-		if c.drop != nil && c.drop(n) {
+		if c.dropDatagram != nil && c.dropDatagram(n) {
 			c.lost++
-		} else if c.v9 {
+		} else if c.netFlow9 {
 			older.Message(b[:size], c.count)
 		} else {
 			c.read(d, b[:size])
@@ -183,7 +183,7 @@
 	}
 }
 
-func (c *Collector) stream(conn net.Conn) {
+func (c *Collector) readStream(conn net.Conn) {
 	defer conn.Close()
 	d := ipfix.NewDecoder(ipfix.Documentation)
 	head := make([]byte, 4)
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -6,17 +6,17 @@
 
 // Machine is a host: cores that take commands in turn, slower while it is cold.
 type Machine struct {
-	Cores        int
-	ColdFrom     float64
-	ColdFor      int64
-	FallMultiple float64 // sent more than this over what it can do, for FallFor while it is cold, it falls and stays down
-	FallFor      int64
-	Queue        int64 // the longest wait for a core; what would wait longer is turned away
+	Cores            int
+	ColdStartFactor  float64
+	ColdDuration     int64
+	CollapseFactor   float64 // sent more than this over what it can do, for FallFor while it is cold, it falls and stays down
+	CollapseDuration int64
+	QueueNanos       int64 // the longest wait for a core; what would wait longer is turned away
 
-	Up, Fallen bool
-	cold       int64   // since when, 0 for warm
-	free       []int64 // when each core is
-	came       []work  // lately
+	Up, Collapsed bool
+	coldSince     int64   // since when, 0 for warm
+	coreFreeAt    []int64 // when each core is
+	recentWork    []work  // lately
 }
 
 type work struct {
@@ -26,9 +26,9 @@
 
 // Start brings it up, cold since now, or warm.
 func (m *Machine) Start(now int64, warm bool) {
-	m.Up, m.cold, m.free, m.came = !m.Fallen, now, make([]int64, m.Cores), nil
+	m.Up, m.coldSince, m.coreFreeAt, m.recentWork = !m.Collapsed, now, make([]int64, m.Cores), nil
 	if warm {
-		m.cold = 0
+		m.coldSince = 0
 	}
 }
 
@@ -44,61 +44,61 @@
 }
 
 func (m *Machine) warmth(at int64) float64 {
-	if m.cold == 0 || at-m.cold >= m.ColdFor {
+	if m.coldSince == 0 || at-m.coldSince >= m.ColdDuration {
 		return 1
 	}
-	return m.ColdFrom + (1-m.ColdFrom)*float64(max(0, at-m.cold))/float64(m.ColdFor)
+	return m.ColdStartFactor + (1-m.ColdStartFactor)*float64(max(0, at-m.coldSince))/float64(m.ColdDuration)
 }
 
 // Arrive takes a command's work, in nanoseconds, and tells when it is done; false is for a full queue.
 func (m *Machine) Arrive(now, need int64) (done int64, ok bool) {
-	m.fall(now, float64(need)/1e9)
+	m.collapse(now, float64(need)/1e9)
 	if !m.Up {
 		return 0, false
 	}
 	i := 0
-	for j := range m.free {
-		if m.free[j] < m.free[i] {
+	for j := range m.coreFreeAt {
+		if m.coreFreeAt[j] < m.coreFreeAt[i] {
 			i = j
 		}
 	}
-	begin := max(now, m.free[i])
-	if begin-now > m.Queue {
+	begin := max(now, m.coreFreeAt[i])
+	if begin-now > m.QueueNanos {
 		return 0, false
 	}
-	m.free[i] = begin + int64(float64(need)/m.warmth(begin))
-	return m.free[i], true
+	m.coreFreeAt[i] = begin + int64(float64(need)/m.warmth(begin))
+	return m.coreFreeAt[i], true
 }
 
-// fall pushes a cold machine over that was sent too much for too long.
-func (m *Machine) fall(now int64, seconds float64) {
-	if m.cold == 0 || m.FallFor <= 0 {
+// collapse pushes a cold machine over that was sent too much for too long.
+func (m *Machine) collapse(now int64, seconds float64) {
+	if m.coldSince == 0 || m.CollapseDuration <= 0 {
 		return
 	}
-	m.came = append(m.came, work{now, seconds})
-	i := sort.Search(len(m.came), func(i int) bool { return m.came[i].at > now-m.FallFor })
-	m.came = m.came[i:]
-	if now-m.cold < m.FallFor {
+	m.recentWork = append(m.recentWork, work{now, seconds})
+	i := sort.Search(len(m.recentWork), func(i int) bool { return m.recentWork[i].at > now-m.CollapseDuration })
+	m.recentWork = m.recentWork[i:]
+	if now-m.coldSince < m.CollapseDuration {
 		return
 	}
 	sum := 0.0
-	for _, w := range m.came {
+	for _, w := range m.recentWork {
 		sum += w.seconds
 	}
-	if can := m.Capacity(now-m.FallFor/2) * float64(m.FallFor) / 1e9; sum > m.FallMultiple*can {
-		m.Fallen, m.Up = true, false
+	if can := m.Capacity(now-m.CollapseDuration/2) * float64(m.CollapseDuration) / 1e9; sum > m.CollapseFactor*can {
+		m.Collapsed, m.Up = true, false
 	}
-	if now-m.cold > m.ColdFor+m.FallFor {
-		m.cold, m.came = 0, nil
+	if now-m.coldSince > m.ColdDuration+m.CollapseDuration {
+		m.coldSince, m.recentWork = 0, nil
 	}
 }
 
-// Effects is what all hosts did for commands with a mark, and their common memory, by which a repeat is dropped.
-type Effects struct {
-	Memory int64
-	seen   map[string]effect
-	Twice  int // hand-offs of one try whose effect happened a second time
-	Runs   int
+// EffectLog is what all hosts did for commands with a mark, and their common memory, by which a repeat is dropped.
+type EffectLog struct {
+	Retention  int64
+	lastRuns   map[string]effect
+	Duplicates int // hand-offs of one try whose effect happened a second time
+	Runs       int
 }
 
 type effect struct {
@@ -107,18 +107,18 @@
 }
 
 // Run tells whether a command runs, or is a repeat that is dropped.
-func (e *Effects) Run(now int64, mark, trace string) bool {
-	if e.seen == nil {
-		e.seen = map[string]effect{}
+func (e *EffectLog) Run(now int64, mark, trace string) bool {
+	if e.lastRuns == nil {
+		e.lastRuns = map[string]effect{}
 	}
-	was, known := e.seen[mark]
-	if known && now-was.at < e.Memory {
+	was, known := e.lastRuns[mark]
+	if known && now-was.at < e.Retention {
 		return false
 	}
 	if known && was.trace == trace {
-		e.Twice++
+		e.Duplicates++
 	}
 	e.Runs++
-	e.seen[mark] = effect{now, trace}
+	e.lastRuns[mark] = effect{now, trace}
 	return true
 }
--- a/internal/standin/servers/servers.go
+++ b/internal/standin/servers/servers.go
@@ -17,9 +17,9 @@
 // Host is a host at an address of its own, which it keeps when it goes and returns.
 type Host struct {
 	Name, Address string
-	Effects       *Shared
+	Effects       *SharedEffects
 	Work          func() int64             // a command's, in nanoseconds
-	Came          func(now int64, w int64) // is told each hand-off and its work
+	OnWork        func(now int64, w int64) // is told each hand-off and its work
 	Clock         func() int64
 
 	mu      sync.Mutex
@@ -28,21 +28,21 @@
 	started int64 // Unix milliseconds, 0 for long ago
 }
 
-// Shared are effects that several hosts log.
-type Shared struct {
+// SharedEffects are effects that several hosts log.
+type SharedEffects struct {
 	mu sync.Mutex
-	standin.Effects
+	standin.EffectLog
 }
 
 // Run is Effects.Run, by many goroutines.
-func (s *Shared) Run(now int64, mark, trace string) bool {
+func (s *SharedEffects) Run(now int64, mark, trace string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.Effects.Run(now, mark, trace)
+	return s.EffectLog.Run(now, mark, trace)
 }
 
-// Begin brings a host up, warm; its maker has set the exported fields but for the address.
-func (h *Host) Begin(m *standin.Machine) error {
+// Start brings a host up, warm; its maker has set the exported fields but for the address.
+func (h *Host) Start(m *standin.Machine) error {
 	h.machine = m
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,8 +62,8 @@
 	go server.Serve(l)
 }
 
-// End ends the host's process: its connections break, and new ones are refused.
-func (h *Host) End() {
+// Stop ends the host's process: its connections break, and new ones are refused.
+func (h *Host) Stop() {
 	h.mu.Lock()
 	server := h.server
 	h.machine.Stop()
@@ -71,8 +71,8 @@
 	server.Close()
 }
 
-// Return starts it anew, cold.
-func (h *Host) Return() error {
+// Restart starts it anew, cold.
+func (h *Host) Restart() error {
 	l, err := net.Listen("tcp", h.Address)
 	if err != nil {
 		return err
@@ -89,7 +89,7 @@
 func (h *Host) Capacity() (can float64, fallen bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.machine.Capacity(h.Clock()), h.machine.Fallen
+	return h.machine.Capacity(h.Clock()), h.machine.Collapsed
 }
 
 // Started is when it last started, in Unix milliseconds, 0 for long ago.
@@ -101,13 +101,13 @@
 
 func (h *Host) answer(w http.ResponseWriter, r *http.Request) {
 	need, now := h.Work(), h.Clock()
-	h.Came(now, need)
+	h.OnWork(now, need)
 	if mark := r.Header.Get("Idempotency-Key"); mark != "" && !h.Effects.Run(now, mark, r.Header.Get("X-Trace-Id")) {
 		need = 1e6 // the repeat is known
 	}
 	h.mu.Lock()
 	done, ok := h.machine.Arrive(now, need)
-	fallen := h.machine.Fallen
+	fallen := h.machine.Collapsed
 	h.mu.Unlock()
 	if !ok {
 		if fallen {
@@ -136,10 +136,10 @@
 	Image    int     `json:"image_id"`
 }
 
-// Around is discovery and the platform, at one address.
-type Around struct {
+// Services is discovery and the platform, at one address.
+type Services struct {
 	Address string
-	News    string // the state that the platform tells, as JSON
+	Release string // the state that the platform tells, as JSON
 	mu      sync.Mutex
 	members []Member
 	version int
@@ -147,27 +147,27 @@
 	server  *http.Server
 }
 
-// NewAround makes one that lists these members.
-func NewAround(news string, members []Member) (*Around, error) {
+// NewServices makes one that lists these members.
+func NewServices(news string, members []Member) (*Services, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	a := &Around{Address: l.Addr().String(), News: news, members: members, version: 1, changed: make(chan struct{})}
+	a := &Services{Address: l.Addr().String(), Release: news, members: members, version: 1, changed: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/api/targets", a.targets)
 	mux.HandleFunc("/api/watch", a.watch)
-	mux.HandleFunc("/api/verdicts", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, a.News) })
+	mux.HandleFunc("/api/verdicts", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, a.Release) })
 	a.server = &http.Server{Handler: mux}
 	go a.server.Serve(l)
 	return a, nil
 }
 
 // Close ends it.
-func (a *Around) Close() { a.server.Close() }
+func (a *Services) Close() { a.server.Close() }
 
-// List puts another list in place of the one before.
-func (a *Around) List(members []Member) {
+// SetMembers puts another list in place of the one before.
+func (a *Services) SetMembers(members []Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.members = members
@@ -176,7 +176,7 @@
 	a.changed = make(chan struct{})
 }
 
-func (a *Around) targets(w http.ResponseWriter, r *http.Request) {
+func (a *Services) targets(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
 	changed, version, members := a.changed, a.version, a.members
 	a.mu.Unlock()
@@ -197,8 +197,8 @@
 	json.NewEncoder(w).Encode(map[string]any{"revision": version, "complete": true, "members": members})
 }
 
-func (a *Around) watch(w http.ResponseWriter, r *http.Request) {
-	fmt.Fprintf(w, `{"type":"news","object":%s}`+"\n", a.News)
+func (a *Services) watch(w http.ResponseWriter, r *http.Request) {
+	fmt.Fprintf(w, `{"type":"news","object":%s}`+"\n", a.Release)
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
--- a/internal/timerqueue/due_test.go
+++ b/internal/timerqueue/due_test.go
@@ -8,11 +8,11 @@
 	q.Add(3, "second")
 	q.Remove(late)
 	q.Remove(late)
-	if _, ok := q.Take(2); ok {
+	if _, ok := q.PopDue(2); ok {
 		t.Fatal("taken before its time")
 	}
 	for _, want := range []string{"early", "second"} {
-		if got, ok := q.Take(5); !ok || got != want {
+		if got, ok := q.PopDue(5); !ok || got != want {
 			t.Fatal(got, ok)
 		}
 	}
--- a/internal/timerqueue/trace_test.go
+++ b/internal/timerqueue/trace_test.go
@@ -24,7 +24,7 @@
 				}
 			default:
 				now += draw.Int64N(6)
-				value, ok := q.Take(now)
+				value, ok := q.PopDue(now)
 				d.Add(value, ok)
 			}
 			at, ok := q.Next()
--- a/internal/upstream/end_test.go
+++ b/internal/upstream/end_test.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// ending is a connection of a host that has said all and ends: what its writes and reads tell is set.
-type ending struct {
+// endedConn is a connection of a host that has said all and ends: what its writes and reads tell is set.
+type endedConn struct {
 	net.Conn
 	write func(b []byte) (int, error)
 }
 
-func (e ending) Read([]byte) (int, error)          { return 0, io.EOF }
-func (e ending) Write(b []byte) (int, error)       { return e.write(b) }
-func (e ending) Pending() bool                     { return false }
-func (e ending) Close() error                      { return nil }
-func (e ending) LocalAddr() net.Addr               { return nil }
-func (e ending) RemoteAddr() net.Addr              { return nil }
-func (e ending) SetReadDeadline(t time.Time) error { return nil }
+func (e endedConn) Read([]byte) (int, error)          { return 0, io.EOF }
+func (e endedConn) Write(b []byte) (int, error)       { return e.write(b) }
+func (e endedConn) Pending() bool                     { return false }
+func (e endedConn) Close() error                      { return nil }
+func (e endedConn) LocalAddr() net.Addr               { return nil }
+func (e endedConn) RemoteAddr() net.Addr              { return nil }
+func (e endedConn) SetReadDeadline(t time.Time) error { return nil }
 
 // A connection's end is in order only where all that was written on it was taken: a write takes up the word of a reset, and the
 // read behind it sees an end like any other. What a host has taken a part of is not the writer's to end: its answer may be there.
@@ -35,25 +35,25 @@
 		"reset":          {func(b []byte) (int, error) { return 0, syscall.ECONNRESET }, nil, io.ErrUnexpectedEOF},
 		"broken":         {func(b []byte) (int, error) { return 1, syscall.EPIPE }, nil, io.ErrUnexpectedEOF},
 		"closed by us":   {func(b []byte) (int, error) { return 0, net.ErrClosed }, net.ErrClosed, io.ErrUnexpectedEOF},
-		"in a moment":    {func(b []byte) (int, error) { time.Sleep(lastWrite / 2); return len(b), nil }, nil, io.EOF},
-		"resets then":    {func(b []byte) (int, error) { time.Sleep(lastWrite / 2); return 0, syscall.EPIPE }, nil, io.ErrUnexpectedEOF},
-		"stands for now": {func(b []byte) (int, error) { time.Sleep(lastWrite * 2); return len(b), nil }, nil, io.ErrUnexpectedEOF},
+		"in a moment":    {func(b []byte) (int, error) { time.Sleep(lastWriteGrace / 2); return len(b), nil }, nil, io.EOF},
+		"resets then":    {func(b []byte) (int, error) { time.Sleep(lastWriteGrace / 2); return 0, syscall.EPIPE }, nil, io.ErrUnexpectedEOF},
+		"stands for now": {func(b []byte) (int, error) { time.Sleep(lastWriteGrace * 2); return len(b), nil }, nil, io.ErrUnexpectedEOF},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				writes := 0
-				c, err := newConn(ending{write: func(b []byte) (int, error) {
+				c, err := newConn(endedConn{write: func(b []byte) (int, error) {
 					if writes++; writes == 1 {
 						return len(b), nil
 					}
 					return x.second(b)
-				}}, nil, func(string, net.Addr, net.Addr) Counter { return uncounted{} }, "")
+				}}, nil, func(string, net.Addr, net.Addr) ConnCounter { return noCounter{} }, "")
 				if err != nil {
 					t.Fatal(err)
 				}
-				f := &follows{}
-				h := &handOff{cancel: func(error) {}, track: f}
-				c.handOff.Store(h)
+				f := &recordingTracker{}
+				h := &attempt{cancel: func(error) {}, tracker: f}
+				c.attempt.Store(h)
 				if n, err := c.Write([]byte("head")); n != 4 || err != nil {
 					t.Fatal(n, err)
 				}
@@ -69,8 +69,8 @@
 				if err := <-done; err != x.wrote {
 					t.Errorf("wrote with %v, wanted %v", err, x.wrote)
 				}
-				next := &handOff{cancel: func(error) {}, track: &follows{}}
-				if c.failed.Load() && c.fresh(next) {
+				next := &attempt{cancel: func(error) {}, tracker: &recordingTracker{}}
+				if c.writeFailed.Load() && c.waitFresh(next) {
 					t.Error("used again")
 				}
 			})
--- a/internal/upstream/error.go
+++ b/internal/upstream/error.go
@@ -9,37 +9,37 @@
 	"portflow/internal/decision"
 )
 
-// Reach is how far a hand-off had come when it broke off.
-type Reach uint8
+// Progress is how far a hand-off had come when it broke off.
+type Progress uint8
 
 const (
-	NotConnected Reach = iota
-	NotWritten         // not its last byte
+	NotConnected  Progress = iota
+	PartlyWritten          // not its last byte
 	Written
 	Answering
 )
 
-func (r Reach) String() string {
+func (r Progress) String() string {
 	return [...]string{"not connected", "not fully written", "written", "answering"}[r]
 }
 
 // Error is why a hand-off got no whole answer, and how far it had come.
 type Error struct {
-	Reach Reach
-	Why   error
+	Progress Progress
+	Err      error
 }
 
-func (e *Error) Error() string { return fmt.Sprintf("%v: %v", e.Reach, e.Why) }
-func (e *Error) Unwrap() error { return e.Why }
+func (e *Error) Error() string { return fmt.Sprintf("%v: %v", e.Progress, e.Err) }
+func (e *Error) Unwrap() error { return e.Err }
 
-// ending is the outcome of a hand-off that broke off by itself.
-func (e *Error) ending() decision.Ending {
+// result is the outcome of a hand-off that broke off by itself.
+func (e *Error) result() decision.Result {
 	switch {
-	case e.Reach < Written:
-		return decision.NoConnect
-	case e.Reach < Answering || errors.Is(e.Why, io.EOF) || errors.Is(e.Why, io.ErrUnexpectedEOF) ||
-		errors.Is(e.Why, syscall.ECONNRESET):
-		return decision.Reset
+	case e.Progress < Written:
+		return decision.ConnectFailed
+	case e.Progress < Answering || errors.Is(e.Err, io.EOF) || errors.Is(e.Err, io.ErrUnexpectedEOF) ||
+		errors.Is(e.Err, syscall.ECONNRESET):
+		return decision.ConnectionReset
 	}
-	return decision.Spoilt
+	return decision.InvalidAnswer
 }
--- a/internal/upstream/hosts_test.go
+++ b/internal/upstream/hosts_test.go
@@ -19,8 +19,8 @@
 
 const never = time.Minute // longer than any test waits
 
-// stand is a host: it runs act for the n-th request that is read whole; act returns whether the connection stays.
-func stand(t *testing.T, act func(n int, c net.Conn, r *http.Request, body string) bool) string {
+// startHost is a host: it runs act for the n-th request that is read whole; act returns whether the connection stays.
+func startHost(t *testing.T, act func(n int, c net.Conn, r *http.Request, body string) bool) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -52,19 +52,19 @@
 	return l.Addr().String()
 }
 
-func say(c net.Conn, status, rest string) bool {
+func writeAnswer(c net.Conn, status, rest string) bool {
 	fmt.Fprintf(c, "HTTP/1.1 %s\r\n%s", status, rest)
 	return true
 }
 
-func pool(most int) *Pool {
-	return New(Options{Protocol: protocol.Speech{Report: []string{"depth", "mean_ms"}}, ConnectIn: time.Second / 2, RestIn: time.Second / 2, IdleIn: never, Most: most})
+func newPool(most int) *Pool {
+	return New(Options{Protocol: protocol.Protocol{ReportFields: []string{"depth", "mean_ms"}}, ConnectTimeout: time.Second / 2, ReadTimeout: time.Second / 2, IdleTimeout: never, MaxConns: most})
 }
 
-func start(p *Pool, address string, r dispatch.Request, left time.Duration) (dispatch.HandOff, chan dispatch.Outcome) {
+func start(p *Pool, address string, r dispatch.Request, left time.Duration) (dispatch.Attempt, chan dispatch.Outcome) {
 	done := make(chan dispatch.Outcome, 1)
-	r.Trace = "t"
-	return p.HandOff(dispatch.Host{Address: address}, &r, left, func(o dispatch.Outcome) { done <- o }), done
+	r.TraceID = "t"
+	return p.Forward(dispatch.Host{Address: address}, &r, left, func(o dispatch.Outcome) { done <- o }), done
 }
 
 var get = dispatch.Request{Method: "GET", Target: "/display?obj=7f"}
@@ -73,37 +73,37 @@
 	for name, x := range map[string]struct {
 		status, rest string
 		stay         bool
-		want         decision.Ending
+		want         decision.Result
 	}{
-		"answer":         {"200 OK", "Content-Length: 2\r\nEndpoint-Load-Metrics: TEXT queue=3, latency_ms=1.5\r\n\r\nhi", true, decision.Fulfilled},
+		"answer":         {"200 OK", "Content-Length: 2\r\nEndpoint-Load-Metrics: TEXT queue=3, latency_ms=1.5\r\n\r\nhi", true, decision.Succeeded},
 		"error":          {"500 no", "Content-Length: 0\r\n\r\n", true, decision.Failed},
-		"turned away":    {"503 no", "X-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", true, decision.TurnedAway},
+		"turned away":    {"503 no", "X-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", true, decision.Rejected},
 		"maybe run":      {"503 no", "Content-Length: 0\r\n\r\n", true, decision.Failed},
 		"redirect":       {"302 no", "Location: /else\r\nContent-Length: 0\r\n\r\n", true, decision.Failed},
-		"cut short":      {"200 OK", "Content-Length: 9\r\n\r\nhi", false, decision.Reset},
-		"cut, and open":  {"200 OK", "Content-Length: 9\r\n\r\nhi", true, decision.Spoilt},
-		"half a head":    {"200 OK", "Content-Le", true, decision.Spoilt},
-		"wrong framing":  {"200 OK", "Transfer-Encoding: chunked\r\n\r\nzz\r\n", true, decision.Spoilt},
-		"3 GB":           {"200 OK", "Content-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 90000), true, decision.Spoilt},
-		"1xx before":     {"103 Early Hints", "Link: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", true, decision.Fulfilled},
-		"report of none": {"200 OK", "Endpoint-Load-Metrics: %%%\r\nContent-Length: 2\r\n\r\nhi", true, decision.Fulfilled},
-		"noise behind":   {"200 OK", "Content-Length: 2\r\n\r\nhi\xff\x00\r\n\r\n", true, decision.Fulfilled},
-		"not HTTP":       {"what", "\r\n\r\n", true, decision.Spoilt},
-		"closed":         {"", "", false, decision.Reset},
-		"oversized":      {"200 OK", "Content-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), true, decision.Spoilt},
-		"endless header": {"200 OK", "X: " + strings.Repeat("x", 90000), true, decision.Spoilt},
+		"cut short":      {"200 OK", "Content-Length: 9\r\n\r\nhi", false, decision.ConnectionReset},
+		"cut, and open":  {"200 OK", "Content-Length: 9\r\n\r\nhi", true, decision.InvalidAnswer},
+		"half a head":    {"200 OK", "Content-Le", true, decision.InvalidAnswer},
+		"wrong framing":  {"200 OK", "Transfer-Encoding: chunked\r\n\r\nzz\r\n", true, decision.InvalidAnswer},
+		"3 GB":           {"200 OK", "Content-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 90000), true, decision.InvalidAnswer},
+		"1xx before":     {"103 Early Hints", "Link: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", true, decision.Succeeded},
+		"report of none": {"200 OK", "Endpoint-Load-Metrics: %%%\r\nContent-Length: 2\r\n\r\nhi", true, decision.Succeeded},
+		"noise behind":   {"200 OK", "Content-Length: 2\r\n\r\nhi\xff\x00\r\n\r\n", true, decision.Succeeded},
+		"not HTTP":       {"what", "\r\n\r\n", true, decision.InvalidAnswer},
+		"closed":         {"", "", false, decision.ConnectionReset},
+		"oversized":      {"200 OK", "Content-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), true, decision.InvalidAnswer},
+		"endless header": {"200 OK", "X: " + strings.Repeat("x", 90000), true, decision.InvalidAnswer},
 	} {
 		t.Run(name, func(t *testing.T) {
-			address := stand(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
-				return x.status != "" && say(c, x.status, x.rest) && x.stay
+			address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
+				return x.status != "" && writeAnswer(c, x.status, x.rest) && x.stay
 			})
-			_, done := start(pool(4), address, get, never)
+			_, done := start(newPool(4), address, get, never)
 			o := <-done
-			if o.Ending != x.want || (x.want == decision.Fulfilled) != (string(o.Body) == "hi") {
-				t.Errorf("%v %q, wanted %v", o.Ending, o.Body, x.want)
+			if o.Result != x.want || (x.want == decision.Succeeded) != (string(o.Body) == "hi") {
+				t.Errorf("%v %q, wanted %v", o.Result, o.Body, x.want)
 			}
-			if name == "answer" && (len(o.Report) != 2 || o.Report[0] != 3 || o.Report[1] != 1.5) {
-				t.Error("report", o.Report)
+			if name == "answer" && (len(o.LoadReport) != 2 || o.LoadReport[0] != 3 || o.LoadReport[1] != 1.5) {
+				t.Error("report", o.LoadReport)
 			}
 		})
 	}
@@ -113,36 +113,36 @@
 // host has closed meanwhile costs no hand-off. All are asked one after another, so each finds an idle connection.
 func TestWhatComesBehindAnAnswer(t *testing.T) {
 	for _, behind := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "\xff\x00\r\n\r\n"} {
-		address := stand(t, func(n int, c net.Conn, r *http.Request, _ string) bool {
+		address := startHost(t, func(n int, c net.Conn, r *http.Request, _ string) bool {
 			id := r.Header.Get("X-Trace-Id")
-			return say(c, "200 OK", fmt.Sprintf("Content-Length: %d\r\n\r\n%s%s", len(id), id, behind))
+			return writeAnswer(c, "200 OK", fmt.Sprintf("Content-Length: %d\r\n\r\n%s%s", len(id), id, behind))
 		})
-		p := pool(4)
+		p := newPool(4)
 		for n := range 200 {
 			r, done := get, make(chan dispatch.Outcome, 1)
-			r.Trace = fmt.Sprint("id", n)
-			p.HandOff(dispatch.Host{Address: address}, &r, never, func(o dispatch.Outcome) { done <- o })
-			if o := <-done; o.Ending != decision.Fulfilled || string(o.Body) != r.Trace {
-				t.Fatalf("%q: %v %q for %s", behind, o.Ending, o.Body, r.Trace)
+			r.TraceID = fmt.Sprint("id", n)
+			p.Forward(dispatch.Host{Address: address}, &r, never, func(o dispatch.Outcome) { done <- o })
+			if o := <-done; o.Result != decision.Succeeded || string(o.Body) != r.TraceID {
+				t.Fatalf("%q: %v %q for %s", behind, o.Result, o.Body, r.TraceID)
 			}
 		}
 		if p.Forget(address); len(p.hosts) > 0 {
 			t.Error("not forgotten")
 		}
-		for p.room.Held() > 0 { // the transport closes in the background
+		for p.limiter.Len() > 0 { // the transport closes in the background
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
 // Connections to hosts that stand idle make room for those that are wanted elsewhere.
-func TestIdleMakeRoom(t *testing.T) {
-	p := pool(2)
+func TestIdleConnectionsAreEvicted(t *testing.T) {
+	p := newPool(2)
 	for range 6 {
-		address := stand(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
-			return say(c, "200 OK", "Content-Length: 0\r\n\r\n")
+		address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
+			return writeAnswer(c, "200 OK", "Content-Length: 0\r\n\r\n")
 		})
-		if _, done := start(p, address, get, never); (<-done).Ending != decision.Fulfilled {
+		if _, done := start(p, address, get, never); (<-done).Result != decision.Succeeded {
 			t.Fatal("no room")
 		}
 	}
@@ -150,41 +150,41 @@
 
 func TestSilentAndRefused(t *testing.T) {
 	read := make(chan bool, 1)
-	address := stand(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool { read <- true; return true })
-	p := pool(4)
-	if _, done := start(p, address, get, 50*time.Millisecond); (<-done).Ending != decision.TimedOut {
+	address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool { read <- true; return true })
+	p := newPool(4)
+	if _, done := start(p, address, get, 50*time.Millisecond); (<-done).Result != decision.TimedOut {
 		t.Error("silence is no time-out")
 	}
 	<-read
 	h, done := start(p, address, get, never)
 	<-read
-	if h.Recall(); (<-done).Ending != decision.Recalled {
+	if h.Cancel(); (<-done).Result != decision.Canceled {
 		t.Error("not recalled")
 	}
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	l.Close()
-	if _, done := start(p, l.Addr().String(), get, never); (<-done).Ending != decision.NoConnect {
+	if _, done := start(p, l.Addr().String(), get, never); (<-done).Result != decision.ConnectFailed {
 		t.Error("refused, and not that")
 	}
 }
 
 // http.Transport sends a GET, and what carries an Idempotency-Key, again when a used connection breaks.
 func TestNothingIsSentAgain(t *testing.T) {
-	for _, r := range []dispatch.Request{get, {Method: "POST", Target: "/accept", Mark: "k", Body: []byte("body")},
-		{Method: "POST", Target: "/accept", Mark: "k"}} {
+	for _, r := range []dispatch.Request{get, {Method: "POST", Target: "/accept", IdempotencyKey: "k", Body: []byte("body")},
+		{Method: "POST", Target: "/accept", IdempotencyKey: "k"}} {
 		var came atomic.Int64
-		address := stand(t, func(n int, c net.Conn, _ *http.Request, _ string) bool {
+		address := startHost(t, func(n int, c net.Conn, _ *http.Request, _ string) bool {
 			came.Store(int64(n))
-			return n == 1 && say(c, "200 OK", "Content-Length: 0\r\n\r\n")
+			return n == 1 && writeAnswer(c, "200 OK", "Content-Length: 0\r\n\r\n")
 		})
-		p := pool(4)
+		p := newPool(4)
 		_, first := start(p, address, r, never)
-		if o := <-first; o.Ending != decision.Fulfilled {
-			t.Fatal(o.Ending)
+		if o := <-first; o.Result != decision.Succeeded {
+			t.Fatal(o.Result)
 		}
 		_, second := start(p, address, r, never)
-		if o := <-second; o.Ending != decision.Reset || came.Load() != 2 {
-			t.Errorf("%s: %v, %d came", r.Method, o.Ending, came.Load())
+		if o := <-second; o.Result != decision.ConnectionReset || came.Load() != 2 {
+			t.Errorf("%s: %v, %d came", r.Method, o.Result, came.Load())
 		}
 	}
 }
@@ -192,20 +192,20 @@
 func TestPassedOnUnchanged(t *testing.T) {
 	for _, r := range []dispatch.Request{
 		{Method: "GET", Target: "/display?obj=a%2Fb&x=;"},
-		{Method: "POST", Target: "/accept", Mark: "k1", Body: []byte(strings.Repeat("x", 64<<10))},
-		{Method: "POST", Target: "/accept", Mark: "k1"},
+		{Method: "POST", Target: "/accept", IdempotencyKey: "k1", Body: []byte(strings.Repeat("x", 64<<10))},
+		{Method: "POST", Target: "/accept", IdempotencyKey: "k1"},
 	} {
 		var got dispatch.Request
 		var framing []string
-		address := stand(t, func(_ int, c net.Conn, in *http.Request, body string) bool {
-			got = dispatch.Request{Method: in.Method, Target: in.RequestURI, Trace: in.Header.Get("X-Trace-Id"),
-				Mark: in.Header.Get("Idempotency-Key"), Body: []byte(body)}
+		address := startHost(t, func(_ int, c net.Conn, in *http.Request, body string) bool {
+			got = dispatch.Request{Method: in.Method, Target: in.RequestURI, TraceID: in.Header.Get("X-Trace-Id"),
+				IdempotencyKey: in.Header.Get("Idempotency-Key"), Body: []byte(body)}
 			framing = in.TransferEncoding
-			return say(c, "200 OK", "Content-Length: 0\r\n\r\n")
+			return writeAnswer(c, "200 OK", "Content-Length: 0\r\n\r\n")
 		})
-		_, done := start(pool(4), address, r, never)
+		_, done := start(newPool(4), address, r, never)
 		<-done
-		r.Trace = "t"
+		r.TraceID = "t"
 		if fmt.Sprint(got) != fmt.Sprint(r) || len(framing) > 0 {
 			t.Errorf("%.200v came as %.200v, %v", r, got, framing)
 		}
@@ -213,82 +213,82 @@
 }
 
 // A hand-off that is revoked while it waits for a connection must not be written, whatever the transport does.
-func TestRevokedIsNeverWritten(t *testing.T) {
+func TestCanceledUnsentIsNeverWritten(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	h := &handOff{cancel: func(error) {}}
-	c := &conn{flow: uncounted{}, Conn: near, writer: h}
-	c.handOff.Store(h)
-	h.Revoke()
-	if n, err := c.Write([]byte("x")); n != 0 || err != errRevoked {
+	h := &attempt{cancel: func(error) {}}
+	c := &conn{counter: noCounter{}, Conn: near, lastWritten: h}
+	c.attempt.Store(h)
+	h.CancelUnsent()
+	if n, err := c.Write([]byte("x")); n != 0 || err != errCanceledUnsent {
 		t.Error("written", n, err)
 	}
-	sent := &handOff{cancel: func(error) { t.Error("ended though it was sent") }}
-	c.writer = sent
-	c.handOff.Store(sent)
+	sent := &attempt{cancel: func(error) { t.Error("ended though it was sent") }}
+	c.lastWritten = sent
+	c.attempt.Store(sent)
 	go far.Read(make([]byte, 1))
 	if _, err := c.Write([]byte("x")); err != nil {
 		t.Error(err)
 	}
-	sent.Revoke()
+	sent.CancelUnsent()
 }
 
 // The want of connections is the router's own: it ends a hand-off as unsent, and says nothing of the host.
-func TestNoRoom(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	came := make(chan bool, 2)
-	address := stand(t, func(_ int, _ net.Conn, _ *http.Request, _ string) bool { came <- true; return true })
-	p := pool(1)
+	address := startHost(t, func(_ int, _ net.Conn, _ *http.Request, _ string) bool { came <- true; return true })
+	p := newPool(1)
 	first, done := start(p, address, get, never)
 	<-came
-	p.ConnectIn = 10 * time.Millisecond
-	if _, second := start(p, address, get, never); (<-second).Ending != decision.Unsent {
+	p.ConnectTimeout = 10 * time.Millisecond
+	if _, second := start(p, address, get, never); (<-second).Result != decision.Unsent {
 		t.Error("not unsent")
 	}
-	first.Recall()
+	first.Cancel()
 	<-done
 	if len(came) != 0 {
 		t.Error("a second hand-off was sent")
 	}
 }
 
-func TestOpenedAheadAndClosed(t *testing.T) {
-	address := stand(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
-		return say(c, "200 OK", "Content-Length: 0\r\n\r\n")
+func TestPreconnectedAndClosed(t *testing.T) {
+	address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
+		return writeAnswer(c, "200 OK", "Content-Length: 0\r\n\r\n")
 	})
-	p := pool(8)
-	p.Open([]string{address}, 0)
-	if p.room.Held() != 0 {
+	p := newPool(8)
+	p.Preconnect([]string{address}, 0)
+	if p.limiter.Len() != 0 {
 		t.Error("more than was asked for")
 	}
-	p.Open([]string{address}, 9)
-	if p.room.Held() != ahead {
-		t.Fatal(p.room.Held(), "opened")
+	p.Preconnect([]string{address}, 9)
+	if p.limiter.Len() != maxPreconnected {
+		t.Fatal(p.limiter.Len(), "opened")
 	}
 	_, done := start(p, address, get, never)
-	if o := <-done; o.Ending != decision.Fulfilled || p.room.Held() != ahead {
-		t.Error(o.Ending, p.room.Held())
+	if o := <-done; o.Result != decision.Succeeded || p.limiter.Len() != maxPreconnected {
+		t.Error(o.Result, p.limiter.Len())
 	}
 	p.Forget(address)
-	for p.room.Held() > 0 { // the transport closes in the background
+	for p.limiter.Len() > 0 { // the transport closes in the background
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// over is a connection on which more than its first request finds its end.
-type over struct {
+// usedConn is a connection on which more than its first request finds its end.
+type usedConn struct {
 	net.Conn
 	used atomic.Bool
 }
 
-func (c *over) Pending() bool { return c.used.Swap(true) }
+func (c *usedConn) Pending() bool { return c.used.Swap(true) }
 
 // A hand-off waits for its connection and is given one that came up after it began, that another used and that has ended since:
 // that says nothing of the host. It goes on to the next one.
 func TestEndedAfterAnothersUse(t *testing.T) {
-	address := stand(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
-		return say(c, "200 OK", "Content-Length: 2\r\n\r\nhi")
+	address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
+		return writeAnswer(c, "200 OK", "Content-Length: 2\r\n\r\nhi")
 	})
-	p := pool(8)
+	p := newPool(8)
 	var dials atomic.Int64
 	waits, held := make(chan bool), make(chan bool)
 	p.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -297,16 +297,16 @@
 			<-held
 		}
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return &over{Conn: c}, err
+		return &usedConn{Conn: c}, err
 	}
 	_, first := start(p, address, get, never)
 	<-waits
 	_, second := start(p, address, get, never)
-	if o := <-second; o.Ending != decision.Fulfilled {
-		t.Error("the second", o.Ending)
+	if o := <-second; o.Result != decision.Succeeded {
+		t.Error("the second", o.Result)
 	}
-	if o := <-first; o.Ending != decision.Fulfilled || dials.Load() != 3 {
-		t.Error("the first", o.Ending, "after", dials.Load(), "dials")
+	if o := <-first; o.Result != decision.Succeeded || dials.Load() != 3 {
+		t.Error("the first", o.Result, "after", dials.Load(), "dials")
 	}
 	close(held)
 }
--- a/internal/upstream/track_test.go
+++ b/internal/upstream/track_test.go
@@ -11,8 +11,8 @@
 	"portflow/internal/dispatch"
 )
 
-// follows is a Track that remembers what it was told.
-type follows struct {
+// recordingTracker is a Track that remembers what it was told.
+type recordingTracker struct {
 	mu     sync.Mutex
 	deny   bool
 	conns  []any
@@ -20,7 +20,7 @@
 	failed int
 }
 
-func (f *follows) Spent(conn any) bool {
+func (f *recordingTracker) WrittenOn(conn any) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, c := range f.conns {
@@ -31,7 +31,7 @@
 	return false
 }
 
-func (f *follows) Write(conn any) bool {
+func (f *recordingTracker) BeginWrite(conn any) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.deny {
@@ -40,7 +40,7 @@
 	return !f.deny
 }
 
-func (f *follows) Wrote(n int, err error) {
+func (f *recordingTracker) Wrote(n int, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.wrote += n; err != nil {
@@ -50,26 +50,26 @@
 
 // Without leave nothing is written; a request that goes to a host again goes on another connection, and others go on using
 // the ones that are there.
-func TestTrack(t *testing.T) {
+func TestWriteTracker(t *testing.T) {
 	var came, conns atomic.Int64
-	address := stand(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
+	address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
 		came.Add(1)
-		return say(c, "200 OK", "Content-Length: 2\r\n\r\nhi")
+		return writeAnswer(c, "200 OK", "Content-Length: 2\r\n\r\nhi")
 	})
-	p := pool(4)
-	p.Watch = func(string, net.Addr, net.Addr) Counter {
+	p := newPool(4)
+	p.Observe = func(string, net.Addr, net.Addr) ConnCounter {
 		conns.Add(1)
-		return uncounted{}
+		return noCounter{}
 	}
-	f := &follows{}
+	f := &recordingTracker{}
 	for n, want := range []struct{ came, conns int64 }{{1, 1}, {2, 2}, {3, 3}} {
 		r := get
-		r.Cargo = f
-		if _, done := start(p, address, r, never); (<-done).Ending != decision.Fulfilled || came.Load() != want.came || conns.Load() != want.conns {
+		r.Payload = f
+		if _, done := start(p, address, r, never); (<-done).Result != decision.Succeeded || came.Load() != want.came || conns.Load() != want.conns {
 			t.Errorf("%d: %d came on %d connections", n, came.Load(), conns.Load())
 		}
 		_, done := start(p, address, get, never) // has no Track: uses what is there
-		if (<-done).Ending != decision.Fulfilled || conns.Load() != want.conns {
+		if (<-done).Result != decision.Succeeded || conns.Load() != want.conns {
 			t.Errorf("%d: %d connections", n, conns.Load())
 		}
 		came.Add(-1)
@@ -77,9 +77,9 @@
 	if len(f.conns) != 3 || f.wrote == 0 || f.failed > 0 {
 		t.Error(len(f.conns), f.wrote, f.failed)
 	}
-	none := dispatch.Request{Method: "POST", Target: "/accept", Body: []byte("body"), Cargo: &follows{deny: true}}
+	none := dispatch.Request{Method: "POST", Target: "/accept", Body: []byte("body"), Payload: &recordingTracker{deny: true}}
 	before := came.Load()
-	if _, done := start(p, address, none, never); (<-done).Ending == decision.Fulfilled || came.Load() != before {
+	if _, done := start(p, address, none, never); (<-done).Result == decision.Succeeded || came.Load() != before {
 		t.Error("written without leave")
 	}
 }
