--- a/internal/harbour/faults/faults.go
+++ b/internal/harbour/faults/faults.go
@@ -17,23 +17,24 @@
 	None       Kind = iota
 	Unroutable      // no route has this place
 	UnknownCall
-	Malformed // can't be read, or in two ways
-	Oversized // a body over the limit
-	Overhead  // a head over the limit
-	Invalid   // a configuration or an order that is wrong in itself
-	Outdated  // a configuration behind what stands
-	UnderWay  // the same order is being carried out
-	Conflict  // the number has another content, for ever
-	Missing   // what was asked after is not known
-	Unready   // this process doesn't know enough yet, or hears too few others
-	Crowded   // no host has room, or the request is worth less than those that have it
-	OverShare // its caller is over its share, and others need what is there
-	Unserved  // no host of the service may be used at all
-	Broken    // the host broke off, and the request may have run
-	Late      // time is up, and the request may have run
-	Expired   // time is up, and the request has not run
-	Leaving   // this process ends
-	Unbuilt   // this part doesn't exist yet
+	Malformed  // can't be read, or in two ways
+	Oversized  // a body over the limit
+	Overhead   // a head over the limit
+	Invalid    // a configuration or an order that is wrong in itself
+	Outdated   // a configuration behind what stands
+	UnderWay   // the same order is being carried out
+	Conflict   // the number has another content, for ever
+	Missing    // what was asked after is not known
+	Unready    // this process doesn't know enough yet, or hears too few others
+	Crowded    // no host has room, or the request is worth less than those that have it
+	OverShare  // its caller is over its share, and others need what is there
+	Unserved   // no host of the service may be used at all
+	Broken     // the host broke off, and the request may have run
+	Late       // time is up, and the request may have run
+	Expired    // time is up, and the request has not run
+	Leaving    // this process ends
+	Unbuilt    // this part doesn't exist yet
+	Incomplete // a body that came too slowly or broke off: it was not run
 	kinds
 )
 
@@ -68,6 +69,7 @@
 	Expired:     {Name: "expired", Status: 503, Promised: true},
 	Leaving:     {Name: "leaving", Status: 503, Again: time.Second / 5, Promised: true, Close: true},
 	Unbuilt:     {Name: "unbuilt", Status: 501},
+	Incomplete:  {Name: "incomplete", Status: 408, Promised: true, Close: true},
 }
 
 // Answer looks a kind up.
--- a/internal/harbour/rpc/rpc.go
+++ b/internal/harbour/rpc/rpc.go
@@ -7,6 +7,7 @@
 	"encoding/json"
 	"errors"
 	"io"
+	"net"
 	"net/http"
 	"strconv"
 	"sync"
@@ -51,9 +52,24 @@
 	})
 }
 
-// readIn is for a call's body; the largest are some hundred kilobytes.
+// readIn is how long a call's body may take, beside a second for each megabyte of it that is stated.
 const readIn = 3 * time.Second
 
+// bodyTime is how long a body of this stated length (-1 for none) may take; more than the most bytes of a call add nothing.
+func bodyTime(length, most int64) time.Duration {
+	return readIn + time.Duration(max(0, min(length, most)))*time.Second>>20
+}
+
+// readFault is the kind of error of a body that could not be read: incomplete where time was up or the connection broke off,
+// which another try may mend, and malformed otherwise.
+func readFault(err error) faults.Kind {
+	var network net.Error
+	if errors.As(err, &network) || errors.Is(err, io.ErrUnexpectedEOF) {
+		return faults.Incomplete
+	}
+	return faults.Malformed
+}
+
 func (d *Desk) serve(w http.ResponseWriter, r *http.Request) {
 	name := r.URL.Query().Get("call")
 	defer func() {
@@ -68,14 +84,14 @@
 		d.refuse(w, "", faults.New(faults.UnknownCall, "call: no %q", name))
 		return
 	}
-	http.NewResponseController(w).SetReadDeadline(time.Now().Add(readIn))
+	http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTime(r.ContentLength, c.Most)))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, c.Most))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
 		d.refuse(w, name, faults.New(faults.Oversized, "%s: a body of more than %d bytes", name, c.Most))
 		return
 	} else if err != nil {
-		d.refuse(w, name, faults.Wrap(faults.Malformed, err, "%s: the body can't be read whole", name))
+		d.refuse(w, name, faults.Wrap(readFault(err), err, "%s: the body can't be read whole", name))
 		return
 	}
 	http.NewResponseController(w).SetReadDeadline(time.Time{})
--- /dev/null
+++ b/internal/harbour/rpc/rpc_test.go
@@ -0,0 +1,116 @@
+package rpc
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/frankban/quicktest"
+	"github.com/go-chi/chi/v5"
+)
+
+// oneConn is a listener for one connection.
+type oneConn chan net.Conn
+
+func (l oneConn) Accept() (net.Conn, error) {
+	if c, ok := <-l; ok {
+		return c, nil
+	}
+	return nil, net.ErrClosed
+}
+
+func (l oneConn) Close() error   { return nil }
+func (l oneConn) Addr() net.Addr { return &net.UnixAddr{} }
+
+// halfClosed is a connection on which nothing comes after what was sent.
+type halfClosed struct {
+	net.Conn
+	sent io.Reader
+}
+
+func (c halfClosed) Read(b []byte) (int, error) { return c.sent.Read(b) }
+
+const (
+	chunked  = "Transfer-Encoding: chunked"
+	megabyte = 1 << 20
+)
+
+// A body that comes too slowly or breaks off is answered 408 and not run, so that its sender goes on; one that is malformed is
+// answered 400. The time allowed grows with the stated length, up to the most bytes of the call.
+func TestBodiesThatAreNotComplete(t *testing.T) {
+	length := func(n int) string { return fmt.Sprint("Content-Length: ", n) }
+	large := strings.Repeat(" ", 8*megabyte-2) + "{}"
+	for name, x := range map[string]struct {
+		header, begin string
+		pause         time.Duration
+		end           string
+		breaks        bool
+		status        int
+		counted       string
+	}{
+		"complete":                   {length(2), "{", 0, "}", false, 200, "set"},
+		"slow":                       {length(2), "{", 2900 * time.Millisecond, "}", false, 200, "set"},
+		"too slow":                   {length(2), "{", 3100 * time.Millisecond, "", false, 408, "set.incomplete"},
+		"chunked, too slow":          {chunked, "1\r\n{\r\n", 3100 * time.Millisecond, "", false, 408, "set.incomplete"},
+		"large, slow":                {length(len(large)), large[:megabyte], 10 * time.Second, large[megabyte:], false, 200, "set"},
+		"large, too slow":            {length(len(large)), large[:megabyte], 11100 * time.Millisecond, "", false, 408, "set.incomplete"},
+		"over the most, too slow":    {length(1 << 40), "{", 11100 * time.Millisecond, "", false, 408, "set.incomplete"},
+		"malformed chunk":            {chunked, "1\r\n{\r\n", 0, "x\r\n", false, 400, "set.malformed"},
+		"malformed content":          {length(2), "{", 0, "{", false, 400, "set.malformed"},
+		"broken off":                 {length(2), "{", 0, "", true, 408, "set.incomplete"},
+		"chunked, broken off":        {chunked, "1\r\n{\r\n", 0, "", true, 408, "set.incomplete"},
+		"chunked, broken in a chunk": {chunked, "3\r\n{", 0, "", true, 408, "set.incomplete"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				c := quicktest.New(t)
+				ran := 0
+				desk := New(Call{Name: "set", Most: 8 * megabyte, Do: func(_ context.Context, _ string, body []byte) (any, error) {
+					ran++
+					return nil, func() error { _, err := Tree(body); return err }()
+				}})
+				mux := chi.NewRouter()
+				desk.Mount(mux)
+				near, far := net.Pipe()
+				request := fmt.Sprintf("POST /-/rpc?call=set HTTP/1.1\r\nHost: control\r\n%s\r\n\r\n%s", x.header, x.begin)
+				conn := near
+				if x.breaks {
+					conn = halfClosed{near, strings.NewReader(request)}
+				}
+				l := make(oneConn, 1)
+				l <- conn
+				close(l)
+				server := &http.Server{Handler: mux}
+				go server.Serve(l)
+				defer far.Close()
+				sent := make(chan bool)
+				defer func() { <-sent }()
+				go func() {
+					defer close(sent)
+					if x.breaks {
+						return
+					}
+					io.WriteString(far, request)
+					time.Sleep(x.pause)
+					io.WriteString(far, x.end)
+				}()
+				answer, err := http.ReadResponse(bufio.NewReader(far), nil)
+				c.Assert(err, quicktest.IsNil)
+				io.Copy(io.Discard, answer.Body)
+				c.Check(answer.StatusCode, quicktest.Equals, x.status)
+				c.Check(desk.Counts(), quicktest.DeepEquals, map[string]int64{x.counted: 1})
+				if x.status == 408 {
+					c.Check(ran, quicktest.Equals, 0)
+					c.Check(answer.Close, quicktest.IsTrue)
+				}
+			})
+		})
+	}
+}
