--- /dev/null
+++ b/internal/harbour/fairway/bands_test.go
@@ -0,0 +1,127 @@
+package fairway
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"portflow/internal/harbour/manifest"
+)
+
+// timedRoute is a route of this kind, with its times in seconds.
+func timedRoute(safe bool, timeout, target int64, rank int) *manifest.Route {
+	return &manifest.Route{Safe: safe, Timeout: timeout * second, Target: target * second, Rank: rank}
+}
+
+// fillBands gives a service a band for each of so many time-outs, and tells which route each number was given for.
+func fillBands(s *service, safe bool, many int) map[int]*manifest.Route {
+	owners := map[int]*manifest.Route{}
+	for i := range many {
+		r := timedRoute(safe, int64(1000+i), int64(1+i%7), 1+i%2)
+		if n := s.band(r); owners[n] == nil {
+			owners[n] = r
+		}
+	}
+	return owners
+}
+
+// Once a service has all its bands, a further route shares the nearest of its repeat class, always the same one.
+func TestBandsOfRoutesBeyondTheMost(t *testing.T) {
+	f, _ := routed(t)
+	s := f.services["desk"]
+	c := qt.New(t)
+	first := []*manifest.Route{
+		timedRoute(true, 5, 1, 1), timedRoute(true, 5, 4, 1), timedRoute(true, 9, 4, 1), timedRoute(true, 5, 4, 3),
+		timedRoute(false, 5, 1, 1), timedRoute(false, 5, 40, 1), timedRoute(false, 5, 2, 5),
+	}
+	numbers := map[*manifest.Route]int{}
+	for _, r := range first {
+		numbers[r] = s.band(r)
+	}
+	fillBands(s, true, 2000)
+	for name, x := range map[string]struct{ route, shares *manifest.Route }{
+		"known":                            {timedRoute(false, 5, 1, 1), first[4]},
+		"same target, nearest timeout":     {timedRoute(true, 8, 4, 1), first[2]},
+		"the least number of those as far": {timedRoute(true, 7, 4, 1), first[1]},
+		"priority before target":           {timedRoute(true, 5, 1, 3), first[3]},
+		"unsafe, nearest target":           {timedRoute(false, 700, 38, 1), first[5]},
+		"unsafe, nearest priority":         {timedRoute(false, 5, 2, 9), first[6]},
+	} {
+		for range 3 {
+			c.Check(s.band(x.route), qt.Equals, numbers[x.shares], qt.Commentf(name))
+		}
+	}
+}
+
+// Whichever repeat class fills the bands, the other still has one, and shares none with it.
+func TestBandsOfBothRepeatClasses(t *testing.T) {
+	for _, safe := range []bool{true, false} {
+		f, _ := routed(t)
+		f.mu.Lock()
+		s := f.enter("another")
+		f.mu.Unlock()
+		c := qt.New(t)
+		ours := fillBands(s, safe, 600)
+		theirs := fillBands(s, !safe, 600)
+		c.Check(len(theirs) > 0, qt.IsTrue)
+		for n := range theirs {
+			c.Check(ours[n], qt.IsNil, qt.Commentf("band %d, filled by safe %v", n, safe))
+			c.Check(n < 256, qt.IsTrue)
+		}
+		c.Check(len(ours)+len(theirs) <= 256, qt.IsTrue)
+	}
+}
+
+// A route beyond the most bands keeps its repeats where it is safe, gets none where it is not, and has its own time.
+func TestRoutesBeyondTheMostBands(t *testing.T) {
+	for _, filled := range []bool{true, false} { // the repeat class of the routes that fill the bands
+		for _, x := range []struct {
+			kind         string
+			silent       bool // the host says nothing; else it breaks off the first time
+			timeout      float64
+			status, came int
+		}{
+			{"safe_method", false, 20, 200, 2},
+			{"unsafe_method", false, 20, 502, 1},
+			{"safe_method", true, 0.3, 504, 1},
+			{"unsafe_method", true, 0.3, 504, 1},
+		} {
+			t.Run(fmt.Sprintf("filled by safe %v, %s, silent %v", filled, x.kind, x.silent), func(t *testing.T) {
+				c := qt.New(t)
+				end := make(chan bool)
+				h := stand(t, func(n int, r *http.Request, _ string) (string, bool) {
+					if x.silent {
+						<-end
+					} else if n == 1 {
+						return "", false
+					}
+					return good(r, "x"), true
+				})
+				f, at := routed(t, h)
+				defer close(end)
+				fillBands(f.services["desk"], filled, 600)
+				fillBands(f.services["desk"], !filled, 600)
+				f.mu.Lock()
+				tell(t, f, setRoutes(nil, longRoute(x.kind, "desk", x.timeout, x.timeout, 2)))
+				f.mu.Unlock()
+				request, err := http.NewRequest("GET", "http://"+at+"/long/x", nil)
+				c.Assert(err, qt.IsNil)
+				request.Host = "desk.example"
+				request.Header.Set("Attempt-Id", "a")
+				began := time.Now()
+				answer, err := http.DefaultTransport.RoundTrip(request)
+				c.Assert(err, qt.IsNil)
+				answer.Body.Close()
+				c.Check(answer.StatusCode, qt.Equals, x.status)
+				c.Check(h.arrivals(), qt.HasLen, x.came)
+				if x.silent {
+					took := time.Since(began)
+					c.Check(took >= 200*time.Millisecond && took < 5*time.Second, qt.IsTrue, qt.Commentf("%v", took))
+				}
+			})
+		}
+	}
+}
--- a/internal/harbour/fairway/fairway.go
+++ b/internal/harbour/fairway/fairway.go
@@ -237,7 +237,7 @@
 	berths   map[string]*berth
 
 	naming sync.Mutex // over the bands; the reducer never takes it, as a band may wait for room in its queue
-	bands  map[bandKey]int
+	bands  bandTable
 }
 
 // berth is one host as this router uses it.
@@ -253,17 +253,9 @@
 	aside   lookout.Judgement
 }
 
-type bandKey struct {
-	safe            bool
-	timeout, target int64
-	rank            int
-}
-
-const bandsMost = 256 // different kinds of routes to a service; further ones share the last
-
 // enter begins a service: its rules run until the process ends.
 func (f *Fairway) enter(name string) *service {
-	s := &service{f: f, name: name, berths: map[string]*berth{}, bands: map[bandKey]int{}, log: lookout.NewLog()}
+	s := &service{f: f, name: name, berths: map[string]*berth{}, log: lookout.NewLog()}
 	s.reducer = router.New(f.clock, zerolog.New(notes{name}))
 	v := rules.News{Standing: rules.Released, Cap: 1, Age: 3600e9}
 	s.news.Store(&v)
@@ -313,20 +305,12 @@
 
 // band is the number of a route's band in the rules.
 func (s *service) band(r *manifest.Route) int {
-	k := bandKey{r.Safe, r.Timeout, r.Target, r.Rank}
 	s.naming.Lock() // until the band is posted: who finds its number posts a command after it
 	defer s.naming.Unlock()
-	n, ok := s.bands[k]
-	if !ok {
-		if n = len(s.bands); n >= bandsMost {
-			return bandsMost - 1
-		}
-		s.bands[k] = n
-		b := rules.Band{Contract: r.Target, CutOff: r.Timeout, Repeat: rules.SingleUse, Importance: math.Pow(2, -float64(r.Rank)), LateOf: 0.3}
-		if r.Safe {
-			b.Repeat = rules.Replayable
-		}
-		s.reducer.Post(router.Band{Band: b})
+	k := bandKey{r.Safe, r.Timeout, r.Target, r.Rank}
+	n, added := s.bands.number(k)
+	if added {
+		s.reducer.Post(router.Band{Band: k.band()})
 	}
 	return n
 }
