--- a/internal/cluster/apierror/faults.go
+++ b/internal/cluster/apierror/faults.go
@@ -34,6 +34,7 @@
 	DeadlineExceeded // time is up, and the request has not run
 	ShuttingDown     // this process ends
 	NotImplemented   // this part doesn't exist yet
+	Incomplete       // a body that came too slowly or broke off: it was not run
 	kindCount
 )
 
@@ -68,6 +69,7 @@
 	DeadlineExceeded: {Name: "expired", Status: 503, NotExecuted: true},
 	ShuttingDown:     {Name: "leaving", Status: 503, RetryAfter: time.Second / 5, NotExecuted: true, CloseConnection: true},
 	NotImplemented:   {Name: "unbuilt", Status: 501},
+	Incomplete:       {Name: "incomplete", Status: 408, NotExecuted: true, CloseConnection: true},
 }
 
 // Response looks a kind up.
--- a/internal/control/rpc/rpc.go
+++ b/internal/control/rpc/rpc.go
@@ -7,6 +7,7 @@
 	"encoding/json"
 	"errors"
 	"io"
+	"net"
 	"net/http"
 	"strconv"
 	"sync"
@@ -51,9 +52,24 @@
 	})
 }
 
-// bodyTimeout is for a call's body; the largest are some hundred kilobytes.
+// bodyTimeout is how long a call's body may take, beside a second for each megabyte of it that is stated.
 const bodyTimeout = 3 * time.Second
 
+// bodyTime is how long a body of this stated length (-1 for none) may take; more than the most bytes of a call add nothing.
+func bodyTime(length, most int64) time.Duration {
+	return bodyTimeout + time.Duration(max(0, min(length, most)))*time.Second>>20
+}
+
+// readFault is the kind of error of a body that could not be read: incomplete where time was up or the connection broke off,
+// which another try may mend, and malformed otherwise.
+func readFault(err error) apierror.Kind {
+	var network net.Error
+	if errors.As(err, &network) || errors.Is(err, io.ErrUnexpectedEOF) {
+		return apierror.Incomplete
+	}
+	return apierror.Malformed
+}
+
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
 	name := r.URL.Query().Get("call")
 	defer func() {
@@ -68,14 +84,14 @@
 		s.writeError(w, "", apierror.New(apierror.UnknownCall, "call: no %q", name))
 		return
 	}
-	http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
+	http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTime(r.ContentLength, call.MaxBody)))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, call.MaxBody))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
 		s.writeError(w, name, apierror.New(apierror.BodyTooLarge, "%s: a body of more than %d bytes", name, call.MaxBody))
 		return
 	} else if err != nil {
-		s.writeError(w, name, apierror.Wrap(apierror.Malformed, err, "%s: the body can't be read whole", name))
+		s.writeError(w, name, apierror.Wrap(readFault(err), err, "%s: the body can't be read whole", name))
 		return
 	}
 	http.NewResponseController(w).SetReadDeadline(time.Time{})
--- a/internal/proxy/fairway.go
+++ b/internal/proxy/fairway.go
@@ -241,7 +241,7 @@
 	hosts     map[string]*hostState
 
 	bandMu sync.Mutex // over the bands; the reducer never takes it, as a band may wait for room in its queue
-	bands  map[bandKey]int
+	bands  bandTable
 }
 
 // hostState is one host as this router uses it.
@@ -257,17 +257,9 @@
 	ejection     outlier.Ejection
 }
 
-type bandKey struct {
-	safe                bool
-	timeout, targetTime int64
-	priority            int
-}
-
-const maxBands = 256 // different kinds of routes to a service; further ones share the last
-
 // startService begins a service: its rules run until the process ends.
 func (p *Proxy) startService(name string) *service {
-	s := &service{proxy: p, name: name, hosts: map[string]*hostState{}, bands: map[bandKey]int{}, outliers: outlier.NewRecorder()}
+	s := &service{proxy: p, name: name, hosts: map[string]*hostState{}, outliers: outlier.NewRecorder()}
 	s.dispatcher = dispatch.New(p.clock, zerolog.New(decisionLog{name}))
 	v := decision.Rollout{State: decision.Released, ExposureCap: 1, Age: 3600e9}
 	s.rolloutNews.Store(&v)
@@ -317,20 +309,12 @@
 
 // bandOf is the number of a route's band in the rules.
 func (s *service) bandOf(r *config.Route) int {
-	k := bandKey{r.Idempotent, r.Timeout, r.LatencyTarget, r.Priority}
 	s.bandMu.Lock() // until the band is posted: who finds its number posts a command after it
 	defer s.bandMu.Unlock()
-	n, ok := s.bands[k]
-	if !ok {
-		if n = len(s.bands); n >= maxBands {
-			return maxBands - 1
-		}
-		s.bands[k] = n
-		b := decision.RequestClass{LatencyTarget: r.LatencyTarget, Timeout: r.Timeout, Idempotency: decision.NonIdempotent, Value: math.Pow(2, -float64(r.Priority)), LateValue: 0.3}
-		if r.Idempotent {
-			b.Idempotency = decision.Idempotent
-		}
-		s.dispatcher.Post(dispatch.ClassAdded{RequestClass: b})
+	k := bandKey{r.Idempotent, r.Timeout, r.LatencyTarget, r.Priority}
+	n, added := s.bands.number(k)
+	if added {
+		s.dispatcher.Post(dispatch.ClassAdded{RequestClass: k.band()})
 	}
 	return n
 }
