--- a/Makefile
+++ b/Makefile
@@ -6,11 +6,8 @@
 test:
 	go test ./...
 
-lint: bin/golangci-lint
-	test -z "$$(gofmt -l .)" && go vet ./... && bin/golangci-lint run ./...
-
-bin/golangci-lint: tools/go.mod
-	go -C tools build -o ../bin/ github.com/golangci/golangci-lint/v2/cmd/golangci-lint
+lint:
+	test -z "$$(gofmt -l .)" && go vet ./... && .ci/lint-debt
 
 # the toy hosts, list and platform of the example; then, beside it, the router
 toy:
