--- a/internal/cluster/network/network.go
+++ b/internal/cluster/network/network.go
@@ -16,8 +16,11 @@
 	ListenPacket(address string) (net.PacketConn, error)
 }
 
-// Host is the machine's own network. A peer that says nothing, as one behind a cut, is found by the kernel within Silent.
+// Host is the machine's own network.
 type Host struct {
+	// UserTimeout is after how long the kernel gives up a connection that was dialled and whose peer acknowledges nothing, as one
+	// behind a partition; 0 for the kernel's own time. Accepted connections don't have it: the kernel also counts the time for which a
+	// peer is slow and keeps its receive window closed, and would reset a client in the middle of its answer.
 	UserTimeout time.Duration
 }
 
@@ -34,8 +37,8 @@
 }
 
 // Listen waits for connections.
-func (h Host) Listen(address string) (net.Listener, error) {
-	l := net.ListenConfig{KeepAlive: -1, Control: h.control}
+func (Host) Listen(address string) (net.Listener, error) {
+	l := net.ListenConfig{KeepAlive: -1}
 	l.SetMultipathTCP(false)
 	return l.Listen(context.Background(), "tcp4", address)
 }
