--- a/internal/control/consensus/message.go
+++ b/internal/control/consensus/message.go
@@ -12,17 +12,6 @@
 	"portflow/internal/control/operation"
 )
 
-// Ballot is a proposer's try. By is one life of one process: no two proposers ever use the same ballot.
-type Ballot struct {
-	Number   uint64 `json:"n"`
-	Proposer string `json:"b"`
-}
-
-// Less orders ballots.
-func (b Ballot) Less(other Ballot) bool {
-	return b.Number < other.Number || b.Number == other.Number && b.Proposer < other.Proposer
-}
-
 // MessageKind is what a message says.
 type MessageKind string
 
@@ -81,35 +70,3 @@
 	}
 	return apierror.New(r.Kind, "%s", r.Reason)
 }
-
-// HardState is what a member keeps beside its items, in one record: it is synced before any reply that rests on it.
-type HardState struct {
-	DiskID        string        `json:"id"`
-	Applied       uint64        `json:"applied"`
-	Promised      Ballot        `json:"promised,omitzero"`
-	Accepted      Ballot        `json:"vote,omitzero"`
-	AcceptedIndex uint64        `json:"at,omitempty"` // the number voted on
-	AcceptedValue []config.Item `json:"value,omitempty"`
-	Founders      []string      `json:"founders,omitempty"` // IP numbers of those who make the first epoch; the first start's settings name them
-}
-
-// Effects are what a step asks of the carrier, to be done in this order: the write is queued before anything else, and
-// Synced messages go out once it is on disk.
-type Effects struct {
-	HardState     *HardState           // to be written, with Items and Gone, in one synced step
-	SaveItems     []config.Item        // what has come into the set since the last write
-	DeleteKeys    []config.Key         // what is no longer in it
-	Updated       []config.Item        // applied in this step: to be told to those who follow
-	Removed       []config.Key         // no longer in the set since this step
-	Replaced      bool                 // items went, or older ones came: not told by News alone
-	Changed       bool                 // the set, the list or this process's standing has changed
-	Send          map[string][]Message // by IP number, at once
-	SendAfterSync map[string][]Message // once the disk has it
-	Answers       []Answer
-}
-
-// Answer is the end of an order or of a read of this process.
-type Answer struct {
-	Tag    uint64
-	Result Result
-}
--- a/internal/control/consensus/race_test.go
+++ b/internal/control/consensus/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package quorum
+package consensus
 
 // Under the race detector a few days do, as the package starts no goroutines: drawn days, and days that are played again.
 const (
--- a/internal/control/consensus/simulation_test.go
+++ b/internal/control/consensus/simulation_test.go
@@ -8,12 +8,10 @@
 	"maps"
 	"math/rand/v2"
 	"slices"
-	"strings"
 
 	"portflow/internal/cluster/apierror"
 	"portflow/internal/cluster/config"
 	"portflow/internal/control/membership"
-	"portflow/internal/control/operation"
 	tracedigest "portflow/internal/testing/digest"
 )
 
@@ -33,11 +31,15 @@
 type tasks []task
 
 func (q tasks) Len() int { return len(q) }
+
 func (q tasks) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
+
 func (q tasks) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *tasks) Push(x any)   { *q = append(*q, x.(task)) }
+
+func (q *tasks) Push(x any) { *q = append(*q, x.(task)) }
+
 func (q *tasks) Pop() any {
 	old := *q
 	x := old[len(old)-1]
@@ -45,14 +47,6 @@
 	return x
 }
 
-// diskWrite is one synced step of a disk.
-type diskWrite struct {
-	hardState HardState
-	items     []config.Item
-	removed   []config.Key
-	synced    map[string][]Message
-}
-
 // machine is a process with its disk. A machine that is off for good may still be switched on again.
 type machine struct {
 	n                   int
@@ -76,37 +70,6 @@
 
 func (m *machine) clock(now int64) int64 { return m.offset + int64(float64(now)*m.rate) }
 
-// link is between two machines; each end finds out by itself that it is broken.
-type link struct {
-	ends        [2]bool
-	incarnation int
-	last        [2]int64 // arrival of the newest message to each end
-	held        [2][]func()
-	cuts        [2]int // how many harms hold what goes to each end
-	latency     int64  // one way
-	extraDelay  int64  // by which messages may be late at the most
-}
-
-type call struct {
-	tag         uint64
-	operation   *operation.Operation // nil for a read
-	copies      *operationCopies
-	machine     *machine
-	incarnation int
-	startedAt   int64
-	minIndex    uint64 // a read: the highest number that had been told to anybody before
-	done        bool
-	endedAt     int64
-	result      Result
-}
-
-// operationCopies are the copies of one order.
-type operationCopies struct {
-	n         int
-	operation operation.Operation
-	calls     []*call
-}
-
 // decidedState is the set as it was at a number.
 type decidedState struct {
 	sum       uint64
@@ -249,14 +212,6 @@
 	return m
 }
 
-// line is the one between two machines, and which end of it is a's.
-func (sim *simulation) line(a, b *machine) (l *link, end int) {
-	if a.n < b.n {
-		return sim.lines[[2]int{a.n, b.n}], 0
-	}
-	return sim.lines[[2]int{b.n, a.n}], 1
-}
-
 // start starts a process with what the disk holds.
 func (sim *simulation) start(m *machine) {
 	if m.up {
@@ -340,108 +295,6 @@
 	sim.deliver(from, to, func() { sim.step(to, Event{From: from.ip, Peer: &p}) })
 }
 
-// deliver brings something to the other end, in the order in which it was sent, unless the line breaks.
-func (sim *simulation) deliver(from, to *machine, do func()) {
-	l, end := sim.line(from, to)
-	if !l.ends[end] {
-		return
-	}
-	life, process, other := l.incarnation, to.incarnation, 1-end
-	come := func() {
-		at := max(sim.now+l.latency+sim.between(0, l.latency/4+1+l.extraDelay), l.last[other]+1)
-		l.last[other] = at
-		sim.after(at-sim.now, func() {
-			if l.incarnation == life && l.ends[other] {
-				sim.runOn(to, process, do)
-			}
-		})
-	}
-	if l.cuts[other] > 0 {
-		l.held[other] = append(l.held[other], func() {
-			if l.incarnation == life {
-				come()
-			}
-		})
-		return
-	}
-	come()
-}
-
-// connect goes on until there is a line.
-func (sim *simulation) connect(a, b *machine) {
-	lifeA, lifeB := a.incarnation, b.incarnation
-	l, end := sim.line(a, b)
-	sim.after(sim.between(5*ms, 300*ms), func() {
-		switch {
-		case !a.up || !b.up || a.incarnation != lifeA || b.incarnation != lifeB || l.ends == [2]bool{true, true}:
-		case l.ends != [2]bool{} || l.cuts != [2]int{} || a.frozen || b.frozen:
-			sim.connect(a, b)
-		default:
-			l.incarnation++
-			l.ends, l.last, l.held = [2]bool{true, true}, [2]int64{}, [2][]func(){}
-			if end == 1 {
-				a, b = b, a
-			}
-			sim.sendStatus(a, b)
-			sim.sendStatus(b, a)
-		}
-	})
-}
-
-// breakLink has one end of a line find out that it is broken.
-func (sim *simulation) breakLink(m, other *machine) {
-	l, end := sim.line(m, other)
-	if !l.ends[end] {
-		return
-	}
-	l.ends[end] = false
-	sim.runOn(m, m.incarnation, func() { sim.step(m, Event{From: other.ip, PeerLost: true}) })
-	if l.ends == [2]bool{} && m.up && other.up {
-		sim.connect(m, other)
-	}
-}
-
-// noticeLater has one end of a line find out later, if it is still so.
-func (sim *simulation) noticeLater(m, other *machine, in int64, still func() bool) {
-	l, _ := sim.line(m, other)
-	life := l.incarnation
-	sim.after(in, func() {
-		if l.incarnation == life && still() {
-			sim.breakLink(m, other)
-		}
-	})
-}
-
-// cutLink holds what goes from one machine to another; the receiver finds out by silence and closes, which the sender sees at
-// once, or by its own silence where it hears nothing either.
-func (sim *simulation) cutLink(from, to *machine) {
-	l, end := sim.line(to, from)
-	l.cuts[end]++
-	life := l.incarnation
-	sim.after(sim.between(800*ms, 2000*ms), func() {
-		if l.incarnation != life || l.cuts[end] == 0 {
-			return
-		}
-		sim.breakLink(to, from)
-		if l.cuts[1-end] == 0 {
-			sim.noticeLater(from, to, sim.between(ms, 100*ms), func() bool { return true })
-		} else {
-			sim.noticeLater(from, to, sim.between(0, 1200*ms), func() bool { return true })
-		}
-	})
-}
-
-func (sim *simulation) healLink(from, to *machine) {
-	l, end := sim.line(to, from)
-	if l.cuts[end]--; l.cuts[end] == 0 {
-		held := l.held[end]
-		l.held[end] = nil
-		for _, come := range held {
-			come()
-		}
-	}
-}
-
 // stop ends a process; without power its disk keeps what was synced, and perhaps some of what was being synced.
 func (sim *simulation) stop(m *machine, powerLost bool) {
 	if !m.up {
@@ -477,48 +330,6 @@
 	m.calls = nil
 }
 
-func (m *machine) persist(x diskWrite) {
-	m.disk = x.hardState
-	for _, i := range x.items {
-		m.items[i.Key()] = i
-	}
-	for _, k := range x.removed {
-		delete(m.items, k)
-	}
-}
-
-// startSync writes what has queued, in one go.
-func (sim *simulation) startSync(m *machine) {
-	if m.syncing != nil || len(m.writes) == 0 || m.diskHung {
-		return
-	}
-	batch, life := m.writes, m.incarnation
-	m.syncing, m.writes = batch, nil
-	sim.after(sim.between(ms/4, m.maxSync), func() { sim.finishSync(m, life, batch) })
-}
-
-func (sim *simulation) finishSync(m *machine, life int, batch []diskWrite) {
-	if !m.up || m.incarnation != life {
-		return
-	}
-	if m.diskHung {
-		sim.after(20*ms, func() { sim.finishSync(m, life, batch) })
-		return
-	}
-	m.syncing = nil
-	for _, x := range batch {
-		m.persist(x)
-	}
-	if !sim.mutation.unsynced {
-		sim.runOn(m, life, func() {
-			for _, x := range batch {
-				sim.sendAll(m, x.synced)
-			}
-		})
-	}
-	sim.startSync(m)
-}
-
 func (sim *simulation) sendAll(m *machine, all map[string][]Message) {
 	for _, ip := range slices.Sorted(maps.Keys(all)) {
 		for _, x := range all[ip] {
@@ -593,142 +404,3 @@
 	node := m.node
 	sim.effects.Add(sim.now, m.n, out, node.Applied(), node.Set.Checksum(), node.Membership(), node.Busy(), node.CaughtUp(), node.IsMember())
 }
-
-// checkState holds a process against what was ever decided.
-func (sim *simulation) checkState(m *machine) {
-	n, sum := m.node.Applied(), m.node.Set.Checksum()
-	if n < m.applied {
-		sim.fail("%s went back from %d to %d", m.ip, m.applied, n)
-	}
-	m.applied = n
-	sim.trace = sim.trace*1099511628211 ^ n ^ sum ^ uint64(sim.now)
-	switch {
-	case n == 0:
-		return
-	case n > uint64(len(sim.states)+1):
-		sim.fail("%s has number %d, and nobody has had %d", m.ip, n, n-1)
-	case n <= uint64(len(sim.states)):
-		if s := sim.states[n-1]; s.sum != sum {
-			sim.fail("%s has another set at number %d: %v, first was %v", m.ip, n, m.node.Set.All(), s.items)
-		}
-		return
-	}
-	s := decidedState{sum, map[config.Key]config.Item{}, sim.now}
-	for _, i := range m.node.Set.All() {
-		s.items[i.Key()] = i
-	}
-	sim.states = append(sim.states, s)
-	delete(sim.proposedLists, n)
-	sim.tally["numbers"]++
-	l := m.node.Membership()
-	raw, _ := json.Marshal(l)
-	if was, there := sim.lists[l.Epoch]; there && was != string(raw) {
-		sim.fail("two lists of epoch %d: %s and %s", l.Epoch, was, raw)
-	} else if !there {
-		sim.lists[l.Epoch] = string(raw)
-		sim.tally["lists"]++
-	}
-	if n > 1 {
-		sim.checkTransition(sim.states[n-2], s, n)
-	}
-}
-
-// checkTransition holds one state against the one before.
-func (sim *simulation) checkTransition(was, is decidedState, n uint64) {
-	for k, i := range was.items {
-		if j, there := is.items[k]; !there || j.Version < i.Version || j.Version == i.Version && !j.Equal(i) {
-			sim.fail("at number %d %s follows on %s", n, describeItem(j), describeItem(i))
-		}
-	}
-	// a call stands as a whole
-	for k, i := range is.items {
-		if !was.items[k].Equal(i) {
-			sim.log("%.3f number %d: %s", float64(sim.now)/1e9, n, describeItem(i))
-		}
-		if i.Deleted || was.items[k].Equal(i) { // drops of many calls are alike
-			continue
-		}
-		for _, g := range sim.groups {
-			if g.operation.Kind != operation.ModifyConfig || !slices.ContainsFunc(g.operation.Items, func(x config.Item) bool { return x.Equal(i) }) {
-				continue
-			}
-			for _, x := range g.operation.Items {
-				if !holds(is, x) {
-					sim.fail("at number %d %s came into force, and %s of the same call did not", n, describeItem(i), describeItem(x))
-				}
-			}
-		}
-	}
-}
-
-// holds tells whether an item, or a later one in its place, is in a state.
-func holds(s decidedState, i config.Item) bool {
-	now, there := s.items[i.Key()]
-	return there && (now.Version > i.Version || now.Equal(i))
-}
-
-// membership is the newest list that was decided.
-func (sim *simulation) membership() membership.List { return sim.membershipAt(len(sim.states)) }
-
-// membershipAt is the list at a number; before the first, the founders.
-func (sim *simulation) membershipAt(n int) membership.List {
-	if n > 0 {
-		return membership.FromItem(sim.states[n-1].items[membership.Key])
-	}
-	l := membership.List{}
-	for _, m := range sim.machines[:len(sim.founders)] {
-		l.Members = append(l.Members, membership.Member{IP: m.ip, ID: fmt.Sprintf("d%d", m.n+1)})
-	}
-	return l
-}
-
-// survivesLoss tells whether the core can lose a machine's disk: under the list that holds, under any that may yet be decided, and
-// under the one before as long as no other disk has the change of it.
-func (sim *simulation) survivesLoss(m *machine) bool {
-	lists := []membership.List{sim.membership()}
-	for _, more := range sim.proposedLists {
-		lists = append(lists, more...)
-	}
-	// who comes in may have been proposed by one that hasn't heard of its loss yet
-	available := slices.DeleteFunc(slices.Clone(sim.lostDisks), func(x lostDisk) bool { return sim.now-x.at > 5*second })
-	for _, o := range sim.machines {
-		if !o.removed {
-			available = append(available, lostDisk{membership.Member{IP: o.ip, ID: o.disk.DiskID}, 0})
-		}
-	}
-	all := membership.List{Members: slices.Clone(lists[0].Members)}
-	for _, x := range available {
-		if !slices.ContainsFunc(all.Members, func(y membership.Member) bool { return y.IP == x.IP }) {
-			all.Members = append(all.Members, x.Member)
-		}
-	}
-	lists = append(lists, all)
-	for n := len(sim.states); n > 0; n-- {
-		if slices.ContainsFunc(sim.machines, func(o *machine) bool {
-			return o != m && !o.removed && o.disk.Applied >= uint64(n) && lists[0].Contains(o.ip, o.disk.DiskID)
-		}) {
-			break
-		}
-		lists = append(lists, sim.membershipAt(n-1))
-	}
-	for _, l := range lists {
-		n := 0
-		for _, x := range l.Members {
-			if o := sim.byIP[x.IP]; o != m && o.disk.DiskID == x.ID && !o.removed {
-				n++
-			}
-		}
-		if n < l.Majority() {
-			return false
-		}
-	}
-	return true
-}
-
-func describeItem(i config.Item) string {
-	body := string(i.Body)
-	if at := strings.Index(body, `,"host-name`); at > 0 {
-		body = body[:at]
-	}
-	return fmt.Sprintf("%s %s version %d dropped %v %s", i.Kind, i.Name, i.Version, i.Deleted, body)
-}
