--- a/internal/control/membership/list.go
+++ b/internal/control/membership/list.go
@@ -1,5 +1,8 @@
-// Package membership is the membership of the core: a list with an epoch, which is itself an item of the state and so is changed
-// by the same agreement as all other items. It is pure.
+// Package membership defines who the members of the core are: a list of control processes with an epoch. It owns which sets of them
+// are a quorum, how lists follow on each other, and which losses a list tolerates. The list is an item of the replicated set, and is
+// changed by consensus like any other; this package never decides a change. It is pure.
+//
+// Begin reading at List; Tolerance follows over time how many losses the members tolerate.
 package membership
 
 import (
@@ -10,7 +13,17 @@
 	"portflow/internal/cluster/config"
 )
 
-// Member is a control process whose vote counts. ID is of its disk: who lost the disk comes back as another member.
+// MaxRestoredSnapshots is how many restored snapshots a list remembers; beyond it the oldest is forgotten.
+const MaxRestoredSnapshots = 8
+
+// MaxExcluded is how many excluded members a list remembers; beyond it the first is forgotten.
+const MaxExcluded = 32
+
+// Key is the key of the list's item in the replicated set.
+var Key = config.Key{Kind: config.KindCore, Name: "members"}
+
+// Member is a control process whose vote counts. ID identifies its disk: a process that lost its disk comes back as another member,
+// as it forgot what it promised and voted.
 type Member struct {
 	IP   string `json:"p"`
 	ID   string `json:"i"`
@@ -18,41 +31,25 @@
 	Zone string `json:"z"`
 }
 
-// List is the members of one epoch, in the order of their IP numbers. The zero List is before the first.
+// List is the members of one epoch, in the order of their IP addresses. The zero List stands for the time before the first epoch.
+// Methods return changed copies and leave the list as it is.
 type List struct {
 	Epoch             uint64   `json:"e"`
 	Members           []Member `json:"m"`
-	Excluded          []Member `json:"h,omitempty"` // let go by an operator: they aren't voted in again by themselves with these disks
-	RestoredSnapshots []string `json:"r,omitempty"` // the last snapshots that took the place of all that stood, so that a late copy does nothing
+	Excluded          []Member `json:"h,omitempty"` // removed by an operator: with these disks they don't join again by themselves
+	RestoredSnapshots []string `json:"r,omitempty"` // names of the last restores, so that a late copy of one does nothing
 }
 
-// MaxRestoredSnapshots is how many restored snapshots are known.
-const MaxRestoredSnapshots = 8
-
-// WithRestored is the next epoch's list, which knows of one more.
-func (l List) WithRestored(id string) List {
-	l.Epoch++
-	l.RestoredSnapshots = append(slices.Clone(l.RestoredSnapshots), id)
-	l.RestoredSnapshots = l.RestoredSnapshots[max(0, len(l.RestoredSnapshots)-MaxRestoredSnapshots):]
-	return l
-}
-
-// MaxExcluded is how many of those that were let go are held out; beyond it the first is forgotten.
-const MaxExcluded = 32
-
-// Key is where the list stands in the set of items.
-var Key = config.Key{Kind: config.KindCore, Name: "members"}
-
-// FromSet reads the list that stands in a set.
+// FromSet returns the list in a set, the zero List if there is none.
 func FromSet(s *config.Set) List {
-	i, ok := s.Lookup(Key)
-	if !ok {
+	item, exists := s.Lookup(Key)
+	if !exists {
 		return List{}
 	}
-	return FromItem(i)
+	return FromItem(item)
 }
 
-// FromItem is the list of an item; one that can't be read is no list.
+// FromItem returns the list in an item, the zero List if it can't be read or is of another epoch than the item's version.
 func FromItem(i config.Item) (l List) {
 	if json.Unmarshal(i.Body, &l) != nil || l.Epoch != i.Version {
 		return List{}
@@ -60,37 +57,36 @@
 	return l
 }
 
-// Item is the list as an item: its version is the epoch.
+// Item returns the list as an item; its version is the epoch.
 func (l List) Item() config.Item {
-	body, _ := json.Marshal(l)
+	body, _ := json.Marshal(l) // can't fail: it holds strings and numbers
 	return config.Item{Kind: Key.Kind, Name: Key.Name, Version: l.Epoch, Body: body}
 }
 
-// Majority is how many members are more than half.
-func (l List) Majority() int { return len(l.Members)/2 + 1 }
-
-// ByIP is the member with an IP number.
+// ByIP returns the member with an IP address, and whether there is one.
 func (l List) ByIP(ip string) (Member, bool) {
-	for _, m := range l.Members {
-		if m.IP == ip {
-			return m, true
-		}
+	at := slices.IndexFunc(l.Members, func(m Member) bool { return m.IP == ip })
+	if at < 0 {
+		return Member{}, false
 	}
-	return Member{}, false
+	return l.Members[at], true
 }
 
-// Contains tells whether a process with this disk is a member.
+// Contains reports whether the process with an IP address and a disk is a member.
 func (l List) Contains(ip, id string) bool {
-	m, ok := l.ByIP(ip)
-	return ok && m.ID == id
+	member, exists := l.ByIP(ip)
+	return exists && member.ID == id
 }
 
-// HasQuorum tells whether those who said yes, by IP number with the IDs of their disks, are more than half.
+// Majority returns how many members are a quorum: more than half, so that any two quorums of a list have a member in common.
+func (l List) Majority() int { return len(l.Members)/2 + 1 }
+
+// HasQuorum reports whether those that acknowledged, disk IDs by IP address, include a quorum. An empty list has none.
 func (l List) HasQuorum(acks map[string]string) bool {
 	return len(l.Members) > 0 && l.QuorumMargin(acks) >= 0
 }
 
-// QuorumMargin is by how many members those who said yes are more than a bare majority; below 0 they are none.
+// QuorumMargin returns by how many members those that acknowledged exceed a majority; below 0 they are no quorum.
 func (l List) QuorumMargin(acks map[string]string) int {
 	count := 0
 	for ip, id := range acks {
@@ -101,23 +97,25 @@
 	return count - l.Majority()
 }
 
-// Change is the next epoch's list with members that come in, each in the place of an older one of its IP number, and without
-// those that go. It is the same list where nothing changes.
+// Change returns the list of the next epoch, with members that join and without those that leave (by IP address). One that joins
+// takes the place of a member with its IP address. Where nothing changes, or nobody would be left, it returns the same list.
 func (l List) Change(joining []Member, leaving []string) List {
-	next := List{Epoch: l.Epoch + 1, RestoredSnapshots: l.RestoredSnapshots, Excluded: slices.DeleteFunc(slices.Clone(l.Excluded), func(m Member) bool {
-		return slices.ContainsFunc(joining, func(joined Member) bool { return joined.ID == m.ID })
-	})}
+	next := List{
+		Epoch:             l.Epoch + 1,
+		Excluded:          l.excludedWithout(joining),
+		RestoredSnapshots: l.RestoredSnapshots,
+	}
 	changed := false
-	for _, m := range l.Members {
-		if slices.Contains(leaving, m.IP) || slices.ContainsFunc(joining, func(joined Member) bool { return joined.IP == m.IP && joined != m }) {
+	for _, member := range l.Members {
+		if slices.Contains(leaving, member.IP) || isReplaced(member, joining) {
 			changed = true
 			continue
 		}
-		next.Members = append(next.Members, m)
+		next.Members = append(next.Members, member)
 	}
-	for _, m := range joining {
-		if _, there := next.ByIP(m.IP); !there && !slices.Contains(leaving, m.IP) {
-			next.Members = append(next.Members, m)
+	for _, member := range joining {
+		if _, exists := next.ByIP(member.IP); !exists && !slices.Contains(leaving, member.IP) {
+			next.Members = append(next.Members, member)
 			changed = true
 		}
 	}
@@ -128,46 +126,67 @@
 	return next
 }
 
-// Exclude is the list with those that are let go held out, the last of them last.
-func (l List) Exclude(leaving []Member) List {
-	l.Excluded = slices.DeleteFunc(slices.Clone(l.Excluded), func(m Member) bool { return slices.Contains(leaving, m) })
-	l.Excluded = append(l.Excluded, leaving...)
-	l.Excluded = l.Excluded[max(0, len(l.Excluded)-MaxExcluded):]
+// isReplaced reports whether one that joins has a member's IP address and differs from it.
+func isReplaced(member Member, joining []Member) bool {
+	return slices.ContainsFunc(joining, func(joined Member) bool { return joined.IP == member.IP && joined != member })
+}
+
+// excludedWithout returns the excluded members without those whose disks join.
+func (l List) excludedWithout(joining []Member) []Member {
+	return slices.DeleteFunc(slices.Clone(l.Excluded), func(excluded Member) bool {
+		return slices.ContainsFunc(joining, func(joined Member) bool { return joined.ID == excluded.ID })
+	})
+}
+
+// Exclude returns the list with members excluded that are removed, the last of them last.
+func (l List) Exclude(removed []Member) List {
+	excluded := slices.DeleteFunc(slices.Clone(l.Excluded), func(m Member) bool { return slices.Contains(removed, m) })
+	excluded = append(excluded, removed...)
+	l.Excluded = excluded[max(0, len(excluded)-MaxExcluded):]
 	return l
 }
 
-// Excludes tells whether a process with this disk is held out.
+// Excludes reports whether a process with a disk is excluded.
 func (l List) Excludes(id string) bool {
 	return slices.ContainsFunc(l.Excluded, func(m Member) bool { return m.ID == id })
 }
 
-// Removable are the members, of those that are silent, that may go because their zones have successors: no zone sinks under
-// perZone members by it.
+// WithRestored returns the list of the next epoch, which remembers a restore by its name.
+func (l List) WithRestored(name string) List {
+	l.Epoch++
+	restored := append(slices.Clone(l.RestoredSnapshots), name)
+	l.RestoredSnapshots = restored[max(0, len(restored)-MaxRestoredSnapshots):]
+	return l
+}
+
+// Removable returns the IP addresses of those silent members that can be removed while their zones keep at least perZone members.
 func (l List) Removable(silent []string, perZone int) (removable []string) {
 	count := map[string]int{}
-	for _, m := range l.Members {
-		count[m.Zone]++
+	for _, member := range l.Members {
+		count[member.Zone]++
 	}
-	for _, m := range l.Members {
-		if count[m.Zone] > perZone && slices.Contains(silent, m.IP) {
-			count[m.Zone]--
-			removable = append(removable, m.IP)
+	for _, member := range l.Members {
+		if count[member.Zone] > perZone && slices.Contains(silent, member.IP) {
+			count[member.Zone]--
+			removable = append(removable, member.IP)
 		}
 	}
 	return removable
 }
 
-// Tolerates tells which losses the members could bear while those in down are lost already: how many members more, and which
-// zones alone. Without a majority it bears none, less than none.
+// Tolerates returns how many more members may be lost while those in down (by IP address) are lost already, below 0 if there is no
+// majority now; and the zones of which any one may be lost, in order.
 func (l List) Tolerates(down []string) (members int, zones []string) {
-	up, byZone := 0, map[string]int{}
-	for _, m := range l.Members {
-		if byZone[m.Zone] += 0; !slices.Contains(down, m.IP) {
+	up := 0
+	upInZone := map[string]int{}
+	for _, member := range l.Members {
+		upInZone[member.Zone] += 0 // a zone that is down can be lost too
+		if !slices.Contains(down, member.IP) {
 			up++
-			byZone[m.Zone]++
+			upInZone[member.Zone]++
 		}
 	}
-	for zone, count := range byZone {
+	for zone, count := range upInZone {
 		if up-count >= l.Majority() {
 			zones = append(zones, zone)
 		}
