--- a/internal/control/consensus/acceptor_test.go
+++ b/internal/control/consensus/acceptor_test.go
@@ -19,7 +19,7 @@
 	set := config.NewSet()
 	set.Merge(l.Item())
 	x := New(l.Members[1], "life", 1, HardState{DiskID: "b", Applied: 1}, set, now)
-	x.caughtUp, x.startReplies = true, nil
+	x.caughtUp, x.acceptor.startReplies = true, nil
 	return x, l
 }
 
--- a/internal/control/consensus/batch.go
+++ b/internal/control/consensus/batch.go
@@ -8,107 +8,190 @@
 	"portflow/internal/control/operation"
 )
 
-// buildValue makes a value of the orders that wait, and answers those that need none.
-func (n *Node) buildValue(now int64) (value []config.Item, tags []uint64) {
-	var next *config.Set // as it is with the value, which only a second order needs
-	position, merged, size := map[config.Key]int{}, 0, 0
+// batch is a value in the making, of several operations.
+type batch struct {
+	value    []config.Item
+	tags     []uint64           // of the operations in it
+	position map[config.Key]int // where an item is in value
+	preview  *config.Set        // the set with the first merged items of value; nil until a second operation needs it
+	merged   int
+	size     int // of value, a bound on its encoding in bytes
+}
+
+// admits reports whether an operation may go into the value beside what is in it: a value replaces the whole set alone, and changes
+// the members once.
+func (b *batch) admits(op operation.Operation) bool {
+	switch {
+	case operation.ReplacesAll(b.value), len(b.value) >= maxBatchItems:
+		return false
+	case op.Kind == operation.RestoreSnapshot:
+		return len(b.value) == 0
+	case op.Kind == operation.ChangeMembers:
+		return membershipIn(b.value).Epoch == 0
+	}
+	return true
+}
+
+// state returns the set with all of the value applied; preview must be set.
+func (b *batch) state() *config.Set {
+	for _, item := range b.value[b.merged:] {
+		b.preview.Merge(item)
+	}
+	b.merged = len(b.value)
+	return b.preview
+}
+
+// add adds what an operation changes, unless the value would get too large for a message.
+func (b *batch) add(tag uint64, items []config.Item) {
+	if operation.ReplacesAll(items) {
+		b.value = items
+		b.tags = append(b.tags, tag)
+		return
+	}
+	size := config.EncodedSizeBound(items)
+	if b.size+size > operation.MaxValueBytes {
+		return
+	}
+	b.size += size
+	for _, item := range items {
+		b.put(item)
+	}
+	b.tags = append(b.tags, tag)
+}
+
+// put adds an item, or replaces the older version of it that is in the value.
+func (b *batch) put(item config.Item) {
+	at, exists := b.position[item.Key()]
+	if !exists {
+		b.position[item.Key()] = len(b.value)
+		b.value = append(b.value, item)
+		return
+	}
+	b.value[at] = item
+	if at < b.merged {
+		b.preview.Merge(item)
+	}
+}
+
+// buildValue returns a value of the pending operations that are proposed here, with the tags of those in it. It ends those that need
+// no vote, because they are done already or can't be.
+func (n *Node) buildValue() (value []config.Item, tags []uint64) {
+	b := &batch{position: map[config.Key]int{}}
 	var remaining []*pendingOperation
-	for _, op := range n.pending {
-		exclusive := op.operation.Kind == operation.RestoreSnapshot && len(value) > 0 || operation.ReplacesAll(value)
-		if remaining = append(remaining, op); !op.proposeHere || exclusive || len(value) >= maxBatchItems || op.operation.Kind == operation.ChangeMembers && membershipIn(value).Epoch != 0 {
-			continue
-		}
-		if op.operation.Kind == operation.ChangeMembers && !(n.confirmedLatest && n.mayChangeMembership(op.operation)) {
-			if !n.confirmedLatest {
-				n.prepared = false // it is looked at again when more than half have promised anew
-				continue
-			}
-			remaining = remaining[:len(remaining)-1]
-			n.finish(op, Result{Kind: apierror.Unavailable, Reason: "the new members can't be sure to take over"})
-			continue
+	for _, op := range n.forwarder.pending {
+		if finished := n.addToBatch(b, op); !finished {
+			remaining = append(remaining, op)
 		}
-		set := n.Set
-		if len(value) > 0 {
-			if next == nil {
-				next = n.Set.Clone()
-				n.Counts.Copied++
-			}
-			for _, i := range value[merged:] {
-				next.Merge(i)
-			}
-			set, merged = next, len(value)
-		}
-		items, err := operation.Apply(set, op.operation)
-		if (err != nil || len(items) == 0) && set != n.Set { // by what is not decided yet: it is looked at again
-			if items, err = operation.Apply(n.Set, op.operation); err == nil && len(items) > 0 {
-				continue
-			}
-		}
-		switch {
-		case err != nil:
-			kind := apierror.KindOf(err)
-			if kind != apierror.Conflict && op.proposedIndex == n.hardState.Applied+1 {
-				continue // a vote on it may still be taken over: it isn't refused before that number is decided
-			}
-			if kind != apierror.Conflict && !n.confirmedLatest { // it may be wrong only by what this process doesn't know yet
-				n.prepared = false
-				continue
-			}
-			remaining = remaining[:len(remaining)-1]
-			if kind != apierror.Conflict && op.forwards > 0 { // its copy may still be taken, once what it lacks is there
-				n.finish(op, Result{Kind: apierror.Unavailable, Reason: "not clear yet: " + err.Error()})
-				continue
-			}
-			n.finish(op, Result{Kind: kind, Reason: err.Error(), Index: n.hardState.Applied, NotProposed: op.proposedIndex == 0})
-			continue
-		case len(items) == 0 && op.operation.DependsOnState() && !n.confirmedLatest: // it may stand here alone, and be over where this process isn't heard
-			n.prepared = false
-			continue
-		case len(items) == 0:
-			remaining = remaining[:len(remaining)-1]
-			n.finish(op, Result{Index: n.hardState.Applied})
-			continue
-		}
-		if operation.ReplacesAll(items) {
-			value, tags = items, append(tags, op.tag)
-			continue
-		}
-		if size+config.EncodedSizeBound(items) > operation.MaxValueBytes { // it goes into a later number
-			continue
+	}
+	n.forwarder.pending = remaining
+	return b.value, b.tags
+}
+
+// addToBatch adds an operation to the value, or ends it and reports so. An operation that is neither added nor ended stays pending.
+func (n *Node) addToBatch(b *batch, op *pendingOperation) (finished bool) {
+	if !op.proposeHere || !b.admits(op.operation) {
+		return false
+	}
+	if op.operation.Kind == operation.ChangeMembers {
+		if !n.proposer.confirmedLatest {
+			return n.awaitPromises()
 		}
-		size += config.EncodedSizeBound(items)
-		for _, i := range items {
-			if at, there := position[i.Key()]; there {
-				if value[at] = i; at < merged {
-					next.Merge(i)
-				}
-			} else {
-				position[i.Key()] = len(value)
-				value = append(value, i)
-			}
+		if !n.mayChangeMembership(op.operation) {
+			n.finish(op, Result{Kind: apierror.Unavailable, Reason: "the new members can't be sure to take over"})
+			return true
 		}
-		tags = append(tags, op.tag)
 	}
-	n.pending = remaining
-	return value, tags
+	items, undecided, err := n.evaluate(b, op.operation)
+	switch {
+	case undecided:
+		return false
+	case err != nil:
+		return n.refuse(op, err)
+	case len(items) == 0:
+		return n.finishWithoutVote(op)
+	}
+	b.add(op.tag, items)
+	return false
+}
+
+// awaitPromises leaves an operation pending until a majority has promised anew: what this process has applied may not be the latest.
+func (n *Node) awaitPromises() (finished bool) {
+	n.proposer.prepared = false
+	return false
+}
+
+// evaluate returns what an operation changes after those in the value. Where it fails or changes nothing by them, while without them
+// it would change something, that is undecided until they are.
+func (n *Node) evaluate(b *batch, op operation.Operation) (items []config.Item, undecided bool, err error) {
+	if len(b.value) == 0 {
+		items, err = operation.Apply(n.Set, op)
+		return items, false, err
+	}
+	if b.preview == nil {
+		b.preview = n.Set.Clone()
+		n.Counts.Copied++
+	}
+	items, err = operation.Apply(b.state(), op)
+	if err == nil && len(items) > 0 {
+		return items, false, nil
+	}
+	items, err = operation.Apply(n.Set, op)
+	return items, err == nil && len(items) > 0, err
 }
 
-// finishSatisfied ends the changes that stand already, as another brought them to their end, and tells whether there are orders that
-// this process is to propose: a ballot that nothing needs would only beat the one that goes on. A change that stands does so
-// for ever, by its versions; of other orders that is known only by who has what is decided now.
-func (n *Node) finishSatisfied() (unsatisfied bool) {
-	n.pending = slices.DeleteFunc(n.pending, func(p *pendingOperation) bool {
-		if !p.proposeHere {
+// refuse ends an operation with an error, if the error is final. Only a conflict is always final; anything else may be wrong here just
+// because this process does not know the latest state.
+func (n *Node) refuse(op *pendingOperation, err error) (finished bool) {
+	kind := apierror.KindOf(err)
+	final := Result{Kind: kind, Reason: err.Error(), Index: n.hardState.Applied, NotProposed: op.proposedIndex == 0}
+	switch {
+	case kind == apierror.Conflict:
+		n.finish(op, final)
+	case op.proposedIndex == n.nextIndex(): // a vote on it may still be decided at that index
+		return false
+	case !n.proposer.confirmedLatest:
+		return n.awaitPromises()
+	case op.forwards > 0: // a copy of it elsewhere may still succeed
+		n.finish(op, Result{Kind: apierror.Unavailable, Reason: "not clear yet: " + err.Error()})
+	default:
+		n.finish(op, final)
+	}
+	return true
+}
+
+// finishWithoutVote ends an operation that changes nothing. If that depends on the state, this process must know that it has the
+// latest.
+func (n *Node) finishWithoutVote(op *pendingOperation) (finished bool) {
+	if op.operation.DependsOnState() && !n.proposer.confirmedLatest {
+		return n.awaitPromises()
+	}
+	n.finish(op, Result{Index: n.hardState.Applied})
+	return true
+}
+
+// finishSatisfied ends changes that another proposer has brought to a decision, and reports whether operations are left that are
+// proposed here: a ballot that nothing needs would only get in the way of the others. That a change of the configuration is done
+// stays true, by its versions; of other operations only one with the latest state knows.
+func (n *Node) finishSatisfied() (remaining bool) {
+	n.forwarder.pending = slices.DeleteFunc(n.forwarder.pending, func(op *pendingOperation) bool {
+		if !op.proposeHere {
 			return false
 		}
-		if p.operation.Kind == operation.ModifyConfig {
-			if items, err := operation.Apply(n.Set, p.operation); err == nil && len(items) == 0 {
-				n.finish(p, Result{Index: n.hardState.Applied})
-				return true
-			}
+		if n.isSatisfied(op.operation) {
+			n.finish(op, Result{Index: n.hardState.Applied})
+			return true
 		}
-		unsatisfied = true
+		remaining = true
 		return false
 	})
-	return unsatisfied
+	return remaining
+}
+
+// isSatisfied reports whether a change of the configuration is decided.
+func (n *Node) isSatisfied(op operation.Operation) bool {
+	if op.Kind != operation.ModifyConfig {
+		return false
+	}
+	items, err := operation.Apply(n.Set, op)
+	return err == nil && len(items) == 0
 }
--- a/internal/control/consensus/catchup.go
+++ b/internal/control/consensus/catchup.go
@@ -8,88 +8,123 @@
 	"portflow/internal/control/operation"
 )
 
-// checkLag asks a peer that has had more for a while.
+// catchUpState is the state of fetching what this process lacks: the changes since the last that it applied, or a snapshot.
+type catchUpState struct {
+	from        string // the peer that was asked, empty for none
+	requestedAt int64  // when it was asked, or last sent a chunk
+	appliedThen uint64 // what was applied here when it was asked
+	parts       []int  // the partitions of the set that the snapshot replaces
+	items       []config.Item
+	behindSince int64 // since when a peer has applied more than this process, 0 for none
+}
+
+// reset forgets a fetch.
+func (s *catchUpState) reset() {
+	s.from = ""
+	s.parts = nil
+	s.items = nil
+}
+
+// checkLag requests changes from the peer that has applied the most, once one has been ahead for a while.
 func (n *Node) checkLag(now int64) {
-	furthest := ""
-	for _, ip := range slices.Sorted(maps.Keys(n.peers)) {
-		if p := n.peers[ip]; p.Applied > n.hardState.Applied && (furthest == "" || p.Applied > n.peers[furthest].Applied) {
-			furthest = ip
-		}
+	furthest := n.furthestPeer()
+	if furthest == "" {
+		n.catchUp.behindSince = 0
+		return
+	}
+	if n.catchUp.behindSince == 0 {
+		n.catchUp.behindSince = now
 	}
-	switch {
-	case furthest == "":
-		n.behindSince = 0
-	case n.behindSince == 0:
-		n.behindSince = now
-		fallthrough
-	default:
-		if !n.caughtUp || now-n.behindSince >= fetchDelay {
-			n.requestChanges(now, furthest)
+	if !n.caughtUp || now-n.catchUp.behindSince >= fetchDelay {
+		n.requestChanges(now, furthest)
+	}
+}
+
+// furthestPeer returns the IP address of the peer that has applied the most, empty if none has applied more than this process.
+func (n *Node) furthestPeer() string {
+	furthest, most := "", n.hardState.Applied
+	for _, ip := range slices.Sorted(maps.Keys(n.peers)) {
+		if applied := n.peers[ip].Applied; applied > most {
+			furthest, most = ip, applied
 		}
 	}
+	return furthest
 }
 
-// requestChanges asks a peer for what was decided since.
+// requestChanges asks a peer for what was decided since, unless another was asked just now.
 func (n *Node) requestChanges(now int64, ip string) {
-	if n.catchUp.from != "" && now-n.catchUp.at < fetchRetryAfter || ip == n.self.IP {
+	pending := n.catchUp.from != "" && now-n.catchUp.requestedAt < fetchRetryAfter
+	if pending || ip == n.self.IP {
 		return
 	}
 	n.Counts.Fetches++
 	sums := n.Set.PartitionSums()
-	n.cancelFetch()
-	n.catchUp.from, n.catchUp.at, n.catchUp.behind = ip, now, n.hardState.Applied
+	n.catchUp.reset()
+	n.catchUp.from = ip
+	n.catchUp.requestedAt = now
+	n.catchUp.appliedThen = n.hardState.Applied
 	n.send(ip, Message{Kind: FetchChanges, Checksums: sums[:]})
 }
 
-func (n *Node) cancelFetch() {
-	n.catchUp.from, n.catchUp.parts, n.catchUp.items = "", nil, nil
-}
-
-// serveChanges tells what was decided since: the changes, as long as they are kept; else a consistent cut, in chunks.
+// serveChanges sends a peer what was decided since: the changes as long as they are kept, or else a snapshot. The present proposal
+// follows, which the peer could not vote on before.
 func (n *Node) serveChanges(to string, m Message) {
 	if m.Applied >= n.hardState.Applied || n.hardState.Applied == 0 {
 		return
 	}
-	if len(n.recent) > 0 && n.recent[0].index <= m.Applied+1 {
-		var batches [][]config.Item
-		items, bytes := 0, 0
-		for _, change := range n.recent {
-			if change.index <= m.Applied {
-				continue
-			}
-			if bytes += change.bytes; items >= maxRecentItems/4 || bytes > operation.MaxValueBytes && items > 0 { // the rest is asked for again
-				break
-			}
-			batches = append(batches, change.items)
-			items += len(change.items) + 1
+	if kept := n.history.changes; len(kept) > 0 && kept[0].index <= m.Applied+1 {
+		n.send(to, Message{Kind: Changes, Index: m.Applied, Batches: n.history.after(m.Applied)})
+	} else {
+		n.sendSnapshot(to, m.Checksums)
+	}
+	n.resendProposal(to)
+}
+
+// after returns the values of the indexes after one, as many as a message may hold: the peer requests the rest.
+func (h *changeHistory) after(index uint64) (batches [][]config.Item) {
+	items, bytes := 0, 0
+	for _, change := range h.changes {
+		if change.index <= index {
+			continue
 		}
-		n.send(to, Message{Kind: Changes, Index: m.Applied, Batches: batches})
-		n.resendProposal(to)
-		return
+		bytes += change.bytes
+		if items >= maxRecentItems/4 || bytes > operation.MaxValueBytes && items > 0 {
+			break
+		}
+		batches = append(batches, change.items)
+		items += len(change.items) + 1
 	}
+	return batches
+}
+
+// sendSnapshot sends the partitions of the set that differ from a peer's checksums, in chunks.
+func (n *Node) sendSnapshot(to string, checksums []uint64) {
 	n.Counts.Cuts++
-	parts := n.Set.DifferingPartitions(m.Checksums)
+	parts := n.Set.DifferingPartitions(checksums)
 	chunk := Message{Kind: SnapshotChunk, Index: n.hardState.Applied, Parts: parts, Tag: n.Set.Checksum()}
 	size := 0
-	for _, i := range n.Set.InPartitions(parts) {
-		if chunk.Value, size = append(chunk.Value, i), size+len(i.Body)+96; size >= chunkBytes {
-			n.send(to, chunk)
-			chunk.Value, chunk.Parts, size = nil, nil, 0
+	for _, item := range n.Set.InPartitions(parts) {
+		chunk.Value = append(chunk.Value, item)
+		size += len(item.Body) + itemOverhead
+		if size < chunkBytes {
+			continue
 		}
+		n.send(to, chunk)
+		chunk.Value, chunk.Parts, size = nil, nil, 0 // only the first chunk names the partitions
 	}
 	chunk.Final = true
 	n.send(to, chunk)
-	n.resendProposal(to)
 }
 
-// handleChanges applies changes that follow on what is had.
+// handleChanges applies the requested changes that follow on what is applied here.
 func (n *Node) handleChanges(e Event, m Message) {
 	if n.catchUp.from != e.From || m.Index > n.hardState.Applied {
 		return
 	}
-	n.cancelFetch()
+	n.catchUp.reset()
 	for i, items := range m.Batches {
-		if index := m.Index + uint64(i) + 1; index == n.hardState.Applied+1 {
+		index := m.Index + uint64(i) + 1
+		if index == n.nextIndex() {
 			n.abandonProposal(e, false)
 			n.apply(e.Now, index, items)
 		}
@@ -99,37 +134,42 @@
 	}
 }
 
-// handleSnapshotChunk takes a chunk of a consistent cut, and puts it in the place of what is had once it is there as a whole.
+// handleSnapshotChunk collects the chunks of the requested snapshot, and installs it with the last one. A snapshot that begins anew
+// takes the place of one that was not finished.
 func (n *Node) handleSnapshotChunk(e Event, m Message) {
 	fetch := &n.catchUp
-	if fetch.from != e.From || fetch.behind != n.hardState.Applied {
+	if fetch.from != e.From || fetch.appliedThen != n.hardState.Applied {
 		return
 	}
-	fetch.at = e.Now
+	fetch.requestedAt = e.Now
 	if m.Parts != nil {
-		fetch.parts, fetch.items = m.Parts, nil
+		fetch.parts = m.Parts
+		fetch.items = nil
 	}
-	if fetch.items = append(fetch.items, m.Value...); !m.Final {
+	fetch.items = append(fetch.items, m.Value...)
+	if !m.Final {
 		return
 	}
 	parts, items := fetch.parts, fetch.items
-	n.cancelFetch()
-	if m.Index <= n.hardState.Applied {
-		return
+	fetch.reset()
+	if m.Index > n.hardState.Applied && n.isIntact(parts, items, m.Tag) {
+		n.installSnapshot(e, m.Index, parts, items)
 	}
+}
+
+// isIntact reports whether the set with a snapshot installed has the sender's checksum. If not, it is requested again by checkLag.
+func (n *Node) isIntact(parts []int, items []config.Item, checksum uint64) bool {
 	next := n.Set.Clone()
-	if next.ReplacePartitions(parts, items); next.Checksum() != m.Tag {
-		return // it is asked for again
-	}
+	next.ReplacePartitions(parts, items)
+	return next.Checksum() == checksum
+}
+
+// installSnapshot replaces partitions of the set by those of a snapshot as of an index.
+func (n *Node) installSnapshot(e Event, index uint64, parts []int, items []config.Item) {
 	n.abandonProposal(e, false)
 	updated, removed := n.Set.ReplacePartitions(parts, items)
-	for _, i := range updated {
-		n.stageItem(i)
-	}
-	for _, k := range removed {
-		n.stageRemoval(k)
-	}
+	n.stageChanges(updated, removed)
 	n.effects.Replaced = len(removed) > 0
 	n.forgetChanges()
-	n.afterApply(e.Now, m.Index)
+	n.afterApply(e.Now, index)
 }
--- a/internal/control/consensus/diskimage_test.go
+++ b/internal/control/consensus/diskimage_test.go
@@ -40,7 +40,7 @@
 	p.start("1", "")
 	p.setHeard("1", "3", true) // the second is heard 150 ms later
 	p.setHeard("3", "1", true)
-	tag = p.submit("3", serviceOperation("gate", 1, "two"))
+	p.submit("3", serviceOperation("gate", 1, "two"))
 	p.run(150 * ms)
 	p.connectAll()
 	p.run(4 * second)
--- a/internal/control/consensus/event.go
+++ b/internal/control/consensus/event.go
@@ -6,7 +6,7 @@
 	"portflow/internal/control/operation"
 )
 
-// Peer is another control process that is heard, as it last said of itself.
+// Peer is the status of another control process, as it last reported it.
 type Peer struct {
 	Member   membership.Member
 	Epoch    uint64
@@ -14,37 +14,38 @@
 	CaughtUp bool
 }
 
-// Event is what happens to a node. Exactly one of the pointers, or Tick, is set.
+// Event is the input of Node.Step. It is exactly one of: Tick; Message (with From); Peer (with From); PeerLost (with From);
+// Operation (with Tag); Read (with Tag); Recover.
 type Event struct {
-	Now       int64   // monotonic, nanoseconds
-	Random    float64 // in [0, 1)
-	Tick      bool
-	From      string   // IP number, of a message or a peer
-	Message   *Message // that came
-	Peer      *Peer    // is heard, and says this
-	PeerLost  bool     // From isn't heard any more
-	Operation *operation.Operation
-	Read      bool // somebody wants the set as it is now, not as it was
-	Recover   bool // an operator makes this process the whole core, as the others never come back
-	Tag       uint64
+	Now       int64                // of a monotonic clock, nanoseconds
+	Random    float64              // drawn from [0, 1)
+	Tick      bool                 // time has passed; due soon again while Node.Busy
+	From      string               // IP address of the sender of a message, or of the peer
+	Message   *Message             // a message has arrived
+	Peer      *Peer                // a peer is connected, and reports this status
+	PeerLost  bool                 // the connection to a peer is lost
+	Operation *operation.Operation // a client of this process submits an operation
+	Read      bool                 // a client of this process wants a linearizable read
+	Recover   bool                 // an operator makes this process the only member, because the others are lost for good
+	Tag       uint64               // identifies the operation or the read in its Answer; not 0, and below 1<<32
 }
 
-// Effects are what a step asks of the carrier, to be done in this order: the write is queued before anything else, and
-// Synced messages go out once it is on disk.
+// Effects are the output of Node.Step. The caller carries them out in this order: it queues the write first, then sends Send at
+// once, and sends SendAfterSync only when that write is on disk.
 type Effects struct {
-	HardState     *HardState           // to be written, with Items and Gone, in one synced step
-	SaveItems     []config.Item        // what has come into the set since the last write
-	DeleteKeys    []config.Key         // what is no longer in it
-	Updated       []config.Item        // applied in this step: to be told to those who follow
-	Removed       []config.Key         // no longer in the set since this step
-	Replaced      bool                 // items went, or older ones came: not told by News alone
-	Changed       bool                 // the set, the list or this process's standing has changed
-	Send          map[string][]Message // by IP number, at once
-	SendAfterSync map[string][]Message // once the disk has it
+	HardState     *HardState           // if not nil, to be written with SaveItems and DeleteKeys in one synced write
+	SaveItems     []config.Item        // that entered the set since the last write
+	DeleteKeys    []config.Key         // that left the set since the last write
+	Updated       []config.Item        // applied in this step, for subscribers
+	Removed       []config.Key         // that left the set in this step
+	Replaced      bool                 // items were removed or went back to older versions: subscribers need a snapshot, Updated is not enough
+	Changed       bool                 // the set, the members or this process's status has changed
+	Send          map[string][]Message // by IP address, to be sent at once
+	SendAfterSync map[string][]Message // by IP address, to be sent when the write is synced
 	Answers       []Answer
 }
 
-// Answer is the end of an order or of a read of this process.
+// Answer ends an operation or a read of a client of this process.
 type Answer struct {
 	Tag    uint64
 	Result Result
--- a/internal/control/consensus/exhaustive_test.go
+++ b/internal/control/consensus/exhaustive_test.go
@@ -202,7 +202,7 @@
 	}
 	s.node = New(m, incarnation, 1, s.hardState, set, s.now)
 	if s.node.caughtUp = s.hardState.Applied > 0; s.node.caughtUp {
-		s.node.startReplies = nil
+		s.node.acceptor.startReplies = nil
 	}
 	for _, n := range smallPeers[at] {
 		s.node.peers[allMembers()[n].IP] = Peer{Member: allMembers()[n], Epoch: 1, Applied: 1, CaughtUp: true}
--- a/internal/control/consensus/forward.go
+++ b/internal/control/consensus/forward.go
@@ -4,36 +4,66 @@
 	"slices"
 
 	"portflow/internal/cluster/apierror"
+	"portflow/internal/cluster/config"
 	"portflow/internal/control/operation"
 )
 
+// probeTag is the tag of a ReadIndex that no read waits for: it only asks whether a member answers.
+const probeTag = ^uint64(0)
+
+// ownTags is where the tags begin that a node chooses itself; those of its clients are below.
+const ownTags = uint64(1) << 32
+
+// forwarderState holds the pending operations, and what is known of the members that they may be forwarded to.
+type forwarderState struct {
+	pending        []*pendingOperation // at most maxPending, in order of arrival
+	lastTag        uint64              // the last tag that this node chose
+	lastReplyAt    map[string]int64    // when a peer last answered this process, by IP address
+	lastProgressAt map[string]int64    // when a peer last decided something, or ended an operation of this process
+	skipped        map[string]bool     // members that are no preferred proposers for now: until they answer or, if true, decide something
+	lastProbeAt    int64               // when a member was last probed
+}
+
+// pendingOperation is an operation that is not decided yet.
 type pendingOperation struct {
 	tag               uint64
 	operation         operation.Operation
 	receivedAt        int64
-	forwardedAt       int64  // when it was handed over, 0 for not, or for to be handed over anew
-	forwards          int    // how often it was handed over: copies of it may be about
-	forwardNotBefore  int64  // not to be handed over before
-	proposedIndex     uint64 // the number at which it was last voted on
-	forwardedTo       string // whom
-	origin            string // the IP number of the process that handed it over here, empty for this one
-	originTag         uint64 // its tag there, in the life that asked
-	originIncarnation string
-	proposeHere       bool // it is proposed here
-	internal          bool // it is the node's own: nobody waits for its end
-}
-
-// probeTag is the tag of a Confirm that no read waits for.
-const probeTag = ^uint64(0)
+	forwardedAt       int64  // when it was forwarded, 0 if it is not, or is to be forwarded anew
+	forwards          int    // how often it was forwarded: there may be as many copies of it
+	forwardNotBefore  int64  // when it may be forwarded again
+	proposedIndex     uint64 // the index at which it was last voted on, 0 for never
+	forwardedTo       string // the IP address of the member that it was forwarded to
+	origin            string // the IP address of the process that forwarded it here, empty for this one
+	originTag         uint64 // its tag there
+	originIncarnation string // the incarnation of that process
+	proposeHere       bool   // this process proposes it
+	internal          bool   // this node submitted it: no client waits for its end
+}
+
+// bind makes an operation conditional on the present state, unless it is already: there may be a copy of it, or a vote on it, and
+// all of them must have the same condition, so that only one is ever made.
+func (op *pendingOperation) bind(set *config.Set) {
+	if !op.operation.Conditional {
+		op.operation = operation.Bind(set, op.operation)
+	}
+}
 
-// submit takes an order up.
+// recall lets an operation be forwarded anew.
+func (op *pendingOperation) recall() {
+	op.forwardedAt = 0
+	op.forwardedTo = ""
+}
+
+// submit queues an operation of a client, of another process or of this node itself.
 func (n *Node) submit(now int64, op *pendingOperation) {
 	op.receivedAt = now
-	if op.internal = op.origin == "" && op.tag == 0; op.origin != "" || op.internal {
-		n.lastTag++
-		op.tag = n.lastTag
+	op.internal = op.origin == "" && op.tag == 0
+	if op.origin != "" || op.internal {
+		n.forwarder.lastTag++
+		op.tag = n.forwarder.lastTag
 	}
-	if len(n.pending) >= maxPending {
+	if len(n.forwarder.pending) >= maxPending {
 		n.finish(op, Result{Kind: apierror.Unavailable, Reason: "too many orders wait", NotProposed: true})
 		return
 	}
@@ -42,10 +72,23 @@
 		return
 	}
 	op.proposeHere = op.origin != ""
-	n.pending = append(n.pending, op)
+	n.forwarder.pending = append(n.forwarder.pending, op)
 }
 
-// finish tells how an order ended, here or where it came from.
+// handleForward queues an operation that another process forwarded.
+func (n *Node) handleForward(e Event, m Message) {
+	if m.Operation == nil {
+		return
+	}
+	n.submit(e.Now, &pendingOperation{
+		operation:         *m.Operation,
+		origin:            e.From,
+		originTag:         m.Tag,
+		originIncarnation: m.Incarnation,
+	})
+}
+
+// finish answers an operation, here or to the process that forwarded it.
 func (n *Node) finish(op *pendingOperation, r Result) {
 	if op.origin != "" {
 		n.send(op.origin, Message{Kind: ForwardResult, Tag: op.originTag, Incarnation: op.originIncarnation, Result: &r})
@@ -56,134 +99,203 @@
 	}
 }
 
-// advance goes on with what waits, where nothing of it is under way.
+// advance goes on with the pending operations at the end of each step. A proposal begins if there is none, and this process has
+// operations to propose or must finish an orphaned vote.
 func (n *Node) advance(e Event) {
-	n.pending = slices.DeleteFunc(n.pending, func(p *pendingOperation) bool {
-		if e.Now-p.receivedAt <= requestTimeout {
-			return false
-		}
-		n.finish(p, Result{Kind: apierror.Unavailable, Reason: "not yet kept by more than half of the core"})
-		return true
-	})
+	n.expirePending(e.Now)
 	if !n.caughtUp || n.hardState.Applied == 0 {
 		return
 	}
 	proposeHere := n.forwardPending(e)
-	if n.phase != Idle || e.Now < n.retryAt || !n.IsMember() || n.muted {
+	if n.proposer.phase != Idle || e.Now < n.proposer.retryAt || !n.IsMember() || n.acceptor.muted {
 		return
 	}
-	orphaned := n.hardState.AcceptedIndex == n.hardState.Applied+1 && e.Now-n.lastAcceptedAt > orphanedVoteTimeout+int64(n.precedingPeers())*turnDelay
+	orphaned := n.hasOrphanedVote(e.Now)
 	if !proposeHere && !orphaned {
 		return
 	}
-	if n.prepared && !orphaned && n.hardState.AcceptedIndex != n.hardState.Applied+1 {
-		n.confirmedLatest = false
-		if value, mine := n.buildValue(e.Now); len(value) > 0 {
-			n.proposeValue(e, value, mine)
-			return
-		} else if n.prepared || !slices.ContainsFunc(n.pending, func(p *pendingOperation) bool { return p.proposeHere }) {
-			return
-		}
+	if n.proposer.prepared && !n.hasUndecidedVote() && n.proposeWithoutPrepare(e) {
+		return
 	}
-	if !orphaned && !n.prepared && !n.finishSatisfied() {
+	if !orphaned && !n.proposer.prepared && !n.finishSatisfied() {
 		return
 	}
 	n.prepare(e)
 }
 
-// forwardPending hands orders over to the member that proposes for all, and tells whether there are some that this process is to
-// propose itself: it is that member, or nobody is. That several propose at once beats them all, so an order stays handed as long
-// as the one that has it answers and decides something now and then; else that one is passed over. Who has had an order for
-// a while is asked by a Confirm whether it answers: in calm the order has ended before.
+// expirePending answers operations that have waited for too long; they may still be decided.
+func (n *Node) expirePending(now int64) {
+	n.forwarder.pending = slices.DeleteFunc(n.forwarder.pending, func(op *pendingOperation) bool {
+		if now-op.receivedAt <= requestTimeout {
+			return false
+		}
+		n.finish(op, Result{Kind: apierror.Unavailable, Reason: "not yet kept by more than half of the core"})
+		return true
+	})
+}
+
+// hasOrphanedVote reports whether this process has voted for something that its proposer has not committed for long. The members
+// take turns in finishing it.
+func (n *Node) hasOrphanedVote(now int64) bool {
+	patience := orphanedVoteTimeout + int64(n.precedingPeers())*turnDelay
+	return n.hasUndecidedVote() && now-n.acceptor.votedAt > patience
+}
+
+// proposeWithoutPrepare proposes the pending operations in the ballot that a majority promised before: the promise holds for all
+// later indexes, so phase 1 can be left out (Multi-Paxos). It reports whether this is all there is to do now; if not, phase 1 is needed.
+func (n *Node) proposeWithoutPrepare(e Event) (done bool) {
+	n.proposer.confirmedLatest = false
+	if value, tags := n.buildValue(); len(value) > 0 {
+		n.proposeValue(e, value, tags)
+		return true
+	}
+	return n.proposer.prepared || !slices.ContainsFunc(n.forwarder.pending, func(op *pendingOperation) bool { return op.proposeHere })
+}
+
+// preferredProposer returns the IP address of the member that proposes for all others: the first that this process can reach, that
+// has caught up and is not skipped. Different members may see different ones; that costs time, never safety.
+func (n *Node) preferredProposer() string {
+	for _, member := range n.membership.Members {
+		if member.IP == n.self.IP && n.IsMember() {
+			return member.IP
+		}
+		peer := n.peers[member.IP]
+		_, skipped := n.forwarder.skipped[member.IP]
+		if n.isReachable(member) && peer.CaughtUp && !skipped && peer.Applied+maxProposerLag >= n.hardState.Applied {
+			return member.IP
+		}
+	}
+	return ""
+}
+
+// forwardPending forwards operations to the preferred proposer, and reports whether some are to be proposed here: because this
+// process is the preferred proposer, or there is none. Several proposers at once would reject each other's ballots, so an
+// operation stays forwarded as long as the member that has it answers, and decides something now and then.
 func (n *Node) forwardPending(e Event) (proposeHere bool) {
 	probed := map[string]bool{}
-	for _, op := range n.pending {
+	for _, op := range n.forwarder.pending {
 		if op.forwardedAt != 0 {
-			silentFor, stalledFor := e.Now-max(op.forwardedAt, n.lastReplyAt[op.forwardedTo]), e.Now-max(op.forwardedAt, n.lastProgressAt[op.forwardedTo])
-			switch {
-			case silentFor > forwardSilenceTimeout, stalledFor > forwardProgressTimeout:
-				n.skipped[op.forwardedTo] = silentFor <= forwardSilenceTimeout
-				n.recallForwarded(op.forwardedTo) // with all else that it was handed
-			case e.Now-op.forwardedAt > forwardProgressTimeout: // it may have lost it
-				op.forwardedAt, op.forwardedTo = 0, ""
-			case silentFor > probeInterval && !probed[op.forwardedTo] && e.Now-n.lastProbeAt > probeInterval:
-				probed[op.forwardedTo] = true
-				n.send(op.forwardedTo, Message{Kind: ReadIndex, Tag: probeTag})
-			}
-		}
-		first := n.preferredProposer()
-		switch {
-		case op.proposeHere:
-		case first == n.self.IP || first == "" && e.Now-op.receivedAt > forwardSilenceTimeout && n.IsMember():
-			op.proposeHere = true
-		case op.forwardedAt == 0 && first != "" && e.Now >= op.forwardNotBefore:
-			n.Counts.Handed++
-			op.forwardedAt, op.forwardedTo, op.forwards = e.Now, first, op.forwards+1
-			if !op.operation.Conditional { // else a copy is about, or a vote on it: all of them go by what stood before the first, so that one is made
-				op.operation = operation.Bind(n.Set, op.operation)
-			}
-			forwarded := op.operation
-			n.send(first, Message{Kind: Forward, Tag: op.tag, Operation: &forwarded})
+			n.checkForwarded(e.Now, op, probed)
 		}
+		n.assignProposer(e.Now, op)
 		proposeHere = proposeHere || op.proposeHere
 	}
 	if len(probed) > 0 {
-		n.lastProbeAt = e.Now
+		n.forwarder.lastProbeAt = e.Now
 	}
 	return proposeHere
 }
 
-// preferredProposer is the member that proposes for the others as long as it is heard. Nothing rests on that all see the same one.
-func (n *Node) preferredProposer() string {
-	for _, m := range n.membership.Members {
-		if m.IP == n.self.IP && n.IsMember() {
-			return m.IP
-		}
-		_, passed := n.skipped[m.IP]
-		if p, heard := n.peers[m.IP]; heard && p.CaughtUp && p.Member.ID == m.ID && !passed && p.Applied+maxProposerLag >= n.hardState.Applied {
-			return m.IP
-		}
+// checkForwarded recalls an operation from a member that is silent or stalled, and then skips that member; or that has had it for so
+// long that it may have lost it. A member that has only just become silent is probed, once for all operations that it has.
+func (n *Node) checkForwarded(now int64, op *pendingOperation, probed map[string]bool) {
+	f := &n.forwarder
+	member := op.forwardedTo
+	silentFor := now - max(op.forwardedAt, f.lastReplyAt[member])
+	stalledFor := now - max(op.forwardedAt, f.lastProgressAt[member])
+	switch {
+	case silentFor > forwardSilenceTimeout, stalledFor > forwardProgressTimeout:
+		f.skipped[member] = silentFor <= forwardSilenceTimeout
+		n.recallForwarded(member)
+	case now-op.forwardedAt > forwardProgressTimeout:
+		op.recall()
+	case silentFor > probeInterval && !probed[member] && now-f.lastProbeAt > probeInterval:
+		probed[member] = true
+		n.send(member, Message{Kind: ReadIndex, Tag: probeTag})
 	}
-	return ""
 }
 
-// precedingPeers is how many members that are heard come before this one.
-func (n *Node) precedingPeers() (count int) {
-	for _, m := range n.membership.Members {
-		if _, heard := n.peers[m.IP]; heard && m.IP < n.self.IP {
-			count++
-		}
+// assignProposer decides who proposes an operation that nobody has yet, and forwards it.
+func (n *Node) assignProposer(now int64, op *pendingOperation) {
+	preferred := n.preferredProposer()
+	switch {
+	case op.proposeHere:
+	case preferred == n.self.IP:
+		op.proposeHere = true
+	case preferred == "":
+		op.proposeHere = now-op.receivedAt > forwardSilenceTimeout && n.IsMember()
+	case op.forwardedAt == 0 && now >= op.forwardNotBefore:
+		n.forward(now, op, preferred)
 	}
-	return count
 }
 
-// recallForwarded has orders that were handed to a member which isn't heard any more handed to the next.
+// forward sends an operation to a member. From then on there may be a copy of it.
+func (n *Node) forward(now int64, op *pendingOperation, to string) {
+	n.Counts.Handed++
+	op.forwardedAt = now
+	op.forwardedTo = to
+	op.forwards++
+	op.bind(n.Set)
+	forwarded := op.operation
+	n.send(to, Message{Kind: Forward, Tag: op.tag, Operation: &forwarded})
+}
+
+// recallForwarded lets all operations that were forwarded to a member be forwarded anew.
 func (n *Node) recallForwarded(ip string) {
-	for _, p := range n.pending {
-		if p.forwardedTo == ip {
-			p.forwardedAt, p.forwardedTo = 0, ""
+	for _, op := range n.forwarder.pending {
+		if op.forwardedTo == ip {
+			op.recall()
 		}
 	}
 }
 
-// handleForwardResult is how an order ended that was handed over.
+// handleForwardResult handles how a forwarded operation ended, unless it was recalled since.
 func (n *Node) handleForwardResult(e Event, m Message) {
-	for i, op := range n.pending {
-		if op.tag == m.Tag && op.forwardedTo == e.From && m.Result != nil {
-			if m.Result.Kind == apierror.Unavailable { // it was bound to what stands no more, or that one can't propose
-				op.forwardedAt, op.forwardedTo, op.forwardNotBefore = 0, "", e.Now+turnDelay
-				if m.Result.NotProposed && op.forwards == 1 && op.proposedIndex == 0 { // no copy of it is anywhere, nor a vote: it may go by what stands now
-					op.forwards, op.operation.Conditional = 0, false
-				}
-				return
-			}
-			r := *m.Result
-			if r.Kind != apierror.None && r.Kind != apierror.Conflict && op.forwards > 1 { // another has a copy, and may still take it
-				r = Result{Kind: apierror.Unavailable, Reason: "not clear yet: " + r.Reason}
-			}
-			n.pending = slices.Delete(n.pending, i, i+1)
-			n.finish(op, r)
-			return
+	if m.Result == nil {
+		return
+	}
+	at := slices.IndexFunc(n.forwarder.pending, func(op *pendingOperation) bool { return op.tag == m.Tag && op.forwardedTo == e.From })
+	if at < 0 {
+		return
+	}
+	op, result := n.forwarder.pending[at], *m.Result
+	if result.Kind == apierror.Unavailable { // its condition holds no longer, or that member can't propose
+		n.retryForward(e.Now, op, result)
+		return
+	}
+	final := result.Kind == apierror.None || result.Kind == apierror.Conflict
+	if !final && op.forwards > 1 { // another copy may still succeed
+		result = Result{Kind: apierror.Unavailable, Reason: "not clear yet: " + result.Reason}
+	}
+	n.forwarder.pending = slices.Delete(n.forwarder.pending, at, at+1)
+	n.finish(op, result)
+}
+
+// retryForward has an operation forwarded again after a while. If there is no copy of it and no vote on it, it need not hold to the
+// condition of the first time.
+func (n *Node) retryForward(now int64, op *pendingOperation, r Result) {
+	op.recall()
+	op.forwardNotBefore = now + turnDelay
+	if r.NotProposed && op.forwards == 1 && op.proposedIndex == 0 {
+		op.forwards = 0
+		op.operation.Conditional = false
+	}
+}
+
+// noteProgress notes what a message shows of its sender: that it hears this process, or that it makes progress. Messages that are
+// repeated without cause show neither.
+func (n *Node) noteProgress(now int64, from string, m Message) {
+	f := &n.forwarder
+	replied := m.Kind == ReadIndexReply || m.Kind == ForwardResult
+	progressed := m.Kind == Commit || m.Kind == ForwardResult && m.Result != nil && m.Result.Kind != apierror.Unavailable
+	if replied {
+		f.lastReplyAt[from] = now
+	}
+	if progressed {
+		f.lastProgressAt[from] = now
+	}
+	untilProgress, skipped := f.skipped[from]
+	if skipped && (progressed || replied && !untilProgress) {
+		delete(f.skipped, from)
+	}
+}
+
+// precedingPeers returns how many connected members come before this one: each waits for those before it.
+func (n *Node) precedingPeers() (count int) {
+	for _, member := range n.membership.Members {
+		if _, connected := n.peers[member.IP]; connected && member.IP < n.self.IP {
+			count++
 		}
 	}
+	return count
 }
--- a/internal/control/consensus/forward_test.go
+++ b/internal/control/consensus/forward_test.go
@@ -78,7 +78,7 @@
 		c := qt.New(t)
 		n, l := threeMembers(second)
 		p := &pendingOperation{tag: 9, operation: operation.Bind(n.Set, operation.Operation{Kind: operation.Evacuate, Name: "z", Active: true}), forwards: x.given, proposedIndex: x.at, forwardedAt: 1, forwardedTo: l.Members[1].IP}
-		n.pending = []*pendingOperation{p}
+		n.forwarder.pending = []*pendingOperation{p}
 		n.handleForwardResult(Event{Now: second, From: l.Members[1].IP}, Message{Kind: ForwardResult, Tag: 9, Result: &x.result})
 		c.Check(p.operation.Conditional, qt.Equals, x.bound, qt.Commentf(x.name))
 		c.Check(p.forwardedTo, qt.Equals, "")
@@ -200,6 +200,6 @@
 		c.Check(most < stream.MaxFrameBytes-64<<10, qt.IsTrue, qt.Commentf("%d bytes", most))
 		p.checkSame(c)
 		x := p.members["1"].node
-		c.Check(x.recentBytes <= maxRecentBytes, qt.IsTrue, qt.Commentf("%d bytes of changes are kept", x.recentBytes))
+		c.Check(x.history.bytes <= maxRecentBytes, qt.IsTrue, qt.Commentf("%d bytes of changes are kept", x.history.bytes))
 	}
 }
--- a/internal/control/consensus/invariants_test.go
+++ b/internal/control/consensus/invariants_test.go
@@ -235,7 +235,7 @@
 	all := func(what string) string {
 		s := what
 		for _, m := range sim.machines {
-			s += fmt.Sprintf("\n%s %s up %v: %v, disk %v %v at %d, waits %d, reads %d, voted for %v", m.ip, m.node.HardState().DiskID, m.up, m.node, m.node.HardState().Promised, m.node.HardState().Accepted, m.node.HardState().AcceptedIndex, len(m.node.pending), len(m.node.reads), membershipIn(m.node.HardState().AcceptedValue))
+			s += fmt.Sprintf("\n%s %s up %v: %v, disk %v %v at %d, waits %d, reads %d, voted for %v", m.ip, m.node.HardState().DiskID, m.up, m.node, m.node.HardState().Promised, m.node.HardState().Accepted, m.node.HardState().AcceptedIndex, len(m.node.forwarder.pending), len(m.node.reads), membershipIn(m.node.HardState().AcceptedValue))
 		}
 		return s + fmt.Sprintf("\n%v", sim.membership())
 	}
--- a/internal/control/consensus/learner.go
+++ b/internal/control/consensus/learner.go
@@ -6,105 +6,129 @@
 	"portflow/internal/control/operation"
 )
 
+// recentChange is a decided value.
 type recentChange struct {
 	index uint64
 	items []config.Item
-	bytes int // bytes
+	bytes int // a bound on the encoding of items
 }
 
-// handleCommit learns a decision that another's proposal brought.
+// changeHistory keeps the last decided values for peers that catch up. Older ones are needed by nobody: a peer that lacks them gets
+// a snapshot.
+type changeHistory struct {
+	changes []recentChange // of successive indexes, the oldest first
+	items   int            // in changes
+	bytes   int            // in changes
+}
+
+// add appends a change, and forgets the oldest ones beyond the bounds.
+func (h *changeHistory) add(index uint64, items []config.Item) {
+	change := recentChange{index, items, config.EncodedSizeBound(items)}
+	h.changes = append(h.changes, change)
+	h.items += len(items)
+	h.bytes += change.bytes
+	for h.exceedsBounds() {
+		oldest := h.changes[0]
+		h.items -= len(oldest.items)
+		h.bytes -= oldest.bytes
+		h.changes = h.changes[1:]
+	}
+}
+
+func (h *changeHistory) exceedsBounds() bool {
+	return len(h.changes) > maxRecentChanges || (h.items > maxRecentItems || h.bytes > maxRecentBytes) && len(h.changes) > 0
+}
+
+// forgetChanges forgets all changes: the set is no longer what they made it.
+func (n *Node) forgetChanges() { n.history = changeHistory{} }
+
+// nextIndex returns the index after the last applied one, the only one that this process promises, votes and proposes for.
+func (n *Node) nextIndex() uint64 { return n.hardState.Applied + 1 }
+
+// handleCommit learns a decision. The value is the one that this process voted for in the same ballot, as a ballot stands for one
+// value; without that vote the decided value is fetched.
 func (n *Node) handleCommit(e Event, m Message) {
 	if m.Index <= n.hardState.Applied {
 		return
 	}
-	if m.Index == n.hardState.Applied+1 && n.hardState.AcceptedIndex == m.Index && n.hardState.Accepted == m.Ballot {
-		value := n.hardState.AcceptedValue
-		if n.phase != Idle {
-			n.abandonProposal(e, false)
-		}
-		n.prepared = false
-		n.apply(e.Now, m.Index, value)
+	if m.Index == n.nextIndex() && n.hasUndecidedVote() && n.hardState.Accepted == m.Ballot {
+		n.applyVote(e)
 		return
 	}
 	n.requestChanges(e.Now, e.From)
 }
 
-// apply is the one place where a decided change comes into the set.
-func (n *Node) apply(now int64, index uint64, items []config.Item) {
-	if operation.ReplacesAll(items) {
-		changed, gone := n.Set.ReplaceAll(items[1:])
-		for _, i := range changed {
-			n.stageItem(i)
-		}
-		for _, k := range gone {
-			n.stageRemoval(k)
-		}
-		n.effects.Replaced = true
-		items = nil // it is kept for nobody: who is behind takes a cut
-		n.forgetChanges()
+// applyVote applies the value that this process voted for at the next index, which is decided.
+func (n *Node) applyVote(e Event) {
+	index, value := n.hardState.AcceptedIndex, n.hardState.AcceptedValue
+	if n.proposer.phase != Idle {
+		n.abandonProposal(e, false)
 	}
-	for _, i := range items {
-		if n.Set.Merge(i) {
-			n.stageItem(i)
+	n.proposer.prepared = false
+	n.apply(e.Now, index, value)
+}
+
+// commitPersistedVote applies the vote of this process at the next index if the replies to a read show that a quorum has the same vote
+// on disk: then it is decided. After all processes lost power at once, nobody needs to propose again.
+func (n *Node) commitPersistedVote(e Event, read *pendingRead) {
+	vote := n.hardState.Accepted
+	if !n.hasUndecidedVote() || vote == (Ballot{}) || n.hardState.Applied == 0 {
+		return
+	}
+	acks := map[string]string{}
+	for ip, reply := range read.replies {
+		if reply.Index == n.nextIndex() && reply.Accepted == vote {
+			acks[ip] = reply.DiskID
 		}
 	}
-	for _, k := range n.Set.TakeEvicted() {
-		n.stageRemoval(k)
+	if n.reachesQuorum(acks, n.hardState.AcceptedValue) {
+		n.applyVote(e)
+	}
+}
+
+// apply applies a decided value to the set. Values are applied in the order of their indexes, each once.
+func (n *Node) apply(now int64, index uint64, items []config.Item) {
+	if operation.ReplacesAll(items) {
+		n.stageChanges(n.Set.ReplaceAll(items[1:]))
+		n.effects.Replaced = true
+		n.forgetChanges() // a peer that is behind gets a snapshot
+	} else {
+		n.mergeItems(items)
 	}
-	if items != nil {
-		k := recentChange{index, items, config.EncodedSizeBound(items)}
-		n.recent, n.recentItems, n.recentBytes = append(n.recent, k), n.recentItems+len(items), n.recentBytes+k.bytes
+	for _, key := range n.Set.TakeEvicted() {
+		n.stageRemoval(key)
 	}
-	for len(n.recent) > maxRecentChanges || (n.recentItems > maxRecentItems || n.recentBytes > maxRecentBytes) && len(n.recent) > 0 {
-		n.recentItems, n.recentBytes = n.recentItems-len(n.recent[0].items), n.recentBytes-n.recent[0].bytes
-		n.recent = n.recent[1:]
+	if items != nil && !operation.ReplacesAll(items) {
+		n.history.add(index, items)
 	}
 	n.afterApply(now, index)
 	n.Counts.Decided++
 }
 
+// mergeItems merges the items of a decided value into the set.
+func (n *Node) mergeItems(items []config.Item) {
+	for _, item := range items {
+		if n.Set.Merge(item) {
+			n.stageItem(item)
+		}
+	}
+}
+
+// afterApply brings all that depends on the set or on the index up to date.
 func (n *Node) afterApply(now int64, index uint64) {
+	voteOnDisk := n.hardState.AcceptedIndex == index && len(n.unsaved.items) <= maxBatchItems
 	n.hardState.Applied = index
-	saved := n.hardState.AcceptedIndex == index && len(n.unsaved) <= maxBatchItems
 	if n.hardState.AcceptedIndex <= index {
-		n.hardState.Accepted, n.hardState.AcceptedIndex, n.hardState.AcceptedValue = Ballot{}, 0, nil
+		n.hardState.Accepted = Ballot{}
+		n.hardState.AcceptedIndex = 0
+		n.hardState.AcceptedValue = nil
 	}
 	n.membership = membership.FromSet(n.Set)
-	n.retryAt = 0
+	n.proposer.retryAt = 0
 	n.effects.Changed = true
-	if !saved {
+	if !voteOnDisk {
 		n.requestWrite()
 	}
-	for _, tag := range n.pendingReadTags() {
-		n.advanceRead(now, tag, n.reads[tag])
-	}
-	if !n.caughtUp && n.reads[0] == nil {
-		n.startRead(now, 0)
-	}
-}
-
-// forgetChanges forgets the last changes, as the set isn't what they made any more.
-func (n *Node) forgetChanges() { n.recent, n.recentItems, n.recentBytes = nil, 0, 0 }
-
-// commitPersistedVote finds out whether the vote of this process on the next number is one of those that have decided it already: more
-// than half have it on their disks. After a loss of power of all nobody need propose anything.
-func (n *Node) commitPersistedVote(e Event, r *pendingRead) {
-	index, vote := n.hardState.Applied+1, n.hardState.Accepted
-	if n.hardState.AcceptedIndex != index || vote == (Ballot{}) || n.hardState.Applied == 0 {
-		return
-	}
-	acks := map[string]string{}
-	for ip, m := range r.replies {
-		if m.Index == index && m.Accepted == vote {
-			acks[ip] = m.DiskID
-		}
-	}
-	if n.reachesQuorum(acks, n.hardState.AcceptedValue) {
-		value := n.hardState.AcceptedValue
-		if n.phase != Idle {
-			n.abandonProposal(e, false)
-		}
-		n.prepared = false
-		n.apply(e.Now, index, value)
-	}
+	n.advanceReads(now)
+	n.ensureStartupRead(now)
 }
--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -8,101 +8,166 @@
 	"portflow/internal/control/operation"
 )
 
-// maintainMembership has the first member bring in who has come, and let go who has a successor.
+// maintainMembership has the preferred proposer propose changes of the members: processes that have come join, and silent members
+// whose zone can do without them are removed. A change is a value like any other; mayChangeMembership checks it again before it
+// is voted on.
 func (n *Node) maintainMembership(e Event) {
-	for _, member := range n.membership.Members {
-		if _, heard := n.peers[member.IP]; member.IP != n.self.IP && !heard && n.silentSince[member.IP] == 0 {
-			n.silentSince[member.IP] = e.Now
-		}
+	n.noteSilentMembers(e.Now)
+	if !n.caughtUp || n.preferredProposer() != n.self.IP || n.hasPendingMembershipChange() {
+		return
+	}
+	joining := n.joiningMembers()
+	removable := n.membership.Change(joining, nil).Removable(n.longSilentMembers(e.Now), n.minPerZone)
+	leaving := n.selectRemovals(joining, removable)
+	if len(leaving) == 0 && n.shouldAwaitRemoval(joining) {
+		joining = nil
 	}
-	if !n.caughtUp || n.preferredProposer() != n.self.IP || slices.ContainsFunc(n.pending, func(p *pendingOperation) bool { return p.operation.Kind == operation.ChangeMembers }) {
+	if len(joining)+len(leaving) == 0 || e.Now < n.nextMembershipChange {
 		return
 	}
-	var joining []membership.Member
+	if n.tolerance(n.membership.Change(joining, leaving)) < 0 {
+		return
+	}
+	n.nextMembershipChange = e.Now + membershipInterval
+	n.submit(e.Now, &pendingOperation{operation: operation.Operation{
+		Kind:     operation.ChangeMembers,
+		Add:      joining,
+		Remove:   leaving,
+		Expected: n.membership.Epoch,
+	}})
+}
+
+// noteSilentMembers notes since when members that were never connected are silent.
+func (n *Node) noteSilentMembers(now int64) {
+	for _, member := range n.membership.Members {
+		_, connected := n.peers[member.IP]
+		if member.IP != n.self.IP && !connected && n.silentSince[member.IP] == 0 {
+			n.silentSince[member.IP] = now
+		}
+	}
+}
+
+// hasPendingMembershipChange reports whether a change of the members is pending.
+func (n *Node) hasPendingMembershipChange() bool {
+	return slices.ContainsFunc(n.forwarder.pending, func(op *pendingOperation) bool {
+		return op.operation.Kind == operation.ChangeMembers
+	})
+}
+
+// joiningMembers returns the peers that are to become members: in the place of the same host with its lost disk always, else where a
+// zone has fewer live members than it is to have. The others are learners that stand by.
+func (n *Node) joiningMembers() (joining []membership.Member) {
 	for _, ip := range slices.Sorted(maps.Keys(n.peers)) {
-		if p := n.peers[ip]; p.CaughtUp && !n.membership.Contains(ip, p.Member.ID) && !n.membership.Excludes(p.Member.ID) && p.Applied+maxJoinLag >= n.hardState.Applied && p.Member.ID != "" &&
-			(slices.Contains(n.Unreachable(), ip) || n.liveInZone(p.Member.Zone, joining) < n.minPerZone) { // in the place of its lost disk always
-			joining = append(joining, p.Member)
+		peer := n.peers[ip]
+		if !n.mayJoin(ip, peer) {
+			continue
+		}
+		replacesItself := slices.Contains(n.Unreachable(), ip)
+		if replacesItself || n.liveInZone(peer.Member.Zone, joining) < n.minPerZone {
+			joining = append(joining, peer.Member)
 		}
 	}
-	var silent []string
+	return joining
+}
+
+// mayJoin reports whether a peer is no member, has caught up, and was not removed by an operator.
+func (n *Node) mayJoin(ip string, peer Peer) bool {
+	switch {
+	case !peer.CaughtUp, peer.Applied+maxJoinLag < n.hardState.Applied:
+		return false
+	case peer.Member.ID == "", n.membership.Excludes(peer.Member.ID):
+		return false
+	}
+	return !n.membership.Contains(ip, peer.Member.ID)
+}
+
+// longSilentMembers returns the IP addresses of the members that have been silent for so long that they may be removed.
+func (n *Node) longSilentMembers(now int64) (silent []string) {
 	for _, member := range n.membership.Members {
-		if since := n.silentSince[member.IP]; since != 0 && e.Now-since > removalSilence {
+		if since := n.silentSince[member.IP]; since != 0 && now-since > removalSilence {
 			silent = append(silent, member.IP)
 		}
 	}
-	leaving := n.membership.Change(joining, nil).Removable(silent, n.minPerZone)
-	leaving = n.selectRemovals(joining, leaving)
-	if len(leaving) == 0 && n.tolerance(n.membership) >= 0 && n.tolerance(n.membership.Change(joining, nil)) <= n.tolerance(n.membership) && n.zoneHasSilentMember(joining) {
-		joining = nil // with its predecessor counted too it would be one more to lose, and bear none more: they go by turns in one step
-	}
-	if len(joining)+len(leaving) > 0 && e.Now >= n.nextMembershipChange && n.tolerance(n.membership.Change(joining, leaving)) >= 0 {
-		n.nextMembershipChange = e.Now + membershipInterval
-		n.submit(e.Now, &pendingOperation{operation: operation.Operation{Kind: operation.ChangeMembers, Add: joining, Remove: leaving, Expected: n.membership.Epoch}})
-	}
+	return silent
+}
+
+// shouldAwaitRemoval reports whether members that join should wait until silent ones of their zones can be removed in the same change.
+// Counted beside its predecessor, a new member raises the majority, and the core tolerates no more losses than before.
+func (n *Node) shouldAwaitRemoval(joining []membership.Member) bool {
+	current := n.tolerance(n.membership)
+	return current >= 0 && n.tolerance(n.membership.Change(joining, nil)) <= current && n.zoneHasSilentMember(joining)
 }
 
-// zoneHasSilentMember tells whether a member of the zone of one that comes in isn't heard.
+// zoneHasSilentMember reports whether a zone of those that join has a member on another host that is not connected.
 func (n *Node) zoneHasSilentMember(joining []membership.Member) bool {
-	return slices.ContainsFunc(n.membership.Members, func(m membership.Member) bool {
-		_, heard := n.peers[m.IP]
-		return m.IP != n.self.IP && !heard && slices.ContainsFunc(joining, func(candidate membership.Member) bool { return candidate.Zone == m.Zone && candidate.IP != m.IP })
+	return slices.ContainsFunc(n.membership.Members, func(member membership.Member) bool {
+		_, connected := n.peers[member.IP]
+		if member.IP == n.self.IP || connected {
+			return false
+		}
+		return slices.ContainsFunc(joining, func(candidate membership.Member) bool {
+			return candidate.Zone == member.Zone && candidate.IP != member.IP
+		})
 	})
 }
 
-// selectRemovals tells who of those that may go does: one at a time, or as many as it takes until the core bears a loss, as of five with
-// two lost that no list of four would.
-func (n *Node) selectRemovals(joining []membership.Member, leaving []string) []string {
-	for i := range leaving {
-		if n.tolerance(n.membership.Change(joining, leaving[:i+1])) >= max(1, n.tolerance(n.membership)) {
-			return leaving[:i+1]
+// selectRemovals returns which of the removable members are removed: the first, or as many as are needed until the core tolerates a
+// loss. Of five members with two lost, a list of four would tolerate none, and one of three does.
+func (n *Node) selectRemovals(joining []membership.Member, removable []string) []string {
+	for i := range removable {
+		leaving := removable[:i+1]
+		if n.tolerance(n.membership.Change(joining, leaving)) >= max(1, n.tolerance(n.membership)) {
+			return leaving
 		}
 	}
 	return nil
 }
 
-// liveInZone is how many members of a zone are heard, with those that come in. Where a zone has enough, who comes is a learner that
-// stands by: it is voted in once one of them is lost.
+// liveInZone returns how many members of a zone are reachable, counting those that join.
 func (n *Node) liveInZone(zone string, joining []membership.Member) (count int) {
-	for _, m := range n.membership.Members {
-		if p, heard := n.peers[m.IP]; m.Zone == zone && (m.IP == n.self.IP || heard && p.Member.ID == m.ID) {
+	for _, member := range n.membership.Members {
+		if member.Zone == zone && n.isReachableOrSelf(member) {
 			count++
 		}
 	}
-	for _, m := range joining {
-		if m.Zone == zone {
+	for _, member := range joining {
+		if member.Zone == zone {
 			count++
 		}
 	}
 	return count
 }
 
-// mayChangeMembership tells whether a list that an order makes may be voted on. A list that was voted on may have been decided, and so can't
-// be given up: once it lacks a majority, the core waits until enough are back. So those who have only just promised must be
-// more than half of it, whatever becomes of those that come in. Only where more losses are borne with them than without, or
-// where one member is all there is, may they be needed.
+// mayChangeMembership reports whether a change of the members may be voted on. Once it is, it may be decided, and can't be given up:
+// if the new members lack a majority, the core waits until enough of them are back. So those that have just promised must be a
+// majority of the new members, whatever becomes of those that join. Members that join may be counted only if the change raises
+// the margin over a majority, or if there is a single member.
 func (n *Node) mayChangeMembership(op operation.Operation) bool {
-	next, reachable := n.membership.Change(op.Add, op.Remove), maps.Clone(n.acks)
-	if next.HasQuorum(n.acks) {
+	next := n.membership.Change(op.Add, op.Remove)
+	promised := n.proposer.acks
+	if next.HasQuorum(promised) {
 		return true
 	}
-	for _, m := range op.Add {
-		if p, heard := n.peers[m.IP]; heard {
-			reachable[m.IP] = p.Member.ID
+	reachable := maps.Clone(promised)
+	for _, member := range op.Add {
+		if peer, connected := n.peers[member.IP]; connected {
+			reachable[member.IP] = peer.Member.ID
 		}
 	}
-	return next.HasQuorum(reachable) && (next.QuorumMargin(reachable) > n.membership.QuorumMargin(n.acks) || len(n.membership.Members) == 1)
+	if !next.HasQuorum(reachable) {
+		return false
+	}
+	return next.QuorumMargin(reachable) > n.membership.QuorumMargin(promised) || len(n.membership.Members) == 1
 }
 
-// tolerance is how many members of a list may be lost beside those that aren't heard now. A list that could not lose one more,
-// or fewer than the present one, isn't made by letting a member go.
+// tolerance returns how many members of a list may be lost beside those that are unreachable now; below 0 there is no majority.
 func (n *Node) tolerance(list membership.List) int {
 	var down []string
-	for _, m := range list.Members {
-		if p, heard := n.peers[m.IP]; m.IP != n.self.IP && (!heard || p.Member.ID != m.ID) {
-			down = append(down, m.IP)
+	for _, member := range list.Members {
+		if !n.isReachableOrSelf(member) {
+			down = append(down, member.IP)
 		}
 	}
-	members, _ := list.Tolerates(down)
-	return members
+	tolerated, _ := list.Tolerates(down)
+	return tolerated
 }
--- a/internal/control/consensus/membership_test.go
+++ b/internal/control/consensus/membership_test.go
@@ -55,7 +55,7 @@
 					old = 99
 				}
 			}
-			if bears := x.members - x.silent - (x.members/2 + 1); old+come > max(bears, 0) && !(old == 0 && come == 1) {
+			if bears := x.members - x.silent - (x.members/2 + 1); old+come > max(bears, 0) && (old != 0 || come != 1) {
 				continue
 			}
 			p := newTestCluster(x.members, x.come, x.zones)
--- a/internal/control/consensus/proposer.go
+++ b/internal/control/consensus/proposer.go
@@ -1,7 +1,6 @@
 package consensus
 
 import (
-	"maps"
 	"slices"
 
 	"portflow/internal/cluster/config"
@@ -9,223 +8,370 @@
 	"portflow/internal/control/operation"
 )
 
-// Phase is where this process's own proposal stands.
+// Phase is the phase of this process's own proposal.
 type Phase uint8
 
+// The phases of a proposal.
 const (
-	Idle Phase = iota
-	Preparing
-	Accepting
+	Idle      Phase = iota // there is no proposal
+	Preparing              // phase 1 of Paxos: promises are collected
+	Accepting              // phase 2: votes are collected
 )
 
+// String returns the phase's name for logs.
 func (p Phase) String() string { return [...]string{"idle", "preparing", "accepting"}[p] }
 
-// prepare begins a proposal with a new ballot.
+// proposerState is the state of this process's own proposal. It is not kept on disk: a new incarnation uses new ballots.
+type proposerState struct {
+	phase           Phase
+	index           uint64 // the log index that is proposed for
+	ballot          Ballot // the present ballot, or the last
+	highestBallot   uint64 // the highest number of a ballot that was seen
+	prepared        bool   // the ballot is the last that a majority promised, as far as is known: phase 1 can be left out
+	confirmedLatest bool   // a majority has promised for the next index, so nothing is decided beyond what is applied here
+
+	value     []config.Item // what is voted on
+	valueTags []uint64      // tags of the pending operations in it
+
+	acks                 map[string]string   // disk IDs of those that promised or voted, by IP address
+	rejections           map[string]bool     // IP addresses of those that refused the ballot
+	promisers            []membership.Member // those that promised for the first index
+	legacyItems          []config.Item       // the items that they hold
+	highestAccepted      Ballot              // the highest ballot of a vote that a promise reported, zero for none
+	highestAcceptedValue []config.Item       // the value of that vote
+
+	phaseStartedAt int64
+	lastSentAt     int64
+	retryAt        int64 // no new proposal begins before
+	retries        int   // rejected proposals in a row
+}
+
+// isCurrent reports whether a reply is about the present index and ballot.
+func (s *proposerState) isCurrent(index uint64, ballot Ballot) bool {
+	return index == s.index && ballot == s.ballot
+}
+
+// prepare begins a proposal with a new ballot (phase 1a).
 func (n *Node) prepare(e Event) {
-	n.highestBallot++
 	n.Counts.Prepared++
-	n.phase, n.index, n.ballot = Preparing, n.hardState.Applied+1, Ballot{n.highestBallot, n.incarnation}
-	n.acks, n.rejections, n.highestAccepted, n.highestAcceptedValue, n.promisers, n.legacyItems, n.value, n.valueTags = map[string]string{}, map[string]bool{}, Ballot{}, nil, nil, nil, nil, nil
-	n.phaseStartedAt, n.lastSentAt, n.confirmedLatest = e.Now, e.Now, false
+	p := &n.proposer
+	p.highestBallot++
+	p.phase = Preparing
+	p.index = n.nextIndex()
+	p.ballot = Ballot{p.highestBallot, n.incarnation}
+	p.acks = map[string]string{}
+	p.rejections = map[string]bool{}
+	p.highestAccepted = Ballot{}
+	p.highestAcceptedValue = nil
+	p.promisers = nil
+	p.legacyItems = nil
+	p.value = nil
+	p.valueTags = nil
+	p.phaseStartedAt = e.Now
+	p.lastSentAt = e.Now
+	p.confirmedLatest = false
 	n.sendProposal()
 }
 
-// accept asks for votes: on the value of the highest ballot that was told, or on this process's own orders.
+// accept begins phase 2, once a majority has promised. By the rule of Paxos it must propose the value of the highest ballot that a
+// promise reported, as that may be decided; only where there is none may it propose a value of its own.
 func (n *Node) accept(e Event) {
-	value, tags := n.highestAcceptedValue, []uint64(nil)
+	var value []config.Item
+	var tags []uint64
 	switch {
-	case n.highestAccepted != (Ballot{}):
+	case n.proposer.highestAccepted != (Ballot{}):
+		value = n.proposer.highestAcceptedValue
 		n.Counts.TakenOver++
 	case n.hardState.Applied == 0:
 		value = n.foundingValue()
 	default:
-		n.confirmedLatest = true
+		n.proposer.confirmedLatest = true
 		n.settleUndecidedReads(e)
-		value, tags = n.buildValue(e.Now)
+		value, tags = n.buildValue()
 	}
-	if len(value) == 0 {
-		n.phase, n.prepared = Idle, true
-		n.retries = 0
-		n.lastAcceptedAt = e.Now // what may be voted for here alone is looked at again in a while
+	if len(value) > 0 {
+		n.proposeValue(e, value, tags)
 		return
 	}
-	n.proposeValue(e, value, tags)
+	n.proposer.phase = Idle
+	n.proposer.prepared = true
+	n.proposer.retries = 0
+	n.acceptor.votedAt = e.Now // a vote that only this process has is looked at again after orphanedVoteTimeout
 }
 
-// proposeValue asks for votes on a value; with a ballot this is done once a number.
+// proposeValue asks for votes on a value (phase 2a). With one ballot this happens at most once for an index, so that a ballot stands
+// for one value.
 func (n *Node) proposeValue(e Event, value []config.Item, tags []uint64) {
 	n.Counts.Proposed++
-	n.phase, n.index, n.value, n.valueTags, n.acks = Accepting, n.hardState.Applied+1, value, tags, map[string]string{}
-	n.rejections = map[string]bool{}
-	n.phaseStartedAt, n.lastSentAt, n.prepared = e.Now, e.Now, true
-	for _, p := range n.pending {
-		if slices.Contains(tags, p.tag) {
-			p.proposedIndex = n.index
-			if !p.operation.Conditional { // the vote may be brought to its end by another: it is not made once more on what comes after
-				p.operation = operation.Bind(n.Set, p.operation)
-			}
+	p := &n.proposer
+	p.phase = Accepting
+	p.index = n.nextIndex()
+	p.value = value
+	p.valueTags = tags
+	p.acks = map[string]string{}
+	p.rejections = map[string]bool{}
+	p.phaseStartedAt = e.Now
+	p.lastSentAt = e.Now
+	p.prepared = true
+	for _, op := range n.forwarder.pending {
+		if !slices.Contains(tags, op.tag) {
+			continue
 		}
+		op.proposedIndex = p.index
+		op.bind(n.Set) // another member may finish the vote: the operation must not be made again on a later state
 	}
 	n.sendProposal()
 }
 
-// currentProposal is the present step.
+// currentProposal returns the message of the present phase.
 func (n *Node) currentProposal() Message {
-	if n.phase == Accepting {
-		return Message{Kind: Accept, Index: n.index, Ballot: n.ballot, Value: n.value}
+	p := &n.proposer
+	if p.phase == Accepting {
+		return Message{Kind: Accept, Index: p.index, Ballot: p.ballot, Value: p.value}
 	}
-	return Message{Kind: Prepare, Index: n.index, Ballot: n.ballot}
+	return Message{Kind: Prepare, Index: p.index, Ballot: p.ballot}
 }
 
-// sendProposal says the present step to all who haven't answered it.
+// sendProposal sends the message of the present phase to all voters that have not answered it, to this process last.
 func (n *Node) sendProposal() {
 	m := n.currentProposal()
 	for _, ip := range n.voters() {
-		if _, said := n.acks[ip]; !said && ip != n.self.IP {
+		if _, answered := n.proposer.acks[ip]; !answered && ip != n.self.IP {
 			n.send(ip, m)
 		}
 	}
-	if _, said := n.acks[n.self.IP]; !said && slices.Contains(n.voters(), n.self.IP) {
+	if n.awaitsAnswer(n.self.IP) {
 		n.send(n.self.IP, m)
 	}
 }
 
-// resendProposal says the present proposal to one that was behind, right after what it lacked.
+// awaitsAnswer reports whether a process is a voter and has not answered the present phase.
+func (n *Node) awaitsAnswer(ip string) bool {
+	_, answered := n.proposer.acks[ip]
+	return !answered && slices.Contains(n.voters(), ip)
+}
+
+// resendProposal sends the present proposal to one that was behind, right after the changes that it lacked.
 func (n *Node) resendProposal(to string) {
-	if _, said := n.acks[to]; n.phase != Idle && !said && slices.Contains(n.voters(), to) {
+	if n.proposer.phase != Idle && n.awaitsAnswer(to) {
 		n.send(to, n.currentProposal())
 	}
 }
 
-// handleAcceptorReply is the proposer, as answers come.
+// handleAcceptorReply handles the replies of acceptors.
 func (n *Node) handleAcceptorReply(e Event, m Message) {
-	switch {
-	case m.Kind == Behind:
-		return
-	case m.Kind == Ahead:
-		if m.Applied > n.hardState.Applied {
-			if n.phase != Idle && m.Index == n.index && m.Ballot == n.ballot {
-				n.abandonProposal(e, false)
-				n.retryAt = e.Now + fetchDelay // at the latest; what is fetched ends it
-			}
-			n.requestChanges(e.Now, e.From)
-		}
-		return
-	case m.Kind == Rejected:
-		n.highestBallot = max(n.highestBallot, m.Ballot.Number)
-		if n.phase == Idle || m.Index != n.index || m.Accepted != n.ballot {
-			return
+	switch m.Kind {
+	case Ahead:
+		n.handleAhead(e, m)
+	case Rejected:
+		n.handleRejected(e, m)
+	case Promise:
+		if n.proposer.phase == Preparing && n.countsNow(e.From, m) {
+			n.handlePromise(e, m)
 		}
-		n.Counts.Beaten++
-		n.prepared = false
-		if n.rejections[e.From] = true; len(n.voters())-len(n.rejections) < len(n.voters())/2+1 {
-			n.abandonProposal(e, true)
+	case Accepted:
+		if n.proposer.phase == Accepting && n.countsNow(e.From, m) {
+			n.handleAccepted(e, m)
 		}
+	}
+}
+
+// countsNow reports whether a reply is about the present proposal and comes from a voter.
+func (n *Node) countsNow(from string, m Message) bool {
+	return n.proposer.isCurrent(m.Index, m.Ballot) && n.isVoter(from, m.DiskID, n.proposer.value)
+}
+
+// handleAhead abandons a proposal for an index that is decided already, and fetches what is missing.
+func (n *Node) handleAhead(e Event, m Message) {
+	if m.Applied <= n.hardState.Applied {
 		return
-	case m.Index != n.index || m.Ballot != n.ballot || !n.isVoter(e.From, m.DiskID, n.value):
+	}
+	if n.proposer.phase != Idle && n.proposer.isCurrent(m.Index, m.Ballot) {
+		n.abandonProposal(e, false)
+		n.proposer.retryAt = e.Now + fetchDelay // or as soon as the changes have come
+	}
+	n.requestChanges(e.Now, e.From)
+}
+
+// handleRejected counts a refusal by an acceptor that promised a higher ballot. The proposal is abandoned once those that did not
+// refuse are no majority.
+func (n *Node) handleRejected(e Event, m Message) {
+	p := &n.proposer
+	p.highestBallot = max(p.highestBallot, m.Ballot.Number)
+	if p.phase == Idle || !p.isCurrent(m.Index, m.Accepted) {
 		return
 	}
-	switch {
-	case m.Kind == Promise && n.phase == Preparing:
-		n.acks[e.From] = m.DiskID
-		if m.Accepted != (Ballot{}) && n.highestAccepted.Less(m.Accepted) {
-			n.highestAccepted, n.highestAcceptedValue = m.Accepted, m.Value
-		}
-		if m.Member != nil {
-			n.promisers = append(n.promisers, *m.Member)
-		}
-		for _, batch := range m.Batches {
-			n.legacyItems = append(n.legacyItems, batch...)
-		}
-		n.tryAccept(e)
-	case m.Kind == Accepted && n.phase == Accepting:
-		if n.acks[e.From] = m.DiskID; n.reachesQuorum(n.acks, n.value) {
-			n.decide(e)
-		}
+	n.Counts.Beaten++
+	p.prepared = false
+	p.rejections[e.From] = true
+	voters := len(n.voters())
+	if voters-len(p.rejections) < voters/2+1 {
+		n.abandonProposal(e, true)
+	}
+}
+
+// handlePromise counts a promise, and keeps the vote of the highest ballot that any promise reports.
+func (n *Node) handlePromise(e Event, m Message) {
+	p := &n.proposer
+	p.acks[e.From] = m.DiskID
+	if m.Accepted != (Ballot{}) && p.highestAccepted.Less(m.Accepted) {
+		p.highestAccepted = m.Accepted
+		p.highestAcceptedValue = m.Value
+	}
+	if m.Member != nil {
+		p.promisers = append(p.promisers, *m.Member)
+	}
+	for _, batch := range m.Batches {
+		p.legacyItems = append(p.legacyItems, batch...)
 	}
+	n.tryAccept(e)
 }
 
-// tryAccept goes on once more than half have promised; for the first list it waits a moment for the founders that are heard, as
-// one of a bare majority bears no loss, and for a later one for the members that are heard, as takes goes by who promised.
+// handleAccepted counts a vote; the value is decided once a quorum has voted for it in one ballot.
+func (n *Node) handleAccepted(e Event, m Message) {
+	n.proposer.acks[e.From] = m.DiskID
+	if n.reachesQuorum(n.proposer.acks, n.proposer.value) {
+		n.decide(e)
+	}
+}
+
+// tryAccept goes on to phase 2 once a quorum has promised, and nobody is worth waiting for.
 func (n *Node) tryAccept(e Event) {
-	if n.phase != Preparing || !n.reachesQuorum(n.acks, nil) {
+	if n.proposer.phase != Preparing || !n.reachesQuorum(n.proposer.acks, nil) {
 		return
 	}
-	if n.hardState.Applied == 0 && e.Now-n.phaseStartedAt < foundersWait {
-		for _, ip := range n.hardState.Founders {
-			if _, heard := n.peers[ip]; heard && n.acks[ip] == "" || ip == n.self.IP && n.acks[ip] == "" {
-				return
-			}
-		}
-	}
-	if n.hardState.Applied > 0 && e.Now-n.phaseStartedAt < membershipWait && slices.ContainsFunc(n.pending, func(p *pendingOperation) bool { return p.proposeHere && p.operation.Kind == operation.ChangeMembers }) {
-		for _, member := range n.membership.Members {
-			if p, heard := n.peers[member.IP]; n.acks[member.IP] == "" && (member.IP == n.self.IP && n.IsMember() || heard && p.Member.ID == member.ID) {
-				return
-			}
-		}
+	waited := e.Now - n.proposer.phaseStartedAt
+	if waited < foundersWait && n.awaitsFounder() || waited < membershipWait && n.awaitsMember() {
+		return
 	}
 	n.accept(e)
 }
 
-// abandonProposal ends a proposal without an end.
-func (n *Node) abandonProposal(e Event, rejected bool) {
-	if n.phase != Idle && rejected {
-		n.retryAt = e.Now + int64(e.Random*float64(turnDelay)*float64(1+n.retries))
-		if first := n.preferredProposer(); first == n.self.IP && n.retries == 0 { // it may have known too low a ballot
-			n.retryAt = e.Now
-		} else if first != n.self.IP && n.hardState.Applied > 0 { // that one goes on
-			n.retryAt += 2 * turnDelay
+// awaitsFounder reports whether a reachable founder has not promised yet for the first index. Those that have will be the first
+// members, and a bare majority of the founders would tolerate no loss.
+func (n *Node) awaitsFounder() bool {
+	if n.hardState.Applied > 0 {
+		return false
+	}
+	return slices.ContainsFunc(n.hardState.Founders, func(ip string) bool {
+		_, connected := n.peers[ip]
+		return n.proposer.acks[ip] == "" && (connected || ip == n.self.IP)
+	})
+}
+
+// awaitsMember reports whether a change of members is to be proposed, and a reachable member has not promised yet: whether the
+// change is safe is judged by those that promised.
+func (n *Node) awaitsMember() bool {
+	if n.hardState.Applied == 0 || !slices.ContainsFunc(n.forwarder.pending, (*pendingOperation).isOwnMembershipChange) {
+		return false
+	}
+	return slices.ContainsFunc(n.membership.Members, func(member membership.Member) bool {
+		if n.proposer.acks[member.IP] != "" {
+			return false
 		}
-		n.retries = min(n.retries+1, 4)
+		return member.IP == n.self.IP && n.IsMember() || n.isReachable(member)
+	})
+}
+
+// isOwnMembershipChange reports whether an operation changes the members and is proposed here.
+func (op *pendingOperation) isOwnMembershipChange() bool {
+	return op.proposeHere && op.operation.Kind == operation.ChangeMembers
+}
+
+// abandonProposal gives a proposal up, if there is one; its value may still be decided by another. After a rejection the next one
+// waits for a random time.
+func (n *Node) abandonProposal(e Event, rejected bool) {
+	p := &n.proposer
+	if p.phase != Idle && rejected {
+		p.retryAt = n.retryTime(e)
+		p.retries = min(p.retries+1, maxRetries)
+	}
+	p.phase = Idle
+	p.prepared = false
+	p.value = nil
+	p.valueTags = nil
+	p.promisers = nil
+	p.legacyItems = nil
+	p.highestAcceptedValue = nil
+}
+
+// retryTime returns when a proposal may follow on one that was rejected. Rival proposers would go on rejecting each other, so the
+// preferred one goes on at once, and the others leave it time.
+func (n *Node) retryTime(e Event) int64 {
+	delay := int64(e.Random * float64(turnDelay) * float64(1+n.proposer.retries))
+	preferred := n.preferredProposer() == n.self.IP
+	switch {
+	case preferred && n.proposer.retries == 0: // its ballot may only have been too low
+		return e.Now
+	case !preferred && n.hardState.Applied > 0:
+		return e.Now + delay + 2*turnDelay
+	}
+	return e.Now + delay
+}
+
+// retryProposal abandons a proposal without progress, or sends it again.
+func (n *Node) retryProposal(e Event) {
+	p := &n.proposer
+	switch {
+	case p.phase == Idle:
+	case e.Now-p.phaseStartedAt > proposalTimeout:
+		n.abandonProposal(e, true)
+	case e.Now-p.lastSentAt > resendAfter:
+		p.lastSentAt = e.Now
+		n.sendProposal()
 	}
-	n.phase, n.prepared, n.value, n.valueTags, n.promisers, n.legacyItems, n.highestAcceptedValue = Idle, false, nil, nil, nil, nil, nil
 }
 
-// decide is where a number is decided by this process's proposal.
+// decide applies the value that a quorum has voted for, announces it to all peers and ends the operations in it.
 func (n *Node) decide(e Event) {
-	value, tags, ballot, index, prepared := n.value, n.valueTags, n.ballot, n.index, n.prepared
-	n.phase, n.value, n.valueTags, n.retries = Idle, nil, nil, 0
-	n.apply(e.Now, index, value)
-	n.prepared = prepared
-	for _, ip := range slices.Sorted(maps.Keys(n.peers)) {
-		n.send(ip, Message{Kind: Commit, Index: index, Ballot: ballot})
-	}
-	n.pending = slices.DeleteFunc(n.pending, func(p *pendingOperation) bool {
-		if slices.Contains(tags, p.tag) {
-			n.finish(p, Result{Index: index})
-			return true
+	p := &n.proposer
+	decided := *p
+	p.phase = Idle
+	p.value = nil
+	p.valueTags = nil
+	p.retries = 0
+	n.apply(e.Now, decided.index, decided.value)
+	p.prepared = decided.prepared
+	n.sendToPeers(Message{Kind: Commit, Index: decided.index, Ballot: decided.ballot})
+	n.forwarder.pending = slices.DeleteFunc(n.forwarder.pending, func(op *pendingOperation) bool {
+		if !slices.Contains(decided.valueTags, op.tag) {
+			return false
 		}
-		return false
+		n.finish(op, Result{Index: decided.index})
+		return true
 	})
 }
 
-// foundingValue is the first value: those who promised are the first members. On disks of before the agreement there may be items:
-// the newest of all hold.
+// foundingValue returns the value of the first index: those that promised are the first members. Disks from before there was
+// consensus may hold items; the newest version of each is kept.
 func (n *Node) foundingValue() []config.Item {
-	all := config.NewSet()
-	for _, i := range n.legacyItems {
-		if i.Kind != config.KindCore {
-			all.Merge(i)
+	set := config.NewSet()
+	for _, item := range n.proposer.legacyItems {
+		if item.Kind != config.KindCore {
+			set.Merge(item)
 		}
 	}
-	return append(all.All(), membership.List{}.Change(n.promisers, nil).Item())
+	first := membership.List{}.Change(n.proposer.promisers, nil)
+	return append(set.All(), first.Item())
 }
 
-// bootstrap makes the first epoch: the founders are named by the settings of the first start, alike at all, and more than half
-// of them decide the first number as any other. A process whose disk was lost is no founder any more.
+// bootstrap proposes the first epoch. The settings of the first start name the founders, the same ones at all of them, and a majority
+// of the founders decides the first index like any other. A process that lost its disk is no founder any more.
 func (n *Node) bootstrap(e Event) {
 	position := slices.Index(n.hardState.Founders, n.self.IP)
-	if position < 0 || n.phase != Idle || e.Now < n.retryAt || e.Now-n.startedAt < int64(position)*2*turnDelay {
+	if position < 0 || n.proposer.phase != Idle || e.Now < n.proposer.retryAt {
+		return
+	}
+	if e.Now-n.startedAt < int64(position)*2*turnDelay {
 		return
 	}
 	reachable := 1
 	for _, ip := range n.hardState.Founders {
-		if _, heard := n.peers[ip]; heard {
+		if _, connected := n.peers[ip]; connected {
 			reachable++
 		}
 	}
-	if reachable >= len(n.hardState.Founders)/2+1 {
+	if reachable >= n.foundersQuorum() {
 		n.prepare(e)
 	}
 }
--- a/internal/control/consensus/quorum.go
+++ b/internal/control/consensus/quorum.go
@@ -7,59 +7,79 @@
 	"portflow/internal/control/membership"
 )
 
-// voters are those who are asked about the next number: the members, or the founders before there are any; and with them
-// those who come in by the value.
+// voters returns the IP addresses of those that are asked about the next index: the members, or before the first epoch the founders.
+// While a value is being voted on, those that become members by it are asked too.
 func (n *Node) voters() (ips []string) {
 	if n.hardState.Applied == 0 {
 		return n.hardState.Founders
 	}
-	for _, m := range n.membership.Members {
-		ips = append(ips, m.IP)
+	for _, member := range n.membership.Members {
+		ips = append(ips, member.IP)
 	}
-	if n.phase == Accepting {
-		for _, m := range membershipIn(n.value).Members {
-			if !slices.Contains(ips, m.IP) {
-				ips = append(ips, m.IP)
-			}
+	if n.proposer.phase != Accepting {
+		return ips
+	}
+	for _, member := range membershipIn(n.proposer.value).Members {
+		if !slices.Contains(ips, member.IP) {
+			ips = append(ips, member.IP)
 		}
 	}
 	return ips
 }
 
-// membershipIn is the list that a value sets, the zero List for none.
+// membershipIn returns the members that a value sets, the zero List if it sets none.
 func membershipIn(value []config.Item) membership.List {
-	for _, i := range value {
-		if i.Key() == membership.Key {
-			return membership.FromItem(i)
+	for _, item := range value {
+		if item.Key() == membership.Key {
+			return membership.FromItem(item)
 		}
 	}
 	return membership.List{}
 }
 
-// reachesQuorum tells whether those who said yes decide: more than half of the members, or of the founders; and of the members
-// that the value makes, as those must have taken it over.
+// reachesQuorum reports whether those that acknowledged a value (disk IDs by IP address) decide it: a majority of the members, or of
+// the founders, and if the value changes the members also a majority of the new ones. So the quorums of successive epochs
+// intersect, as the joint quorums of a reconfiguration must.
 func (n *Node) reachesQuorum(acks map[string]string, value []config.Item) bool {
-	if n.hardState.Applied == 0 {
-		count := 0
-		for ip := range acks {
-			if slices.Contains(n.hardState.Founders, ip) {
-				count++
-			}
-		}
-		if count < len(n.hardState.Founders)/2+1 {
-			return false
-		}
-	} else if !n.membership.HasQuorum(acks) {
+	if !n.reachesCurrentQuorum(acks) {
 		return false
 	}
 	next := membershipIn(value)
 	return next.Epoch == 0 || next.HasQuorum(acks)
 }
 
-// isVoter tells whether a process's word counts at the next number.
-func (n *Node) isVoter(ip, id string, value []config.Item) bool {
+// reachesCurrentQuorum reports whether those that acknowledged are a majority of the present members, or of the founders.
+func (n *Node) reachesCurrentQuorum(acks map[string]string) bool {
+	if n.hardState.Applied > 0 {
+		return n.membership.HasQuorum(acks)
+	}
+	count := 0
+	for ip := range acks {
+		if slices.Contains(n.hardState.Founders, ip) {
+			count++
+		}
+	}
+	return count >= n.foundersQuorum()
+}
+
+// foundersQuorum returns how many founders are a majority.
+func (n *Node) foundersQuorum() int { return len(n.hardState.Founders)/2 + 1 }
+
+// isVoter reports whether the vote of a process counts at the next index, if value is voted on there.
+func (n *Node) isVoter(ip, diskID string, value []config.Item) bool {
 	if n.hardState.Applied == 0 {
 		return slices.Contains(n.hardState.Founders, ip)
 	}
-	return n.membership.Contains(ip, id) || membershipIn(value).Contains(ip, id)
+	return n.membership.Contains(ip, diskID) || membershipIn(value).Contains(ip, diskID)
+}
+
+// isReachable reports whether another process is connected, and still has the disk that it is a member with.
+func (n *Node) isReachable(member membership.Member) bool {
+	peer, connected := n.peers[member.IP]
+	return connected && peer.Member.ID == member.ID
+}
+
+// isReachableOrSelf is isReachable, and true for this process.
+func (n *Node) isReachableOrSelf(member membership.Member) bool {
+	return member.IP == n.self.IP || n.isReachable(member)
 }
--- a/internal/control/consensus/recovery.go
+++ b/internal/control/consensus/recovery.go
@@ -8,31 +8,50 @@
 	"portflow/internal/control/operation"
 )
 
-// The high bits of a number and of an epoch count how often an operator has made one process the whole core. What follows
-// them is drawn: of two that were made so at once, one is the later by both, and the other gives way as soon as they meet.
-const recoveryIndexShift, recoveryEpochShift, recoveryDrawRange = 48, 32, 1 << 31
+// The high bits of a log index and of an epoch count forced recoveries. The bits below them are drawn at random: if two processes
+// are made the only member at once, one of them is later by both, and the other gives way as soon as they are connected.
+const (
+	recoveryIndexShift = 48
+	recoveryEpochShift = 32
+	recoveryDrawRange  = 1 << 31
+	recoveryDrawShift  = 16 // of the random bits in an index: it leaves room for the changes of one core
+)
 
-// RecoveryIndexJump is by how much at least a number goes up where one core gives way to another that an operator made.
-const RecoveryIndexJump = 1 << 16
+// RecoveryIndexJump is by how much at least the index rises when a process gives way to a core that was made by a forced recovery.
+const RecoveryIndexJump = 1 << recoveryDrawShift
 
-// forceRecovery makes this process the whole core: a number and an epoch that fence all that was before.
+// forceRecovery makes this process the only member, with an index and an epoch above all that the lost members can have decided. It
+// is no part of Paxos, and loses what only the others had: an operator answers for it.
 func (n *Node) forceRecovery(now int64, chance float64) {
-	if n.hardState.Applied == 0 || n.membership.Epoch == 0 { // it has nothing to go on from
+	if n.hardState.Applied == 0 || n.membership.Epoch == 0 { // there is nothing to recover
 		return
 	}
 	n.abandonProposal(Event{Now: now}, false)
 	drawn := uint64(chance * recoveryDrawRange)
-	next := membership.List{Epoch: (n.membership.Epoch>>recoveryEpochShift+1)<<recoveryEpochShift + drawn, Members: []membership.Member{n.self}, Excluded: n.membership.Excluded}
-	items := []config.Item{next.Item()}
-	if n.hardState.AcceptedIndex == n.hardState.Applied+1 { // what it voted for may have been decided, and confirmed: it is kept, but for its list
-		position := 0
-		if operation.ReplacesAll(n.hardState.AcceptedValue) {
-			position = 1
-		}
-		rest := slices.DeleteFunc(slices.Clone(n.hardState.AcceptedValue), func(i config.Item) bool { return i.Key() == membership.Key })
-		items = slices.Insert(rest, position, items...)
-	}
+	index := (n.hardState.Applied>>recoveryIndexShift+1)<<recoveryIndexShift + drawn<<recoveryDrawShift
+	value := n.recoveryValue(drawn)
 	n.forgetChanges()
-	n.caughtUp, n.startReplies = true, nil
-	n.apply(now, (n.hardState.Applied>>recoveryIndexShift+1)<<recoveryIndexShift+drawn<<16, items)
+	n.caughtUp = true
+	n.acceptor.startReplies = nil
+	n.apply(now, index, value)
+}
+
+// recoveryValue returns the value that a forced recovery applies. What this process voted for at the next index may have been decided
+// and confirmed, so it is kept, except for a change of members.
+func (n *Node) recoveryValue(drawn uint64) []config.Item {
+	next := membership.List{
+		Epoch:    (n.membership.Epoch>>recoveryEpochShift+1)<<recoveryEpochShift + drawn,
+		Members:  []membership.Member{n.self},
+		Excluded: n.membership.Excluded,
+	}
+	if !n.hasUndecidedVote() {
+		return []config.Item{next.Item()}
+	}
+	position := 0
+	if operation.ReplacesAll(n.hardState.AcceptedValue) { // the mark stays first
+		position = 1
+	}
+	vote := slices.Clone(n.hardState.AcceptedValue)
+	rest := slices.DeleteFunc(vote, func(item config.Item) bool { return item.Key() == membership.Key })
+	return slices.Insert(rest, position, next.Item())
 }
--- a/internal/control/consensus/simulation_test.go
+++ b/internal/control/consensus/simulation_test.go
@@ -117,7 +117,6 @@
 	groups         []*operationCopies
 	confirmedIndex uint64 // the highest number that was told to anybody
 	version        uint64
-	harmless       bool
 	tally          counters
 	lostDisks      []lostDisk
 	maxSync        int64    // longest sync of a disk that nothing ails
