--- a/internal/control/consensus/acceptor_test.go
+++ b/internal/control/consensus/acceptor_test.go
@@ -13,24 +13,24 @@
 // threeMembers is a list of three members that stands at number 1, and the second of them, which has asked the others since its start.
 func threeMembers(now int64) (*Node, membership.List) {
 	l := membership.List{Epoch: 1}
-	for n, ip := range []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"} {
-		l.Members = append(l.Members, membership.Member{IP: ip, ID: string(rune('a' + n)), Zone: ip})
+	for i, ip := range []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"} {
+		l.Members = append(l.Members, membership.Member{IP: ip, ID: string(rune('a' + i)), Zone: ip})
 	}
 	set := config.NewSet()
 	set.Merge(l.Item())
-	x := New(l.Members[1], "life", 1, HardState{DiskID: "b", Applied: 1}, set, now)
-	x.caughtUp, x.acceptor.startReplies = true, nil
-	return x, l
+	n := New(l.Members[1], "life", 1, HardState{DiskID: "b", Applied: 1}, set, now)
+	n.caughtUp, n.acceptor.startReplies = true, nil
+	return n, l
 }
 
 // A vote is told to those who read only once it is on disk: also where the same ballot had a vote on disk at the number before.
 func TestVoteReportedOnceOnDisk(t *testing.T) {
 	c := qt.New(t)
-	x, l := threeMembers(second)
+	n, l := threeMembers(second)
 	from, b := l.Members[0], Ballot{5, "other"}
 	say := func(m Message) Effects {
 		m.DiskID, m.Epoch = from.ID, 1
-		return x.Step(Event{Now: 2 * second, From: from.IP, Message: &m})
+		return n.Step(Event{Now: 2 * second, From: from.IP, Message: &m})
 	}
 	queryVote := func() Message {
 		out := say(Message{Kind: ReadIndex, Tag: 7})
@@ -44,7 +44,7 @@
 	}
 	synced := func(out Effects) {
 		for _, m := range out.SendAfterSync[l.Members[1].IP] {
-			x.Step(Event{Now: 2 * second, From: l.Members[1].IP, Message: &m})
+			n.Step(Event{Now: 2 * second, From: l.Members[1].IP, Message: &m})
 		}
 	}
 	value := func(v uint64) []config.Item { return []config.Item{item(config.KindStableVersions, "desk", v, `{}`)} }
@@ -53,7 +53,7 @@
 	synced(first)
 	c.Check(queryVote().Accepted, qt.Equals, b)
 	say(Message{Kind: Commit, Index: 2, Ballot: b})
-	c.Assert(x.Applied(), qt.Equals, uint64(2))
+	c.Assert(n.Applied(), qt.Equals, uint64(2))
 	second := say(Message{Kind: Accept, Index: 3, Ballot: b, Value: value(2)})
 	c.Check(queryVote().Accepted, qt.Equals, Ballot{}, qt.Commentf("the vote on number 3 is not on disk yet"))
 	synced(second)
@@ -63,18 +63,18 @@
 // What is forgotten and comes again in one step is on disk afterwards, whichever was first.
 func TestForgottenAndSetAgain(t *testing.T) {
 	c := qt.New(t)
-	x, l := threeMembers(second)
+	node, l := threeMembers(second)
 	disk := map[config.Key]config.Item{}
 	for n := range config.MaxDeleted {
 		i := config.Item{Kind: config.KindRoutes, Name: fmt.Sprintf("r%d", n), Version: uint64(n + 1), Deleted: true}
-		x.Set.Merge(i)
+		node.Set.Merge(i)
 		disk[i.Key()] = i
 	}
 	disk[membership.Key] = l.Item()
 	from := l.Members[0]
 	do := func(m Message) {
 		m.DiskID, m.Epoch, m.Applied = from.ID, 1, 4
-		out := x.Step(Event{Now: 2 * second, From: from.IP, Message: &m})
+		out := node.Step(Event{Now: 2 * second, From: from.IP, Message: &m})
 		for _, i := range out.SaveItems {
 			disk[i.Key()] = i
 		}
@@ -88,11 +88,11 @@
 		{item(config.KindRoutes, "r0", 1<<20, `{}`)},
 		{item(config.KindRoutes, "t", 1<<20, `{}`)},
 	}})
-	c.Assert(x.Applied(), qt.Equals, uint64(4))
-	_, there := x.Set.Lookup(config.Key{Kind: config.KindRoutes, Name: "r1"})
+	c.Assert(node.Applied(), qt.Equals, uint64(4))
+	_, there := node.Set.Lookup(config.Key{Kind: config.KindRoutes, Name: "r1"})
 	c.Assert(there, qt.IsFalse)
-	c.Check(len(disk), qt.Equals, x.Set.Len())
-	for _, i := range x.Set.All() {
+	c.Check(len(disk), qt.Equals, node.Set.Len())
+	for _, i := range node.Set.All() {
 		c.Check(disk[i.Key()].Equal(i), qt.IsTrue, qt.Commentf("%s %s is not on disk", i.Kind, i.Name))
 	}
 }
--- a/internal/control/consensus/determinism_test.go
+++ b/internal/control/consensus/determinism_test.go
@@ -4,7 +4,7 @@
 
 // A day is the same each time it is played: what decides rests on nothing but what it is told.
 func TestSameAgain(t *testing.T) {
-	for seed := range uint64(fewAgain) {
+	for seed := range uint64(defaultRepeats) {
 		a, first := simulate(seed, mutant{}, nil)
 		for range 2 {
 			if b, again := simulate(seed, mutant{}, nil); a.trace != b.trace || first.String() != again.String() {
--- a/internal/control/consensus/disk_test.go
+++ b/internal/control/consensus/disk_test.go
@@ -6,14 +6,14 @@
 
 // diskWrite is one synced step of a disk.
 type diskWrite struct {
-	hardState HardState
-	items     []config.Item
-	removed   []config.Key
-	synced    map[string][]Message
+	hardState     HardState
+	items         []config.Item
+	removed       []config.Key
+	sendAfterSync map[string][]Message
 }
 
 func (m *machine) persist(x diskWrite) {
-	m.disk = x.hardState
+	m.hardState = x.hardState
 	for _, i := range x.items {
 		m.items[i.Key()] = i
 	}
@@ -47,7 +47,7 @@
 	if !sim.mutation.unsynced {
 		sim.runOn(m, life, func() {
 			for _, x := range batch {
-				sim.sendAll(m, x.synced)
+				sim.sendAll(m, x.sendAfterSync)
 			}
 		})
 	}
--- a/internal/control/consensus/exhaustive_state_test.go
+++ b/internal/control/consensus/exhaustive_state_test.go
@@ -16,7 +16,7 @@
 	"portflow/internal/cluster/config"
 )
 
-// process is one process of the small world; it is never changed, only replaced.
+// process is one process of a searched world; it is never changed, only replaced.
 type process struct {
 	node        *Node
 	hardState   HardState
@@ -26,30 +26,54 @@
 	sum         uint64 // of all of it
 }
 
+// packet is a message in flight.
 type packet struct {
 	from, to int
 	message  Message
 	sum      uint64
 }
 
-// searchState is a state of the small world. What it holds is shared with other places.
+// searchState is a state of the world. What it holds is shared with other states.
 type searchState struct {
 	processes [4]*process
-	packets   []*packet    // under way, in the order of their sums
-	decided   []decidedSet // the set at each number, once any process had it
+	packets   []*packet    // in flight, in the order of their sums
+	decided   []decidedSet // the set at each index that any process has applied, in order
 	confirmed [2]bool      // which of the rivals is confirmed
 	budget    budget
-	previous  *searchState
+	previous  *searchState // and what led from it to this one:
 	describe  func() string
-	sum       uint64
+	sum       uint64 // of all but previous
 }
 
-// decidedSet is a number that a process has, and the set there.
-type decidedSet struct{ number, sum uint64 }
+// fork returns a state like this one that follows on it.
+func (st *searchState) fork(describe func() string) *searchState {
+	return &searchState{
+		processes: st.processes,
+		packets:   st.packets,
+		decided:   st.decided,
+		confirmed: st.confirmed,
+		budget:    st.budget,
+		previous:  st,
+		describe:  describe,
+	}
+}
+
+// newPacket returns a packet with its sum.
+func newPacket(from, to int, m Message) *packet {
+	return &packet{from, to, m, digestOf(from, to, m)}
+}
+
+// decidedSet is the checksum of the set that a process has at an index.
+type decidedSet struct{ index, sum uint64 }
 
 // budget is what may still happen.
-type budget struct{ turns, powers, wipes int }
+type budget struct {
+	turns  int // ticks
+	powers int // losses of power
+	wipes  int // losses of a disk
+}
 
+// accessible returns a value that may be read and set, also where its field is not exported.
 func accessible(v reflect.Value) reflect.Value {
 	if v.CanInterface() || !v.CanAddr() {
 		return v
@@ -57,7 +81,7 @@
 	return reflect.NewAt(v.Type(), unsafe.Pointer(v.UnsafeAddr())).Elem()
 }
 
-// deepCopy is a value with nothing in common with the old one but bytes, which nobody changes.
+// deepCopy returns a copy that shares nothing with the value but bytes, which nobody changes.
 func deepCopy(v reflect.Value) reflect.Value {
 	to := reflect.New(v.Type()).Elem()
 	switch v.Kind() {
@@ -106,7 +130,7 @@
 	return to
 }
 
-// digest takes a value into a sum, alike for alike values.
+// digest adds a value to a hash, alike for equal values. Counts of a Node are left out: they have no influence on it.
 func digest(h hash.Hash64, v reflect.Value) {
 	var b [8]byte
 	word := func(x uint64) {
@@ -169,6 +193,7 @@
 	}
 }
 
+// digestOf returns the digest of values.
 func digestOf(all ...any) uint64 {
 	h := fnv.New64a()
 	for _, x := range all {
@@ -177,6 +202,7 @@
 	return h.Sum64()
 }
 
+// computeSum sets the sum, which identifies the state.
 func (st *searchState) computeSum() {
 	h := uint64(14695981039346656037)
 	mix := func(x uint64) { h = bits.RotateLeft64((h^x)*0x9E3779B97F4A7C15, 29) * 1099511628211 }
@@ -190,7 +216,7 @@
 		mix(s.sum)
 	}
 	for _, f := range st.decided {
-		mix(f.number)
+		mix(f.index)
 		mix(f.sum)
 	}
 	for _, l := range st.packets {
@@ -199,6 +225,7 @@
 	st.sum = h
 }
 
+// trace returns the events that led to the state.
 func (st *searchState) trace() string {
 	var all []string
 	for ; st.previous != nil; st = st.previous {
--- a/internal/control/consensus/exhaustive_test.go
+++ b/internal/control/consensus/exhaustive_test.go
@@ -18,24 +18,34 @@
 	"portflow/internal/control/operation"
 )
 
-// All that can happen in a small world, to a depth: messages come in any order or not at all, processes lose their power
-// before a record is synced or after, disks are wiped, time runs out. Each state is seen once. A record is synced at once
-// unless the power goes; what a process tells itself comes at once.
+// The exhaustive search visits all that can happen in a world of a few processes, to a depth: messages arrive in any order or not at
+// all, processes lose power before a write is synced or after it, disks are wiped, time passes. Each state is visited once. A write
+// is synced at once unless the power goes; what a process sends itself arrives at once.
 
 var (
 	searchDepth = flag.Int("depth", 0, "how deep the small worlds are searched, 0 for the depth of every run")
 	maxStates   = flag.Int("states", 0, "at how many states of a small world the search ends, 0 for those of every run")
 )
 
-// stepResult is what came of an event at a process: the same event at the same process always comes to the same.
+// Sums that tell the events of a search apart which are not messages.
+const (
+	tickSum         = 1
+	memberChangeSum = 2
+	rivalSum        = 3
+)
+
+// tickStep is by how much a tick moves a process's clock: beyond all that a proposal waits for.
+const tickStep = 2100 * ms
+
+// stepResult is the result of an event at a process: the same event at the same process always has the same.
 type stepResult struct {
 	after     *process
 	packets   []*packet
 	decided   []decidedSet
 	confirmed [2]bool
-	violation string
 }
 
+// eventKey identifies an event at a process.
 type eventKey struct {
 	process    int
 	processSum uint64
@@ -43,229 +53,331 @@
 	synced     bool
 }
 
-// searcher is a search.
+// transition is an event that may happen next in a state.
+type transition struct {
+	at       int // the index of the process
+	target   *process
+	event    Event
+	eventSum uint64
+	powered  bool // the process keeps its power until its write is synced
+	describe func() string
+	change   func(*searchState) // what else it changes; nil for nothing
+}
+
+// searcher is one search, breadth first.
 type searcher struct {
 	mutation  searchMutant
-	seen      map[uint64]bool
+	seen      map[uint64]bool // sums of the states visited
 	results   map[eventKey]*stepResult
-	processes map[uint64]*process
+	processes map[uint64]*process // all processes visited, by their sums
 	decided   map[decidedSet]bool
-	violation string
-	steps     int
+	violation string // the first that was found, with the events that lead to it
+	steps     int    // calls of Node.Step for different events
 	depth     int
-	complete  bool // all that there is to the depth was seen
+	complete  bool // all states to the depth were visited
 	exhausted bool // nothing more can happen
 }
 
-// searchMutant takes a mend out.
+// searchMutant breaks one of the rules that safety depends on.
 type searchMutant struct {
-	sameIncarnation, unsynced, keepID bool
-	hardState                         func(*HardState)
-	message                           func(h *searcher, p *searchState, l *packet) []*packet
+	sameIncarnation bool // all incarnations of a process use the same ballots
+	unsynced        bool // messages that depend on a write are sent without it
+	keepID          bool // a wiped disk keeps its ID
+	hardState       func(*HardState)
+	message         func(sr *searcher, state *searchState, p *packet) []*packet
 }
 
-// successor is the place after an event at a process, nil where it was seen.
-func (sr *searcher) successor(p *searchState, at int, s *process, e Event, what uint64, power bool, say func() string, change func(*searchState)) *searchState {
-	key := eventKey{at, s.sum, what, power}
+// successor returns the state after a transition, nil if it was visited or is no other.
+func (sr *searcher) successor(state *searchState, t transition) *searchState {
+	result := sr.result(t)
+	if result.after == t.target && len(result.packets) == 0 && t.powered && state.processes[t.at] == t.target {
+		return nil // nothing comes of the message: it is as if it were still in flight
+	}
+	next := state.fork(t.describe)
+	if t.change != nil {
+		t.change(next)
+	}
+	next.processes[t.at] = result.after
+	sr.addPackets(state, next, result.packets)
+	sr.addDecided(next, t.at, result.decided)
+	sr.addConfirmed(next, result.confirmed)
+	return sr.visit(next)
+}
+
+// result returns the result of a transition's event at its process.
+func (sr *searcher) result(t transition) *stepResult {
+	key := eventKey{t.at, t.target.sum, t.eventSum, t.powered}
 	result := sr.results[key]
 	if result == nil {
-		result = sr.step(at, s, e, power)
+		result = sr.step(t.at, t.target, t.event, t.powered)
 		sr.results[key] = result
 	}
-	if result.after == s && len(result.packets) == 0 && power && p.processes[at] == s { // nothing comes of it: it is as if it were still under way
+	return result
+}
+
+// visit returns a state, nil if it was visited before.
+func (sr *searcher) visit(state *searchState) *searchState {
+	state.computeSum()
+	if sr.seen[state.sum] {
 		return nil
 	}
-	q := &searchState{processes: p.processes, packets: p.packets, decided: p.decided, confirmed: p.confirmed, budget: p.budget, previous: p, describe: say}
-	if change != nil {
-		change(q)
-	}
-	q.processes[at] = result.after
-	if result.violation != "" {
-		sr.violation = result.violation + ": " + q.trace()
-	}
-	for _, l := range result.packets {
-		packets := []*packet{l}
+	sr.seen[state.sum] = true
+	return state
+}
+
+// addPackets adds what was sent to the packets in flight. A second one alike would lead to nothing else.
+func (sr *searcher) addPackets(state, next *searchState, sent []*packet) {
+	for _, original := range sent {
+		packets := []*packet{original}
 		if sr.mutation.message != nil {
-			packets = sr.mutation.message(sr, p, l)
+			packets = sr.mutation.message(sr, state, original)
 		}
-		for _, l := range packets {
-			n, there := slices.BinarySearchFunc(q.packets, l, func(a, b *packet) int { return cmp.Compare(a.sum, b.sum) })
-			if !there { // a second one like it tells nothing more
-				q.packets = slices.Insert(slices.Clone(q.packets), n, l)
+		for _, p := range packets {
+			at, exists := slices.BinarySearchFunc(next.packets, p, func(a, b *packet) int { return cmp.Compare(a.sum, b.sum) })
+			if !exists {
+				next.packets = slices.Insert(slices.Clone(next.packets), at, p)
 			}
 		}
 	}
-	for _, f := range result.decided {
-		n, there := slices.BinarySearchFunc(q.decided, f, func(a, b decidedSet) int { return cmp.Compare(a.number, b.number) })
-		if !there {
-			q.decided = slices.Insert(slices.Clone(q.decided), n, f)
-			sr.decided[f] = true
-		} else if q.decided[n] != f {
-			sr.violation = fmt.Sprintf("process %d has another value at number %d: %s", at+1, f.number, q.trace())
+}
+
+// addDecided checks that each index has one set at all processes.
+func (sr *searcher) addDecided(next *searchState, process int, decided []decidedSet) {
+	for _, set := range decided {
+		at, exists := slices.BinarySearchFunc(next.decided, set, func(a, b decidedSet) int { return cmp.Compare(a.index, b.index) })
+		switch {
+		case !exists:
+			next.decided = slices.Insert(slices.Clone(next.decided), at, set)
+			sr.decided[set] = true
+		case next.decided[at] != set:
+			sr.violation = fmt.Sprintf("process %d has another value at number %d: %s", process+1, set.index, next.trace())
 		}
 	}
-	for n, confirmed := range result.confirmed {
-		if q.confirmed[n] = q.confirmed[n] || confirmed; q.confirmed[0] && q.confirmed[1] {
-			sr.violation = "both rivals are confirmed: " + q.trace()
+}
+
+// addConfirmed checks that only one of the rivals is confirmed.
+func (sr *searcher) addConfirmed(next *searchState, confirmed [2]bool) {
+	for rival := range confirmed {
+		next.confirmed[rival] = next.confirmed[rival] || confirmed[rival]
+		if next.confirmed[0] && next.confirmed[1] {
+			sr.violation = "both rivals are confirmed: " + next.trace()
 		}
 	}
-	q.computeSum()
-	if sr.seen[q.sum] {
-		return nil
-	}
-	sr.seen[q.sum] = true
-	return q
 }
 
-// step is one event of a process. Without power it ends before its record is synced.
-func (sr *searcher) step(at int, old *process, e Event, power bool) *stepResult {
+// step has a process handle one event, and all that it sends itself in consequence. Without power it restarts before its write is
+// synced.
+func (sr *searcher) step(at int, old *process, e Event, powered bool) *stepResult {
 	sr.steps++
-	s := *old
-	s.node = deepCopy(reflect.ValueOf(old.node)).Interface().(*Node)
-	e.Now = s.now
+	p := *old
+	p.node = deepCopy(reflect.ValueOf(old.node)).Interface().(*Node)
+	e.Now = p.now
 	result := &stepResult{}
-	ip := fmt.Sprint(at + 1)
 	for queue := []Event{e}; len(queue) > 0; queue = queue[1:] {
-		effects := s.node.Step(queue[0])
-		decided := decidedSet{s.node.Applied(), s.node.Set.Checksum()}
-		if decided.number > 0 && !slices.Contains(result.decided, decided) {
-			result.decided = append(result.decided, decided)
+		effects := p.node.Step(queue[0])
+		result.note(p.node, effects.Answers)
+		if effects.HardState != nil && powered {
+			sr.write(&p, effects)
 		}
-		if effects.HardState != nil && power {
-			s.hardState = *effects.HardState
-			if sr.mutation.hardState != nil {
-				sr.mutation.hardState(&s.hardState)
-			}
-			set := config.NewSet()
-			for _, i := range append(slices.Clone(s.items), effects.SaveItems...) {
-				set.Merge(i)
-			}
-			s.items = set.All()
-		}
-		for _, a := range effects.Answers {
-			if a.Result.Err() == nil && (a.Tag == 1 || a.Tag == 2) {
-				result.confirmed[a.Tag-1] = true
-			}
-		}
-		sends := []map[string][]Message{effects.Send}
-		if power || sr.mutation.unsynced {
-			sends = append(sends, effects.SendAfterSync)
+		queue = append(queue, sr.send(at, p.now, effects, powered, result)...)
+	}
+	if !powered {
+		p.hardState, p.items = old.hardState, old.items
+		result.after = sr.restart(at, p)
+		return result
+	}
+	result.after = sr.intern(p)
+	return result
+}
+
+// note adds the set that a process has now, and the rivals that were confirmed.
+func (r *stepResult) note(node *Node, answers []Answer) {
+	decided := decidedSet{node.Applied(), node.Set.Checksum()}
+	if decided.index > 0 && !slices.Contains(r.decided, decided) {
+		r.decided = append(r.decided, decided)
+	}
+	for _, answer := range answers {
+		if answer.Result.Err() == nil && (answer.Tag == 1 || answer.Tag == 2) {
+			r.confirmed[answer.Tag-1] = true
 		}
-		for _, all := range sends {
-			for _, to := range slices.Sorted(maps.Keys(all)) {
-				for _, m := range all[to] {
-					if to == ip {
-						queue = append(queue, Event{Now: s.now, From: ip, Message: &m})
-						continue
-					}
-					switch m.Kind {
-					case Behind, Forward, ForwardResult, FetchChanges, Changes, SnapshotChunk, ReadIndex, ReadIndexReply, Ahead, Rejected:
-						continue // nothing of what is searched for rests on them
-					}
-					l := &packet{at, int(to[0] - '1'), m, 0}
-					l.sum = digestOf(l.from, l.to, m)
-					result.packets = append(result.packets, l)
+	}
+}
+
+// write writes what a step asks for to the process's disk.
+func (sr *searcher) write(p *process, effects Effects) {
+	p.hardState = *effects.HardState
+	if sr.mutation.hardState != nil {
+		sr.mutation.hardState(&p.hardState)
+	}
+	p.items = newSet(append(slices.Clone(p.items), effects.SaveItems...)).All()
+}
+
+// send adds the messages of a step to its result, and returns those to the process itself as events. Messages that nothing of what is
+// searched for depends on are left out.
+func (sr *searcher) send(from int, now int64, effects Effects, powered bool, result *stepResult) (own []Event) {
+	ip := fmt.Sprint(from + 1)
+	sends := []map[string][]Message{effects.Send}
+	if powered || sr.mutation.unsynced {
+		sends = append(sends, effects.SendAfterSync)
+	}
+	for _, messages := range sends {
+		for _, to := range slices.Sorted(maps.Keys(messages)) {
+			for _, m := range messages[to] {
+				switch {
+				case to == ip:
+					own = append(own, Event{Now: now, From: ip, Message: &m})
+				case isSearched(m.Kind):
+					result.packets = append(result.packets, newPacket(from, int(to[0]-'1'), m))
 				}
 			}
 		}
 	}
-	if !power {
-		s.hardState, s.items = old.hardState, old.items
-		result.after = sr.restart(at, s)
-		return result
-	}
-	result.after = sr.intern(s)
-	return result
+	return own
 }
 
-// intern keeps one of all that are alike.
-func (sr *searcher) intern(s process) *process {
-	s.sum = digestOf(s.node, s.hardState, s.now, s.incarnation)
-	if was, there := sr.processes[s.sum]; there {
-		return was
+// isSearched reports whether messages of a kind are part of the search: those by which values are decided.
+func isSearched(kind MessageKind) bool {
+	switch kind {
+	case Prepare, Promise, Accept, Accepted, Commit, VotePersisted:
+		return true
 	}
-	sr.processes[s.sum] = &s
-	return &s
+	return false
 }
 
-// restart is a new life with what the disk holds. As all that it lacks would come to it by and by, it may propose at once.
-func (sr *searcher) restart(at int, s process) *process {
-	s.incarnation++
-	set := config.NewSet()
-	for _, i := range s.items {
-		set.Merge(i)
+// intern returns the one process that stands for all that are alike.
+func (sr *searcher) intern(p process) *process {
+	p.sum = digestOf(p.node, p.hardState, p.now, p.incarnation)
+	if known, exists := sr.processes[p.sum]; exists {
+		return known
 	}
-	m := allMembers()[at]
-	incarnation := fmt.Sprintf("%s%d", m.Name, s.incarnation)
+	sr.processes[p.sum] = &p
+	return &p
+}
+
+// restart returns the next incarnation of a process, with what its disk holds. All that it lacks would come to it sooner or later, so
+// it may propose at once.
+func (sr *searcher) restart(at int, p process) *process {
+	p.incarnation++
+	member := allMembers()[at]
+	incarnation := fmt.Sprintf("%s%d", member.Name, p.incarnation)
 	if sr.mutation.sameIncarnation {
-		incarnation = m.Name
+		incarnation = member.Name
 	}
-	s.node = New(m, incarnation, 1, s.hardState, set, s.now)
-	if s.node.caughtUp = s.hardState.Applied > 0; s.node.caughtUp {
-		s.node.acceptor.startReplies = nil
+	p.node = New(member, incarnation, 1, p.hardState, newSet(p.items), p.now)
+	p.node.caughtUp = p.hardState.Applied > 0
+	if p.node.caughtUp {
+		p.node.acceptor.startReplies = nil
 	}
-	for _, n := range smallPeers[at] {
-		s.node.peers[allMembers()[n].IP] = Peer{Member: allMembers()[n], Epoch: 1, Applied: 1, CaughtUp: true}
+	for _, other := range worldPeers[at] {
+		peer := allMembers()[other]
+		p.node.peers[peer.IP] = Peer{Member: peer, Epoch: 1, Applied: 1, CaughtUp: true}
 	}
-	return sr.intern(s)
+	return sr.intern(p)
 }
 
-// successors is whatever can happen next.
-func (sr *searcher) successors(p *searchState, each func(*searchState)) {
-	add := func(q *searchState) {
-		if q != nil {
-			each(q)
-		}
+// newSet returns a set of items.
+func newSet(items []config.Item) *config.Set {
+	set := config.NewSet()
+	for _, item := range items {
+		set.Merge(item)
 	}
-	for n, l := range p.packets {
-		m := l.message
-		say := func() string {
-			return fmt.Sprintf("%s %d>%d number %d ballot %v", m.Kind, l.from+1, l.to+1, m.Index, m.Ballot)
+	return set
+}
+
+// successors calls each with all states that may come next.
+func (sr *searcher) successors(state *searchState, each func(*searchState)) {
+	add := func(next *searchState) {
+		if next != nil {
+			each(next)
 		}
-		taken := func(q *searchState) { q.packets = slices.Delete(slices.Clone(q.packets), n, n+1) }
-		e := Event{From: fmt.Sprint(l.from + 1), Message: &m}
-		add(sr.successor(p, l.to, p.processes[l.to], e, l.sum, true, say, taken))
-		if p.budget.powers > 0 {
-			add(sr.successor(p, l.to, p.processes[l.to], e, l.sum, false, func() string { return say() + " without power" }, func(q *searchState) {
-				taken(q)
-				q.budget.powers--
-			}))
+	}
+	for n, p := range state.packets {
+		delivery := sr.delivery(state, n, p)
+		add(sr.successor(state, delivery))
+		if state.budget.powers > 0 {
+			add(sr.successor(state, delivery.withoutPower()))
 		}
 	}
-	for at, s := range p.processes {
-		if p.budget.turns > 0 && at < 2 {
-			later := *s
-			later.now += 2100 * ms
-			add(sr.successor(p, at, sr.intern(later), Event{Tick: true}, 1, true, func() string { return fmt.Sprintf("time at %d", at+1) }, func(q *searchState) { q.budget.turns-- }))
+	for at, target := range state.processes {
+		if state.budget.turns > 0 && at < 2 {
+			add(sr.successor(state, sr.tick(at, target)))
 		}
-		if p.budget.wipes > 0 && at < 3 && !strings.HasSuffix(s.hardState.DiskID, "'") {
-			gone := *s
-			id := s.hardState.DiskID + "'"
-			if sr.mutation.keepID {
-				id = s.hardState.DiskID
-			}
-			gone.hardState, gone.items = HardState{DiskID: id}, nil
-			if sr.mutation.keepID { // all but its votes came to it again
-				gone.hardState.Applied, gone.items = s.hardState.Applied, s.items
-			}
-			q := &searchState{processes: p.processes, packets: p.packets, decided: p.decided, confirmed: p.confirmed, budget: p.budget, previous: p, describe: func() string { return fmt.Sprintf("wiped %d", at+1) }}
-			q.budget.wipes--
-			q.processes[at] = sr.restart(at, gone)
-			if q.computeSum(); !sr.seen[q.sum] {
-				sr.seen[q.sum] = true
-				add(q)
-			}
+		if state.budget.wipes > 0 && at < 3 && !strings.HasSuffix(target.hardState.DiskID, wipedSuffix) {
+			add(sr.wipe(state, at, target))
 		}
 	}
 }
 
+// delivery returns the transition by which the n-th packet in flight arrives.
+func (sr *searcher) delivery(state *searchState, n int, p *packet) transition {
+	m := p.message
+	return transition{
+		at:       p.to,
+		target:   state.processes[p.to],
+		event:    Event{From: fmt.Sprint(p.from + 1), Message: &m},
+		eventSum: p.sum,
+		powered:  true,
+		describe: func() string {
+			return fmt.Sprintf("%s %d>%d number %d ballot %v", m.Kind, p.from+1, p.to+1, m.Index, m.Ballot)
+		},
+		change: func(next *searchState) { next.packets = slices.Delete(slices.Clone(next.packets), n, n+1) },
+	}
+}
+
+// withoutPower returns the transition where the process loses its power before its write is synced.
+func (t transition) withoutPower() transition {
+	powered := t
+	t.powered = false
+	t.describe = func() string { return powered.describe() + " without power" }
+	t.change = func(next *searchState) {
+		powered.change(next)
+		next.budget.powers--
+	}
+	return t
+}
+
+// tick returns the transition by which time passes at a process.
+func (sr *searcher) tick(at int, target *process) transition {
+	later := *target
+	later.now += tickStep
+	return transition{
+		at:       at,
+		target:   sr.intern(later),
+		event:    Event{Tick: true},
+		eventSum: tickSum,
+		powered:  true,
+		describe: func() string { return fmt.Sprintf("time at %d", at+1) },
+		change:   func(next *searchState) { next.budget.turns-- },
+	}
+}
+
+// wipedSuffix marks the ID of a disk that was wiped.
+const wipedSuffix = "'"
+
+// wipe returns the state after a process has lost its disk and has restarted, nil if it was visited.
+func (sr *searcher) wipe(state *searchState, at int, target *process) *searchState {
+	wiped := *target
+	wiped.hardState = HardState{DiskID: target.hardState.DiskID + wipedSuffix}
+	wiped.items = nil
+	if sr.mutation.keepID { // it has fetched again all but its votes
+		wiped.hardState = HardState{DiskID: target.hardState.DiskID, Applied: target.hardState.Applied}
+		wiped.items = target.items
+	}
+	next := state.fork(func() string { return fmt.Sprintf("wiped %d", at+1) })
+	next.budget.wipes--
+	next.processes[at] = sr.restart(at, wiped)
+	return sr.visit(next)
+}
+
+// newcomer is the process that is no member at first.
 var newcomer = membership.Member{IP: "4", ID: "d", Name: "D", Zone: "4"}
 
-func smallMembership() (l membership.List) {
-	l.Epoch, l.Members = 1, allMembers()[:3]
-	return l
+// firstMembership returns the members that a world begins with.
+func firstMembership() membership.List {
+	return membership.List{Epoch: 1, Members: allMembers()[:3]}
 }
 
+// allMembers returns all processes of a world.
 func allMembers() (all []membership.Member) {
 	for n, name := range []string{"A", "B", "C", "D"} {
 		all = append(all, membership.Member{IP: fmt.Sprint(n + 1), ID: strings.ToLower(name), Name: name, Zone: fmt.Sprint(n + 1)})
@@ -273,34 +385,47 @@
 	return all
 }
 
-// smallPeers is who hears whom: the second doesn't hear the first, so that both propose.
-var smallPeers = [][]int{{1, 2, 3}, {2, 3}, {0, 1}, {0, 1}}
+// worldPeers says which processes each is connected to: the second not to the first, so that both propose.
+var worldPeers = [][]int{{1, 2, 3}, {2, 3}, {0, 1}, {0, 1}}
 
-// initial is where a search begins: three members at number 1, a newcomer that holds the same, and rival orders at the first and
-// second.
-func (sr *searcher) initial(left budget, more map[int]operation.Operation) *searchState {
-	p := &searchState{budget: left}
-	items := []config.Item{smallMembership().Item(), item(config.KindServices, "desk", 1, `{"health-path":"/","name":"desk"}`)}
-	for n, m := range allMembers() {
-		p.processes[n] = sr.restart(n, process{hardState: HardState{DiskID: m.ID, Applied: 1}, items: items, now: 1000 * second})
+// initialState returns the state where a search begins: three members at index 1, a newcomer that has the same, and rival operations
+// submitted to the first and second.
+func (sr *searcher) initialState(left budget, more map[int]operation.Operation) *searchState {
+	state := &searchState{budget: left}
+	items := []config.Item{firstMembership().Item(), item(config.KindServices, "desk", 1, `{"health-path":"/","name":"desk"}`)}
+	for n, member := range allMembers() {
+		state.processes[n] = sr.restart(n, process{hardState: HardState{DiskID: member.ID, Applied: 1}, items: items, now: 1000 * second})
 	}
 	for n := range 2 {
-		if o, there := more[n]; there {
-			p = sr.successor(p, n, p.processes[n], Event{Operation: &o, Tag: 9}, 2, true, nil, nil)
+		if change, exists := more[n]; exists {
+			state = sr.submit(state, n, change, 9, memberChangeSum)
 		}
-		o := operation.Operation{Kind: operation.ModifyConfig, Items: []config.Item{item(config.KindServices, "gate", 1, fmt.Sprintf(`{"health-path":"/%d","name":"gate"}`, n))}}
-		p = sr.successor(p, n, p.processes[n], Event{Operation: &o, Tag: uint64(n + 1)}, 3, true, nil, nil)
+		body := fmt.Sprintf(`{"health-path":"/%d","name":"gate"}`, n)
+		rival := operation.Operation{Kind: operation.ModifyConfig, Items: []config.Item{item(config.KindServices, "gate", 1, body)}}
+		state = sr.submit(state, n, rival, uint64(n+1), rivalSum)
 	}
-	p.previous = nil
-	return p
+	state.previous = nil
+	return state
 }
 
+// submit returns the state after an operation is submitted to a process.
+func (sr *searcher) submit(state *searchState, at int, op operation.Operation, tag, eventSum uint64) *searchState {
+	return sr.successor(state, transition{
+		at:       at,
+		target:   state.processes[at],
+		event:    Event{Operation: &op, Tag: tag},
+		eventSum: eventSum,
+		powered:  true,
+	})
+}
+
+// swap returns a change of members.
 func swap(in membership.Member, out ...string) operation.Operation {
 	return operation.Operation{Kind: operation.ChangeMembers, Add: []membership.Member{in}, Remove: out}
 }
 
-// smallWorlds are what is searched: what may happen, and who asks for other members.
-var smallWorlds = map[string]struct {
+// worlds are the worlds that are searched: what may happen in each, and which processes are asked to change the members.
+var worlds = map[string]struct {
 	left budget
 	more map[int]operation.Operation
 }{
@@ -314,16 +439,19 @@
 	"two lists, power and wipe":       {budget{turns: 1, powers: 1, wipes: 1}, map[int]operation.Operation{0: swap(newcomer, "3"), 1: swap(newcomer, "1")}},
 }
 
-// run goes level by level, until a fault, the depth or as many states as may be.
-func (sr *searcher) run(name string, deepest, most int) {
-	w := smallWorlds[name]
-	sr.seen, sr.results, sr.processes, sr.decided = map[uint64]bool{}, map[eventKey]*stepResult{}, map[uint64]*process{}, map[decidedSet]bool{}
-	level := []*searchState{sr.initial(w.left, w.more)}
-	for sr.depth = 0; sr.depth < deepest && len(level) > 0; sr.depth++ {
+// run visits the states of a world level by level, until a violation, the depth or the limit of states.
+func (sr *searcher) run(name string, maxDepth, stateLimit int) {
+	world := worlds[name]
+	sr.seen = map[uint64]bool{}
+	sr.results = map[eventKey]*stepResult{}
+	sr.processes = map[uint64]*process{}
+	sr.decided = map[decidedSet]bool{}
+	level := []*searchState{sr.initialState(world.left, world.more)}
+	for sr.depth = 0; sr.depth < maxDepth && len(level) > 0; sr.depth++ {
 		var next []*searchState
-		for _, p := range level {
-			sr.successors(p, func(q *searchState) { next = append(next, q) })
-			if sr.violation != "" || len(sr.seen) > most {
+		for _, state := range level {
+			sr.successors(state, func(successor *searchState) { next = append(next, successor) })
+			if sr.violation != "" || len(sr.seen) > stateLimit {
 				return
 			}
 		}
@@ -332,25 +460,25 @@
 	sr.complete, sr.exhausted = true, len(level) == 0
 }
 
-// Whatever order messages come in, whoever loses power or disk, and while members change: two halves never both confirm, and a
-// number has one value.
+// In whatever order messages arrive, whoever loses power or disk, and while members change: rivals are never both confirmed, and an index
+// has one value.
 func TestExhaustiveSearch(t *testing.T) {
-	for _, name := range slices.Sorted(maps.Keys(smallWorlds)) {
+	for _, name := range slices.Sorted(maps.Keys(worlds)) {
 		t.Run(name, func(t *testing.T) {
-			h, began := &searcher{}, time.Now()
-			h.run(name, cmp.Or(*searchDepth, 10), cmp.Or(*maxStates, fewStates))
-			if h.violation != "" {
-				t.Error(h.violation)
+			sr, began := &searcher{}, time.Now()
+			sr.run(name, cmp.Or(*searchDepth, 10), cmp.Or(*maxStates, defaultStates))
+			if sr.violation != "" {
+				t.Error(sr.violation)
 			}
 			t.Logf("%d states to depth %d (all of them: %v, and nothing more can happen: %v), %d different steps of %d different processes, %d different numbers, %v",
-				len(h.seen), h.depth, h.complete, h.exhausted, h.steps, len(h.processes), len(h.decided), time.Since(began).Round(time.Millisecond))
+				len(sr.seen), sr.depth, sr.complete, sr.exhausted, sr.steps, len(sr.processes), len(sr.decided), time.Since(began).Round(time.Millisecond))
 		})
 	}
 }
 
-// smallMutants are mends taken out in the small worlds, with the world that shows it. Those that need what is fetched or more
-// than twenty steps are shown by the drawn days alone.
-var smallMutants = map[string]struct {
+// searchMutants each break a rule, with the world that shows it. Those that need catch-up or more than twenty steps are shown by the
+// random faults alone.
+var searchMutants = map[string]struct {
 	world string
 	wrong searchMutant
 }{
@@ -363,32 +491,28 @@
 		if m.Kind == Promise {
 			m.Accepted, m.Value = Ballot{}, nil
 		}
-		return []*packet{addPacket(l.from, l.to, m)}
+		return []*packet{newPacket(l.from, l.to, m)}
 	}}},
 	"a ballot that was promised away is voted for": {"rivals", searchMutant{message: func(_ *searcher, p *searchState, l *packet) []*packet {
 		if l.message.Kind == Accept && l.message.Ballot.Less(p.processes[l.to].hardState.Promised) {
 			m := Message{Kind: Accepted, Index: l.message.Index, Ballot: l.message.Ballot, Epoch: 1, DiskID: p.processes[l.to].hardState.DiskID}
-			return []*packet{l, addPacket(l.to, l.from, m)}
+			return []*packet{l, newPacket(l.to, l.from, m)}
 		}
 		return []*packet{l}
 	}}},
 }
 
-func addPacket(from, to int, m Message) *packet {
-	return &packet{from, to, m, digestOf(from, to, m)}
-}
-
-// The search finds what it is for: with a mend taken out two halves confirm, or a number has two values.
+// The search finds what it is for: with a rule broken both rivals are confirmed, or an index has two values.
 func TestExhaustiveSearchFindsMutants(t *testing.T) {
-	for _, name := range slices.Sorted(maps.Keys(smallMutants)) {
+	for _, name := range slices.Sorted(maps.Keys(searchMutants)) {
 		t.Run(name, func(t *testing.T) {
-			m := smallMutants[name]
-			h, began := &searcher{mutation: m.wrong}, time.Now()
-			h.run(m.world, cmp.Or(*searchDepth, 30), cmp.Or(*maxStates, 2000000))
-			if h.violation == "" {
-				t.Fatalf("nothing found in %d states to depth %d, %v", len(h.seen), h.depth, time.Since(began))
+			m := searchMutants[name]
+			sr, began := &searcher{mutation: m.wrong}, time.Now()
+			sr.run(m.world, cmp.Or(*searchDepth, 30), cmp.Or(*maxStates, 2000000))
+			if sr.violation == "" {
+				t.Fatalf("nothing found in %d states to depth %d, %v", len(sr.seen), sr.depth, time.Since(began))
 			}
-			t.Logf("found at depth %d, after %d states, %v: %s", h.depth+1, len(h.seen), time.Since(began).Round(time.Millisecond), h.violation)
+			t.Logf("found at depth %d, after %d states, %v: %s", sr.depth+1, len(sr.seen), time.Since(began).Round(time.Millisecond), sr.violation)
 		})
 	}
 }
--- a/internal/control/consensus/faults_test.go
+++ b/internal/control/consensus/faults_test.go
@@ -8,178 +8,260 @@
 	"portflow/internal/control/membership"
 )
 
-// injectFault is one, drawn, with its end.
+// maxMachines is how many machines a simulation has beyond which none is replaced by a new one.
+const maxMachines = 16
+
+// faults are what may be done to a machine, each equally likely; a span is how long a fault lasts.
+var faults = [...]func(sim *simulation, m *machine, span int64){
+	(*simulation).kill,
+	(*simulation).kill,
+	(*simulation).cutPower,
+	(*simulation).cutPowerOfMany,
+	(*simulation).loseDisk,
+	(*simulation).loseDisk,
+	(*simulation).splitInTwo,
+	(*simulation).isolate,
+	(*simulation).splitOneWay,
+	(*simulation).isolateOneWay,
+	(*simulation).slowDisk,
+	(*simulation).hangDisk,
+	(*simulation).delayMessages,
+	(*simulation).freezeRunning,
+	(*simulation).replaceMachine,
+	(*simulation).hangAllDisks,
+	(*simulation).cutPowerInTurn,
+}
+
+// injectFault injects a random fault, which ends by itself.
 func (sim *simulation) injectFault() {
-	m := sim.machines[sim.random.IntN(len(sim.machines))]
+	m := sim.machines[sim.rand.IntN(len(sim.machines))]
 	span := sim.between(100*ms, 6*second)
-	restart := func(m *machine) func() {
-		return func() {
-			if !m.removed {
-				sim.start(m)
-			}
-		}
-	}
-	what := sim.random.IntN(17)
-	sim.log("%.3f harm %d at %s", float64(sim.now)/1e9, what, m.ip)
-	switch what {
-	case 0, 1:
-		sim.tally["kills"]++
-		sim.stop(m, false)
-		sim.after(span, restart(m))
-	case 2:
-		sim.tally["powers"]++
-		sim.stop(m, true)
-		sim.after(span, restart(m))
-	case 3: // many at once lose their power, sometimes all
-		sim.tally["together"]++
-		all := sim.random.IntN(3) == 0
-		for _, m := range sim.machines {
-			if all || sim.random.IntN(2) == 0 {
-				sim.stop(m, true)
-				sim.after(sim.between(100*ms, 3*second), restart(m))
-			}
-		}
-	case 4, 5:
-		if !sim.survivesLoss(m) {
-			return
-		}
-		sim.tally["wipes"]++
-		sim.stop(m, true)
-		sim.wipeDisk(m)
-		sim.after(span/2, restart(m))
-	case 6:
-		sim.tally["parted"]++
-		side := sim.random.Uint64()
-		sim.partition(span, func(a, b *machine) bool { return side>>a.n&1 != side>>b.n&1 })
-	case 7:
-		sim.tally["parted"]++
-		sim.partition(span, func(a, b *machine) bool { return a == m || b == m })
-	case 8:
-		sim.tally["oneWay"]++
-		side := sim.random.Uint64()
-		sim.partition(span, func(a, b *machine) bool { return side>>a.n&1 != 0 && side>>b.n&1 == 0 })
-	case 9:
-		sim.tally["oneWay"]++
-		out := sim.random.IntN(2) == 0
-		sim.partition(span, func(a, b *machine) bool { return out && a == m || !out && b == m })
-	case 10:
-		sim.tally["slow"]++
-		m.maxSync = sim.maxSync + sim.between(10*ms, 400*ms)
-		sim.after(span, func() { m.maxSync = sim.maxSync })
-	case 11:
-		sim.tally["hung"]++
-		m.diskHung = true
-		sim.after(span, func() { m.diskHung = false; sim.startSync(m) })
-	case 12:
-		sim.tally["late"]++
-		for _, o := range sim.machines {
-			if o != m && sim.random.IntN(2) == 0 {
-				l, _ := sim.line(m, o)
-				l.extraDelay = sim.between(10*ms, 800*ms)
-				sim.after(span, func() { l.extraDelay = 0 })
-			}
-		}
-	case 13:
-		if !m.up || m.frozen {
-			return
-		}
-		sim.tally["frozen"]++
-		sim.freeze(m, span)
-	case 15: // all disks hang for a moment, and some lose their power meanwhile
-		sim.tally["stalled"]++
-		span = sim.between(20*ms, 500*ms)
-		for _, m := range sim.machines {
-			m.diskHung = true
-			sim.after(span, func() { m.diskHung = false; sim.startSync(m) })
-			if sim.random.IntN(2) == 0 {
-				sim.after(sim.between(0, span+50*ms), func() {
-					sim.stop(m, true)
-					sim.after(sim.between(0, 200*ms), restart(m))
-				})
-			}
-		}
-	case 16: // some lose their power for a moment, one after the other
-		sim.tally["blinks"]++
-		for range sim.between(2, 6) {
-			m := sim.machines[sim.random.IntN(len(sim.machines))]
-			sim.after(sim.between(0, 2*second), func() {
-				sim.stop(m, true)
-				sim.after(sim.between(0, 30*ms), restart(m))
-			})
-		}
-	case 14: // a new machine in the place of one that may come back later
-		if m.removed || !sim.survivesLoss(m) || len(sim.machines) > 16 {
-			return
+	fault := sim.rand.IntN(len(faults))
+	sim.log("%.3f fault %d at %s", float64(sim.now)/1e9, fault, m.ip)
+	faults[fault](sim, m, span)
+}
+
+// restartAfter starts a machine after a time, unless it was removed since.
+func (sim *simulation) restartAfter(m *machine, delay int64) {
+	sim.after(delay, func() {
+		if !m.removed {
+			sim.start(m)
 		}
-		sim.tally["replaced"]++
-		sim.stop(m, true)
-		m.removed = true
-		sim.lostDisks = append(sim.lostDisks, lostDisk{membership.Member{IP: m.ip, ID: m.disk.DiskID}, sim.now})
-		next := sim.machine(int(m.zone[1] - '0'))
-		sim.after(sim.between(0, 4*second), func() { sim.start(next) })
-		if sim.random.IntN(2) == 0 {
-			sim.after(sim.between(5*second, 20*second), func() {
-				sim.tally["back"]++
-				sim.start(m)
-			})
+	})
+}
+
+func (sim *simulation) kill(m *machine, span int64) {
+	sim.tally["kills"]++
+	sim.stop(m, false)
+	sim.restartAfter(m, span)
+}
+
+func (sim *simulation) cutPower(m *machine, span int64) {
+	sim.tally["powers"]++
+	sim.stop(m, true)
+	sim.restartAfter(m, span)
+}
+
+// cutPowerOfMany takes the power from many machines at once, sometimes from all.
+func (sim *simulation) cutPowerOfMany(_ *machine, _ int64) {
+	sim.tally["together"]++
+	all := sim.rand.IntN(3) == 0
+	for _, m := range sim.machines {
+		if all || sim.rand.IntN(2) == 0 {
+			sim.stop(m, true)
+			sim.restartAfter(m, sim.between(100*ms, 3*second))
 		}
 	}
 }
 
+// cutPowerInTurn takes the power from some machines for a moment, one after the other.
+func (sim *simulation) cutPowerInTurn(_ *machine, _ int64) {
+	sim.tally["blinks"]++
+	for range sim.between(2, 6) {
+		m := sim.machines[sim.rand.IntN(len(sim.machines))]
+		sim.after(sim.between(0, 2*second), func() {
+			sim.stop(m, true)
+			sim.restartAfter(m, sim.between(0, 30*ms))
+		})
+	}
+}
+
+func (sim *simulation) loseDisk(m *machine, span int64) {
+	if !sim.survivesLoss(m) {
+		return
+	}
+	sim.tally["wipes"]++
+	sim.stop(m, true)
+	sim.wipeDisk(m)
+	sim.restartAfter(m, span/2)
+}
+
+// wipeDisk gives a machine an empty disk.
 func (sim *simulation) wipeDisk(m *machine) {
 	sim.diskIDs++
 	id := fmt.Sprintf("d%d", sim.diskIDs)
 	if sim.mutation.keepID {
-		id = m.disk.DiskID
+		id = m.hardState.DiskID
 	}
-	sim.lostDisks = append(sim.lostDisks, lostDisk{membership.Member{IP: m.ip, ID: m.disk.DiskID}, sim.now})
-	m.disk, m.items, m.applied = HardState{DiskID: id}, map[config.Key]config.Item{}, 0
-	if sim.mutation.founder && slices.Contains(sim.founders, m.ip) {
-		m.disk.Founders = sim.founders
+	sim.noteLostDisk(m)
+	m.hardState = HardState{DiskID: id}
+	m.items = map[config.Key]config.Item{}
+	m.applied = 0
+	if sim.mutation.keepFounders && slices.Contains(sim.founders, m.ip) {
+		m.hardState.Founders = sim.founders
 	}
 }
 
-// partition holds all between two machines, one way, where which says so.
-func (sim *simulation) partition(span int64, which func(from, to *machine) bool) {
-	var all [][2]*machine
-	for _, a := range sim.machines {
-		for _, b := range sim.machines {
-			if a != b && which(a, b) {
-				sim.cutLink(a, b)
-				all = append(all, [2]*machine{a, b})
+func (sim *simulation) noteLostDisk(m *machine) {
+	sim.lostDisks = append(sim.lostDisks, lostDisk{membership.Member{IP: m.ip, ID: m.hardState.DiskID}, sim.now})
+}
+
+// replaceMachine starts a new machine in the place of one that may come back later.
+func (sim *simulation) replaceMachine(m *machine, _ int64) {
+	if m.removed || !sim.survivesLoss(m) || len(sim.machines) > maxMachines {
+		return
+	}
+	sim.tally["replaced"]++
+	sim.stop(m, true)
+	m.removed = true
+	sim.noteLostDisk(m)
+	next := sim.addMachine(int(m.zone[1] - '0'))
+	sim.after(sim.between(0, 4*second), func() { sim.start(next) })
+	if sim.rand.IntN(2) == 0 {
+		sim.after(sim.between(5*second, 20*second), func() {
+			sim.tally["back"]++
+			sim.start(m)
+		})
+	}
+}
+
+// splitInTwo cuts the network into two random halves.
+func (sim *simulation) splitInTwo(_ *machine, span int64) {
+	sim.tally["parted"]++
+	side := sim.rand.Uint64()
+	sim.partition(span, func(a, b *machine) bool { return side>>a.id&1 != side>>b.id&1 })
+}
+
+func (sim *simulation) isolate(m *machine, span int64) {
+	sim.tally["parted"]++
+	sim.partition(span, func(a, b *machine) bool { return a == m || b == m })
+}
+
+// splitOneWay cuts the network into two random halves, in one direction.
+func (sim *simulation) splitOneWay(_ *machine, span int64) {
+	sim.tally["oneWay"]++
+	side := sim.rand.Uint64()
+	sim.partition(span, func(a, b *machine) bool { return side>>a.id&1 != 0 && side>>b.id&1 == 0 })
+}
+
+// isolateOneWay holds all that a machine sends, or all that is sent to it.
+func (sim *simulation) isolateOneWay(m *machine, span int64) {
+	sim.tally["oneWay"]++
+	outgoing := sim.rand.IntN(2) == 0
+	sim.partition(span, func(a, b *machine) bool { return outgoing && a == m || !outgoing && b == m })
+}
+
+// partition cuts the links from one machine to another for which isCut is true.
+func (sim *simulation) partition(span int64, isCut func(from, to *machine) bool) {
+	var cut [][2]*machine
+	for _, from := range sim.machines {
+		for _, to := range sim.machines {
+			if from != to && isCut(from, to) {
+				sim.cutLink(from, to)
+				cut = append(cut, [2]*machine{from, to})
 			}
 		}
 	}
 	sim.after(span, func() {
-		for _, x := range all {
-			sim.healLink(x[0], x[1])
+		for _, pair := range cut {
+			sim.healLink(pair[0], pair[1])
 		}
 	})
 }
 
+// delayMessages delays messages between a machine and some others.
+func (sim *simulation) delayMessages(m *machine, span int64) {
+	sim.tally["late"]++
+	for _, other := range sim.machines {
+		if other != m && sim.rand.IntN(2) == 0 {
+			l, _ := sim.link(m, other)
+			l.extraDelay = sim.between(10*ms, 800*ms)
+			sim.after(span, func() { l.extraDelay = 0 })
+		}
+	}
+}
+
+func (sim *simulation) slowDisk(m *machine, span int64) {
+	sim.tally["slow"]++
+	m.maxSync = sim.maxSync + sim.between(10*ms, 400*ms)
+	sim.after(span, func() { m.maxSync = sim.maxSync })
+}
+
+func (sim *simulation) hangDisk(m *machine, span int64) {
+	sim.tally["hung"]++
+	sim.hangDiskFor(m, span)
+}
+
+func (sim *simulation) hangDiskFor(m *machine, span int64) {
+	m.diskHung = true
+	sim.after(span, func() {
+		m.diskHung = false
+		sim.startSync(m)
+	})
+}
+
+// hangAllDisks hangs all disks for a moment, while some machines lose their power.
+func (sim *simulation) hangAllDisks(_ *machine, _ int64) {
+	sim.tally["stalled"]++
+	span := sim.between(20*ms, 500*ms)
+	for _, m := range sim.machines {
+		sim.hangDiskFor(m, span)
+		if sim.rand.IntN(2) == 0 {
+			sim.after(sim.between(0, span+50*ms), func() {
+				sim.stop(m, true)
+				sim.restartAfter(m, sim.between(0, 200*ms))
+			})
+		}
+	}
+}
+
+func (sim *simulation) freezeRunning(m *machine, span int64) {
+	if !m.up || m.frozen {
+		return
+	}
+	sim.tally["frozen"]++
+	sim.freeze(m, span)
+}
+
+// freeze stops a process without its end: it handles nothing until it thaws, and then all that has come meanwhile. Its peers notice.
 func (sim *simulation) freeze(m *machine, span int64) {
 	m.frozen, m.frozenAt = true, sim.now
-	life := m.incarnation
-	for _, o := range sim.machines {
-		if o != m {
-			sim.noticeLater(o, m, sim.between(second, 2*second), func() bool {
-				if !m.frozen || m.incarnation != life {
-					return false
-				}
-				sim.breakLink(m, o)
-				return true
-			})
+	incarnation := m.incarnation
+	for _, other := range sim.machines {
+		if other == m {
+			continue
 		}
+		sim.noticeLater(other, m, sim.between(second, 2*second), func() bool {
+			if !m.frozen || m.incarnation != incarnation {
+				return false
+			}
+			sim.breakLink(m, other)
+			return true
+		})
 	}
 	sim.after(span, func() {
-		if !m.up || m.incarnation != life {
-			return
-		}
-		m.frozen, m.frozenAt = false, sim.now
-		for len(m.backlog) > 0 && m.up && !m.frozen {
-			do := m.backlog[0]
-			m.backlog = m.backlog[1:]
-			do()
+		if m.up && m.incarnation == incarnation {
+			m.thaw(sim.now)
 		}
 	})
 }
+
+// thaw handles all that has come while a process was frozen.
+func (m *machine) thaw(now int64) {
+	m.frozen, m.frozenAt = false, now
+	for len(m.backlog) > 0 && m.up && !m.frozen {
+		do := m.backlog[0]
+		m.backlog = m.backlog[1:]
+		do()
+	}
+}
--- a/internal/control/consensus/idempotence_test.go
+++ b/internal/control/consensus/idempotence_test.go
@@ -17,7 +17,7 @@
 	running := rollout.Rollout{Service: "desk", Number: 1, Target: "v2", Duration: 10 * second, State: rollout.Running}
 	over := running
 	over.State = rollout.RolledBack
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		order       operation.Operation
 		made, later config.Item
 	}{
@@ -52,9 +52,9 @@
 						say(2, Message{Kind: Promise, Index: m.Index, Ballot: m.Ballot})
 					case m.Kind == Accept:
 						for _, i := range m.Value {
-							if i.Key() == x.made.Key() {
+							if i.Key() == test.made.Key() {
 								proposed++
-								c.Check(i.Version, qt.Equals, x.made.Version)
+								c.Check(i.Version, qt.Equals, test.made.Version)
 							}
 						}
 						if helpful {
@@ -66,15 +66,15 @@
 				}
 			}
 			step(Event{From: l.Members[2].IP, Peer: &Peer{Member: l.Members[2], Epoch: 1, Applied: 1, CaughtUp: true}})
-			step(Event{Operation: &x.order, Tag: 1})
+			step(Event{Operation: &test.order, Tag: 1})
 			c.Assert(proposed, qt.Equals, 1)
 			decides := func(number uint64, value config.Item) { // by another, who took the vote over
 				say(0, Message{Kind: Accept, Index: number, Ballot: Ballot{1000 * number, "other"}, Value: []config.Item{value}})
 				say(0, Message{Kind: Commit, Index: number, Ballot: Ballot{1000 * number, "other"}})
 				c.Assert(n.Applied(), qt.Equals, number)
 			}
-			decides(2, x.made)
-			decides(3, x.later)
+			decides(2, test.made)
+			decides(3, test.later)
 			helpful, proposed = true, 0
 			for range 60 {
 				now += second / 20
--- a/internal/control/consensus/incarnation_test.go
+++ b/internal/control/consensus/incarnation_test.go
@@ -9,39 +9,39 @@
 // twoIncarnations plays a proposer that loses its power before its own promise is synced, after another has voted for its value; in
 // its next life it proposes otherwise to who hasn't. It tells what stands at number 2 at each.
 func twoIncarnations(c *qt.C, first, next string) (at map[string]string) {
-	p := newTestCluster(3, 0, 3)
-	p.start("1", first)
-	p.start("2", "")
-	p.start("3", "")
-	p.connectAll()
-	p.run(2 * second)
-	before, items := p.members["1"].diskImage()
+	tc := newTestCluster(3, 0, 3)
+	tc.start("1", first)
+	tc.start("2", "")
+	tc.start("3", "")
+	tc.connectAll()
+	tc.run(2 * second)
+	before, items := tc.members["1"].diskImage()
 
 	// promised by 2 and 3, voted for by 2; the disk of 1 is still writing
-	p.allowed = func(from, to string, m Message) bool {
+	tc.deliverable = func(from, to string, m Message) bool {
 		return m.Kind == Promise || m.Kind == Prepare && to != "1" || m.Kind == Accept && to == "2"
 	}
-	p.submit("1", serviceOperation("gate", 1, "one"))
-	c.Assert(p.members["2"].hardState.AcceptedIndex, qt.Equals, uint64(2), qt.Commentf("%v", p.members["1"].node))
-	c.Assert(p.members["3"].hardState.AcceptedIndex, qt.Equals, uint64(0))
-	p.stop("1")
-	p.members["1"].hardState, p.members["1"].items = before, items
+	tc.submit("1", serviceOperation("gate", 1, "one"))
+	c.Assert(tc.members["2"].hardState.AcceptedIndex, qt.Equals, uint64(2), qt.Commentf("%v", tc.members["1"].node))
+	c.Assert(tc.members["3"].hardState.AcceptedIndex, qt.Equals, uint64(0))
+	tc.stop("1")
+	tc.members["1"].hardState, tc.members["1"].items = before, items
 
 	// it starts again, hears 3 only, and proposes otherwise; what it decided is told to 2
-	p.start("1", next)
-	p.allowed = func(from, to string, m Message) bool { return from != "2" && (to != "2" || m.Kind == Commit) }
-	p.connectAll()
-	p.run(second)
-	p.setHeard("1", "2", true)
-	tag := p.submit("1", serviceOperation("gate", 1, "two"))
-	p.run(second)
-	c.Assert(p.isConfirmed(tag), qt.IsTrue)
+	tc.start("1", next)
+	tc.deliverable = func(from, to string, m Message) bool { return from != "2" && (to != "2" || m.Kind == Commit) }
+	tc.connectAll()
+	tc.run(second)
+	tc.setHeard("1", "2", true)
+	tag := tc.submit("1", serviceOperation("gate", 1, "two"))
+	tc.run(second)
+	c.Assert(tc.isConfirmed(tag), qt.IsTrue)
 	at = map[string]string{}
-	p.allowed = nil
-	p.run(5 * second)
-	for _, ip := range p.ips {
-		c.Check(p.members[ip].node.Applied() >= 2, qt.IsTrue)
-		at[ip] = p.serviceBody(ip, "gate")
+	tc.deliverable = nil
+	tc.run(5 * second)
+	for _, ip := range tc.ips {
+		c.Check(tc.members[ip].node.Applied() >= 2, qt.IsTrue)
+		at[ip] = tc.serviceBody(ip, "gate")
 	}
 	return at
 }
--- a/internal/control/consensus/invariants_test.go
+++ b/internal/control/consensus/invariants_test.go
@@ -13,6 +13,35 @@
 	"portflow/internal/control/operation"
 )
 
+// decidedState is the set as it was at a number.
+type decidedState struct {
+	sum       uint64
+	items     map[config.Key]config.Item
+	reachedAt int64
+}
+
+// violation is a fault that was found. It is unsafe, or else something that should have come to its end did not.
+type violation struct {
+	message      string
+	livenessOnly bool
+}
+
+func (b *violation) String() string {
+	if b == nil {
+		return ""
+	}
+	return b.message
+}
+
+func (sim *simulation) fail(format string, args ...any) {
+	panic(&violation{fmt.Sprintf("at %.3f s: ", float64(sim.now)/1e9) + fmt.Sprintf(format, args...), false})
+}
+
+// failLiveness is for what should have come to its end.
+func (sim *simulation) failLiveness(format string, args ...any) {
+	panic(&violation{fmt.Sprintf("at %.3f s: ", float64(sim.now)/1e9) + fmt.Sprintf(format, args...), true})
+}
+
 // checkState holds a process against what was ever decided.
 func (sim *simulation) checkState(m *machine) {
 	n, sum := m.node.Applied(), m.node.Set.Checksum()
@@ -37,14 +66,14 @@
 		s.items[i.Key()] = i
 	}
 	sim.states = append(sim.states, s)
-	delete(sim.proposedLists, n)
+	delete(sim.proposedMemberships, n)
 	sim.tally["numbers"]++
 	l := m.node.Membership()
 	raw, _ := json.Marshal(l)
-	if was, there := sim.lists[l.Epoch]; there && was != string(raw) {
+	if was, there := sim.membershipByEpoch[l.Epoch]; there && was != string(raw) {
 		sim.fail("two lists of epoch %d: %s and %s", l.Epoch, was, raw)
 	} else if !there {
-		sim.lists[l.Epoch] = string(raw)
+		sim.membershipByEpoch[l.Epoch] = string(raw)
 		sim.tally["lists"]++
 	}
 	if n > 1 {
@@ -53,26 +82,26 @@
 }
 
 // checkTransition holds one state against the one before.
-func (sim *simulation) checkTransition(was, is decidedState, n uint64) {
-	for k, i := range was.items {
-		if j, there := is.items[k]; !there || j.Version < i.Version || j.Version == i.Version && !j.Equal(i) {
+func (sim *simulation) checkTransition(before, after decidedState, n uint64) {
+	for k, i := range before.items {
+		if j, there := after.items[k]; !there || j.Version < i.Version || j.Version == i.Version && !j.Equal(i) {
 			sim.fail("at number %d %s follows on %s", n, describeItem(j), describeItem(i))
 		}
 	}
 	// a call stands as a whole
-	for k, i := range is.items {
-		if !was.items[k].Equal(i) {
+	for k, i := range after.items {
+		if !before.items[k].Equal(i) {
 			sim.log("%.3f number %d: %s", float64(sim.now)/1e9, n, describeItem(i))
 		}
-		if i.Deleted || was.items[k].Equal(i) { // drops of many calls are alike
+		if i.Deleted || before.items[k].Equal(i) { // drops of many calls are alike
 			continue
 		}
-		for _, g := range sim.groups {
+		for _, g := range sim.operations {
 			if g.operation.Kind != operation.ModifyConfig || !slices.ContainsFunc(g.operation.Items, func(x config.Item) bool { return x.Equal(i) }) {
 				continue
 			}
 			for _, x := range g.operation.Items {
-				if !holds(is, x) {
+				if !holds(after, x) {
 					sim.fail("at number %d %s came into force, and %s of the same call did not", n, describeItem(i), describeItem(x))
 				}
 			}
@@ -84,14 +113,14 @@
 // under the one before as long as no other disk has the change of it.
 func (sim *simulation) survivesLoss(m *machine) bool {
 	lists := []membership.List{sim.membership()}
-	for _, more := range sim.proposedLists {
+	for _, more := range sim.proposedMemberships {
 		lists = append(lists, more...)
 	}
 	// who comes in may have been proposed by one that hasn't heard of its loss yet
 	available := slices.DeleteFunc(slices.Clone(sim.lostDisks), func(x lostDisk) bool { return sim.now-x.at > 5*second })
 	for _, o := range sim.machines {
 		if !o.removed {
-			available = append(available, lostDisk{membership.Member{IP: o.ip, ID: o.disk.DiskID}, 0})
+			available = append(available, lostDisk{membership.Member{IP: o.ip, ID: o.hardState.DiskID}, 0})
 		}
 	}
 	all := membership.List{Members: slices.Clone(lists[0].Members)}
@@ -103,7 +132,7 @@
 	lists = append(lists, all)
 	for n := len(sim.states); n > 0; n-- {
 		if slices.ContainsFunc(sim.machines, func(o *machine) bool {
-			return o != m && !o.removed && o.disk.Applied >= uint64(n) && lists[0].Contains(o.ip, o.disk.DiskID)
+			return o != m && !o.removed && o.hardState.Applied >= uint64(n) && lists[0].Contains(o.ip, o.hardState.DiskID)
 		}) {
 			break
 		}
@@ -112,7 +141,7 @@
 	for _, l := range lists {
 		n := 0
 		for _, x := range l.Members {
-			if o := sim.byIP[x.IP]; o != m && o.disk.DiskID == x.ID && !o.removed {
+			if o := sim.byIP[x.IP]; o != m && o.hardState.DiskID == x.ID && !o.removed {
 				n++
 			}
 		}
@@ -139,7 +168,7 @@
 	}
 	l := membership.List{}
 	for _, m := range sim.machines[:len(sim.founders)] {
-		l.Members = append(l.Members, membership.Member{IP: m.ip, ID: fmt.Sprintf("d%d", m.n+1)})
+		l.Members = append(l.Members, membership.Member{IP: m.ip, ID: fmt.Sprintf("d%d", m.id+1)})
 	}
 	return l
 }
@@ -175,7 +204,7 @@
 // checkEvacuations looks whether a zone stays as somebody was told, until somebody else wants it otherwise.
 func (sim *simulation) checkEvacuations() {
 	var all []*call
-	for _, g := range sim.groups {
+	for _, g := range sim.operations {
 		if g.operation.Kind == operation.Evacuate {
 			all = append(all, g.calls...)
 		}
@@ -199,7 +228,7 @@
 // checkOutcomes looks over all that was told, once the day is over.
 func (sim *simulation) checkOutcomes() {
 	sim.checkEvacuations()
-	for _, g := range sim.groups {
+	for _, g := range sim.operations {
 		definite, no := len(g.calls) > 0, ""
 		for _, c := range g.calls {
 			switch {
@@ -217,12 +246,12 @@
 			case operation.ModifyConfig:
 				for _, i := range g.operation.Items {
 					if !i.Deleted && s.items[i.Key()].Equal(i) {
-						sim.fail("call of order %d was refused (%s), and %s of it stands at number %d", g.n, no, describeItem(i), n+1)
+						sim.fail("call of order %d was refused (%s), and %s of it stands at number %d", g.number, no, describeItem(i), n+1)
 					}
 				}
 			case operation.BeginRollout:
 				if strings.Contains(string(s.items[config.Key{Kind: config.KindRollouts, Name: g.operation.Name}].Body), `"target":"`+g.operation.TargetVersion+`"`) {
-					sim.fail("order %d, a begin to %s, was refused each time and stands at number %d", g.n, g.operation.TargetVersion, n+1)
+					sim.fail("order %d, a begin to %s, was refused each time and stands at number %d", g.number, g.operation.TargetVersion, n+1)
 				}
 			}
 		}
@@ -258,23 +287,23 @@
 		}
 	}
 	for _, x := range sim.membership().Members {
-		if m := sim.byIP[x.IP]; !m.up || m.disk.DiskID != x.ID {
+		if m := sim.byIP[x.IP]; !m.up || m.hardState.DiskID != x.ID {
 			sim.failLiveness(all("member %s %s doesn't live"), x.IP, x.ID)
 		}
 	}
 	for _, zone := range slices.Sorted(maps.Keys(live)) {
-		if count[zone] < min(live[zone], sim.perZone) {
+		if count[zone] < min(live[zone], sim.minPerZone) {
 			sim.failLiveness(all("zone %s has %d members, and %d live there"), zone, count[zone], live[zone])
 		}
 	}
-	sim.call(up[0], sim.groups[0]) // the service stands from here on, as is looked at below
+	sim.call(up[0], sim.operations[0]) // the service stands from here on, as is looked at below
 	sim.run(sim.now + second)
 	for _, m := range up {
-		g := &operationCopies{n: len(sim.groups)}
+		g := &operationCopies{number: len(sim.operations)}
 		g.operation = operation.Operation{Kind: operation.ModifyConfig}
 		sim.version++
-		g.operation.Items = []config.Item{item(config.KindRoutes, fmt.Sprintf("q%d", m.n), sim.version, fmt.Sprintf(`{"host-name":"q%d.example","name":"q%d","path-prefix":"/","route-kind":"safe_method","service":"desk","timeout-s":1}`, m.n, m.n))}
-		sim.groups = append(sim.groups, g)
+		g.operation.Items = []config.Item{item(config.KindRoutes, fmt.Sprintf("q%d", m.id), sim.version, fmt.Sprintf(`{"host-name":"q%d.example","name":"q%d","path-prefix":"/","route-kind":"safe_method","service":"desk","timeout-s":1}`, m.id, m.id))}
+		sim.operations = append(sim.operations, g)
 		c, r := sim.call(m, g), sim.call(m, nil)
 		sim.run(sim.now + second)
 		if !c.done || c.result.Kind != apierror.None {
--- a/internal/control/consensus/mutant_test.go
+++ b/internal/control/consensus/mutant_test.go
@@ -12,7 +12,7 @@
 
 // forge has a message come in the name of a process that never said it.
 func (sim *simulation) forge(from, to *machine, epoch uint64, x Message) {
-	x.Epoch, x.DiskID, x.Applied = epoch, from.disk.DiskID, from.applied
+	x.Epoch, x.DiskID, x.Applied = epoch, from.hardState.DiskID, from.applied
 	sim.deliver(from, to, func() { sim.step(to, Event{From: from.ip, Message: &x}) })
 }
 
@@ -21,7 +21,7 @@
 // that aren't kept on disk are found by the small worlds, votes that are told too early by TestVoteToldOnceOnDisk, and rarely here.
 var mutants = map[string]mutant{
 	"a wiped disk is the same member still":              {keepID: true},
-	"a wiped disk is a founder still":                    {first: 530, founder: true, keepID: true},
+	"a wiped disk is a founder still":                    {firstSeed: 530, keepFounders: true, keepID: true},
 	"promises and votes are told before they are synced": {unsynced: true},
 	"reads ask nobody":                                   {localReads: true},
 	"votes aren't kept on disk":                          {hardState: func(d *HardState) { d.Accepted, d.AcceptedIndex, d.AcceptedValue = Ballot{}, 0, nil }},
@@ -45,7 +45,7 @@
 		}
 		return true
 	}},
-	"those who come in need not take the list over": {first: 450, message: func(w *simulation, from, to *machine, x *Message) bool {
+	"those who come in need not take the list over": {firstSeed: 450, message: func(w *simulation, from, to *machine, x *Message) bool {
 		if x.Kind == Accept {
 			for _, m := range membershipIn(x.Value).Members {
 				if o := w.byIP[m.IP]; o != from && !from.node.Membership().Contains(m.IP, m.ID) {
@@ -76,12 +76,12 @@
 	for _, name := range slices.Sorted(maps.Keys(mutants)) {
 		t.Run(name, func(t *testing.T) {
 			played, at, what, stuck := 0, uint64(0), "", 0
-			simulateMany(cmp.Or(*firstSeed, mutants[name].first), max(*seeds, 400), mutants[name], func(seed uint64, w *simulation, found *violation) bool {
+			simulateMany(cmp.Or(*firstSeed, mutants[name].firstSeed), max(*seeds, 400), mutants[name], func(seed uint64, w *simulation, found *violation) bool {
 				played++
-				if found != nil && (found.safe || strings.Contains(found.what, "evacuated") || strings.Contains(found.what, "was refused")) {
+				if found != nil && (found.livenessOnly || strings.Contains(found.message, "evacuated") || strings.Contains(found.message, "was refused")) {
 					stuck++
 				} else if found != nil {
-					at, what = seed, found.what
+					at, what = seed, found.message
 				}
 				return what == ""
 			})
--- a/internal/control/consensus/network_test.go
+++ b/internal/control/consensus/network_test.go
@@ -2,35 +2,35 @@
 
 // link is between two machines; each end finds out by itself that it is broken.
 type link struct {
-	ends        [2]bool
+	connected   [2]bool
 	incarnation int
-	last        [2]int64 // arrival of the newest message to each end
+	lastArrival [2]int64 // arrival of the newest message to each end
 	held        [2][]func()
 	cuts        [2]int // how many harms hold what goes to each end
 	latency     int64  // one way
 	extraDelay  int64  // by which messages may be late at the most
 }
 
-// line is the one between two machines, and which end of it is a's.
-func (sim *simulation) line(a, b *machine) (l *link, end int) {
-	if a.n < b.n {
-		return sim.lines[[2]int{a.n, b.n}], 0
+// link is the one between two machines, and which end of it is a's.
+func (sim *simulation) link(a, b *machine) (l *link, end int) {
+	if a.id < b.id {
+		return sim.links[[2]int{a.id, b.id}], 0
 	}
-	return sim.lines[[2]int{b.n, a.n}], 1
+	return sim.links[[2]int{b.id, a.id}], 1
 }
 
 // deliver brings something to the other end, in the order in which it was sent, unless the line breaks.
 func (sim *simulation) deliver(from, to *machine, do func()) {
-	l, end := sim.line(from, to)
-	if !l.ends[end] {
+	l, end := sim.link(from, to)
+	if !l.connected[end] {
 		return
 	}
 	life, process, other := l.incarnation, to.incarnation, 1-end
 	come := func() {
-		at := max(sim.now+l.latency+sim.between(0, l.latency/4+1+l.extraDelay), l.last[other]+1)
-		l.last[other] = at
+		at := max(sim.now+l.latency+sim.between(0, l.latency/4+1+l.extraDelay), l.lastArrival[other]+1)
+		l.lastArrival[other] = at
 		sim.after(at-sim.now, func() {
-			if l.incarnation == life && l.ends[other] {
+			if l.incarnation == life && l.connected[other] {
 				sim.runOn(to, process, do)
 			}
 		})
@@ -49,15 +49,15 @@
 // connect goes on until there is a line.
 func (sim *simulation) connect(a, b *machine) {
 	lifeA, lifeB := a.incarnation, b.incarnation
-	l, end := sim.line(a, b)
+	l, end := sim.link(a, b)
 	sim.after(sim.between(5*ms, 300*ms), func() {
 		switch {
-		case !a.up || !b.up || a.incarnation != lifeA || b.incarnation != lifeB || l.ends == [2]bool{true, true}:
-		case l.ends != [2]bool{} || l.cuts != [2]int{} || a.frozen || b.frozen:
+		case !a.up || !b.up || a.incarnation != lifeA || b.incarnation != lifeB || l.connected == [2]bool{true, true}:
+		case l.connected != [2]bool{} || l.cuts != [2]int{} || a.frozen || b.frozen:
 			sim.connect(a, b)
 		default:
 			l.incarnation++
-			l.ends, l.last, l.held = [2]bool{true, true}, [2]int64{}, [2][]func(){}
+			l.connected, l.lastArrival, l.held = [2]bool{true, true}, [2]int64{}, [2][]func(){}
 			if end == 1 {
 				a, b = b, a
 			}
@@ -69,20 +69,20 @@
 
 // breakLink has one end of a line find out that it is broken.
 func (sim *simulation) breakLink(m, other *machine) {
-	l, end := sim.line(m, other)
-	if !l.ends[end] {
+	l, end := sim.link(m, other)
+	if !l.connected[end] {
 		return
 	}
-	l.ends[end] = false
+	l.connected[end] = false
 	sim.runOn(m, m.incarnation, func() { sim.step(m, Event{From: other.ip, PeerLost: true}) })
-	if l.ends == [2]bool{} && m.up && other.up {
+	if l.connected == [2]bool{} && m.up && other.up {
 		sim.connect(m, other)
 	}
 }
 
 // noticeLater has one end of a line find out later, if it is still so.
 func (sim *simulation) noticeLater(m, other *machine, in int64, still func() bool) {
-	l, _ := sim.line(m, other)
+	l, _ := sim.link(m, other)
 	life := l.incarnation
 	sim.after(in, func() {
 		if l.incarnation == life && still() {
@@ -94,7 +94,7 @@
 // cutLink holds what goes from one machine to another; the receiver finds out by silence and closes, which the sender sees at
 // once, or by its own silence where it hears nothing either.
 func (sim *simulation) cutLink(from, to *machine) {
-	l, end := sim.line(to, from)
+	l, end := sim.link(to, from)
 	l.cuts[end]++
 	life := l.incarnation
 	sim.after(sim.between(800*ms, 2000*ms), func() {
@@ -111,7 +111,7 @@
 }
 
 func (sim *simulation) healLink(from, to *machine) {
-	l, end := sim.line(to, from)
+	l, end := sim.link(to, from)
 	if l.cuts[end]--; l.cuts[end] == 0 {
 		held := l.held[end]
 		l.held[end] = nil
--- a/internal/control/consensus/norace_test.go
+++ b/internal/control/consensus/norace_test.go
@@ -2,12 +2,13 @@
 
 package consensus
 
-// What every run plays and searches: drawn days, days that are played again, and states of each small world.
+// What each run plays and searches.
 const (
-	fewDays     = 200
-	fewSilences = 6
-	fewAgain    = 6
-	fewStates   = 100000
+	defaultSeeds   = 200    // of TestRandomFaults
+	defaultOutages = 6      // of TestFirstFallsSilent
+	defaultRepeats = 6      // of TestSameAgain
+	defaultStates  = 100000 // of each world of TestExhaustiveSearch
 )
 
-const raced = false // by the detector of races, with which sums over megabytes take seconds
+// raceDetector reports whether the tests run under the race detector, where checksums over megabytes take seconds.
+const raceDetector = false
--- a/internal/control/consensus/race_test.go
+++ b/internal/control/consensus/race_test.go
@@ -2,11 +2,12 @@
 
 package consensus
 
-// Under the race detector a few days do, as the package starts no goroutines: drawn days, and days that are played again.
+// What each run plays: under the race detector little is enough, as the package starts no goroutines.
 const (
-	fewDays     = 24
-	fewSilences = 2
-	fewAgain    = 2
+	defaultSeeds   = 24 // of TestRandomFaults
+	defaultOutages = 2  // of TestFirstFallsSilent
+	defaultRepeats = 2  // of TestSameAgain
 )
 
-const raced = true // by the detector of races, with which sums over megabytes take seconds
+// raceDetector reports whether the tests run under the race detector, where checksums over megabytes take seconds.
+const raceDetector = true
--- a/internal/control/consensus/randomfaults_test.go
+++ b/internal/control/consensus/randomfaults_test.go
@@ -21,27 +21,27 @@
 
 // mutant takes one of the mends out.
 type mutant struct {
-	first           uint64           // the first seed that is played
+	firstSeed       uint64           // the first seed that is played
 	keepID          bool             // a wiped disk comes back as the same member
 	unsynced        bool             // what rests on the disk is said before it is synced
 	sameIncarnation bool             // two lives of one process use the same ballots
 	localReads      bool             // a read is answered by what this process happens to have
-	founder         bool             // a wiped disk is one of the founders still
+	keepFounders    bool             // a wiped disk is one of the founders still
 	hardState       func(*HardState) // the record lacks something
 	message         func(w *simulation, from, to *machine, x *Message) bool
 }
 
 // simulate plays one seed: a start, harms, calm, and the questions at the end.
-func simulate(seed uint64, wrong mutant, log func(string, ...any)) (w *simulation, found *violation) {
-	w = newSimulation(seed, wrong)
+func simulate(seed uint64, mutation mutant, log func(string, ...any)) (sim *simulation, found *violation) {
+	sim = newSimulation(seed, mutation)
 	if log != nil {
-		w.log = log
+		sim.log = log
 	}
-	return w, w.day()
+	return sim, sim.play()
 }
 
-// day plays the seed of a new world.
-func (sim *simulation) day() (found *violation) {
+// play plays the seed of a new world.
+func (sim *simulation) play() (found *violation) {
 	defer func() {
 		if x := recover(); x != nil {
 			b, ok := x.(*violation)
@@ -52,7 +52,7 @@
 		}
 	}()
 	const harms = 40 * second
-	sim.begins(harms)
+	sim.scheduleAll(harms)
 	sim.run(harms + 6500*ms) // all spans have ended by then
 	for _, m := range sim.machines {
 		if m.maxSync = 4 * ms; !m.removed {
@@ -60,12 +60,12 @@
 		}
 	}
 	sim.run(sim.now + 18*second)
-	if sim.neverBootstrapped() { // what operators do then, with nothing lost
+	if sim.foundingIsLost() { // what operators do then, with nothing lost
 		sim.tally["founded anew"]++
 		for _, m := range sim.machines {
 			if sim.stop(m, false); slices.Contains(sim.founders, m.ip) && !m.removed {
 				sim.wipeDisk(m)
-				m.disk.Founders = sim.founders
+				m.hardState.Founders = sim.founders
 			}
 		}
 		for _, m := range sim.machines {
@@ -83,17 +83,17 @@
 	return nil
 }
 
-// begins has the processes start, and harms and calls come until a time.
-func (sim *simulation) begins(harms int64) {
+// scheduleAll has the processes start, and harms and calls come until a time.
+func (sim *simulation) scheduleAll(harms int64) {
 	for n, m := range sim.machines {
-		if n > len(sim.machines)/2 && sim.random.IntN(4) == 0 { // it comes late
+		if n > len(sim.machines)/2 && sim.rand.IntN(4) == 0 { // it comes late
 			sim.after(sim.between(0, 20*second), func() { sim.start(m) })
 			continue
 		}
 		sim.after(sim.between(0, 2*second), func() { sim.start(m) })
 	}
 	first := &operationCopies{operation: deskOperation()}
-	sim.groups = append(sim.groups, first)
+	sim.operations = append(sim.operations, first)
 	sim.after(3*second, func() { sim.submitRepeatedly(first, 20) })
 	pace := sim.between(200*ms, 3*second)
 	var hurts, asks func()
@@ -113,21 +113,21 @@
 	sim.after(3*second, asks)
 }
 
-// neverBootstrapped tells that the first list was voted on and lacks a majority for good: a founder's disk was lost within the round
+// foundingIsLost tells that the first list was voted on and lacks a majority for good: a founder's disk was lost within the round
 // trip, while another one was not heard. Anything else that keeps a core from its beginning is a fault, and so is an order
 // that was confirmed by then.
-func (sim *simulation) neverBootstrapped() bool {
+func (sim *simulation) foundingIsLost() bool {
 	if len(sim.states) > 0 || sim.confirmedIndex > 0 || sim.tally["confirmed"] > 0 {
 		return false
 	}
 	for _, m := range sim.machines {
-		l, n := membershipIn(m.disk.AcceptedValue), 0
+		l, n := membershipIn(m.hardState.AcceptedValue), 0
 		for _, x := range l.Members {
-			if o := sim.byIP[x.IP]; o.up && o.disk.DiskID == x.ID {
+			if o := sim.byIP[x.IP]; o.up && o.hardState.DiskID == x.ID {
 				n++
 			}
 		}
-		if m.up && m.disk.AcceptedIndex == 1 && l.Epoch == 1 && n < l.Majority() {
+		if m.up && m.hardState.AcceptedIndex == 1 && l.Epoch == 1 && n < l.Majority() {
 			return true
 		}
 	}
@@ -135,7 +135,7 @@
 }
 
 // simulateMany plays many seeds, at most three at a time.
-func simulateMany(first uint64, n int, wrong mutant, each func(seed uint64, w *simulation, found *violation) bool) {
+func simulateMany(first uint64, n int, mutation mutant, each func(seed uint64, sim *simulation, found *violation) bool) {
 	var next atomic.Int64
 	var lock sync.Mutex
 	var all sync.WaitGroup
@@ -147,9 +147,9 @@
 				if at >= int64(n) {
 					return
 				}
-				w, found := simulate(first+uint64(at), wrong, nil)
+				sim, found := simulate(first+uint64(at), mutation, nil)
 				lock.Lock()
-				if !each(first+uint64(at), w, found) {
+				if !each(first+uint64(at), sim, found) {
 					stop.Store(true)
 				}
 				lock.Unlock()
@@ -162,7 +162,7 @@
 // Drawn days: whatever is killed, wiped, cut, slow, late, frozen or replaced, one value a number, nothing confirmed is lost,
 // nothing refused comes into force, reads are as of now, and after the harms all goes on by itself.
 func TestRandomFaults(t *testing.T) {
-	n := cmp.Or(*seeds, fewDays)
+	n := cmp.Or(*seeds, defaultSeeds)
 	if *verbose {
 		if _, found := simulate(*firstSeed, mutant{}, t.Logf); found != nil {
 			t.Error(found)
@@ -176,15 +176,15 @@
 		sum.add(w.tally)
 		soft.add(w.softFaults)
 		if found != nil {
-			bad[seed] = found.what
-			kinds[withoutFigures(found.what)]++
+			bad[seed] = found.message
+			kinds[withoutNumbers(found.message)]++
 		}
 		return true
 	})
 	for _, seed := range slices.Sorted(maps.Keys(bad)) {
-		if len(bad) <= 12 || kinds[withoutFigures(bad[seed])] >= 0 {
+		if len(bad) <= 12 || kinds[withoutNumbers(bad[seed])] >= 0 {
 			t.Errorf("seed %d: %s", seed, bad[seed])
-			kinds[withoutFigures(bad[seed])] = -1
+			kinds[withoutNumbers(bad[seed])] = -1
 		}
 	}
 	for what, n := range soft {
@@ -193,8 +193,8 @@
 	t.Logf("%d seeds, %d with faults: %v", n, len(bad), sum)
 }
 
-// withoutFigures is a fault without its figures.
-func withoutFigures(s string) string {
+// withoutNumbers is a fault without its figures.
+func withoutNumbers(s string) string {
 	s, _, _ = strings.Cut(s, "\n")
 	_, s, _ = strings.Cut(s, ": ")
 	return strings.Map(func(r rune) rune {
--- a/internal/control/consensus/recovery_test.go
+++ b/internal/control/consensus/recovery_test.go
@@ -31,47 +31,47 @@
 	for name, held := range map[string]MessageKind{"its promises are on the way": Promise, "nobody has its proposal yet": Accept, "its votes are on the way": Accepted} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			p := newTestCluster(3, 0, 3)
-			for _, ip := range p.ips {
-				p.start(ip, "")
+			tc := newTestCluster(3, 0, 3)
+			for _, ip := range tc.ips {
+				tc.start(ip, "")
 			}
-			p.connectAll()
-			p.run(second)
+			tc.connectAll()
+			tc.run(second)
 			var late []envelope
 			frozen := true
-			p.allowed = func(from, to string, m Message) bool {
+			tc.deliverable = func(from, to string, m Message) bool {
 				if frozen && (from == "1" || to == "1") && m.Kind == held {
 					late = append(late, envelope{from, to, m})
 				}
 				return !frozen || m.Kind != held && len(late) == 0
 			}
-			tag := p.submit("1", serviceOperation("gate", 1, "frozen"))
+			tag := tc.submit("1", serviceOperation("gate", 1, "frozen"))
 			c.Assert(len(late) > 0, qt.IsTrue)
-			p.allowed = func(from, to string, _ Message) bool { return from != "1" && to != "1" }
-			p.members["1"].up = false // it does nothing, and is told nothing
+			tc.deliverable = func(from, to string, _ Message) bool { return from != "1" && to != "1" }
+			tc.members["1"].up = false // it does nothing, and is told nothing
 			for _, ip := range []string{"2", "3"} {
-				p.setHeard(ip, "1", false)
+				tc.setHeard(ip, "1", false)
 			}
 			for n := range 20 {
-				o := p.submit("2", serviceOperation("other", uint64(n+1), fmt.Sprint(n)))
-				p.run(second)
-				c.Assert(p.isConfirmed(o), qt.IsTrue, qt.Commentf("order %d: %v", n, p.answers[o]))
+				o := tc.submit("2", serviceOperation("other", uint64(n+1), fmt.Sprint(n)))
+				tc.run(second)
+				c.Assert(tc.isConfirmed(o), qt.IsTrue, qt.Commentf("order %d: %v", n, tc.answers[o]))
 			}
-			frozen, p.allowed, p.members["1"].up = false, nil, true
-			p.inFlight = append(p.inFlight, late...)
-			p.deliver()
-			p.run(5 * second)
-			p.checkSame(c)
-			r, answered := p.answers[tag]
+			frozen, tc.deliverable, tc.members["1"].up = false, nil, true
+			tc.inFlight = append(tc.inFlight, late...)
+			tc.deliver()
+			tc.run(5 * second)
+			tc.checkSame(c)
+			r, answered := tc.answers[tag]
 			c.Assert(answered, qt.IsTrue)
 			if r.Kind != apierror.Unavailable {
 				c.Check(r.Kind, qt.Equals, apierror.None)
-				c.Check(p.serviceBody("3", "gate"), qt.Contains, "frozen")
+				c.Check(tc.serviceBody("3", "gate"), qt.Contains, "frozen")
 			}
-			tag = p.submit("1", serviceOperation("gate", 1, "frozen"))
-			p.run(2 * second)
-			c.Check(p.isConfirmed(tag), qt.IsTrue)
-			p.checkSame(c)
+			tag = tc.submit("1", serviceOperation("gate", 1, "frozen"))
+			tc.run(2 * second)
+			c.Check(tc.isConfirmed(tag), qt.IsTrue)
+			tc.checkSame(c)
 		})
 	}
 }
@@ -80,36 +80,36 @@
 // it bear one.
 func TestTwoFounders(t *testing.T) {
 	c := qt.New(t)
-	p := newTestCluster(2, 1, 3)
-	for n, ip := range p.ips {
-		s := p.members[ip]
+	tc := newTestCluster(2, 1, 3)
+	for n, ip := range tc.ips {
+		s := tc.members[ip]
 		clear(s.items)
 		if s.hardState.Applied = 0; n < 2 {
 			s.hardState.Founders = []string{"1", "2"}
 		}
 	}
-	p.start("2", "")
-	p.run(5 * second)
-	c.Check(p.members["2"].node.Applied(), qt.Equals, uint64(0), qt.Commentf("one of two founders is no core"))
-	p.start("1", "")
-	p.connectAll()
-	p.run(3 * second)
-	c.Assert(p.members["1"].node.Membership().Members, qt.HasLen, 2)
-	c.Assert(p.makesProgress(), qt.IsTrue)
-	p.stop("2")
-	p.setHeard("1", "2", false)
-	c.Check(p.makesProgress(), qt.IsFalse)
-	p.start("2", "")
-	p.connectAll()
-	c.Check(p.makesProgress(), qt.IsTrue)
-	p.start("3", "")
-	p.connectAll()
-	p.run(4 * second)
-	c.Assert(p.members["1"].node.Membership().Members, qt.HasLen, 3)
-	p.stop("1")
-	p.setHeard("2", "1", false)
-	p.setHeard("3", "1", false)
-	c.Check(p.makesProgress(), qt.IsTrue)
+	tc.start("2", "")
+	tc.run(5 * second)
+	c.Check(tc.members["2"].node.Applied(), qt.Equals, uint64(0), qt.Commentf("one of two founders is no core"))
+	tc.start("1", "")
+	tc.connectAll()
+	tc.run(3 * second)
+	c.Assert(tc.members["1"].node.Membership().Members, qt.HasLen, 2)
+	c.Assert(tc.makesProgress(), qt.IsTrue)
+	tc.stop("2")
+	tc.setHeard("1", "2", false)
+	c.Check(tc.makesProgress(), qt.IsFalse)
+	tc.start("2", "")
+	tc.connectAll()
+	c.Check(tc.makesProgress(), qt.IsTrue)
+	tc.start("3", "")
+	tc.connectAll()
+	tc.run(4 * second)
+	c.Assert(tc.members["1"].node.Membership().Members, qt.HasLen, 3)
+	tc.stop("1")
+	tc.setHeard("2", "1", false)
+	tc.setHeard("3", "1", false)
+	c.Check(tc.makesProgress(), qt.IsTrue)
 }
 
 // A learner restarts while it is voted in: before it has voted, or after, with its disk.
@@ -117,39 +117,39 @@
 	for name, voted := range map[string]bool{"before it votes": false, "after its vote": true} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			p := newTestCluster(3, 1, 4)
-			for _, ip := range p.ips {
-				p.start(ip, "")
+			tc := newTestCluster(3, 1, 4)
+			for _, ip := range tc.ips {
+				tc.start(ip, "")
 			}
 			struck := false
-			p.allowed = func(from, to string, m Message) bool {
+			tc.deliverable = func(from, to string, m Message) bool {
 				if m.Kind == Accept && to == "4" && !voted && !struck || m.Kind == Accepted && from == "4" && voted && !struck {
 					struck = true
-					p.stop("4")
+					tc.stop("4")
 					return false
 				}
 				return true
 			}
-			p.connectAll()
-			p.run(2 * second)
+			tc.connectAll()
+			tc.run(2 * second)
 			c.Assert(struck, qt.IsTrue)
-			for _, ip := range p.ips[:3] {
-				p.setHeard(ip, "4", false)
+			for _, ip := range tc.ips[:3] {
+				tc.setHeard(ip, "4", false)
 			}
-			c.Check(p.members["1"].node.Membership().Members, qt.HasLen, 4)
-			c.Check(p.makesProgress(), qt.IsTrue)
-			c.Assert(p.members["4"].hardState.AcceptedIndex == 2, qt.Equals, voted)
-			p.start("4", "")
-			p.connectAll()
-			p.run(3 * second)
-			c.Check(p.members["4"].node.IsMember(), qt.IsTrue)
-			c.Check(p.members["4"].node.CaughtUp(), qt.IsTrue)
-			p.checkSame(c)
-			p.stop("3") // it counts now
+			c.Check(tc.members["1"].node.Membership().Members, qt.HasLen, 4)
+			c.Check(tc.makesProgress(), qt.IsTrue)
+			c.Assert(tc.members["4"].hardState.AcceptedIndex == 2, qt.Equals, voted)
+			tc.start("4", "")
+			tc.connectAll()
+			tc.run(3 * second)
+			c.Check(tc.members["4"].node.IsMember(), qt.IsTrue)
+			c.Check(tc.members["4"].node.CaughtUp(), qt.IsTrue)
+			tc.checkSame(c)
+			tc.stop("3") // it counts now
 			for _, ip := range []string{"1", "2", "4"} {
-				p.setHeard(ip, "3", false)
+				tc.setHeard(ip, "3", false)
 			}
-			c.Check(p.makesProgress(), qt.IsTrue)
+			c.Check(tc.makesProgress(), qt.IsTrue)
 		})
 	}
 }
@@ -157,48 +157,48 @@
 // A read at a member that hasn't heard of the change of members yet doesn't count those that went as enough: whoever voted on
 // the change tells so.
 func TestReadAcrossMembers(t *testing.T) {
-	for _, x := range []struct{ reader, other string }{{"2", "3"}, {"3", "2"}} {
-		t.Run(x.reader+" with "+x.other, func(t *testing.T) {
+	for _, test := range []struct{ reader, other string }{{"2", "3"}, {"3", "2"}} {
+		t.Run(test.reader+" with "+test.other, func(t *testing.T) {
 			c := qt.New(t)
-			p := newTestCluster(3, 1, 4)
-			p.perZone = 1
-			for _, ip := range p.ips {
-				p.start(ip, "")
+			tc := newTestCluster(3, 1, 4)
+			tc.minPerZone = 1
+			for _, ip := range tc.ips {
+				tc.start(ip, "")
 			}
-			p.members["4"].member.Zone, p.members["4"].node.self.Zone = "z2", "z2" // it stands by
-			p.connectAll()
-			p.run(2 * second)
-			c.Assert(p.members["1"].node.Membership().Epoch, qt.Equals, uint64(1))
+			tc.members["4"].member.Zone, tc.members["4"].node.self.Zone = "z2", "z2" // it stands by
+			tc.connectAll()
+			tc.run(2 * second)
+			c.Assert(tc.members["1"].node.Membership().Epoch, qt.Equals, uint64(1))
 			// 3 goes and 4 comes; 2 votes, and hears of nothing any more
-			p.allowed = func(from, to string, m Message) bool {
+			tc.deliverable = func(from, to string, m Message) bool {
 				return to == "1" || to == "4" || m.Kind == Prepare || m.Kind == Accept && m.Index == 2 && to == "2"
 			}
-			p.submit("1", operation.Operation{Kind: operation.ChangeMembers, Add: []membership.Member{p.members["4"].member}, Remove: []string{"3"}, Expected: 1})
-			p.run(200 * ms)
-			c.Assert(p.members["1"].node.Membership().Epoch, qt.Equals, uint64(2))
-			tag := p.submit("1", serviceOperation("gate", 1, "new"))
-			p.run(200 * ms)
-			c.Assert(p.isConfirmed(tag), qt.IsTrue)
-			c.Assert(p.members["2"].node.Applied(), qt.Equals, uint64(1))
+			tc.submit("1", operation.Operation{Kind: operation.ChangeMembers, Add: []membership.Member{tc.members["4"].member}, Remove: []string{"3"}, Expected: 1})
+			tc.run(200 * ms)
+			c.Assert(tc.members["1"].node.Membership().Epoch, qt.Equals, uint64(2))
+			tag := tc.submit("1", serviceOperation("gate", 1, "new"))
+			tc.run(200 * ms)
+			c.Assert(tc.isConfirmed(tag), qt.IsTrue)
+			c.Assert(tc.members["2"].node.Applied(), qt.Equals, uint64(1))
 			// the reader asks those that it hears: the other only
-			p.allowed = func(from, to string, _ Message) bool {
-				return (from == x.reader || from == x.other) && (to == x.reader || to == x.other)
+			tc.deliverable = func(from, to string, _ Message) bool {
+				return (from == test.reader || from == test.other) && (to == test.reader || to == test.other)
 			}
-			p.lastTag++
-			read := p.lastTag
-			p.step(x.reader, Event{Read: true, Tag: read})
-			p.deliver()
-			p.run(4 * second)
-			c.Check(p.answers[read].Kind, qt.Equals, apierror.Unavailable)
-			p.allowed = nil
-			p.connectAll()
-			p.lastTag++
-			read = p.lastTag
-			p.step(x.reader, Event{Read: true, Tag: read})
-			p.deliver()
-			p.run(2 * second)
-			c.Check(p.answers[read], qt.DeepEquals, Result{Index: p.members["1"].node.Applied()})
-			_, there := p.members[x.reader].node.Set.Lookup(config.Key{Kind: config.KindServices, Name: "gate"})
+			tc.lastTag++
+			read := tc.lastTag
+			tc.step(test.reader, Event{Read: true, Tag: read})
+			tc.deliver()
+			tc.run(4 * second)
+			c.Check(tc.answers[read].Kind, qt.Equals, apierror.Unavailable)
+			tc.deliverable = nil
+			tc.connectAll()
+			tc.lastTag++
+			read = tc.lastTag
+			tc.step(test.reader, Event{Read: true, Tag: read})
+			tc.deliver()
+			tc.run(2 * second)
+			c.Check(tc.answers[read], qt.DeepEquals, Result{Index: tc.members["1"].node.Applied()})
+			_, there := tc.members[test.reader].node.Set.Lookup(config.Key{Kind: config.KindServices, Name: "gate"})
 			c.Check(there, qt.IsTrue)
 		})
 	}
@@ -208,34 +208,34 @@
 // together cost one.
 func TestCopiesOfTheSet(t *testing.T) {
 	c := qt.New(t)
-	p := newTestCluster(3, 0, 3)
-	for _, ip := range p.ips {
-		p.start(ip, "")
+	tc := newTestCluster(3, 0, 3)
+	for _, ip := range tc.ips {
+		tc.start(ip, "")
 	}
-	p.connectAll()
-	p.run(second)
+	tc.connectAll()
+	tc.run(second)
 	for n := range 20 {
-		o := p.submit("1", serviceOperation(fmt.Sprint("gate-", n%3), uint64(n+1), "x"))
-		p.run(100 * ms)
-		c.Assert(p.isConfirmed(o), qt.IsTrue)
+		o := tc.submit("1", serviceOperation(fmt.Sprint("gate-", n%3), uint64(n+1), "x"))
+		tc.run(100 * ms)
+		c.Assert(tc.isConfirmed(o), qt.IsTrue)
 	}
-	x := p.members["1"].node
-	c.Check(x.Counts.Copied, qt.Equals, int64(0))
-	decided := x.Counts.Decided
+	node := tc.members["1"].node
+	c.Check(node.Counts.Copied, qt.Equals, int64(0))
+	decided := node.Counts.Decided
 	held := true
-	p.allowed = func(string, string, Message) bool { return !held }
+	tc.deliverable = func(string, string, Message) bool { return !held }
 	var all []uint64
 	for n := range 13 { // the first is under way, the others wait for it: of two keys, each of which several change
-		all = append(all, p.submit("1", serviceOperation(fmt.Sprint("gate-", n%2), uint64(100+n), fmt.Sprint(n))))
+		all = append(all, tc.submit("1", serviceOperation(fmt.Sprint("gate-", n%2), uint64(100+n), fmt.Sprint(n))))
 	}
 	held = false
-	p.run(second)
+	tc.run(second)
 	for n, o := range all {
-		c.Check(p.isConfirmed(o), qt.IsTrue, qt.Commentf("%d: %v", n, p.answers[o]))
+		c.Check(tc.isConfirmed(o), qt.IsTrue, qt.Commentf("%d: %v", n, tc.answers[o]))
 	}
-	c.Check(x.Counts.Decided-decided, qt.Equals, int64(2))
-	c.Check(x.Counts.Copied, qt.Equals, int64(1))
-	c.Check(p.serviceBody("3", "gate-0"), qt.Contains, `"/12"`)
-	c.Check(p.serviceBody("3", "gate-1"), qt.Contains, `"/11"`)
-	p.checkSame(c)
+	c.Check(node.Counts.Decided-decided, qt.Equals, int64(2))
+	c.Check(node.Counts.Copied, qt.Equals, int64(1))
+	c.Check(tc.serviceBody("3", "gate-0"), qt.Contains, `"/12"`)
+	c.Check(tc.serviceBody("3", "gate-1"), qt.Contains, `"/11"`)
+	tc.checkSame(c)
 }
--- /dev/null
+++ b/internal/control/consensus/scheduler_test.go
@@ -0,0 +1,55 @@
+package consensus
+
+import (
+	"container/heap"
+)
+
+const (
+	ms     = int64(1e6)
+	second = int64(1e9)
+)
+
+type task struct {
+	at, seq int64
+	do      func()
+}
+
+type tasks []task
+
+func (q tasks) Len() int { return len(q) }
+
+func (q tasks) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+}
+
+func (q tasks) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+func (q *tasks) Push(x any) { *q = append(*q, x.(task)) }
+
+func (q *tasks) Pop() any {
+	old := *q
+	x := old[len(old)-1]
+	*q = old[:len(old)-1]
+	return x
+}
+
+func (sim *simulation) after(d int64, do func()) {
+	sim.seq++
+	heap.Push(&sim.tasks, task{sim.now + max(d, 0), sim.seq, do})
+}
+
+func (sim *simulation) between(from, to int64) int64 {
+	return from + sim.rand.Int64N(max(1, to-from))
+}
+
+func (sim *simulation) run(until int64) {
+	for len(sim.tasks) > 0 && sim.tasks[0].at <= until {
+		t := heap.Pop(&sim.tasks).(task)
+		sim.now = t.at
+		t.do()
+		if len(sim.tasks) > 20000 {
+			sim.failLiveness("a storm: %d messages are under way or due, sent in all %v", len(sim.tasks), sim.sent)
+		}
+	}
+	sim.now = until
+}
--- a/internal/control/consensus/testcluster_test.go
+++ b/internal/control/consensus/testcluster_test.go
@@ -13,14 +13,14 @@
 // A testCluster is a few processes whose messages come at once, in the order in which they are said, to whom they may come: what is
 // told step by step, where a drawn world is told by chance.
 type testCluster struct {
-	now      int64
-	ips      []string
-	members  map[string]*testMember
-	inFlight []envelope
-	allowed  func(from, to string, m Message) bool // whether a message comes; nil for all
-	answers  map[uint64]Result
-	lastTag  uint64
-	perZone  int
+	now         int64
+	ips         []string
+	members     map[string]*testMember
+	inFlight    []envelope
+	deliverable func(from, to string, m Message) bool // whether a message comes; nil for all
+	answers     map[uint64]Result
+	lastTag     uint64
+	minPerZone  int
 }
 
 type testMember struct {
@@ -39,33 +39,33 @@
 
 // newTestCluster has members 1 to n at number 1, in zones by turns, and as many learners that have the same.
 func newTestCluster(members, learners, zones int) *testCluster {
-	p := &testCluster{now: 1000 * second, members: map[string]*testMember{}, answers: map[uint64]Result{}, lastTag: 100, perZone: 1}
+	tc := &testCluster{now: 1000 * second, members: map[string]*testMember{}, answers: map[uint64]Result{}, lastTag: 100, minPerZone: 1}
 	l := membership.List{Epoch: 1}
 	for n := range members + learners {
 		m := membership.Member{IP: fmt.Sprint(n + 1), ID: fmt.Sprintf("d%d", n+1), Name: fmt.Sprintf("c%d", n+1), Zone: fmt.Sprintf("z%d", n%zones)}
-		if p.ips = append(p.ips, m.IP); n < members {
+		if tc.ips = append(tc.ips, m.IP); n < members {
 			l.Members = append(l.Members, m)
 		}
-		p.members[m.IP] = &testMember{member: m, hardState: HardState{DiskID: m.ID, Applied: 1}, items: map[config.Key]config.Item{}}
+		tc.members[m.IP] = &testMember{member: m, hardState: HardState{DiskID: m.ID, Applied: 1}, items: map[config.Key]config.Item{}}
 	}
 	service := item(config.KindServices, "desk", 1, `{"health-path":"/","name":"desk"}`)
-	for _, s := range p.members {
+	for _, s := range tc.members {
 		s.items[membership.Key], s.items[service.Key()] = l.Item(), service
 	}
-	return p
+	return tc
 }
 
 // start starts a process with what its disk holds, in a life of its own or in a named one.
 func (tc *testCluster) start(ip, life string) {
 	s := tc.members[ip]
 	set := config.NewSet()
-	for _, k := range slices.SortedFunc(maps.Keys(s.items), keys) {
+	for _, k := range slices.SortedFunc(maps.Keys(s.items), compareKeys) {
 		set.Merge(s.items[k])
 	}
 	if s.incarnations++; life == "" {
 		life = fmt.Sprintf("%s.%d", ip, s.incarnations)
 	}
-	s.node, s.up = New(s.member, life, tc.perZone, s.hardState, set, tc.now), true
+	s.node, s.up = New(s.member, life, tc.minPerZone, s.hardState, set, tc.now), true
 }
 
 // diskImage is what a disk holds, to be put back.
@@ -118,7 +118,7 @@
 	for len(tc.inFlight) > 0 {
 		m := tc.inFlight[0]
 		tc.inFlight = tc.inFlight[1:]
-		if tc.members[m.from].up && tc.members[m.to] != nil && tc.members[m.to].up && (tc.allowed == nil || m.from == m.to || tc.allowed(m.from, m.to, m.message)) {
+		if tc.members[m.from].up && tc.members[m.to] != nil && tc.members[m.to].up && (tc.deliverable == nil || m.from == m.to || tc.deliverable(m.from, m.to, m.message)) {
 			tc.step(m.to, Event{From: m.from, Message: &m.message})
 		}
 	}
@@ -141,7 +141,7 @@
 func (tc *testCluster) connectAll() {
 	for _, ip := range tc.ips {
 		for _, other := range tc.ips {
-			if ip != other && (tc.allowed == nil || tc.allowed(other, ip, Message{})) {
+			if ip != other && (tc.deliverable == nil || tc.deliverable(other, ip, Message{})) {
 				tc.setHeard(ip, other, true)
 			}
 		}
--- a/internal/control/consensus/trace_test.go
+++ b/internal/control/consensus/trace_test.go
@@ -12,9 +12,9 @@
 func TestTrace(t *testing.T) {
 	want := []string{"db3f37c34d511457", "5fb14d52431f3e23", "dd71ed5243d89bd7", "316a48bd12b2391d"}
 	tracedigest.Pin(t, 25, want, func(seed uint64, d *tracedigest.Digest) {
-		w := newSimulation(seed, mutant{})
-		w.effects = d
-		w.begins(7 * second)
-		w.run(10 * second)
+		sim := newSimulation(seed, mutant{})
+		sim.recorded = d
+		sim.scheduleAll(7 * second)
+		sim.run(10 * second)
 	})
 }
--- a/internal/control/consensus/workload_test.go
+++ b/internal/control/consensus/workload_test.go
@@ -24,7 +24,7 @@
 
 // operationCopies are the copies of one order.
 type operationCopies struct {
-	n         int
+	number    int
 	operation operation.Operation
 	calls     []*call
 }
@@ -36,7 +36,7 @@
 // randomRoute is one whose content nobody else sends.
 func (sim *simulation) randomRoute(g, n int, name string, version uint64) config.Item {
 	service := "desk"
-	if sim.random.IntN(40) == 0 {
+	if sim.rand.IntN(40) == 0 {
 		service = "nowhere"
 	}
 	return item(config.KindRoutes, name, version, fmt.Sprintf(`{"home-regions":["g%d.%d"],"host-name":"%s.example","name":"%s","path-prefix":"/","route-kind":"safe_method","service":"%s","timeout-s":1}`, g, n, name, name, service))
@@ -52,31 +52,31 @@
 	if len(up) == 0 {
 		return nil
 	}
-	return up[sim.random.IntN(len(up))]
+	return up[sim.rand.IntN(len(up))]
 }
 
 // randomOperation makes a new order.
 func (sim *simulation) randomOperation() *operationCopies {
-	g := &operationCopies{n: len(sim.groups)}
-	switch at := sim.random.IntN(20); {
+	g := &operationCopies{number: len(sim.operations)}
+	switch at := sim.rand.IntN(20); {
 	case at < 15:
 		g.operation.Kind = operation.ModifyConfig
-		names := sim.random.Perm(5)[:1+sim.random.IntN(3)]
-		if sim.random.IntN(5) > 1 {
+		names := sim.rand.Perm(5)[:1+sim.rand.IntN(3)]
+		if sim.rand.IntN(5) > 1 {
 			sim.version++
 		}
 		for n, x := range names {
-			i := sim.randomRoute(g.n, n, fmt.Sprintf("r%d", x), sim.version-uint64(min(sim.random.IntN(8), 1)))
-			if sim.random.IntN(10) == 0 {
+			i := sim.randomRoute(g.number, n, fmt.Sprintf("r%d", x), sim.version-uint64(min(sim.rand.IntN(8), 1)))
+			if sim.rand.IntN(10) == 0 {
 				i.Deleted, i.Body = true, nil
 			}
 			g.operation.Items = append(g.operation.Items, i)
 		}
 	case at < 17:
-		g.operation = operation.Operation{Kind: operation.Evacuate, Name: fmt.Sprintf("z%d", sim.random.IntN(3)), Active: sim.random.IntN(2) == 0}
+		g.operation = operation.Operation{Kind: operation.Evacuate, Name: fmt.Sprintf("z%d", sim.rand.IntN(3)), Active: sim.rand.IntN(2) == 0}
 	default:
-		g.operation = operation.Operation{Kind: operation.BeginRollout, Name: "desk", TargetVersion: fmt.Sprintf("v%d", g.n), Duration: 10 * second, RetryWindow: 10 * second, SubmittedAt: sim.now}
-		if sim.random.IntN(3) == 0 && len(sim.states) > 0 {
+		g.operation = operation.Operation{Kind: operation.BeginRollout, Name: "desk", TargetVersion: fmt.Sprintf("v%d", g.number), Duration: 10 * second, RetryWindow: 10 * second, SubmittedAt: sim.now}
+		if sim.rand.IntN(3) == 0 && len(sim.states) > 0 {
 			g.operation = operation.Operation{Kind: operation.EndRollout, Name: "desk", Expected: sim.rolloutNumber(), Outcome: 2, SubmittedAt: sim.now}
 		}
 	}
@@ -97,7 +97,7 @@
 	}
 	m.calls[c.tag] = c
 	if sim.log("%.3f %s is asked %d", float64(sim.now)/1e9, m.ip, c.tag); g != nil {
-		sim.log("  order %d %v", g.n, g.operation)
+		sim.log("  order %d %v", g.number, g.operation)
 		for _, i := range g.operation.Items {
 			sim.log("    %s", describeItem(i))
 		}
@@ -194,21 +194,21 @@
 	if m == nil {
 		return
 	}
-	switch at := sim.random.IntN(10); {
+	switch at := sim.rand.IntN(10); {
 	case at < 3:
 		sim.call(m, nil)
-	case at < 5 && len(sim.groups) > 3: // one of before, once more
-		sim.call(m, sim.groups[len(sim.groups)-1-sim.random.IntN(min(len(sim.groups), 30))])
+	case at < 5 && len(sim.operations) > 3: // one of before, once more
+		sim.call(m, sim.operations[len(sim.operations)-1-sim.rand.IntN(min(len(sim.operations), 30))])
 	default:
 		g := sim.randomOperation()
-		sim.groups = append(sim.groups, g)
-		sim.submitRepeatedly(g, 1+sim.random.IntN(3))
-		if sim.random.IntN(4) == 0 { // also elsewhere, at once
+		sim.operations = append(sim.operations, g)
+		sim.submitRepeatedly(g, 1+sim.rand.IntN(3))
+		if sim.rand.IntN(4) == 0 { // also elsewhere, at once
 			sim.call(sim.randomMachine(), g)
 		}
-		if sim.random.IntN(4) == 0 { // a rival
+		if sim.rand.IntN(4) == 0 { // a rival
 			r := sim.randomOperation()
-			sim.groups = append(sim.groups, r)
+			sim.operations = append(sim.operations, r)
 			sim.call(sim.randomMachine(), r)
 		}
 	}
