--- a/internal/control/consensus/acceptor_test.go
+++ b/internal/control/consensus/acceptor_test.go
@@ -10,7 +10,7 @@
 	"portflow/internal/control/membership"
 )
 
-// threeMembers is a list of three members that stands at number 1, and the second of them, which has asked the others since its start.
+// threeMembers returns the second of three members, which may vote, at index 1, and the list of the members.
 func threeMembers(now int64) (*Node, membership.List) {
 	l := membership.List{Epoch: 1}
 	for i, ip := range []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"} {
@@ -18,12 +18,12 @@
 	}
 	set := config.NewSet()
 	set.Merge(l.Item())
-	n := New(l.Members[1], "life", 1, HardState{DiskID: "b", Applied: 1}, set, now)
+	n := New(l.Members[1], "incarnation", 1, HardState{DiskID: "b", Applied: 1}, set, now)
 	n.caughtUp, n.acceptor.startReplies = true, nil
 	return n, l
 }
 
-// A vote is told to those who read only once it is on disk: also where the same ballot had a vote on disk at the number before.
+// A vote is reported to readers only once it is on disk, also where the same ballot had a vote on disk at the index before.
 func TestVoteReportedOnceOnDisk(t *testing.T) {
 	c := qt.New(t)
 	n, l := threeMembers(second)
@@ -55,12 +55,12 @@
 	say(Message{Kind: Commit, Index: 2, Ballot: b})
 	c.Assert(n.Applied(), qt.Equals, uint64(2))
 	second := say(Message{Kind: Accept, Index: 3, Ballot: b, Value: value(2)})
-	c.Check(queryVote().Accepted, qt.Equals, Ballot{}, qt.Commentf("the vote on number 3 is not on disk yet"))
+	c.Check(queryVote().Accepted, qt.Equals, Ballot{}, qt.Commentf("the vote at index 3 is not on disk yet"))
 	synced(second)
 	c.Check(queryVote().Accepted, qt.Equals, b)
 }
 
-// What is forgotten and comes again in one step is on disk afterwards, whichever was first.
+// An item that is evicted and set again in one step is on disk afterwards, whichever was first.
 func TestForgottenAndSetAgain(t *testing.T) {
 	c := qt.New(t)
 	node, l := threeMembers(second)
@@ -82,9 +82,9 @@
 			delete(disk, k)
 		}
 	}
-	do(Message{Kind: Prepare, Index: 5, Ballot: Ballot{1, "other"}}) // it is behind, and asks
+	do(Message{Kind: Prepare, Index: 5, Ballot: Ballot{1, "other"}}) // it is behind, and requests changes
 	do(Message{Kind: Changes, Index: 1, Batches: [][]config.Item{
-		{{Kind: config.KindRoutes, Name: "s", Version: 1 << 20, Deleted: true}}, // one too many: the oldest are forgotten
+		{{Kind: config.KindRoutes, Name: "s", Version: 1 << 20, Deleted: true}}, // one too many: the oldest are evicted
 		{item(config.KindRoutes, "r0", 1<<20, `{}`)},
 		{item(config.KindRoutes, "t", 1<<20, `{}`)},
 	}})
--- a/internal/control/consensus/batch.go
+++ b/internal/control/consensus/batch.go
@@ -18,7 +18,7 @@
 	size     int // of value, a bound on its encoding in bytes
 }
 
-// admits reports whether an operation may go into the value beside what is in it: a value replaces the whole set alone, and changes
+// admits reports whether an operation may go into the value beside what is in it: a value replaces the set alone, and changes
 // the members once.
 func (b *batch) admits(op operation.Operation) bool {
 	switch {
--- a/internal/control/consensus/disk_test.go
+++ b/internal/control/consensus/disk_test.go
@@ -4,7 +4,7 @@
 	"portflow/internal/cluster/config"
 )
 
-// diskWrite is one synced step of a disk.
+// diskWrite is one write, and the messages that are sent once it is synced.
 type diskWrite struct {
 	hardState     HardState
 	items         []config.Item
@@ -12,6 +12,7 @@
 	sendAfterSync map[string][]Message
 }
 
+// persist applies a write to the disk.
 func (m *machine) persist(x diskWrite) {
 	m.hardState = x.hardState
 	for _, i := range x.items {
@@ -22,22 +23,23 @@
 	}
 }
 
-// startSync writes what has queued, in one go.
+// startSync begins to sync all queued writes at once.
 func (sim *simulation) startSync(m *machine) {
-	if m.syncing != nil || len(m.writes) == 0 || m.diskHung {
+	if m.syncing != nil || len(m.writes) == 0 || m.diskHangs {
 		return
 	}
-	batch, life := m.writes, m.incarnation
+	batch, incarnation := m.writes, m.incarnation
 	m.syncing, m.writes = batch, nil
-	sim.after(sim.between(ms/4, m.maxSync), func() { sim.finishSync(m, life, batch) })
+	sim.after(sim.between(ms/4, m.maxSync), func() { sim.finishSync(m, incarnation, batch) })
 }
 
-func (sim *simulation) finishSync(m *machine, life int, batch []diskWrite) {
-	if !m.up || m.incarnation != life {
+// finishSync ends a sync, and sends what waited for it.
+func (sim *simulation) finishSync(m *machine, incarnation int, batch []diskWrite) {
+	if !m.up || m.incarnation != incarnation {
 		return
 	}
-	if m.diskHung {
-		sim.after(20*ms, func() { sim.finishSync(m, life, batch) })
+	if m.diskHangs {
+		sim.after(20*ms, func() { sim.finishSync(m, incarnation, batch) })
 		return
 	}
 	m.syncing = nil
@@ -45,7 +47,7 @@
 		m.persist(x)
 	}
 	if !sim.mutation.unsynced {
-		sim.runOn(m, life, func() {
+		sim.runOn(m, incarnation, func() {
 			for _, x := range batch {
 				sim.sendAll(m, x.sendAfterSync)
 			}
--- a/internal/control/consensus/diskimage_test.go
+++ b/internal/control/consensus/diskimage_test.go
@@ -6,9 +6,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// restoreImage plays a core of three: the first and second decide number 2, which the third never hears of, and the first
-// answers its caller. Then the first starts with an image of its disk of before, or with the disk itself, and the third is asked
-// for a rival at once. The second is up, or cut off; it has applied the number, or only voted on it. It tells what stands at each.
+// restoreImage plays a core of three: the first and second decide index 2, of which the third learns nothing, and the first answers its
+// client. Then the first starts with an earlier image of its disk, or with the disk itself, and a rival operation is submitted to the third
+// at once. The second is up, or cut off; it has applied the index, or only voted on it. It returns what each has in the end.
 func restoreImage(c *qt.C, image, cut, applied bool) map[string]string {
 	tc := newTestCluster(3, 0, 3)
 	for _, ip := range tc.ips {
@@ -21,8 +21,8 @@
 		return from != "3" && to != "3" && (applied || m.Kind != Commit)
 	}
 	for _, ip := range []string{"1", "2"} {
-		tc.setHeard(ip, "3", false)
-		tc.setHeard("3", ip, false)
+		tc.setConnected(ip, "3", false)
+		tc.setConnected("3", ip, false)
 	}
 	tag := tc.submit("1", serviceOperation("gate", 1, "one"))
 	tc.run(200 * ms)
@@ -32,14 +32,14 @@
 	if image {
 		tc.members["1"].hardState, tc.members["1"].items = disk, items
 	}
-	tc.setHeard("2", "1", false)
+	tc.setConnected("2", "1", false)
 	began := tc.now
 	tc.deliverable = func(from, to string, m Message) bool {
 		return from != "2" && to != "2" || !cut && tc.now >= began+150*ms
 	}
 	tc.start("1", "")
-	tc.setHeard("1", "3", true) // the second is heard 150 ms later
-	tc.setHeard("3", "1", true)
+	tc.setConnected("1", "3", true) // the second is connected 150 ms later
+	tc.setConnected("3", "1", true)
 	tc.submit("3", serviceOperation("gate", 1, "two"))
 	tc.run(150 * ms)
 	tc.connectAll()
@@ -54,8 +54,8 @@
 	return at
 }
 
-// A member that starts counts for nothing until it has asked the others, so that an image of its disk which was put back is
-// found as long as one is heard that knows better. Its own disk is no image: nothing is lost whoever is cut off.
+// A member that starts does not vote until it has asked the others, so that a restored image of its disk does no harm as long as one is
+// connected that knows better. Its own disk is no image: nothing is lost whoever is cut off.
 func TestImagePutBack(t *testing.T) {
 	for name, test := range map[string]struct{ image, cut, applied bool }{
 		"its own disk":                        {false, false, true},
@@ -73,8 +73,8 @@
 	}
 }
 
-// What nothing can tell: an image and a member that is behind are more than half, and who knows better is cut off. It is why
-// operators never put one back (docs/operate/core.md).
+// What can't be noticed: an image and a member that is behind are a majority, and the one that knows better is cut off. It is why operators
+// never restore an image (docs/operate/core.md).
 func TestImagePutBackUnseen(t *testing.T) {
 	at := restoreImage(qt.New(t), true, true, true)
 	qt.Check(t, at["1"], qt.Contains, "two")
--- /dev/null
+++ b/internal/control/consensus/exhaustive_search_test.go
@@ -0,0 +1,377 @@
+//go:build !race
+
+package consensus
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"reflect"
+	"slices"
+	"strings"
+
+	"portflow/internal/cluster/config"
+)
+
+// Sums that tell the events of a search apart which are not messages.
+const (
+	tickSum         = 1
+	memberChangeSum = 2
+	rivalSum        = 3
+)
+
+// tickStep is by how much a tick moves a process's clock: beyond all that a proposal waits for.
+const tickStep = 2100 * ms
+
+// stepResult is the result of an event at a process: the same event at the same process always has the same.
+type stepResult struct {
+	after     *process
+	packets   []*packet
+	decided   []decidedSet
+	confirmed [2]bool
+}
+
+// eventKey identifies an event at a process.
+type eventKey struct {
+	process    int
+	processSum uint64
+	eventSum   uint64
+	synced     bool
+}
+
+// transition is an event that may happen next in a state.
+type transition struct {
+	at       int // the index of the process
+	target   *process
+	event    Event
+	eventSum uint64
+	powered  bool // the process keeps its power until its write is synced
+	describe func() string
+	change   func(*searchState) // what else it changes; nil for nothing
+}
+
+// searcher is one search, breadth first.
+type searcher struct {
+	mutation  searchMutant
+	seen      map[uint64]bool // sums of the states visited
+	results   map[eventKey]*stepResult
+	processes map[uint64]*process // all processes visited, by their sums
+	decided   map[decidedSet]bool
+	violation string // the first that was found, with the events that lead to it
+	steps     int    // calls of Node.Step for different events
+	depth     int
+	complete  bool // all states to the depth were visited
+	exhausted bool // nothing more can happen
+}
+
+// searchMutant breaks one of the rules that safety depends on.
+type searchMutant struct {
+	sameIncarnation bool // all incarnations of a process use the same ballots
+	unsynced        bool // messages that depend on a write are sent without it
+	keepID          bool // a wiped disk keeps its ID
+	hardState       func(*HardState)
+	message         func(sr *searcher, state *searchState, p *packet) []*packet
+}
+
+// successor returns the state after a transition, nil if it was visited or is no other.
+func (sr *searcher) successor(state *searchState, t transition) *searchState {
+	result := sr.result(t)
+	if result.after == t.target && len(result.packets) == 0 && t.powered && state.processes[t.at] == t.target {
+		return nil // nothing comes of the message: it is as if it were still in flight
+	}
+	next := state.fork(t.describe)
+	if t.change != nil {
+		t.change(next)
+	}
+	next.processes[t.at] = result.after
+	sr.addPackets(state, next, result.packets)
+	sr.addDecided(next, t.at, result.decided)
+	sr.addConfirmed(next, result.confirmed)
+	return sr.visit(next)
+}
+
+// result returns the result of a transition's event at its process.
+func (sr *searcher) result(t transition) *stepResult {
+	key := eventKey{t.at, t.target.sum, t.eventSum, t.powered}
+	result := sr.results[key]
+	if result == nil {
+		result = sr.step(t.at, t.target, t.event, t.powered)
+		sr.results[key] = result
+	}
+	return result
+}
+
+// visit returns a state, nil if it was visited before.
+func (sr *searcher) visit(state *searchState) *searchState {
+	state.computeSum()
+	if sr.seen[state.sum] {
+		return nil
+	}
+	sr.seen[state.sum] = true
+	return state
+}
+
+// addPackets adds what was sent to the packets in flight. A second one alike would lead to nothing else.
+func (sr *searcher) addPackets(state, next *searchState, sent []*packet) {
+	for _, original := range sent {
+		packets := []*packet{original}
+		if sr.mutation.message != nil {
+			packets = sr.mutation.message(sr, state, original)
+		}
+		for _, p := range packets {
+			at, exists := slices.BinarySearchFunc(next.packets, p, func(a, b *packet) int { return cmp.Compare(a.sum, b.sum) })
+			if !exists {
+				next.packets = slices.Insert(slices.Clone(next.packets), at, p)
+			}
+		}
+	}
+}
+
+// addDecided checks that each index has one set at all processes.
+func (sr *searcher) addDecided(next *searchState, process int, decided []decidedSet) {
+	for _, set := range decided {
+		at, exists := slices.BinarySearchFunc(next.decided, set, func(a, b decidedSet) int { return cmp.Compare(a.index, b.index) })
+		switch {
+		case !exists:
+			next.decided = slices.Insert(slices.Clone(next.decided), at, set)
+			sr.decided[set] = true
+		case next.decided[at] != set:
+			sr.violation = fmt.Sprintf("process %d has another value at number %d: %s", process+1, set.index, next.trace())
+		}
+	}
+}
+
+// addConfirmed checks that only one of the rivals is confirmed.
+func (sr *searcher) addConfirmed(next *searchState, confirmed [2]bool) {
+	for rival := range confirmed {
+		next.confirmed[rival] = next.confirmed[rival] || confirmed[rival]
+		if next.confirmed[0] && next.confirmed[1] {
+			sr.violation = "both rivals are confirmed: " + next.trace()
+		}
+	}
+}
+
+// step has a process handle one event, and all that it sends itself in consequence. Without power it restarts before its write is
+// synced.
+func (sr *searcher) step(at int, old *process, e Event, powered bool) *stepResult {
+	sr.steps++
+	p := *old
+	p.node = deepCopy(reflect.ValueOf(old.node)).Interface().(*Node)
+	e.Now = p.now
+	result := &stepResult{}
+	for queue := []Event{e}; len(queue) > 0; queue = queue[1:] {
+		effects := p.node.Step(queue[0])
+		result.note(p.node, effects.Answers)
+		if effects.HardState != nil && powered {
+			sr.write(&p, effects)
+		}
+		queue = append(queue, sr.send(at, p.now, effects, powered, result)...)
+	}
+	if !powered {
+		p.hardState, p.items = old.hardState, old.items
+		result.after = sr.restart(at, p)
+		return result
+	}
+	result.after = sr.intern(p)
+	return result
+}
+
+// note adds the set that a process has now, and the rivals that were confirmed.
+func (r *stepResult) note(node *Node, answers []Answer) {
+	decided := decidedSet{node.Applied(), node.Set.Checksum()}
+	if decided.index > 0 && !slices.Contains(r.decided, decided) {
+		r.decided = append(r.decided, decided)
+	}
+	for _, answer := range answers {
+		if answer.Result.Err() == nil && (answer.Tag == 1 || answer.Tag == 2) {
+			r.confirmed[answer.Tag-1] = true
+		}
+	}
+}
+
+// write writes what a step asks for to the process's disk.
+func (sr *searcher) write(p *process, effects Effects) {
+	p.hardState = *effects.HardState
+	if sr.mutation.hardState != nil {
+		sr.mutation.hardState(&p.hardState)
+	}
+	p.items = newSet(append(slices.Clone(p.items), effects.SaveItems...)).All()
+}
+
+// send adds the messages of a step to its result, and returns those to the process itself as events. Messages that nothing of what is
+// searched for depends on are left out.
+func (sr *searcher) send(from int, now int64, effects Effects, powered bool, result *stepResult) (own []Event) {
+	ip := fmt.Sprint(from + 1)
+	sends := []map[string][]Message{effects.Send}
+	if powered || sr.mutation.unsynced {
+		sends = append(sends, effects.SendAfterSync)
+	}
+	for _, messages := range sends {
+		for _, to := range slices.Sorted(maps.Keys(messages)) {
+			for _, m := range messages[to] {
+				switch {
+				case to == ip:
+					own = append(own, Event{Now: now, From: ip, Message: &m})
+				case isSearched(m.Kind):
+					result.packets = append(result.packets, newPacket(from, int(to[0]-'1'), m))
+				}
+			}
+		}
+	}
+	return own
+}
+
+// isSearched reports whether messages of a kind are part of the search: those by which values are decided.
+func isSearched(kind MessageKind) bool {
+	switch kind {
+	case Prepare, Promise, Accept, Accepted, Commit, VotePersisted:
+		return true
+	}
+	return false
+}
+
+// intern returns the one process that stands for all that are alike.
+func (sr *searcher) intern(p process) *process {
+	p.sum = digestOf(p.node, p.hardState, p.now, p.incarnation)
+	if known, exists := sr.processes[p.sum]; exists {
+		return known
+	}
+	sr.processes[p.sum] = &p
+	return &p
+}
+
+// restart returns the next incarnation of a process, with what its disk holds. All that it lacks would come to it sooner or later, so
+// it may propose at once.
+func (sr *searcher) restart(at int, p process) *process {
+	p.incarnation++
+	member := allMembers()[at]
+	incarnation := fmt.Sprintf("%s%d", member.Name, p.incarnation)
+	if sr.mutation.sameIncarnation {
+		incarnation = member.Name
+	}
+	p.node = New(member, incarnation, 1, p.hardState, newSet(p.items), p.now)
+	p.node.caughtUp = p.hardState.Applied > 0
+	if p.node.caughtUp {
+		p.node.acceptor.startReplies = nil
+	}
+	for _, other := range worldPeers[at] {
+		peer := allMembers()[other]
+		p.node.peers[peer.IP] = Peer{Member: peer, Epoch: 1, Applied: 1, CaughtUp: true}
+	}
+	return sr.intern(p)
+}
+
+// newSet returns a set of items.
+func newSet(items []config.Item) *config.Set {
+	set := config.NewSet()
+	for _, item := range items {
+		set.Merge(item)
+	}
+	return set
+}
+
+// successors calls each with all states that may come next.
+func (sr *searcher) successors(state *searchState, each func(*searchState)) {
+	add := func(next *searchState) {
+		if next != nil {
+			each(next)
+		}
+	}
+	for n, p := range state.packets {
+		delivery := sr.delivery(state, n, p)
+		add(sr.successor(state, delivery))
+		if state.budget.powers > 0 {
+			add(sr.successor(state, delivery.withoutPower()))
+		}
+	}
+	for at, target := range state.processes {
+		if state.budget.turns > 0 && at < 2 {
+			add(sr.successor(state, sr.tick(at, target)))
+		}
+		if state.budget.wipes > 0 && at < 3 && !strings.HasSuffix(target.hardState.DiskID, wipedSuffix) {
+			add(sr.wipe(state, at, target))
+		}
+	}
+}
+
+// delivery returns the transition by which the n-th packet in flight arrives.
+func (sr *searcher) delivery(state *searchState, n int, p *packet) transition {
+	m := p.message
+	return transition{
+		at:       p.to,
+		target:   state.processes[p.to],
+		event:    Event{From: fmt.Sprint(p.from + 1), Message: &m},
+		eventSum: p.sum,
+		powered:  true,
+		describe: func() string {
+			return fmt.Sprintf("%s %d>%d number %d ballot %v", m.Kind, p.from+1, p.to+1, m.Index, m.Ballot)
+		},
+		change: func(next *searchState) { next.packets = slices.Delete(slices.Clone(next.packets), n, n+1) },
+	}
+}
+
+// withoutPower returns the transition where the process loses its power before its write is synced.
+func (t transition) withoutPower() transition {
+	powered := t
+	t.powered = false
+	t.describe = func() string { return powered.describe() + " without power" }
+	t.change = func(next *searchState) {
+		powered.change(next)
+		next.budget.powers--
+	}
+	return t
+}
+
+// tick returns the transition by which time passes at a process.
+func (sr *searcher) tick(at int, target *process) transition {
+	later := *target
+	later.now += tickStep
+	return transition{
+		at:       at,
+		target:   sr.intern(later),
+		event:    Event{Tick: true},
+		eventSum: tickSum,
+		powered:  true,
+		describe: func() string { return fmt.Sprintf("time at %d", at+1) },
+		change:   func(next *searchState) { next.budget.turns-- },
+	}
+}
+
+// wipedSuffix marks the ID of a disk that was wiped.
+const wipedSuffix = "'"
+
+// wipe returns the state after a process has lost its disk and has restarted, nil if it was visited.
+func (sr *searcher) wipe(state *searchState, at int, target *process) *searchState {
+	wiped := *target
+	wiped.hardState = HardState{DiskID: target.hardState.DiskID + wipedSuffix}
+	wiped.items = nil
+	if sr.mutation.keepID { // it has fetched again all but its votes
+		wiped.hardState = HardState{DiskID: target.hardState.DiskID, Applied: target.hardState.Applied}
+		wiped.items = target.items
+	}
+	next := state.fork(func() string { return fmt.Sprintf("wiped %d", at+1) })
+	next.budget.wipes--
+	next.processes[at] = sr.restart(at, wiped)
+	return sr.visit(next)
+}
+
+// run visits the states of a world level by level, until a violation, the depth or the limit of states.
+func (sr *searcher) run(name string, maxDepth, stateLimit int) {
+	world := worlds[name]
+	sr.seen = map[uint64]bool{}
+	sr.results = map[eventKey]*stepResult{}
+	sr.processes = map[uint64]*process{}
+	sr.decided = map[decidedSet]bool{}
+	level := []*searchState{sr.initialState(world.left, world.more)}
+	for sr.depth = 0; sr.depth < maxDepth && len(level) > 0; sr.depth++ {
+		var next []*searchState
+		for _, state := range level {
+			sr.successors(state, func(successor *searchState) { next = append(next, successor) })
+			if sr.violation != "" || len(sr.seen) > stateLimit {
+				return
+			}
+		}
+		level = next
+	}
+	sr.complete, sr.exhausted = true, len(level) == 0
+}
--- a/internal/control/consensus/faults_test.go
+++ b/internal/control/consensus/faults_test.go
@@ -198,14 +198,14 @@
 }
 
 func (sim *simulation) hangDisk(m *machine, span int64) {
-	sim.tally["hung"]++
+	sim.tally["disk hangs"]++
 	sim.hangDiskFor(m, span)
 }
 
 func (sim *simulation) hangDiskFor(m *machine, span int64) {
-	m.diskHung = true
+	m.diskHangs = true
 	sim.after(span, func() {
-		m.diskHung = false
+		m.diskHangs = false
 		sim.startSync(m)
 	})
 }
--- a/internal/control/consensus/forward.go
+++ b/internal/control/consensus/forward.go
@@ -272,7 +272,7 @@
 	}
 }
 
-// noteProgress notes what a message shows of its sender: that it hears this process, or that it makes progress. Messages that are
+// noteProgress notes what a message shows of its sender: that it receives from this process, or that it makes progress. Messages that are
 // repeated without cause show neither.
 func (n *Node) noteProgress(now int64, from string, m Message) {
 	f := &n.forwarder
--- a/internal/control/consensus/forward_test.go
+++ b/internal/control/consensus/forward_test.go
@@ -14,9 +14,9 @@
 	"portflow/internal/control/operation"
 )
 
-// An order is handed to the member that proposes for all, which has it decided; the word of that doesn't come back. Then a later
-// order, which is confirmed, undoes what it made. Who handed it over hears of both changes from another, and hands it to the next
-// member: it must not make once more what it made.
+// An operation is forwarded to the preferred proposer, which has it decided; the result does not come back. Then a later operation, which
+// is confirmed, undoes its effect. The process that forwarded it learns both changes from another member, and forwards it to the next: it
+// must not take effect again.
 func TestForwardedTakesEffectOnce(t *testing.T) {
 	evacuate := func(begun bool) operation.Operation {
 		return operation.Operation{Kind: operation.Evacuate, Name: "z", Active: begun}
@@ -39,7 +39,7 @@
 			tc.run(second)
 			tc.deliverable = func(from, to string, _ Message) bool { return from != "1" || to != "3" }
 			tag := tc.submit("3", test.first)
-			if test.first.Kind == operation.BeginRollout { // at one who knows the newest as it was long ago
+			if test.first.Kind == operation.BeginRollout { // submitted where the newest rollout is long known
 				test.first.KnownRollout = 1
 			}
 			made, there := tc.members["2"].node.Set.Lookup(test.key)
@@ -49,19 +49,19 @@
 			c.Assert(tc.isConfirmed(undo), qt.IsTrue, qt.Commentf("%v", tc.answers[undo]))
 			over, _ := tc.members["2"].node.Set.Lookup(test.key)
 			c.Assert(over.Version > made.Version, qt.IsTrue)
-			tc.setHeard("3", "2", true) // by which it takes both over
+			tc.setConnected("3", "2", true) // by which it learns both
 			tc.run(4 * second)
 			now, _ := tc.members["2"].node.Set.Lookup(test.key)
 			c.Check(now.Equal(over), qt.IsTrue, qt.Commentf("%d: %s; before %d: %s", now.Version, now.Body, over.Version, over.Body))
-			r, told := tc.answers[tag]
-			c.Assert(told, qt.IsTrue)
+			r, answered := tc.answers[tag]
+			c.Assert(answered, qt.IsTrue)
 			c.Check(r.Kind == apierror.None || r.Kind == apierror.Unavailable, qt.IsTrue, qt.Commentf("%v", r))
 		})
 	}
 }
 
-// What an order found at first may be let go only where nothing of it is about: its one copy ended unvoted, and its own process hasn't
-// voted on it, as another may bring that vote to its end.
+// The condition of a forwarded operation may be dropped only where nothing of it is left: its one copy ended without a vote, and its own
+// process hasn't voted on it, as another may finish that vote.
 func TestBoundUntilNothingIsAbout(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -85,8 +85,8 @@
 	}
 }
 
-// A process hands an order over, is killed, and in its next life has another order under the same tag: tags begin anew. The end of the
-// first is none of the second's, which would else be confirmed though it lost; nor is an answer to a read of the life before.
+// A process forwards an operation, is killed, and in its next incarnation has another operation under the same tag: tags begin anew. The
+// result of the first is not the second's, which would else be confirmed though it lost; nor is a reply to a read of the incarnation before.
 func TestAnswersOfAnotherLife(t *testing.T) {
 	for _, read := range []bool{false, true} {
 		t.Run(fmt.Sprint("read ", read), func(t *testing.T) {
@@ -97,7 +97,7 @@
 			}
 			tc.connectAll()
 			tc.run(second)
-			var late []envelope // answers of 1 and 2 to the first life
+			var late []envelope // replies of 1 and 2 to the first incarnation
 			tc.deliverable = func(from, to string, m Message) bool {
 				if to == "3" && (m.Kind == ForwardResult || m.Kind == ReadIndexReply && m.Tag == 7) && tc.members["3"].incarnations == 1 {
 					late = append(late, envelope{from, to, m})
@@ -121,7 +121,7 @@
 			tc.run(second)
 			made := tc.submit("1", serviceOperation("other", 1, "made")) // since then
 			c.Assert(tc.isConfirmed(made), qt.IsTrue)
-			tc.deliverable = func(from, to string, m Message) bool { // what 3 asks goes out, and no answer has come yet
+			tc.deliverable = func(from, to string, m Message) bool { // the requests of 3 go out, and no reply has come yet
 				return to != "3" || m.Kind != ForwardResult && m.Kind != ReadIndexReply
 			}
 			ask(serviceOperation("gate", 1, "two"))
@@ -141,9 +141,9 @@
 	}
 }
 
-// Four changes of 7 MB each wait for one number. Together they would be a frame that ends every line it comes on, and once it was
-// voted for somewhere each promise would be one more: the core would never decide anything again. They go into as many numbers as
-// it takes; no message is over a frame.
+// Four changes of 7 MB each are pending at once. In one value they would make a frame that ends every connection, and once it was voted
+// for somewhere each promise would be another: the core would never decide anything again. They go into as many values as it takes; no
+// message is larger than a frame.
 func TestNoValueIsOverAFrame(t *testing.T) {
 	c := qt.New(t)
 	tc := newTestCluster(3, 0, 3)
@@ -154,7 +154,7 @@
 	tc.run(second)
 	most, held := 0, true
 	tc.deliverable = func(_, _ string, m Message) bool {
-		size := config.EncodedSizeBound(m.Value) // of all its JSON nearly; orders' TestLaidInAFrame holds the two against each other
+		size := config.EncodedSizeBound(m.Value) // nearly of all its JSON; TestValueFitsAFrame of operation compares the two
 		for _, items := range m.Batches {
 			size += config.EncodedSizeBound(items)
 		}
@@ -179,15 +179,15 @@
 	c.Check(tc.members["1"].node.Counts.Decided, qt.Equals, int64(2))
 	tc.checkSame(c)
 
-	// one that was away takes over as much, by changes as far as they are kept, else by a cut
+	// one that was down catches up on as much, by changes as far as they are kept, else by a snapshot
 	missedChanges := []int{6, 2}
 	if raceDetector {
 		missedChanges = missedChanges[1:]
 	}
 	for _, missed := range missedChanges {
 		tc.stop("3")
-		tc.setHeard("1", "3", false)
-		tc.setHeard("2", "3", false)
+		tc.setConnected("1", "3", false)
+		tc.setConnected("2", "3", false)
 		for n := range missed {
 			tag := tc.submit("1", serviceOperation(fmt.Sprint("gate-", n), uint64(2+missed), long))
 			tc.run(500 * ms)
--- a/internal/control/consensus/idempotence_test.go
+++ b/internal/control/consensus/idempotence_test.go
@@ -11,8 +11,8 @@
 	"portflow/internal/control/operation"
 )
 
-// An order is voted on, its proposer is beaten, and another brings that vote to its end; then a later order undoes what it made.
-// The proposer still has the order waiting, as nobody has told it of its end: it must not make it once more.
+// An operation is voted on, its proposer is rejected, and another finishes that vote; then a later operation undoes its effect. At the
+// proposer the operation is still pending, as it has learned of no end: it must not take effect again.
 func TestOperationTakesEffectOnce(t *testing.T) {
 	running := rollout.Rollout{Service: "desk", Number: 1, Target: "v2", Duration: 10 * second, State: rollout.Running}
 	over := running
@@ -32,7 +32,7 @@
 			n.caughtUp = true
 			now := 2 * second
 			var answers []Answer
-			proposed := 0 // what the order makes, or makes once more
+			proposed := 0 // how often the effect of the operation is proposed
 			var step func(e Event)
 			say := func(who int, m Message) {
 				m.DiskID, m.Epoch = l.Members[who].ID, 1
@@ -68,7 +68,7 @@
 			step(Event{From: l.Members[2].IP, Peer: &Peer{Member: l.Members[2], Epoch: 1, Applied: 1, CaughtUp: true}})
 			step(Event{Operation: &test.order, Tag: 1})
 			c.Assert(proposed, qt.Equals, 1)
-			decides := func(number uint64, value config.Item) { // by another, who took the vote over
+			decides := func(number uint64, value config.Item) { // by another proposer, which finished the vote
 				say(0, Message{Kind: Accept, Index: number, Ballot: Ballot{1000 * number, "other"}, Value: []config.Item{value}})
 				say(0, Message{Kind: Commit, Index: number, Ballot: Ballot{1000 * number, "other"}})
 				c.Assert(n.Applied(), qt.Equals, number)
@@ -80,7 +80,7 @@
 				now += second / 20
 				step(Event{Tick: true})
 			}
-			c.Check(proposed, qt.Equals, 0, qt.Commentf("it is made once more"))
+			c.Check(proposed, qt.Equals, 0, qt.Commentf("it takes effect again"))
 			c.Assert(answers, qt.HasLen, 1)
 			k := answers[0].Result.Kind
 			c.Check(k == apierror.None || k == apierror.Unavailable, qt.IsTrue, qt.Commentf("%v", k))
--- a/internal/control/consensus/incarnation_test.go
+++ b/internal/control/consensus/incarnation_test.go
@@ -6,8 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// twoIncarnations plays a proposer that loses its power before its own promise is synced, after another has voted for its value; in
-// its next life it proposes otherwise to who hasn't. It tells what stands at number 2 at each.
+// twoIncarnations plays a proposer that loses its power before its own promise is synced, after another has voted for its value; its next
+// incarnation proposes another value to the one that has not. It returns what each has in the end.
 func twoIncarnations(c *qt.C, first, next string) (at map[string]string) {
 	tc := newTestCluster(3, 0, 3)
 	tc.start("1", first)
@@ -27,12 +27,12 @@
 	tc.stop("1")
 	tc.members["1"].hardState, tc.members["1"].items = before, items
 
-	// it starts again, hears 3 only, and proposes otherwise; what it decided is told to 2
+	// it starts again, receives from 3 only, and proposes another value; its commit reaches 2
 	tc.start("1", next)
 	tc.deliverable = func(from, to string, m Message) bool { return from != "2" && (to != "2" || m.Kind == Commit) }
 	tc.connectAll()
 	tc.run(second)
-	tc.setHeard("1", "2", true)
+	tc.setConnected("1", "2", true)
 	tag := tc.submit("1", serviceOperation("gate", 1, "two"))
 	tc.run(second)
 	c.Assert(tc.isConfirmed(tag), qt.IsTrue)
@@ -46,14 +46,14 @@
 	return at
 }
 
-// No two lives of a process ever use one ballot: else a commit of the second life's value is taken for the first's, which has
-// the same ballot.
+// No two incarnations of a process ever use one ballot: else a commit of the second one's value is taken for the first one's, which has the
+// same ballot.
 func TestTwoIncarnationsOneBallot(t *testing.T) {
 	c := qt.New(t)
 	at := twoIncarnations(c, "1.1", "1.2")
 	c.Check(at["1"], qt.Contains, "two")
 	c.Check(at["2"], qt.Equals, at["1"])
 	c.Check(at["3"], qt.Equals, at["1"])
-	at = twoIncarnations(c, "1", "1") // the mend taken out
-	c.Check(at["2"], qt.Not(qt.Equals), at["1"], qt.Commentf("two lives with one name aren't found"))
+	at = twoIncarnations(c, "1", "1") // with the rule broken
+	c.Check(at["2"], qt.Not(qt.Equals), at["1"], qt.Commentf("one name for both incarnations isn't noticed"))
 }
--- a/internal/control/consensus/invariants_test.go
+++ b/internal/control/consensus/invariants_test.go
@@ -13,155 +13,186 @@
 	"portflow/internal/control/operation"
 )
 
-// decidedState is the set as it was at a number.
+// decidedState is the set at an index.
 type decidedState struct {
 	sum       uint64
 	items     map[config.Key]config.Item
 	reachedAt int64
 }
 
-// violation is a fault that was found. It is unsafe, or else something that should have come to its end did not.
+// violation is an invariant that does not hold: one of safety, or of liveness if something should have ended and has not.
 type violation struct {
 	message      string
 	livenessOnly bool
 }
 
-func (b *violation) String() string {
-	if b == nil {
+// String returns the message, empty for none.
+func (v *violation) String() string {
+	if v == nil {
 		return ""
 	}
-	return b.message
+	return v.message
 }
 
+// fail ends the run because safety is violated.
 func (sim *simulation) fail(format string, args ...any) {
 	panic(&violation{fmt.Sprintf("at %.3f s: ", float64(sim.now)/1e9) + fmt.Sprintf(format, args...), false})
 }
 
-// failLiveness is for what should have come to its end.
+// failLiveness ends the run because something should have ended and has not.
 func (sim *simulation) failLiveness(format string, args ...any) {
 	panic(&violation{fmt.Sprintf("at %.3f s: ", float64(sim.now)/1e9) + fmt.Sprintf(format, args...), true})
 }
 
-// checkState holds a process against what was ever decided.
+// checkState compares a process with all that was decided: each index has one set at all processes, and a process never goes back.
 func (sim *simulation) checkState(m *machine) {
-	n, sum := m.node.Applied(), m.node.Set.Checksum()
-	if n < m.applied {
-		sim.fail("%s went back from %d to %d", m.ip, m.applied, n)
+	index, sum := m.node.Applied(), m.node.Set.Checksum()
+	if index < m.applied {
+		sim.fail("%s went back from %d to %d", m.ip, m.applied, index)
 	}
-	m.applied = n
-	sim.trace = sim.trace*1099511628211 ^ n ^ sum ^ uint64(sim.now)
+	m.applied = index
+	sim.trace = sim.trace*1099511628211 ^ index ^ sum ^ uint64(sim.now)
 	switch {
-	case n == 0:
+	case index == 0:
 		return
-	case n > uint64(len(sim.states)+1):
-		sim.fail("%s has number %d, and nobody has had %d", m.ip, n, n-1)
-	case n <= uint64(len(sim.states)):
-		if s := sim.states[n-1]; s.sum != sum {
-			sim.fail("%s has another set at number %d: %v, first was %v", m.ip, n, m.node.Set.All(), s.items)
+	case index > uint64(len(sim.states)+1):
+		sim.fail("%s has number %d, and nobody has had %d", m.ip, index, index-1)
+	case index <= uint64(len(sim.states)):
+		if state := sim.states[index-1]; state.sum != sum {
+			sim.fail("%s has another set at number %d: %v, first was %v", m.ip, index, m.node.Set.All(), state.items)
 		}
 		return
 	}
-	s := decidedState{sum, map[config.Key]config.Item{}, sim.now}
+	sim.addState(m, index, sum)
+}
+
+// addState adds the set of a process that is the first to apply an index.
+func (sim *simulation) addState(m *machine, index, sum uint64) {
+	state := decidedState{sum, map[config.Key]config.Item{}, sim.now}
 	for _, i := range m.node.Set.All() {
-		s.items[i.Key()] = i
+		state.items[i.Key()] = i
 	}
-	sim.states = append(sim.states, s)
-	delete(sim.proposedMemberships, n)
+	sim.states = append(sim.states, state)
+	delete(sim.proposedMemberships, index)
 	sim.tally["numbers"]++
-	l := m.node.Membership()
-	raw, _ := json.Marshal(l)
-	if was, there := sim.membershipByEpoch[l.Epoch]; there && was != string(raw) {
-		sim.fail("two lists of epoch %d: %s and %s", l.Epoch, was, raw)
-	} else if !there {
-		sim.membershipByEpoch[l.Epoch] = string(raw)
-		sim.tally["lists"]++
+	sim.checkMembership(m.node.Membership())
+	if index > 1 {
+		sim.checkTransition(sim.states[index-2], state, index)
+	}
+}
+
+// checkMembership checks that an epoch has one list of members.
+func (sim *simulation) checkMembership(list membership.List) {
+	encoded, err := json.Marshal(list)
+	if err != nil {
+		sim.fail("the members can't be encoded: %v", err)
 	}
-	if n > 1 {
-		sim.checkTransition(sim.states[n-2], s, n)
+	known, exists := sim.membershipByEpoch[list.Epoch]
+	switch {
+	case !exists:
+		sim.membershipByEpoch[list.Epoch] = string(encoded)
+		sim.tally["lists"]++
+	case known != string(encoded):
+		sim.fail("two lists of epoch %d: %s and %s", list.Epoch, known, encoded)
 	}
 }
 
-// checkTransition holds one state against the one before.
-func (sim *simulation) checkTransition(before, after decidedState, n uint64) {
-	for k, i := range before.items {
-		if j, there := after.items[k]; !there || j.Version < i.Version || j.Version == i.Version && !j.Equal(i) {
-			sim.fail("at number %d %s follows on %s", n, describeItem(j), describeItem(i))
+// checkTransition compares a state with the one before: versions of items never go back, and a change takes effect as one.
+func (sim *simulation) checkTransition(before, after decidedState, index uint64) {
+	for key, old := range before.items {
+		item, exists := after.items[key]
+		if !exists || item.Version < old.Version || item.Version == old.Version && !item.Equal(old) {
+			sim.fail("at number %d %s follows on %s", index, describeItem(item), describeItem(old))
 		}
 	}
-	// a call stands as a whole
-	for k, i := range after.items {
-		if !before.items[k].Equal(i) {
-			sim.log("%.3f number %d: %s", float64(sim.now)/1e9, n, describeItem(i))
+	for key, item := range after.items {
+		if before.items[key].Equal(item) {
+			continue
 		}
-		if i.Deleted || before.items[k].Equal(i) { // drops of many calls are alike
+		sim.log("%.3f number %d: %s", float64(sim.now)/1e9, index, describeItem(item))
+		if !item.Deleted { // deletions of many changes are alike
+			sim.checkChangeComplete(item, after, index)
+		}
+	}
+}
+
+// checkChangeComplete checks that all of each change is in a state where an item of it has taken effect.
+func (sim *simulation) checkChangeComplete(item config.Item, after decidedState, index uint64) {
+	for _, copies := range sim.operations {
+		op := copies.operation
+		if op.Kind != operation.ModifyConfig || !slices.ContainsFunc(op.Items, item.Equal) {
 			continue
 		}
-		for _, g := range sim.operations {
-			if g.operation.Kind != operation.ModifyConfig || !slices.ContainsFunc(g.operation.Items, func(x config.Item) bool { return x.Equal(i) }) {
-				continue
-			}
-			for _, x := range g.operation.Items {
-				if !holds(after, x) {
-					sim.fail("at number %d %s came into force, and %s of the same call did not", n, describeItem(i), describeItem(x))
-				}
+		for _, other := range op.Items {
+			if !holds(after, other) {
+				sim.fail("at number %d %s came into force, and %s of the same call did not", index, describeItem(item), describeItem(other))
 			}
 		}
 	}
 }
 
-// survivesLoss tells whether the core can lose a machine's disk: under the list that holds, under any that may yet be decided, and
-// under the one before as long as no other disk has the change of it.
+// survivesLoss reports whether the core can lose a machine's disk: with the present members, with any members that may yet be decided,
+// and with those before as long as no other disk has the change.
 func (sim *simulation) survivesLoss(m *machine) bool {
 	lists := []membership.List{sim.membership()}
-	for _, more := range sim.proposedMemberships {
-		lists = append(lists, more...)
+	for _, proposed := range sim.proposedMemberships {
+		lists = append(lists, proposed...)
 	}
-	// who comes in may have been proposed by one that hasn't heard of its loss yet
-	available := slices.DeleteFunc(slices.Clone(sim.lostDisks), func(x lostDisk) bool { return sim.now-x.at > 5*second })
-	for _, o := range sim.machines {
-		if !o.removed {
-			available = append(available, lostDisk{membership.Member{IP: o.ip, ID: o.hardState.DiskID}, 0})
-		}
+	lists = append(lists, sim.largestMembership())
+	for index := len(sim.states); index > 0 && !sim.isAppliedElsewhere(m, index); index-- {
+		lists = append(lists, sim.membershipAt(index-1))
 	}
-	all := membership.List{Members: slices.Clone(lists[0].Members)}
-	for _, x := range available {
-		if !slices.ContainsFunc(all.Members, func(y membership.Member) bool { return y.IP == x.IP }) {
-			all.Members = append(all.Members, x.Member)
+	return !slices.ContainsFunc(lists, func(list membership.List) bool { return sim.membersWithout(list, m) < list.Majority() })
+}
+
+// largestMembership returns the present members with all that may be proposed to join. A lost disk may be, by one that has not noticed
+// the loss.
+func (sim *simulation) largestMembership() membership.List {
+	candidates := slices.DeleteFunc(slices.Clone(sim.lostDisks), func(lost lostDisk) bool { return sim.now-lost.at > 5*second })
+	for _, other := range sim.machines {
+		if !other.removed {
+			candidates = append(candidates, lostDisk{membership.Member{IP: other.ip, ID: other.hardState.DiskID}, 0})
 		}
 	}
-	lists = append(lists, all)
-	for n := len(sim.states); n > 0; n-- {
-		if slices.ContainsFunc(sim.machines, func(o *machine) bool {
-			return o != m && !o.removed && o.hardState.Applied >= uint64(n) && lists[0].Contains(o.ip, o.hardState.DiskID)
-		}) {
-			break
+	all := membership.List{Members: slices.Clone(sim.membership().Members)}
+	for _, candidate := range candidates {
+		if _, exists := all.ByIP(candidate.IP); !exists {
+			all.Members = append(all.Members, candidate.Member)
 		}
-		lists = append(lists, sim.membershipAt(n-1))
 	}
-	for _, l := range lists {
-		n := 0
-		for _, x := range l.Members {
-			if o := sim.byIP[x.IP]; o != m && o.hardState.DiskID == x.ID && !o.removed {
-				n++
-			}
-		}
-		if n < l.Majority() {
-			return false
+	return all
+}
+
+// isAppliedElsewhere reports whether the disk of another present member has an index.
+func (sim *simulation) isAppliedElsewhere(m *machine, index int) bool {
+	members := sim.membership()
+	return slices.ContainsFunc(sim.machines, func(other *machine) bool {
+		applied := !other.removed && other.hardState.Applied >= uint64(index)
+		return other != m && applied && members.Contains(other.ip, other.hardState.DiskID)
+	})
+}
+
+// membersWithout returns how many members of a list still have their disk, without a machine.
+func (sim *simulation) membersWithout(list membership.List, m *machine) (count int) {
+	for _, member := range list.Members {
+		other := sim.byIP[member.IP]
+		if other != m && other.hardState.DiskID == member.ID && !other.removed {
+			count++
 		}
 	}
-	return true
+	return count
 }
 
-// holds tells whether an item, or a later one in its place, is in a state.
+// holds reports whether a state has an item, or a later version of it.
 func holds(s decidedState, i config.Item) bool {
 	now, there := s.items[i.Key()]
 	return there && (now.Version > i.Version || now.Equal(i))
 }
 
-// membership is the newest list that was decided.
+// membership returns the newest members that were decided.
 func (sim *simulation) membership() membership.List { return sim.membershipAt(len(sim.states)) }
 
-// membershipAt is the list at a number; before the first, the founders.
+// membershipAt returns the members at an index; before the first the founders.
 func (sim *simulation) membershipAt(n int) membership.List {
 	if n > 0 {
 		return membership.FromItem(sim.states[n-1].items[membership.Key])
@@ -173,6 +204,7 @@
 	return l
 }
 
+// describeItem returns an item for a log.
 func describeItem(i config.Item) string {
 	body := string(i.Body)
 	if at := strings.Index(body, `,"host-name`); at > 0 {
@@ -181,7 +213,7 @@
 	return fmt.Sprintf("%s %s version %d dropped %v %s", i.Kind, i.Name, i.Version, i.Deleted, body)
 }
 
-// checkConfirmed looks whether an order stands at the number that its caller was told.
+// checkConfirmed checks that a confirmed operation has taken effect at the index in its answer.
 func (sim *simulation) checkConfirmed(c *call) {
 	s := sim.states[c.result.Index-1]
 	switch o := c.operation; o.Kind {
@@ -201,7 +233,7 @@
 	}
 }
 
-// checkEvacuations looks whether a zone stays as somebody was told, until somebody else wants it otherwise.
+// checkEvacuations checks that a zone stays as a client was answered, until another client wants it otherwise.
 func (sim *simulation) checkEvacuations() {
 	var all []*call
 	for _, g := range sim.operations {
@@ -225,7 +257,7 @@
 	}
 }
 
-// checkOutcomes looks over all that was told, once the day is over.
+// checkOutcomes checks all answers at the end of a run: nothing that was refused has taken effect.
 func (sim *simulation) checkOutcomes() {
 	sim.checkEvacuations()
 	for _, g := range sim.operations {
@@ -258,59 +290,83 @@
 	}
 }
 
-// checkLiveness asks what must be so once nothing has harmed for long.
+// checkLiveness checks what must hold long after the last fault.
 func (sim *simulation) checkLiveness() {
-	up := slices.DeleteFunc(slices.Clone(sim.machines), func(m *machine) bool { return !m.up })
-	all := func(what string) string {
-		s := what
-		for _, m := range sim.machines {
-			s += fmt.Sprintf("\n%s %s up %v: %v, disk %v %v at %d, waits %d, reads %d, voted for %v", m.ip, m.node.HardState().DiskID, m.up, m.node, m.node.HardState().Promised, m.node.HardState().Accepted, m.node.HardState().AcceptedIndex, len(m.node.forwarder.pending), len(m.node.reads), membershipIn(m.node.HardState().AcceptedValue))
-		}
-		return s + fmt.Sprintf("\n%v", sim.membership())
-	}
 	if len(sim.states) == 0 {
-		sim.failLiveness("%s", all("the core never began"))
+		sim.failLiveness("the first epoch was never decided%s", sim.describeMachines())
 	}
+	up := slices.DeleteFunc(slices.Clone(sim.machines), func(m *machine) bool { return !m.up })
+	sim.checkCaughtUp(up)
+	sim.checkMembersUp(up)
+	sim.call(up[0], sim.operations[0]) // the service exists from here on
+	sim.run(sim.now + second)
+	for _, m := range up {
+		sim.checkAnswers(m)
+	}
+}
+
+// checkCaughtUp checks that all that are up have applied the last index.
+func (sim *simulation) checkCaughtUp(up []*machine) {
 	for _, m := range up {
 		switch {
 		case m.node.Applied() != uint64(len(sim.states)):
-			sim.failLiveness(all("%s is not at number %d"), m.ip, len(sim.states))
+			sim.failLiveness("%s is not at number %d%s", m.ip, len(sim.states), sim.describeMachines())
 		case !m.node.CaughtUp():
-			sim.failLiveness(all("%s is not whole"), m.ip)
+			sim.failLiveness("%s has not caught up%s", m.ip, sim.describeMachines())
 		}
 	}
-	// the members live, and each zone has as many of them as there are to be, or all that live there; others stand by
-	count, live := map[string]int{}, map[string]int{}
+}
+
+// checkMembersUp checks that all members are up, and that each zone has minPerZone of them, or all that are up there.
+func (sim *simulation) checkMembersUp(up []*machine) {
+	members, live := map[string]int{}, map[string]int{}
 	for _, m := range up {
-		if live[m.zone]++; m.node.IsMember() {
-			count[m.zone]++
+		live[m.zone]++
+		if m.node.IsMember() {
+			members[m.zone]++
 		}
 	}
-	for _, x := range sim.membership().Members {
-		if m := sim.byIP[x.IP]; !m.up || m.hardState.DiskID != x.ID {
-			sim.failLiveness(all("member %s %s doesn't live"), x.IP, x.ID)
+	for _, member := range sim.membership().Members {
+		if m := sim.byIP[member.IP]; !m.up || m.hardState.DiskID != member.ID {
+			sim.failLiveness("member %s %s is not up%s", member.IP, member.ID, sim.describeMachines())
 		}
 	}
 	for _, zone := range slices.Sorted(maps.Keys(live)) {
-		if count[zone] < min(live[zone], sim.minPerZone) {
-			sim.failLiveness(all("zone %s has %d members, and %d live there"), zone, count[zone], live[zone])
+		if members[zone] < min(live[zone], sim.minPerZone) {
+			sim.failLiveness("zone %s has %d members, and %d are up there%s", zone, members[zone], live[zone], sim.describeMachines())
 		}
 	}
-	sim.call(up[0], sim.operations[0]) // the service stands from here on, as is looked at below
+}
+
+// checkAnswers checks that a process confirms an operation, and answers a read, within a second.
+func (sim *simulation) checkAnswers(m *machine) {
+	sim.version++
+	name := fmt.Sprintf("q%d", m.id)
+	body := fmt.Sprintf(`{"host-name":"%s.example","name":"%s","path-prefix":"/","route-kind":"safe_method","service":"desk","timeout-s":1}`, name, name)
+	copies := &operationCopies{number: len(sim.operations), operation: operation.Operation{
+		Kind:  operation.ModifyConfig,
+		Items: []config.Item{item(config.KindRoutes, name, sim.version, body)},
+	}}
+	sim.operations = append(sim.operations, copies)
+	change := sim.call(m, copies)
+	read := sim.call(m, nil)
 	sim.run(sim.now + second)
-	for _, m := range up {
-		g := &operationCopies{number: len(sim.operations)}
-		g.operation = operation.Operation{Kind: operation.ModifyConfig}
-		sim.version++
-		g.operation.Items = []config.Item{item(config.KindRoutes, fmt.Sprintf("q%d", m.id), sim.version, fmt.Sprintf(`{"host-name":"q%d.example","name":"q%d","path-prefix":"/","route-kind":"safe_method","service":"desk","timeout-s":1}`, m.id, m.id))}
-		sim.operations = append(sim.operations, g)
-		c, r := sim.call(m, g), sim.call(m, nil)
-		sim.run(sim.now + second)
-		if !c.done || c.result.Kind != apierror.None {
-			sim.failLiveness(all("in the calm %s has not confirmed an order within 1 s: %v"), m.ip, c.result)
-		}
-		if !r.done || r.result.Kind != apierror.None {
-			sim.failLiveness(all("in the calm %s has not answered a read within 1 s: %v"), m.ip, r.result)
-		}
+	if !change.done || change.result.Kind != apierror.None {
+		sim.failLiveness("in the calm %s has not confirmed an order within 1 s: %v%s", m.ip, change.result, sim.describeMachines())
+	}
+	if !read.done || read.result.Kind != apierror.None {
+		sim.failLiveness("in the calm %s has not answered a read within 1 s: %v%s", m.ip, read.result, sim.describeMachines())
+	}
+}
+
+// describeMachines returns the state of all machines and the members, each on a line of its own.
+func (sim *simulation) describeMachines() string {
+	var text strings.Builder
+	for _, m := range sim.machines {
+		disk := m.node.HardState()
+		fmt.Fprintf(&text, "\n%s %s up %v: %v, disk %v %v at %d, pending %d, reads %d, voted for %v", m.ip, disk.DiskID, m.up, m.node,
+			disk.Promised, disk.Accepted, disk.AcceptedIndex, len(m.node.forwarder.pending), len(m.node.reads), membershipIn(disk.AcceptedValue))
 	}
+	fmt.Fprintf(&text, "\n%v", sim.membership())
+	return text.String()
 }
--- a/internal/control/consensus/membership_test.go
+++ b/internal/control/consensus/membership_test.go
@@ -13,7 +13,7 @@
 	"portflow/internal/control/operation"
 )
 
-// makesProgress tells whether one of those that are left confirms an order within some seconds, asked again and again.
+// makesProgress reports whether one of the members that are up confirms an operation within some seconds, submitted again and again.
 func (tc *testCluster) makesProgress() bool {
 	for range 8 {
 		for _, ip := range tc.ips {
@@ -29,8 +29,8 @@
 	return false
 }
 
-// A list is voted on while some are lost, whoever they are, within its round trip: as many as the core bore, those that come
-// in among them, and one that comes in in any case. Those that are left go on by themselves.
+// A change of members is voted on while some are lost, whoever they are, within its round trip: as many as the core tolerates, those that
+// join among them, and one that joins in any case. Those that are left go on by themselves.
 func TestLostWhileAListIsVotedOn(t *testing.T) {
 	played, voted := 0, 0
 	for _, test := range []struct{ members, silent, come, zones int }{
@@ -51,7 +51,7 @@
 				} else {
 					old++
 				}
-				if n >= test.members-test.silent && n < test.members { // it is lost already
+				if n >= test.members-test.silent && n < test.members { // it is silent already
 					old = 99
 				}
 			}
@@ -75,16 +75,16 @@
 				}
 				return true
 			}
-			for _, ip := range tc.ips { // they hear each other, and the silent ones not
+			for _, ip := range tc.ips { // all are connected but the silent ones
 				for _, other := range tc.ips {
-					tc.setHeard(ip, other, true)
+					tc.setConnected(ip, other, true)
 				}
 			}
 			tc.run(6 * second)
 			for _, ip := range tc.ips {
 				for _, gone := range lost {
 					if struck {
-						tc.setHeard(ip, gone, false)
+						tc.setConnected(ip, gone, false)
 					}
 				}
 			}
@@ -99,18 +99,18 @@
 						left = append(left, fmt.Sprintf("%s: %v, votes for %v", ip, s.node, membershipIn(s.hardState.AcceptedValue).Members))
 					}
 				}
-				t.Errorf("%d members, %d of them silent, %d come in, %d zones, lost %v: %q", test.members, test.silent, test.come, test.zones, lost, left)
+				t.Errorf("%d members, %d of them silent, %d join, %d zones, lost %v: %q", test.members, test.silent, test.come, test.zones, lost, left)
 			}
 		}
 	}
 	if voted < played/2 {
-		t.Errorf("of %d plays a list was voted on in %d", played, voted)
+		t.Errorf("of %d runs a change was voted on in %d", played, voted)
 	}
-	t.Logf("%d plays, a list voted on in %d", played, voted)
+	t.Logf("%d runs, a change voted on in %d", played, voted)
 }
 
-// undecidedMembership is a core of three whose third is lost, and whose first two have voted on a list that needs one of the lost: it was
-// proposed with a fourth, and perhaps decided with its vote. What came with it is a change, or a snapshot that was restored.
+// undecidedMembership returns a core of three whose third is lost, and whose first two have voted for members that need one of the lost for
+// a majority: a fourth was to join, and perhaps voted too, which decided it. In the same value is a change, or a restored snapshot.
 func undecidedMembership(restored bool) *testCluster {
 	tc := newTestCluster(3, 1, 4)
 	tc.start("1", "")
@@ -130,9 +130,9 @@
 	return tc
 }
 
-// A list that was voted on may have been decided, and what came with it may have been confirmed. Where those that are left are
-// no majority of it nothing is confirmed and nothing answered otherwise, for as long as it lasts; it goes on by itself
-// once one of the lost is back, with what was voted on.
+// A change of members that was voted on may have been decided, and what is in the same value may have been confirmed. While those that are
+// left are no majority of the new members, nothing is confirmed or refused; the core goes on by itself once one of the lost is back,
+// with what was voted on.
 func TestListThatWaits(t *testing.T) {
 	for _, back := range []string{"3", "4"} {
 		t.Run(back+" comes back", func(t *testing.T) {
@@ -144,7 +144,7 @@
 				c.Assert(tc.answers[tag].Kind, qt.Equals, apierror.Unavailable)
 			}
 			c.Check(tc.members["1"].node.Applied(), qt.Equals, uint64(1))
-			c.Check(tc.members["1"].node.HasQuorum(), qt.IsFalse, qt.Commentf("operators see that it is alone, and may recover"))
+			c.Check(tc.members["1"].node.HasQuorum(), qt.IsFalse, qt.Commentf("operators see that there is no quorum, and may recover"))
 			tc.start(back, "")
 			tc.run(5 * second)
 			c.Check(tc.serviceBody("1", "gate"), qt.Contains, "held")
@@ -154,8 +154,8 @@
 	}
 }
 
-// The way out where they never come: one process is made the whole core. It keeps what it had voted for, as that may have been
-// confirmed, and those that are left come in again.
+// The way out if they never come back: one process is made the only member. It keeps what it had voted for, as that may have been
+// confirmed, and those that are left join again.
 func TestListThatWaitsRecovered(t *testing.T) {
 	for _, restored := range []bool{false, true} {
 		t.Run(fmt.Sprint("restored ", restored), func(t *testing.T) {
--- a/internal/control/consensus/mutant_test.go
+++ b/internal/control/consensus/mutant_test.go
@@ -10,19 +10,19 @@
 	"testing"
 )
 
-// forge has a message come in the name of a process that never said it.
+// forge sends a message in the name of a process that never sent it.
 func (sim *simulation) forge(from, to *machine, epoch uint64, x Message) {
 	x.Epoch, x.DiskID, x.Applied = epoch, from.hardState.DiskID, from.applied
 	sim.deliver(from, to, func() { sim.step(to, Event{From: from.ip, Message: &x}) })
 }
 
-// mutants are the mends, each taken out by what carries the messages and keeps the records. seeds is how many days are played
-// at the most until one finds it. That two lives use the same ballots is found by none of 4,000 days, but by TestTwoLivesOneBallot; promises
-// that aren't kept on disk are found by the small worlds, votes that are told too early by TestVoteToldOnceOnDisk, and rarely here.
+// mutants each break a rule, in what carries the messages and keeps the disks. That two incarnations use the same ballots is found by none
+// of 4,000 seeds, but by TestTwoIncarnationsOneBallot; promises that aren't kept on disk are found by the exhaustive search, and votes that
+// are reported too early by TestVoteReportedOnceOnDisk, and rarely here.
 var mutants = map[string]mutant{
 	"a wiped disk is the same member still":              {keepID: true},
 	"a wiped disk is a founder still":                    {firstSeed: 530, keepFounders: true, keepID: true},
-	"promises and votes are told before they are synced": {unsynced: true},
+	"promises and votes are sent before they are synced": {unsynced: true},
 	"reads ask nobody":                                   {localReads: true},
 	"votes aren't kept on disk":                          {hardState: func(d *HardState) { d.Accepted, d.AcceptedIndex, d.AcceptedValue = Ballot{}, 0, nil }},
 	"a promise tells of no vote": {message: func(_ *simulation, _, _ *machine, x *Message) bool {
@@ -31,7 +31,7 @@
 		}
 		return true
 	}},
-	"a read is told what is applied, not what is voted on": {message: func(_ *simulation, _, _ *machine, x *Message) bool {
+	"a read is answered with what is applied, not what is voted on": {message: func(_ *simulation, _, _ *machine, x *Message) bool {
 		if x.Kind == ReadIndexReply {
 			x.Index, x.Accepted = x.Applied, Ballot{}
 		}
@@ -70,8 +70,8 @@
 	}},
 }
 
-// Each mend is needed: with one taken out some day finds that what was decided, confirmed or read isn't so. What only goes on
-// no more doesn't count here, nor what orders are told of themselves, which hangs on none of them.
+// Each rule is needed: with one broken, some seed finds that what was decided, confirmed or read does not hold. Violations of liveness
+// don't count here, nor those of the answers to operations that depend on none of the rules.
 func TestMutants(t *testing.T) {
 	for _, name := range slices.Sorted(maps.Keys(mutants)) {
 		t.Run(name, func(t *testing.T) {
@@ -86,9 +86,9 @@
 				return what == ""
 			})
 			if what == "" {
-				t.Fatalf("%d days find nothing, %d go on no more", played, stuck)
+				t.Fatalf("%d seeds find nothing, %d violate liveness", played, stuck)
 			}
-			t.Logf("found by seed %d, after %d days: %.150s", at, played, what)
+			t.Logf("found by seed %d, after %d seeds: %.150s", at, played, what)
 		})
 	}
 }
--- a/internal/control/consensus/network_test.go
+++ b/internal/control/consensus/network_test.go
@@ -1,17 +1,18 @@
 package consensus
 
-// link is between two machines; each end finds out by itself that it is broken.
+// link is the connection between two machines; index 0 is the end of the one with the lower id. Each end finds out by itself that the
+// connection is broken.
 type link struct {
 	connected   [2]bool
 	incarnation int
-	lastArrival [2]int64 // arrival of the newest message to each end
+	lastArrival [2]int64 // when the newest message arrives at each end
 	held        [2][]func()
-	cuts        [2]int // how many harms hold what goes to each end
+	cuts        [2]int // how many faults hold what is sent to each end
 	latency     int64  // one way
-	extraDelay  int64  // by which messages may be late at the most
+	extraDelay  int64  // by which messages may be late at most
 }
 
-// link is the one between two machines, and which end of it is a's.
+// link returns the link between two machines, and which end of it is a's.
 func (sim *simulation) link(a, b *machine) (l *link, end int) {
 	if a.id < b.id {
 		return sim.links[[2]int{a.id, b.id}], 0
@@ -19,40 +20,40 @@
 	return sim.links[[2]int{b.id, a.id}], 1
 }
 
-// deliver brings something to the other end, in the order in which it was sent, unless the line breaks.
+// deliver runs something at the other end of a link, in the order of sending, unless the link breaks.
 func (sim *simulation) deliver(from, to *machine, do func()) {
 	l, end := sim.link(from, to)
 	if !l.connected[end] {
 		return
 	}
-	life, process, other := l.incarnation, to.incarnation, 1-end
-	come := func() {
+	incarnation, process, other := l.incarnation, to.incarnation, 1-end
+	arrive := func() {
 		at := max(sim.now+l.latency+sim.between(0, l.latency/4+1+l.extraDelay), l.lastArrival[other]+1)
 		l.lastArrival[other] = at
 		sim.after(at-sim.now, func() {
-			if l.incarnation == life && l.connected[other] {
+			if l.incarnation == incarnation && l.connected[other] {
 				sim.runOn(to, process, do)
 			}
 		})
 	}
 	if l.cuts[other] > 0 {
 		l.held[other] = append(l.held[other], func() {
-			if l.incarnation == life {
-				come()
+			if l.incarnation == incarnation {
+				arrive()
 			}
 		})
 		return
 	}
-	come()
+	arrive()
 }
 
-// connect goes on until there is a line.
+// connect tries to connect two machines, until they are or one of them ends.
 func (sim *simulation) connect(a, b *machine) {
-	lifeA, lifeB := a.incarnation, b.incarnation
+	incarnationA, incarnationB := a.incarnation, b.incarnation
 	l, end := sim.link(a, b)
 	sim.after(sim.between(5*ms, 300*ms), func() {
 		switch {
-		case !a.up || !b.up || a.incarnation != lifeA || b.incarnation != lifeB || l.connected == [2]bool{true, true}:
+		case !a.up || !b.up || a.incarnation != incarnationA || b.incarnation != incarnationB || l.connected == [2]bool{true, true}:
 		case l.connected != [2]bool{} || l.cuts != [2]int{} || a.frozen || b.frozen:
 			sim.connect(a, b)
 		default:
@@ -67,7 +68,7 @@
 	})
 }
 
-// breakLink has one end of a line find out that it is broken.
+// breakLink has one end of a link notice that it is broken.
 func (sim *simulation) breakLink(m, other *machine) {
 	l, end := sim.link(m, other)
 	if !l.connected[end] {
@@ -80,25 +81,25 @@
 	}
 }
 
-// noticeLater has one end of a line find out later, if it is still so.
+// noticeLater has one end of a link notice after a time that it is broken, if it still is.
 func (sim *simulation) noticeLater(m, other *machine, in int64, still func() bool) {
 	l, _ := sim.link(m, other)
-	life := l.incarnation
+	incarnation := l.incarnation
 	sim.after(in, func() {
-		if l.incarnation == life && still() {
+		if l.incarnation == incarnation && still() {
 			sim.breakLink(m, other)
 		}
 	})
 }
 
-// cutLink holds what goes from one machine to another; the receiver finds out by silence and closes, which the sender sees at
-// once, or by its own silence where it hears nothing either.
+// cutLink holds what one machine sends another. The receiver notices the silence and closes the link; the sender sees that at once, or if
+// it receives nothing either, notices the silence by itself.
 func (sim *simulation) cutLink(from, to *machine) {
 	l, end := sim.link(to, from)
 	l.cuts[end]++
-	life := l.incarnation
+	incarnation := l.incarnation
 	sim.after(sim.between(800*ms, 2000*ms), func() {
-		if l.incarnation != life || l.cuts[end] == 0 {
+		if l.incarnation != incarnation || l.cuts[end] == 0 {
 			return
 		}
 		sim.breakLink(to, from)
@@ -110,13 +111,14 @@
 	})
 }
 
+// healLink ends a cut, and delivers what was held.
 func (sim *simulation) healLink(from, to *machine) {
 	l, end := sim.link(to, from)
 	if l.cuts[end]--; l.cuts[end] == 0 {
 		held := l.held[end]
 		l.held[end] = nil
-		for _, come := range held {
-			come()
+		for _, arrive := range held {
+			arrive()
 		}
 	}
 }
--- a/internal/control/consensus/preferred_test.go
+++ b/internal/control/consensus/preferred_test.go
@@ -9,18 +9,18 @@
 	"portflow/internal/cluster/config"
 )
 
-// outageStats is how orders fare while the member that proposes for all falls silent without a word, for 20 s, and comes back.
+// outageStats are the answers to operations while the preferred proposer falls silent for 20 s, and comes back.
 type outageStats struct {
-	latencies  []int64 // of confirmed orders, from the call to the answer
+	latencies  []int64 // of confirmed operations, from the call to the answer
 	rejected   int
-	sent       int // messages while it was so
+	sent       int // messages while it was silent
 	rejections int64
 	submitted  int
 }
 
-// simulateOutage plays one day, 38 s, of which 20 s are so, of a core of six: an order every 30 to 90 ms at any process but the first one.
-func simulateOutage(seed uint64, how string, wrong mutant, s *outageStats) {
-	sim := newSimulation(seed, wrong)
+// simulateOutage plays 38 s of a core of six, with an outage of 20 s: an operation every 30 to 90 ms at any process but the preferred one.
+func simulateOutage(seed uint64, how string, mutation mutant, stats *outageStats) {
+	sim := newSimulation(seed, mutation)
 	for _, m := range sim.machines {
 		sim.after(sim.between(0, 500*ms), func() { sim.start(m) })
 	}
@@ -29,17 +29,17 @@
 	first := sim.byIP[sim.membership().Members[0].IP]
 	others := slices.DeleteFunc(slices.Clone(sim.machines), func(m *machine) bool { return m == first })
 	var all []*call
-	var asks func()
-	asks = func() {
+	var submitNext func()
+	submitNext = func() {
 		if sim.now < 34*second {
 			m := others[sim.rand.IntN(len(others))]
-			g := &operationCopies{number: len(all) + 1}
-			g.operation = serviceOperation(fmt.Sprintf("x%d", g.number%8), uint64(g.number), fmt.Sprint(g.number))
-			all = append(all, sim.call(m, g))
-			sim.after(sim.between(30*ms, 90*ms), asks)
+			copies := &operationCopies{number: len(all) + 1}
+			copies.operation = serviceOperation(fmt.Sprintf("x%d", copies.number%8), uint64(copies.number), fmt.Sprint(copies.number))
+			all = append(all, sim.call(m, copies))
+			sim.after(sim.between(30*ms, 90*ms), submitNext)
 		}
 	}
-	asks()
+	submitNext()
 	count := func() (n int) {
 		for _, k := range sim.sent {
 			n += k
@@ -59,36 +59,36 @@
 		sim.freeze(first, 20*second)
 	}
 	sim.run(34 * second)
-	s.sent += count() - before
+	stats.sent += count() - before
 	sim.run(38 * second)
 	for _, m := range sim.machines {
-		s.rejections += m.node.Counts.Beaten
+		stats.rejections += m.node.Counts.Beaten
 	}
 	for _, c := range all {
 		if c.startedAt < 10*second {
 			continue
 		}
-		s.submitted++
+		stats.submitted++
 		if c.result.Kind != apierror.None || !c.done {
-			s.rejected++
+			stats.rejected++
 			continue
 		}
-		s.latencies = append(s.latencies, c.endedAt-c.startedAt)
+		stats.latencies = append(stats.latencies, c.endedAt-c.startedAt)
 	}
-	slices.Sort(s.latencies)
+	slices.Sort(stats.latencies)
 }
 
 func (s *outageStats) percentile(share float64) int64 {
 	return s.latencies[min(len(s.latencies)-1, int(share*float64(len(s.latencies))))]
 }
 
-// Whatever silences the member that proposes for all, no order waits for nearly as long as that is noticed (1 to 2 s): it is
-// passed over, and what it was handed goes to the next. In calm nobody is asked for nothing, and nobody is beaten for it.
+// Whatever silences the preferred proposer, no operation waits for nearly as long as the loss of its connections takes to notice (1 to 2 s):
+// it is skipped, and what was forwarded to it goes to the next. Without an outage nothing is sent and rejected needlessly.
 func TestFirstFallsSilent(t *testing.T) {
 	for _, test := range []struct {
-		how              string
-		p99, worst       int64   // milliseconds
-		messages, beaten float64 // an order, a day
+		how                  string
+		p99, worst           int64   // milliseconds
+		messages, rejections float64 // an operation, a seed
 	}{
 		{"calm", 250, 350, 25, 8},
 		{"cut", 450, 1000, 24, 20},
@@ -97,25 +97,25 @@
 		{"deaf", 450, 1000, 24, 20},
 	} {
 		var stats outageStats
-		days := 0
-		for seed := uint64(0); days < max(*seeds, defaultOutages); seed++ {
-			if w := newSimulation(seed, mutant{}); len(w.machines) == 6 && w.maxSync <= 40*ms {
+		runs := 0
+		for seed := uint64(0); runs < max(*seeds, defaultOutages); seed++ {
+			if sim := newSimulation(seed, mutant{}); len(sim.machines) == 6 && sim.maxSync <= 40*ms {
 				simulateOutage(seed, test.how, mutant{}, &stats)
-				days++
+				runs++
 			}
 		}
-		p99, worst, messages, rejections := stats.percentile(0.99)/ms, stats.percentile(1)/ms, float64(stats.sent)/float64(stats.submitted), float64(stats.rejections)/float64(days)
-		summary := fmt.Sprintf("%s: %d orders in %d days, p50 %d ms, p99 %d ms, worst %d ms, refused %d, messages an order %.1f, beaten a day %.1f", test.how, stats.submitted, days, stats.percentile(0.5)/ms, p99, worst, stats.rejected, messages, rejections)
-		if p99 > test.p99 || worst > test.worst || messages > test.messages || rejections > test.beaten || stats.rejected > 0 {
-			t.Errorf("%s: over p99 %d ms, worst %d ms, %.1f messages an order, beaten %.1f a day", summary, test.p99, test.worst, test.messages, test.beaten)
+		p99, worst, messages, rejections := stats.percentile(0.99)/ms, stats.percentile(1)/ms, float64(stats.sent)/float64(stats.submitted), float64(stats.rejections)/float64(runs)
+		summary := fmt.Sprintf("%s: %d operations in %d seeds, p50 %d ms, p99 %d ms, worst %d ms, refused %d, messages an operation %.1f, rejections a seed %.1f", test.how, stats.submitted, runs, stats.percentile(0.5)/ms, p99, worst, stats.rejected, messages, rejections)
+		if p99 > test.p99 || worst > test.worst || messages > test.messages || rejections > test.rejections || stats.rejected > 0 {
+			t.Errorf("%s: over p99 %d ms, worst %d ms, %.1f messages an operation, %.1f rejections a seed", summary, test.p99, test.worst, test.messages, test.rejections)
 			continue
 		}
 		t.Log(summary)
 	}
 }
 
-// The member that proposes for all decides many numbers between two words on its standing: it is known by what it decides to be
-// as far as the others, and goes on being the first.
+// The preferred proposer decides many indexes between two reports of its status: by what it decides it is known to be as far as the others,
+// and stays the preferred one.
 func TestFirstIsNotBehind(t *testing.T) {
 	n, l := threeMembers(second)
 	first := l.Members[0]
--- a/internal/control/consensus/randomfaults_test.go
+++ b/internal/control/consensus/randomfaults_test.go
@@ -14,24 +14,24 @@
 )
 
 var (
-	seeds     = flag.Int("seeds", 0, "how many drawn days are played, 0 for the few of every run")
+	seeds     = flag.Int("seeds", 0, "how many seeds are played, 0 for those of every run")
 	firstSeed = flag.Uint64("from", 0, "the first seed")
-	verbose   = flag.Bool("tell", false, "every harm and answer is logged")
+	verbose   = flag.Bool("tell", false, "one seed is played, and every fault and answer is logged")
 )
 
-// mutant takes one of the mends out.
+// mutant breaks one of the rules that safety depends on.
 type mutant struct {
-	firstSeed       uint64           // the first seed that is played
-	keepID          bool             // a wiped disk comes back as the same member
-	unsynced        bool             // what rests on the disk is said before it is synced
-	sameIncarnation bool             // two lives of one process use the same ballots
-	localReads      bool             // a read is answered by what this process happens to have
-	keepFounders    bool             // a wiped disk is one of the founders still
-	hardState       func(*HardState) // the record lacks something
-	message         func(w *simulation, from, to *machine, x *Message) bool
+	firstSeed       uint64                                                    // the first seed that is played
+	keepID          bool                                                      // a wiped disk comes back as the same member
+	unsynced        bool                                                      // messages that depend on a write are sent before it is synced
+	sameIncarnation bool                                                      // all incarnations of a process use the same ballots
+	localReads      bool                                                      // a read is answered with what the process has applied
+	keepFounders    bool                                                      // a wiped disk is still one of the founders
+	hardState       func(*HardState)                                          // changes what is written
+	message         func(sim *simulation, from, to *machine, m *Message) bool // changes a message, or loses it if false
 }
 
-// simulate plays one seed: a start, harms, calm, and the questions at the end.
+// simulate plays one seed: starts, faults, calm, and the checks at the end.
 func simulate(seed uint64, mutation mutant, log func(string, ...any)) (sim *simulation, found *violation) {
 	sim = newSimulation(seed, mutation)
 	if log != nil {
@@ -40,40 +40,28 @@
 	return sim, sim.play()
 }
 
-// play plays the seed of a new world.
+// play plays a new simulation to its end, or to the first violation.
 func (sim *simulation) play() (found *violation) {
 	defer func() {
-		if x := recover(); x != nil {
-			b, ok := x.(*violation)
-			if !ok {
-				panic(fmt.Sprintf("seed %d: %v", sim.seed, x))
-			}
-			found = b
+		switch reason := recover().(type) {
+		case nil:
+		case *violation:
+			found = reason
+		default:
+			panic(fmt.Sprintf("seed %d: %v", sim.seed, reason))
 		}
 	}()
-	const harms = 40 * second
-	sim.scheduleAll(harms)
-	sim.run(harms + 6500*ms) // all spans have ended by then
+	const faultsEnd, calm = 40 * second, 18 * second
+	sim.scheduleAll(faultsEnd)
+	sim.run(faultsEnd + 6500*ms) // all faults have ended by then
 	for _, m := range sim.machines {
-		if m.maxSync = 4 * ms; !m.removed {
-			sim.start(m)
-		}
+		m.maxSync = 4 * ms
 	}
-	sim.run(sim.now + 18*second)
-	if sim.foundingIsLost() { // what operators do then, with nothing lost
-		sim.tally["founded anew"]++
-		for _, m := range sim.machines {
-			if sim.stop(m, false); slices.Contains(sim.founders, m.ip) && !m.removed {
-				sim.wipeDisk(m)
-				m.hardState.Founders = sim.founders
-			}
-		}
-		for _, m := range sim.machines {
-			if !m.removed {
-				sim.start(m)
-			}
-		}
-		sim.run(sim.now + 18*second)
+	sim.startAll()
+	sim.run(sim.now + calm)
+	if sim.foundingIsLost() {
+		sim.foundAnew()
+		sim.run(sim.now + calm)
 	}
 	sim.checkLiveness()
 	sim.checkOutcomes()
@@ -83,10 +71,32 @@
 	return nil
 }
 
-// scheduleAll has the processes start, and harms and calls come until a time.
-func (sim *simulation) scheduleAll(harms int64) {
+// startAll starts all machines that are not removed.
+func (sim *simulation) startAll() {
+	for _, m := range sim.machines {
+		if !m.removed {
+			sim.start(m)
+		}
+	}
+}
+
+// foundAnew does what operators do where the first epoch can't be decided any more: the founders start with empty disks. Nothing is lost.
+func (sim *simulation) foundAnew() {
+	sim.tally["founded anew"]++
+	for _, m := range sim.machines {
+		sim.stop(m, false)
+		if slices.Contains(sim.founders, m.ip) && !m.removed {
+			sim.wipeDisk(m)
+			m.hardState.Founders = sim.founders
+		}
+	}
+	sim.startAll()
+}
+
+// scheduleAll schedules the starts of the processes, and faults and calls until a time.
+func (sim *simulation) scheduleAll(faultsEnd int64) {
 	for n, m := range sim.machines {
-		if n > len(sim.machines)/2 && sim.rand.IntN(4) == 0 { // it comes late
+		if n > len(sim.machines)/2 && sim.rand.IntN(4) == 0 { // it starts late
 			sim.after(sim.between(0, 20*second), func() { sim.start(m) })
 			continue
 		}
@@ -96,45 +106,45 @@
 	sim.operations = append(sim.operations, first)
 	sim.after(3*second, func() { sim.submitRepeatedly(first, 20) })
 	pace := sim.between(200*ms, 3*second)
-	var hurts, asks func()
-	hurts = func() {
-		if sim.now < harms {
+	var injectFaults, makeCalls func()
+	injectFaults = func() {
+		if sim.now < faultsEnd {
 			sim.injectFault()
-			sim.after(sim.between(0, 2*pace), hurts)
+			sim.after(sim.between(0, 2*pace), injectFaults)
 		}
 	}
-	asks = func() {
-		if sim.now < harms {
+	makeCalls = func() {
+		if sim.now < faultsEnd {
 			sim.randomCalls()
-			sim.after(sim.between(0, 400*ms), asks)
+			sim.after(sim.between(0, 400*ms), makeCalls)
 		}
 	}
-	sim.after(sim.between(0, 4*second), hurts)
-	sim.after(3*second, asks)
+	sim.after(sim.between(0, 4*second), injectFaults)
+	sim.after(3*second, makeCalls)
 }
 
-// foundingIsLost tells that the first list was voted on and lacks a majority for good: a founder's disk was lost within the round
-// trip, while another one was not heard. Anything else that keeps a core from its beginning is a fault, and so is an order
-// that was confirmed by then.
+// foundingIsLost reports whether the first members were voted on and lack a majority for good: a founder's disk was lost within the round
+// trip, while another founder was not connected. Anything else that prevents the first epoch is a violation, and so is an
+// operation that was confirmed by then.
 func (sim *simulation) foundingIsLost() bool {
 	if len(sim.states) > 0 || sim.confirmedIndex > 0 || sim.tally["confirmed"] > 0 {
 		return false
 	}
 	for _, m := range sim.machines {
-		l, n := membershipIn(m.hardState.AcceptedValue), 0
-		for _, x := range l.Members {
-			if o := sim.byIP[x.IP]; o.up && o.hardState.DiskID == x.ID {
-				n++
+		list, count := membershipIn(m.hardState.AcceptedValue), 0
+		for _, member := range list.Members {
+			if other := sim.byIP[member.IP]; other.up && other.hardState.DiskID == member.ID {
+				count++
 			}
 		}
-		if m.up && m.hardState.AcceptedIndex == 1 && l.Epoch == 1 && n < l.Majority() {
+		if m.up && m.hardState.AcceptedIndex == 1 && list.Epoch == 1 && count < list.Majority() {
 			return true
 		}
 	}
 	return false
 }
 
-// simulateMany plays many seeds, at most three at a time.
+// simulateMany plays many seeds, at most three at a time, until each returns false. It calls each for one at a time, and waits for all.
 func simulateMany(first uint64, n int, mutation mutant, each func(seed uint64, sim *simulation, found *violation) bool) {
 	var next atomic.Int64
 	var lock sync.Mutex
@@ -159,8 +169,8 @@
 	all.Wait()
 }
 
-// Drawn days: whatever is killed, wiped, cut, slow, late, frozen or replaced, one value a number, nothing confirmed is lost,
-// nothing refused comes into force, reads are as of now, and after the harms all goes on by itself.
+// Whatever is killed, wiped, cut off, slow, late, frozen or replaced: an index has one value, nothing confirmed is lost, nothing refused
+// takes effect, reads are linearizable, and after the faults all goes on by itself.
 func TestRandomFaults(t *testing.T) {
 	n := cmp.Or(*seeds, defaultSeeds)
 	if *verbose {
@@ -193,7 +203,7 @@
 	t.Logf("%d seeds, %d with faults: %v", n, len(bad), sum)
 }
 
-// withoutNumbers is a fault without its figures.
+// withoutNumbers returns the beginning of a violation's message without its numbers, by which violations are grouped.
 func withoutNumbers(s string) string {
 	s, _, _ = strings.Cut(s, "\n")
 	_, s, _ = strings.Cut(s, ": ")
--- a/internal/control/consensus/recovery_test.go
+++ b/internal/control/consensus/recovery_test.go
@@ -12,7 +12,7 @@
 	"portflow/internal/control/operation"
 )
 
-// checkSame checks that all that are up have applied the same as the first.
+// checkSame checks that all processes that are up have applied the same as the first.
 func (tc *testCluster) checkSame(c *qt.C) {
 	c.Helper()
 	for _, ip := range tc.ips[1:] {
@@ -25,8 +25,8 @@
 	}
 }
 
-// A member is frozen for 20 s in the middle of its own proposal, while the others go on, and thaws with what was under way: the
-// votes that it had asked for, or its asking.
+// A member is frozen for 20 s in the middle of its own proposal, while the others go on, and thaws with what was in flight: the replies that
+// it waits for, or its proposal.
 func TestThawedInItsProposal(t *testing.T) {
 	for name, held := range map[string]MessageKind{"its promises are on the way": Promise, "nobody has its proposal yet": Accept, "its votes are on the way": Accepted} {
 		t.Run(name, func(t *testing.T) {
@@ -48,9 +48,9 @@
 			tag := tc.submit("1", serviceOperation("gate", 1, "frozen"))
 			c.Assert(len(late) > 0, qt.IsTrue)
 			tc.deliverable = func(from, to string, _ Message) bool { return from != "1" && to != "1" }
-			tc.members["1"].up = false // it does nothing, and is told nothing
+			tc.members["1"].up = false // it does nothing, and receives nothing
 			for _, ip := range []string{"2", "3"} {
-				tc.setHeard(ip, "1", false)
+				tc.setConnected(ip, "1", false)
 			}
 			for n := range 20 {
 				o := tc.submit("2", serviceOperation("other", uint64(n+1), fmt.Sprint(n)))
@@ -76,8 +76,8 @@
 	}
 }
 
-// Two founders are a core that bears no loss: without one of them nothing is confirmed, and with it all goes on. A third makes
-// it bear one.
+// Two founders are a core that tolerates no loss: without one of them nothing is confirmed, and with it all goes on. With a third it
+// tolerates one.
 func TestTwoFounders(t *testing.T) {
 	c := qt.New(t)
 	tc := newTestCluster(2, 1, 3)
@@ -90,14 +90,14 @@
 	}
 	tc.start("2", "")
 	tc.run(5 * second)
-	c.Check(tc.members["2"].node.Applied(), qt.Equals, uint64(0), qt.Commentf("one of two founders is no core"))
+	c.Check(tc.members["2"].node.Applied(), qt.Equals, uint64(0), qt.Commentf("one of two founders is no quorum"))
 	tc.start("1", "")
 	tc.connectAll()
 	tc.run(3 * second)
 	c.Assert(tc.members["1"].node.Membership().Members, qt.HasLen, 2)
 	c.Assert(tc.makesProgress(), qt.IsTrue)
 	tc.stop("2")
-	tc.setHeard("1", "2", false)
+	tc.setConnected("1", "2", false)
 	c.Check(tc.makesProgress(), qt.IsFalse)
 	tc.start("2", "")
 	tc.connectAll()
@@ -107,12 +107,12 @@
 	tc.run(4 * second)
 	c.Assert(tc.members["1"].node.Membership().Members, qt.HasLen, 3)
 	tc.stop("1")
-	tc.setHeard("2", "1", false)
-	tc.setHeard("3", "1", false)
+	tc.setConnected("2", "1", false)
+	tc.setConnected("3", "1", false)
 	c.Check(tc.makesProgress(), qt.IsTrue)
 }
 
-// A learner restarts while it is voted in: before it has voted, or after, with its disk.
+// A learner restarts while it joins: before it has voted, or after, with its disk.
 func TestVotedInWhileItRestarts(t *testing.T) {
 	for name, voted := range map[string]bool{"before it votes": false, "after its vote": true} {
 		t.Run(name, func(t *testing.T) {
@@ -134,7 +134,7 @@
 			tc.run(2 * second)
 			c.Assert(struck, qt.IsTrue)
 			for _, ip := range tc.ips[:3] {
-				tc.setHeard(ip, "4", false)
+				tc.setConnected(ip, "4", false)
 			}
 			c.Check(tc.members["1"].node.Membership().Members, qt.HasLen, 4)
 			c.Check(tc.makesProgress(), qt.IsTrue)
@@ -145,17 +145,17 @@
 			c.Check(tc.members["4"].node.IsMember(), qt.IsTrue)
 			c.Check(tc.members["4"].node.CaughtUp(), qt.IsTrue)
 			tc.checkSame(c)
-			tc.stop("3") // it counts now
+			tc.stop("3") // its vote counts now
 			for _, ip := range []string{"1", "2", "4"} {
-				tc.setHeard(ip, "3", false)
+				tc.setConnected(ip, "3", false)
 			}
 			c.Check(tc.makesProgress(), qt.IsTrue)
 		})
 	}
 }
 
-// A read at a member that hasn't heard of the change of members yet doesn't count those that went as enough: whoever voted on
-// the change tells so.
+// A read at a member that hasn't learned of a change of members yet does not take those that left for a majority: who voted on the change
+// reports it.
 func TestReadAcrossMembers(t *testing.T) {
 	for _, test := range []struct{ reader, other string }{{"2", "3"}, {"3", "2"}} {
 		t.Run(test.reader+" with "+test.other, func(t *testing.T) {
@@ -165,11 +165,11 @@
 			for _, ip := range tc.ips {
 				tc.start(ip, "")
 			}
-			tc.members["4"].member.Zone, tc.members["4"].node.self.Zone = "z2", "z2" // it stands by
+			tc.members["4"].member.Zone, tc.members["4"].node.self.Zone = "z2", "z2" // it stays a learner
 			tc.connectAll()
 			tc.run(2 * second)
 			c.Assert(tc.members["1"].node.Membership().Epoch, qt.Equals, uint64(1))
-			// 3 goes and 4 comes; 2 votes, and hears of nothing any more
+			// 3 leaves and 4 joins; 2 votes, and receives nothing any more
 			tc.deliverable = func(from, to string, m Message) bool {
 				return to == "1" || to == "4" || m.Kind == Prepare || m.Kind == Accept && m.Index == 2 && to == "2"
 			}
@@ -180,7 +180,7 @@
 			tc.run(200 * ms)
 			c.Assert(tc.isConfirmed(tag), qt.IsTrue)
 			c.Assert(tc.members["2"].node.Applied(), qt.Equals, uint64(1))
-			// the reader asks those that it hears: the other only
+			// the reader is connected to the other only
 			tc.deliverable = func(from, to string, _ Message) bool {
 				return (from == test.reader || from == test.other) && (to == test.reader || to == test.other)
 			}
@@ -204,8 +204,8 @@
 	}
 }
 
-// An order that goes alone into its number costs no copy of the set, which at size is tens of thousands of items; many that wait
-// together cost one.
+// An operation alone in its value costs no copy of the set, which may have tens of thousands of items; many that are pending together cost
+// one.
 func TestCopiesOfTheSet(t *testing.T) {
 	c := qt.New(t)
 	tc := newTestCluster(3, 0, 3)
@@ -225,7 +225,7 @@
 	held := true
 	tc.deliverable = func(string, string, Message) bool { return !held }
 	var all []uint64
-	for n := range 13 { // the first is under way, the others wait for it: of two keys, each of which several change
+	for n := range 13 { // the first is being decided, the others wait for it: of two keys, each of which several change
 		all = append(all, tc.submit("1", serviceOperation(fmt.Sprint("gate-", n%2), uint64(100+n), fmt.Sprint(n))))
 	}
 	held = false
--- a/internal/control/consensus/scheduler_test.go
+++ b/internal/control/consensus/scheduler_test.go
@@ -9,11 +9,13 @@
 	second = int64(1e9)
 )
 
+// task is something that happens at a time; seq orders those of one time.
 type task struct {
 	at, seq int64
 	do      func()
 }
 
+// tasks is a heap of tasks, the next first.
 type tasks []task
 
 func (q tasks) Len() int { return len(q) }
@@ -33,22 +35,25 @@
 	return x
 }
 
+// after schedules something.
 func (sim *simulation) after(d int64, do func()) {
 	sim.seq++
 	heap.Push(&sim.tasks, task{sim.now + max(d, 0), sim.seq, do})
 }
 
+// between returns a random time from one to before another.
 func (sim *simulation) between(from, to int64) int64 {
 	return from + sim.rand.Int64N(max(1, to-from))
 }
 
+// run runs all tasks until a time.
 func (sim *simulation) run(until int64) {
 	for len(sim.tasks) > 0 && sim.tasks[0].at <= until {
 		t := heap.Pop(&sim.tasks).(task)
 		sim.now = t.at
 		t.do()
 		if len(sim.tasks) > 20000 {
-			sim.failLiveness("a storm: %d messages are under way or due, sent in all %v", len(sim.tasks), sim.sent)
+			sim.failLiveness("too much: %d messages or timers are pending, sent in all %v", len(sim.tasks), sim.sent)
 		}
 	}
 	sim.now = until
--- a/internal/control/consensus/simulation_test.go
+++ b/internal/control/consensus/simulation_test.go
@@ -13,10 +13,10 @@
 	tracedigest "portflow/internal/testing/digest"
 )
 
-// A world of control processes in virtual time: machines with disks, lines between them, and what harms both. All chance is
-// drawn from one seed. The carrier does what Effects ask, in their order, and nothing else.
+// A simulation runs control processes in virtual time: machines with disks, links between them, and faults of both. All chance is drawn
+// from one seed, so a seed always plays alike. It carries out Effects in their order, and does nothing else for a Node.
 
-// counters counts what happened.
+// counters count what happened, by name.
 type counters map[string]int64
 
 func (c counters) add(o counters) {
@@ -25,7 +25,7 @@
 	}
 }
 
-// collectCounts takes up what a process has counted.
+// collectCounts adds what a running process has counted to the tally.
 func (sim *simulation) collectCounts(m *machine) {
 	if m.node != nil && m.up {
 		c := m.node.Counts
@@ -33,6 +33,7 @@
 	}
 }
 
+// simulation is the state of one run.
 type simulation struct {
 	seed           uint64
 	rand           *rand.Rand
@@ -44,38 +45,51 @@
 	links          map[[2]int]*link
 	minPerZone     int
 	founders       []string
-	encodeMessages bool // messages go through their encoding
+	encodeMessages bool // messages are encoded and decoded on their way
 	mutation       mutant
 	incarnations   int
 	diskIDs        int
 	tags           uint64
 
-	states              []decidedState // by number, from 1
+	states              []decidedState // by index, from 1
 	membershipByEpoch   map[uint64]string
-	proposedMemberships map[uint64][]membership.List // lists that were proposed, by number
+	proposedMemberships map[uint64][]membership.List // that were proposed and may still be decided, by index
 	operations          []*operationCopies
-	confirmedIndex      uint64 // the highest number that was told to anybody
+	confirmedIndex      uint64 // the highest index in an answer to a client
 	version             uint64
 	tally               counters
 	lostDisks           []lostDisk
-	maxSync             int64    // longest sync of a disk that nothing ails
-	softFaults          counters // faults that end no day
+	maxSync             int64    // the longest sync of a disk without a fault
+	softFaults          counters // faults that do not end the run
 	sent                map[MessageKind]int
 	trace               uint64
 	log                 func(string, ...any)
-	recorded            *tracedigest.Digest // of all processes, where they are recorded
+	recorded            *tracedigest.Digest // digest of all effects; nil if they are not recorded
 }
 
-// lostDisk is a disk that is gone.
+// lostDisk is a disk that is lost, and when that was.
 type lostDisk struct {
 	membership.Member
 	at int64
 }
 
-// newSimulation has machines that are off.
+// newSimulation returns a simulation whose machines are off.
 func newSimulation(seed uint64, mutation mutant) *simulation {
-	sim := &simulation{seed: seed, rand: rand.New(rand.NewPCG(seed, 41)), byIP: map[string]*machine{}, links: map[[2]int]*link{},
-		membershipByEpoch: map[uint64]string{}, proposedMemberships: map[uint64][]membership.List{}, mutation: mutation, tally: counters{}, softFaults: counters{}, sent: map[MessageKind]int{}, encodeMessages: seed%8 == 3, version: 1, log: func(string, ...any) {}}
+	sim := &simulation{
+		seed:                seed,
+		rand:                rand.New(rand.NewPCG(seed, 41)),
+		byIP:                map[string]*machine{},
+		links:               map[[2]int]*link{},
+		encodeMessages:      seed%8 == 3,
+		mutation:            mutation,
+		membershipByEpoch:   map[uint64]string{},
+		proposedMemberships: map[uint64][]membership.List{},
+		version:             1,
+		tally:               counters{},
+		softFaults:          counters{},
+		sent:                map[MessageKind]int{},
+		log:                 func(string, ...any) {},
+	}
 	sim.maxSync = []int64{4 * ms, 4 * ms, 40 * ms, 300 * ms}[sim.rand.IntN(4)]
 	size := 3 + sim.rand.IntN(7)
 	sim.minPerZone = max(1, size/3)
@@ -90,10 +104,12 @@
 	return sim
 }
 
+// compareKeys orders keys by kind and name.
 func compareKeys(a, b config.Key) int {
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
 }
 
+// sendAll sends messages in the order of their receivers.
 func (sim *simulation) sendAll(m *machine, all map[string][]Message) {
 	for _, ip := range slices.Sorted(maps.Keys(all)) {
 		for _, x := range all[ip] {
@@ -102,6 +118,7 @@
 	}
 }
 
+// send sends a message. One to the process itself arrives at once.
 func (sim *simulation) send(from, to *machine, message Message) {
 	if to == nil {
 		sim.fail("%s sends to nobody: %v", from.ip, message.Kind)
@@ -124,17 +141,17 @@
 		return
 	}
 	if from == to {
-		life := from.incarnation
-		sim.after(0, func() { sim.runOn(to, life, func() { sim.step(to, Event{From: from.ip, Message: &message}) }) })
+		incarnation := from.incarnation
+		sim.after(0, func() { sim.runOn(to, incarnation, func() { sim.step(to, Event{From: from.ip, Message: &message}) }) })
 		return
 	}
 	sim.deliver(from, to, func() { sim.step(to, Event{From: from.ip, Message: &message}) })
 }
 
-// step is one event of a process, and what comes of it.
+// step has a process handle an event, and carries out its effects.
 func (sim *simulation) step(m *machine, e Event) {
 	e.Now, e.Random = m.clock(sim.now), sim.rand.Float64()
-	life := m.incarnation
+	incarnation := m.incarnation
 	effects := m.node.Step(e)
 	sim.recordEffects(m, effects)
 	sim.checkState(m)
@@ -155,12 +172,12 @@
 	for _, a := range effects.Answers {
 		sim.handleAnswer(m, a)
 	}
-	if p := sim.statusOf(m); m.incarnation == life && (effects.Changed || p != m.status) {
+	if p := sim.statusOf(m); m.incarnation == incarnation && (effects.Changed || p != m.status) {
 		sim.broadcastStatus(m)
 	}
 }
 
-// recordEffects adds to the digest what a process asks for, and what it then is.
+// recordEffects adds a step's effects, and what the process reports after it, to the digest.
 func (sim *simulation) recordEffects(m *machine, out Effects) {
 	if sim.recorded == nil {
 		return
--- a/internal/control/consensus/testcluster_test.go
+++ b/internal/control/consensus/testcluster_test.go
@@ -10,19 +10,20 @@
 	"portflow/internal/control/operation"
 )
 
-// A testCluster is a few processes whose messages come at once, in the order in which they are said, to whom they may come: what is
-// told step by step, where a drawn world is told by chance.
+// testCluster is a few processes whose messages arrive at once, in the order of sending, where deliverable allows it. It plays what a test
+// says step by step, while a simulation plays what is drawn.
 type testCluster struct {
 	now         int64
 	ips         []string
 	members     map[string]*testMember
 	inFlight    []envelope
-	deliverable func(from, to string, m Message) bool // whether a message comes; nil for all
+	deliverable func(from, to string, m Message) bool // whether a message arrives; nil for all
 	answers     map[uint64]Result
 	lastTag     uint64
 	minPerZone  int
 }
 
+// testMember is a process of a testCluster with its disk.
 type testMember struct {
 	node         *Node
 	member       membership.Member
@@ -32,99 +33,131 @@
 	up           bool
 }
 
+// envelope is a message in flight.
 type envelope struct {
 	from, to string
 	message  Message
 }
 
-// newTestCluster has members 1 to n at number 1, in zones by turns, and as many learners that have the same.
+// newTestCluster returns a cluster with members from IP address 1 on, in zones by turns, and learners after them. All hold index 1, and none
+// is up.
 func newTestCluster(members, learners, zones int) *testCluster {
 	tc := &testCluster{now: 1000 * second, members: map[string]*testMember{}, answers: map[uint64]Result{}, lastTag: 100, minPerZone: 1}
-	l := membership.List{Epoch: 1}
+	list := membership.List{Epoch: 1}
 	for n := range members + learners {
 		m := membership.Member{IP: fmt.Sprint(n + 1), ID: fmt.Sprintf("d%d", n+1), Name: fmt.Sprintf("c%d", n+1), Zone: fmt.Sprintf("z%d", n%zones)}
-		if tc.ips = append(tc.ips, m.IP); n < members {
-			l.Members = append(l.Members, m)
+		tc.ips = append(tc.ips, m.IP)
+		if n < members {
+			list.Members = append(list.Members, m)
 		}
 		tc.members[m.IP] = &testMember{member: m, hardState: HardState{DiskID: m.ID, Applied: 1}, items: map[config.Key]config.Item{}}
 	}
 	service := item(config.KindServices, "desk", 1, `{"health-path":"/","name":"desk"}`)
-	for _, s := range tc.members {
-		s.items[membership.Key], s.items[service.Key()] = l.Item(), service
+	for _, member := range tc.members {
+		member.items[membership.Key], member.items[service.Key()] = list.Item(), service
 	}
 	return tc
 }
 
-// start starts a process with what its disk holds, in a life of its own or in a named one.
-func (tc *testCluster) start(ip, life string) {
-	s := tc.members[ip]
-	set := config.NewSet()
-	for _, k := range slices.SortedFunc(maps.Keys(s.items), compareKeys) {
-		set.Merge(s.items[k])
+// start starts a process with what its disk holds; an empty incarnation stands for a new one.
+func (tc *testCluster) start(ip, incarnation string) {
+	member := tc.members[ip]
+	set := setOf(member.items)
+	member.incarnations++
+	if incarnation == "" {
+		incarnation = fmt.Sprintf("%s.%d", ip, member.incarnations)
 	}
-	if s.incarnations++; life == "" {
-		life = fmt.Sprintf("%s.%d", ip, s.incarnations)
+	member.node = New(member.member, incarnation, tc.minPerZone, member.hardState, set, tc.now)
+	member.up = true
+}
+
+// setOf returns a set of items, merged in the order of their keys.
+func setOf(items map[config.Key]config.Item) *config.Set {
+	set := config.NewSet()
+	for _, key := range slices.SortedFunc(maps.Keys(items), compareKeys) {
+		set.Merge(items[key])
 	}
-	s.node, s.up = New(s.member, life, tc.minPerZone, s.hardState, set, tc.now), true
+	return set
 }
 
-// diskImage is what a disk holds, to be put back.
+// diskImage returns what a disk holds, to be restored.
 func (m *testMember) diskImage() (HardState, map[config.Key]config.Item) {
 	return m.hardState, maps.Clone(m.items)
 }
 
-// setHeard has one process hear of another, or no more.
-func (tc *testCluster) setHeard(ip, other string, heard bool) {
-	if s, o := tc.members[ip], tc.members[other]; s.up && ip != other {
-		if e := (Event{From: other, PeerLost: true}); !heard {
-			tc.step(ip, e)
-		} else if o.up {
-			tc.step(ip, Event{From: other, Peer: &Peer{o.member, o.node.Membership().Epoch, o.node.Applied(), o.node.CaughtUp()}})
-		}
+// setConnected connects a process to another, as far as it sees, or ends that.
+func (tc *testCluster) setConnected(ip, other string, connected bool) {
+	peer := tc.members[other]
+	switch {
+	case ip == other || !tc.members[ip].up:
+	case !connected:
+		tc.step(ip, Event{From: other, PeerLost: true})
+	case peer.up:
+		status := Peer{peer.member, peer.node.Membership().Epoch, peer.node.Applied(), peer.node.CaughtUp()}
+		tc.step(ip, Event{From: other, Peer: &status})
 	}
 }
 
-// step is one event of a process; its record is synced at once.
+// step has a process handle an event; its write is synced at once.
 func (tc *testCluster) step(ip string, e Event) {
-	s := tc.members[ip]
-	if !s.up {
+	member := tc.members[ip]
+	if !member.up {
 		return
 	}
 	e.Now, e.Random = tc.now, 0.5
-	effects := s.node.Step(e)
-	if effects.HardState != nil {
-		s.hardState = *effects.HardState
-		for _, i := range effects.SaveItems {
-			s.items[i.Key()] = i
-		}
-		for _, k := range effects.DeleteKeys {
-			delete(s.items, k)
-		}
+	effects := member.node.Step(e)
+	member.write(effects)
+	tc.send(ip, effects.Send)
+	tc.send(ip, effects.SendAfterSync)
+	for _, answer := range effects.Answers {
+		tc.answers[answer.Tag] = answer.Result
 	}
-	for _, all := range []map[string][]Message{effects.Send, effects.SendAfterSync} {
-		for _, to := range slices.Sorted(maps.Keys(all)) {
-			for _, m := range all[to] {
-				tc.inFlight = append(tc.inFlight, envelope{ip, to, m})
-			}
-		}
+}
+
+// write applies the write of a step to the disk.
+func (m *testMember) write(effects Effects) {
+	if effects.HardState == nil {
+		return
+	}
+	m.hardState = *effects.HardState
+	for _, item := range effects.SaveItems {
+		m.items[item.Key()] = item
 	}
-	for _, a := range effects.Answers {
-		tc.answers[a.Tag] = a.Result
+	for _, key := range effects.DeleteKeys {
+		delete(m.items, key)
+	}
+}
+
+// send puts messages in flight, in the order of their receivers.
+func (tc *testCluster) send(from string, messages map[string][]Message) {
+	for _, to := range slices.Sorted(maps.Keys(messages)) {
+		for _, m := range messages[to] {
+			tc.inFlight = append(tc.inFlight, envelope{from, to, m})
+		}
 	}
 }
 
-// deliver brings all that is under way, and what comes of it.
+// deliver delivers all messages in flight, and those sent in consequence.
 func (tc *testCluster) deliver() {
 	for len(tc.inFlight) > 0 {
 		m := tc.inFlight[0]
 		tc.inFlight = tc.inFlight[1:]
-		if tc.members[m.from].up && tc.members[m.to] != nil && tc.members[m.to].up && (tc.deliverable == nil || m.from == m.to || tc.deliverable(m.from, m.to, m.message)) {
+		if tc.arrives(m) {
 			tc.step(m.to, Event{From: m.from, Message: &m.message})
 		}
 	}
 }
 
-// run lets time pass: ticks every 50 ms, and all that may hear each other do.
+// arrives reports whether a message arrives: both processes are up, and the test lets it through.
+func (tc *testCluster) arrives(m envelope) bool {
+	to := tc.members[m.to]
+	if !tc.members[m.from].up || to == nil || !to.up {
+		return false
+	}
+	return tc.deliverable == nil || m.from == m.to || tc.deliverable(m.from, m.to, m.message)
+}
+
+// run lets time pass: with ticks every 50 ms, and all that can be connected are.
 func (tc *testCluster) run(span int64) {
 	for until := tc.now + span; tc.now < until; tc.now += 50 * ms {
 		for _, ip := range tc.ips {
@@ -137,27 +170,27 @@
 	}
 }
 
-// connectAll has all that are up hear each other.
+// connectAll connects all that are up.
 func (tc *testCluster) connectAll() {
 	for _, ip := range tc.ips {
 		for _, other := range tc.ips {
 			if ip != other && (tc.deliverable == nil || tc.deliverable(other, ip, Message{})) {
-				tc.setHeard(ip, other, true)
+				tc.setConnected(ip, other, true)
 			}
 		}
 	}
 	tc.deliver()
 }
 
-// stop ends a process; others hear of it when they are told.
+// stop ends a process; others notice by setConnected.
 func (tc *testCluster) stop(ip string) { tc.members[ip].up = false }
 
-// serviceOperation is an order that sets a service.
+// serviceOperation returns an operation that sets a service.
 func serviceOperation(name string, v uint64, path string) operation.Operation {
 	return operation.Operation{Kind: operation.ModifyConfig, Items: []config.Item{item(config.KindServices, name, v, fmt.Sprintf(`{"health-path":"/%s","name":"%s"}`, path, name))}}
 }
 
-// submit sends one to a process, and tells its tag.
+// submit submits an operation to a process, and returns its tag.
 func (tc *testCluster) submit(ip string, o operation.Operation) uint64 {
 	tc.lastTag++
 	tc.step(ip, Event{Operation: &o, Tag: tc.lastTag})
@@ -165,13 +198,13 @@
 	return tc.lastTag
 }
 
-// isConfirmed tells whether an order was.
+// isConfirmed reports whether an operation was answered with success.
 func (tc *testCluster) isConfirmed(tag uint64) bool {
-	r, there := tc.answers[tag]
-	return there && r.Err() == nil
+	result, answered := tc.answers[tag]
+	return answered && result.Err() == nil
 }
 
-// serviceBody is what stands under a name at a process.
+// serviceBody returns the content of a service at a process.
 func (tc *testCluster) serviceBody(ip, name string) string {
 	i, _ := tc.members[ip].node.Set.Lookup(config.Key{Kind: config.KindServices, Name: name})
 	return string(i.Body)
--- a/internal/control/consensus/trace_test.go
+++ b/internal/control/consensus/trace_test.go
@@ -6,8 +6,8 @@
 	tracedigest "portflow/internal/testing/digest"
 )
 
-// The effects of all processes over drawn starts with harms, orders and reads are what they were. The digests hold values by
-// position: the order of the fields of Effects, Disk, Message and what they consist of, and the numbers of constants, count;
+// The effects of all processes, over simulated starts with faults, operations and reads, are what they were. The digests hold values by
+// position: the order of the fields of Effects, HardState, Message and what they consist of, and the numbers of constants, count;
 // names don't.
 func TestTrace(t *testing.T) {
 	want := []string{"db3f37c34d511457", "5fb14d52431f3e23", "dd71ed5243d89bd7", "316a48bd12b2391d"}
--- a/internal/control/consensus/workload_test.go
+++ b/internal/control/consensus/workload_test.go
@@ -9,6 +9,7 @@
 	"portflow/internal/control/operation"
 )
 
+// call is a client's call to a process: an operation or a read.
 type call struct {
 	tag         uint64
 	operation   *operation.Operation // nil for a read
@@ -16,24 +17,25 @@
 	machine     *machine
 	incarnation int
 	startedAt   int64
-	minIndex    uint64 // a read: the highest number that had been told to anybody before
+	minIndex    uint64 // of a read: the highest index in an answer before it began
 	done        bool
 	endedAt     int64
 	result      Result
 }
 
-// operationCopies are the copies of one order.
+// operationCopies are all calls with one operation.
 type operationCopies struct {
 	number    int
 	operation operation.Operation
 	calls     []*call
 }
 
+// item returns an item.
 func item(kind, name string, version uint64, body string) config.Item {
 	return config.Item{Kind: kind, Name: name, Version: version, Body: []byte(body)}
 }
 
-// randomRoute is one whose content nobody else sends.
+// randomRoute returns a route whose content no other operation has.
 func (sim *simulation) randomRoute(g, n int, name string, version uint64) config.Item {
 	service := "desk"
 	if sim.rand.IntN(40) == 0 {
@@ -42,11 +44,12 @@
 	return item(config.KindRoutes, name, version, fmt.Sprintf(`{"home-regions":["g%d.%d"],"host-name":"%s.example","name":"%s","path-prefix":"/","route-kind":"safe_method","service":"%s","timeout-s":1}`, g, n, name, name, service))
 }
 
+// deskOperation returns the operation that sets the service which all routes use.
 func deskOperation() operation.Operation {
 	return operation.Operation{Kind: operation.ModifyConfig, Items: []config.Item{item(config.KindServices, "desk", 1, `{"health-path":"/","name":"desk"}`)}}
 }
 
-// randomMachine is a process that runs; with calm, one that isn't frozen.
+// randomMachine returns a machine that is up, nil if none is.
 func (sim *simulation) randomMachine() *machine {
 	up := slices.DeleteFunc(slices.Clone(sim.machines), func(m *machine) bool { return !m.up })
 	if len(up) == 0 {
@@ -55,56 +58,57 @@
 	return up[sim.rand.IntN(len(up))]
 }
 
-// randomOperation makes a new order.
+// randomOperation returns a new operation.
 func (sim *simulation) randomOperation() *operationCopies {
-	g := &operationCopies{number: len(sim.operations)}
+	copies := &operationCopies{number: len(sim.operations)}
 	switch at := sim.rand.IntN(20); {
 	case at < 15:
-		g.operation.Kind = operation.ModifyConfig
+		copies.operation.Kind = operation.ModifyConfig
 		names := sim.rand.Perm(5)[:1+sim.rand.IntN(3)]
 		if sim.rand.IntN(5) > 1 {
 			sim.version++
 		}
 		for n, x := range names {
-			i := sim.randomRoute(g.number, n, fmt.Sprintf("r%d", x), sim.version-uint64(min(sim.rand.IntN(8), 1)))
+			i := sim.randomRoute(copies.number, n, fmt.Sprintf("r%d", x), sim.version-uint64(min(sim.rand.IntN(8), 1)))
 			if sim.rand.IntN(10) == 0 {
 				i.Deleted, i.Body = true, nil
 			}
-			g.operation.Items = append(g.operation.Items, i)
+			copies.operation.Items = append(copies.operation.Items, i)
 		}
 	case at < 17:
-		g.operation = operation.Operation{Kind: operation.Evacuate, Name: fmt.Sprintf("z%d", sim.rand.IntN(3)), Active: sim.rand.IntN(2) == 0}
+		copies.operation = operation.Operation{Kind: operation.Evacuate, Name: fmt.Sprintf("z%d", sim.rand.IntN(3)), Active: sim.rand.IntN(2) == 0}
 	default:
-		g.operation = operation.Operation{Kind: operation.BeginRollout, Name: "desk", TargetVersion: fmt.Sprintf("v%d", g.number), Duration: 10 * second, RetryWindow: 10 * second, SubmittedAt: sim.now}
+		copies.operation = operation.Operation{Kind: operation.BeginRollout, Name: "desk", TargetVersion: fmt.Sprintf("v%d", copies.number), Duration: 10 * second, RetryWindow: 10 * second, SubmittedAt: sim.now}
 		if sim.rand.IntN(3) == 0 && len(sim.states) > 0 {
-			g.operation = operation.Operation{Kind: operation.EndRollout, Name: "desk", Expected: sim.rolloutNumber(), Outcome: 2, SubmittedAt: sim.now}
+			copies.operation = operation.Operation{Kind: operation.EndRollout, Name: "desk", Expected: sim.rolloutNumber(), Outcome: 2, SubmittedAt: sim.now}
 		}
 	}
-	return g
+	return copies
 }
 
+// rolloutNumber returns the number of the newest rollout.
 func (sim *simulation) rolloutNumber() uint64 {
 	return sim.states[len(sim.states)-1].items[config.Key{Kind: config.KindRollouts, Name: "desk"}].Version / 2
 }
 
-// sendsOrder has a caller send an order to a process, or ask it for the set.
-func (sim *simulation) call(m *machine, g *operationCopies) *call {
+// call has a client submit an operation to a process, or begin a read if there is none.
+func (sim *simulation) call(m *machine, copies *operationCopies) *call {
 	sim.tags++
-	c := &call{tag: sim.tags, copies: g, machine: m, incarnation: m.incarnation, startedAt: sim.now, minIndex: sim.confirmedIndex}
-	if g != nil {
-		c.operation = &g.operation
-		g.calls = append(g.calls, c)
+	c := &call{tag: sim.tags, copies: copies, machine: m, incarnation: m.incarnation, startedAt: sim.now, minIndex: sim.confirmedIndex}
+	if copies != nil {
+		c.operation = &copies.operation
+		copies.calls = append(copies.calls, c)
 	}
 	m.calls[c.tag] = c
-	if sim.log("%.3f %s is asked %d", float64(sim.now)/1e9, m.ip, c.tag); g != nil {
-		sim.log("  order %d %v", g.number, g.operation)
-		for _, i := range g.operation.Items {
+	if sim.log("%.3f %s is asked %d", float64(sim.now)/1e9, m.ip, c.tag); copies != nil {
+		sim.log("  order %d %v", copies.number, copies.operation)
+		for _, i := range copies.operation.Items {
 			sim.log("    %s", describeItem(i))
 		}
 	}
-	life := m.incarnation
-	if sim.mutation.localReads && g == nil {
-		sim.runOn(m, life, func() {
+	incarnation := m.incarnation
+	if sim.mutation.localReads && copies == nil {
+		sim.runOn(m, incarnation, func() {
 			r := Result{Index: m.node.Applied()}
 			if r.Index == 0 {
 				r.Kind = apierror.Unavailable
@@ -113,12 +117,12 @@
 		})
 		return c
 	}
-	sim.runOn(m, life, func() {
+	sim.runOn(m, incarnation, func() {
 		asked := sim.now
-		if g == nil {
+		if copies == nil {
 			sim.step(m, Event{Read: true, Tag: c.tag})
 		} else {
-			o := g.operation
+			o := copies.operation
 			sim.step(m, Event{Operation: &o, Tag: c.tag})
 		}
 		sim.after(requestTimeout+600*ms, func() {
@@ -130,7 +134,7 @@
 	return c
 }
 
-// handleAnswer is what a caller hears.
+// handleAnswer takes the answer to a client, and checks it.
 func (sim *simulation) handleAnswer(m *machine, a Answer) {
 	c := m.calls[a.Tag]
 	if c == nil && a.Tag > 1<<32 {
@@ -154,7 +158,7 @@
 		if c.operation == nil {
 			sim.tally["reads"]++
 			if a.Result.Index < c.minIndex {
-				sim.fail("%s answers a read that began at %.3f s with number %d, and %d had been told to somebody by then", m.ip, float64(c.startedAt)/1e9, a.Result.Index, c.minIndex)
+				sim.fail("%s answers a read that began at %.3f s with number %d, and %d was in an answer by then", m.ip, float64(c.startedAt)/1e9, a.Result.Index, c.minIndex)
 			}
 		} else {
 			sim.tally["confirmed"]++
@@ -174,21 +178,21 @@
 	}
 }
 
-// submitRepeatedly sends an order, and once more as long as it isn't confirmed.
-func (sim *simulation) submitRepeatedly(g *operationCopies, times int) {
+// submitRepeatedly submits an operation, and again while it is unavailable, at most so many times.
+func (sim *simulation) submitRepeatedly(copies *operationCopies, times int) {
 	m := sim.randomMachine()
 	if m == nil || times == 0 {
 		return
 	}
-	c := sim.call(m, g)
+	c := sim.call(m, copies)
 	sim.after(3500*ms, func() {
 		if !c.done || c.result.Kind == apierror.Unavailable {
-			sim.submitRepeatedly(g, times-1)
+			sim.submitRepeatedly(copies, times-1)
 		}
 	})
 }
 
-// randomCalls is one call of operators, or some at once.
+// randomCalls makes one call or some at once.
 func (sim *simulation) randomCalls() {
 	m := sim.randomMachine()
 	if m == nil {
@@ -197,19 +201,19 @@
 	switch at := sim.rand.IntN(10); {
 	case at < 3:
 		sim.call(m, nil)
-	case at < 5 && len(sim.operations) > 3: // one of before, once more
+	case at < 5 && len(sim.operations) > 3: // an earlier operation again
 		sim.call(m, sim.operations[len(sim.operations)-1-sim.rand.IntN(min(len(sim.operations), 30))])
 	default:
-		g := sim.randomOperation()
-		sim.operations = append(sim.operations, g)
-		sim.submitRepeatedly(g, 1+sim.rand.IntN(3))
-		if sim.rand.IntN(4) == 0 { // also elsewhere, at once
-			sim.call(sim.randomMachine(), g)
+		copies := sim.randomOperation()
+		sim.operations = append(sim.operations, copies)
+		sim.submitRepeatedly(copies, 1+sim.rand.IntN(3))
+		if sim.rand.IntN(4) == 0 { // at another process too
+			sim.call(sim.randomMachine(), copies)
 		}
-		if sim.rand.IntN(4) == 0 { // a rival
-			r := sim.randomOperation()
-			sim.operations = append(sim.operations, r)
-			sim.call(sim.randomMachine(), r)
+		if sim.rand.IntN(4) == 0 { // another operation at once
+			rival := sim.randomOperation()
+			sim.operations = append(sim.operations, rival)
+			sim.call(sim.randomMachine(), rival)
 		}
 	}
 }
--- a/internal/control/membership/list_test.go
+++ b/internal/control/membership/list_test.go
@@ -10,7 +10,7 @@
 	"portflow/internal/cluster/config"
 )
 
-// list is written as "ip/id/zone ...".
+// list returns a list of members written as "ip/id/zone ...".
 func list(epoch uint64, members string) (l List) {
 	l.Epoch = epoch
 	for _, m := range strings.Fields(members) {
@@ -73,7 +73,7 @@
 		"one of three":                     {"4", 2, "4"},
 		"two of three, one must stay":      {"4 5", 2, "4"},
 		"two of three":                     {"4 5", 1, "4 5"},
-		"a whole zone: one stays":          {"3 4 5", 1, "3 4"},
+		"all of a zone: one stays":         {"3 4 5", 1, "3 4"},
 		"the last of its zone stays":       {"6", 1, ""},
 		"as many as there are to be":       {"1", 2, ""},
 		"in two zones":                     {"1 3 4", 1, "1 3 4"},
@@ -113,7 +113,7 @@
 	}
 }
 
-// A quorum counts disks, not IP numbers.
+// A quorum counts disks, not IP addresses.
 func TestQuorum(t *testing.T) {
 	for name, x := range map[string]struct {
 		members, yes string
@@ -163,7 +163,7 @@
 	}
 }
 
-// The list as an item is read back alike; what isn't a list, or not of its epoch, is none.
+// A list is read back from its item alike; what isn't a list, or of another epoch than its item, is the zero List.
 func TestItem(t *testing.T) {
 	c := qt.New(t)
 	l := list(7, "1/a/x 2/b/y")
--- a/internal/control/membership/tolerance_test.go
+++ b/internal/control/membership/tolerance_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// Who is let go is held out until it comes in again, by its disk; beyond the bound the first is forgotten.
+// Who is removed is excluded until it is added again, by its disk; beyond the bound the first is forgotten.
 func TestExcluded(t *testing.T) {
 	c := qt.New(t)
 	l := listOfSize(3)
--- a/internal/control/membership/trace_test.go
+++ b/internal/control/membership/trace_test.go
@@ -9,8 +9,8 @@
 	"portflow/internal/testing/digest"
 )
 
-// Lists of members under drawn changes, what they say of drawn losses, and the margin that is followed over time, are what they
-// were. The order of the fields of lists counts; names don't.
+// Lists of members under random changes, what they tolerate, and the tolerance over time, are what they were. The order of the fields of
+// lists counts; names don't.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 50, []string{"2211adb74ac4631a", "12fe61352c20af2b", "62de7e76daff1ee3"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
--- a/internal/control/operation/conflict_test.go
+++ b/internal/control/operation/conflict_test.go
@@ -9,8 +9,8 @@
 	"portflow/internal/cluster/config"
 )
 
-// A call that was refused for one of its items stays out as a whole, however many versions of that item come after; one that
-// was taken is confirmed again.
+// A change that was refused for one of its items never takes effect, in no part of it, however many versions of that item follow; one that
+// took effect is confirmed again.
 func TestRefusedStaysOut(t *testing.T) {
 	c := qt.New(t)
 	set := config.NewSet()
--- a/internal/control/operation/operation_test.go
+++ b/internal/control/operation/operation_test.go
@@ -20,7 +20,7 @@
 	return config.Item{Kind: config.KindServices, Name: name, Version: version, Body: []byte(fmt.Sprintf(`{"health-path":"/","name":"%s"}`, name))}
 }
 
-// route is one on a host of its own; content tells rivals apart.
+// route returns a route on a host of its own; content makes rivals differ.
 func route(name string, version uint64, service, content string) config.Item {
 	return config.Item{Kind: config.KindRoutes, Name: name, Version: version, Body: []byte(fmt.Sprintf(
 		`{"home-regions":["%s"],"host-name":"%s.example","name":"%s","path-prefix":"/","route-kind":"safe_method","service":"%s","timeout-s":1}`, content, name, name, service))}
@@ -32,12 +32,12 @@
 
 func modifyOp(items ...config.Item) Operation { return Operation{Kind: ModifyConfig, Items: items} }
 
-// beginOp is taken by a process that knows the first rollout, which began at 100 s; its clock of day is wrong.
+// beginOp returns a BeginRollout submitted where the first rollout is known, which began at 100 s; the wall clock there is wrong.
 func beginOp(target string, now int64) Operation {
 	return Operation{Kind: BeginRollout, Name: "desk", TargetVersion: target, Duration: 10 * second, RetryWindow: 5 * second, SubmittedAt: now, KnownRollout: 1, KnownRolloutAge: now - 100*second}
 }
 
-// beginCopyOp is a begin at one who knows a rollout, which began so long ago.
+// beginCopyOp returns a BeginRollout submitted where a rollout has been known for so long.
 func beginCopyOp(target string, known uint64, age int64) Operation {
 	return Operation{Kind: BeginRollout, Name: "desk", TargetVersion: target, Duration: 10 * second, RetryWindow: 5 * second, KnownRollout: known, KnownRolloutAge: age}
 }
@@ -60,13 +60,13 @@
 	return o
 }
 
-// conditionalOp is an order as it is handed over where only what came before an order stands.
+// conditionalOp is an operation with the condition of the state before a step.
 type conditionalOp struct {
 	Operation
-	after int // after how many of the orders before
+	after int // how many steps came before
 }
 
-// Orders come one after the other; each tells how many items it sets, or the kind of error and something of its reason.
+// Operations are applied one after the other; each step says how many items it sets, or the kind of error and a part of its text.
 func TestOperations(t *testing.T) {
 	base := modifyOp(service("desk", 1), service("bags", 1))
 	r1, r2 := route("r1", 2, "desk", "a"), route("r2", 2, "desk", "a")
@@ -101,7 +101,7 @@
 			{modifyOp(dropped(config.KindRoutes, "r1", 3)), 0, apierror.None, ""},
 			{modifyOp(route("r1", 3, "desk", "b")), 0, apierror.Conflict, "r1: dropped: version 00000003 stands as dropped"},
 		},
-		"a rival with other items is refused as a whole": {
+		"a rival with other items is refused with all of them": {
 			{modifyOp(r1), 1, apierror.None, ""},
 			{modifyOp(r2, route("r1", 2, "desk", "b")), 0, apierror.Conflict, "routes r1"},
 			{modifyOp(r2), 1, apierror.None, ""},
@@ -182,7 +182,7 @@
 			{endOp(1, rollout.RolledBack), 1, apierror.None, ""},
 			{Operation{Kind: BeginRollout, Name: "desk", TargetVersion: "v2", Duration: 10 * second, RetryWindow: 5 * second, SubmittedAt: 200 * second, KnownRollout: 0, KnownRolloutAge: 99 * second}, 0, apierror.None, ""},
 		},
-		"completed, and not yet told to be": {
+		"completed, and still switching": {
 			{completeSwitchOp(1), 0, apierror.None, ""},
 			{beginOp("v2", 100*second), 1, apierror.None, ""},
 			{completeSwitchOp(1), 0, apierror.None, ""}, // it runs
@@ -198,7 +198,7 @@
 			{completeSwitchOp(1), 0, apierror.None, ""}, // of one that is over
 			{completeSwitchOp(2), 0, apierror.None, ""},
 		},
-		"rolled back is told at once": {
+		"rolled back needs no switch": {
 			{beginOp("v2", 100*second), 1, apierror.None, ""},
 			{endOp(1, rollout.RolledBack), 1, apierror.None, ""},
 			{completeSwitchOp(1), 0, apierror.None, ""},
@@ -303,8 +303,8 @@
 	}
 }
 
-// A snapshot takes the place of all that stands but the members, also where it is older, under a new epoch; a copy of the
-// order changes nothing, whatever was confirmed since.
+// A restored snapshot replaces all but the members, also where it is older, in a new epoch; a copy of the operation changes nothing, whatever
+// was confirmed since.
 func TestRestore(t *testing.T) {
 	c := qt.New(t)
 	set := config.NewSet()
@@ -336,7 +336,7 @@
 	c.Check(set.Len(), qt.Equals, 4)
 	c.Check(do(snapshot), qt.HasLen, 0, qt.Commentf("again"))
 	c.Check(do(modifyOp(route("r2", 4, "desk", "b"))), qt.HasLen, 1, qt.Commentf("a version lower than what stood before"))
-	// a copy of the order that was on its way changes nothing that was confirmed since
+	// a copy of the operation that was in flight changes nothing that was confirmed since
 	c.Check(do(snapshot), qt.HasLen, 0, qt.Commentf("a late copy"))
 	snapshot.Expected = 2
 	c.Check(do(snapshot), qt.HasLen, 0, qt.Commentf("a late copy of a later try"))
@@ -344,7 +344,7 @@
 	c.Check(do(snapshot), qt.HasLen, 0, qt.Commentf("after a change of members"))
 	now, _ := set.Lookup(config.Key{Kind: config.KindRoutes, Name: "r2"})
 	c.Check(now.Version, qt.Equals, uint64(4))
-	// the same snapshot restored once more is another order; one that goes by an older epoch is none
+	// restoring the same snapshot again is another operation; it fails if it expects an older epoch
 	snapshot.Version = "second"
 	_, err := Apply(set, snapshot)
 	c.Check(apierror.KindOf(err), qt.Equals, apierror.Unavailable)
@@ -360,7 +360,7 @@
 	c.Check(ReplacesAll(nil), qt.IsFalse)
 }
 
-// A rollout's order goes up by one, from what was settled, and its end is of the same order.
+// A rollout's number is one more than the last, it begins from the stable version, and its end has the same number.
 func TestRollouts(t *testing.T) {
 	c := qt.New(t)
 	set := config.NewSet()
@@ -391,7 +391,7 @@
 	}
 }
 
-// pastRollout is what orders of the usual term asked for, the newest first.
+// pastRollout returns the digests of rollouts of the usual duration, the newest first.
 func pastRollout(targets ...string) (all [rollout.MaxPastDigests]uint64) {
 	for n, x := range targets {
 		all[n] = rollout.Digest(x, 10*second)
@@ -399,7 +399,7 @@
 	return all
 }
 
-// A rollout knows the orders before it, as many as are kept, also as it is read from its item.
+// A rollout knows the digests of those before it, as many as are kept, also when it is read from its item.
 func TestRolloutsBefore(t *testing.T) {
 	c := qt.New(t)
 	r := rollout.Rollout{Service: "desk"}
@@ -416,7 +416,7 @@
 	c.Check(string(rollout.Rollout{Number: 1, State: rollout.Running}.Item().Body), qt.Not(qt.Contains), "past") // as before where there is none
 }
 
-// Differs names the first field by name.
+// DifferingField returns the first field by name.
 func TestDiffers(t *testing.T) {
 	a := config.Item{Body: []byte(`{"b":1,"c":[1,2]}`)}
 	for body, field := range map[string]string{`{"b":1,"c":[1,2]}`: "", `{"b":2,"c":[1]}`: "b", `{"b":1,"c":[2,1]}`: "c", `{"b":1}`: "c", `{"a":0,"b":2,"c":[1,2]}`: "a", `{}`: "b"} {
@@ -426,8 +426,7 @@
 	qt.Check(t, DifferingField(a, config.Item{Deleted: true}), qt.Equals, "dropped")
 }
 
-// What an order sets fits a frame as it is laid out, marks of earlier versions and all; a restore that doesn't is refused with the
-// figures, and so is a change that wouldn't with its marks.
+// What an operation sets fits a frame as it is encoded, with the history of its items; a restore that doesn't is refused with the sizes.
 func TestValueFitsAFrame(t *testing.T) {
 	c := qt.New(t)
 	set := config.NewSet()
@@ -442,7 +441,7 @@
 	c.Check(err, qt.ErrorMatches, "(?s).*restore , 3 items: 220[0-9]{5} bytes, of at most 20971520 .*")
 
 	var items []config.Item
-	for n := range 400 { // of nine versions each, the longest figures
+	for n := range 400 { // of nine versions each, with the longest numbers
 		i := config.Item{Kind: config.KindRoutes, Name: fmt.Sprint("route-", n), Version: 1 << 62, Body: []byte(`{}`)}
 		for v := range uint64(9) {
 			old := i
@@ -453,6 +452,6 @@
 	}
 	raw, err := json.Marshal(items)
 	c.Assert(err, qt.IsNil)
-	c.Check(len(raw) <= config.EncodedSizeBound(items), qt.IsTrue, qt.Commentf("%d, told as %d", len(raw), config.EncodedSizeBound(items)))
-	c.Check(len(raw) > config.EncodedSizeBound(items)*3/4, qt.IsTrue, qt.Commentf("%d, told as %d", len(raw), config.EncodedSizeBound(items)))
+	c.Check(len(raw) <= config.EncodedSizeBound(items), qt.IsTrue, qt.Commentf("%d, bounded by %d", len(raw), config.EncodedSizeBound(items)))
+	c.Check(len(raw) > config.EncodedSizeBound(items)*3/4, qt.IsTrue, qt.Commentf("%d, bounded by %d", len(raw), config.EncodedSizeBound(items)))
 }
--- a/internal/control/operation/trace_test.go
+++ b/internal/control/operation/trace_test.go
@@ -12,8 +12,8 @@
 	"portflow/internal/testing/digest"
 )
 
-// drawnOrder is one on few names, so that many meet.
-func drawnOrder(draw *rand.Rand, set *config.Set, now int64) Operation {
+// randomOperation returns an operation on one of few names, so that many concern the same.
+func randomOperation(draw *rand.Rand, set *config.Set, now int64) Operation {
 	rolloutItem, _ := set.Lookup(config.Key{Kind: config.KindRollouts, Name: "desk"})
 	newest := rollout.FromItem(rolloutItem)
 	at := func() membership.Member {
@@ -58,8 +58,8 @@
 		Items: []config.Item{service("desk", 1), route("r0", 2, "desk", "a")}}
 }
 
-// What drawn orders make of a set, also as they are handed over and come again, is what it was. The order of the fields of items
-// and the numbers of kinds of errors count; names don't, but the texts of errors do.
+// What random operations make of a set, also when they are conditional and repeated, is what it was. The order of the fields of items and
+// the numbers of kinds of errors count; names don't, but the texts of errors do.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 50, []string{"642c1648d149b2cf", "4ba78587696ac7b8", "2bb1ef900fdfafad", "a223a450d5ca658f"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
@@ -69,7 +69,7 @@
 		var sent []Operation
 		for range 60 {
 			now += draw.Int64N(3 * second)
-			o := drawnOrder(draw, set, now)
+			o := randomOperation(draw, set, now)
 			if draw.IntN(4) == 0 {
 				o = Bind(set, o)
 			}
