--- a/internal/control/consensus/idempotence_test.go
+++ b/internal/control/consensus/idempotence_test.go
@@ -11,13 +11,13 @@
 	"portflow/internal/control/operation"
 )
 
-// An order is voted on, its proposer is beaten, and another brings that vote to its end; then a later order undoes what it made.
-// The proposer still has the order waiting, as nobody has told it of its end: it must not make it once more.
+// An operation is voted on, its proposer is rejected, and another finishes that vote; then a later operation undoes its effect. At the
+// proposer the operation is still pending, as it has learned of no end: it must not take effect again.
 func TestOperationTakesEffectOnce(t *testing.T) {
 	running := rollout.Rollout{Service: "desk", Number: 1, Target: "v2", Duration: 10 * second, State: rollout.Running}
 	over := running
 	over.State = rollout.RolledBack
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		order       operation.Operation
 		made, later config.Item
 	}{
@@ -32,7 +32,7 @@
 			n.caughtUp = true
 			now := 2 * second
 			var answers []Answer
-			proposed := 0 // what the order makes, or makes once more
+			proposed := 0 // how often the effect of the operation is proposed
 			var step func(e Event)
 			say := func(who int, m Message) {
 				m.DiskID, m.Epoch = l.Members[who].ID, 1
@@ -52,9 +52,9 @@
 						say(2, Message{Kind: Promise, Index: m.Index, Ballot: m.Ballot})
 					case m.Kind == Accept:
 						for _, i := range m.Value {
-							if i.Key() == x.made.Key() {
+							if i.Key() == test.made.Key() {
 								proposed++
-								c.Check(i.Version, qt.Equals, x.made.Version)
+								c.Check(i.Version, qt.Equals, test.made.Version)
 							}
 						}
 						if helpful {
@@ -66,21 +66,21 @@
 				}
 			}
 			step(Event{From: l.Members[2].IP, Peer: &Peer{Member: l.Members[2], Epoch: 1, Applied: 1, CaughtUp: true}})
-			step(Event{Operation: &x.order, Tag: 1})
+			step(Event{Operation: &test.order, Tag: 1})
 			c.Assert(proposed, qt.Equals, 1)
-			decides := func(number uint64, value config.Item) { // by another, who took the vote over
+			decides := func(number uint64, value config.Item) { // by another proposer, which finished the vote
 				say(0, Message{Kind: Accept, Index: number, Ballot: Ballot{1000 * number, "other"}, Value: []config.Item{value}})
 				say(0, Message{Kind: Commit, Index: number, Ballot: Ballot{1000 * number, "other"}})
 				c.Assert(n.Applied(), qt.Equals, number)
 			}
-			decides(2, x.made)
-			decides(3, x.later)
+			decides(2, test.made)
+			decides(3, test.later)
 			helpful, proposed = true, 0
 			for range 60 {
 				now += second / 20
 				step(Event{Tick: true})
 			}
-			c.Check(proposed, qt.Equals, 0, qt.Commentf("it is made once more"))
+			c.Check(proposed, qt.Equals, 0, qt.Commentf("it takes effect again"))
 			c.Assert(answers, qt.HasLen, 1)
 			k := answers[0].Result.Kind
 			c.Check(k == apierror.None || k == apierror.Unavailable, qt.IsTrue, qt.Commentf("%v", k))
--- /dev/null
+++ b/internal/control/consensus/learner.go
@@ -0,0 +1,134 @@
+package consensus
+
+import (
+	"portflow/internal/cluster/config"
+	"portflow/internal/control/membership"
+	"portflow/internal/control/operation"
+)
+
+// recentChange is a decided value.
+type recentChange struct {
+	index uint64
+	items []config.Item
+	bytes int // a bound on the encoding of items
+}
+
+// changeHistory keeps the last decided values for peers that catch up. Older ones are needed by nobody: a peer that lacks them gets
+// a snapshot.
+type changeHistory struct {
+	changes []recentChange // of successive indexes, the oldest first
+	items   int            // in changes
+	bytes   int            // in changes
+}
+
+// add appends a change, and forgets the oldest ones beyond the bounds.
+func (h *changeHistory) add(index uint64, items []config.Item) {
+	change := recentChange{index, items, config.EncodedSizeBound(items)}
+	h.changes = append(h.changes, change)
+	h.items += len(items)
+	h.bytes += change.bytes
+	for h.exceedsBounds() {
+		oldest := h.changes[0]
+		h.items -= len(oldest.items)
+		h.bytes -= oldest.bytes
+		h.changes = h.changes[1:]
+	}
+}
+
+func (h *changeHistory) exceedsBounds() bool {
+	return len(h.changes) > maxRecentChanges || (h.items > maxRecentItems || h.bytes > maxRecentBytes) && len(h.changes) > 0
+}
+
+// forgetChanges forgets all changes: the set is no longer what they made it.
+func (n *Node) forgetChanges() { n.history = changeHistory{} }
+
+// nextIndex returns the index after the last applied one, the only one that this process promises, votes and proposes for.
+func (n *Node) nextIndex() uint64 { return n.hardState.Applied + 1 }
+
+// handleCommit learns a decision. The value is the one that this process voted for in the same ballot, as a ballot stands for one
+// value; without that vote the decided value is fetched.
+func (n *Node) handleCommit(e Event, m Message) {
+	if m.Index <= n.hardState.Applied {
+		return
+	}
+	if m.Index == n.nextIndex() && n.hasUndecidedVote() && n.hardState.Accepted == m.Ballot {
+		n.applyVote(e)
+		return
+	}
+	n.requestChanges(e.Now, e.From)
+}
+
+// applyVote applies the value that this process voted for at the next index, which is decided.
+func (n *Node) applyVote(e Event) {
+	index, value := n.hardState.AcceptedIndex, n.hardState.AcceptedValue
+	if n.proposer.phase != Idle {
+		n.abandonProposal(e, false)
+	}
+	n.proposer.prepared = false
+	n.apply(e.Now, index, value)
+}
+
+// commitPersistedVote applies the vote of this process at the next index if the replies to a read show that a quorum has the same vote
+// on disk: then it is decided. After all processes lost power at once, nobody needs to propose again.
+func (n *Node) commitPersistedVote(e Event, read *pendingRead) {
+	vote := n.hardState.Accepted
+	if !n.hasUndecidedVote() || vote == (Ballot{}) || n.hardState.Applied == 0 {
+		return
+	}
+	acks := map[string]string{}
+	for ip, reply := range read.replies {
+		if reply.Index == n.nextIndex() && reply.Accepted == vote {
+			acks[ip] = reply.DiskID
+		}
+	}
+	if n.reachesQuorum(acks, n.hardState.AcceptedValue) {
+		n.applyVote(e)
+	}
+}
+
+// apply applies a decided value to the set. Values are applied in the order of their indexes, each once.
+func (n *Node) apply(now int64, index uint64, items []config.Item) {
+	if operation.ReplacesAll(items) {
+		n.stageChanges(n.Set.ReplaceAll(items[1:]))
+		n.effects.Replaced = true
+		n.forgetChanges() // a peer that is behind gets a snapshot
+	} else {
+		n.mergeItems(items)
+	}
+	for _, key := range n.Set.TakeEvicted() {
+		n.stageRemoval(key)
+	}
+	if items != nil && !operation.ReplacesAll(items) {
+		n.history.add(index, items)
+	}
+	n.afterApply(now, index)
+	n.Counts.Decided++
+}
+
+// mergeItems merges the items of a decided value into the set.
+func (n *Node) mergeItems(items []config.Item) {
+	for _, item := range items {
+		if n.Set.Merge(item) {
+			n.stageItem(item)
+		}
+	}
+}
+
+// afterApply brings all that depends on the set or on the index up to date.
+func (n *Node) afterApply(now int64, index uint64) {
+	voteOnDisk := n.hardState.AcceptedIndex == index && len(n.unsaved.items) <= maxBatchItems
+	n.hardState.Applied = index
+	if n.hardState.AcceptedIndex <= index {
+		n.hardState.Accepted = Ballot{}
+		n.hardState.AcceptedIndex = 0
+		n.hardState.AcceptedValue = nil
+	}
+	n.membership = membership.FromSet(n.Set)
+	n.proposer.retryAt = 0
+	n.effects.Changed = true
+	if !voteOnDisk {
+		n.requestWrite()
+	}
+	n.advanceReads(now)
+	n.ensureStartupRead(now)
+}
--- /dev/null
+++ b/internal/control/consensus/network_test.go
@@ -0,0 +1,124 @@
+package consensus
+
+// link is the connection between two machines; index 0 is the end of the one with the lower id. Each end finds out by itself that the
+// connection is broken.
+type link struct {
+	connected   [2]bool
+	incarnation int
+	lastArrival [2]int64 // when the newest message arrives at each end
+	held        [2][]func()
+	cuts        [2]int // how many faults hold what is sent to each end
+	latency     int64  // one way
+	extraDelay  int64  // by which messages may be late at most
+}
+
+// link returns the link between two machines, and which end of it is a's.
+func (sim *simulation) link(a, b *machine) (l *link, end int) {
+	if a.id < b.id {
+		return sim.links[[2]int{a.id, b.id}], 0
+	}
+	return sim.links[[2]int{b.id, a.id}], 1
+}
+
+// deliver runs something at the other end of a link, in the order of sending, unless the link breaks.
+func (sim *simulation) deliver(from, to *machine, do func()) {
+	l, end := sim.link(from, to)
+	if !l.connected[end] {
+		return
+	}
+	incarnation, process, other := l.incarnation, to.incarnation, 1-end
+	arrive := func() {
+		at := max(sim.now+l.latency+sim.between(0, l.latency/4+1+l.extraDelay), l.lastArrival[other]+1)
+		l.lastArrival[other] = at
+		sim.after(at-sim.now, func() {
+			if l.incarnation == incarnation && l.connected[other] {
+				sim.runOn(to, process, do)
+			}
+		})
+	}
+	if l.cuts[other] > 0 {
+		l.held[other] = append(l.held[other], func() {
+			if l.incarnation == incarnation {
+				arrive()
+			}
+		})
+		return
+	}
+	arrive()
+}
+
+// connect tries to connect two machines, until they are or one of them ends.
+func (sim *simulation) connect(a, b *machine) {
+	incarnationA, incarnationB := a.incarnation, b.incarnation
+	l, end := sim.link(a, b)
+	sim.after(sim.between(5*ms, 300*ms), func() {
+		switch {
+		case !a.up || !b.up || a.incarnation != incarnationA || b.incarnation != incarnationB || l.connected == [2]bool{true, true}:
+		case l.connected != [2]bool{} || l.cuts != [2]int{} || a.frozen || b.frozen:
+			sim.connect(a, b)
+		default:
+			l.incarnation++
+			l.connected, l.lastArrival, l.held = [2]bool{true, true}, [2]int64{}, [2][]func(){}
+			if end == 1 {
+				a, b = b, a
+			}
+			sim.sendStatus(a, b)
+			sim.sendStatus(b, a)
+		}
+	})
+}
+
+// breakLink has one end of a link notice that it is broken.
+func (sim *simulation) breakLink(m, other *machine) {
+	l, end := sim.link(m, other)
+	if !l.connected[end] {
+		return
+	}
+	l.connected[end] = false
+	sim.runOn(m, m.incarnation, func() { sim.step(m, Event{From: other.ip, PeerLost: true}) })
+	if l.connected == [2]bool{} && m.up && other.up {
+		sim.connect(m, other)
+	}
+}
+
+// noticeLater has one end of a link notice after a time that it is broken, if it still is.
+func (sim *simulation) noticeLater(m, other *machine, in int64, still func() bool) {
+	l, _ := sim.link(m, other)
+	incarnation := l.incarnation
+	sim.after(in, func() {
+		if l.incarnation == incarnation && still() {
+			sim.breakLink(m, other)
+		}
+	})
+}
+
+// cutLink holds what one machine sends another. The receiver notices the silence and closes the link; the sender sees that at once, or if
+// it receives nothing either, notices the silence by itself.
+func (sim *simulation) cutLink(from, to *machine) {
+	l, end := sim.link(to, from)
+	l.cuts[end]++
+	incarnation := l.incarnation
+	sim.after(sim.between(800*ms, 2000*ms), func() {
+		if l.incarnation != incarnation || l.cuts[end] == 0 {
+			return
+		}
+		sim.breakLink(to, from)
+		if l.cuts[1-end] == 0 {
+			sim.noticeLater(from, to, sim.between(ms, 100*ms), func() bool { return true })
+		} else {
+			sim.noticeLater(from, to, sim.between(0, 1200*ms), func() bool { return true })
+		}
+	})
+}
+
+// healLink ends a cut, and delivers what was held.
+func (sim *simulation) healLink(from, to *machine) {
+	l, end := sim.link(to, from)
+	if l.cuts[end]--; l.cuts[end] == 0 {
+		held := l.held[end]
+		l.held[end] = nil
+		for _, arrive := range held {
+			arrive()
+		}
+	}
+}
