--- a/internal/control/server/membership.go
+++ b/internal/control/server/membership.go
@@ -3,16 +3,13 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
 	"slices"
 	"strings"
-	"time"
 
 	"github.com/samber/lo"
 	"k8s.io/klog/v2"
 
 	"portflow/internal/cluster/apierror"
-	"portflow/internal/control/consensus"
 	"portflow/internal/control/membership"
 	"portflow/internal/control/operation"
 	"portflow/internal/control/rpc"
@@ -74,14 +71,6 @@
 	ToleratedZones [2][]string `json:"zones"`   // each of which alone may be lost, before and after
 }
 
-// CoreRecovery is what a recovery would lose, and the words that confirm it; or that it is done.
-type CoreRecovery struct {
-	Done          bool     `json:"done"`
-	Node          string   `json:"node"`
-	ConfirmPhrase string   `json:"confirm"`
-	Losses        []string `json:"losses"`
-}
-
 // membershipCalls are the operators' calls that are about the core itself.
 func (s *Server) membershipCalls() []rpc.Call {
 	return []rpc.Call{
@@ -275,159 +264,3 @@
 	result.Done, result.Epoch = true, s.state.Node.Membership().Epoch
 	return result, nil
 }
-
-// handleCoreRecover makes this process the whole core, where more than half of the members never come back. Without the words
-// that confirm it, it tells what may be lost, and the words.
-func (s *Server) handleCoreRecover(ctx context.Context, _ string, body []byte) (any, error) {
-	var request struct {
-		Confirm string `json:"confirm"`
-		Force   bool   `json:"force"`
-	}
-	if err := json.Unmarshal(body, &request); err != nil {
-		return nil, apierror.Wrap(apierror.Malformed, err, "the recovery")
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	node := s.state.Node
-	list := node.Membership()
-	result := CoreRecovery{Node: s.Settings.Name, ConfirmPhrase: fmt.Sprintf("epoch %d number %d", list.Epoch, node.Applied())}
-	if request.Confirm != "" && request.Confirm == s.recoveryPhrase { // the same once more
-		return s.recovered(ctx, result)
-	}
-	switch {
-	case node.Applied() == 0:
-		return nil, apierror.New(apierror.Invalid, "%s holds no state", s.Settings.Name)
-	case node.HasQuorum():
-		return nil, apierror.New(apierror.Invalid, "more than half of the members are heard: nothing is to be recovered; see pilot core remove")
-	case s.diskBehind || s.stopping:
-		return nil, apierror.New(apierror.Unavailable, "%s can't take it on: its disk hangs, or it ends", s.Settings.Name)
-	}
-	for ip, peer := range s.state.Peers {
-		if peer.Status.Number > node.Applied() && !request.Force {
-			return nil, apierror.New(apierror.Invalid, "%s has number %d, this process %d: recover there, or --force", ip, peer.Status.Number, node.Applied())
-		}
-	}
-	result.Losses = append(result.Losses, fmt.Sprintf("what was confirmed after number %d and only silent members hold", node.Applied()))
-	for _, x := range list.Members {
-		if d := s.describe(x); !d.Heard {
-			result.Losses = append(result.Losses, fmt.Sprintf("the vote and the disk of %s, %s, in %s, silent for %.0f s", x.Name, x.IP, x.Zone, d.SilentSeconds))
-		}
-	}
-	if !node.IsMember() {
-		result.Losses = append(result.Losses, "this process was no member of the last list that it knows: others may have gone on without it")
-	}
-	if request.Confirm == "" {
-		return result, nil
-	}
-	if request.Confirm != result.ConfirmPhrase {
-		return nil, apierror.New(apierror.Invalid, "confirm: %q, and it would be from %q", request.Confirm, result.ConfirmPhrase)
-	}
-	klog.InfoS("recovery", "from", result.ConfirmPhrase, "losses", result.Losses)
-	s.stepNode(consensus.Event{Recover: true})
-	s.recoveryPhrase = request.Confirm
-	return s.recovered(ctx, result)
-}
-
-// recovered answers once the recovery is on disk; the caller holds the lock.
-func (s *Server) recovered(ctx context.Context, out CoreRecovery) (any, error) {
-	kept := make(chan bool)
-	if s.diskBehind || !s.writer.enqueue(writeJob{records: encodeHardState(s.state.Node.HardState()), done: func() { close(kept) }}) {
-		return nil, apierror.New(apierror.Unavailable, "it isn't on disk yet")
-	}
-	s.mu.Unlock()
-	defer s.mu.Lock()
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	select {
-	case <-kept:
-	case <-ctx.Done():
-		return nil, apierror.Wrap(apierror.Unavailable, ctx.Err(), "it isn't on disk yet")
-	}
-	out.Done = true
-	return out, nil
-}
-
-const (
-	maxLeaveTime      = 4 * time.Second // at most, and half of the grace
-	leavePollInterval = 50 * time.Millisecond
-)
-
-// Leave ends this process's part in the core, on SIGTERM: it takes no more calls, brings those that are under way to their
-// end, and is voted out where the core bears more without it than with it counted and gone. It returns within the smaller of
-// half of the grace and leaveIn.
-func (s *Server) Leave() {
-	within := maxLeaveTime
-	if half := time.Duration(s.Settings.Terms.Grace) / 2; half > 0 {
-		within = min(within, half)
-	}
-	ctx, cancel := context.WithTimeout(s.ctx, within)
-	defer cancel()
-	began := time.Now()
-	s.mu.Lock()
-	s.stopping = true
-	s.notifySubscribers()
-	s.mu.Unlock()
-	pause := func() bool {
-		select {
-		case <-time.After(leavePollInterval):
-			return true
-		case <-ctx.Done():
-			return false
-		}
-	}
-	for s.hasWaiters() && pause() {
-	}
-	submitted := 0
-	for {
-		op, useful := s.selfRemoval()
-		if !useful {
-			break
-		}
-		if submitted++; s.submit(ctx, op) != nil && !pause() {
-			break
-		}
-	}
-	for !s.removalKnown() && pause() { // that it is out
-	}
-	s.mu.Lock()
-	list := s.state.Node.Membership()
-	klog.InfoS("leaves", "counted", s.state.Node.IsMember(), "epoch", list.Epoch, "of", len(list.Members), "asked", submitted, "unanswered", len(s.waiters),
-		"took_ms", time.Since(began).Milliseconds())
-	s.mu.Unlock()
-	s.LogCounters()
-}
-
-func (s *Server) hasWaiters() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.waiters) > 0
-}
-
-// selfRemoval is the order that votes this process out, and whether the core then bears more than with it counted and gone, and
-// at least one loss. So an even number becomes an odd one, and an odd one stays: then a vote more gains nothing, and where
-// all are told to end, more than one or two never go.
-func (s *Server) selfRemoval() (operation.Operation, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	list := s.state.Node.Membership()
-	if !s.state.Node.IsMember() || s.checkQuorum() != nil {
-		return operation.Operation{}, false
-	}
-	next := list.Change(nil, []string{s.Settings.IP})
-	with, _ := list.Tolerates(s.unavailable(list))
-	without, _ := next.Tolerates(s.unavailable(next))
-	return operation.Operation{Kind: operation.ChangeMembers, Remove: []string{s.Settings.IP}, Expected: list.Epoch}, without >= 1 && without > with
-}
-
-// removalKnown tells whether more than half of the members go by this process's list; or it is a member still.
-func (s *Server) removalKnown() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	list, acks := s.state.Node.Membership(), map[string]string{}
-	for ip, peer := range s.state.Peers {
-		if conn := s.peers[ip]; conn != nil && peer.Status.Epoch >= list.Epoch {
-			acks[ip] = conn.member.ID
-		}
-	}
-	return s.state.Node.IsMember() || list.HasQuorum(acks)
-}
--- a/internal/control/server/server.go
+++ b/internal/control/server/server.go
@@ -91,17 +91,6 @@
 	rpc           *rpc.Server
 }
 
-// peerConn is a line that this process dialled to another of the core.
-type peerConn struct {
-	ip, name     string
-	member       membership.Member
-	stream       *stream.Conn[update.Message]
-	subscription update.Subscription
-	clockOffset  update.ClockOffset
-	cancelDial   func()        // ends the dial that is under way
-	redial       chan struct{} // has it dialled at once
-}
-
 // Start brings a control process up; it serves until the context ends.
 func Start(parent context.Context, opts Options) (*Server, error) {
 	began := time.Now()
@@ -190,12 +179,6 @@
 	return all
 }
 
-// notifySubscribers tells those who follow that there is news; the caller holds the lock.
-func (s *Server) notifySubscribers() {
-	close(s.updated)
-	s.updated = make(chan struct{})
-}
-
 // runTicker looks for hosts that have become silent and for rollouts to be ended.
 func (s *Server) runTicker() {
 	ticker := time.NewTicker(200 * time.Millisecond)
@@ -240,19 +223,6 @@
 	}
 }
 
-// reclaimProxies tells anew of routers that are heard here and were taken for gone elsewhere; the caller holds the lock.
-func (s *Server) reclaimProxies() {
-	for sub := range s.subscribers {
-		received := sub.stream.BytesRead.Load()
-		current, known := s.state.Proxies[sub.proxy.Name]
-		if known && (current.Gone || current.Owner != s.Settings.Name) && received > sub.bytesAtLastCheck {
-			sub.proxy = s.state.ClaimProxy(s.clock(), sub.proxy)
-			s.notifySubscribers()
-		}
-		sub.bytesAtLastCheck = received
-	}
-}
-
 // LogCounters writes the counters on one line.
 func (s *Server) LogCounters() {
 	s.mu.Lock()
