--- a/internal/control/server/calls.go
+++ b/internal/control/server/calls.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -10,6 +11,7 @@
 	"time"
 
 	"github.com/go-chi/chi/v5"
+	"k8s.io/klog/v2"
 
 	"portflow/internal/cluster/apierror"
 	"portflow/internal/cluster/config"
@@ -19,25 +21,28 @@
 )
 
 const (
-	maxSmallBody = 4 << 10
-	maxLargeBody = 8 << 20 // of a configuration: some ten thousand routes
-	// callers go on to the next process after a second of silence
+	maxSmallBody = 4 << 10 // bytes
+	maxLargeBody = 8 << 20 // bytes, of a configuration: some ten thousand routes
+
+	// callTimeout is short, as callers go on to the next process after a second of silence.
 	callTimeout = 850 * time.Millisecond
+
+	headerTimeout  = 2 * time.Second
+	idleTimeout    = 30 * time.Second
+	maxHeaderBytes = 16 << 10
+
+	maxDirectoryLifetime = 2.0 // seconds, for which clients may use the addresses that they are given
 )
 
-// calls are those of hosts and operators, each beside its handler.
-func (s *Server) calls() []rpc.Call {
+// clientCalls are the calls of hosts and operators, apart from those of membershipCalls.
+func (s *Server) clientCalls() []rpc.Call {
 	return []rpc.Call{
 		{Name: "instances.heartbeat", MaxBody: maxSmallBody, Handle: s.handleHeartbeat},
 		{Name: "instances.leave", MaxBody: maxSmallBody, Handle: s.handleLeave},
 		{Name: "configuration.modify", MaxBody: maxLargeBody, Handle: s.handleModify},
 		{Name: "configuration.read", MaxBody: maxSmallBody, Handle: s.handleRead},
-		{Name: "evacuation.begin", MaxBody: maxSmallBody, Handle: func(ctx context.Context, zone string, _ []byte) (any, error) {
-			return s.setEvacuation(ctx, zone, true)
-		}},
-		{Name: "evacuation.finish", MaxBody: maxSmallBody, Handle: func(ctx context.Context, zone string, _ []byte) (any, error) {
-			return s.setEvacuation(ctx, zone, false)
-		}},
+		{Name: "evacuation.begin", MaxBody: maxSmallBody, Handle: s.handleEvacuationBegin},
+		{Name: "evacuation.finish", MaxBody: maxSmallBody, Handle: s.handleEvacuationFinish},
 		{Name: "rollouts.begin", MaxBody: maxSmallBody, Handle: s.handleRolloutBegin},
 		{Name: "rollouts.read", MaxBody: maxSmallBody, Handle: s.handleRolloutRead},
 		{Name: "harbour.read", MaxBody: maxSmallBody, Handle: s.handleClusterRead},
@@ -46,21 +51,24 @@
 	}
 }
 
-// listen opens the ports that this process serves; what it returns begins to serve them.
-func (s *Server) listen() (func(), error) {
-	s.rpc = rpc.New(append(s.calls(), s.membershipCalls()...)...)
+// listen opens the HTTP ports of this process. The function that it returns begins to serve them; closeAtEnd ends that.
+func (s *Server) listen() (serve func(), err error) {
+	s.rpc = rpc.New(append(s.clientCalls(), s.membershipCalls()...)...)
 	router := chi.NewRouter()
 	s.rpc.Mount(router)
 	router.Get("/-/resolution", s.handleResolve)
-	s.httpServer = &http.Server{Handler: router, ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 30 * time.Second,
-		MaxHeaderBytes: 16 << 10}
+	s.httpServer = &http.Server{
+		Handler:           router,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+	}
 	var listeners []net.Listener
 	for _, name := range []string{"control", "directory"} {
-		address := s.Settings.ListenAddresses[name]
 		if !slices.Contains(s.Settings.Serves, name) {
 			continue
 		}
-		listener, err := s.Network.Listen(address)
+		listener, err := s.Network.Listen(s.Settings.ListenAddresses[name])
 		if err != nil {
 			return nil, fmt.Errorf("network.listen-addresses.%s: %w", name, err)
 		}
@@ -68,30 +76,43 @@
 	}
 	return func() {
 		for _, listener := range listeners {
-			go s.httpServer.Serve(listener)
+			go s.serveHTTP(listener)
 		}
 	}, nil
 }
 
-// handleResolve answers clients that ask where to go.
+// serveHTTP serves one port, until closeAtEnd closes the HTTP server.
+func (s *Server) serveHTTP(listener net.Listener) {
+	if err := s.httpServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) && s.ctx.Err() == nil {
+		klog.ErrorS(err, "http server", "address", listener.Addr())
+	}
+}
+
+// handleResolve answers clients that ask for the addresses of proxies.
 func (s *Server) handleResolve(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	s.mu.Lock()
-	var addresses []string
-	if s.checkReady() == nil { // else what it knows of routers is old
-		addresses = s.state.Addresses(query.Get("zone-name"), query.Get("region-name"), s.Settings.ZoneRegions)
-	}
-	s.mu.Unlock()
+	addresses := s.proxyAddresses(query.Get("zone-name"), query.Get("region-name"))
 	if len(addresses) == 0 {
 		resp := apierror.Unavailable.Response()
 		w.Header().Set("Retry-After", apierror.RetryAfter(resp.RetryAfter))
 		rpc.WriteJSON(w, resp.Status, map[string]string{"error": resp.Name, "reason": "no router is ready"})
 		return
 	}
-	rpc.WriteJSON(w, http.StatusOK, map[string]any{"addresses": addresses, "lifetime-s": min(2, float64(s.Settings.Terms.Lifetime)/1e9)})
+	lifetime := min(maxDirectoryLifetime, float64(s.Settings.Terms.Lifetime)/1e9)
+	rpc.WriteJSON(w, http.StatusOK, map[string]any{"addresses": addresses, "lifetime-s": lifetime})
 }
 
-// handleModify takes a configuration, as a whole or not at all.
+// proxyAddresses are the addresses of the nearest ready proxies; none where this process isn't ready, as what it knows is old.
+func (s *Server) proxyAddresses(zone, region string) []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.checkReady() != nil {
+		return nil
+	}
+	return s.state.Addresses(zone, region, s.Settings.ZoneRegions)
+}
+
+// handleModify changes the configuration, all of it or nothing.
 func (s *Server) handleModify(ctx context.Context, _ string, body []byte) (any, error) {
 	items, err := config.ParseChange(body)
 	if err != nil {
@@ -103,7 +124,7 @@
 	return map[string]any{}, nil
 }
 
-// handleRead tells all items that stand, as they did when the call came or later.
+// handleRead answers with all items of the configuration, as of the call or later.
 func (s *Server) handleRead(ctx context.Context, _ string, _ []byte) (any, error) {
 	if err := s.confirmLatest(ctx); err != nil {
 		return nil, err
@@ -114,10 +135,18 @@
 	return json.RawMessage(raw), err
 }
 
-// setEvacuation begins or withdraws the evacuation of a zone.
-func (s *Server) setEvacuation(ctx context.Context, zone string, begun bool) (any, error) {
+func (s *Server) handleEvacuationBegin(ctx context.Context, zone string, _ []byte) (any, error) {
+	return nil, s.setEvacuation(ctx, zone, true)
+}
+
+func (s *Server) handleEvacuationFinish(ctx context.Context, zone string, _ []byte) (any, error) {
+	return nil, s.setEvacuation(ctx, zone, false)
+}
+
+// setEvacuation begins or ends the evacuation of a zone.
+func (s *Server) setEvacuation(ctx context.Context, zone string, active bool) error {
 	if _, ok := s.Settings.ZoneRegions[zone]; !ok {
-		return nil, apierror.New(apierror.NotFound, "of: no zone %q", zone)
+		return apierror.New(apierror.NotFound, "of: no zone %q", zone)
 	}
-	return nil, s.submit(ctx, operation.Operation{Kind: operation.Evacuate, Name: zone, Active: begun})
+	return s.submit(ctx, operation.Operation{Kind: operation.Evacuate, Name: zone, Active: active})
 }
--- a/internal/control/server/golden_test.go
+++ b/internal/control/server/golden_test.go
@@ -16,7 +16,7 @@
 	"portflow/internal/golden"
 )
 
-// The record of the consensus lies in its cell with the same bytes.
+// The consensus node's record has the same bytes as in earlier releases.
 func TestGoldenRecord(t *testing.T) {
 	var d consensus.HardState
 	golden.Fill(&d)
@@ -30,9 +30,9 @@
 }
 
 // A control process that starts on an earlier release's disk goes on from where that one was: the same member, at the same
-// number, with its vote, and with all items.
+// index, with its vote, and with all items.
 func TestGoldenDisk(t *testing.T) {
-	folder, image := t.TempDir(), "../../golden/testdata/golden/disk/image"
+	dir, image := t.TempDir(), "../../golden/testdata/golden/disk/image"
 	files, err := os.ReadDir(image)
 	if err != nil {
 		t.Fatal(err)
@@ -40,29 +40,29 @@
 	for _, f := range files {
 		raw, err := os.ReadFile(filepath.Join(image, f.Name()))
 		if err == nil {
-			err = os.WriteFile(filepath.Join(folder, f.Name()), raw, 0o644)
+			err = os.WriteFile(filepath.Join(dir, f.Name()), raw, 0o644)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	disk, err := store.OpenDir(folder)
+	disk, err := store.OpenDir(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer disk.Close()
-	book, items, cells, whole, err := store.Open(disk)
+	itemStore, items, records, complete, err := store.Open(disk)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer book.Close()
-	m := &Server{Options: Options{Settings: settings.Settings{IP: "10.0.0.1", FirstStart: true}}, incarnation: "another"}
-	d, set, gone, made := m.loadHardState(items, cells, whole, book.Repaired)
+	defer itemStore.Close()
+	s := &Server{Options: Options{Settings: settings.Settings{IP: "10.0.0.1", FirstStart: true}}, incarnation: "another"}
+	hardState, set, removed, created := s.loadHardState(items, records, complete, itemStore.Repaired)
 	vote := config.Item{Kind: config.KindEvacuations, Name: "z1", Version: 2, Body: json.RawMessage(`{"begun":false}`)}
 	want := consensus.HardState{DiskID: "disk-1", Applied: 13, Promised: consensus.Ballot{Number: 7, Proposer: "life-3"}, Accepted: consensus.Ballot{Number: 6, Proposer: "life-2"}, AcceptedIndex: 14,
 		AcceptedValue: []config.Item{vote}, Founders: []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}}
-	if made || len(gone) > 0 || !reflect.DeepEqual(d, want) {
-		t.Errorf("it starts with %+v, made %v, gone %v", d, made, gone)
+	if created || len(removed) > 0 || !reflect.DeepEqual(hardState, want) {
+		t.Errorf("it starts with %+v, created %v, removed %v", hardState, created, removed)
 	}
 	if list := membership.FromSet(set); list.Epoch != 2 || !list.Contains("10.0.0.1", "disk-1") {
 		t.Errorf("the members are %+v", list)
@@ -70,25 +70,26 @@
 	if !reflect.DeepEqual(set.All(), items) {
 		t.Errorf("of %d items there are %d", len(items), set.Len())
 	}
-	if err := book.Write(set.All(), encodeHardState(d), true); err != nil {
+	if err := itemStore.Write(set.All(), encodeHardState(hardState), true); err != nil {
 		t.Fatal(err)
 	}
-	if book, again, cellsAgain, _, err := reopened(t, book, folder, disk.Close); err != nil || !reflect.DeepEqual(again, items) || !reflect.DeepEqual(cellsAgain, cells) {
-		t.Errorf("written again it holds %d items and %q, %v", len(again), cellsAgain, err)
+	if again, itemsAgain, recordsAgain, _, err := reopened(t, itemStore, dir, disk.Close); err != nil || !reflect.DeepEqual(itemsAgain, items) || !reflect.DeepEqual(recordsAgain, records) {
+		t.Errorf("written again it holds %d items and %q, %v", len(itemsAgain), recordsAgain, err)
 	} else {
-		book.Close()
+		again.Close()
 	}
 }
 
-func reopened(t *testing.T, book *store.Store, folder string, close func() error) (*store.Store, []config.Item, map[string][]byte, bool, error) {
+// reopened closes a store and its disk, and opens both again.
+func reopened(t *testing.T, itemStore *store.Store, dir string, closeDisk func() error) (*store.Store, []config.Item, map[string][]byte, bool, error) {
 	t.Helper()
-	if err := book.Close(); err != nil {
+	if err := itemStore.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := close(); err != nil {
+	if err := closeDisk(); err != nil {
 		t.Fatal(err)
 	}
-	disk, err := store.OpenDir(folder)
+	disk, err := store.OpenDir(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/server/outliers.go
+++ b/internal/control/server/outliers.go
@@ -10,28 +10,43 @@
 	"portflow/internal/control/registry"
 )
 
-// ejectOutliers sets hosts aside that routers have seen do much worse than others: of those that beat here, and whose version is not
-// on trial, as that is for the votes to judge. The caller holds the lock; it does nothing while no router has told anything.
+// ejectOutliers ejects hosts that proxies have seen do much worse than others. It does nothing while no proxy has reported anything.
+// The caller holds mu.
 func (s *Server) ejectOutliers() {
 	if s.outliers.Idle() || s.state.Status() != registry.HasQuorum {
 		return
 	}
 	now := s.clock()
-	onTrial := map[string]string{}
-	for _, i := range s.state.Set.Live(config.KindRollouts) {
-		if ro := rollout.FromItem(i); ro.State == rollout.Running {
-			onTrial[ro.Service] = ro.Target
-		}
+	for _, ejection := range s.outliers.Detect(now, s.ejectionCandidates()) {
+		klog.InfoS("host ejected", "host", ejection.ID, "service", ejection.Service, "for_ms", (ejection.EjectedUntil-now)/1e6, "times", ejection.Count)
+		s.state.PublishEjection(now, ejection, true)
+		s.subscriptions.notify()
 	}
-	var candidates []outlier.Candidate
+}
+
+// ejectionCandidates are the ready hosts that send heartbeats here, but for those whose version a running rollout introduces: the
+// votes decide on that. The caller holds mu.
+func (s *Server) ejectionCandidates() (candidates []outlier.Candidate) {
+	targets := s.rolloutTargets()
 	for _, host := range s.state.Instances.Owned() {
-		if target, inRollout := onTrial[host.Service]; host.State == instance.Ready && !host.Unresponsive && (!inRollout || host.Version != target) {
-			candidates = append(candidates, outlier.Candidate{ID: host.ID, Service: host.Service})
+		if host.State != instance.Ready || host.Unresponsive {
+			continue
+		}
+		if target, inRollout := targets[host.Service]; inRollout && host.Version == target {
+			continue
 		}
+		candidates = append(candidates, outlier.Candidate{ID: host.ID, Service: host.Service})
 	}
-	for _, ejection := range s.outliers.Detect(now, candidates) {
-		klog.InfoS("host set aside", "host", ejection.ID, "service", ejection.Service, "for_ms", (ejection.EjectedUntil-now)/1e6, "times", ejection.Count)
-		s.state.PublishEjection(now, ejection, true)
-		s.notifySubscribers()
+	return candidates
+}
+
+// rolloutTargets are the versions that running rollouts introduce, by service. The caller holds mu.
+func (s *Server) rolloutTargets() map[string]string {
+	targets := map[string]string{}
+	for _, item := range s.state.Set.Live(config.KindRollouts) {
+		if ro := rollout.FromItem(item); ro.State == rollout.Running {
+			targets[ro.Service] = ro.Target
+		}
 	}
+	return targets
 }
--- a/internal/control/server/quotas.go
+++ b/internal/control/server/quotas.go
@@ -8,58 +8,88 @@
 	"portflow/internal/quota"
 )
 
-// handleQuotaReport takes what a router tells of callers' shares; the caller holds the lock.
-func (s *Server) handleQuotaReport(router string, report update.QuotaUpdate) {
+// loadTicks is the number of ticks between two announcements of loads and capacities.
+const loadTicks = ticksPerSecond
+
+// quotaAllocation allocates callers' quotas to the proxies that subscribe here. The server's mu guards it.
+type quotaAllocation struct {
+	allocator *quota.Allocator
+	checksum  uint64 // of the quotas and services that the allocator has
+	announced bool   // the other control processes were sent usage the last time
+}
+
+func newQuotaAllocation() quotaAllocation { return quotaAllocation{allocator: quota.NewAllocator()} }
+
+// update gives the allocator the configured quotas where they have changed.
+func (q *quotaAllocation) update(set *config.Set) {
+	if checksum := set.QuotaChecksum(); checksum != q.checksum {
+		q.checksum = checksum
+		q.allocator.SetQuotas(config.BuildQuotas(set))
+	}
+}
+
+// usage is what this zone's proxies ask for, and whether the other control processes are to be sent it: also, once, that it is empty.
+func (q *quotaAllocation) usage() (usage []quota.ZoneUsage, loads []quota.Load, announce bool) {
+	usage, loads = q.allocator.Usage()
+	announce = len(usage) > 0 || q.announced
+	q.announced = len(usage) > 0
+	return usage, loads, announce
+}
+
+// handleQuotaReport takes a proxy's report of its callers' usage. The caller holds mu.
+func (s *Server) handleQuotaReport(proxy string, report update.QuotaUpdate) {
 	now := s.clock()
-	s.allocator.AddReports(now, router, report.Reports, report.Loads)
-	for service, census := range report.Callers {
-		s.allocator.AddCallerCounts(now, service, census)
+	allocator := s.quotas.allocator
+	allocator.AddReports(now, proxy, report.Reports, report.Loads)
+	for service, counts := range report.Callers {
+		allocator.AddCallerCounts(now, service, counts)
 	}
 }
 
-// allocateQuotas deals callers' shares out to the routers that hang here, and tells the other control processes what these ask for. n
-// counts the times. The caller holds the lock; where there are no shares it does nothing else than to see that.
+// allocateQuotas allocates callers' quotas to the proxies that subscribe here, and sends the other control processes what these
+// proxies ask for; round counts the ticks. Without quotas it does nothing but look for them. The caller holds mu.
 func (s *Server) allocateQuotas(round int) {
-	if sum := s.state.Set.QuotaChecksum(); sum != s.quotaSum {
-		s.quotaSum = sum
-		s.allocator.SetQuotas(config.BuildQuotas(s.state.Set))
-	}
-	if s.allocator.Empty() {
+	s.quotas.update(s.state.Set)
+	allocator := s.quotas.allocator
+	if allocator.Empty() {
 		return
 	}
-	now := s.clock()
-	slots := map[string]int{}
-	for _, host := range s.state.Instances.All() {
-		if host.State == instance.Ready && !host.Unresponsive {
-			slots[host.Service] += host.Slots
-		}
-	}
-	s.allocator.SetSlots(slots)
-	for sub := range s.subscribers {
+	allocator.SetSlots(s.slotsByService())
+	for sub := range s.subscriptions.subscribers {
 		if sub.proxy.Name != "" {
-			s.allocator.AddRouter(sub.proxy.Name)
+			allocator.AddRouter(sub.proxy.Name)
 		}
 	}
-	var allotments map[string][]quota.Allocation
-	if s.state.Status() == registry.HasQuorum { // else what was dealt ends with its lease
-		allotments = s.allocator.Allocate(now)
+	var allocations map[string][]quota.Allocation
+	if s.state.Status() == registry.HasQuorum { // without quorum, what was allocated ends with its lease
+		allocations = allocator.Allocate(s.clock())
 	}
-	var carries map[string]float64
-	if round%5 == 0 {
-		carries = s.allocator.Capacities()
+	var capacities map[string]float64
+	if round%loadTicks == 0 {
+		capacities = allocator.Capacities()
 	}
-	sums, loads := s.allocator.Usage()
-	announce := len(sums) > 0 || s.sentSums // also that there are none any more
-	s.sentSums = len(sums) > 0
-	if round%5 != 0 {
+	usage, loads, announce := s.quotas.usage()
+	if round%loadTicks != 0 {
 		loads = nil
 	}
-	for sub := range s.subscribers {
+	for sub := range s.subscriptions.subscribers {
+		own := allocations[sub.proxy.Name]
 		switch {
 		case sub.identity.Control && (announce || len(loads) > 0):
-			sub.stream.Send(update.Message{Quota: &update.QuotaUpdate{ZoneUsage: sums, Loads: loads}})
-		case !sub.identity.Control && (len(allotments[sub.proxy.Name]) > 0 || len(carries) > 0):
-			sub.stream.Send(update.Message{Quota: &update.QuotaUpdate{Allocations: allotments[sub.proxy.Name], Capacity: carries}})
+			sub.stream.Send(update.Message{Quota: &update.QuotaUpdate{ZoneUsage: usage, Loads: loads}})
+		case !sub.identity.Control && (len(own) > 0 || len(capacities) > 0):
+			sub.stream.Send(update.Message{Quota: &update.QuotaUpdate{Allocations: own, Capacity: capacities}})
+		}
+	}
+}
+
+// slotsByService are the slots of all ready hosts. The caller holds mu.
+func (s *Server) slotsByService() map[string]int {
+	slots := map[string]int{}
+	for _, host := range s.state.Instances.All() {
+		if host.State == instance.Ready && !host.Unresponsive {
+			slots[host.Service] += host.Slots
 		}
 	}
+	return slots
 }
--- a/internal/control/server/recovery.go
+++ b/internal/control/server/recovery.go
@@ -11,7 +11,7 @@
 	"portflow/internal/control/consensus"
 )
 
-// CoreRecovery is what a recovery would lose, and the words that confirm it; or that it is done.
+// CoreRecovery is what a recovery may lose, and the phrase that confirms it; or that it is done.
 type CoreRecovery struct {
 	Done          bool     `json:"done"`
 	Node          string   `json:"node"`
@@ -19,62 +19,87 @@
 	Losses        []string `json:"losses"`
 }
 
-// handleCoreRecover makes this process the whole core, where more than half of the members never come back. Without the words
-// that confirm it, it tells what may be lost, and the words.
+// recoveryRequest asks for a recovery, or with an empty phrase for what it may lose.
+type recoveryRequest struct {
+	Confirm string `json:"confirm"`
+	Force   bool   `json:"force"` // also where another process has applied more
+}
+
+// handleCoreRecover makes this process the only member, where a majority of the members never comes back. Without the phrase that
+// confirms it, it answers with what may be lost, and the phrase.
 func (s *Server) handleCoreRecover(ctx context.Context, _ string, body []byte) (any, error) {
-	var request struct {
-		Confirm string `json:"confirm"`
-		Force   bool   `json:"force"`
-	}
+	var request recoveryRequest
 	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, apierror.Wrap(apierror.Malformed, err, "the recovery")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	node := s.state.Node
-	list := node.Membership()
-	result := CoreRecovery{Node: s.Settings.Name, ConfirmPhrase: fmt.Sprintf("epoch %d number %d", list.Epoch, node.Applied())}
-	if request.Confirm != "" && request.Confirm == s.recoveryPhrase { // the same once more
-		return s.recovered(ctx, result)
+	result := CoreRecovery{
+		Node:          s.Settings.Name,
+		ConfirmPhrase: fmt.Sprintf("epoch %d number %d", node.Membership().Epoch, node.Applied()),
+	}
+	if request.Confirm != "" && request.Confirm == s.recoveryPhrase { // the same request once more
+		return s.awaitRecoverySaved(ctx, result)
+	}
+	if err := s.checkRecoverable(request.Force); err != nil {
+		return nil, err
+	}
+	result.Losses = s.recoveryLosses()
+	if request.Confirm == "" {
+		return result, nil
 	}
+	if request.Confirm != result.ConfirmPhrase {
+		return nil, apierror.New(apierror.Invalid, "confirm: %q, and it would be from %q", request.Confirm, result.ConfirmPhrase)
+	}
+	klog.InfoS("recovery", "from", result.ConfirmPhrase, "losses", result.Losses)
+	s.stepNode(consensus.Event{Recover: true})
+	s.recoveryPhrase = request.Confirm
+	return s.awaitRecoverySaved(ctx, result)
+}
+
+// checkRecoverable refuses a recovery where there is nothing to recover, or this process is not the one to do it. The caller holds mu.
+func (s *Server) checkRecoverable(force bool) error {
+	node := s.state.Node
 	switch {
 	case node.Applied() == 0:
-		return nil, apierror.New(apierror.Invalid, "%s holds no state", s.Settings.Name)
+		return apierror.New(apierror.Invalid, "%s holds no state", s.Settings.Name)
 	case node.HasQuorum():
-		return nil, apierror.New(apierror.Invalid, "more than half of the members are heard: nothing is to be recovered; see pilot core remove")
+		return apierror.New(apierror.Invalid, "more than half of the members are heard: nothing is to be recovered; see pilot core remove")
 	case s.diskBehind || s.stopping:
-		return nil, apierror.New(apierror.Unavailable, "%s can't take it on: its disk hangs, or it ends", s.Settings.Name)
+		return apierror.New(apierror.Unavailable, "%s can't take it on: its disk hangs, or it ends", s.Settings.Name)
+	}
+	if force {
+		return nil
 	}
 	for ip, peer := range s.state.Peers {
-		if peer.Status.Number > node.Applied() && !request.Force {
-			return nil, apierror.New(apierror.Invalid, "%s has number %d, this process %d: recover there, or --force", ip, peer.Status.Number, node.Applied())
+		if peer.Status.Number > node.Applied() {
+			return apierror.New(apierror.Invalid, "%s has number %d, this process %d: recover there, or --force", ip, peer.Status.Number, node.Applied())
 		}
 	}
-	result.Losses = append(result.Losses, fmt.Sprintf("what was confirmed after number %d and only silent members hold", node.Applied()))
-	for _, x := range list.Members {
-		if d := s.describe(x); !d.Heard {
-			result.Losses = append(result.Losses, fmt.Sprintf("the vote and the disk of %s, %s, in %s, silent for %.0f s", x.Name, x.IP, x.Zone, d.SilentSeconds))
+	return nil
+}
+
+// recoveryLosses is what a recovery may lose, one sentence each. The caller holds mu.
+func (s *Server) recoveryLosses() []string {
+	node := s.state.Node
+	losses := []string{fmt.Sprintf("what was confirmed after number %d and only silent members hold", node.Applied())}
+	for _, member := range node.Membership().Members {
+		if status := s.describe(member); !status.Heard {
+			losses = append(losses, fmt.Sprintf("the vote and the disk of %s, %s, in %s, silent for %.0f s", member.Name, member.IP, member.Zone, status.SilentSeconds))
 		}
 	}
 	if !node.IsMember() {
-		result.Losses = append(result.Losses, "this process was no member of the last list that it knows: others may have gone on without it")
+		losses = append(losses, "this process was no member of the last list that it knows: others may have gone on without it")
 	}
-	if request.Confirm == "" {
-		return result, nil
-	}
-	if request.Confirm != result.ConfirmPhrase {
-		return nil, apierror.New(apierror.Invalid, "confirm: %q, and it would be from %q", request.Confirm, result.ConfirmPhrase)
-	}
-	klog.InfoS("recovery", "from", result.ConfirmPhrase, "losses", result.Losses)
-	s.stepNode(consensus.Event{Recover: true})
-	s.recoveryPhrase = request.Confirm
-	return s.recovered(ctx, result)
+	return losses
 }
 
-// recovered answers once the recovery is on disk; the caller holds the lock.
-func (s *Server) recovered(ctx context.Context, out CoreRecovery) (any, error) {
-	kept := make(chan bool)
-	if s.diskBehind || !s.writer.enqueue(writeJob{records: encodeHardState(s.state.Node.HardState()), done: func() { close(kept) }}) {
+// awaitRecoverySaved answers once the recovery is on disk. The caller holds mu, which is released while it waits.
+func (s *Server) awaitRecoverySaved(ctx context.Context, result CoreRecovery) (any, error) {
+	saved := make(chan struct{})
+	job := writeJob{records: encodeHardState(s.state.Node.HardState()), done: func() { close(saved) }}
+	if s.diskBehind || !s.writer.enqueue(job) {
 		return nil, apierror.New(apierror.Unavailable, "it isn't on disk yet")
 	}
 	s.mu.Unlock()
@@ -82,10 +107,10 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	select {
-	case <-kept:
+	case <-saved:
 	case <-ctx.Done():
 		return nil, apierror.Wrap(apierror.Unavailable, ctx.Err(), "it isn't on disk yet")
 	}
-	out.Done = true
-	return out, nil
+	result.Done = true
+	return result, nil
 }
--- a/internal/control/server/rollouts.go
+++ b/internal/control/server/rollouts.go
@@ -15,43 +15,64 @@
 	"portflow/internal/control/rpc"
 )
 
-// handleRolloutBegin takes the order to move a service to a version.
+// maxRolloutSeconds is the longest duration of a rollout.
+const maxRolloutSeconds = 24 * 60 * 60
+
+// handleRolloutBegin begins to move a service to a version.
 func (s *Server) handleRolloutBegin(ctx context.Context, _ string, body []byte) (any, error) {
 	tree, err := rpc.ParseObject(body)
 	if err != nil {
 		return nil, err
 	}
-	r := settings.NewReader(tree)
-	service, target, term := r.At("service").Text(), r.At("target-version").Text(), r.At("duration-s").Seconds(0, 86400)
-	if err := r.Err(); err != nil {
+	reader := settings.NewReader(tree)
+	op := operation.Operation{
+		Kind:          operation.BeginRollout,
+		Name:          reader.At("service").Text(),
+		TargetVersion: reader.At("target-version").Text(),
+		Duration:      reader.At("duration-s").Seconds(0, maxRolloutSeconds),
+		RetryWindow:   s.Settings.Terms.Acknowledge,
+	}
+	if err := reader.Err(); err != nil {
 		return nil, apierror.Wrap(apierror.Invalid, err, "the order is invalid")
 	}
-	op := operation.Operation{Kind: operation.BeginRollout, Name: service, TargetVersion: target, Duration: term, RetryWindow: s.Settings.Terms.Acknowledge}
+	s.addRolloutTimes(&op)
+	return nil, s.submit(ctx, op)
+}
+
+// addRolloutTimes adds the time of day, and how long this process has known the service's current rollout.
+func (s *Server) addRolloutTimes(op *operation.Operation) {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	op.SubmittedAt, op.ClockAgreed = s.wallClock()
-	if i, exists := s.state.Set.Lookup(config.Key{Kind: config.KindRollouts, Name: service}); exists {
-		r := s.state.RolloutAges.Localize(s.clock(), rollout.FromItem(i))
-		op.KnownRollout, op.KnownRolloutAge = r.Number, s.clock()-r.StartedAt
+	item, exists := s.state.Set.Lookup(rolloutKey(op.Name))
+	if !exists {
+		return
 	}
-	s.mu.Unlock()
-	return nil, s.submit(ctx, op)
+	known := s.state.RolloutAges.Localize(s.clock(), rollout.FromItem(item))
+	op.KnownRollout = known.Number
+	op.KnownRolloutAge = s.clock() - known.StartedAt
+}
+
+func rolloutKey(service string) config.Key {
+	return config.Key{Kind: config.KindRollouts, Name: service}
 }
 
+// handleRolloutRead answers with the state of a service's last rollout.
 func (s *Server) handleRolloutRead(ctx context.Context, service string, _ []byte) (any, error) {
 	if err := s.confirmLatest(ctx); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	i, ok := s.state.Set.Lookup(config.Key{Kind: config.KindRollouts, Name: service})
-	if !ok {
+	item, exists := s.state.Set.Lookup(rolloutKey(service))
+	if !exists {
 		return nil, apierror.New(apierror.NotFound, "of: no rollout of %q", service)
 	}
-	r := rollout.FromItem(i)
-	return map[string]string{"server-state": r.VisibleState().String(), "target-version": r.Target}, nil
+	ro := rollout.FromItem(item)
+	return map[string]string{"server-state": ro.VisibleState().String(), "target-version": ro.Target}, nil
 }
 
-// advanceRollouts looks at the votes on each rollout that runs, and has the core decide where they say so.
+// advanceRollouts submits the decisions that are due on running rollouts.
 func (s *Server) advanceRollouts() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,36 +81,47 @@
 	}
 	now := s.clock()
 	today, agreed := s.wallClock()
-	for _, i := range s.state.Set.Live(config.KindRollouts) {
-		ro := rollout.FromItem(i)
+	for _, item := range s.state.Set.Live(config.KindRollouts) {
+		ro := rollout.FromItem(item)
 		if agreed {
 			s.state.RolloutAges.AdjustToWallClock(now, today, ro)
 		}
-		if ro.VisibleState() != rollout.Running || s.decidingRollouts[ro.ID()] {
-			continue
-		}
-		if ro = s.state.RolloutAges.Localize(now, ro); ro.Switching {
-			if rollout.SwitchComplete(now, s.state.RolloutAges.SwitchingSince(now, ro), s.precedingPeers()) {
-				s.decidingRollouts[ro.ID()] = true
-				go s.submitRolloutDecision(ro, operation.Operation{Kind: operation.CompleteSwitch, Name: ro.Service, Expected: ro.Number})
-			}
+		if ro.VisibleState() != rollout.Running || s.pendingDecisions[ro.ID()] {
 			continue
 		}
-		var votes []update.Vote
-		for key, vote := range s.state.Votes {
-			if key.Service == ro.Service && vote.Number == ro.Number {
-				votes = append(votes, vote)
-			}
+		ro = s.state.RolloutAges.Localize(now, ro)
+		if op, due := s.rolloutDecision(now, today, ro); due {
+			s.pendingDecisions[ro.ID()] = true
+			go s.submitRolloutDecision(ro, op)
 		}
-		// the control processes take turns, so that one proposes and the others see what it decided
-		if outcome := rollout.Decide(now, ro, votes, s.state.ReadyProxies(), s.precedingPeers()); outcome != rollout.Running {
-			s.decidingRollouts[ro.ID()] = true
-			go s.submitRolloutDecision(ro, operation.Operation{Kind: operation.EndRollout, Name: ro.Service, Expected: ro.Number, Outcome: outcome, SubmittedAt: today})
+	}
+}
+
+// rolloutDecision is the operation that a running rollout needs now, if any. The control processes take turns, so that one proposes and
+// the others see what it decided. The caller holds mu.
+func (s *Server) rolloutDecision(now, today int64, ro rollout.Rollout) (op operation.Operation, due bool) {
+	op = operation.Operation{Name: ro.Service, Expected: ro.Number}
+	if ro.Switching {
+		op.Kind = operation.CompleteSwitch
+		return op, rollout.SwitchComplete(now, s.state.RolloutAges.SwitchingSince(now, ro), s.precedingPeers())
+	}
+	op.Kind = operation.EndRollout
+	op.Outcome = rollout.Decide(now, ro, s.votesOn(ro), s.state.ReadyProxies(), s.precedingPeers())
+	op.SubmittedAt = today
+	return op, op.Outcome != rollout.Running
+}
+
+// votesOn are the proxies' votes on a rollout, in no order. The caller holds mu.
+func (s *Server) votesOn(ro rollout.Rollout) (votes []update.Vote) {
+	for key, vote := range s.state.Votes {
+		if key.Service == ro.Service && vote.Number == ro.Number {
+			votes = append(votes, vote)
 		}
 	}
+	return votes
 }
 
-// precedingPeers is how many control processes that are heard come before this one.
+// precedingPeers is how many connected members come before this one in the order of their IPs. The caller holds mu.
 func (s *Server) precedingPeers() (count int) {
 	for _, ip := range s.state.VotingPeers() {
 		if ip < s.Settings.IP {
@@ -99,13 +131,13 @@
 	return count
 }
 
-// submitRolloutDecision has the core decide on a rollout's end, or that operators hear of it: each is one of its numbers, so that the first
-// end is the only one.
+// submitRolloutDecision submits a decision on a rollout and ends with it. The operation has the rollout's number, so that only the first
+// decision counts; where it fails, the next tick submits it again.
 func (s *Server) submitRolloutDecision(ro rollout.Rollout, op operation.Operation) {
 	if err := s.submit(s.ctx, op); err != nil {
 		klog.InfoS("rollout not ended yet", "service", ro.Service, "order", op.Kind, "to", op.Outcome, "why", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.decidingRollouts, ro.ID())
+	delete(s.pendingDecisions, ro.ID())
 }
--- a/internal/control/server/server.go
+++ b/internal/control/server/server.go
@@ -1,11 +1,18 @@
-// Package server is the control process: it hears hosts and routers, keeps the items on disk, takes orders and tells
-// the news. What it knows is bridge.State.
+// Package server runs a control process. It owns the process's connections, its HTTP ports, its disk and its goroutines: hosts send
+// heartbeats and operators send calls over HTTP, proxies and other control processes subscribe to updates over streams, and what
+// the voters decide is written to disk.
+//
+// It decides nothing itself. What a control process knows is registry.State, what the voters agree on is consensus.Node, and the
+// decisions on rollouts, outliers and quotas are those of packages rollout, outlier and quota. This package feeds them with events,
+// the time and chance, and carries out what they ask for.
+//
+// Begin with Server and Start; then consensus.go, which steps the consensus node, calls.go, which lists the calls, and updates.go,
+// which sends subscribers what has changed.
 package server
 
 import (
 	"context"
 	"fmt"
-	"maps"
 	"net"
 	"net/http"
 	"strconv"
@@ -28,10 +35,8 @@
 	"portflow/internal/control/membership"
 	"portflow/internal/control/registry"
 	"portflow/internal/control/rpc"
-	"portflow/internal/control/snapshot"
 	"portflow/internal/control/store"
 	"portflow/internal/dispatch"
-	"portflow/internal/quota"
 	"portflow/internal/random"
 )
 
@@ -42,192 +47,206 @@
 	Network    network.Network
 	Storage    storage.Storage
 	Seed       uint64
-	Clock      dispatch.Clock // nanoseconds since 1970, never back; none for this machine's, anchored once
+	Clock      dispatch.Clock // nanoseconds since 1970, never back; nil for this machine's clock, anchored once
 }
 
-// Server is a control process that runs.
+// Server is a running control process.
+//
+// Its fields above mu are set before the first goroutine starts and don't change afterwards; what they refer to is safe for
+// concurrent use. Every goroutine of the server ends when ctx ends, unless it says otherwise.
 type Server struct {
 	Options
-	ctx    context.Context
-	cancel context.CancelFunc
-
-	mu                sync.Mutex // over all that follows
-	state             *registry.State
-	updated           chan struct{} // closed and made anew when there is news
-	peers             map[string]*peerConn
-	wanted            map[string]bool                         // by IP number, control processes that are named by anything just now
-	leavingHosts      map[string]uint64                       // hosts that say they leave, whose news more than half of the members haven't acknowledged: its number
-	leftHosts         map[string]bool                         // hosts that leave, whose news from here they have
-	acked             chan struct{}                           // closed and made anew when one of the members acknowledges news, while such hosts wait
-	waiters           map[uint64]chan consensus.Result        // orders and reads that are under way, by tag
-	subscribers       map[*subscriber]bool                    // who follows here
-	inbound           map[string]*stream.Conn[update.Message] // by IP number, lines that other control processes dialled
-	lastTag           uint64
-	decidingRollouts  map[string]bool      // rollouts whose end this process asks for now
-	snapshots         snapshot.Cache       // snapshots that are asked for
-	upload            snapshot.Upload      // one that is restored
-	restoreCount      int                  // how many this life has put in force, or tried to
-	settingVersions   map[string]bool      // services whose first version this process asks for now
-	tickScheduled     bool                 // a tick of the agreement comes soon
-	diskBehind        bool                 // the disk has missed something
-	stopping          bool                 // it ends
-	tolerance         membership.Tolerance // of losses that the core bears, as it is seen here
-	recoveryPhrase    string               // what an operator confirmed when this process was made the whole core
-	random            random.Source
-	lastStatus        registry.Status
-	allocator         *quota.Allocator // of callers' shares
-	quotaSum          uint64           // the sum of the shares and services that it goes by
-	sentSums          bool             // to the other control processes, the last time
-	outliers          *outlier.Detector
-	proxySnapshots    update.SnapshotCache // snapshots that routers are sent
-	evictionScheduled bool                 // they are looked at again soon
-
-	clock         dispatch.Clock // anchored once: a step of the time of day changes nothing
-	writeFailures atomic.Int64   // writes by the disk
+	ctx           context.Context
+	cancel        context.CancelFunc
+	clock         dispatch.Clock // anchored once, so that a step of the time of day changes nothing
+	writeFailures atomic.Int64   // writes that the disk has refused
 	writer        *diskWriter
 	gossip        *gossip.Gossiper
-	incarnation   string
 	httpServer    *http.Server
 	rpc           *rpc.Server
+
+	// mu guards everything below, with all that it refers to: the state, the consensus node in it, and the fields of every subscriber
+	// and peerConn that don't say otherwise. It is never held while something blocks: streams and the disk writer queue what they
+	// are given.
+	mu          sync.Mutex
+	state       *registry.State
+	incarnation string // names this run of the process; a "+" is added when its updates can't be followed any more
+	random      random.Source
+	stopping    bool // the process leaves: it takes no more calls
+	lastStatus  registry.Status
+
+	peers         map[string]*peerConn // by IP, other control processes that this one dials
+	wantedPeers   map[string]bool      // by IP, control processes that gossip, the settings or the members name
+	subscriptions subscriptions
+	calls         pendingCalls
+	departures    departures
+
+	tickScheduled bool // a tick of the consensus node is due within busyTickInterval
+	diskBehind    bool // the disk has missed a write, and must be rewritten
+
+	tolerance      membership.Tolerance // losses that the voters still tolerate, as seen from here
+	recoveryPhrase string               // what an operator confirmed when this process was made the only member
+
+	pendingDecisions  map[string]bool // by rollout ID, rollouts for which this process submits a decision now
+	pendingVersions   map[string]bool // services whose first version this process submits now
+	outliers          *outlier.Detector
+	quotas            quotaAllocation
+	operatorSnapshots operatorSnapshots
+	proxySnapshots    proxySnapshots
 }
 
-// Start brings a control process up; it serves until the context ends.
+// Start runs a control process until the context ends.
 func Start(parent context.Context, opts Options) (*Server, error) {
 	began := time.Now()
 	itemStore, items, records, complete, err := store.Open(opts.Storage)
 	if err != nil {
 		return nil, err
 	}
-	cfg := opts.Settings
-	ctx, cancel := context.WithCancel(parent)
-	s := &Server{Options: opts, ctx: ctx, cancel: cancel, updated: make(chan struct{}), peers: map[string]*peerConn{},
-		leavingHosts: map[string]uint64{}, leftHosts: map[string]bool{}, acked: make(chan struct{}),
-		waiters: map[uint64]chan consensus.Result{}, subscribers: map[*subscriber]bool{}, inbound: map[string]*stream.Conn[update.Message]{}, decidingRollouts: map[string]bool{}, settingVersions: map[string]bool{},
-		allocator: quota.NewAllocator(), outliers: outlier.NewDetector(), random: random.Source{Seed: opts.Seed},
-		clock: opts.Clock, incarnation: strconv.FormatInt(time.Now().UnixNano(), 36) + "-" + strconv.FormatUint(opts.Seed%1e6, 36)}
-	if s.clock == nil {
-		s.clock = dispatch.NewClock() // a step of the time of day changes nothing
-	}
+	s := newServer(parent, opts)
 	hardState, set, removed, created := s.loadHardState(items, records, complete, itemStore.Repaired)
-	member := membership.Member{IP: cfg.IP, ID: hardState.DiskID, Name: cfg.Name, Zone: cfg.Zone}
-	s.state = registry.NewState(update.Hello{Name: cfg.Name, IP: cfg.IP, Zone: cfg.Zone, Control: true, ID: hardState.DiskID},
-		consensus.New(member, s.incarnation, opts.MinPerZone, hardState, set, s.clock()), cfg.HeartbeatInterval)
-	for _, i := range set.Live(config.KindRollouts) {
-		s.state.RolloutAges.Observe(s.clock(), rollout.FromItem(i), false)
-	}
-	s.writer = &diskWriter{store: itemStore, queue: make(chan writeJob, maxQueuedWrites), stop: make(chan struct{}), reportError: func(err error) {
-		s.writeFailures.Add(1) // the lock may be held
-		klog.ErrorS(err, "logbook")
-	}}
+	s.initState(hardState, set)
+	s.startDiskWriter(itemStore)
 	if created || len(removed) > 0 {
 		s.writer.enqueue(writeJob{removed: removed, records: encodeHardState(hardState), complete: true, done: func() {}})
 	}
-	go s.writer.run()
-	listener, err := opts.Network.Listen(net.JoinHostPort(cfg.IP, strconv.Itoa(cfg.InternalPorts[0])))
+	listener, err := s.startGossip()
 	if err != nil {
-		return nil, s.abort(fmt.Errorf("network.internal-port-range: %w", err))
-	}
-	packets, err := opts.Network.ListenPacket(net.JoinHostPort(cfg.IP, strconv.Itoa(cfg.InternalPorts[0])))
-	if err != nil {
-		return nil, s.abort(fmt.Errorf("network.internal-port-range: %w", err))
+		return nil, s.abort(err)
 	}
-	s.gossip = gossip.Start(gossip.Member{IP: cfg.IP, Kind: gossip.Control, Zone: cfg.Zone}, packets,
-		[2]int{cfg.InternalPorts[0], cfg.InternalPorts[1]}, opts.Seed, func(string, []byte) {})
-	s.gossip.Add(Seeds(cfg)...)
-	serve, err := s.listen()
+	serveHTTP, err := s.listen()
 	if err != nil {
 		return nil, s.abort(err)
 	}
-	go s.gossip.Run(ctx)
+	go s.gossip.Run(s.ctx)
 	go s.acceptConnections(listener)
 	go s.discoverPeers()
 	go s.runTicker()
-	serve()
-	go func() {
-		<-ctx.Done()
-		listener.Close()
-		s.httpServer.Close()
-		close(s.writer.stop)
-		itemStore.Close()
-	}()
+	serveHTTP()
+	go s.closeAtEnd(listener, itemStore)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	klog.InfoS("harbourmaster serves", "node", cfg.Name, "zone", cfg.Zone, "items", len(items), "new_disk", created, "spoilt", itemStore.Repaired,
-		"core", s.state.Node.String(), "start_ms", time.Since(began).Milliseconds())
+	klog.InfoS("control server started", "node", s.Settings.Name, "zone", s.Settings.Zone, "items", len(items), "new_disk", created,
+		"repaired", itemStore.Repaired, "core", s.state.Node.String(), "start_ms", time.Since(began).Milliseconds())
 	return s, nil
 }
 
-// Status tells how far this process may be gone by.
-func (s *Server) Status() registry.Status {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.state.Status()
+// newServer makes a server that has no state, disk or network yet.
+func newServer(parent context.Context, opts Options) *Server {
+	ctx, cancel := context.WithCancel(parent)
+	startedAt := strconv.FormatInt(time.Now().UnixNano(), 36)
+	s := &Server{
+		Options:          opts,
+		ctx:              ctx,
+		cancel:           cancel,
+		clock:            opts.Clock,
+		incarnation:      startedAt + "-" + strconv.FormatUint(opts.Seed%1e6, 36),
+		random:           random.Source{Seed: opts.Seed},
+		peers:            map[string]*peerConn{},
+		subscriptions:    newSubscriptions(),
+		calls:            newPendingCalls(),
+		departures:       newDepartures(),
+		pendingDecisions: map[string]bool{},
+		pendingVersions:  map[string]bool{},
+		outliers:         outlier.NewDetector(),
+		quotas:           newQuotaAllocation(),
+	}
+	if s.clock == nil {
+		s.clock = dispatch.NewClock()
+	}
+	return s
 }
 
+// initState makes the state from what the disk held.
+func (s *Server) initState(hardState consensus.HardState, set *config.Set) {
+	cfg := s.Settings
+	member := membership.Member{IP: cfg.IP, ID: hardState.DiskID, Name: cfg.Name, Zone: cfg.Zone}
+	node := consensus.New(member, s.incarnation, s.MinPerZone, hardState, set, s.clock())
+	self := update.Hello{Name: cfg.Name, IP: cfg.IP, Zone: cfg.Zone, Control: true, ID: hardState.DiskID}
+	s.state = registry.NewState(self, node, cfg.HeartbeatInterval)
+	for _, item := range set.Live(config.KindRollouts) {
+		s.state.RolloutAges.Observe(s.clock(), rollout.FromItem(item), false)
+	}
+}
+
+// startDiskWriter starts the goroutine that writes to the store; closeAtEnd stops it.
+func (s *Server) startDiskWriter(itemStore *store.Store) {
+	s.writer = newDiskWriter(itemStore, func(err error) {
+		s.writeFailures.Add(1) // atomic, as mu may be held
+		klog.ErrorS(err, "disk write")
+	})
+	go s.writer.run()
+}
+
+// startGossip opens the internal port, for streams and for gossip's packets, and makes the gossiper. It returns the listener for streams.
+func (s *Server) startGossip() (net.Listener, error) {
+	cfg := s.Settings
+	address := net.JoinHostPort(cfg.IP, strconv.Itoa(cfg.InternalPorts[0]))
+	listener, err := s.Network.Listen(address)
+	if err != nil {
+		return nil, fmt.Errorf("network.internal-port-range: %w", err)
+	}
+	packets, err := s.Network.ListenPacket(address)
+	if err != nil {
+		return nil, fmt.Errorf("network.internal-port-range: %w", err)
+	}
+	self := gossip.Member{IP: cfg.IP, Kind: gossip.Control, Zone: cfg.Zone}
+	ports := [2]int{cfg.InternalPorts[0], cfg.InternalPorts[1]}
+	s.gossip = gossip.Start(self, packets, ports, s.Seed, func(string, []byte) {})
+	s.gossip.Add(Seeds(cfg)...)
+	return listener, nil
+}
+
+// closeAtEnd closes what the server has opened, once ctx ends.
+func (s *Server) closeAtEnd(listener net.Listener, itemStore *store.Store) {
+	<-s.ctx.Done()
+	listener.Close()
+	s.httpServer.Close()
+	close(s.writer.stop)
+	_ = itemStore.Close() // every write that was confirmed is synced already
+}
+
+// abort ends a server that could not be started, and returns the cause.
 func (s *Server) abort(err error) error {
 	s.cancel()
 	return err
 }
 
-// Seeds are the control processes that the settings file names.
-func Seeds(cfg settings.Settings) (all []gossip.Member) {
-	for _, s := range cfg.SeedNodes {
-		if host, _, err := net.SplitHostPort(s); err == nil && host != cfg.IP {
-			all = append(all, gossip.Member{IP: host, Kind: gossip.Control})
-		}
-	}
-	return all
+// Status is how far this process can be relied on.
+func (s *Server) Status() registry.Status {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.state.Status()
 }
 
-// runTicker looks for hosts that have become silent and for rollouts to be ended.
-func (s *Server) runTicker() {
-	ticker := time.NewTicker(200 * time.Millisecond)
-	defer ticker.Stop()
-	for round := 0; ; round++ {
-		select {
-		case <-ticker.C:
-		case <-s.ctx.Done():
-			return
-		}
-		s.mu.Lock()
-		for _, host := range s.state.Instances.CheckHeartbeats(s.clock(), s.state.Status() == registry.HasQuorum) {
-			klog.InfoS("host silent", "host", host.ID, "service", host.Service, "zone", host.Zone)
-			s.state.PublishInstance(host, host.Owner == s.Settings.Name)
-			s.notifySubscribers()
-		}
-		if s.state.Tick(s.clock()) {
-			s.notifySubscribers()
-		}
-		if round%5 == 4 {
-			s.reclaimProxies()
-			expired := func(id string) bool { return s.state.Instances.Lookup(id).ID == "" }
-			maps.DeleteFunc(s.leavingHosts, func(id string, _ uint64) bool { return expired(id) })
-			maps.DeleteFunc(s.leftHosts, func(id string, _ bool) bool { return expired(id) })
-		}
-		s.stepNode(consensus.Event{Tick: true})
-		s.rewriteDisk()
-		s.updateTolerance()
-		s.allocateQuotas(round)
-		s.ejectOutliers()
-		s.noteStatusChange()
-		s.mu.Unlock()
-		s.advanceRollouts()
-		if round%300 == 299 {
-			s.mu.Lock()
-			s.state.Expire(s.clock())
-			s.mu.Unlock()
-		}
-		if round%50 == 49 {
-			s.LogCounters()
+// Seeds are the control processes that the settings file names, other than this one.
+func Seeds(cfg settings.Settings) (seeds []gossip.Member) {
+	for _, address := range cfg.SeedNodes {
+		if host, _, err := net.SplitHostPort(address); err == nil && host != cfg.IP {
+			seeds = append(seeds, gossip.Member{IP: host, Kind: gossip.Control})
 		}
 	}
+	return seeds
 }
 
-// LogCounters writes the counters on one line.
+// LogCounters writes the counters as one log entry.
 func (s *Server) LogCounters() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	klog.InfoS("counters", "standing", s.state.Status(), "items", s.state.Set.Len(), "hosts", len(s.state.Instances.All()),
-		"routers", len(s.state.ReadyProxies()), "core", len(s.state.Peers)+1, "agreed", s.state.Node.String(), "agreement", s.state.Node.Counts, "news", s.state.Updates.Last(),
-		"syncs", s.writer.store.Syncs.Load(), "said", stream.FramesWritten.Load(), "said_bytes", stream.FrameBytesWritten.Load(), "beats", stream.HeartbeatsWritten.Load(), "foreign", stream.MalformedFrames.Load()+s.gossip.Rejected.Load(), "disk_refusals", s.writeFailures.Load(), "disk_opened_again", s.writer.store.Reopened.Load(), "calls", s.rpc.Counts())
+	klog.InfoS("counters",
+		"standing", s.state.Status(),
+		"items", s.state.Set.Len(),
+		"hosts", len(s.state.Instances.All()),
+		"routers", len(s.state.ReadyProxies()),
+		"core", len(s.state.Peers)+1,
+		"agreed", s.state.Node.String(),
+		"agreement", s.state.Node.Counts,
+		"news", s.state.Updates.Last(),
+		"syncs", s.writer.store.Syncs.Load(),
+		"said", stream.FramesWritten.Load(),
+		"said_bytes", stream.FrameBytesWritten.Load(),
+		"beats", stream.HeartbeatsWritten.Load(),
+		"foreign", stream.MalformedFrames.Load()+s.gossip.Rejected.Load(),
+		"disk_refusals", s.writeFailures.Load(),
+		"disk_opened_again", s.writer.store.Reopened.Load(),
+		"calls", s.rpc.Counts())
 }
--- a/internal/control/server/shutdown.go
+++ b/internal/control/server/shutdown.go
@@ -6,86 +6,120 @@
 
 	"k8s.io/klog/v2"
 
+	"portflow/internal/control/membership"
 	"portflow/internal/control/operation"
 )
 
 const (
-	maxLeaveTime      = 4 * time.Second // at most, and half of the grace
+	maxLeaveTime      = 4 * time.Second
 	leavePollInterval = 50 * time.Millisecond
 )
 
-// Leave ends this process's part in the core, on SIGTERM: it takes no more calls, brings those that are under way to their
-// end, and is voted out where the core bears more without it than with it counted and gone. It returns within the smaller of
-// half of the grace and leaveIn.
+// Leave ends this process's part in the cluster, on SIGTERM: it takes no more calls, completes those in progress, and has itself
+// voted out where the other members tolerate more losses without it than with a member that is gone. It returns within maxLeaveTime
+// or half of the grace period, whichever is shorter. The caller ends the context that Start was given afterwards.
 func (s *Server) Leave() {
-	within := maxLeaveTime
+	began := time.Now()
+	ctx, cancel := context.WithTimeout(s.ctx, s.leaveTime())
+	defer cancel()
+	s.stopCalls()
+	poll(ctx, func() bool { return !s.hasPendingCalls() })
+	submitted := s.submitRemoval(ctx)
+	poll(ctx, s.removalKnown)
+	s.logLeave(submitted, time.Since(began))
+	s.LogCounters()
+}
+
+func (s *Server) leaveTime() time.Duration {
 	if half := time.Duration(s.Settings.Terms.Grace) / 2; half > 0 {
-		within = min(within, half)
+		return min(maxLeaveTime, half)
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, within)
-	defer cancel()
-	began := time.Now()
+	return maxLeaveTime
+}
+
+func (s *Server) stopCalls() {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.stopping = true
-	s.notifySubscribers()
-	s.mu.Unlock()
-	pause := func() bool {
-		select {
-		case <-time.After(leavePollInterval):
-			return true
-		case <-ctx.Done():
-			return false
-		}
-	}
-	for s.hasWaiters() && pause() {
-	}
-	submitted := 0
+	s.subscriptions.notify()
+}
+
+// submitRemoval has this process voted out, as long as that is useful. It returns how often it was submitted.
+func (s *Server) submitRemoval(ctx context.Context) (submitted int) {
 	for {
 		op, useful := s.selfRemoval()
 		if !useful {
-			break
+			return submitted
 		}
-		if submitted++; s.submit(ctx, op) != nil && !pause() {
-			break
+		submitted++
+		if s.submit(ctx, op) != nil && !pause(ctx) {
+			return submitted
 		}
 	}
-	for !s.removalKnown() && pause() { // that it is out
+}
+
+// poll returns once a condition holds, or the context ends.
+func poll(ctx context.Context, condition func() bool) {
+	for {
+		if condition() || !pause(ctx) {
+			return
+		}
 	}
+}
+
+// pause waits until the next look. It reports false once the context ends.
+func pause(ctx context.Context) bool {
+	select {
+	case <-time.After(leavePollInterval):
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+func (s *Server) logLeave(submitted int, took time.Duration) {
 	s.mu.Lock()
-	list := s.state.Node.Membership()
-	klog.InfoS("leaves", "counted", s.state.Node.IsMember(), "epoch", list.Epoch, "of", len(list.Members), "asked", submitted, "unanswered", len(s.waiters),
-		"took_ms", time.Since(began).Milliseconds())
-	s.mu.Unlock()
-	s.LogCounters()
+	defer s.mu.Unlock()
+	node := s.state.Node
+	list := node.Membership()
+	klog.InfoS("leaves", "counted", node.IsMember(), "epoch", list.Epoch, "of", len(list.Members),
+		"asked", submitted, "unanswered", s.calls.len(), "took_ms", took.Milliseconds())
 }
 
-func (s *Server) hasWaiters() bool {
+func (s *Server) hasPendingCalls() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.waiters) > 0
+	return s.calls.len() > 0
 }
 
-// selfRemoval is the order that votes this process out, and whether the core then bears more than with it counted and gone, and
-// at least one loss. So an even number becomes an odd one, and an odd one stays: then a vote more gains nothing, and where
-// all are told to end, more than one or two never go.
-func (s *Server) selfRemoval() (operation.Operation, bool) {
+// selfRemoval is the operation that votes this process out, and whether the others then tolerate at least one loss, and more than with
+// this process a member that is gone. So an even number of members becomes an odd one, and an odd one stays as it is: a further vote
+// gains nothing then, and where all processes are ended, no more than one or two are ever voted out.
+func (s *Server) selfRemoval() (op operation.Operation, useful bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := s.state.Node.Membership()
 	if !s.state.Node.IsMember() || s.checkQuorum() != nil {
 		return operation.Operation{}, false
 	}
-	next := list.Change(nil, []string{s.Settings.IP})
-	with, _ := list.Tolerates(s.unavailable(list))
-	without, _ := next.Tolerates(s.unavailable(next))
-	return operation.Operation{Kind: operation.ChangeMembers, Remove: []string{s.Settings.IP}, Expected: list.Epoch}, without >= 1 && without > with
+	op = operation.Operation{Kind: operation.ChangeMembers, Remove: []string{s.Settings.IP}, Expected: list.Epoch}
+	next := list.Change(nil, op.Remove)
+	return op, removalUseful(list, next, s.unavailable(list), s.unavailable(next))
 }
 
-// removalKnown tells whether more than half of the members go by this process's list; or it is a member still.
+// removalUseful compares what two lists of members tolerate, each with those of it that are unavailable.
+func removalUseful(list, next membership.List, unavailable, nextUnavailable []string) bool {
+	with, _ := list.Tolerates(unavailable)
+	without, _ := next.Tolerates(nextUnavailable)
+	return without >= 1 && without > with
+}
+
+// removalKnown reports whether a majority of the members knows this process's list of members, or this process still is one of them.
 func (s *Server) removalKnown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list, acks := s.state.Node.Membership(), map[string]string{}
+	list := s.state.Node.Membership()
+	acks := map[string]string{}
 	for ip, peer := range s.state.Peers {
 		if conn := s.peers[ip]; conn != nil && peer.Status.Epoch >= list.Epoch {
 			acks[ip] = conn.member.ID
--- a/internal/control/server/snapshots.go
+++ b/internal/control/server/snapshots.go
@@ -12,10 +12,17 @@
 	"portflow/internal/control/snapshot"
 )
 
-// restoreTimeout is for how long a snapshot that has come as a whole is tried to be put in force.
+// restoreTimeout is how long it is attempted to put a received snapshot in force.
 const restoreTimeout = 15 * time.Second
 
-// handleSnapshot answers with a chunk of a consistent cut: it is as of a number that more than half of the members have confirmed.
+// operatorSnapshots are the snapshots that operators read and restore. The server's mu guards it.
+type operatorSnapshots struct {
+	cache    snapshot.Cache  // snapshots that are being read
+	upload   snapshot.Upload // the one that is being restored
+	restores int             // restores that this process has begun since it started
+}
+
+// handleSnapshot answers with a chunk of a consistent snapshot, as of an index that a majority of the members has confirmed.
 func (s *Server) handleSnapshot(ctx context.Context, _ string, body []byte) (any, error) {
 	var req snapshot.ReadRequest
 	if len(body) > 0 {
@@ -33,17 +40,20 @@
 	if err := s.checkReady(); err != nil {
 		return nil, err
 	}
-	return s.snapshots.Serve(s.clock(), req, func() ([]config.Item, uint64, uint64) {
-		items := s.state.Set.All()
-		for n := range items {
-			items[n].History = nil
-		}
-		return items, s.state.Node.Membership().Epoch, s.state.Node.Applied()
-	})
+	return s.operatorSnapshots.cache.Serve(s.clock(), req, s.snapshotItems)
+}
+
+// snapshotItems are all items without their history, and the epoch and index as of which they are. The caller holds mu.
+func (s *Server) snapshotItems() (items []config.Item, epoch, index uint64) {
+	items = s.state.Set.All()
+	for i := range items {
+		items[i].History = nil
+	}
+	return items, s.state.Node.Membership().Epoch, s.state.Node.Applied()
 }
 
-// handleRestore takes a piece of a snapshot; with the last one the whole is put in force, as one number under a new epoch. Who sends
-// that piece again hears what became of it.
+// handleRestore takes a chunk of a snapshot. With the last one the snapshot is put in force, at one index under a new epoch; sent
+// again, that chunk is answered with what became of it.
 func (s *Server) handleRestore(_ context.Context, _ string, body []byte) (any, error) {
 	var req snapshot.RestoreRequest
 	if err := json.Unmarshal(body, &req); err != nil {
@@ -54,30 +64,45 @@
 	if err := s.checkReady(); err != nil {
 		return nil, err
 	}
-	resp, items, header, err := s.upload.AddChunk(s.clock(), req.Chunk)
+	upload := &s.operatorSnapshots.upload
+	resp, items, header, err := upload.AddChunk(s.clock(), req.Chunk)
 	if size := config.EncodedSizeBound(items); err == nil && size > operation.MaxValueBytes {
-		s.upload.Finish(header, false)
+		upload.Finish(header, false)
 		return nil, apierror.New(apierror.BodyTooLarge, "chunk: the snapshot has %d bytes, of at most %d that are restored at once", size, operation.MaxValueBytes)
 	}
 	if err == nil && items != nil {
-		go func() {
-			ctx, cancel := context.WithTimeout(s.ctx, restoreTimeout)
-			defer cancel()
-			s.mu.Lock()
-			op := operation.Operation{Kind: operation.RestoreSnapshot, Items: items, Version: fmt.Sprintf("%s-%d", s.incarnation, s.restoreCount)}
-			s.restoreCount++
-			s.mu.Unlock()
-			err := apierror.New(apierror.Unavailable, "not begun")
-			for err != nil && ctx.Err() == nil && apierror.KindOf(err) == apierror.Unavailable {
-				s.mu.Lock()
-				op.Expected = s.state.Node.Membership().Epoch // no copy of a try that is out comes in force once that has moved
-				s.mu.Unlock()
-				err = s.submit(ctx, op)
-			}
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			s.upload.Finish(header, err == nil)
-		}()
+		go s.restore(items, header)
 	}
 	return resp, err
 }
+
+// restore puts a complete snapshot in force. Its goroutine ends with that, after restoreTimeout, or with ctx.
+func (s *Server) restore(items []config.Item, header snapshot.Header) {
+	ctx, cancel := context.WithTimeout(s.ctx, restoreTimeout)
+	defer cancel()
+	op := operation.Operation{Kind: operation.RestoreSnapshot, Items: items, Version: s.nextRestoreName()}
+	err := apierror.New(apierror.Unavailable, "not begun")
+	for err != nil && ctx.Err() == nil && apierror.KindOf(err) == apierror.Unavailable {
+		op.Expected = s.epoch() // a copy of an earlier attempt has no effect once the epoch has changed
+		err = s.submit(ctx, op)
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.operatorSnapshots.upload.Finish(header, err == nil)
+}
+
+// nextRestoreName is a name that no other restore of this cluster has.
+func (s *Server) nextRestoreName() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	name := fmt.Sprintf("%s-%d", s.incarnation, s.operatorSnapshots.restores)
+	s.operatorSnapshots.restores++
+	return name
+}
+
+// epoch is the members' epoch.
+func (s *Server) epoch() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.state.Node.Membership().Epoch
+}
--- a/internal/control/server/status.go
+++ b/internal/control/server/status.go
@@ -1,41 +1,43 @@
 package server
 
 import (
+	"cmp"
 	"context"
 	"slices"
-	"strings"
 
 	"portflow/internal/cluster/config"
+	"portflow/internal/cluster/instance"
+	"portflow/internal/cluster/outlier"
 	"portflow/internal/cluster/rollout"
 	"portflow/internal/control/registry"
 	"portflow/internal/decision"
 	"portflow/internal/quota"
 )
 
-// ClusterStatus is who is in the harbour, as one control process sees it. Times are seconds.
+// ClusterStatus is the cluster as one control process sees it. Times are seconds.
 type ClusterStatus struct {
 	Node           string                           `json:"node"`
 	Status         string                           `json:"standing"`
-	Current        bool                             `json:"current"` // more than half of the members have confirmed that nothing newer was decided
+	Current        bool                             `json:"current"` // a majority of the members has confirmed that nothing newer was decided
 	Voters         []VoterStatus                    `json:"core"`
 	Proxies        []ProxyStatus                    `json:"routers"`
 	Instances      []InstanceStatus                 `json:"hosts"`
 	Rollouts       []RolloutStatus                  `json:"rollouts"`
 	Quotas         []quota.Status                   `json:"shares,omitempty"`
-	Callers        map[string][]quota.CallerHistory `json:"callers,omitempty"` // by service: the last hour, of the routers that hang here
+	Callers        map[string][]quota.CallerHistory `json:"callers,omitempty"` // by service: the last hour, of the proxies that subscribe here
 	Evacuated      []string                         `json:"evacuated"`
-	Overridden     []string                         `json:"yielding"` // items that stand and are not in force, with the reason
+	Overridden     []string                         `json:"yielding"` // items of the configuration that are not in force, with the reason
 	Items          int                              `json:"items"`
-	HighestVersion uint64                           `json:"highest"` // version of any item of the configuration, dropped ones too
+	HighestVersion uint64                           `json:"highest"` // version of any item of the configuration, deleted ones too
 	LastUpdate     uint64                           `json:"news"`
 	Syncs          int64                            `json:"syncs"`
 	Epoch          uint64                           `json:"epoch"`       // of the members
 	Index          uint64                           `json:"number"`      // of the last change that is applied here
-	Tolerates      int                              `json:"bears"`       // members more that may be lost; below 0 no order can be taken
+	Tolerates      int                              `json:"bears"`       // further members that may be lost; below 0 no operation is possible
 	ToleratedZones []string                         `json:"bears_zones"` // zones, each of which alone may be lost
 }
 
-// VoterStatus is another control process.
+// VoterStatus is a control process, this one or another.
 type VoterStatus struct {
 	IP            string  `json:"ip"`
 	Name          string  `json:"name"`
@@ -43,21 +45,21 @@
 	Heard         bool    `json:"heard"`
 	CaughtUp      bool    `json:"whole"`
 	UpToDate      bool    `json:"same"`   // it has applied the same changes
-	Member        bool    `json:"member"` // its vote counts
-	SilentSeconds float64 `json:"silent"` // for how long it hasn't been heard
+	Member        bool    `json:"member"` // it is a voter
+	SilentSeconds float64 `json:"silent"` // how long it has not been connected
 }
 
-// ProxyStatus is a router.
+// ProxyStatus is a proxy.
 type ProxyStatus struct {
 	Name           string `json:"name"`
 	Zone           string `json:"zone"`
 	Ready          bool   `json:"ready"`
-	Number         int    `json:"number"` // among those that are ready, -1 for none
+	Number         int    `json:"number"` // its rank by name among those that are ready, -1 for none
 	Owner          string `json:"owner"`
-	UnackedUpdates int    `json:"behind"` // changes that it has not acknowledged, -1 where it hangs elsewhere
+	UnackedUpdates int    `json:"behind"` // updates that it has not acknowledged, -1 where it subscribes elsewhere
 }
 
-// InstanceStatus is a host.
+// InstanceStatus is an instance of a service, on a host.
 type InstanceStatus struct {
 	ID            string  `json:"id"`
 	Service       string  `json:"service"`
@@ -68,127 +70,233 @@
 	Owner         string  `json:"owner"`
 }
 
-// RolloutStatus is a rollout, with the votes that stand.
+// RolloutStatus is a rollout, with the votes that count now.
 type RolloutStatus struct {
 	Service     string         `json:"service"`
 	From        string         `json:"from"`
 	Target      string         `json:"target"`
 	State       string         `json:"state"`
-	LeftSeconds float64        `json:"left"` // of its term
+	LeftSeconds float64        `json:"left"` // of its duration
 	Votes       []string       `json:"votes"`
-	Proxies     []ProxyMetrics `json:"judges"` // routers that hang on this process, with the last figures that they told
+	Proxies     []ProxyMetrics `json:"judges"` // those that subscribe here, with the last evidence that they sent
 }
 
-// ProxyMetrics is what a router that votes goes by. The first of each pair is of failures, the second of times.
+// ProxyMetrics is the evidence that a proxy votes by. The first of each pair is about failures, the second about response times.
 type ProxyMetrics struct {
 	Proxy      string     `json:"router"`
-	AgeSeconds float64    `json:"age"` // of the figures, seconds
+	AgeSeconds float64    `json:"age"` // of the evidence, seconds
 	Outcomes   [2]float64 `json:"outcomes"`
 	Excess     [2]float64 `json:"excess"`
 	Error      [2]float64 `json:"error"`
 	Threshold  [2]float64 `json:"threshold"`
-	Exposure   float64    `json:"exposure"` // requests that it may still give to the version at once
+	Exposure   float64    `json:"exposure"` // requests that it may still send to the target version at once
 }
 
-// handleClusterRead tells what this process knows, in any standing: an operator needs it most when little works. Where it can't confirm
-// with more than half of the members that it is the newest, it says so.
+// handleClusterRead answers with what this process knows, whatever its status: an operator needs it most when little works. Where a
+// majority of the members doesn't confirm that it is the latest, the answer says so.
 func (s *Server) handleClusterRead(ctx context.Context, _ string, _ []byte) (any, error) {
 	err := s.confirmLatest(ctx)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.clock()
-	status := ClusterStatus{Node: s.Settings.Name, Status: s.state.Status().String(), Items: s.state.Set.Len(), HighestVersion: s.state.Set.HighestVersion(), LastUpdate: s.state.Updates.Last(),
-		Syncs: s.writer.store.Syncs.Load(), Overridden: config.NewRoutingTable(s.state.Set).Inactive}
-	if status.Current = err == nil; !status.Current && status.Status == registry.HasQuorum.String() {
+	return s.clusterStatus(s.clock(), err == nil), nil
+}
+
+// clusterStatus is the whole answer; the caller holds mu, as for all parts of it below.
+func (s *Server) clusterStatus(now int64, confirmed bool) ClusterStatus {
+	node := s.state.Node
+	status := ClusterStatus{
+		Node:           s.Settings.Name,
+		Status:         s.state.Status().String(),
+		Current:        confirmed,
+		Voters:         s.voterStatuses(now),
+		Proxies:        s.proxyStatuses(),
+		Instances:      s.instanceStatuses(now),
+		Rollouts:       s.rolloutStatuses(now),
+		Evacuated:      s.evacuatedZones(),
+		Overridden:     config.NewRoutingTable(s.state.Set).Inactive,
+		Items:          s.state.Set.Len(),
+		HighestVersion: s.state.Set.HighestVersion(),
+		LastUpdate:     s.state.Updates.Last(),
+		Syncs:          s.writer.store.Syncs.Load(),
+		Epoch:          node.Membership().Epoch,
+		Index:          node.Applied(),
+	}
+	if !confirmed && status.Status == registry.HasQuorum.String() {
 		status.Status = "not confirmed"
 	}
-	if !s.allocator.Empty() {
-		status.Quotas, status.Callers = s.allocator.Statuses(now, s.Settings.Name), s.allocator.LastHour(now)
+	if allocator := s.quotas.allocator; !allocator.Empty() {
+		status.Quotas = allocator.Statuses(now, s.Settings.Name)
+		status.Callers = allocator.LastHour(now)
 	}
-	list, silent := s.state.Node.Membership(), s.state.Node.SilentFor(now)
-	for _, x := range list.Members {
-		voter := VoterStatus{IP: x.IP, Name: x.Name, Zone: x.Zone, Member: true, SilentSeconds: float64(silent[x.IP]) / 1e9}
-		if x.IP == s.Settings.IP {
-			voter.Heard, voter.CaughtUp, voter.UpToDate = true, s.state.Node.CaughtUp(), true
+	status.Tolerates, status.ToleratedZones = node.Membership().Tolerates(node.Unreachable())
+	return status
+}
+
+// voterStatuses are the members, and the connected control processes that are none, by name.
+func (s *Server) voterStatuses(now int64) (statuses []VoterStatus) {
+	node := s.state.Node
+	list, silent := node.Membership(), node.SilentFor(now)
+	for _, member := range list.Members {
+		status := VoterStatus{IP: member.IP, Name: member.Name, Zone: member.Zone, Member: true, SilentSeconds: seconds(silent[member.IP])}
+		if member.IP == s.Settings.IP {
+			status.Heard, status.CaughtUp, status.UpToDate = true, node.CaughtUp(), true
 		}
-		if p := s.state.Peers[x.IP]; p != nil {
-			voter.Heard, voter.CaughtUp, voter.UpToDate = true, p.Status.Complete, p.Status.Number == s.state.Node.Applied()
+		if peer := s.state.Peers[member.IP]; peer != nil {
+			status.Heard, status.CaughtUp, status.UpToDate = true, peer.Status.Complete, peer.Status.Number == node.Applied()
 		}
-		status.Voters = append(status.Voters, voter)
+		statuses = append(statuses, status)
 	}
-	for ip, p := range s.state.Peers {
-		if _, member := list.ByIP(ip); !member && s.peers[ip] != nil {
-			x := s.peers[ip].member
-			status.Voters = append(status.Voters, VoterStatus{IP: ip, Name: x.Name, Zone: x.Zone, Heard: true, CaughtUp: p.Status.Complete, UpToDate: p.Status.Number == s.state.Node.Applied()})
+	for ip, peer := range s.state.Peers {
+		conn := s.peers[ip]
+		if _, isMember := list.ByIP(ip); isMember || conn == nil {
+			continue
 		}
+		statuses = append(statuses, VoterStatus{
+			IP:       ip,
+			Name:     conn.member.Name,
+			Zone:     conn.member.Zone,
+			Heard:    true,
+			CaughtUp: peer.Status.Complete,
+			UpToDate: peer.Status.Number == node.Applied(),
+		})
 	}
-	status.Epoch, status.Index = list.Epoch, s.state.Node.Applied()
-	status.Tolerates, status.ToleratedZones = list.Tolerates(s.state.Node.Unreachable())
-	slices.SortFunc(status.Voters, func(a, b VoterStatus) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(statuses, func(a, b VoterStatus) int { return cmp.Compare(a.Name, b.Name) })
+	return statuses
+}
+
+// proxyStatuses are the proxies that are not gone, by name.
+func (s *Server) proxyStatuses() (statuses []ProxyStatus) {
 	rank := map[string]int{}
-	for i, f := range s.state.ReadyProxies() {
-		rank[f.Name] = i
-	}
-	behind := map[string]int{}
-	for f := range s.subscribers {
-		behind[f.identity.Name] = int(s.state.Updates.Last() - min(f.acked, s.state.Updates.Last()))
+	for i, proxy := range s.state.ReadyProxies() {
+		rank[proxy.Name] = i
 	}
-	for _, f := range s.state.Proxies {
-		if f.Gone {
+	unacked := s.unackedUpdates()
+	for _, proxy := range s.state.Proxies {
+		if proxy.Gone {
 			continue
 		}
-		r := ProxyStatus{Name: f.Name, Zone: f.Zone, Ready: f.Ready, Number: -1, Owner: f.Owner, UnackedUpdates: -1}
-		if n, ok := rank[f.Name]; ok {
-			r.Number = n
-		}
-		if n, ok := behind[f.Name]; ok {
-			r.UnackedUpdates = n
-		}
-		status.Proxies = append(status.Proxies, r)
+		statuses = append(statuses, ProxyStatus{
+			Name:           proxy.Name,
+			Zone:           proxy.Zone,
+			Ready:          proxy.Ready,
+			Number:         valueOr(rank, proxy.Name, -1),
+			Owner:          proxy.Owner,
+			UnackedUpdates: valueOr(unacked, proxy.Name, -1),
+		})
+	}
+	slices.SortFunc(statuses, func(a, b ProxyStatus) int { return cmp.Compare(a.Name, b.Name) })
+	return statuses
+}
+
+// unackedUpdates is how many updates each subscriber has not acknowledged, by its name.
+func (s *Server) unackedUpdates() map[string]int {
+	last := s.state.Updates.Last()
+	unacked := map[string]int{}
+	for sub := range s.subscriptions.subscribers {
+		unacked[sub.identity.Name] = int(last - min(sub.acked, last))
 	}
-	slices.SortFunc(status.Proxies, func(a, b ProxyStatus) int { return strings.Compare(a.Name, b.Name) })
+	return unacked
+}
+
+func valueOr(values map[string]int, key string, otherwise int) int {
+	if value, exists := values[key]; exists {
+		return value
+	}
+	return otherwise
+}
+
+func (s *Server) instanceStatuses(now int64) (statuses []InstanceStatus) {
 	for _, host := range s.state.Instances.All() {
-		x := InstanceStatus{ID: host.ID, Service: host.Service, Zone: host.Zone, Version: host.Version, State: host.State.String(),
-			WarmupSeconds: max(0, float64(host.WarmUpUntil-now)/1e9), Owner: host.Owner}
-		if host.Unresponsive {
-			x.State += ", silent"
+		statuses = append(statuses, InstanceStatus{
+			ID:            host.ID,
+			Service:       host.Service,
+			Zone:          host.Zone,
+			Version:       host.Version,
+			State:         instanceState(now, host, s.state.Ejections[host.ID]),
+			WarmupSeconds: max(0, seconds(host.WarmUpUntil-now)),
+			Owner:         host.Owner,
+		})
+	}
+	return statuses
+}
+
+// instanceState is an instance's state as operators read it.
+func instanceState(now int64, host instance.Instance, ejection outlier.Ejection) string {
+	state := host.State.String()
+	if host.Unresponsive {
+		state += ", silent"
+	}
+	switch {
+	case now < ejection.EjectedUntil:
+		state += ", set aside"
+	case now < ejection.ProbationUntil:
+		state += ", on its way back"
+	}
+	return state
+}
+
+func (s *Server) rolloutStatuses(now int64) (statuses []RolloutStatus) {
+	for _, item := range s.state.Set.Live(config.KindRollouts) {
+		ro := s.state.RolloutAges.Localize(now, rollout.FromItem(item))
+		status := RolloutStatus{
+			Service: ro.Service,
+			From:    ro.From,
+			Target:  ro.Target,
+			State:   ro.State.String(),
+			Proxies: s.proxyMetrics(now, ro),
 		}
-		if ejection := s.state.Ejections[host.ID]; now < ejection.EjectedUntil {
-			x.State += ", set aside"
-		} else if now < ejection.ProbationUntil {
-			x.State += ", on its way back"
+		if ro.Switching {
+			status.State += ", switching"
 		}
-		status.Instances = append(status.Instances, x)
-	}
-	for _, i := range s.state.Set.Live(config.KindRollouts) {
-		r := rollout.FromItem(i)
-		r = s.state.RolloutAges.Localize(now, r)
-		x := RolloutStatus{Service: r.Service, From: r.From, Target: r.Target, State: r.State.String()}
-		if r.Switching {
-			x.State += ", switching"
+		if ro.State == rollout.Running {
+			status.LeftSeconds = seconds(ro.StartedAt + ro.Duration - now)
+			status.Votes = s.describeVotes(now, ro)
 		}
-		if r.State == rollout.Running {
-			x.LeftSeconds = float64(r.StartedAt+r.Duration-now) / 1e9
-			for key, p := range s.state.Votes {
-				if key.Service == r.Service && p.Number == r.Number && now-p.ReceivedAt <= rollout.VoteLifetime {
-					x.Votes = append(x.Votes, key.Proxy+": "+decision.Verdict(p.Verdict).String())
-				}
-			}
-			slices.Sort(x.Votes)
+		statuses = append(statuses, status)
+	}
+	return statuses
+}
+
+// describeVotes are the votes on a rollout that count now, sorted.
+func (s *Server) describeVotes(now int64, ro rollout.Rollout) (votes []string) {
+	for _, vote := range s.votesOn(ro) {
+		if now-vote.ReceivedAt <= rollout.VoteLifetime {
+			votes = append(votes, vote.Proxy+": "+decision.Verdict(vote.Verdict).String())
 		}
-		for key, p := range s.state.Metrics {
-			if key.Service == r.Service && p.Number == r.Number {
-				f := p.Evidence
-				x.Proxies = append(x.Proxies, ProxyMetrics{key.Proxy, float64(now-p.ReceivedAt) / 1e9, f.Outcomes, f.Excess, f.Error, f.Threshold, f.Allowance})
-			}
+	}
+	slices.Sort(votes)
+	return votes
+}
+
+// proxyMetrics is the last evidence of each proxy on a rollout, by its name.
+func (s *Server) proxyMetrics(now int64, ro rollout.Rollout) (metrics []ProxyMetrics) {
+	for key, report := range s.state.Metrics {
+		if key.Service != ro.Service || report.Number != ro.Number {
+			continue
 		}
-		slices.SortFunc(x.Proxies, func(a, b ProxyMetrics) int { return strings.Compare(a.Proxy, b.Proxy) })
-		status.Rollouts = append(status.Rollouts, x)
+		evidence := report.Evidence
+		metrics = append(metrics, ProxyMetrics{
+			Proxy:      key.Proxy,
+			AgeSeconds: seconds(now - report.ReceivedAt),
+			Outcomes:   evidence.Outcomes,
+			Excess:     evidence.Excess,
+			Error:      evidence.Error,
+			Threshold:  evidence.Threshold,
+			Exposure:   evidence.Allowance,
+		})
 	}
-	for _, i := range s.state.Set.Live(config.KindEvacuations) {
-		if begun, _ := i.Tree()["begun"].(bool); begun {
-			status.Evacuated = append(status.Evacuated, i.Name)
+	slices.SortFunc(metrics, func(a, b ProxyMetrics) int { return cmp.Compare(a.Proxy, b.Proxy) })
+	return metrics
+}
+
+func (s *Server) evacuatedZones() (zones []string) {
+	for _, item := range s.state.Set.Live(config.KindEvacuations) {
+		if begun, _ := item.Tree()["begun"].(bool); begun {
+			zones = append(zones, item.Name)
 		}
 	}
-	return status, nil
+	return zones
 }
+
+// seconds converts nanoseconds.
+func seconds(nanos int64) float64 { return float64(nanos) / 1e9 }
--- a/internal/control/server/subscribers.go
+++ b/internal/control/server/subscribers.go
@@ -10,7 +10,61 @@
 	"portflow/internal/cluster/update"
 )
 
-// acceptConnections takes lines of routers and of other control processes.
+// acceptRetryDelay is the time before the next attempt to accept a connection after one that failed.
+const acceptRetryDelay = 10 * time.Millisecond
+
+// subscriptions are the proxies and control processes that receive updates from here. The server's mu guards it.
+type subscriptions struct {
+	subscribers map[*subscriber]bool
+	peerStreams map[string]*stream.Conn[update.Message] // by IP, those of subscribers that are control processes
+	updated     chan struct{}                           // closed, and replaced, when there are new updates
+}
+
+func newSubscriptions() subscriptions {
+	return subscriptions{
+		subscribers: map[*subscriber]bool{},
+		peerStreams: map[string]*stream.Conn[update.Message]{},
+		updated:     make(chan struct{}),
+	}
+}
+
+// notify wakes all that wait for updates.
+func (l *subscriptions) notify() {
+	close(l.updated)
+	l.updated = make(chan struct{})
+}
+
+func (l *subscriptions) add(sub *subscriber) { l.subscribers[sub] = true }
+
+func (l *subscriptions) remove(sub *subscriber) {
+	delete(l.subscribers, sub)
+	if l.peerStreams[sub.identity.IP] == sub.stream {
+		delete(l.peerStreams, sub.identity.IP)
+	}
+}
+
+// closeAll ends all subscriptions; each is removed by its own goroutine.
+func (l *subscriptions) closeAll(cause error) {
+	for sub := range l.subscribers {
+		sub.stream.Close(cause)
+	}
+}
+
+// subscriber is a proxy or a control process that receives updates. Its fields but stream and the channels are guarded by the
+// server's mu.
+type subscriber struct {
+	stream           *stream.Conn[update.Message]
+	helloReceived    chan update.Hello // has room for one
+	identity         update.Hello      // as its hello has it; zero before
+	proxy            update.Proxy      // as it was announced; zero for a control process
+	acked            uint64            // number of the last update that it has acknowledged
+	received         *update.Progress  // what it has of a snapshot; nil where it takes no chunks
+	chunkAcked       chan struct{}     // has room for one: a chunk was acknowledged
+	provisional      bool              // a proxy that still receives updates from another process, until it announces itself
+	bytesAtLastCheck int64             // that had come when reclaimProxies looked at it
+}
+
+// acceptConnections accepts streams of proxies and of other control processes, until ctx ends.
 func (s *Server) acceptConnections(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -18,98 +72,81 @@
 			if s.ctx.Err() != nil {
 				return
 			}
-			time.Sleep(10 * time.Millisecond)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		go s.serveSubscriber(conn)
 	}
 }
 
-// serveSubscriber tells the news on one line until it ends.
+// serveSubscriber serves one stream until it ends; ctx ends it too.
 func (s *Server) serveSubscriber(conn net.Conn) {
-	subStream := stream.Open[update.Message](conn, stream.ProxyKeepalive) // until it has said who it is
+	subStream := stream.Open[update.Message](conn, stream.ProxyKeepalive) // until its hello says that it is a control process
 	stop := context.AfterFunc(s.ctx, func() { subStream.Close(s.ctx.Err()) })
 	defer stop()
-	self := s.state.Self
+	self := s.state.Self // never changes
 	self.Now = s.clock()
 	subStream.Send(update.Message{Hello: &self})
 	sub := &subscriber{stream: subStream, helloReceived: make(chan update.Hello, 1), chunkAcked: make(chan struct{}, 1)}
 	go s.sendUpdates(sub)
 	s.mu.Lock()
-	s.subscribers[sub] = true
+	s.subscriptions.add(sub)
 	s.mu.Unlock()
-	subStream.Run(func(msg update.Message) { s.handleSubscriberMessage(sub, msg) })
+	_ = subStream.Run(func(msg update.Message) { s.handleSubscriberMessage(sub, msg) }) // the subscriber logs why, and dials again
+	s.subscriberLost(sub)
+}
+
+// subscriberLost notes that a subscriber's stream has ended.
+func (s *Server) subscriberLost(sub *subscriber) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.subscribers, sub)
-	if s.inbound[sub.identity.IP] == sub.stream {
-		delete(s.inbound, sub.identity.IP)
-	}
-	s.allocator.RemoveRouter(sub.proxy.Name)
+	s.subscriptions.remove(sub)
+	s.quotas.allocator.RemoveRouter(sub.proxy.Name)
 	s.outliers.RemoveRouter(sub.proxy.Name)
-	if sub.proxy.Name != "" { // it hangs here no longer
-		gone := sub.proxy
-		if current := s.state.Proxies[gone.Name]; current.RegisteredAt == gone.RegisteredAt && current.Owner == s.Settings.Name {
-			gone.Gone, gone.Revision = true, current.Revision+1
-			s.state.PublishProxy(gone, true)
-			s.notifySubscribers()
-		}
+	if sub.proxy.Name == "" {
+		return
+	}
+	gone := sub.proxy
+	current := s.state.Proxies[gone.Name]
+	if current.RegisteredAt != gone.RegisteredAt || current.Owner != s.Settings.Name { // it has subscribed again, here or elsewhere
+		return
 	}
+	gone.Gone = true
+	gone.Revision = current.Revision + 1
+	s.state.PublishProxy(gone, true)
+	s.subscriptions.notify()
 }
 
-// subscriber is one who follows this process's news.
-type subscriber struct {
-	stream           *stream.Conn[update.Message]
-	helloReceived    chan update.Hello
-	identity         update.Hello
-	proxy            update.Proxy // as it told
-	acked            uint64
-	received         *update.Progress // what it has of a snapshot, as it said last; nil where it takes no chunks
-	chunkAcked       chan struct{}    // a chunk was acknowledged
-	provisional      bool             // it is a router that follows another one still, until it says how it is
-	bytesAtLastCheck int64            // bytes that had come when it was last looked at
+// reclaimProxies announces proxies again that send to this process and are taken for gone, or for another's, elsewhere. The caller
+// holds mu.
+func (s *Server) reclaimProxies() {
+	for sub := range s.subscriptions.subscribers {
+		received := sub.stream.BytesRead.Load()
+		current, known := s.state.Proxies[sub.proxy.Name]
+		if known && (current.Gone || current.Owner != s.Settings.Name) && received > sub.bytesAtLastCheck {
+			sub.proxy = s.state.ClaimProxy(s.clock(), sub.proxy)
+			s.subscriptions.notify()
+		}
+		sub.bytesAtLastCheck = received
+	}
 }
 
-// handleSubscriberMessage takes what a follower says.
+// handleSubscriberMessage takes a message of a subscriber. What is of no kind that the subscriber may send is ignored.
 func (s *Server) handleSubscriberMessage(sub *subscriber, msg update.Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	isControl := sub.identity.Control
+	isAnnounced := !isControl && sub.proxy.Name != ""
 	switch {
 	case msg.Hello != nil:
-		if sub.identity.IP == "" && !msg.Hello.Control {
-			sub.received, sub.provisional = msg.Progress, msg.StatusOnly
-		}
-		select {
-		case sub.helloReceived <- *msg.Hello:
-			sub.identity = *msg.Hello
-		default:
-		}
-		kind := gossip.Proxy
-		if msg.Hello.Control {
-			kind = gossip.Control
-			sub.stream.SetKeepalive(stream.ControlKeepalive)
-			s.addPeer(msg.Hello.IP)
-			s.peerDialled(msg.Hello.IP, sub.stream)
-			if msg.Hello.Incarnation != "" && sameIncarnation(msg.Hello.Incarnation, s.incarnation) { // else it is told all anew, and takes none of it for gone
-				s.state.ReannounceProxies()
-				s.notifySubscribers()
-			}
-		}
-		s.gossip.Add(gossip.Member{IP: msg.Hello.IP, Kind: kind, Zone: msg.Hello.Zone})
-	case msg.Proxy != nil && sub.identity.Name != "" && !sub.identity.Control:
-		proxy := *msg.Proxy
-		proxy.Name, proxy.Owner, proxy.Gone, proxy.RegisteredAt = sub.identity.Name, s.Settings.Name, false, sub.proxy.RegisteredAt
-		sub.proxy, sub.provisional = s.state.ClaimProxy(s.clock(), proxy), false
-		s.notifySubscribers()
-	case msg.Votes != nil && !sub.identity.Control:
-		for _, vote := range msg.Votes {
-			vote.Proxy, vote.ReceivedAt = sub.identity.Name, s.clock()
-			s.state.PublishVote(vote, true)
-		}
-		s.notifySubscribers()
-	case msg.Quota != nil && sub.proxy.Name != "" && !sub.identity.Control:
+		s.handleSubscriberHello(sub, msg)
+	case msg.Proxy != nil && !isControl && sub.identity.Name != "":
+		s.handleProxy(sub, *msg.Proxy)
+	case msg.Votes != nil && !isControl:
+		s.handleVotes(sub.identity.Name, msg.Votes)
+	case msg.Quota != nil && isAnnounced:
 		s.handleQuotaReport(sub.proxy.Name, *msg.Quota)
-	case msg.Outliers != nil && sub.proxy.Name != "" && !sub.identity.Control:
+	case msg.Outliers != nil && isAnnounced:
 		for service, observations := range msg.Outliers {
 			s.outliers.AddReport(s.clock(), sub.proxy.Name, service, observations)
 		}
@@ -121,30 +158,62 @@
 		}
 	case msg.Ack != 0:
 		sub.acked = max(sub.acked, msg.Ack)
-		if len(s.leavingHosts) > 0 && sub.identity.Control {
-			close(s.acked)
-			s.acked = make(chan struct{})
+		if isControl {
+			s.departures.acknowledged()
 		}
-	case msg.Consensus != nil && sub.identity.Control:
+	case msg.Consensus != nil && isControl:
 		s.handleConsensusMessage(sub.identity.IP, msg.Consensus)
 	}
 }
 
-// notifySubscribers tells those who follow that there is news; the caller holds the lock.
-func (s *Server) notifySubscribers() {
-	close(s.updated)
-	s.updated = make(chan struct{})
+// handleSubscriberHello notes who a subscriber is; the caller holds mu.
+func (s *Server) handleSubscriberHello(sub *subscriber, msg update.Message) {
+	hello := *msg.Hello
+	if sub.identity.IP == "" && !hello.Control {
+		sub.received = msg.Progress
+		sub.provisional = msg.StatusOnly
+	}
+	select {
+	case sub.helloReceived <- hello:
+		sub.identity = hello
+	default:
+	}
+	kind := gossip.Proxy
+	if hello.Control {
+		kind = gossip.Control
+		s.handleControlHello(sub, hello)
+	}
+	s.gossip.Add(gossip.Member{IP: hello.IP, Kind: kind, Zone: hello.Zone})
+}
+
+func (s *Server) handleControlHello(sub *subscriber, hello update.Hello) {
+	sub.stream.SetKeepalive(stream.ControlKeepalive)
+	s.addPeer(hello.IP)
+	s.peerDialled(hello.IP, sub.stream)
+	// otherwise it receives a snapshot, in which no proxy is gone
+	if hello.Incarnation != "" && sameIncarnation(hello.Incarnation, s.incarnation) {
+		s.state.ReannounceProxies()
+		s.subscriptions.notify()
+	}
 }
 
-// reclaimProxies tells anew of routers that are heard here and were taken for gone elsewhere; the caller holds the lock.
-func (s *Server) reclaimProxies() {
-	for sub := range s.subscribers {
-		received := sub.stream.BytesRead.Load()
-		current, known := s.state.Proxies[sub.proxy.Name]
-		if known && (current.Gone || current.Owner != s.Settings.Name) && received > sub.bytesAtLastCheck {
-			sub.proxy = s.state.ClaimProxy(s.clock(), sub.proxy)
-			s.notifySubscribers()
-		}
-		sub.bytesAtLastCheck = received
+// handleProxy takes a proxy's own announcement of its state; the caller holds mu.
+func (s *Server) handleProxy(sub *subscriber, proxy update.Proxy) {
+	proxy.Name = sub.identity.Name
+	proxy.Owner = s.Settings.Name
+	proxy.Gone = false
+	proxy.RegisteredAt = sub.proxy.RegisteredAt
+	sub.proxy = s.state.ClaimProxy(s.clock(), proxy)
+	sub.provisional = false
+	s.subscriptions.notify()
+}
+
+// handleVotes takes a proxy's votes on rollouts; the caller holds mu.
+func (s *Server) handleVotes(proxy string, votes []update.Vote) {
+	for _, vote := range votes {
+		vote.Proxy = proxy
+		vote.ReceivedAt = s.clock()
+		s.state.PublishVote(vote, true)
 	}
+	s.subscriptions.notify()
 }
--- /dev/null
+++ b/internal/control/server/ticker.go
@@ -0,0 +1,78 @@
+package server
+
+import (
+	"time"
+
+	"k8s.io/klog/v2"
+
+	"portflow/internal/control/consensus"
+	"portflow/internal/control/registry"
+)
+
+// Periods of the ticker's work.
+const (
+	tickInterval   = 200 * time.Millisecond
+	ticksPerSecond = int(time.Second / tickInterval)
+	logTicks       = 10 * ticksPerSecond // between two entries of the counters
+	expireTicks    = 60 * ticksPerSecond // between two clean-ups of the state
+)
+
+// runTicker does what is due by time alone, until ctx ends.
+func (s *Server) runTicker() {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	for round := 0; ; round++ {
+		select {
+		case <-ticker.C:
+		case <-s.ctx.Done():
+			return
+		}
+		s.tick(round)
+		s.advanceRollouts()
+		if isLast(round, expireTicks) {
+			s.expireState()
+		}
+		if isLast(round, logTicks) {
+			s.LogCounters()
+		}
+	}
+}
+
+// isLast reports whether a round is the last one of a period of so many ticks.
+func isLast(round, period int) bool { return round%period == period-1 }
+
+// tick finds silent hosts and lost proxies, steps the consensus node, and deals with quotas and outliers.
+func (s *Server) tick(round int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.checkHeartbeats()
+	if s.state.Tick(s.clock()) {
+		s.subscriptions.notify()
+	}
+	if isLast(round, ticksPerSecond) {
+		s.reclaimProxies()
+		s.departures.forget(func(id string) bool { return s.state.Instances.Lookup(id).ID == "" })
+	}
+	s.stepNode(consensus.Event{Tick: true})
+	s.rewriteDisk()
+	s.updateTolerance()
+	s.allocateQuotas(round)
+	s.ejectOutliers()
+	s.noteStatusChange()
+}
+
+// checkHeartbeats publishes hosts that have become silent; the caller holds mu.
+func (s *Server) checkHeartbeats() {
+	hasQuorum := s.state.Status() == registry.HasQuorum
+	for _, host := range s.state.Instances.CheckHeartbeats(s.clock(), hasQuorum) {
+		klog.InfoS("host silent", "host", host.ID, "service", host.Service, "zone", host.Zone)
+		s.state.PublishInstance(host, host.Owner == s.Settings.Name)
+		s.subscriptions.notify()
+	}
+}
+
+func (s *Server) expireState() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.state.Expire(s.clock())
+}
--- a/internal/control/server/updates.go
+++ b/internal/control/server/updates.go
@@ -4,119 +4,48 @@
 	"slices"
 	"time"
 
-	"portflow/internal/cluster/stream"
 	"portflow/internal/cluster/update"
 	"portflow/internal/control/registry"
 )
 
 const (
-	statusInterval       = 3 * time.Second // where nothing has changed
+	statusInterval       = 3 * time.Second // between statuses where nothing changes
 	statusChangeInterval = 200 * time.Millisecond
-	rolloutAnnounceTime  = int64(time.Hour)      // for so long the others are told when a rollout began
-	batchInterval        = 40 * time.Millisecond // at least between two batches of news: what comes close together goes together
-	evictInterval        = 10 * time.Second      // of snapshots that were made for routers
+	rolloutAnnounceTime  = int64(time.Hour)      // nanoseconds, for which other control processes are sent when a rollout began
+	batchInterval        = 40 * time.Millisecond // at least between two batches: changes that come close together are sent together
+	maxSkippedUpdates    = registry.MaxUpdates / 4
 )
 
-// sendUpdates sends news as it comes: all that is there at once goes into one batch. Who can't be given changes alone, or to whom they
-// would be more than a snapshot, is sent one: a router in chunks, then the changes since it in one batch, with which it takes all
-// in at once.
+// updateSender sends one subscriber its updates; see Server.sendUpdates. Its fields are its goroutine's alone.
+type updateSender struct {
+	server       *Server
+	sub          *subscriber
+	identity     update.Hello // of the subscriber; its Incarnation is cleared once the Offset in it is of no use
+	sentUpTo     uint64       // number of the last update that was sent, or didn't have to be
+	following    bool         // the subscriber has everything up to sentUpTo
+	sentStatus   update.Status
+	statusSentAt time.Time
+	clockSentAt  time.Time
+	batchSentAt  time.Time
+	transfer     *update.Transfer // the snapshot that is being sent, nil for none
+	awaited      string           // name of the snapshot that was sent or awaited last
+}
+
+// position is how far the state is that a message is made from.
+type position struct{ last, epoch, index uint64 }
+
+// sendUpdates sends a subscriber what changes, until its stream ends. Everything that has changed goes into one batch. A subscriber
+// that can't be sent changes alone, or for which they would be more than a snapshot, is sent a snapshot: a proxy in chunks, and then
+// the changes since in one batch, with which it puts everything in force at once.
 func (s *Server) sendUpdates(sub *subscriber) {
-	var identity update.Hello
+	sender := updateSender{server: s, sub: sub}
 	select {
-	case identity = <-sub.helloReceived:
+	case sender.identity = <-sub.helloReceived:
 	case <-sub.stream.Done():
 		return
 	}
-	sentUpTo, following := uint64(0), false
-	var sentStatus update.Status
-	statusSentAt, clockSentAt := time.Time{}, time.Time{}
-	var transfer *update.Transfer // of the snapshot that it is being sent
-	awaited := ""                 // for which snapshot
-	batchSentAt := time.Time{}    // news, the last time
-	for {
-		if pause := batchInterval - time.Since(batchSentAt); pause > 0 {
-			select {
-			case <-time.After(pause):
-			case <-sub.stream.Done():
-				return
-			}
-		}
-		select {
-		case <-sub.stream.Done():
-			return
-		default:
-		}
-		var snapshotReady chan struct{}
-		s.mu.Lock()
-		updated, status := s.updated, s.state.PeerStatus()
-		status.Leaving = s.stopping && identity.Control
-		epoch, index := status.Epoch, status.Number
-		if !identity.Control {
-			status.Sum, status.Epoch, status.Number = 0, 0, 0 // of no use to a router
-		}
-		if status != sentStatus && (!identity.Control || time.Since(statusSentAt) > statusChangeInterval || status.Complete != sentStatus.Complete ||
-			status.HasQuorum != sentStatus.HasQuorum || status.Member != sentStatus.Member || status.Leaving != sentStatus.Leaving) || time.Since(statusSentAt) >= statusInterval {
-			if status != sentStatus || identity.Control {
-				msg := update.Message{Status: &status}
-				if time.Since(clockSentAt) >= statusInterval { // not with each change: that would cost each order its bytes
-					if msg.Now, clockSentAt = s.clock(), time.Now(); identity.Control {
-						msg.RolloutStarts = s.state.RolloutAges.Announcements(msg.Now, rolloutAnnounceTime)
-					}
-				}
-				sub.stream.Send(msg)
-			}
-			sentStatus, statusSentAt = status, time.Now()
-		}
-		if identity.Control || status.Complete && !sub.provisional {
-			last := s.state.Updates.Last()
-			if _, available := s.state.Updates.After(identity.Offset); !following && transfer == nil && available && identity.Incarnation == s.incarnation { // it has been here before
-				sentUpTo, following = identity.Offset, true
-			}
-			changes, available := s.state.Updates.After(sentUpTo)
-			batch := registry.Filter(changes, identity.Control)
-			if sub.received != nil && update.EstimateSize(batch) > update.MaxBatchBytes {
-				available = false
-			}
-			switch {
-			case following && available:
-				if len(batch) > 0 || last-sentUpTo > registry.MaxUpdates/4 {
-					msg := update.Message{Batch: &update.Batch{Incarnation: s.incarnation, From: sentUpTo, To: last, Changes: batch, Epoch: epoch, Number: index}}
-					if slices.ContainsFunc(batch, update.Change.HasTimes) {
-						msg.Now = s.clock()
-					}
-					sub.stream.Send(msg)
-					sentUpTo, batchSentAt = last, time.Now()
-				} // else nothing of it is for this one: the numbers go with the next batch
-			case sub.received == nil:
-				sub.stream.Send(update.Message{Batch: &update.Batch{Incarnation: s.incarnation, To: last, Snapshot: true, Changes: s.state.Snapshot(s.clock(), identity.Control), Epoch: epoch, Number: index}, Now: s.clock()})
-				sentUpTo, following = last, true
-			default:
-				following, identity.Incarnation = false, ""
-				var snapshot *update.PendingSnapshot
-				if transfer != nil {
-					awaited = transfer.Snapshot.Name
-				}
-				if snapshot, transfer = s.snapshotFor(sub, awaited, transfer, update.SnapshotHeader{Incarnation: s.incarnation, To: last, Epoch: epoch, Number: index}); transfer == nil {
-					snapshotReady, awaited = snapshot.Done, snapshot.Name
-					break
-				}
-				chunks, done := transfer.Next(*sub.received)
-				for _, msg := range chunks {
-					sub.stream.SendFrame(msg)
-				}
-				if !done {
-					break
-				}
-				changes, _ = s.state.Updates.After(transfer.Snapshot.To) // it is all kept, or the cut weren't sent any more
-				sub.stream.Send(update.Message{Batch: &update.Batch{Incarnation: s.incarnation, From: transfer.Snapshot.To, To: last, Changes: registry.Filter(changes, false), Epoch: epoch, Number: index}, Now: s.clock()})
-				sentUpTo, following, transfer = last, true, nil
-			}
-		}
-		wait := statusInterval
-		if status != sentStatus { // it has only just said another: this one follows soon, or others miss what has changed
-			wait = statusChangeInterval
-		}
-		s.mu.Unlock()
+	for sender.awaitBatchInterval() {
+		updated, snapshotReady, wait := sender.sendAvailable()
 		select {
 		case <-updated:
 		case <-sub.chunkAcked:
@@ -128,49 +57,189 @@
 	}
 }
 
-// snapshotFor finds the snapshot that a router is to be sent, and has one made where none is there: sent is nil until it is. The one that
-// it is being sent or waits for goes on as long as it is kept, and one of which the router has a part; else it begins with the
-// newest. The caller holds the lock.
-func (s *Server) snapshotFor(sub *subscriber, awaited string, transfer *update.Transfer, header update.SnapshotHeader) (*update.PendingSnapshot, *update.Transfer) {
-	now, log := s.clock(), s.state.Updates
-	snapshot := s.proxySnapshots.ByName(now, awaited, header.Incarnation, log)
-	if snapshot != nil && transfer != nil {
-		return snapshot, transfer
+// awaitBatchInterval waits until the next batch may be sent. It reports false once the stream has ended.
+func (u *updateSender) awaitBatchInterval() bool {
+	if pause := batchInterval - time.Since(u.batchSentAt); pause > 0 {
+		select {
+		case <-time.After(pause):
+		case <-u.sub.stream.Done():
+			return false
+		}
+	}
+	select {
+	case <-u.sub.stream.Done():
+		return false
+	default:
+		return true
+	}
+}
+
+// sendAvailable sends what there is to send now. It returns when to look again: on new updates, once a snapshot is encoded (nil where
+// none is awaited), or after a time.
+func (u *updateSender) sendAvailable() (updated, snapshotReady <-chan struct{}, wait time.Duration) {
+	s := u.server
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	updated = s.subscriptions.updated
+	status := s.state.PeerStatus()
+	status.Leaving = s.stopping && u.identity.Control
+	at := position{last: s.state.Updates.Last(), epoch: status.Epoch, index: status.Number}
+	if !u.identity.Control {
+		status.Sum, status.Epoch, status.Number = 0, 0, 0 // of no use to a proxy
 	}
-	if snapshot == nil {
-		snapshot = s.proxySnapshots.ByName(now, sub.received.Name, header.Incarnation, log)
+	if u.statusDue(status, time.Now()) {
+		u.sendStatus(status)
 	}
-	if snapshot == nil {
-		snapshot = s.proxySnapshots.Newest(now, header.Incarnation, log)
+	if u.identity.Control || status.Complete && !u.sub.provisional {
+		snapshotReady = u.sendChanges(at)
 	}
-	if snapshot == nil {
-		snapshot = s.proxySnapshots.Start(now, header)
-		go snapshot.Encode(s.state.Snapshot(s.clock(), false), stream.EncodeFrame)
-		s.scheduleEviction()
+	if status != u.sentStatus { // another one was sent just now: this one must follow soon
+		return updated, snapshotReady, statusChangeInterval
 	}
-	select {
-	case <-snapshot.Done:
-		if snapshot.Err != nil {
-			sub.stream.Close(snapshot.Err)
-			return snapshot, nil
+	return updated, snapshotReady, statusInterval
+}
+
+// statusDue reports whether a status is to be sent. A proxy is sent each change at once, a control process those that matter at once.
+func (u *updateSender) statusDue(status update.Status, now time.Time) bool {
+	age := now.Sub(u.statusSentAt)
+	if age >= statusInterval {
+		return true
+	}
+	if status == u.sentStatus {
+		return false
+	}
+	sent := u.sentStatus
+	urgent := status.Complete != sent.Complete || status.HasQuorum != sent.HasQuorum || status.Member != sent.Member || status.Leaving != sent.Leaving
+	return !u.identity.Control || urgent || age > statusChangeInterval
+}
+
+// sendStatus sends a status; a proxy isn't sent one that it has. The caller holds mu.
+func (u *updateSender) sendStatus(status update.Status) {
+	if status != u.sentStatus || u.identity.Control {
+		msg := update.Message{Status: &status}
+		if time.Since(u.clockSentAt) >= statusInterval { // not with each change, as each operation would cost these bytes
+			msg.Now = u.server.clock()
+			u.clockSentAt = time.Now()
+			if u.identity.Control {
+				msg.RolloutStarts = u.server.state.RolloutAges.Announcements(msg.Now, rolloutAnnounceTime)
+			}
 		}
-		return snapshot, update.NewTransfer(snapshot.Snapshot, *sub.received)
+		u.sub.stream.Send(msg)
+	}
+	u.sentStatus = status
+	u.statusSentAt = time.Now()
+}
+
+// sendChanges sends the changes since the last batch, or a snapshot. It returns a channel that is closed once the snapshot that is to be
+// sent is encoded, nil for none. The caller holds mu.
+func (u *updateSender) sendChanges(at position) (snapshotReady <-chan struct{}) {
+	s := u.server
+	u.resume()
+	changes, available := s.state.Updates.After(u.sentUpTo)
+	batch := registry.Filter(changes, u.identity.Control)
+	takesChunks := u.sub.received != nil
+	if takesChunks && update.EstimateSize(batch) > update.MaxBatchBytes {
+		available = false
+	}
+	switch {
+	case u.following && available:
+		u.sendBatch(batch, at)
+	case !takesChunks:
+		u.sendSnapshot(at)
 	default:
-		return snapshot, nil
+		u.following = false
+		u.identity.Incarnation = ""
+		return u.sendChunks(at)
 	}
+	return nil
 }
 
-// scheduleEviction looks for cuts that nobody asks for any more, as long as one is kept; the caller holds the lock.
-func (s *Server) scheduleEviction() {
-	if s.evictionScheduled {
+// resume has a subscriber that has subscribed before go on where it was, if all changes since are available.
+func (u *updateSender) resume() {
+	if u.following || u.transfer != nil || u.identity.Incarnation != u.server.incarnation {
 		return
 	}
-	s.evictionScheduled = true
-	time.AfterFunc(evictInterval, func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if s.evictionScheduled = false; s.ctx.Err() == nil && s.proxySnapshots.EvictIdle(s.clock()) {
-			s.scheduleEviction()
-		}
-	})
+	if _, available := u.server.state.Updates.After(u.identity.Offset); available {
+		u.sentUpTo = u.identity.Offset
+		u.following = true
+	}
+}
+
+// sendBatch sends changes. Where none of them is for this subscriber, their numbers are sent with the next batch, unless that takes
+// long.
+func (u *updateSender) sendBatch(changes []update.Change, at position) {
+	if len(changes) == 0 && at.last-u.sentUpTo <= maxSkippedUpdates {
+		return
+	}
+	msg := update.Message{Batch: &update.Batch{
+		Incarnation: u.server.incarnation,
+		From:        u.sentUpTo,
+		To:          at.last,
+		Changes:     changes,
+		Epoch:       at.epoch,
+		Number:      at.index,
+	}}
+	if slices.ContainsFunc(changes, update.Change.HasTimes) {
+		msg.Now = u.server.clock()
+	}
+	u.sub.stream.Send(msg)
+	u.sentUpTo = at.last
+	u.batchSentAt = time.Now()
+}
+
+// sendSnapshot sends a snapshot in one batch.
+func (u *updateSender) sendSnapshot(at position) {
+	s := u.server
+	batch := update.Batch{
+		Incarnation: s.incarnation,
+		To:          at.last,
+		Snapshot:    true,
+		Changes:     s.state.Snapshot(s.clock(), u.identity.Control),
+		Epoch:       at.epoch,
+		Number:      at.index,
+	}
+	u.sub.stream.Send(update.Message{Batch: &batch, Now: s.clock()})
+	u.sentUpTo = at.last
+	u.following = true
+}
+
+// sendChunks sends the next chunks of a snapshot and, after the last one, the changes since. It returns a channel that is closed once the
+// snapshot is encoded, nil where it is.
+func (u *updateSender) sendChunks(at position) (snapshotReady <-chan struct{}) {
+	s := u.server
+	if u.transfer != nil {
+		u.awaited = u.transfer.Snapshot.Name
+	}
+	header := update.SnapshotHeader{Incarnation: s.incarnation, To: at.last, Epoch: at.epoch, Number: at.index}
+	var snapshot *update.PendingSnapshot
+	if snapshot, u.transfer = s.snapshotFor(u.sub, u.awaited, u.transfer, header); u.transfer == nil {
+		u.awaited = snapshot.Name
+		return snapshot.Done
+	}
+	chunks, complete := u.transfer.Next(*u.sub.received)
+	for _, chunk := range chunks {
+		u.sub.stream.SendFrame(chunk)
+	}
+	if complete {
+		u.sendChangesSince(u.transfer.Snapshot.To, at)
+	}
+	return nil
+}
+
+// sendChangesSince sends the batch that completes a snapshot, which holds all updates up to a number.
+func (u *updateSender) sendChangesSince(snapshotEnd uint64, at position) {
+	s := u.server
+	changes, _ := s.state.Updates.After(snapshotEnd) // available, or the snapshot would not have been sent any more
+	batch := update.Batch{
+		Incarnation: s.incarnation,
+		From:        snapshotEnd,
+		To:          at.last,
+		Changes:     registry.Filter(changes, false),
+		Epoch:       at.epoch,
+		Number:      at.index,
+	}
+	u.sub.stream.Send(update.Message{Batch: &batch, Now: s.clock()})
+	u.sentUpTo = at.last
+	u.following = true
+	u.transfer = nil
 }
