--- a/internal/control/registry/peers.go
+++ b/internal/control/registry/peers.go
@@ -6,15 +6,15 @@
 	"portflow/internal/cluster/update"
 )
 
-// Peer is another control process, as it is heard over the line that this one dialled.
+// Peer is another control process, as it appears on the stream that this one dialled.
 type Peer struct {
 	Status update.Status
 }
 
-// VotingPeers are the peers that are heard and whose votes count.
+// VotingPeers are the IPs of the connected peers that are members, sorted.
 func (s *State) VotingPeers() (ips []string) {
-	for ip, p := range s.Peers {
-		if p.Status.Member {
+	for ip, peer := range s.Peers {
+		if peer.Status.Member {
 			ips = append(ips, ip)
 		}
 	}
@@ -22,7 +22,7 @@
 	return ips
 }
 
-// MemberIPs are the IP numbers of the core that are known, but this one.
+// MemberIPs are the IPs of the members as they are known here, apart from this process's, in no order.
 func (s *State) MemberIPs() (ips []string) {
 	for ip := range s.Set.Members() {
 		if ip != s.Self.IP {
@@ -32,7 +32,7 @@
 	return ips
 }
 
-// UpdatePeer notes that a peer is heard, and how it stands.
+// UpdatePeer notes that a peer is connected, and its status.
 func (s *State) UpdatePeer(ip string, status update.Status) {
 	peer := s.Peers[ip]
 	if peer == nil {
@@ -42,21 +42,22 @@
 	peer.Status = status
 }
 
-// PeerLost notes that a peer isn't heard any more: its hosts and routers are now for others to hear of.
+// PeerLost notes that a peer isn't connected any more: its hosts and proxies will appear at other control processes.
 func (s *State) PeerLost(now int64, ip, name string) {
 	delete(s.Peers, ip)
 	s.lostPeers[name] = now
 	s.Instances.Adopt(now, name)
 }
 
-// PeerFound ends that.
+// PeerFound notes that a peer is connected again.
 func (s *State) PeerFound(name string) {
 	delete(s.lostPeers, name)
 	s.Instances.Release(name)
 }
 
-// ReconcilePeer takes another control process's snapshot, once its notes are taken in: it names all hosts and routers that it hears. Those
-// that this one knows as the other's and that aren't named were heard in its former life: they are on their way elsewhere, or lost.
+// ReconcilePeer takes another control process's snapshot, once its changes are merged: it names all hosts and proxies of that process.
+// Those that this one knows as the other's, and that it doesn't name, were there in an earlier incarnation: they are moving to another
+// process, or lost.
 func (s *State) ReconcilePeer(now int64, name string, changes []update.Change) {
 	instances, proxies := map[string]bool{}, map[string]bool{}
 	for _, change := range changes {
--- a/internal/control/registry/proxies.go
+++ b/internal/control/registry/proxies.go
@@ -7,20 +7,20 @@
 	"portflow/internal/cluster/update"
 )
 
-// Proxy is a router as control knows it.
+// Proxy is a proxy as control processes know it.
 type Proxy = update.Proxy
 
-// orphan is a router as it was known when that was noted.
+// orphan is a proxy as it was known when its control process appeared without it.
 type orphan struct {
 	proxy Proxy
 	since int64
 }
 
-// reconnectGrace is for how long the routers that hung on a control process which isn't heard any more, or has started again, may be on
-// their way to another before they are taken for gone.
+// reconnectGrace is how long, in nanoseconds, the proxies of a control process which isn't connected any more, or has started again, may
+// take to subscribe to another before they count as gone.
 const reconnectGrace = int64(1200e6)
 
-// Tick finds routers that went down with the control process that they hung on.
+// Tick finds proxies that went down with the control process that they subscribed to, and reports whether there are any.
 func (s *State) Tick(now int64) (changed bool) {
 	for _, proxy := range s.Proxies {
 		if at, lost := s.lostPeers[proxy.Owner]; lost && !proxy.Gone && now-at > reconnectGrace {
@@ -28,11 +28,11 @@
 			changed = s.PublishProxy(proxy, false) || changed
 		}
 	}
-	for name, stray := range s.orphans {
+	for name, lost := range s.orphans {
 		proxy := s.Proxies[name]
-		if proxy != stray.proxy { // something newer is known of it
+		if proxy != lost.proxy { // something newer is known of it
 			delete(s.orphans, name)
-		} else if now-stray.since > reconnectGrace {
+		} else if now-lost.since > reconnectGrace {
 			delete(s.orphans, name)
 			proxy.Gone = true
 			changed = s.PublishProxy(proxy, false) || changed
@@ -41,8 +41,8 @@
 	return changed
 }
 
-// ClaimProxy takes a router up that hangs here: whatever is known of it from elsewhere, or from before a step of its clock, is
-// older than what is heard now.
+// ClaimProxy publishes a proxy that subscribes here, and returns it as published: whatever is known of it from elsewhere, or from before
+// a step of the clock, is older than what it sends now.
 func (s *State) ClaimProxy(now int64, proxy Proxy) Proxy {
 	old, known := s.Proxies[proxy.Name]
 	if proxy.RegisteredAt == 0 || known && (old.Owner != proxy.Owner || old.Gone) {
@@ -54,7 +54,7 @@
 	return proxy
 }
 
-// PublishProxy takes up how a router that hangs here is.
+// PublishProxy publishes a proxy's state, unless a newer one is known, and reports whether it did. firstHand says that it subscribes here.
 func (s *State) PublishProxy(proxy update.Proxy, firstHand bool) bool {
 	old, known := s.Proxies[proxy.Name]
 	if known && !proxy.Supersedes(old) {
@@ -65,20 +65,24 @@
 	return true
 }
 
-// ReannounceProxies has this process's own routers told anew to another that was away: it may have taken them for gone.
+// ReannounceProxies publishes this process's own proxies again, for another process that was disconnected and may count them as gone.
 func (s *State) ReannounceProxies() {
-	for _, f := range s.Proxies {
-		if f.Owner == s.Self.Name && !f.Gone {
-			f.Revision++
-			s.PublishProxy(f, true)
+	for _, proxy := range s.Proxies {
+		if proxy.Owner == s.Self.Name && !proxy.Gone {
+			proxy.Revision++
+			s.PublishProxy(proxy, true)
 		}
 	}
 }
 
-// ReadyProxies is the routers that are ready, as the design counts and numbers them.
+// ReadyProxies are the proxies that are ready, by name; a proxy's rank is its index.
 func (s *State) ReadyProxies() []update.Proxy { return update.ReadyProxies(s.Proxies) }
 
-// Addresses answers the directory: ready fronts of the client's zone; where none is, of its region; else all.
+// maxAddresses is how many addresses a client is given at most.
+const maxAddresses = 64
+
+// Addresses are the addresses for a client of a zone and region: of the ready proxies in its zone; without any, in its region; without
+// any, of all. They are sorted, and maxAddresses at most.
 func (s *State) Addresses(zone, region string, regions map[string]string) (all []string) {
 	nearest := 0
 	for _, proxy := range s.ReadyProxies() {
@@ -97,5 +101,5 @@
 		}
 	}
 	slices.SortFunc(all, strings.Compare)
-	return all[:min(len(all), 64)]
+	return all[:min(len(all), maxAddresses)]
 }
--- a/internal/control/registry/state.go
+++ b/internal/control/registry/state.go
@@ -1,5 +1,9 @@
-// Package registry is what a control process knows and how far it may be gone by: which hosts and routers there are, the
-// items (as package quorum has them decided), the votes, the other control processes, and the news. It does no I/O and has no clock.
+// Package registry owns what a control process knows: the hosts and proxies there are, the configuration's items as package consensus
+// has them decided, the proxies' votes, the ejected hosts, the other control processes, and the log of updates for subscribers. It
+// never does I/O, has no clock and starts no goroutines; the caller passes the time, in nanoseconds.
+//
+// Begin with State; peers.go has what is known of other control processes, proxies.go of proxies, and updates.go what subscribers are
+// sent.
 package registry
 
 import (
@@ -13,43 +17,58 @@
 	"portflow/internal/control/consensus"
 )
 
-// Status is how far a control process may be gone by.
+// Status is how far a control process can be relied on.
 type Status uint8
 
+// The statuses, in the order in which a process that starts goes through them.
 const (
-	CatchingUp    Status = iota // it may lack what was acknowledged: it feeds nobody and takes no order
-	WithoutQuorum               // it has had all that was decided when it asked, and doesn't hear more than half of the members now
-	HasQuorum                   // it hears more than half
+	CatchingUp    Status = iota // it may lack what was acknowledged: it sends no updates and takes no operations
+	WithoutQuorum               // it has applied all that was decided when it asked, and reaches no majority of the members now
+	HasQuorum                   // it reaches a majority
 )
 
+// String is the text that operators are answered and the log has.
 func (s Status) String() string { return [...]string{"adrift", "alone", "in touch"}[s] }
 
-// State is what a control process knows. It is not safe for two goroutines.
+// State is what a control process knows. It is not safe for concurrent use.
 type State struct {
 	Self        update.Hello
-	Node        *consensus.Node // this process's part in the agreement of the core
+	Node        *consensus.Node // this process's part in the consensus
 	Set         *config.Set
 	Instances   *instance.Table
 	Proxies     map[string]update.Proxy
 	Updates     *update.Log
 	Votes       map[VoteKey]update.Vote
-	Ejections   map[string]outlier.Ejection // by host: those that were set aside of late
-	Metrics     map[VoteKey]update.Vote     // the newest figures of routers that hang here
-	Peers       map[string]*Peer            // by IP, those that are heard now
-	lostPeers   map[string]int64            // by name, control processes that are not heard, since when
-	goneSince   map[string]int64            // by name, routers that are gone, since when that was seen
-	orphans     map[string]orphan           // by name, routers whose control process is heard, and has started again without them
-	RolloutAges rollout.StartTimes          // for how long the rollouts have run
+	Ejections   map[string]outlier.Ejection // by host ID: those ejected, or back on probation
+	Metrics     map[VoteKey]update.Vote     // the last evidence of proxies that subscribe here
+	Peers       map[string]*Peer            // by IP, those that are connected now
+	lostPeers   map[string]int64            // by name, control processes that are not connected, since when
+	goneSince   map[string]int64            // by name, proxies that are gone, since when that is known
+	orphans     map[string]orphan           // by name, proxies whose control process is connected, and has started again without them
+	RolloutAges rollout.StartTimes          // when the rollouts began, by this process's clock
 }
 
-// NewState begins with a node that has what the disk held.
+// NewState makes the state around a node that has what the disk held. heartbeat is the interval of hosts' heartbeats, nanoseconds.
 func NewState(self update.Hello, node *consensus.Node, heartbeat int64) *State {
-	return &State{Self: self, Node: node, Set: node.Set, Instances: instance.NewTable(self.Name, heartbeat),
-		Proxies: map[string]update.Proxy{}, Updates: update.NewLog(MaxUpdates), Votes: map[VoteKey]update.Vote{},
-		Metrics: map[VoteKey]update.Vote{}, Ejections: map[string]outlier.Ejection{}, Peers: map[string]*Peer{}, lostPeers: map[string]int64{}, goneSince: map[string]int64{}, orphans: map[string]orphan{}, RolloutAges: rollout.StartTimes{}}
+	return &State{
+		Self:        self,
+		Node:        node,
+		Set:         node.Set,
+		Instances:   instance.NewTable(self.Name, heartbeat),
+		Proxies:     map[string]update.Proxy{},
+		Updates:     update.NewLog(MaxUpdates),
+		Votes:       map[VoteKey]update.Vote{},
+		Ejections:   map[string]outlier.Ejection{},
+		Metrics:     map[VoteKey]update.Vote{},
+		Peers:       map[string]*Peer{},
+		lostPeers:   map[string]int64{},
+		goneSince:   map[string]int64{},
+		orphans:     map[string]orphan{},
+		RolloutAges: rollout.StartTimes{},
+	}
 }
 
-// Status tells how far this process may be gone by.
+// Status is how far this process can be relied on.
 func (s *State) Status() Status {
 	switch {
 	case !s.Node.CaughtUp():
@@ -60,22 +79,28 @@
 	return HasQuorum
 }
 
-// PeerStatus is what others are told of this process.
+// PeerStatus is the status that subscribers are sent.
 func (s *State) PeerStatus() update.Status {
-	return update.Status{Complete: s.Node.CaughtUp(), Member: s.Node.IsMember(), HasQuorum: s.Status() == HasQuorum, Sum: s.Set.Checksum(),
-		Epoch: s.Node.Membership().Epoch, Number: s.Node.Applied()}
+	return update.Status{
+		Complete:  s.Node.CaughtUp(),
+		Member:    s.Node.IsMember(),
+		HasQuorum: s.Status() == HasQuorum,
+		Sum:       s.Set.Checksum(),
+		Epoch:     s.Node.Membership().Epoch,
+		Number:    s.Node.Applied(),
+	}
 }
 
-// retention is for how long routers and control processes that are gone, and what was voted, are known: longer than any word of them
-// is on its way, or any line is silent before it ends.
+// retention is how long, in nanoseconds, proxies and control processes that are gone and votes are known: longer than any message about
+// them is on its way, or any stream is silent before it is closed.
 const retention = int64(600e9)
 
-// Expire forgets what has been over for long, so that what is known is bounded by what there is and by what went in that time. It is
-// to be called now and then.
+// Expire forgets what ended more than the retention ago, so that the state is bounded by what there is and what ended in that time. It
+// is called now and then.
 func (s *State) Expire(now int64) {
 	s.Instances.EvictUnresponsive(now)
 	for _, votes := range []map[VoteKey]update.Vote{s.Votes, s.Metrics} {
-		maps.DeleteFunc(votes, func(_ VoteKey, p update.Vote) bool { return now-p.ReceivedAt > retention })
+		maps.DeleteFunc(votes, func(_ VoteKey, vote update.Vote) bool { return now-vote.ReceivedAt > retention })
 	}
 	owners := map[string]bool{}
 	for name, proxy := range s.Proxies {
--- a/internal/control/registry/updates.go
+++ b/internal/control/registry/updates.go
@@ -11,14 +11,14 @@
 	"portflow/internal/cluster/update"
 )
 
-// MaxUpdates is how many changes are kept for those who are behind.
+// MaxUpdates is how many changes are kept for subscribers that are behind.
 const MaxUpdates = 4096
 
-// VoteKey is whose vote on what.
+// VoteKey is the proxy and the service of a vote.
 type VoteKey struct{ Proxy, Service string }
 
-// Publish tells items that were decided to the routers that hang here. seen tells that they were decided since this process
-// runs, as far as it can tell.
+// Publish publishes items that were decided, for the proxies that subscribe here. live says that they were decided while this process
+// runs, as far as it knows.
 func (s *State) Publish(now int64, items []config.Item, live bool) {
 	for _, i := range items {
 		if i.Kind == config.KindRollouts && !i.Deleted {
@@ -30,23 +30,23 @@
 	}
 }
 
-// itemChange is an item as routers are told it.
+// itemChange is an item as proxies are sent it.
 func (s *State) itemChange(now int64, i config.Item) update.Change {
-	i.History = nil // is of no use to routers
-	n := update.Change{Item: &i}
+	i.History = nil // of no use to proxies
+	change := update.Change{Item: &i}
 	if i.Kind == config.KindRollouts && !i.Deleted {
-		n.RolloutStartedAt = s.RolloutAges.Localize(now, rollout.FromItem(i)).StartedAt
+		change.RolloutStartedAt = s.RolloutAges.Localize(now, rollout.FromItem(i)).StartedAt
 	}
-	return n
+	return change
 }
 
-// PublishInstance makes news of a host that this process hears.
+// PublishInstance publishes a host. firstHand says that it sends heartbeats here.
 func (s *State) PublishInstance(host instance.Instance, firstHand bool) {
 	s.Updates.Add(update.Change{Instance: &host, FirstHand: firstHand})
 }
 
-// PublishVote takes up a router's vote, or its figures alone. Figures stay here: they are for operators, who ask each control
-// process; only votes go on to the others.
+// PublishVote publishes a proxy's vote, unless a newer one is known, or takes its evidence alone. Evidence stays here: it is for
+// operators, who ask each control process; only votes are sent to the others.
 func (s *State) PublishVote(vote update.Vote, firstHand bool) {
 	key := VoteKey{vote.Proxy, vote.Service}
 	if vote.Evidence != nil {
@@ -65,9 +65,10 @@
 	}
 }
 
-// PublishEjection takes up that a host is set aside, by this process or by another; what is over is forgotten.
+// PublishEjection publishes a host's ejection, by this process or by another, unless a newer one is known. Ejections whose probation is
+// over are forgotten.
 func (s *State) PublishEjection(now int64, ejection outlier.Ejection, firstHand bool) {
-	maps.DeleteFunc(s.Ejections, func(_ string, x outlier.Ejection) bool { return now > x.ProbationUntil })
+	maps.DeleteFunc(s.Ejections, func(_ string, known outlier.Ejection) bool { return now > known.ProbationUntil })
 	if !ejection.Supersedes(s.Ejections[ejection.ID]) {
 		return
 	}
@@ -75,23 +76,13 @@
 	s.Updates.Add(update.Change{Ejection: &ejection, FirstHand: firstHand})
 }
 
-// Merge takes a note of another control process in.
+// Merge takes a change that another control process has published.
 func (s *State) Merge(now int64, change update.Change) {
 	switch {
 	case change.Instance != nil:
-		updated, republish := s.Instances.Merge(now, *change.Instance)
-		if updated {
-			s.PublishInstance(*change.Instance, false)
-		} else if republish {
-			s.PublishInstance(s.Instances.Lookup(change.Instance.ID), true)
-		}
+		s.mergeInstance(now, *change.Instance)
 	case change.Proxy != nil:
-		// who claims a router by a clock that is behind, after a restart or as it never heard of it, learns of the claim that
-		// stands from here: what it tells would else be passed over until its clock has come as far. That a router has left is no
-		// claim: each one that moves is said to have left once others know where it is
-		if current := s.Proxies[change.Proxy.Name]; !s.PublishProxy(*change.Proxy, false) && !change.Proxy.Gone && current.Supersedes(*change.Proxy) {
-			s.Updates.Add(update.Change{Proxy: &current, FirstHand: true})
-		}
+		s.mergeProxy(*change.Proxy)
 	case change.Vote != nil:
 		s.PublishVote(*change.Vote, false)
 	case change.Ejection != nil:
@@ -99,7 +90,26 @@
 	}
 }
 
-// Snapshot is all that a router must know, or a control process of what only this one hears.
+func (s *State) mergeInstance(now int64, host instance.Instance) {
+	updated, republish := s.Instances.Merge(now, host)
+	if updated {
+		s.PublishInstance(host, false)
+	} else if republish {
+		s.PublishInstance(s.Instances.Lookup(host.ID), true)
+	}
+}
+
+// mergeProxy takes another control process's view of a proxy. A process that claims a proxy by a clock that is behind, after a restart
+// or as it didn't know of the proxy, is sent the claim that counts: until its clock has caught up, what it sends would be ignored.
+// That a proxy has left is no claim: of each one that moves that is published once others know where it is.
+func (s *State) mergeProxy(proxy Proxy) {
+	current := s.Proxies[proxy.Name]
+	if !s.PublishProxy(proxy, false) && !proxy.Gone && current.Supersedes(proxy) {
+		s.Updates.Add(update.Change{Proxy: &current, FirstHand: true})
+	}
+}
+
+// Snapshot is all that a proxy must know, or all that another control process knows only from this one.
 func (s *State) Snapshot(now int64, forControl bool) (changes []update.Change) {
 	hosts := s.Instances.All()
 	if forControl {
@@ -109,8 +119,8 @@
 			changes = append(changes, s.itemChange(now, i))
 		}
 	}
-	for _, h := range hosts {
-		changes = append(changes, update.Change{Instance: &h})
+	for _, host := range hosts {
+		changes = append(changes, update.Change{Instance: &host})
 	}
 	var names []string
 	for name, proxy := range s.Proxies {
@@ -128,22 +138,22 @@
 		changes = append(changes, update.Change{Ejection: &ejection})
 	}
 	if forControl {
-		for _, p := range s.Votes {
-			changes = append(changes, update.Change{Vote: &p})
+		for _, vote := range s.Votes {
+			changes = append(changes, update.Change{Vote: &vote})
 		}
 	}
 	return changes
 }
 
-// Filter leaves out of a batch what the follower knows otherwise: control processes tell each other what they hear
-// themselves, and items by orders and by repair. Of several notes on one thing the last is enough, in its place.
+// Filter leaves out of a batch what its subscriber learns elsewhere: control processes send each other what they know at first hand, and
+// items are decided by consensus. Of several changes of one thing it keeps the last, in its place.
 func Filter(changes []update.Change, forControl bool) []update.Change {
 	batch := make([]update.Change, 0, len(changes))
-	for _, n := range changes {
-		if forControl && !n.FirstHand || !forControl && n.Vote != nil {
+	for _, change := range changes {
+		if forControl && !change.FirstHand || !forControl && change.Vote != nil {
 			continue
 		}
-		batch = append(batch, n)
+		batch = append(batch, change)
 	}
 	return update.Compact(batch)
 }
