--- a/internal/control/registry/state_test.go
+++ b/internal/control/registry/state_test.go
@@ -17,7 +17,7 @@
 	"portflow/internal/decision"
 )
 
-// newNode is the control process n of a core, with a disk that holds number 1 of a core of that size.
+// newNode is the node of control process n, with a disk that holds index 1 of so many members.
 func newNode(n, size int, intact bool) *consensus.Node {
 	var list membership.List
 	at := func(n int) membership.Member {
@@ -40,9 +40,9 @@
 	return NewState(update.Hello{Name: "b0", IP: "10.0.1.0", Zone: "z0", Control: true}, newNode(0, size, intact), 1300e6)
 }
 
-// How far a control process may be gone by, in cores of several sizes, after a start on an intact disk or on a lost one:
-// whole once more than half of the members have told how far they are and it has come as far; those whose disks are others
-// than the list has don't count, nor does who has only just come.
+// The status of a control process, with several numbers of members, after a start on an intact disk or on a lost one: it has caught up
+// once a majority of the members has sent how far they are and it has come as far. Those whose disks are others than the list has
+// don't count, nor do those that have only just joined.
 func TestStatus(t *testing.T) {
 	for _, x := range []struct {
 		size   int
@@ -104,8 +104,8 @@
 	}
 }
 
-// Who a router hangs on holds against whatever was known of it: from another process, from before a step of its clock, or
-// from one that took it for gone.
+// Where a proxy subscribes overrides whatever was known of it: from another process, from before a step of its clock, or from one that
+// counted it as gone.
 func TestClaims(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
@@ -125,7 +125,7 @@
 	s.ClaimProxy(111, f)
 	c.Check(s.ReadyProxies(), qt.HasLen, 1)
 
-	// one that hung on a process which is lost is gone after a while, unless it hangs elsewhere by then
+	// one of a process which is lost is gone after a while, unless it subscribes elsewhere by then
 	for name, owner := range map[string]string{"x": "b", "y": "b"} {
 		s.PublishProxy(update.Proxy{Name: name, Owner: owner, Ready: true, RegisteredAt: 1}, false)
 	}
@@ -139,8 +139,8 @@
 	c.Check(s.Proxies["x"].Gone, qt.IsTrue)
 }
 
-// A control process that starts again names who hangs on it; the others take its former routers that it doesn't name for gone, unless they
-// are heard of anew meanwhile, there or elsewhere.
+// A control process that starts again names its proxies; the others count those of before that it doesn't name as gone, unless they
+// appear again meanwhile, there or elsewhere.
 func TestReconcilePeer(t *testing.T) {
 	for _, x := range []struct {
 		name  string
@@ -150,13 +150,13 @@
 	}{
 		{"not named", nil, nil, true},
 		{"named", []update.Change{{Proxy: &update.Proxy{Name: "x", Owner: "b", Ready: true, RegisteredAt: 10}}}, nil, false},
-		{"hangs there again", nil, func(s *State) {
+		{"subscribes there again", nil, func(s *State) {
 			s.Merge(1000, update.Change{Proxy: &update.Proxy{Name: "x", Owner: "b", Ready: true, RegisteredAt: 1000}})
 		}, false},
-		{"hangs elsewhere", nil, func(s *State) {
+		{"subscribes elsewhere", nil, func(s *State) {
 			s.Merge(1000, update.Change{Proxy: &update.Proxy{Name: "x", Owner: "c", Ready: true, RegisteredAt: 1000}})
 		}, false},
-		{"hangs here", nil, func(s *State) { s.ClaimProxy(1000, update.Proxy{Name: "x", Owner: s.Self.Name, Ready: true}) }, false},
+		{"subscribes here", nil, func(s *State) { s.ClaimProxy(1000, update.Proxy{Name: "x", Owner: s.Self.Name, Ready: true}) }, false},
 		{"its process is lost again", nil, func(s *State) { s.PeerLost(1000, "10.0.1.1", "b") }, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -183,9 +183,9 @@
 	}
 }
 
-// A control process restarts with its router by a clock that is an hour behind that of its former life: its claim is older than
-// what the others know. It hears of that from them, and claims the router anew; then all have it as it is, in a bounded number
-// of notes.
+// A control process restarts with its proxy by a clock that is an hour behind that of its former incarnation: its claim is older than
+// what the others know. They send it that, and it claims the proxy again; then all know it as it is, after a bounded number of
+// changes.
 func TestClaimAfterRestart(t *testing.T) {
 	for _, owner := range []string{"a", "b"} { // whose the former claim was: its own, or another's that is lost
 		c := qt.New(t)
@@ -203,10 +203,10 @@
 		notes := 0
 		for range 5 {
 			for _, from := range []string{"a", "c", "d"} {
-				news, ok := all[from].Updates.After(seen[from])
+				changes, ok := all[from].Updates.After(seen[from])
 				c.Assert(ok, qt.IsTrue)
 				seen[from] = all[from].Updates.Last()
-				for _, n := range Filter(news, true) {
+				for _, n := range Filter(changes, true) {
 					for to, s := range all {
 						if to != from {
 							notes++
@@ -228,8 +228,8 @@
 	}
 }
 
-// A router moves, and the word of its new process comes before the word of its former one that it has left. Nobody tells either once
-// more: each would tell all others and all its routers, for every router that moves.
+// A proxy moves, and the change by its new process comes before the change by its former one that it has left. Nobody publishes either
+// once more: each would send it to all others and all its proxies, for every proxy that moves.
 func TestMovesArePublishedOnce(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
@@ -251,7 +251,7 @@
 	c.Check(notes[0].FirstHand, qt.IsTrue)
 }
 
-// Of several notes on one thing the last goes out, in its place; each kind of thing by itself.
+// Of several changes of one thing the last is sent, in its place; each kind of thing by itself.
 func TestFilterKeepsTheLast(t *testing.T) {
 	c := qt.New(t)
 	front := func(name string, change int) update.Change {
@@ -283,34 +283,34 @@
 	return all
 }
 
-// A vote stands until the router's next one, also one that takes it back; figures alone change no vote, and stay here.
-func TestPolls(t *testing.T) {
+// A vote counts until the proxy's next one, also one that withdraws it; evidence alone changes no vote, and stays here.
+func TestPublishVote(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
 	k := VoteKey{"r", "desk"}
 	for i, x := range []struct {
-		verdict decision.Verdict
-		figures bool
-		shown   bool
-		want    decision.Verdict
-		news    uint64
+		vote       decision.Verdict
+		evidence   bool
+		reportOnly bool
+		want       decision.Verdict
+		wantLast   uint64
 	}{
 		{decision.NoVote, true, true, decision.NoVote, 0}, {decision.RollBack, true, false, decision.RollBack, 1}, {decision.NoVote, true, true, decision.RollBack, 1},
 		{decision.NoVote, false, false, decision.NoVote, 2}, {decision.Advance, true, false, decision.Advance, 3},
 	} {
-		p := update.Vote{Proxy: "r", Service: "desk", Number: 1, Verdict: uint8(x.verdict), ReceivedAt: int64(i + 1), ReportOnly: x.shown}
-		if x.figures {
+		p := update.Vote{Proxy: "r", Service: "desk", Number: 1, Verdict: uint8(x.vote), ReceivedAt: int64(i + 1), ReportOnly: x.reportOnly}
+		if x.evidence {
 			p.Evidence = &update.Evidence{Allowance: float64(i)}
 		}
 		s.PublishVote(p, true)
-		c.Check(decision.Verdict(s.Votes[k].Verdict), qt.Equals, x.want, qt.Commentf("poll %d", i))
-		c.Check(s.Updates.Last(), qt.Equals, x.news, qt.Commentf("poll %d", i))
+		c.Check(decision.Verdict(s.Votes[k].Verdict), qt.Equals, x.want, qt.Commentf("vote %d", i))
+		c.Check(s.Updates.Last(), qt.Equals, x.wantLast, qt.Commentf("vote %d", i))
 		c.Check(s.Votes[k].Evidence, qt.IsNil)
 	}
 	c.Check(s.Metrics[k].Evidence.Allowance, qt.Equals, 4.0)
 }
 
-// Control processes tell each other only what they hear themselves, so that no news goes round.
+// Control processes send each other only what they know at first hand, so that no update goes round.
 func TestUpdateIsSentOnce(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
@@ -340,8 +340,8 @@
 	}
 }
 
-// Thousands of routers come, vote and go in a day, and control processes with them: what is known is bounded by what is there and by
-// what went in the last ten minutes, and what lives is never forgotten.
+// Thousands of proxies come, vote and go in a day, and control processes with them: the state is bounded by what there is and by what
+// went in the last ten minutes, and what is still there is never forgotten.
 func TestForget(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
--- a/internal/control/registry/trace_test.go
+++ b/internal/control/registry/trace_test.go
@@ -19,8 +19,8 @@
 	traceSecond = int64(1e9)
 )
 
-// eachAlone is the digests of notes, sorted: some come in the order of a map, which means nothing.
-func eachAlone(notes []update.Change) (all []string) {
+// sortedDigests is the digests of changes, sorted: some come in the order of a map, which means nothing.
+func sortedDigests(notes []update.Change) (all []string) {
 	for _, n := range notes {
 		d := digest.New()
 		d.Add(n)
@@ -30,8 +30,8 @@
 	return all
 }
 
-// drawnNote is what is heard of few names.
-func drawnNote(draw *rand.Rand, now int64) update.Change {
+// randomChange is a random change of one of few things.
+func randomChange(draw *rand.Rand, now int64) update.Change {
 	owner := []string{"b0", "b1", "b2"}[draw.IntN(3)]
 	front := fmt.Sprint("r", draw.IntN(5))
 	switch draw.IntN(5) {
@@ -48,8 +48,8 @@
 	return update.Change{Ejection: &outlier.Ejection{ID: fmt.Sprint("h", draw.IntN(8)), Service: "desk", EjectedUntil: now + draw.Int64N(3*traceSecond), ProbationUntil: now + 4*traceSecond, Count: 1}}
 }
 
-// What a control process knows, tells and answers under drawn news, claims of routers, losses and returns of other processes and
-// published items is what it was. The order of the fields of notes counts; names don't, nor the order of news of one step.
+// What a control process knows, sends and answers under random changes, claims of proxies, losses and returns of other processes and
+// published items is what it was. The order of the fields of changes counts; names don't, nor the order of changes of one step.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 25, []string{"5e7beeb11598ae57", "7c7f049e29b66a64", "8a855d36c1cd2ff0", "d2a01d0e02ca8e4a"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
@@ -57,7 +57,7 @@
 		now, seen := 1000*traceSecond, uint64(0)
 		for n := range 100 {
 			now += draw.Int64N(400 * traceMs)
-			note := drawnNote(draw, now)
+			note := randomChange(draw, now)
 			peer := 1 + draw.IntN(2)
 			ip, name := fmt.Sprint("10.0.1.", peer), fmt.Sprint("b", peer)
 			switch draw.IntN(14) {
@@ -88,7 +88,7 @@
 				s.PeerLost(now, ip, name)
 				s.Node.Step(consensus.Event{Now: now, From: ip, PeerLost: true})
 			case 8:
-				s.ReconcilePeer(now, name, []update.Change{note, drawnNote(draw, now)})
+				s.ReconcilePeer(now, name, []update.Change{note, randomChange(draw, now)})
 			case 9:
 				i := config.Item{Kind: config.KindServices, Name: fmt.Sprint("s", draw.IntN(3)), Version: uint64(n + 1), Body: []byte(`{"health-path":"/","name":"s"}`)}
 				s.Set.Apply([]config.Item{i})
@@ -100,11 +100,11 @@
 			default:
 				d.Add(s.Tick(now), s.Instances.CheckHeartbeats(now, draw.IntN(2) == 0))
 			}
-			news, ok := s.Updates.After(seen)
+			changes, ok := s.Updates.After(seen)
 			seen = s.Updates.Last()
-			d.Add(ok, len(news), eachAlone(news), eachAlone(Filter(news, draw.IntN(2) == 0)))
+			d.Add(ok, len(changes), sortedDigests(changes), sortedDigests(Filter(changes, draw.IntN(2) == 0)))
 			d.Add(s.ReadyProxies(), s.Status(), s.PeerStatus(), s.VotingPeers(), slices.Sorted(slices.Values(s.MemberIPs())), s.Proxies, s.Votes, s.Metrics, s.Ejections, s.Instances.All(),
-				eachAlone(s.Snapshot(now, true)), eachAlone(s.Snapshot(now, false)))
+				sortedDigests(s.Snapshot(now, true)), sortedDigests(s.Snapshot(now, false)))
 			d.Add(s.Addresses("z0", "r0", map[string]string{"z0": "r0", "z1": "r0"}))
 		}
 	})
--- a/internal/control/server/status.go
+++ b/internal/control/server/status.go
@@ -101,7 +101,7 @@
 	return s.clusterStatus(s.clock(), err == nil), nil
 }
 
-// clusterStatus is the whole answer; the caller holds mu, as for all parts of it below.
+// clusterStatus is the complete answer. The caller holds mu, as for all parts of it below.
 func (s *Server) clusterStatus(now int64, confirmed bool) ClusterStatus {
 	node := s.state.Node
 	status := ClusterStatus{
