--- a/internal/cluster/config/index_test.go
+++ b/internal/cluster/config/index_test.go
@@ -14,9 +14,9 @@
 	"portflow/internal/cluster/settings"
 )
 
-// checkFromScratch is Check by drawing the whole chart, before and after: what it must be alike to.
-func checkFromScratch(s *Set, change []Item) (news []Item, err error) {
-	bare := func(s *Set) *Set { // a copy that holds nothing of what was read
+// checkFromScratch is CheckChange by building the routing table anew, before and after: CheckChange must come to the same.
+func checkFromScratch(s *Set, change []Item) (effective []Item, err error) {
+	bare := func(s *Set) *Set { // a copy without parsed items
 		c := s.Clone()
 		c.index, c.changed = nil, nil
 		return c
@@ -27,7 +27,7 @@
 			continue
 		}
 		next.Merge(i)
-		news = append(news, i)
+		effective = append(effective, i)
 	}
 	c := NewRoutingTable(next)
 	if len(c.Inactive) > 0 {
@@ -53,7 +53,7 @@
 			}
 		}
 	}
-	return news, nil
+	return effective, nil
 }
 
 // randomItem draws an item of a small world, where most things meet: some can't be read, as a disk of before may hold them.
@@ -86,8 +86,8 @@
 	return i
 }
 
-// Over drawn changes Check comes to what the whole drawing comes to, word for word, in sets to which anything was merged: taken
-// ones, refused ones, behind, rivals of one version, in copies and their originals; and the chart is the same with what was read
+// Over random changes CheckChange comes to the same as checkFromScratch, word for word, in sets to which anything was merged: accepted
+// ones, refused ones, behind, rivals of one version, in copies and their originals; and the routing table is the same with what was read
 // before.
 func TestCheckAlike(t *testing.T) {
 	cases, refused, taken, yielding := 0, 0, 0, 0
@@ -95,7 +95,7 @@
 		c := qt.New(t)
 		draw := rand.New(rand.NewPCG(seed, 43))
 		s := NewSet()
-		var chart *RoutingTable
+		var table *RoutingTable
 		for step := range 150 {
 			var change []Item
 			for range 1 + draw.IntN(4)*draw.IntN(3) {
@@ -150,8 +150,8 @@
 			a, b := NewRoutingTable(s), NewRoutingTable(bare)
 			yielding += min(1, len(a.Inactive))
 			c.Assert(describeTable(a), qt.Equals, describeTable(b), qt.Commentf("seed %d, step %d", seed, step))
-			chart = chart.Rebuild(s) // of the one before
-			c.Assert(describeTable(chart), qt.Equals, describeTable(b), qt.Commentf("seed %d, step %d", seed, step))
+			table = table.Rebuild(s) // of the one before
+			c.Assert(describeTable(table), qt.Equals, describeTable(b), qt.Commentf("seed %d, step %d", seed, step))
 			c.Assert(BuildQuotas(s), qt.DeepEquals, b.Quotas)
 			anew := NewSet()
 			anew.Apply(s.All())
@@ -166,7 +166,7 @@
 	qt.Check(t, refused > 1000 && taken > 1000 && yielding > 1000, qt.IsTrue)
 }
 
-// What shares are drawn from is told by one sum: a change of a route leaves it, and the next chart has the shares of the one before
+// One checksum covers what quotas are built from: a change of a route leaves it, and the next routing table has the quotas of the one before
 // as they are; a change of a share or a service, a drop and a restore don't.
 func TestQuotasRebuiltWhenTheyChange(t *testing.T) {
 	c := qt.New(t)
@@ -238,9 +238,9 @@
 	s := setWithQuotas(33000)
 	check := func(change ...Item) int {
 		before := s.examined
-		news, err := s.CheckChange(change)
+		effective, err := s.CheckChange(change)
 		c.Assert(err, qt.IsNil)
-		for _, i := range news {
+		for _, i := range effective {
 			s.Merge(i)
 		}
 		return s.examined - before
@@ -263,12 +263,12 @@
 	c.Check(all/2000 < 800, qt.IsTrue)
 }
 
-// BenchmarkCheck is an order's check at the size of docs/CAPACITY.md, by the index and by drawing all.
+// BenchmarkCheck measures the check of a change at the size of docs/CAPACITY.md, by the index and from scratch.
 func BenchmarkCheck(b *testing.B) {
 	for _, x := range []struct {
 		name  string
 		check func(*Set, []Item) ([]Item, error)
-	}{{"index", (*Set).CheckChange}, {"whole", checkFromScratch}} {
+	}{{"index", (*Set).CheckChange}, {"full", checkFromScratch}} {
 		for _, shares := range []int{0, 33000} {
 			for name, item := range map[string]func(int, uint64) Item{"route": routeAt, "share": quotaAt} {
 				if shares == 0 && name == "share" {
@@ -280,11 +280,11 @@
 					n := 0
 					for b.Loop() {
 						n++
-						news, err := x.check(s, []Item{item(n%3200, uint64(n+1))})
+						effective, err := x.check(s, []Item{item(n%3200, uint64(n+1))})
 						if err != nil {
 							b.Fatal(err)
 						}
-						s.Merge(news[0])
+						s.Merge(effective[0])
 					}
 				})
 			}
--- a/internal/cluster/config/members.go
+++ b/internal/cluster/config/members.go
@@ -5,25 +5,37 @@
 	"maps"
 )
 
-// KindCore is the kind of the item that lists the members of the core; package muster says how.
+// KindCore is the kind of the item that lists the voting members; its body is described in package membership.
 const KindCore = "core"
 
-// Members are the control processes that are members of the core, by IP number, with their zones. They are asked for at each
-// beat of a host of another zone, and so are read anew only once the list has changed.
+// membersName is the name of that item.
+const membersName = "members"
+
+// Members returns the zones of the control processes that vote, by IP address. It is called at each heartbeat of an instance of
+// another zone, and so parses the list only after it has changed.
 func (s *Set) Members() map[string]string {
 	if s.members == nil {
-		s.members = map[string]string{}
-		i, _ := s.Lookup(Key{KindCore, "members"})
-		var list struct {
-			Members []struct {
-				IP   string `json:"p"`
-				Zone string `json:"z"`
-			} `json:"m"`
-		}
-		json.Unmarshal(i.Body, &list)
-		for _, m := range list.Members {
-			s.members[m.IP] = m.Zone
-		}
+		s.members = s.parseMembers()
 	}
 	return maps.Clone(s.members)
 }
+
+func (s *Set) parseMembers() map[string]string {
+	var list struct {
+		Members []struct {
+			IP   string `json:"p"`
+			Zone string `json:"z"`
+		} `json:"m"`
+	}
+	zones := map[string]string{}
+	i, exists := s.Lookup(Key{KindCore, membersName})
+	if !exists {
+		return zones
+	}
+	// A body that can't be parsed has no members but those before the error.
+	_ = json.Unmarshal(i.Body, &list)
+	for _, member := range list.Members {
+		zones[member.IP] = member.Zone
+	}
+	return zones
+}
--- /dev/null
+++ b/internal/cluster/config/members_test.go
@@ -0,0 +1,45 @@
+package config
+
+import (
+	"fmt"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+)
+
+// Who is of the core is asked for at each heartbeat of an instance of another zone: it costs what the core has, and not what all items
+// are, and follows each change of the core at once.
+func TestMembersCost(t *testing.T) {
+	c := qt.New(t)
+	s := NewSet()
+	list := func(epoch uint64, zones ...string) Item {
+		body := `{"e":` + fmt.Sprint(epoch) + `,"m":[`
+		for n, z := range zones {
+			if n > 0 {
+				body += ","
+			}
+			body += fmt.Sprintf(`{"p":"10.0.0.%d","z":"%s"}`, n, z)
+		}
+		return Item{Kind: KindCore, Name: "members", Version: epoch, Body: []byte(body + "]}")}
+	}
+	s.Merge(list(1, "a", "a", "a", "a", "a", "a", "a"))
+	for n := range 4000 {
+		s.Merge(Item{Kind: KindRoutes, Name: fmt.Sprint("route-", n), Version: 1, Body: []byte(`{"name":"r"}`)})
+	}
+	c.Assert(s.Members(), qt.HasLen, 7)
+	c.Check(testing.AllocsPerRun(100, func() { s.Members() }) <= 4, qt.IsTrue) // a body that is read makes some 30
+	s.Members()["10.0.0.0"] = "spoilt"
+	c.Check(s.Members()["10.0.0.0"], qt.Equals, "a")
+	s.Merge(list(2, "b", "a", "a", "a", "a", "a", "a"))
+	c.Check(s.Members()["10.0.0.0"], qt.Equals, "b")
+	copied := s.Clone()
+	copied.Merge(list(3, "b", "a", "a", "a", "a", "a", "a", "c"))
+	c.Check(copied.Members(), qt.HasLen, 8)
+	c.Check(s.Members(), qt.HasLen, 7)
+	s.Merge(list(4, "b", "a", "a", "a", "a", "a"))
+	c.Check(s.Members(), qt.HasLen, 6)
+	s.ReplaceAll([]Item{list(5, "b", "a")}) // also where the set is taken over
+	c.Check(s.Members(), qt.HasLen, 2)
+	s.ReplacePartitions([]int{Key{KindCore, "members"}.partition()}, []Item{list(6, "b")})
+	c.Check(s.Members(), qt.HasLen, 1)
+}
--- a/internal/cluster/config/partitions_test.go
+++ b/internal/cluster/config/partitions_test.go
@@ -78,11 +78,11 @@
 		before := b.Checksum()
 		items := b.InPartitions(parts)
 		draw.Shuffle(len(items), func(i, j int) { items[i], items[j] = items[j], items[i] })
-		news, gone := a.ReplacePartitions(parts, items)
-		for _, i := range news {
+		changed, removed := a.ReplacePartitions(parts, items)
+		for _, i := range changed {
 			disk[i.Key()] = i
 		}
-		for _, k := range gone {
+		for _, k := range removed {
 			_, there := disk[k]
 			c.Assert(there, qt.IsTrue, qt.Commentf("%v is gone, and was never there", k))
 			delete(disk, k)
@@ -110,15 +110,15 @@
 	}
 	p := routeItem(7, 1, false).Key().partition()
 	was := s.InPartitions([]int{p})
-	news, gone := s.ReplacePartitions([]int{p}, nil)
-	c.Check(news, qt.HasLen, 0)
-	c.Check(gone, qt.HasLen, len(was))
+	changed, removed := s.ReplacePartitions([]int{p}, nil)
+	c.Check(changed, qt.HasLen, 0)
+	c.Check(removed, qt.HasLen, len(was))
 	c.Check(s.InPartitions([]int{p}), qt.HasLen, 0)
 	c.Check(s.PartitionSums()[p], qt.Equals, uint64(0))
 	c.Check(s.Len(), qt.Equals, 200-len(was))
 }
 
-// What goes is told in one order, whenever it is told.
+// Removed keys are returned in order.
 func TestReplaceGoneInOrder(t *testing.T) {
 	c := qt.New(t)
 	for range 20 {
@@ -126,23 +126,23 @@
 		for n := range 100 {
 			s.Merge(routeItem(n, 1, false))
 		}
-		_, gone := s.ReplacePartitions(func() (all []int) {
+		_, removed := s.ReplacePartitions(func() (all []int) {
 			for p := range Partitions {
 				all = append(all, p)
 			}
 			return all
 		}(), nil)
-		c.Assert(gone, qt.HasLen, 100)
-		c.Assert(slices.IsSortedFunc(gone, func(a, b Key) int {
+		c.Assert(removed, qt.HasLen, 100)
+		c.Assert(slices.IsSortedFunc(removed, func(a, b Key) int {
 			if a.Name < b.Name {
 				return -1
 			}
 			return 1
-		}), qt.IsTrue, qt.Commentf("%v", gone))
+		}), qt.IsTrue, qt.Commentf("%v", removed))
 	}
 }
 
-// Beyond the most that are kept, all holders forget the same drops, and tell which, once.
+// Beyond MaxDeleted all sets evict the same tombstones, and TakeEvicted returns each once.
 func TestForgotten(t *testing.T) {
 	c := qt.New(t)
 	a, b := NewSet(), NewSet()
--- a/internal/cluster/config/set.go
+++ b/internal/cluster/config/set.go
@@ -1,147 +1,36 @@
-// Package config is the control state that lasts: items that carry versions of their own and are merged one by one.
-// There is no log and no leader: two sets that hold the same items are the same, whatever way the items came.
 package config
 
 import (
-	"bytes"
-	"encoding/json"
-	"hash/fnv"
 	"maps"
 	"slices"
 	"strings"
 )
 
-// The kinds of items.
-const (
-	KindRoutes         = "routes"
-	KindServices       = "services"
-	KindQuotas         = "shares"      // of callers, in services
-	KindLimits         = "limits"      // one, by the name of its kind
-	KindEvacuations    = "evacuations" // by zone: begun or withdrawn
-	KindRollouts       = "rollouts"    // by service: the newest order, and how it ended
-	KindStableVersions = "settled"     // by service: the version that is not on trial
-)
-
-// Item is one of them. Body is JSON with its fields in the order of their names, so that equal ones are equal bytes.
-type Item struct {
-	Kind    string          `json:"k"`
-	Name    string          `json:"n"`
-	Version uint64          `json:"v"`
-	Deleted bool            `json:"d,omitempty"`
-	Body    json.RawMessage `json:"b,omitempty"`
-	History []Revision      `json:"p,omitempty"` // of the versions that it had before, the newest last; not told to routers
-}
-
-// Revision is what is kept of an earlier version: enough to know a rival of it.
-type Revision struct {
-	Version  uint64 `json:"v"`
-	Checksum uint64 `json:"s"`
-}
-
-// MaxHistory is how many earlier versions of an item are known.
-const MaxHistory = 8
-
-// EncodedSizeBound is as many bytes as items take at the most as JSON, where their names are plain text.
-func EncodedSizeBound(items []Item) (size int) {
-	for _, i := range items {
-		size += len(i.Kind) + len(i.Name) + len(i.Body) + len(i.History)*56 + 80
-	}
-	return size
-}
-
-// WithHistory is the item as it follows on another of its key.
-func (i Item) WithHistory(old Item) Item {
-	i.History = append(slices.Clone(old.History), Revision{old.Version, old.checksum()})
-	i.History = i.History[max(0, len(i.History)-MaxHistory):]
-	return i
-}
-
-// MatchesPast tells whether an item of an earlier version of this one is that one, another with its number, or not known.
-func (i Item) MatchesPast(past Item) (known, same bool) {
-	for _, revision := range i.History {
-		if revision.Version == past.Version {
-			return true, revision.Checksum == past.checksum()
-		}
-	}
-	return false, false
-}
-
-// PredatesHistory tells whether an item is of an earlier version of this one than is known: what its number was taken for, if it was,
-// can't be told any more.
-func (i Item) PredatesHistory(past Item) bool {
-	return len(i.History) == MaxHistory && past.Version < i.History[0].Version
-}
-
-// Key is an item's place.
-type Key struct{ Kind, Name string }
-
-// Key is where the item belongs.
-func (i Item) Key() Key { return Key{i.Kind, i.Name} }
-
-// Supersedes tells whether i holds against j, of the same key. The higher version holds. Two of one version, as two operators
-// may send at once, are told apart by what they say alone: one that is set goes before one that is dropped, then the
-// greater bytes, so that every place decides alike.
-func (i Item) Supersedes(j Item) bool {
-	switch {
-	case i.Version != j.Version:
-		return i.Version > j.Version
-	case i.Deleted != j.Deleted:
-		return j.Deleted
-	}
-	return bytes.Compare(i.Body, j.Body) > 0
-}
-
-// Equal tells whether two items say the same.
-func (i Item) Equal(j Item) bool {
-	return i.Key() == j.Key() && i.Version == j.Version && i.Deleted == j.Deleted && bytes.Equal(i.Body, j.Body)
-}
-
-func (i Item) checksum() uint64 {
-	hash := fnv.New64a()
-	hash.Write([]byte(i.Kind))
-	hash.Write([]byte{0})
-	hash.Write([]byte(i.Name))
-	for shift := range 8 {
-		hash.Write([]byte{byte(i.Version >> (8 * shift))})
-	}
-	if i.Deleted {
-		hash.Write([]byte{1})
-	}
-	hash.Write(i.Body)
-	return hash.Sum64()
-}
-
-// Partitions is into how many parts a set's sums are split, by which two holders find what differs.
-const Partitions = 64
-
-func (k Key) partition() int {
-	hash := fnv.New32a()
-	hash.Write([]byte(k.Kind))
-	hash.Write([]byte(k.Name))
-	return int(hash.Sum32() % Partitions)
-}
-
-// Set is the items that are known, dropped ones too, so that nothing older comes back. It is not safe for two goroutines.
+// Set holds all known items, deleted ones too, so that an older item can't bring them back. It is not safe for concurrent use.
 type Set struct {
 	items         map[Key]Item
 	partitionSums [Partitions]uint64
-	quotaSum      uint64         // what CallersSum tells
-	liveCount     map[string]int // how many items of a kind stand
-	deletedCount  int
-	evicted       []Key               // since it was last asked for
-	members       map[string]string   // as Members tells them, nil where they are to be read anew
-	index         *index              // of what goes together, as of a while ago, nil until Check asks for it; shared by copies, never changed
-	changed       map[Key]*parsedItem // what was put or removed since then, nil where it isn't read yet
-	examined      int                 // items that Check looked at
+	quotaSum      uint64            // see QuotaChecksum
+	liveCount     map[string]int    // how many items of a kind are not deleted
+	deletedCount  int               // how many items are tombstones
+	evicted       []Key             // since the last TakeEvicted
+	members       map[string]string // cached by Members; nil if it must be read anew
+
+	// index has the parsed items as of a while ago; nil until CheckChange needs it. Clones share it: it never changes.
+	index *index
+	// changed has the items that were put or removed since the index was built; nil where an item isn't parsed yet, or is gone.
+	changed map[Key]*parsedItem
+	// examined counts the items that CheckChange looked at: the tests bound its cost by it.
+	examined int
 }
 
-// NewSet makes an empty set.
+// NewSet returns an empty set.
 func NewSet() *Set { return &Set{items: map[Key]Item{}, liveCount: map[string]int{}} }
 
-// Merge takes an item in if it is newer than what stands, and tells whether it was.
+// Merge adds an item if it supersedes the one of its key, and reports whether it did.
 func (s *Set) Merge(i Item) bool {
-	old, there := s.items[i.Key()]
-	if there && !i.Supersedes(old) {
+	old, exists := s.items[i.Key()]
+	if exists && !i.Supersedes(old) {
 		return false
 	}
 	s.put(i)
@@ -149,7 +38,7 @@
 	return true
 }
 
-// put has an item stand in the place of its key.
+// put adds an item, in place of the one of its key.
 func (s *Set) put(i Item) {
 	s.remove(i.Key())
 	s.markChanged(i.Key())
@@ -160,22 +49,24 @@
 	s.updateTotals(i, 1)
 }
 
-// updateTotals keeps the sums and numbers over all items, as one comes or goes.
-func (s *Set) updateTotals(i Item, n int) {
+// updateTotals keeps the checksums and counts over all items, as one is added (difference 1) or removed (difference -1).
+func (s *Set) updateTotals(i Item, difference int) {
 	sum := i.checksum()
-	if s.partitionSums[i.Key().partition()] ^= sum; i.Kind == KindQuotas || i.Kind == KindServices {
+	s.partitionSums[i.Key().partition()] ^= sum
+	if i.Kind == KindQuotas || i.Kind == KindServices {
 		s.quotaSum ^= sum
 	}
 	if i.Deleted {
-		s.deletedCount += n
+		s.deletedCount += difference
 	} else {
-		s.liveCount[i.Kind] += n
+		s.liveCount[i.Kind] += difference
 	}
 }
 
+// remove removes the item of a key, without a tombstone.
 func (s *Set) remove(k Key) {
-	old, there := s.items[k]
-	if !there {
+	old, exists := s.items[k]
+	if !exists {
 		return
 	}
 	s.markChanged(k)
@@ -186,23 +77,16 @@
 	}
 }
 
-// TakeEvicted are the dropped items that were forgotten since this was last asked.
-func (s *Set) TakeEvicted() []Key {
-	all := s.evicted
-	s.evicted = nil
-	return all
-}
-
-// Lookup is the item at a key.
+// Lookup returns the item of a key, which may be deleted, and whether there is one.
 func (s *Set) Lookup(k Key) (Item, bool) {
 	i, ok := s.items[k]
 	return i, ok
 }
 
-// Len is how many items there are, dropped ones too.
+// Len returns the number of items, deleted ones included.
 func (s *Set) Len() int { return len(s.items) }
 
-// All are the items, in the order of their keys.
+// All returns all items, deleted ones included, in the order of their keys.
 func (s *Set) All() []Item {
 	all := make([]Item, 0, len(s.items))
 	for _, i := range s.items {
@@ -212,72 +96,60 @@
 	return all
 }
 
-func sortItems(all []Item) {
-	slices.SortFunc(all, func(a, b Item) int {
-		if c := strings.Compare(a.Kind, b.Kind); c != 0 {
-			return c
-		}
-		return strings.Compare(a.Name, b.Name)
-	})
-}
-
-// HighestVersion is the highest version of what operators set and drop, dropped ones too.
-func (s *Set) HighestVersion() (v uint64) {
-	for k, i := range s.items {
-		if k.Kind == KindLimits || slices.Contains(tabularKinds, k.Kind) {
-			v = max(v, i.Version)
-		}
-	}
-	return v
-}
-
-// Live are the items of a kind that are not dropped, by name.
+// Live returns the items of a kind that are not deleted, by name.
 func (s *Set) Live(kind string) (all []Item) {
-	left := s.liveCount[kind] // it is asked for often where there is none, among tens of thousands of others
+	missing := s.liveCount[kind] // often 0, where the set has tens of thousands of items of other kinds
 	for k, i := range s.items {
-		if left == 0 {
+		if missing == 0 {
 			break
 		}
 		if k.Kind == kind && !i.Deleted {
 			all = append(all, i)
-			left--
+			missing--
 		}
 	}
 	sortItems(all)
 	return all
 }
 
-// PartitionSums are the sums over the parts; two sets with the same are taken to be the same.
-func (s *Set) PartitionSums() [Partitions]uint64 { return s.partitionSums }
-
-// Checksum is one number over all.
-func (s *Set) Checksum() (sum uint64) {
-	for p, partitionSum := range s.partitionSums {
-		sum ^= partitionSum * uint64(2*p+1)
+// HighestVersion returns the highest version among the items that operators set and delete.
+func (s *Set) HighestVersion() (version uint64) {
+	for k, i := range s.items {
+		if k.Kind == KindLimits || slices.Contains(tabularKinds, k.Kind) {
+			version = max(version, i.Version)
+		}
 	}
-	return sum
+	return version
 }
 
-// QuotaChecksum is one number over all that callers' shares are drawn from: shares and services.
+// QuotaChecksum returns a checksum of all that the quotas of callers are built from: quotas and services.
 func (s *Set) QuotaChecksum() uint64 { return s.quotaSum }
 
-// DifferingItems are the items in the parts whose sums are not those of another holder.
-func (s *Set) DifferingItems(theirs [Partitions]uint64) (all []Item) {
-	for k, i := range s.items {
-		if p := k.partition(); s.partitionSums[p] != theirs[p] {
-			all = append(all, i)
-		}
+// Clone returns a copy that can change without changing s.
+func (s *Set) Clone() *Set {
+	return &Set{
+		items:         maps.Clone(s.items),
+		partitionSums: s.partitionSums,
+		quotaSum:      s.quotaSum,
+		liveCount:     maps.Clone(s.liveCount),
+		deletedCount:  s.deletedCount,
+		index:         s.index,
+		changed:       maps.Clone(s.changed),
 	}
-	sortItems(all)
-	return all
 }
 
-// Clone is a copy, for trying out what a change would make of it.
-func (s *Set) Clone() *Set {
-	c := &Set{items: make(map[Key]Item, len(s.items)), partitionSums: s.partitionSums, quotaSum: s.quotaSum, liveCount: maps.Clone(s.liveCount), deletedCount: s.deletedCount,
-		index: s.index, changed: maps.Clone(s.changed)}
-	for k, i := range s.items {
-		c.items[k] = i
+func sortItems(all []Item) {
+	slices.SortFunc(all, func(a, b Item) int { return a.Key().compare(b.Key()) })
+}
+
+func sortKeys(all []Key) {
+	slices.SortFunc(all, Key.compare)
+}
+
+// compare orders keys by kind, then by name.
+func (k Key) compare(other Key) int {
+	if c := strings.Compare(k.Kind, other.Kind); c != 0 {
+		return c
 	}
-	return c
+	return strings.Compare(k.Name, other.Name)
 }
--- a/internal/cluster/config/tombstones.go
+++ b/internal/cluster/config/tombstones.go
@@ -3,17 +3,16 @@
 import (
 	"cmp"
 	"slices"
-	"strings"
 )
 
-// MaxDeleted is how many dropped items stay known: under a megabyte of memory and of disk. Beyond it the tenth of them that
-// has the lowest versions is forgotten, then by name, so that all who apply the same changes forget the same.
+// MaxDeleted bounds the tombstones of a set, to less than a megabyte of memory and of disk. Beyond it a tenth of them is evicted,
+// those with the lowest versions, then by key, so that all processes that apply the same changes evict the same.
 //
-// What was forgotten comes back if somebody who still has it merges it. Merging alone can't tell; who takes changes in
-// their order, and a whole set as of a number in the place of an older one (Apply, Become), needs nothing of what is dropped.
+// An evicted item comes back if it is merged from a process that still has it: Merge can't tell it from a new one. A process that
+// applies the decided changes in order (Apply), or a complete snapshot in place of an older state (ReplaceAll), needs no tombstones.
 const MaxDeleted = 10000
 
-// evictDeleted forgets what is too much of the dropped items, and tells which: a tenth at once, as looking for one each time would
+// evictDeleted evicts tombstones beyond MaxDeleted, and returns their keys. It evicts a tenth at a time, as the search for one would
 // cost as much.
 func (s *Set) evictDeleted() (evicted []Key) {
 	if s.deletedCount <= MaxDeleted {
@@ -26,9 +25,10 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b Item) int {
-		return cmp.Or(cmp.Compare(a.Version, b.Version), strings.Compare(a.Kind, b.Kind), strings.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(a.Version, b.Version), a.Key().compare(b.Key()))
 	})
-	for _, i := range all[:len(all)-MaxDeleted+MaxDeleted/10-1] {
+	remaining := MaxDeleted - MaxDeleted/10 + 1
+	for _, i := range all[:len(all)-remaining] {
 		evicted = append(evicted, i.Key())
 		s.remove(i.Key())
 	}
@@ -36,8 +36,15 @@
 	return evicted
 }
 
-// Apply takes items in as they are, whatever stood: who calls has the changes in the order in which they were decided. It
-// tells which items were forgotten with it, which are to go from the disk too; all who stood alike do so after it.
+// TakeEvicted returns the keys of the tombstones that were evicted since the last call.
+func (s *Set) TakeEvicted() []Key {
+	all := s.evicted
+	s.evicted = nil
+	return all
+}
+
+// Apply puts items whatever their versions: the caller has the changes in the order in which they were decided. It returns the keys
+// of the tombstones that were evicted by it, which must leave the disk too; all sets that were equal before are equal after it.
 func (s *Set) Apply(items []Item) (evicted []Key) {
 	for _, i := range items {
 		s.put(i)
@@ -45,25 +52,25 @@
 	return s.evictDeleted()
 }
 
-// ReplaceAll makes the set what it was at another holder, whatever stood, and tells what is changed by it and what goes. Of two
-// items with one key the later counts.
+// ReplaceAll makes the set hold just the given items. It returns the items that are new or changed, and the keys that are gone, both
+// in order. Of two items with one key the later counts.
 func (s *Set) ReplaceAll(items []Item) (changed []Item, removed []Key) {
-	named := make(map[Key]Item, len(items))
+	wanted := make(map[Key]Item, len(items))
 	for _, i := range items {
-		named[i.Key()] = i
+		wanted[i.Key()] = i
 	}
 	for k := range s.items {
-		if _, exists := named[k]; !exists {
+		if _, exists := wanted[k]; !exists {
 			removed = append(removed, k)
 		}
 	}
-	for k, i := range named {
+	for k, i := range wanted {
 		if old, exists := s.items[k]; !exists || !old.Equal(i) {
 			changed = append(changed, i)
 		}
 	}
 	sortItems(changed)
-	slices.SortFunc(removed, func(a, b Key) int { return cmp.Or(strings.Compare(a.Kind, b.Kind), strings.Compare(a.Name, b.Name)) })
+	sortKeys(removed)
 	for _, k := range removed {
 		s.remove(k)
 	}
--- a/internal/cluster/config/tombstones_test.go
+++ b/internal/cluster/config/tombstones_test.go
@@ -12,7 +12,7 @@
 	return Item{Kind: KindRoutes, Name: fmt.Sprint("d", n), Version: uint64(n + 10), Deleted: true}
 }
 
-// Who was away while more was dropped than stays known still has a route that all others dropped and forgot. Merging brings
+// A process that was away while more was deleted than MaxDeleted still has a route that all others deleted and evicted. Merging brings
 // it back to life at all of them, and so does nothing but merging: taking their set over takes the route from it.
 func TestEvictedAndMerged(t *testing.T) {
 	c := qt.New(t)
@@ -33,8 +33,8 @@
 	}
 	c.Check(merged.Live(KindRoutes), qt.HasLen, 1) // the fault, and why nothing may be merged from who is behind
 
-	changed, gone := away.ReplaceAll(others.All())
-	c.Check(gone, qt.DeepEquals, []Key{old.Key()})
+	changed, removed := away.ReplaceAll(others.All())
+	c.Check(removed, qt.DeepEquals, []Key{old.Key()})
 	c.Check(len(changed), qt.Equals, others.Len())
 	c.Check(away.Live(KindRoutes), qt.HasLen, 0)
 	c.Check(away.PartitionSums(), qt.Equals, others.PartitionSums())
@@ -55,11 +55,11 @@
 		if n%7 == 0 {
 			change = append(change, deletedItem(draw.IntN(n+1)))
 		}
-		gone := first.Apply(change)
+		removed := first.Apply(change)
 		for _, i := range change {
 			disk[i.Key()] = true
 		}
-		for _, k := range gone {
+		for _, k := range removed {
 			delete(disk, k)
 		}
 		switch {
@@ -86,9 +86,9 @@
 	for n := range 3 * MaxDeleted {
 		all = append(all, deletedItem(n))
 	}
-	gone := s.Apply(all)
+	removed := s.Apply(all)
 	c.Check(s.Len(), qt.Equals, MaxDeleted-MaxDeleted/10+1)
-	c.Check(len(gone)+s.Len(), qt.Equals, len(all))
+	c.Check(len(removed)+s.Len(), qt.Equals, len(all))
 	_, newest := s.Lookup(deletedItem(3*MaxDeleted - 1).Key())
 	c.Check(newest, qt.IsTrue)
 }
@@ -107,15 +107,15 @@
 	for range 500 {
 		a, b := drawn(), drawn()
 		same := a.Clone()
-		changed, gone := a.ReplaceAll(b.All())
+		changed, removed := a.ReplaceAll(b.All())
 		c.Assert(a.PartitionSums(), qt.Equals, b.PartitionSums())
 		c.Assert(a.deletedCount, qt.Equals, b.deletedCount)
-		same.Apply(changed) // what is told of it is what differs
-		for _, k := range gone {
+		same.Apply(changed) // what it returns is what differs
+		for _, k := range removed {
 			same.remove(k)
 		}
 		c.Assert(same.PartitionSums(), qt.Equals, b.PartitionSums())
-		changed, gone = a.ReplaceAll(b.All())
-		c.Assert(len(changed)+len(gone), qt.Equals, 0)
+		changed, removed = a.ReplaceAll(b.All())
+		c.Assert(len(changed)+len(removed), qt.Equals, 0)
 	}
 }
--- a/internal/cluster/config/trace_test.go
+++ b/internal/cluster/config/trace_test.go
@@ -10,14 +10,14 @@
 	"portflow/internal/testing/digest"
 )
 
-// What drawn changes make of a set, as they are checked, applied, merged, repaired and replaced, and the charts that are drawn of
-// it, is what it was; and what the set writes reads back. The order of the fields of items and charts and the numbers of kinds
+// What drawn changes make of a set, as they are checked, applied, merged, repaired and replaced, and the routing tables that are drawn of
+// it, is what it was; and what the set writes reads back. The order of the fields of items and routing tables and the numbers of kinds
 // of errors count; names don't, but the texts of errors and of yielding items do.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 50, []string{"a12bc97676ba9bd3", "bd8d18260cdd18ba", "439e48f29ba51744", "7a7286a2a728bc2c"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
 		s, other := NewSet(), NewSet()
-		var chart *RoutingTable
+		var table *RoutingTable
 		for step := range uint64(40) {
 			var change []Item
 			for range 1 + draw.IntN(4) {
@@ -32,11 +32,11 @@
 				theirs := other.PartitionSums()
 				parts := s.DifferingPartitions(theirs[:])
 				d.Add(parts, s.DifferingItems(theirs))
-				news, gone := s.ReplacePartitions(parts, other.InPartitions(parts))
-				d.Add(news, gone)
+				changed, removed := s.ReplacePartitions(parts, other.InPartitions(parts))
+				d.Add(changed, removed)
 			case 2:
-				changed, gone := other.ReplaceAll(s.All())
-				d.Add(changed, gone)
+				changed, removed := other.ReplaceAll(s.All())
+				d.Add(changed, removed)
 			case 3:
 				for _, i := range change {
 					old, there := s.Lookup(i.Key())
@@ -44,25 +44,25 @@
 					d.Add(there, i.Supersedes(old), old.PredatesHistory(i), known, same, i.WithHistory(old))
 				}
 			default:
-				news, err := s.CheckChange(change)
-				if d.Add(news, err, apierror.KindOf(err)); err == nil {
-					d.Add(s.Apply(news))
+				effective, err := s.CheckChange(change)
+				if d.Add(effective, err, apierror.KindOf(err)); err == nil {
+					d.Add(s.Apply(effective))
 				}
 			}
-			chart = chart.Rebuild(s)
-			traceChart(d, chart)
+			table = table.Rebuild(s)
+			traceTable(d, table)
 			d.Add(s.All(), s.Checksum(), s.QuotaChecksum(), s.HighestVersion(), s.Len(), s.Live(KindRoutes), s.TakeEvicted(), BuildQuotas(s), EncodedSizeBound(s.All()))
 		}
 		raw, err := s.EncodeChange()
 		d.Add(raw, err)
 		items, err := ParseChange(raw)
 		d.Add(items, err)
-		traceChart(d, NewRoutingTable(s))
+		traceTable(d, NewRoutingTable(s))
 	})
 }
 
-// traceChart records a chart and some lookups in it.
-func traceChart(d *digest.Digest, c *RoutingTable) {
+// traceTable records a routing table and some lookups in it.
+func traceTable(d *digest.Digest, c *RoutingTable) {
 	for _, r := range c.Routes {
 		d.Add(r)
 	}
