--- a/internal/control/store/folder.go
+++ b/internal/control/store/folder.go
@@ -9,7 +9,7 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// OpenDir is the logbook's storage in a folder.
+// OpenDir opens a directory as the storage of a store. Only one process can have it open.
 func OpenDir(path string) (storage.Storage, error) {
 	s, err := storage.OpenFile(path, false)
 	if err != nil {
@@ -18,29 +18,32 @@
 	return &namedStorage{Storage: s, syncNames: func() error { return syncFolder(path) }}, nil
 }
 
-// namedStorage makes the names of files durable. A file that was synced may still be missing after a loss of power, and one
-// that was removed may be back, until the folder itself is synced. The store syncs the folder only with its list of tables:
-// a journal that it has just begun takes synced writes before that, and a synced list may name a table whose name is lost.
+// namedStorage makes the names of files durable. Until the directory itself is synced, a power loss may take a file that was synced,
+// and bring back one that was removed. The database syncs the directory only with a manifest: it writes synced data to a new journal
+// before that, and a synced manifest may name a table whose name is lost.
 type namedStorage struct {
 	storage.Storage
-	syncNames func() error // syncs the folder
+	syncNames func() error // syncs the directory
 }
 
-// Create makes a file whose name is durable before anything is written to it. Those of lists of tables are durable once the
-// store has synced the list.
+var _ storage.Storage = (*namedStorage)(nil)
+
+// Create creates a file and makes its name durable before anything is written to it. The names of manifests are durable once the
+// database has synced the manifest.
 func (s *namedStorage) Create(fd storage.FileDesc) (storage.Writer, error) {
 	w, err := s.Storage.Create(fd)
 	if err != nil || fd.Type == storage.TypeManifest {
 		return w, err
 	}
 	if err := s.syncNames(); err != nil {
-		w.Close()
+		_ = w.Close() // nothing was written to it
 		return nil, fmt.Errorf("%v: syncing its folder: %w", fd, err)
 	}
 	return w, nil
 }
 
-// Remove removes a file. The store bears that one of its own is back; the mark must not be, as a disk with it counts as lost.
+// Remove removes a file. The database tolerates it if one of its own files is back after a power loss; the damage marker must not be,
+// as a disk with it counts as lost.
 func (s *namedStorage) Remove(fd storage.FileDesc) error {
 	err := s.Storage.Remove(fd)
 	if err != nil || fd != damageMarker {
@@ -49,7 +52,7 @@
 	return s.syncNames()
 }
 
-// syncFolder syncs a folder; file systems that can't do that say so by EINVAL.
+// syncFolder syncs a directory. File systems that can't sync one say so by EINVAL.
 func syncFolder(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
