--- a/internal/control/snapshot/chunk.go
+++ b/internal/control/snapshot/chunk.go
@@ -1,110 +1,46 @@
-// Package snapshot lays a whole set of items out as a snapshot: the items as of one epoch and number, in the order of their
-// keys, in chunks that are bounded, each checked by itself, with one sum over all. Who has taken some of the chunks goes on
-// from there, also with another holder of the same set. It is pure.
+// Package snapshot owns the form in which a complete configuration is transferred and stored: the items as of one epoch and index,
+// in the order of their keys, in bounded chunks, each with a checksum, and one checksum of all items. A reader that has some of the
+// chunks can get the rest from another process that holds the same items.
+//
+// The package does no input or output, reads no clock and starts no goroutine; it never decides whether a restored snapshot comes
+// into force. Begin reading at Header and EncodeChunk; Cache serves snapshots, Assembler and Upload receive them.
 package snapshot
 
 import (
 	"bytes"
 	"compress/flate"
-	"crypto/sha256"
-	"encoding"
 	"encoding/binary"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"hash"
 	"hash/crc32"
 	"io"
-	"strings"
 
 	"portflow/internal/cluster/config"
 )
 
 const (
-	// MaxItems is how many items a snapshot may have; a chunk that says more is refused before anything is made for it.
+	// MaxItems is how many items a snapshot may have. A chunk that claims more is refused before memory is allocated for it.
 	MaxItems = 1 << 20
-	// MaxBytes is how many bytes all items together may have, laid out: far over the 9 MB of 36,200 items.
+	// MaxBytes is how many bytes all items together may have, encoded; 36,200 items take 9 MB.
 	MaxBytes = 64 << 20
-	// MaxChunkBytes is how long a chunk may be, in bytes.
+	// MaxChunkBytes is the maximum length of a chunk, in bytes.
 	MaxChunkBytes = chunkBytes + maxItemBytes + 1<<10
 
-	chunkBytes   = 64 << 10 // of items, before they are packed; one more item may go over it
-	maxItemBytes = 1 << 20  // bytes of one item
+	chunkBytes    = 64 << 10 // of encoded items, before compression; the last item may exceed it
+	maxItemBytes  = 1 << 20  // of one encoded item
+	checksumBytes = 4        // of the CRC-32C that ends a chunk
 )
 
+// magic begins each chunk.
 var magic = []byte("pfsd1\n")
 
-// IsChunk tells whether bytes begin as a chunk does.
+// IsChunk reports whether bytes begin as a chunk does.
 func IsChunk(b []byte) bool { return bytes.HasPrefix(b, magic) }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// The errors of those who take chunks; others say what is wrong with the bytes.
-var (
-	ErrOtherSnapshot = errors.New("a chunk of another snapshot")
-	ErrGap           = errors.New("the chunk does not follow")
-	ErrChecksum      = errors.New("the sum over all items is not the head's")
-)
-
-// Header says which set a snapshot is of.
-type Header struct {
-	Epoch, Index uint64 // of the core's members, and of the last change that is in it
-	Items        int
-	Checksum     [sha256.Size]byte // over the head's numbers and all items
-}
-
-// String names the snapshot; two with one name hold the same.
-func (h Header) String() string { return fmt.Sprintf("%d.%d.%x", h.Epoch, h.Index, h.Checksum[:8]) }
-
-// OlderThan tells whether h is of an earlier state than o.
-func (h Header) OlderThan(o Header) bool {
-	return h.Epoch < o.Epoch || h.Epoch == o.Epoch && h.Index < o.Index
-}
-
-// NewHeader works the head of a cut out. The items must be in the order of their keys, as Set.All gives them, each once, and
-// within the bounds.
-func NewHeader(items []config.Item, epoch, index uint64) (Header, error) {
-	header := Header{Epoch: epoch, Index: index, Items: len(items)}
-	if len(items) > MaxItems {
-		return header, fmt.Errorf("%d items, of at most %d", len(items), MaxItems)
-	}
-	digest, total := header.newHash(), 0
-	var buf []byte
-	for n, item := range items {
-		if n > 0 && !isBefore(items[n-1].Key(), item.Key()) {
-			return header, fmt.Errorf("%s %s: out of order", item.Kind, item.Name)
-		}
-		if buf = appendItem(buf[:0], item); len(buf) > maxItemBytes {
-			return header, fmt.Errorf("%s %s: %d bytes, of at most %d", item.Kind, item.Name, len(buf), maxItemBytes)
-		}
-		if total += len(buf); total > MaxBytes {
-			return header, fmt.Errorf("more than %d bytes of items", MaxBytes)
-		}
-		digest.Write(buf)
-	}
-	digest.Sum(header.Checksum[:0])
-	return header, nil
-}
-
-func (h Header) newHash() hash.Hash {
-	sum := sha256.New()
-	sum.Write(h.appendNumbers(nil))
-	return sum
-}
-
-func (h Header) appendNumbers(b []byte) []byte {
-	b = binary.AppendUvarint(b, h.Epoch)
-	b = binary.AppendUvarint(b, h.Index)
-	return binary.AppendUvarint(b, uint64(h.Items))
-}
-
-func isBefore(a, b config.Key) bool {
-	if c := strings.Compare(a.Kind, b.Kind); c != 0 {
-		return c < 0
-	}
-	return a.Name < b.Name
-}
-
+// appendItem appends an item, encoded.
 func appendItem(b []byte, i config.Item) []byte {
 	for _, text := range []string{i.Kind, i.Name} {
 		b = binary.AppendUvarint(b, uint64(len(text)))
@@ -120,61 +56,73 @@
 	return append(b, i.Body...)
 }
 
-// EncodeChunk is the part of a cut that begins with the item at from: the bytes, where the next one begins, and whether it was the
-// last. The head must be the cut's. It makes one chunk's bytes and no more.
+// EncodeChunk returns the chunk of a snapshot that begins with the item at from, the index of the item that the next chunk begins
+// with, and whether this is the last chunk. The header must be the one of the items. It allocates no more than one chunk.
 func EncodeChunk(items []config.Item, header Header, from int) (raw []byte, next int, done bool) {
 	from = max(0, min(from, len(items)))
 	var encoded []byte
 	for next = from; next < len(items) && len(encoded) < chunkBytes; next++ {
 		encoded = appendItem(encoded, items[next])
 	}
-	raw = header.appendNumbers(append([]byte(nil), magic...))
+	raw = header.appendNumbers(bytes.Clone(magic))
 	raw = append(raw, header.Checksum[:]...)
-	for _, n := range []int{from, next - from, len(encoded)} {
-		raw = binary.AppendUvarint(raw, uint64(n))
+	for _, number := range []int{from, next - from, len(encoded)} {
+		raw = binary.AppendUvarint(raw, uint64(number))
 	}
-	packed := bytes.NewBuffer(raw)
-	w, _ := flate.NewWriter(packed, flate.BestSpeed)
-	w.Write(encoded)
-	w.Close()
-	return appendChecksum(packed.Bytes()), next, next == len(items)
+	return appendChecksum(appendCompressed(raw, encoded)), next, next == len(items)
 }
 
+// appendCompressed appends data by DEFLATE (RFC 1951). Compressing into memory fails only by a wrong level.
+func appendCompressed(raw, data []byte) []byte {
+	buffer := bytes.NewBuffer(raw)
+	w, err := flate.NewWriter(buffer, flate.BestSpeed)
+	if err != nil {
+		panic(err)
+	}
+	_, _ = w.Write(data)
+	_ = w.Close()
+	return buffer.Bytes()
+}
+
+// appendChecksum appends the CRC-32C of the bytes before it.
 func appendChecksum(raw []byte) []byte {
 	return binary.BigEndian.AppendUint32(raw, crc32.Checksum(raw, castagnoli))
 }
 
-// decoder takes fields off bytes; after the first that is missing there is nothing more.
+// decoder reads fields from bytes. After the first field that is invalid it reads zero values.
 type decoder struct {
 	rest    []byte
-	problem string
+	problem string // with the first invalid field; "" if there is none
 }
 
-func (d *decoder) fail(what string) {
+func (d *decoder) fail(problem string) {
 	if d.problem == "" {
-		d.problem, d.rest = what, nil
+		d.problem = problem
+		d.rest = nil
 	}
 }
 
-func (d *decoder) number(what string, limit uint64) uint64 {
+// number reads a number of variable length, at most limit.
+func (d *decoder) number(field string, limit uint64) uint64 {
 	n, size := binary.Uvarint(d.rest)
 	switch {
 	case d.problem != "":
 		return 0
 	case size <= 0:
-		d.fail(what + ": cut short")
+		d.fail(field + ": cut short")
 		return 0
 	case n > limit:
-		d.fail(fmt.Sprintf("%s: %d, of at most %d", what, n, limit))
+		d.fail(fmt.Sprintf("%s: %d, of at most %d", field, n, limit))
 		return 0
 	}
 	d.rest = d.rest[size:]
 	return n
 }
 
-func (d *decoder) bytes(what string, n int) []byte {
+// bytes reads n bytes; they share memory with what is read.
+func (d *decoder) bytes(field string, n int) []byte {
 	if n > len(d.rest) {
-		d.fail(what + ": cut short")
+		d.fail(field + ": cut short")
 		return nil
 	}
 	b := d.rest[:n]
@@ -182,134 +130,107 @@
 	return b
 }
 
+// text reads a text with its length before it.
+func (d *decoder) text(field string) string {
+	length := int(d.number(field, maxItemBytes))
+	return string(d.bytes(field, length))
+}
+
+// item reads an item; it shares no memory with what is read.
+func (d *decoder) item() config.Item {
+	item := config.Item{
+		Kind:    d.text("kind"),
+		Name:    d.text("name"),
+		Version: d.number("version", unlimited),
+		Deleted: d.number("dropped", 1) == 1,
+	}
+	length := int(d.number("body", maxItemBytes))
+	if length == 0 {
+		return item
+	}
+	item.Body = bytes.Clone(d.bytes("body", length))
+	if d.problem == "" && !json.Valid(item.Body) {
+		d.fail("body: no JSON")
+	}
+	return item
+}
+
 const unlimited = ^uint64(0)
 
-// decodeChunk reads a chunk: whose it is, where it begins, its items, and they as they were laid out. The items share no bytes with
-// what was read.
-func decodeChunk(raw []byte) (header Header, first int, items []config.Item, encoded []byte, err error) {
-	fail := func(format string, args ...any) (Header, int, []config.Item, []byte, error) {
-		return Header{}, 0, nil, nil, fmt.Errorf("snapshot: "+format, args...)
+// chunk is a decoded chunk.
+type chunk struct {
+	header  Header
+	first   int // index of the first item
+	items   []config.Item
+	encoded []byte // the items, encoded
+}
+
+// decodeChunk decodes a chunk. The items share no memory with raw.
+func decodeChunk(raw []byte) (chunk, error) {
+	decoded, err := decodeChecked(raw)
+	if err != nil {
+		return chunk{}, fmt.Errorf("snapshot: %w", err)
 	}
+	return decoded, nil
+}
+
+func decodeChecked(raw []byte) (c chunk, err error) {
 	if len(raw) > MaxChunkBytes {
-		return fail("a chunk of %d bytes, of at most %d", len(raw), MaxChunkBytes)
+		return c, fmt.Errorf("a chunk of %d bytes, of at most %d", len(raw), MaxChunkBytes)
 	}
-	if len(raw) < len(magic)+4 || !bytes.Equal(raw[:len(magic)], magic) {
-		return fail("these are other bytes")
+	if len(raw) < len(magic)+checksumBytes || !IsChunk(raw) {
+		return c, errors.New("these are other bytes")
 	}
-	body := raw[:len(raw)-4]
+	body := raw[:len(raw)-checksumBytes]
 	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(raw[len(body):]) {
-		return fail("a chunk is spoilt")
+		return c, errors.New("a chunk is spoilt")
 	}
 	dec := &decoder{rest: body[len(magic):]}
-	header.Epoch, header.Index = dec.number("epoch", unlimited), dec.number("number", unlimited)
-	header.Items = int(dec.number("items", MaxItems))
-	copy(header.Checksum[:], dec.bytes("sum", len(header.Checksum)))
-	first = int(dec.number("from", MaxItems))
+	c.header.Epoch = dec.number("epoch", unlimited)
+	c.header.Index = dec.number("number", unlimited)
+	c.header.Items = int(dec.number("items", MaxItems))
+	copy(c.header.Checksum[:], dec.bytes("sum", len(c.header.Checksum)))
+	c.first = int(dec.number("from", MaxItems))
 	count := int(dec.number("count", MaxItems))
 	length := int(dec.number("length", chunkBytes+maxItemBytes))
 	if dec.problem != "" {
-		return fail("%s", dec.problem)
-	}
-	if first+count > header.Items || count == 0 && header.Items > 0 || count > length {
-		return fail("%d items from %d on, of %d, in %d bytes", count, first, header.Items, length)
-	}
-	packed := bytes.NewReader(dec.rest)
-	encoded, err = io.ReadAll(io.LimitReader(flate.NewReader(packed), int64(length)+1))
-	if err != nil || len(encoded) != length || packed.Len() > 0 {
-		return fail("the packed items are not %d bytes: %v", length, err)
+		return c, errors.New(dec.problem)
 	}
-	dec.rest = encoded
-	for pos := range count {
-		item := config.Item{Kind: string(dec.bytes("kind", int(dec.number("kind", maxItemBytes)))),
-			Name: string(dec.bytes("name", int(dec.number("name", maxItemBytes)))), Version: dec.number("version", unlimited),
-			Deleted: dec.number("dropped", 1) == 1}
-		if n := int(dec.number("body", maxItemBytes)); n > 0 {
-			item.Body = bytes.Clone(dec.bytes("body", n))
-			if dec.problem == "" && !json.Valid(item.Body) {
-				dec.fail("body: no JSON")
-			}
-		}
-		if dec.problem != "" {
-			return fail("item %d, %s %s: %s", first+pos, item.Kind, item.Name, dec.problem)
-		}
-		items = append(items, item)
+	if c.first+count > c.header.Items || count == 0 && c.header.Items > 0 || count > length {
+		return c, fmt.Errorf("%d items from %d on, of %d, in %d bytes", count, c.first, c.header.Items, length)
 	}
-	if len(dec.rest) > 0 {
-		return fail("%d bytes after the last item of a chunk", len(dec.rest))
+	if c.encoded, err = decompress(dec.rest, length); err != nil {
+		return c, err
 	}
-	return header, first, items, encoded, nil
-}
-
-// Assembler takes a snapshot's chunks in their order and tells when they are all there and right. It holds one sum, no items.
-// The zero value begins with whatever snapshot its first chunk is of.
-type Assembler struct {
-	header   Header
-	started  bool
-	received int
-	bytes    int
-	lastKey  config.Key
-	digest   hash.Hash
-	done     bool
+	c.items, err = decodeItems(c.encoded, c.first, count)
+	return c, err
 }
 
-// Header says which snapshot it is, once a chunk was taken.
-func (a *Assembler) Header() (h Header, begun bool) { return a.header, a.started }
-
-// Received is how many items were taken: the next chunk begins there.
-func (a *Assembler) Received() int { return a.received }
-
-// Done tells whether all items were taken, and their sum is the head's.
-func (a *Assembler) Done() bool { return a.done }
-
-// Add takes a chunk and gives its items, in their order; none of one that was taken before. After an error nothing has
-// changed, and the right chunk may follow; but nothing may be made of the items before Done.
-func (a *Assembler) Add(raw []byte) ([]config.Item, error) {
-	header, first, items, encoded, err := decodeChunk(raw)
-	switch {
-	case err != nil:
-		return nil, err
-	case a.started && header != a.header:
-		return nil, fmt.Errorf("%w: %v, not %v", ErrOtherSnapshot, header, a.header)
-	case a.started && first+len(items) <= a.received && (a.done || first < a.received):
-		return nil, nil
-	case first != a.received:
-		return nil, fmt.Errorf("%w: it begins with item %d, %d are there", ErrGap, first, a.received)
-	case a.bytes+len(encoded) > MaxBytes:
-		return nil, fmt.Errorf("snapshot: more than %d bytes of items", MaxBytes)
-	}
-	lastKey := a.lastKey
-	for n, i := range items {
-		if (a.received > 0 || n > 0) && !isBefore(lastKey, i.Key()) {
-			return nil, fmt.Errorf("snapshot: item %d, %s %s: out of order", first+n, i.Kind, i.Name)
-		}
-		lastKey = i.Key()
-	}
-	sum := header.newHash()
-	if a.started {
-		if sum, err = cloneHash(a.digest); err != nil {
-			return nil, err
-		}
+// decompress returns the data of a length that is compressed in all bytes of raw.
+func decompress(raw []byte, length int) ([]byte, error) {
+	compressed := bytes.NewReader(raw)
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(compressed), int64(length)+1))
+	if err != nil {
+		return nil, fmt.Errorf("the packed items are not %d bytes: %w", length, err)
 	}
-	sum.Write(encoded)
-	if first+len(items) == header.Items && !bytes.Equal(sum.Sum(nil), header.Checksum[:]) {
-		return nil, ErrChecksum
+	if len(data) != length || compressed.Len() > 0 {
+		return nil, fmt.Errorf("the packed items are not %d bytes: <nil>", length)
 	}
-	a.header, a.started, a.digest, a.lastKey = header, true, sum, lastKey
-	a.received += len(items)
-	a.bytes += len(encoded)
-	a.done = a.received == header.Items
-	return items, nil
+	return data, nil
 }
 
-// cloneHash is a sum that goes on by itself, so that a chunk that is refused leaves nothing in the other.
-func cloneHash(sum hash.Hash) (hash.Hash, error) {
-	state, err := sum.(encoding.BinaryMarshaler).MarshalBinary()
-	if err != nil {
-		return nil, fmt.Errorf("snapshot: %w", err)
+// decodeItems decodes the items of a chunk, the first of which is the snapshot's item at first.
+func decodeItems(encoded []byte, first, count int) (items []config.Item, err error) {
+	dec := &decoder{rest: encoded}
+	for n := range count {
+		item := dec.item()
+		if dec.problem != "" {
+			return nil, fmt.Errorf("item %d, %s %s: %s", first+n, item.Kind, item.Name, dec.problem)
+		}
+		items = append(items, item)
 	}
-	next := sha256.New()
-	if err := next.(encoding.BinaryUnmarshaler).UnmarshalBinary(state); err != nil {
-		return nil, fmt.Errorf("snapshot: %w", err)
+	if len(dec.rest) > 0 {
+		return nil, fmt.Errorf("%d bytes after the last item of a chunk", len(dec.rest))
 	}
-	return next, nil
+	return items, nil
 }
--- a/internal/control/snapshot/snapshot_test.go
+++ b/internal/control/snapshot/snapshot_test.go
@@ -38,7 +38,7 @@
 	return h
 }
 
-// chunks are all of a cut.
+// chunks returns all chunks of a snapshot.
 func chunks(all []config.Item, h Header) (raws [][]byte) {
 	for from, done := 0, false; !done; {
 		var raw []byte
@@ -48,7 +48,7 @@
 	return raws
 }
 
-// What is laid out is read as it was, whatever its size, in bounded chunks, and the head says of what it is.
+// What is encoded is decoded as it was, whatever its size, in bounded chunks, and the header identifies it.
 func TestRound(t *testing.T) {
 	for _, n := range []int{0, 1, 2, 700, 5000} {
 		c := qt.New(t)
@@ -72,7 +72,7 @@
 	}
 }
 
-// Drawn transfers: chunks that come twice, too early, spoilt or of another cut change nothing; whoever goes on from what it has
+// Drawn transfers: chunks that come twice, too early, damaged or of another snapshot change nothing; whoever goes on from what it has
 // ends with all, and nothing is called done before.
 func TestBrokenTransfers(t *testing.T) {
 	all, other := items(3000), items(2999)
@@ -116,7 +116,7 @@
 	}
 }
 
-// Chunks that are each good, but not one cut's, are told by the sum over all, the order and the count.
+// Chunks that are each good, but not of one snapshot, are refused by the checksum of all items, the order and the count.
 func TestNotOneSnapshot(t *testing.T) {
 	c := qt.New(t)
 	all := items(3000)
@@ -245,8 +245,8 @@
 	runtime.KeepAlive(set)
 }
 
-// A cut is answered from to its end though the set changes; one that is gone is asked of any holder whose set is the same, else
-// the asker starts again. No more than two cuts are kept, none longer than 30 s after it was asked for.
+// A snapshot is served to its end though the set changes; one that is gone is served by any process whose set is the same, else
+// the reader starts again. No more than two are kept, none longer than 30 s after it was last used.
 func TestCache(t *testing.T) {
 	c := qt.New(t)
 	var s Cache
@@ -262,9 +262,9 @@
 	for p := first; !p.Done; {
 		p, err = s.Serve(int64(time.Second), ReadRequest{Snapshot: first.Snapshot, FirstItem: p.NextItem}, present)
 		c.Assert(err, qt.IsNil)
-		news, err := g.Add(p.Chunk)
+		added, err := g.Add(p.Chunk)
 		c.Assert(err, qt.IsNil)
-		got = append(got, news...)
+		got = append(got, added...)
 	}
 	c.Check(g.Done(), qt.IsTrue)
 	c.Check(got, qt.DeepEquals, old)
@@ -312,7 +312,7 @@
 	}
 	c.Check(got, qt.DeepEquals, all)
 	c.Check(l, qt.Equals, RestoreResponse{Snapshot: h.String(), ReceivedItems: len(all)})
-	l, got, _, err = d.AddChunk(5, raws[len(raws)-1]) // the core has not said yet
+	l, got, _, err = d.AddChunk(5, raws[len(raws)-1]) // no outcome is noted yet
 	c.Assert(err, qt.IsNil)
 	c.Check(got, qt.HasLen, 0)
 	c.Check(l.InForce, qt.IsFalse)
--- a/internal/control/snapshot/trace_test.go
+++ b/internal/control/snapshot/trace_test.go
@@ -17,9 +17,9 @@
 		draw := rand.New(rand.NewPCG(seed, 1))
 		all, number := items(900), uint64(5)
 		present := func() ([]config.Item, uint64, uint64) { return all, 3, number }
-		var shelf Cache
-		var dock Upload
-		var ask ReadRequest
+		var cache Cache
+		var upload Upload
+		var req ReadRequest
 		now := int64(1e12)
 		var last []byte
 		for range 12 {
@@ -27,14 +27,14 @@
 			if draw.IntN(12) == 0 {
 				all, number = items(600+draw.IntN(3)*150), number+1
 			}
-			part, err := shelf.Serve(now, ask, present)
-			d.Add(part, err, apierror.KindOf(err))
-			if err != nil || part.Done {
-				ask = ReadRequest{}
+			chunk, err := cache.Serve(now, req, present)
+			d.Add(chunk, err, apierror.KindOf(err))
+			if err != nil || chunk.Done {
+				req = ReadRequest{}
 			} else {
-				ask = ReadRequest{Snapshot: part.Snapshot, FirstItem: part.NextItem}
+				req = ReadRequest{Snapshot: chunk.Snapshot, FirstItem: chunk.NextItem}
 			}
-			raw := part.Chunk
+			raw := chunk.Chunk
 			switch draw.IntN(10) {
 			case 0:
 				raw = last
@@ -44,11 +44,11 @@
 					raw[draw.IntN(len(raw))] ^= 1
 				}
 			}
-			last = part.Chunk
-			landed, taken, head, err := dock.AddChunk(now, raw)
-			d.Add(IsChunk(raw), landed, taken, head, err, apierror.KindOf(err))
-			if len(taken) > 0 {
-				dock.Finish(head, draw.IntN(3) > 0)
+			last = chunk.Chunk
+			resp, restored, header, err := upload.AddChunk(now, raw)
+			d.Add(IsChunk(raw), resp, restored, header, err, apierror.KindOf(err))
+			if len(restored) > 0 {
+				upload.Finish(header, draw.IntN(3) > 0)
 			}
 		}
 		d.Add(ValidateItem(all[draw.IntN(len(all))]))
--- a/internal/control/store/damage.go
+++ b/internal/control/store/damage.go
@@ -13,9 +13,9 @@
 	return scan.damaged()
 }
 
-// manifestDamaged is Damaged for a manifest, which has the same format and is synced as a journal is.
-func manifestDamaged(manifest []byte) bool {
-	scan := logScan{file: manifest, isComplete: isCompleteEdit, minZeros: minUnwritten}
+// versionLogDamaged is Damaged for a manifest file, which has the same format and is synced as a journal is.
+func versionLogDamaged(file []byte) bool {
+	scan := logScan{file: file, isComplete: isCompleteEdit, minZeros: minUnwritten}
 	return scan.damaged()
 }
 
--- a/internal/control/store/damage_test.go
+++ b/internal/control/store/damage_test.go
@@ -96,7 +96,7 @@
 			return
 		}
 		Damaged(b)
-		manifestDamaged(b)
+		versionLogDamaged(b)
 		for _, file := range []storage.FileType{storage.TypeJournal, storage.TypeManifest} {
 			s, fd, _ := smallStore(t, 4)
 			if file == storage.TypeManifest {
--- a/internal/control/store/folder.go
+++ b/internal/control/store/folder.go
@@ -19,8 +19,8 @@
 }
 
 // namedStorage makes the names of files durable. Until the directory itself is synced, a power loss may take a file that was synced,
-// and bring back one that was removed. The database syncs the directory only with a manifest: it writes synced data to a new journal
-// before that, and a synced manifest may name a table whose name is lost.
+// and bring back one that was removed. The database syncs the directory only with a manifest file: it writes synced data to a new journal
+// before that, and a synced manifest file may name a table whose name is lost.
 type namedStorage struct {
 	storage.Storage
 	syncNames func() error // syncs the directory
@@ -28,8 +28,8 @@
 
 var _ storage.Storage = (*namedStorage)(nil)
 
-// Create creates a file and makes its name durable before anything is written to it. The names of manifests are durable once the
-// database has synced the manifest.
+// Create creates a file and makes its name durable before anything is written to it. The name of a manifest file is durable once the
+// database has synced the manifest file.
 func (s *namedStorage) Create(fd storage.FileDesc) (storage.Writer, error) {
 	w, err := s.Storage.Create(fd)
 	if err != nil || fd.Type == storage.TypeManifest {
--- a/internal/control/store/folder_test.go
+++ b/internal/control/store/folder_test.go
@@ -24,7 +24,7 @@
 	made     map[storage.FileDesc]bool
 	removed  map[string][]byte // by file name, what it held
 	journals int               // that were made
-	listed   func()            // after a manifest was synced, before the folder is
+	listed   func()            // after a manifest file was synced, before the folder is
 	tables   chan struct{}     // tables are made once it is closed; nil for at once
 }
 
@@ -88,7 +88,7 @@
 	return err
 }
 
-// listWriter writes a manifest, which the store syncs with its folder.
+// listWriter writes a manifest file, which the store syncs with its folder.
 type listWriter struct {
 	storage.Writer
 	u *unsyncedNames
@@ -181,7 +181,7 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// A loss of power between the sync of the manifest and that of the folder leaves a disk that is well.
+// A loss of power between the sync of the manifest file and that of the folder leaves a disk that is well.
 func TestNewTableOutlastsPowerLoss(t *testing.T) {
 	c := qt.New(t)
 	u, s := openUnsynced(t, t.TempDir())
--- a/internal/control/store/logformat.go
+++ b/internal/control/store/logformat.go
@@ -5,7 +5,7 @@
 	"hash/crc32"
 )
 
-// The LevelDB log format (doc/log_format.md of LevelDB), which journals and manifests have: blocks of 32 KB that hold chunks, each a
+// The LevelDB log format (doc/log_format.md of LevelDB), which a journal and a manifest file have: blocks of 32 KB that hold chunks, each a
 // masked CRC-32C of four bytes, a length of two bytes, a type and the data. A record is one full chunk, or a first, any number of
 // middle ones and a last one.
 const (
@@ -103,7 +103,7 @@
 	return true
 }
 
-// editFields are the fields of a version edit, which is a record of a manifest, by their tags. Each has its parts: n for a number, b
+// editFields are the fields of a version edit, which is a record of a manifest file, by their tags. Each has its parts: n for a number, b
 // for bytes with their length before them (LevelDB's db/version_edit.cc).
 var editFields = map[uint64]string{
 	1: "b",     // comparator
--- a/internal/control/store/marker.go
+++ b/internal/control/store/marker.go
@@ -44,7 +44,7 @@
 // maxJournalBytes bounds what is read of a journal: the database begins another one at a megabyte and the write that exceeds it.
 const maxJournalBytes = 32 << 20
 
-// findDamage looks for damaged journals and manifests, which the database would pass over silently, and for the marker.
+// findDamage looks for damaged journals and any manifest file, which the database would pass over silently, and for the marker.
 func findDamage(backend storage.Storage) (damaged bool, err error) {
 	files, err := backend.List(storage.TypeJournal | storage.TypeManifest | storage.TypeTemp)
 	if err != nil {
@@ -60,7 +60,7 @@
 			return false, fmt.Errorf("%v: %w", file, err)
 		}
 		if file.Type == storage.TypeManifest {
-			damaged = damaged || manifestDamaged(raw)
+			damaged = damaged || versionLogDamaged(raw)
 		} else {
 			damaged = damaged || Damaged(raw)
 		}
