--- a/internal/cluster/update/clock_offset.go
+++ b/internal/cluster/update/clock_offset.go
@@ -1,36 +1,36 @@
 package update
 
-// Times on a line are by the clock of who speaks: it is anchored when its process starts and never steps, and may be hours
-// from anybody else's. Who hears them puts its own clock's time in their place, by an Offset of that line, so that no time of
-// day goes from one process to another.
-
-// driftDivisor is by how much two clocks may come apart in a while: one part in so many.
+// driftDivisor bounds the drift of two clocks: they come apart by at most one part in so many.
 const driftDivisor = 10_000
 
-// ClockOffset is by how much the clock of who speaks on a line is ahead of who hears, nanoseconds. The way of a word makes it less,
-// never more, so the greatest of late holds: a time that is told is never taken for earlier than it was, but by drift. The
-// zero Offset changes nothing, as of processes that tell no time.
+// ClockOffset is how far the clock of a stream's other process is ahead of this process's clock, in nanoseconds.
+//
+// Times on a stream are of the sender's clock, which is set when its process starts, never steps, and may differ from other clocks by
+// hours. The receiver converts them to its own clock, so that no time of day is sent between processes. The delay of a message makes
+// the observed offset smaller, never greater, so that the greatest recent one is kept: a received time is never taken for earlier
+// than it was, but for drift. The zero value converts nothing, as for processes that send no time.
 type ClockOffset struct {
-	ahead, at int64
-	known     bool
+	ahead, observedAt int64
+	known             bool
 }
 
-// Observe takes a word's time, by the clock of who said it, as it comes now; 0 is none.
+// Observe updates the offset by the sender's clock in a message that is received now; 0 means that the message has none.
 func (o *ClockOffset) Observe(theirs, now int64) {
 	if theirs == 0 {
 		return
 	}
 	ahead := theirs - now
 	if o.known {
-		ahead = max(ahead, o.ahead-max(0, now-o.at)/driftDivisor)
+		drift := max(0, now-o.observedAt) / driftDivisor
+		ahead = max(ahead, o.ahead-drift)
 	}
-	*o = ClockOffset{ahead, now, true}
+	*o = ClockOffset{ahead: ahead, observedAt: now, known: true}
 }
 
-// Ahead is by how much the other's clock is ahead.
+// Ahead returns by how many nanoseconds the other clock is ahead.
 func (o ClockOffset) Ahead() int64 { return o.ahead }
 
-// ToLocal is a time that was told, by this process's clock; 0 stays 0.
+// ToLocal converts a received time to this process's clock; 0, no time, stays 0.
 func (o ClockOffset) ToLocal(theirs int64) int64 {
 	if theirs == 0 {
 		return 0
@@ -38,8 +38,8 @@
 	return theirs - o.ahead
 }
 
-// ToLocal is a note that was told, with its times by this process's clock. A router's Since is a version and no time: whoever
-// takes a router up gives it a higher one.
+// ToLocal returns a received change with its times converted to this process's clock. Proxy.RegisteredAt is a version and no time: a
+// control process that registers a proxy gives it a higher one.
 func (c Change) ToLocal(offset ClockOffset) Change {
 	if !offset.known {
 		return c
@@ -51,7 +51,8 @@
 	}
 	if c.Ejection != nil {
 		ejection := *c.Ejection
-		ejection.EjectedUntil, ejection.ProbationUntil = offset.ToLocal(ejection.EjectedUntil), offset.ToLocal(ejection.ProbationUntil)
+		ejection.EjectedUntil = offset.ToLocal(ejection.EjectedUntil)
+		ejection.ProbationUntil = offset.ToLocal(ejection.ProbationUntil)
 		c.Ejection = &ejection
 	}
 	if c.Vote != nil {
@@ -63,14 +64,7 @@
 	return c
 }
 
-// RolloutStart is when a service's newest rollout began, by the clock of whoever tells it, nanoseconds.
-type RolloutStart struct {
-	Service   string `json:"s"`
-	Number    uint64 `json:"o"`
-	StartedAt int64  `json:"b"`
-}
-
-// HasTimes tells whether a note holds times: then the word must tell one too.
+// HasTimes reports whether a change has times: then its message must have the sender's clock.
 func (c Change) HasTimes() bool {
 	return c.Instance != nil && c.Instance.WarmUpUntil != 0 || c.Ejection != nil || c.Vote != nil || c.RolloutStartedAt != 0
 }
--- a/internal/cluster/update/clock_offset_test.go
+++ b/internal/cluster/update/clock_offset_test.go
@@ -12,8 +12,8 @@
 
 const second = int64(1e9)
 
-// Whatever the clocks are, and however late words come, a time that is told is taken for no earlier than it was, and for as
-// much later as the quickest word of late was on its way.
+// Whatever the clocks are, and however late messages come, a received time is taken for no earlier than it was, and for as
+// much later as the quickest recent message took.
 func TestOffset(t *testing.T) {
 	for seed := range uint64(200) {
 		draw := rand.New(rand.NewPCG(seed, 5))
@@ -48,7 +48,7 @@
 	}
 }
 
-// All times of a note move, and nothing else; what its sender has is not touched. Without a time nothing moves.
+// All times of a change move, and nothing else; what its sender has is not touched. Without a time nothing moves.
 func TestChangeToLocal(t *testing.T) {
 	c := qt.New(t)
 	n := func() []Change {
