--- a/internal/cluster/stream/conn.go
+++ b/internal/cluster/stream/conn.go
@@ -1,11 +1,11 @@
-// Package stream holds connections between the system's processes open: frames of JSON both ways, a beat where there is
-// nothing to say, and an end as soon as the other side has been silent for too long.
+// Package stream owns the connections that processes of the system hold open with each other: frames of JSON both ways, heartbeats
+// when there is nothing to send, and an end as soon as the other side has been silent for too long.
+//
+// It never dials, listens or reconnects, and doesn't know what the messages mean. Begin reading at Conn: Open, Send and Run.
 package stream
 
 import (
 	"bytes"
-	"compress/flate"
-	"encoding/binary"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -16,79 +16,82 @@
 	"time"
 )
 
-const (
-	// MaxFrameBytes is how many bytes a frame may have, inflated. Who is sent more ends the line.
-	MaxFrameBytes        = 24 << 20
-	sendQueueLength      = 1024 // frames that may wait to be written
-	compressionThreshold = 512  // frames from so many bytes on are deflated
-)
+// sendQueueLength is how many frames may wait to be written.
+const sendQueueLength = 1024
 
-// Keepalive is how often a side beats that has nothing to say, and after how long the other side is taken for lost.
+// Keepalive is how often a side sends a heartbeat when it has nothing else to send, and the time of silence after which the other
+// side is taken for lost.
 type Keepalive struct{ Interval, Timeout time.Duration }
 
 var (
-	ProxyKeepalive   = Keepalive{500 * time.Millisecond, 1800 * time.Millisecond} // of routers: they move on soon
-	ControlKeepalive = Keepalive{time.Second, 2800 * time.Millisecond}            // between control processes, that are far from each other
+	// ProxyKeepalive is for connections of proxies, which connect to another control process soon.
+	ProxyKeepalive = Keepalive{Interval: 500 * time.Millisecond, Timeout: 1800 * time.Millisecond}
+	// ControlKeepalive is for connections between control processes, which may be in distant regions.
+	ControlKeepalive = Keepalive{Interval: time.Second, Timeout: 2800 * time.Millisecond}
 )
 
-// ErrPeerTimeout says that the other side said nothing for too long.
+// ErrPeerTimeout is the reason of a connection's end when the other side was silent for too long.
 var ErrPeerTimeout = errors.New("the other side is silent")
 
-// MalformedFrames counts frames and openings that were none of ours.
+// MalformedFrames counts received frames and preambles that were not valid.
 var MalformedFrames atomic.Int64
 
-// FramesWritten and Beats count all frames of this process that were written, and the bytes of those that said something.
-var FramesWritten, HeartbeatsWritten, FrameBytesWritten atomic.Int64
+// FramesWritten counts the frames of this process that were written, without heartbeats.
+var FramesWritten atomic.Int64
+
+// HeartbeatsWritten counts the heartbeats of this process that were written.
+var HeartbeatsWritten atomic.Int64
+
+// FrameBytesWritten counts the bytes of FramesWritten.
+var FrameBytesWritten atomic.Int64
 
-// Conn is one held connection. T is what is said on it.
+// Conn is a connection that is held open. T is the type of its messages. It is safe for concurrent use, but for Run.
 type Conn[T any] struct {
 	conn           net.Conn
 	keepalive      Keepalive
-	betweenControl atomic.Bool
+	betweenControl atomic.Bool // ControlKeepalive holds in place of keepalive
 	queue          chan outgoing
 	done           chan struct{}
 	once           sync.Once
-	err            error
-	BytesRead      atomic.Int64 // bytes read and written
+	err            error // why the connection ended; written before done is closed
+	BytesRead      atomic.Int64
 	BytesWritten   atomic.Int64
 }
 
-// outgoing is what waits to be written: a frame, or what is to be one.
+// outgoing waits to be written: a frame, or a body that is to be encoded as one.
 type outgoing struct {
 	raw    []byte
 	framed bool
 }
 
-// preamble opens each side's talk, so that foreign bytes are known at once.
+// preamble is what each side sends first, so that another protocol is recognised at once.
 var preamble = []byte("pfl1")
 
-// Open takes a connection up. Run reads it.
+// Open begins to use a connection. It starts the goroutine that writes to it, which ends with Close. Run reads from it.
 func Open[T any](conn net.Conn, keepalive Keepalive) *Conn[T] {
-	c := &Conn[T]{conn: conn, keepalive: keepalive, queue: make(chan outgoing, sendQueueLength), done: make(chan struct{})}
+	c := &Conn[T]{
+		conn:      conn,
+		keepalive: keepalive,
+		queue:     make(chan outgoing, sendQueueLength),
+		done:      make(chan struct{}),
+	}
 	go c.writeLoop()
 	return c
 }
 
-// SetKeepalive changes the pace, as both sides do once they know who the other is.
+// SetKeepalive changes the keepalive to ControlKeepalive, or back to that of Open, once a side knows which process the other is.
 func (c *Conn[T]) SetKeepalive(keepalive Keepalive) {
 	c.betweenControl.Store(keepalive == ControlKeepalive)
 }
 
-func (c *Conn[T]) timeout() time.Duration {
-	if c.betweenControl.Load() {
-		return ControlKeepalive.Timeout
-	}
-	return c.keepalive.Timeout
-}
-
-func (c *Conn[T]) heartbeatInterval() time.Duration {
+func (c *Conn[T]) currentKeepalive() Keepalive {
 	if c.betweenControl.Load() {
-		return ControlKeepalive.Interval
+		return ControlKeepalive
 	}
-	return c.keepalive.Interval
+	return c.keepalive
 }
 
-// Send says something; it never waits. A side that doesn't take what it is told is lost.
+// Send sends a message. It never waits: if too many messages wait to be written, the connection is closed.
 func (c *Conn[T]) Send(v T) {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -98,19 +101,19 @@
 	c.enqueue(outgoing{raw: raw})
 }
 
-// SendFrame says what Frame laid out. Many lines may be sent the same bytes: nobody changes them.
-func (c *Conn[T]) SendFrame(frame []byte) { c.enqueue(outgoing{frame, true}) }
+// SendFrame is Send for a message that EncodeFrame encoded. Many connections may send the same bytes: nothing may change them.
+func (c *Conn[T]) SendFrame(frame []byte) { c.enqueue(outgoing{raw: frame, framed: true}) }
 
-func (c *Conn[T]) enqueue(s outgoing) {
+func (c *Conn[T]) enqueue(message outgoing) {
 	select {
-	case c.queue <- s:
+	case c.queue <- message:
 	case <-c.done:
 	default:
 		c.Close(errors.New("the other side takes nothing up"))
 	}
 }
 
-// Close ends the line, once, for the reason given.
+// Close closes the connection for a reason, which Err returns. Only the first call has an effect.
 func (c *Conn[T]) Close(err error) {
 	c.once.Do(func() {
 		c.err = err
@@ -119,128 +122,110 @@
 	})
 }
 
-// Done is closed at the end.
+// Done returns a channel that is closed when the connection ends.
 func (c *Conn[T]) Done() <-chan struct{} { return c.done }
 
-// Err is why it ended, after Done.
+// Err returns why the connection ended. It must be called only after Done is closed.
 func (c *Conn[T]) Err() error { return c.err }
 
-// RemoteAddress is the other side's address.
+// RemoteAddress returns the address of the other side.
 func (c *Conn[T]) RemoteAddress() string { return c.conn.RemoteAddr().String() }
 
-// compressors are kept from frame to frame: each has tables of half a megabyte, many times what a frame holds. Those that rest are
-// let go by the collector.
-var compressors = sync.Pool{New: func() any {
-	w, _ := flate.NewWriter(nil, flate.BestSpeed)
-	return w
-}}
-
-// EncodeFrame lays out JSON as it is sent, for what is said on many lines alike.
-func EncodeFrame(raw []byte) []byte { return encodeFrame(raw) }
-
-// encodeFrame is a length, of which the highest bit says that what follows is deflated, and the bytes.
-func encodeFrame(raw []byte) []byte {
-	header := uint32(len(raw))
-	if len(raw) >= compressionThreshold {
-		var compressed bytes.Buffer
-		writer := compressors.Get().(*flate.Writer)
-		writer.Reset(&compressed)
-		writer.Write(raw)
-		writer.Close()
-		compressors.Put(writer)
-		if compressed.Len() < len(raw) {
-			raw, header = compressed.Bytes(), uint32(compressed.Len())|1<<31
-		}
-	}
-	return append(binary.BigEndian.AppendUint32(nil, header), raw...)
-}
-
+// writeLoop writes the preamble, then frames and heartbeats, until the connection ends.
 func (c *Conn[T]) writeLoop() {
 	ticker := time.NewTicker(c.keepalive.Interval)
 	defer ticker.Stop()
-	lastWrite := time.Now()
-	next := append([]byte(nil), preamble...)
-	for {
-		c.conn.SetWriteDeadline(time.Now().Add(c.timeout()))
-		n, err := c.conn.Write(next)
-		if c.BytesWritten.Add(int64(n)); len(next) > 4 {
-			FramesWritten.Add(1)
-			FrameBytesWritten.Add(int64(n))
-		} else {
-			HeartbeatsWritten.Add(1)
-		}
-		if err != nil {
+	next, open := preamble, true
+	for open {
+		if err := c.write(next); err != nil {
 			c.Close(fmt.Errorf("writing: %w", err))
 			return
 		}
-		lastWrite = time.Now()
-		for next = nil; next == nil; {
-			select {
-			case s := <-c.queue:
-				if next = s.raw; !s.framed {
-					next = encodeFrame(s.raw)
-				}
-			case <-ticker.C:
-				if time.Since(lastWrite) >= c.heartbeatInterval()*7/8 {
-					next = make([]byte, 4)
-				}
-			case <-c.done:
-				return
+		next, open = c.awaitFrame(ticker.C, time.Now())
+	}
+}
+
+// write writes a frame, a heartbeat or the preamble, and counts it; the preamble counts as a heartbeat.
+func (c *Conn[T]) write(frame []byte) error {
+	c.conn.SetWriteDeadline(time.Now().Add(c.currentKeepalive().Timeout))
+	n, err := c.conn.Write(frame)
+	c.BytesWritten.Add(int64(n))
+	if len(frame) > frameHeaderSize {
+		FramesWritten.Add(1)
+		FrameBytesWritten.Add(int64(n))
+	} else {
+		HeartbeatsWritten.Add(1)
+	}
+	return err
+}
+
+// awaitFrame waits for the next frame to write, or for the time of a heartbeat. open is false once the connection has ended.
+func (c *Conn[T]) awaitFrame(ticks <-chan time.Time, lastWrite time.Time) (frame []byte, open bool) {
+	for {
+		select {
+		case message := <-c.queue:
+			if message.framed {
+				return message.raw, true
+			}
+			return encodeFrame(message.raw), true
+		case <-ticks:
+			// A heartbeat is written a little after its tick: at the next tick slightly less than the interval has passed.
+			if time.Since(lastWrite) >= c.currentKeepalive().Interval*7/8 {
+				return make([]byte, frameHeaderSize), true
 			}
+		case <-c.done:
+			return nil, false
 		}
 	}
 }
 
-// Run hands what is said to take until the line ends; its error says why.
+// Run calls handle for each message that is received, until the connection ends, and returns why it ended. It must be called once.
 func (c *Conn[T]) Run(handle func(T)) error {
-	header := make([]byte, 4)
-	read := func(b []byte) error {
-		c.conn.SetReadDeadline(time.Now().Add(c.timeout()))
-		n, err := io.ReadFull(c.conn, b)
-		c.BytesRead.Add(int64(n))
-		if e := net.Error(nil); errors.As(err, &e) && e.Timeout() {
-			return ErrPeerTimeout
-		}
+	c.Close(c.readLoop(handle))
+	return c.err
+}
+
+func (c *Conn[T]) readLoop(handle func(T)) error {
+	header := make([]byte, frameHeaderSize)
+	if err := c.readPreamble(header); err != nil {
 		return err
 	}
-	err := read(header)
-	if err == nil && !bytes.Equal(header, preamble) {
-		MalformedFrames.Add(1)
-		err = errors.New("the other side speaks something else")
-	}
-	for err == nil {
-		if err = read(header); err != nil {
-			break
+	for {
+		raw, err := readFrame(c.read, header)
+		if err != nil {
+			return err
 		}
-		n := binary.BigEndian.Uint32(header)
-		compressed := n&(1<<31) != 0
-		if n &^= 1 << 31; n == 0 {
+		if raw == nil { // a heartbeat
 			continue
 		}
-		if n > MaxFrameBytes {
+		var message T
+		if err := json.Unmarshal(raw, &message); err != nil {
 			MalformedFrames.Add(1)
-			err = fmt.Errorf("a frame of %d bytes", n)
-			break
-		}
-		raw := make([]byte, n)
-		if err = read(raw); err != nil {
-			break
-		}
-		if compressed {
-			if raw, err = io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(raw)), MaxFrameBytes+1)); err == nil && len(raw) > MaxFrameBytes {
-				err = errors.New("a frame that inflates too far")
-			}
-		}
-		var v T
-		if err == nil {
-			if err = json.Unmarshal(raw, &v); err == nil {
-				handle(v)
-				continue
-			}
+			return err
 		}
+		handle(message)
+	}
+}
+
+func (c *Conn[T]) readPreamble(buffer []byte) error {
+	if err := c.read(buffer); err != nil {
+		return err
+	}
+	if !bytes.Equal(buffer, preamble) {
 		MalformedFrames.Add(1)
+		return errors.New("the other side speaks something else")
 	}
-	c.Close(err)
-	<-c.done
-	return c.err
+	return nil
+}
+
+// read fills a buffer. The other side must send the bytes within the timeout.
+func (c *Conn[T]) read(buffer []byte) error {
+	c.conn.SetReadDeadline(time.Now().Add(c.currentKeepalive().Timeout))
+	n, err := io.ReadFull(c.conn, buffer)
+	c.BytesRead.Add(int64(n))
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
+		return ErrPeerTimeout
+	}
+	return err
 }
--- a/internal/cluster/stream/conn_test.go
+++ b/internal/cluster/stream/conn_test.go
@@ -14,7 +14,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// fakeConn is a connection of which all that comes is known; what is written on it is dropped.
+// fakeConn is a connection that reads from a reader and discards what is written.
 type fakeConn struct{ in io.Reader }
 
 func (c fakeConn) Read(b []byte) (int, error)       { return c.in.Read(b) }
@@ -31,27 +31,27 @@
 	Number uint64
 }
 
-// readAll hears bytes to their end.
+// readAll receives bytes to their end.
 func readAll(raw []byte) (all []message, err error) {
 	l := Open[message](fakeConn{bytes.NewReader(raw)}, ProxyKeepalive)
 	err = l.Run(func(w message) { all = append(all, w) })
 	return all, err
 }
 
-// What is framed is heard as it was said, short or long; what is none ends the line, and nothing of it is heard.
+// Frames are received as they were sent, short or long; what is no frame ends the connection, and nothing of it is received.
 func TestFrames(t *testing.T) {
-	said := []message{{"a", 1}, {strings.Repeat("long ", 1000), 2}, {"", 1 << 63}}
+	sent := []message{{"a", 1}, {strings.Repeat("long ", 1000), 2}, {"", 1 << 63}}
 	raw := append([]byte{}, preamble...)
-	for _, w := range said {
+	for _, w := range sent {
 		b, _ := json.Marshal(w)
-		raw = append(append(raw, encodeFrame(b)...), 0, 0, 0, 0) // and a beat
+		raw = append(append(raw, encodeFrame(b)...), 0, 0, 0, 0) // and a heartbeat
 	}
 	all, err := readAll(raw)
 	qt.Check(t, err, qt.Equals, io.EOF)
-	qt.Check(t, all, qt.DeepEquals, said)
-	for n := range raw { // cut anywhere: what was whole is heard
+	qt.Check(t, all, qt.DeepEquals, sent)
+	for n := range raw { // cut anywhere: complete frames are received
 		all, _ := readAll(raw[:n])
-		qt.Check(t, len(all) <= len(said) && (len(all) == 0 || all[len(all)-1] == said[len(all)-1]), qt.IsTrue)
+		qt.Check(t, len(all) <= len(sent) && (len(all) == 0 || all[len(all)-1] == sent[len(all)-1]), qt.IsTrue)
 	}
 	foreign := MalformedFrames.Load()
 	for _, bad := range []string{"GET / HTTP/1.1\r\n\r\n", "pfl1\xff\xff\xff\xff", "pfl1" + string(binary.BigEndian.AppendUint32(nil, MaxFrameBytes+1)), "pfl1\x00\x00\x00\x02{]", "pfl1\x80\x00\x00\x02{}"} {
@@ -62,7 +62,7 @@
 	qt.Check(t, MalformedFrames.Load()-foreign, qt.Equals, int64(5))
 }
 
-// A frame that was laid out once is heard on each line as if it were said there, between what is said otherwise.
+// A frame that was encoded once is received on each connection as if it were sent there alone, between other messages.
 func TestSendFrame(t *testing.T) {
 	c := qt.New(t)
 	long := message{strings.Repeat("long ", 1000), 2}
@@ -88,7 +88,7 @@
 	c.Check(f, qt.DeepEquals, kept)
 }
 
-// FuzzFrames: whatever comes, only whole frames of JSON are heard, as another decoder reads them.
+// FuzzFrames: whatever comes, only complete frames of JSON are received, as another decoder reads them.
 func FuzzFrames(f *testing.F) {
 	b, _ := json.Marshal(message{strings.Repeat("x", 600), 7})
 	f.Add(append(append([]byte("pfl1"), encodeFrame([]byte(`{"Text":"a"}`))...), encodeFrame(b)...))
@@ -126,11 +126,11 @@
 			}
 		}
 		if len(all) != len(want) {
-			t.Fatalf("%d heard, %d said", len(all), len(want))
+			t.Fatalf("%d received, %d sent", len(all), len(want))
 		}
 		for i := range all {
 			if all[i] != want[i] {
-				t.Fatalf("%+v heard, %+v said", all[i], want[i])
+				t.Fatalf("%+v received, %+v sent", all[i], want[i])
 			}
 		}
 	})
--- a/internal/cluster/stream/frame_cost_test.go
+++ b/internal/cluster/stream/frame_cost_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Whatever comes on a connection, a line reads it to its end or says why not.
+// Whatever comes on a connection, Run reads it to its end or says why not.
 func FuzzRun(f *testing.F) {
 	f.Add([]byte("pfl1\x00\x00\x00\x00"))
 	f.Add(append([]byte("pfl1"), encodeFrame([]byte(`{"a":1}`))...))
@@ -70,7 +70,7 @@
 			b.Close()
 		}()
 		if err := l.Run(func(map[string]any) {}); err == nil {
-			t.Fatal("a line that ended says nothing of it")
+			t.Fatal("a connection that ended gives no reason")
 		}
 	})
 }
