--- a/internal/cluster/instance/trace_test.go
+++ b/internal/cluster/instance/trace_test.go
@@ -8,8 +8,8 @@
 	"portflow/internal/testing/digest"
 )
 
-// What a register says of drawn beats, last words, other processes' knowledge and losses of these is what it was. The order of
-// the fields of Host and the numbers of states count; names don't.
+// What a table says of random heartbeats, deregistrations, other processes' knowledge and their losses is what it was. The order of
+// the fields of Instance and the numbers of states count; names don't.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 50, []string{"6bb4b85be9bc93bf", "a991e654f61b695d", "b86cf708dea4c4a2", "718e1dc17b36fd11"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
@@ -29,8 +29,8 @@
 				known, changed := r.Heartbeat(now, h)
 				d.Add(known, changed)
 			case 3, 4, 5:
-				news, tell := r.Merge(now, h)
-				d.Add(news, tell)
+				changed, reannounce := r.Merge(now, h)
+				d.Add(changed, reannounce)
 			case 6:
 				if draw.IntN(4) == 0 {
 					known, changed := r.Deregister(now, h.ID)
@@ -55,21 +55,21 @@
 	})
 }
 
-// Beats are read, or refused, as they were; the texts of errors count.
-func TestTraceOfBeats(t *testing.T) {
+// Heartbeats are parsed, or refused, as they were; the texts of errors count.
+func TestTraceOfHeartbeats(t *testing.T) {
 	digest.Pin(t, 100, []string{"b1fc86ee760bbd9e"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
-		beat := map[string]any{"service": "desk", "address": "10.0.0.1:80", "zone": "z", "version": "v1", "slots": 3.0, "state": "ready",
+		heartbeat := map[string]any{"service": "desk", "address": "10.0.0.1:80", "zone": "z", "version": "v1", "slots": 3.0, "state": "ready",
 			"sequence": 4.0, "cold-start-s": 1.5}
 		for _, name := range []string{"service", "address", "zone", "version", "slots", "state", "sequence"} {
 			switch draw.IntN(12) {
 			case 0:
-				delete(beat, name)
+				delete(heartbeat, name)
 			case 1:
-				beat[name] = []any{-1.0, "", nil, true, "draining", 1e9}[draw.IntN(6)]
+				heartbeat[name] = []any{-1.0, "", nil, true, "draining", 1e9}[draw.IntN(6)]
 			}
 		}
-		h, err := ParseHeartbeat("h", beat, 1000*second)
+		h, err := ParseHeartbeat("h", heartbeat, 1000*second)
 		d.Add(h, err)
 	})
 }
