--- a/internal/cluster/config/index_test.go
+++ b/internal/cluster/config/index_test.go
@@ -14,9 +14,9 @@
 	"portflow/internal/cluster/settings"
 )
 
-// checkFromScratch is Check by drawing the whole chart, before and after: what it must be alike to.
-func checkFromScratch(s *Set, change []Item) (news []Item, err error) {
-	bare := func(s *Set) *Set { // a copy that holds nothing of what was read
+// checkFromScratch is CheckChange by building the routing table anew, before and after: CheckChange must come to the same.
+func checkFromScratch(s *Set, change []Item) (effective []Item, err error) {
+	bare := func(s *Set) *Set { // a copy without parsed items
 		c := s.Clone()
 		c.index, c.changed = nil, nil
 		return c
@@ -27,7 +27,7 @@
 			continue
 		}
 		next.Merge(i)
-		news = append(news, i)
+		effective = append(effective, i)
 	}
 	c := NewRoutingTable(next)
 	if len(c.Inactive) > 0 {
@@ -53,10 +53,11 @@
 			}
 		}
 	}
-	return news, nil
+	return effective, nil
 }
 
-// randomItem draws an item of a small world, where most things meet: some can't be read, as a disk of before may hold them.
+// randomItem draws an item of a small configuration, in which most items depend on or conflict with others; some are invalid, as an older
+// release may have stored them.
 func randomItem(draw *rand.Rand, version uint64) Item {
 	n := func(most int) int { return draw.IntN(most) }
 	i := Item{Version: uint64(max(1, int(version)-n(3)+n(2)))}
@@ -86,16 +87,15 @@
 	return i
 }
 
-// Over drawn changes Check comes to what the whole drawing comes to, word for word, in sets to which anything was merged: taken
-// ones, refused ones, behind, rivals of one version, in copies and their originals; and the chart is the same with what was read
-// before.
+// Over random changes CheckChange comes to the same as checkFromScratch, word for word, in sets to which anything was merged: accepted,
+// refused, outdated and competing changes, in clones and their originals. The routing table is the same with and without the index.
 func TestCheckAlike(t *testing.T) {
 	cases, refused, taken, yielding := 0, 0, 0, 0
 	for seed := range uint64(40) {
 		c := qt.New(t)
 		draw := rand.New(rand.NewPCG(seed, 43))
 		s := NewSet()
-		var chart *RoutingTable
+		var table *RoutingTable
 		for step := range 150 {
 			var change []Item
 			for range 1 + draw.IntN(4)*draw.IntN(3) {
@@ -150,8 +150,8 @@
 			a, b := NewRoutingTable(s), NewRoutingTable(bare)
 			yielding += min(1, len(a.Inactive))
 			c.Assert(describeTable(a), qt.Equals, describeTable(b), qt.Commentf("seed %d, step %d", seed, step))
-			chart = chart.Rebuild(s) // of the one before
-			c.Assert(describeTable(chart), qt.Equals, describeTable(b), qt.Commentf("seed %d, step %d", seed, step))
+			table = table.Rebuild(s) // of the one before
+			c.Assert(describeTable(table), qt.Equals, describeTable(b), qt.Commentf("seed %d, step %d", seed, step))
 			c.Assert(BuildQuotas(s), qt.DeepEquals, b.Quotas)
 			anew := NewSet()
 			anew.Apply(s.All())
@@ -166,8 +166,8 @@
 	qt.Check(t, refused > 1000 && taken > 1000 && yielding > 1000, qt.IsTrue)
 }
 
-// What shares are drawn from is told by one sum: a change of a route leaves it, and the next chart has the shares of the one before
-// as they are; a change of a share or a service, a drop and a restore don't.
+// One checksum covers what quotas are built from: a change of a route leaves it, and the next routing table takes over the quotas; a
+// change of a quota or a service, a deletion and a restore have them rebuilt.
 func TestQuotasRebuiltWhenTheyChange(t *testing.T) {
 	c := qt.New(t)
 	s := setWithQuotas(50)
@@ -207,7 +207,7 @@
 	return b.String()
 }
 
-// setWithQuotas is a set of 3,200 routes and so many shares in 220 services.
+// setWithQuotas returns a set of 3,200 routes and a number of quotas in 220 services.
 func setWithQuotas(shares int) *Set {
 	s := NewSet()
 	for n := range 220 {
@@ -232,15 +232,15 @@
 		`{"burst":10,"caller":"tenant-%d","caller-header":"X-Tenant","name":"share-%d","per-s":%d,"service":"service-%d"}`, n, n, version, n%220)}
 }
 
-// A change costs what it touches and what goes together with that, counted in items looked at, and not what there is.
+// A check costs as much as the change and the items that depend on it, counted in items examined, and not as much as the set.
 func TestCheckCost(t *testing.T) {
 	c := qt.New(t)
 	s := setWithQuotas(33000)
 	check := func(change ...Item) int {
 		before := s.examined
-		news, err := s.CheckChange(change)
+		effective, err := s.CheckChange(change)
 		c.Assert(err, qt.IsNil)
-		for _, i := range news {
+		for _, i := range effective {
 			s.Merge(i)
 		}
 		return s.examined - before
@@ -263,12 +263,12 @@
 	c.Check(all/2000 < 800, qt.IsTrue)
 }
 
-// BenchmarkCheck is an order's check at the size of docs/CAPACITY.md, by the index and by drawing all.
+// BenchmarkCheck measures the check of a change at the size of docs/CAPACITY.md, by the index and from scratch.
 func BenchmarkCheck(b *testing.B) {
 	for _, x := range []struct {
 		name  string
 		check func(*Set, []Item) ([]Item, error)
-	}{{"index", (*Set).CheckChange}, {"whole", checkFromScratch}} {
+	}{{"index", (*Set).CheckChange}, {"full", checkFromScratch}} {
 		for _, shares := range []int{0, 33000} {
 			for name, item := range map[string]func(int, uint64) Item{"route": routeAt, "share": quotaAt} {
 				if shares == 0 && name == "share" {
@@ -280,11 +280,11 @@
 					n := 0
 					for b.Loop() {
 						n++
-						news, err := x.check(s, []Item{item(n%3200, uint64(n+1))})
+						effective, err := x.check(s, []Item{item(n%3200, uint64(n+1))})
 						if err != nil {
 							b.Fatal(err)
 						}
-						s.Merge(news[0])
+						s.Merge(effective[0])
 					}
 				})
 			}
--- a/internal/control/snapshot/trace_test.go
+++ b/internal/control/snapshot/trace_test.go
@@ -10,16 +10,16 @@
 	"portflow/internal/testing/digest"
 )
 
-// Snapshots that are asked for piece by piece while the set changes, and pieces that come to a restore in a drawn order, broken or
-// of another snapshot, are answered as they were. Chunks are recorded as their bytes; the texts of errors count.
+// Snapshots that are read chunk by chunk while the set changes, and restores whose chunks come in random order, damaged or of another
+// snapshot, are pinned by digests. Chunks are recorded as their bytes; the texts of errors count.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 6, []string{"3b0e77edce7fa610", "6c990500b456623e", "d4659259a1b752fc", "482b3953e7de6d29"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
 		all, number := items(900), uint64(5)
 		present := func() ([]config.Item, uint64, uint64) { return all, 3, number }
-		var shelf Cache
-		var dock Upload
-		var ask ReadRequest
+		var cache Cache
+		var upload Upload
+		var req ReadRequest
 		now := int64(1e12)
 		var last []byte
 		for range 12 {
@@ -27,14 +27,14 @@
 			if draw.IntN(12) == 0 {
 				all, number = items(600+draw.IntN(3)*150), number+1
 			}
-			part, err := shelf.Serve(now, ask, present)
-			d.Add(part, err, apierror.KindOf(err))
-			if err != nil || part.Done {
-				ask = ReadRequest{}
+			chunk, err := cache.Serve(now, req, present)
+			d.Add(chunk, err, apierror.KindOf(err))
+			if err != nil || chunk.Done {
+				req = ReadRequest{}
 			} else {
-				ask = ReadRequest{Snapshot: part.Snapshot, FirstItem: part.NextItem}
+				req = ReadRequest{Snapshot: chunk.Snapshot, FirstItem: chunk.NextItem}
 			}
-			raw := part.Chunk
+			raw := chunk.Chunk
 			switch draw.IntN(10) {
 			case 0:
 				raw = last
@@ -44,11 +44,11 @@
 					raw[draw.IntN(len(raw))] ^= 1
 				}
 			}
-			last = part.Chunk
-			landed, taken, head, err := dock.AddChunk(now, raw)
-			d.Add(IsChunk(raw), landed, taken, head, err, apierror.KindOf(err))
-			if len(taken) > 0 {
-				dock.Finish(head, draw.IntN(3) > 0)
+			last = chunk.Chunk
+			resp, restored, header, err := upload.AddChunk(now, raw)
+			d.Add(IsChunk(raw), resp, restored, header, err, apierror.KindOf(err))
+			if len(restored) > 0 {
+				upload.Finish(header, draw.IntN(3) > 0)
 			}
 		}
 		d.Add(ValidateItem(all[draw.IntN(len(all))]))
