--- a/internal/proxy/control_link.go
+++ b/internal/proxy/control_link.go
@@ -1,38 +1,17 @@
 package proxy
 
 import (
-	"cmp"
 	"context"
 	"errors"
 	"net"
 	"slices"
 	"strconv"
-	"strings"
 	"time"
 
 	"k8s.io/klog/v2"
 
-	"portflow/internal/cluster/gossip"
-	"portflow/internal/cluster/rollout"
 	"portflow/internal/cluster/stream"
 	"portflow/internal/cluster/update"
-	"portflow/internal/decision"
-	"portflow/internal/proxy/endpoint"
-)
-
-type pilotageRollout = rollout.Rollout
-
-// decisionLog takes what the rules note: a vote that has changed, with what it goes by.
-type decisionLog struct{ service string }
-
-func (l decisionLog) Write(line []byte) (int, error) {
-	klog.InfoS("rules", "service", l.service, "note", strings.TrimSpace(string(line)))
-	return len(line), nil
-}
-
-const (
-	voterCount   = rollout.RequiredVotes
-	voteLifetime = rollout.VoteLifetime
 )
 
 // controlLink is a held connection to a control process, from the dial to its end. The one in Fairway.link is the one that this router
@@ -56,63 +35,6 @@
 	partialSnapshotLifetime = 30 * time.Second        // for which a part of a snapshot is kept: no longer than control keeps the rest
 )
 
-// controlZones are the control processes, by IP number, with their zones as far as they are known.
-func (p *Proxy) controlZones() map[string]string {
-	p.mu.Lock()
-	known := p.endpoints.Set.Members()
-	p.mu.Unlock()
-	for _, m := range p.gossiper.Members() {
-		if _, there := known[m.IP]; m.Kind == gossip.Control && (!there || m.Zone != "") {
-			known[m.IP] = m.Zone
-		}
-	}
-	for _, s := range p.Settings.SeedNodes {
-		if host, _, err := net.SplitHostPort(s); err == nil {
-			if _, there := known[host]; !there {
-				known[host] = ""
-			}
-		}
-	}
-	return known
-}
-
-// distances tells how far control processes are: 0 this zone, 1 this region, 2 beyond.
-func (p *Proxy) distances() func(ip string) int {
-	known := p.controlZones()
-	return func(ip string) int {
-		switch zone := known[ip]; {
-		case zone == p.Settings.Zone:
-			return 0
-		case p.Settings.ZoneRegions[zone] == p.Settings.Region:
-			return 1
-		}
-		return 2
-	}
-}
-
-// candidates are the control processes that are known, the nearest first; among equals this router's own order, so that
-// many do not all hang on the same one.
-func (p *Proxy) candidates() (all []string) {
-	far := p.distances()
-	for ip := range p.controlZones() {
-		all = append(all, ip)
-	}
-	slices.SortFunc(all, func(a, b string) int {
-		if d := far(a) - far(b); d != 0 {
-			return d
-		}
-		return cmp.Compare(hashWithSeed(a, p.Seed), hashWithSeed(b, p.Seed))
-	})
-	return all
-}
-
-func hashWithSeed(text string, seed uint64) uint64 {
-	for _, c := range []byte(text) {
-		seed = (seed ^ uint64(c)) * 0x100000001b3
-	}
-	return seed ^ seed>>29
-}
-
 // followControl keeps a line to a control process, for as long as this one runs: the nearest that takes it.
 func (p *Proxy) followControl() {
 	avoid := map[string]time.Time{}
@@ -300,82 +222,3 @@
 	}
 	return err
 }
-
-// updateClockOffset goes by what a word tells of the clock of who says it.
-func (p *Proxy) updateClockOffset(k *controlLink, w update.Message) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if w.Hello != nil {
-		k.clockOffset.Observe(w.Hello.Now, p.clock())
-	}
-	k.clockOffset.Observe(w.Now, p.clock())
-}
-
-// takeChunk takes a snapshot's chunk. Nothing of it is in force before the whole is there with what came since.
-func (p *Proxy) takeChunk(k *controlLink, c update.Chunk) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if err := k.incoming.Add(c); err != nil {
-		k.stream.Close(err)
-		return
-	}
-	k.lastChunkAt = time.Now()
-	part := k.incoming.Progress()
-	k.stream.Send(update.Message{Progress: &part})
-}
-
-// dropStaleSnapshot lets a part of a snapshot go whose rest nobody keeps any more.
-func (p *Proxy) dropStaleSnapshot() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.control != nil && time.Since(p.control.lastChunkAt) > partialSnapshotLifetime {
-		p.control.incoming.Reset()
-	}
-}
-
-// takeUpdate takes a batch of news.
-func (p *Proxy) takeUpdate(k *controlLink, n update.Batch) {
-	p.mu.Lock()
-	if notes, ok := k.incoming.Finish(n); ok { // the snapshot and what came since, in one step
-		n.Changes, n.Snapshot = notes, true
-	} else if n.Snapshot {
-		k.incoming.Reset()
-	}
-	if !k.subscription.Advance(n.Incarnation, n.From, n.To, n.Snapshot) {
-		p.mu.Unlock()
-		k.stream.Close(errors.New("news does not follow"))
-		return
-	}
-	for i := range n.Changes {
-		n.Changes[i] = n.Changes[i].ToLocal(k.clockOffset)
-	}
-	p.publish(p.endpoints.ApplyAt(endpoint.Position{Epoch: n.Epoch, Number: n.Number}, n.Changes, n.Snapshot))
-	k.stream.Send(update.Message{Ack: n.To})
-	p.mu.Unlock()
-	if n.Snapshot {
-		p.ready.Store(true)
-		p.reportStatus()
-	}
-}
-
-// reportStatus tells control how this router is.
-func (p *Proxy) reportStatus() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.control == nil {
-		return
-	}
-	p.control.stream.Send(update.Message{Proxy: &update.Proxy{Name: p.Settings.Name, Zone: p.Settings.Zone, IP: p.Settings.IP,
-		Address: p.Settings.ListenAddresses["front"], Ready: p.Ready(), LacksCapacity: p.borrowing.Load(), RegisteredAt: p.subscribedAt}})
-}
-
-// SendVote tells control a vote, as the rules do.
-func (p *Proxy) SendVote(poll update.Vote) {
-	go func() { // the rules are in the middle of a step, and the lock may be held by who posts to them
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		if p.control != nil && decision.Verdict(poll.Verdict) <= decision.RollBack {
-			p.control.stream.Send(update.Message{Votes: []update.Vote{poll}})
-		}
-	}()
-}
--- a/internal/proxy/endpoint/share.go
+++ b/internal/proxy/endpoint/share.go
@@ -10,30 +10,6 @@
 // routers that are ready, by name and zone, as control tells them; what doesn't divide goes to some of them, by a hash of
 // router and host, so that at every host others have it, and few parts move when a router comes or goes.
 
-// Proxy is one that is ready, and how many parts it has for one of the others': more while it is short.
-type Proxy struct {
-	Name   string
-	Weight int // 1 to most
-}
-
-// ProxyList is the routers that are ready, by zone, in the order of their names.
-type ProxyList map[string][]Proxy
-
-// EvenWeights is the same roster while nobody is short.
-func (l ProxyList) EvenWeights() ProxyList {
-	all := make(ProxyList, len(l))
-	for z, routers := range l {
-		for _, x := range routers {
-			all[z] = append(all[z], Proxy{x.Name, 1})
-		}
-	}
-	return all
-}
-
-// BorrowedWeight is a router's weight while it is short of room in its zone and others' parts there lie idle. The others keep enough
-// to begin with. It is of the zone's own hosts alone, and not of cold ones: elsewhere each has its even part.
-const BorrowedWeight = 4
-
 // Share is what one router may do at one host.
 type Share struct {
 	Concurrent    int // requests at once
@@ -143,21 +119,3 @@
 	x ^= x >> 32
 	return x * 0x9e3779b97f4a7c15
 }
-
-// SlidingWindow counts what was sent within the last second.
-type SlidingWindow struct{ times []int64 }
-
-const second = int64(1e9)
-
-// Allows tells whether fewer than n were sent in the second before now.
-func (w *SlidingWindow) Allows(now int64, n int) bool {
-	drop := 0
-	for drop < len(w.times) && now-w.times[drop] > second+second/10 {
-		drop++
-	}
-	w.times = w.times[drop:]
-	return len(w.times) < n
-}
-
-// Add counts one.
-func (w *SlidingWindow) Add(now int64) { w.times = append(w.times, now) }
--- /dev/null
+++ b/internal/proxy/reply.go
@@ -0,0 +1,25 @@
+package proxy
+
+import (
+	"io"
+	"net/http"
+)
+
+// streamedReply is an answer of which only the beginning has been read. Whoever takes it up reads the rest and says when it is done.
+type streamedReply struct {
+	*reply
+	length int64 // -1 where it isn't stated
+	rest   io.Reader
+	stop   func() // ends rest, also while it is read
+	done   chan error
+}
+
+// reply is a host's whole answer.
+type reply struct {
+	status      int
+	header      http.Header
+	body        []byte
+	bodiless    bool // by its kind; the header may state the length that it would have
+	notRun      bool // the host says that it has not run the request
+	misdirected bool // another host has the address
+}
--- a/internal/proxy/request_class.go
+++ b/internal/proxy/request_class.go
@@ -4,7 +4,9 @@
 	"math"
 	"slices"
 
+	"portflow/internal/cluster/config"
 	"portflow/internal/decision"
+	"portflow/internal/dispatch"
 )
 
 // bandKey is what the rules are told of a route; routes that are alike in it share a band.
@@ -89,3 +91,15 @@
 	}
 	return 0
 }
+
+// bandOf is the number of a route's band in the rules.
+func (s *service) bandOf(r *config.Route) int {
+	s.bandMu.Lock() // until the band is posted: who finds its number posts a command after it
+	defer s.bandMu.Unlock()
+	k := bandKey{r.Idempotent, r.Timeout, r.LatencyTarget, r.Priority}
+	n, added := s.bands.number(k)
+	if added {
+		s.dispatcher.Post(dispatch.ClassAdded{RequestClass: k.band()})
+	}
+	return n
+}
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -5,6 +5,25 @@
 	"time"
 )
 
+// acceptAfterTerm is for how long after Leave a router takes requests at the most: what is sent later than 3 s after a SIGTERM has a right to
+// its end, whatever is left of the grace.
+const acceptAfterTerm = 2800 * time.Millisecond
+
+// Drain ends the service: out of the directory and not ready at once, connections closed after their next answer. Who still comes
+// is served for a while, then refused, with leave to go elsewhere at once, until shortly before the grace ends; what was taken has
+// at least half of the grace to be finished.
+func (p *Proxy) Drain() {
+	p.draining.Store(true)
+	p.reportStatus()
+	grace := time.Duration(p.Settings.Terms.Grace)
+	takes := min(acceptAfterTerm, grace/2)
+	time.Sleep(takes)
+	p.refusing.Store(true)
+	time.Sleep(grace*3/4 - 200*time.Millisecond - takes)
+	p.finishConnections(grace / 5)
+	p.LogCounters()
+}
+
 // finishPollInterval is the time between two looks at whether all connections are done with.
 const finishPollInterval = 5 * time.Millisecond
 
@@ -43,3 +62,6 @@
 	}
 	return 0
 }
+
+// Close lets the connections to hosts go; the context that it was started with has ended.
+func (p *Proxy) Close() { p.upstreams.Shutdown() }
