--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -5,46 +5,39 @@
 	"io"
 	"net/http"
 	"strconv"
-	"time"
 
 	"portflow/internal/cluster/apierror"
 	"portflow/internal/dispatch"
 	"portflow/internal/proxy/attempt"
 )
 
-// writeAnswer gives a request's final answer; known is what is for ever known of its attempts.
-func (p *Proxy) writeAnswer(w http.ResponseWriter, s *service, a dispatch.Answer, c *dispatch.Call, known attempt.Request) {
-	h, _ := a.Reply.(*reply)
+// deadlineSlack is how long before its deadline a request counts as timed out, nanoseconds.
+const deadlineSlack = int64(20e6)
+
+// writeAnswer gives a request's final answer; known is what was known of its attempts as it was settled.
+func (p *Proxy) writeAnswer(w http.ResponseWriter, s *service, answer dispatch.Answer, call *dispatch.Call, known attempt.Request) {
+	host, _ := answer.Reply.(*reply)
 	switch {
-	case a.Kind == dispatch.Succeeded && h != nil:
-		p.writeReply(w, h)
-	case a.Kind == dispatch.Rejected && known.MayRefuse():
-		p.refuse(w, apierror.Overloaded, s.retryAfter(c.Deadline))
-	case h != nil && !h.notRun && !attempt.PromisesNotRun(h.status):
-		p.writeReply(w, h)
-	case p.clock() >= c.Deadline-int64(20e6) && known.Execution() == attempt.NotRun:
+	case answer.Kind == dispatch.Succeeded && host != nil:
+		p.writeReply(w, host)
+	case answer.Kind == dispatch.Rejected && known.MayRefuse():
+		p.refuse(w, apierror.Overloaded, s.retryAfter(call.Deadline))
+	case host != nil && !host.notRun && !attempt.PromisesNotRun(host.status):
+		p.writeReply(w, host)
+	case p.clock() >= call.Deadline-deadlineSlack && known.Execution() == attempt.NotRun:
 		p.refuse(w, apierror.DeadlineExceeded, 0)
-	case p.clock() >= c.Deadline-int64(20e6):
+	case p.clock() >= call.Deadline-deadlineSlack:
 		p.refuse(w, apierror.UpstreamTimeout, 0)
 	default:
 		p.refuse(w, apierror.UpstreamBroken, 0)
 	}
 }
 
-// retryAfter is after how long one that is sent away now should come back: by the forecast of when there is room, and a third of
-// the time that it has at most, as clients wait no longer.
-func (s *service) retryAfter(cutOff int64) time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.proxy.clock()
-	return time.Duration(s.forecast.Wait(now, max(0, cutOff-now)/3))
-}
-
-// beginAnswer begins to give a host's answer, and makes nothing up.
-func (p *Proxy) beginAnswer(w http.ResponseWriter, a *reply) http.Header {
+// copyHeader gives an answer a host's header, without the fields that net/http would add.
+func (p *Proxy) copyHeader(w http.ResponseWriter, host *reply) http.Header {
 	p.counters.answered.Add(1)
 	h := w.Header()
-	for name, values := range a.header {
+	for name, values := range host.header {
 		h[name] = values
 	}
 	for _, name := range []string{"Date", "Content-Type"} {
@@ -58,30 +51,42 @@
 	return h
 }
 
-// writeReply gives a host's answer as it is.
-func (p *Proxy) writeReply(w http.ResponseWriter, a *reply) {
-	h := p.beginAnswer(w, a)
-	if !a.bodiless {
-		h["Content-Length"] = []string{strconv.Itoa(len(a.body))}
+// writeReply passes a host's answer on unchanged.
+func (p *Proxy) writeReply(w http.ResponseWriter, host *reply) {
+	h := p.copyHeader(w, host)
+	if !host.bodiless {
+		h["Content-Length"] = []string{strconv.Itoa(len(host.body))}
+	}
+	w.WriteHeader(host.status)
+	_, _ = w.Write(host.body) // where it fails the client has gone, and net/http ends the connection
+}
+
+// passStream passes on a long answer, or refuses the request where its client could not tell the answer's end: in HTTP/1.0 an answer
+// without a length ends with its connection, also where that is cut.
+func (p *Proxy) passStream(w http.ResponseWriter, r *http.Request, stream *streamedReply) {
+	if stream.length < 0 && !r.ProtoAtLeast(1, 1) {
+		stream.done <- attempt.ErrNoStatedEnd
+		p.refuse(w, apierror.UpstreamBroken, 0)
+		return
 	}
-	w.WriteHeader(a.status)
-	w.Write(a.body)
+	p.streamReply(w, r, stream)
 }
 
-// streamReply gives a long answer as it comes, while its client is there. One that breaks off ends the connection, so that it doesn't
-// look complete.
-func (p *Proxy) streamReply(w http.ResponseWriter, r *http.Request, t *streamedReply) {
-	defer context.AfterFunc(r.Context(), t.stop)()
-	h := p.beginAnswer(w, t.reply)
-	if t.length >= 0 {
-		h["Content-Length"] = []string{strconv.FormatInt(t.length, 10)}
+// streamReply passes a long answer on as it comes, while its client is there. One that breaks off ends the connection, so that it
+// doesn't look complete.
+func (p *Proxy) streamReply(w http.ResponseWriter, r *http.Request, stream *streamedReply) {
+	defer context.AfterFunc(r.Context(), stream.stop)()
+	h := p.copyHeader(w, stream.reply)
+	if stream.length >= 0 {
+		h["Content-Length"] = []string{strconv.FormatInt(stream.length, 10)}
 	}
-	w.WriteHeader(t.status)
-	_, err := w.Write(t.body)
+	w.WriteHeader(stream.status)
+	_, err := w.Write(stream.body)
 	if err == nil {
-		_, err = io.Copy(w, t.rest)
+		_, err = io.Copy(w, stream.rest)
 	}
-	if t.done <- err; err != nil {
+	stream.done <- err
+	if err != nil {
 		p.counters.refusals[apierror.UpstreamBroken].Add(1)
 		p.counters.cuts.add(cutBroken)
 		panic(http.ErrAbortHandler)
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -11,73 +11,100 @@
 	"portflow/internal/cluster/config"
 )
 
-// bodyTimeout is for a body, beside a second for each megabyte of it that is stated.
+// bodyTimeout is how long a body may take, beside a second for each megabyte of its stated length.
 const bodyTimeout = 5 * time.Second
 
-// bodyTime is how long a body of this length may take, -1 for one that isn't stated.
+// bodyTime is how long a body of this length may take, -1 for one whose length isn't stated.
 func bodyTime(length int64) time.Duration {
 	return bodyTimeout + time.Duration(max(0, length)>>20)*time.Second
 }
 
-// readBody reads a request's body whole, within the memory that bodies have. It tells how much of that it has taken up, which is
-// the caller's to give back whatever the fault.
-func (p *Proxy) readBody(w http.ResponseWriter, r *http.Request, l config.Limits) (body []byte, weight int64, fault apierror.Kind) {
+// setBodyDeadline bounds the time of a request's body, also of what net/http reads of it once the request is refused.
+func setBodyDeadline(w http.ResponseWriter, r *http.Request) {
+	if r.ContentLength != 0 {
+		http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTime(r.ContentLength)))
+	}
+}
+
+var errNoBodyMemory = errors.New("no memory is left for the request's body")
+
+// readBody reads a request's body completely, within the memory that bodies have. It returns how many bytes of that it has
+// reserved, which the caller releases whatever the kind is.
+func (p *Proxy) readBody(w http.ResponseWriter, r *http.Request, limits config.Limits) (body []byte, reserved int64, kind apierror.Kind) {
 	if r.ContentLength == 0 {
 		return nil, 0, apierror.None
 	}
-	if r.ContentLength > int64(l.BodyBytes) {
+	if r.ContentLength > int64(limits.BodyBytes) {
 		return nil, 0, apierror.BodyTooLarge
 	}
-	crowded := func() ([]byte, int64, apierror.Kind) {
-		p.counters.bodyRefused.Add(1)
-		w.Header()["Connection"] = []string{"close"} // what comes of it is not waited for
-		return nil, weight, apierror.Overloaded
-	}
 	var err error
 	if r.ContentLength > 0 {
-		if !p.reserveBody(r.ContentLength, r.ContentLength) {
-			return crowded()
-		}
-		weight = r.ContentLength
-		body = make([]byte, weight)
-		_, err = io.ReadFull(r.Body, body)
+		body, reserved, err = p.readStatedBody(r.Body, r.ContentLength)
 	} else {
-		var parts [][]byte
-		from, total := http.MaxBytesReader(w, r.Body, int64(l.BodyBytes)), int64(0)
-		for err == nil {
-			last := len(parts) - 1
-			if last < 0 || len(parts[last]) == cap(parts[last]) {
-				more := max(firstChunkBytes, total/2)
-				if !p.reserveBody(more, total+more) {
-					return crowded()
-				}
-				weight += more
-				parts = append(parts, make([]byte, 0, more))
-				last++
-			}
-			var n int
-			part := parts[last]
-			n, err = from.Read(part[len(part):cap(part)])
-			parts[last], total = part[:len(part)+n], total+int64(n)
-		}
-		if err == io.EOF {
-			if body, err = parts[0], nil; len(parts) > 1 {
-				if !p.reserveBody(total, total) {
-					return crowded()
-				}
-				body = slices.Concat(parts...)
-				p.heldBodyBytes.Add(-weight)
-				weight = total
+		body, reserved, err = p.readChunkedBody(http.MaxBytesReader(w, r.Body, int64(limits.BodyBytes)))
+	}
+	if err != nil {
+		return nil, reserved, p.bodyError(w, err)
+	}
+	http.NewResponseController(w).SetReadDeadline(time.Time{})
+	return body, reserved, apierror.None
+}
+
+// bodyError is the kind of an error of reading a body. The connection ends where there was no memory for it.
+func (p *Proxy) bodyError(w http.ResponseWriter, err error) apierror.Kind {
+	var tooLarge *http.MaxBytesError
+	switch {
+	case errors.Is(err, errNoBodyMemory):
+		p.counters.bodyRefused.Add(1)
+		w.Header()["Connection"] = []string{"close"} // the rest of the body is not waited for
+		return apierror.Overloaded
+	case errors.As(err, &tooLarge):
+		return apierror.BodyTooLarge
+	}
+	return apierror.Malformed
+}
+
+// readStatedBody reads a body of a stated length.
+func (p *Proxy) readStatedBody(from io.Reader, length int64) (body []byte, reserved int64, err error) {
+	if !p.reserveBody(length, length) {
+		return nil, 0, errNoBodyMemory
+	}
+	body = make([]byte, length)
+	_, err = io.ReadFull(from, body)
+	return body, length, err
+}
+
+// readChunkedBody reads a body of unknown length in chunks, each half as long as all before it, and joins them at its end.
+func (p *Proxy) readChunkedBody(from io.Reader) (body []byte, reserved int64, err error) {
+	var chunks [][]byte
+	total := int64(0)
+	for err == nil {
+		last := len(chunks) - 1
+		if last < 0 || len(chunks[last]) == cap(chunks[last]) {
+			more := max(firstChunkBytes, total/2)
+			if !p.reserveBody(more, total+more) {
+				return nil, reserved, errNoBodyMemory
 			}
+			reserved += more
+			chunks = append(chunks, make([]byte, 0, more))
+			last++
 		}
+		var n int
+		chunk := chunks[last]
+		n, err = from.Read(chunk[len(chunk):cap(chunk)])
+		chunks[last] = chunk[:len(chunk)+n]
+		total += int64(n)
 	}
-	var large *http.MaxBytesError
-	switch {
-	case errors.As(err, &large):
-		return nil, weight, apierror.BodyTooLarge
-	case err != nil:
-		return nil, weight, apierror.Malformed
+	if !errors.Is(err, io.EOF) {
+		return nil, reserved, err
 	}
-	http.NewResponseController(w).SetReadDeadline(time.Time{})
-	return body, weight, apierror.None
+	if len(chunks) == 1 {
+		return chunks[0], reserved, nil
+	}
+	if !p.reserveBody(total, total) {
+		return nil, reserved, errNoBodyMemory
+	}
+	body = slices.Concat(chunks...)
+	p.heldBodyBytes.Add(-reserved)
+	return body, total, nil
 }
--- a/internal/proxy/changes_test.go
+++ b/internal/proxy/changes_test.go
@@ -148,7 +148,7 @@
 				}
 				<-came
 				waitUntil(t, func() bool { return f.counters.received.Load() >= many })
-				if handed := f.counters.byRing[0].Load(); state == "waits" {
+				if handed := f.counters.byDistance[0].Load(); state == "waits" {
 					qt.Assert(t, handed < many, qt.IsTrue, qt.Commentf("%d of %d are handed on", handed, many))
 				}
 				f.mu.Lock()
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"net"
+	"net/http"
 	"os"
 	"sync"
 	"time"
@@ -22,21 +23,27 @@
 	handling                     // the handler: its deadlines are its own
 )
 
-// clientConn is a client's connection. It sees how a request is framed, which net/http doesn't tell.
+func (p connPhase) String() string {
+	return [...]string{"reading head", "idle", "handling"}[p]
+}
+
+// clientConn is a client's connection. It replaces the deadlines that net/http sets by those of the limits in force, and follows how
+// requests are framed, which net/http doesn't tell.
 type clientConn struct {
 	net.Conn
-	slot              *connlimit.Slot
-	cuts              *cutCounts // nil where nobody counts
-	limits            func() config.Limits
-	mu                sync.Mutex
+	slot   *connlimit.Slot
+	cuts   *cutCounts           // nil where nobody counts
+	limits func() config.Limits // those in force
+
+	mu                sync.Mutex // guards what follows
 	phase             connPhase
 	since             time.Time // when the phase's deadline was set last
-	idleFor           int64     // nanoseconds, as the present request was taken
-	evicting          bool      // its place is wanted for another connection
-	counted           bool      // it has been counted
+	idleTimeout       int64     // nanoseconds, as the present request was received
+	evicting          bool      // its slot is wanted for another connection
+	counted           bool      // its end has been counted
 	unfinishedRequest bool      // it is new, or a request on it isn't answered yet
-	answered          bool      // the last request has its whole answer, and the connection does not stand idle yet
-	pipelined         bool      // something has come while a request was at work: the library looks for a client's end no more then
+	answered          bool      // the last request has its complete answer, and the connection is not idle yet
+	pipelined         bool      // something came while a request was at work: net/http no longer watches for the client's end then
 	framing           httpframing.Stream
 }
 
@@ -46,78 +53,101 @@
 	return context.WithValue(ctx, clientConnKey{}, c)
 }
 
+// clientConnOf is the connection of a request, nil where it came by none of this process's listener.
+func clientConnOf(r *http.Request) *clientConn {
+	conn, _ := r.Context().Value(clientConnKey{}).(*clientConn)
+	return conn
+}
+
+// Read reads on past a deadline that no longer holds, and answers a head that is longer than the limits in force.
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extend() {
+	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extendDeadline() {
 		n, err = c.Conn.Read(b)
 	}
-	if c.observe(b[:n], len(b)); c.overlong() {
+	c.observe(b[:n], len(b))
+	if c.headTooLong() {
 		c.refuseHead()
-		return 0, &net.OpError{Op: "read", Err: errLongHead} // which net/http says nothing of to the client
+		return 0, &net.OpError{Op: "read", Err: errLongHead} // about which net/http writes nothing to the client
 	}
 	return n, err
 }
 
-// observe takes what was read into a buffer of this size.
-func (c *clientConn) observe(read []byte, size int) {
+// observe follows the framing of what was read into a buffer of this size.
+func (c *clientConn) observe(read []byte, bufferSize int) {
 	c.mu.Lock()
-	begins := len(read) > 0 && (c.phase == idling || c.phase == readingHead && !c.framing.Begun())
-	if begins {
-		c.phase, c.evicting = readingHead, false
+	headBegins := len(read) > 0 && (c.phase == idling || c.phase == readingHead && !c.framing.Begun())
+	if headBegins {
+		c.phase = readingHead
+		c.evicting = false
+	}
+	if len(read) == 1 && bufferSize == 1 { // the read by which net/http watches for the client's end
+		c.pipelined = true
 	}
-	c.pipelined = c.pipelined || len(read) == 1 && size == 1 // as it looks
 	c.framing.Read(read)
 	c.mu.Unlock()
-	if begins {
+	if headBegins {
 		c.slot.SetState(connlimit.StateReading)
 	}
 }
 
+// phaseTimeout is how long the present phase may last by the limits in force; the caller holds the lock.
+func (c *clientConn) phaseTimeout() time.Duration {
+	if c.phase == idling {
+		return time.Duration(c.limits().IdleTimeout)
+	}
+	return time.Duration(c.limits().HeaderTimeout)
+}
+
 // SetReadDeadline replaces the deadlines of idle connections and of heads, which net/http has from the limits that stood when
 // its server was made, by those of the limits in force.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
-	c.mu.Lock()
-	if now := time.Now(); c.phase != handling && t.After(now) {
-		c.since = now
-		if t = now.Add(c.allowed()); c.evicting {
-			t = time.Unix(1, 0)
-		}
-	}
-	c.mu.Unlock()
-	return c.Conn.SetReadDeadline(t)
+	return c.Conn.SetReadDeadline(c.readDeadline(t))
 }
 
-// allowed is how long the present phase may last by the limits in force; the caller holds the lock.
-func (c *clientConn) allowed() time.Duration {
-	if c.phase == idling {
-		return time.Duration(c.limits().IdleTimeout)
+// readDeadline is the deadline to set in place of the one that net/http asks for.
+func (c *clientConn) readDeadline(asked time.Time) time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := time.Now()
+	if c.phase == handling || !asked.After(now) {
+		return asked
 	}
-	return time.Duration(c.limits().HeaderTimeout)
+	c.since = now
+	if c.evicting {
+		return deadlinePassed
+	}
+	return now.Add(c.phaseTimeout())
 }
 
-// extend tells, at a deadline or where its place is wanted, whether there is more time: the limits may have been raised since it was set, and a request may
-// have arrived in the moment of the deadline.
-func (c *clientConn) extend() bool {
+// deadlinePassed is a deadline at which a read returns at once.
+var deadlinePassed = time.Unix(1, 0)
+
+// extendDeadline reports, at a deadline or where the connection's slot is wanted, whether there is more time: the limits may have
+// been raised since the deadline was set, and a request may have arrived in the moment of the deadline.
+func (c *clientConn) extendDeadline() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase == handling {
 		return false
 	}
 	if !c.framing.Begun() && c.peek() == bytesWait {
-		c.phase, c.since, c.evicting = readingHead, time.Now(), false
+		c.phase = readingHead
+		c.since = time.Now()
+		c.evicting = false
 	}
-	if due := c.since.Add(c.allowed()); !c.evicting && time.Now().Before(due) {
-		return c.Conn.SetReadDeadline(due) == nil
+	if deadline := c.since.Add(c.phaseTimeout()); !c.evicting && time.Now().Before(deadline) {
+		return c.Conn.SetReadDeadline(deadline) == nil
 	}
 	if !c.counted { // net/http may read again after a deadline
 		c.counted = true
-		c.cuts.add(c.why())
+		c.cuts.add(c.deadlineCause())
 	}
 	return false
 }
 
-// why is the cause for which the connection ends at its read deadline; the caller holds the lock.
-func (c *clientConn) why() cutCause {
+// deadlineCause is why the connection ends at its read deadline; the caller holds the lock.
+func (c *clientConn) deadlineCause() cutCause {
 	switch {
 	case c.evicting:
 		return cutRoom
@@ -127,32 +157,33 @@
 	return cutHead
 }
 
-// beginRequest begins a request, and tells how it is framed.
+// beginRequest begins to handle a request, and returns how it is framed. A nil connection knows nothing of that.
 func (c *clientConn) beginRequest() httpframing.Fields {
+	if c == nil {
+		return httpframing.Fields{}
+	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.phase, c.idleFor, c.evicting, c.answered = handling, c.limits().IdleTimeout, false, false
+	c.phase = handling
+	c.idleTimeout = c.limits().IdleTimeout
+	c.evicting = false
+	c.answered = false
 	return c.framing.Next()
 }
 
-// markIdle tells that the connection's request has its answer. The beginning of the next one may have come behind it.
+// markIdle notes that the connection's request has its answer. The beginning of the next one may have come behind it.
 func (c *clientConn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answered = false
-	if c.phase = idling; c.framing.Begun() {
+	c.phase = idling
+	if c.framing.Begun() {
 		c.phase = readingHead
 	}
 }
 
-func (c *clientConn) Close() error {
-	defer c.slot.Release()
-	c.linger()
-	return c.Conn.Close()
-}
-
-// evict ends the connection, whose place is wanted for another, by its read deadline: then its reader alone decides, and what has
-// come by that moment is served. net/http says only once it has read a whole head that a connection is in use.
+// evict ends the connection, whose slot is wanted for another, by its read deadline: then its reader alone decides, and what has
+// come by that moment is served. net/http reports a connection as active only once it has read a complete head.
 func (c *clientConn) evict() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,5 +191,12 @@
 		return
 	}
 	c.evicting = true
-	c.Conn.SetReadDeadline(time.Unix(1, 0))
+	c.Conn.SetReadDeadline(deadlinePassed)
+}
+
+// Close ends the connection so that its client can read the last answer, and releases its slot.
+func (c *clientConn) Close() error {
+	defer c.slot.Release()
+	c.linger()
+	return c.Conn.Close()
 }
--- a/internal/proxy/client_gone_test.go
+++ b/internal/proxy/client_gone_test.go
@@ -100,7 +100,7 @@
 		c, err := net.Dial("tcp", at)
 		qt.Assert(t, err, qt.IsNil)
 		io.WriteString(c, "POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: gone\r\nContent-Length: 4\r\n\r\nbody")
-		waitUntil(t, func() bool { return f.counters.byRing[0].Load() == 1 })
+		waitUntil(t, func() bool { return f.counters.byDistance[0].Load() == 1 })
 		c.Close()
 		waitUntil(t, func() bool { return f.counters.clientGone.Load() == 1 })
 		close(let)
--- a/internal/proxy/client_peek.go
+++ b/internal/proxy/client_peek.go
@@ -1,28 +1,36 @@
 package proxy
 
 import (
+	"errors"
 	"syscall"
 )
 
-// clientGone tells whether the client went while its request stood behind another.
-func (c *clientConn) clientGone() bool {
-	c.mu.Lock()
-	behind := c.pipelined
-	c.pipelined = false
-	c.mu.Unlock()
-	return behind && c.peek() == ended
-}
-
 // pending is what waits to be read on a connection.
 type pending uint8
 
 const (
-	nothingWaits pending = iota // or it can't be told
+	nothingWaits pending = iota // or it can't be found out
 	bytesWait
 	ended // its end, or an error
 )
 
-// peek looks at what waits to be read, and takes nothing of it.
+func (p pending) String() string {
+	return [...]string{"nothing", "bytes", "end"}[p]
+}
+
+// clientGone reports whether the client went while its request was queued behind another one on its connection.
+func (c *clientConn) clientGone() bool {
+	if c == nil {
+		return false
+	}
+	c.mu.Lock()
+	pipelined := c.pipelined
+	c.pipelined = false
+	c.mu.Unlock()
+	return pipelined && c.peek() == ended
+}
+
+// peek looks at what waits to be read, and consumes nothing of it.
 func (c *clientConn) peek() pending {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -32,16 +40,16 @@
 	if err != nil {
 		return ended
 	}
-	n, seen := 0, error(nil)
+	n, received := 0, error(nil)
 	err = raw.Control(func(fd uintptr) {
-		n, _, seen = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, received = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	switch {
 	case err != nil:
 		return ended
-	case seen == syscall.EAGAIN || seen == syscall.EINTR:
+	case errors.Is(received, syscall.EAGAIN) || errors.Is(received, syscall.EINTR):
 		return nothingWaits
-	case seen != nil || n == 0:
+	case received != nil || n == 0:
 		return ended
 	}
 	return bytesWait
--- a/internal/proxy/client_request.go
+++ b/internal/proxy/client_request.go
@@ -11,12 +11,12 @@
 
 // clientRequest is a client's request as it goes on, and what is known of its attempts at hosts.
 type clientRequest struct {
-	host         string
-	header       http.Header
-	id           string              // of this try
-	attemptCount int                 // hand-offs so far
-	hasHomes     bool                // it may not go everywhere
-	streams      chan *streamedReply // gets an answer that is too long to be read whole, while none is given
+	host           string
+	header         http.Header
+	id             string              // of this try
+	attemptCount   int                 // hand-offs so far
+	hasHomeRegions bool                // it may not go everywhere
+	streams        chan *streamedReply // gets an answer that is too long to be read whole, while none is given
 
 	mu            sync.Mutex // over what follows: the reducer, the hand-off and the client's goroutine have it
 	attempts      attempt.Request
--- a/internal/proxy/client_write.go
+++ b/internal/proxy/client_write.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Write gives a client that takes nothing as long as one that says nothing, by the limits that stood when its request was taken
-// or by those in force, whichever is longer. One that takes an answer slowly, and yet takes some of it, has as long again.
+// Write gives a client that reads nothing of its answer the idle timeout of when its request was received, or of now, whichever is
+// longer. Whenever the client reads a part of it the time begins anew.
 func (c *clientConn) Write(b []byte) (int, error) {
 	written := 0
 	for {
-		c.Conn.SetWriteDeadline(time.Now().Add(c.stall()))
+		c.SetWriteDeadline(time.Now().Add(c.writeTimeout()))
 		n, err := c.Conn.Write(b[written:])
 		written += n
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return written, err
 		}
 		if n == 0 { // perhaps the deadline had passed before the first attempt, as on a loaded machine
-			n = c.push(b[written:])
+			n = c.writeNow(b[written:])
 			written += n
 		}
 		if n == 0 {
@@ -32,8 +32,8 @@
 	}
 }
 
-// push writes what the connection takes without waiting, whatever its deadline: once that has passed the runtime doesn't try.
-func (c *clientConn) push(b []byte) (n int) {
+// writeNow writes what the connection accepts without waiting, whatever its deadline: the runtime doesn't try once that has passed.
+func (c *clientConn) writeNow(b []byte) (n int) {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return 0
@@ -42,15 +42,18 @@
 	if err != nil {
 		return 0
 	}
-	raw.Control(func(fd uintptr) {
-		n, _ = syscall.SendmsgN(int(fd), b, nil, nil, syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL)
+	err = raw.Control(func(fd uintptr) {
+		n, _ = syscall.SendmsgN(int(fd), b, nil, nil, syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL) // an error shows at the next write
 	})
+	if err != nil {
+		return 0
+	}
 	return max(0, n)
 }
 
-// stall is how long a client may take nothing of its answer.
-func (c *clientConn) stall() time.Duration {
+// writeTimeout is how long a client may read nothing of its answer.
+func (c *clientConn) writeTimeout() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Duration(max(c.idleFor, c.limits().IdleTimeout))
+	return time.Duration(max(c.idleTimeout, c.limits().IdleTimeout))
 }
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -4,72 +4,107 @@
 	"sync/atomic"
 	"time"
 
+	"portflow/internal/cluster/outlier"
 	"portflow/internal/decision"
 	"portflow/internal/dispatch"
 	"portflow/internal/proxy/attempt"
 )
 
-// forwardCounts counts hand-offs since the last look at whether this router is short.
+// forwardCounts counts attempts since the last check of whether this proxy is short of capacity.
 type forwardCounts struct{ all, otherZone, overShare atomic.Int64 }
 
-// Forward sends a request to a host; the rules chose it a moment ago.
-func (s *service) Forward(to dispatch.Host, r *dispatch.Request, left time.Duration, done func(dispatch.Outcome)) dispatch.Attempt {
-	c := r.Payload.(*clientRequest)
-	if !c.beginAttempt() { // it may have run, or one is out: the rules don't ask for that
+// outlierOutcomes is what the result of an attempt says of its host.
+var outlierOutcomes = [...]outlier.Outcome{
+	decision.Succeeded:       outlier.Success,
+	decision.Failed:          outlier.Failure,
+	decision.Rejected:        outlier.Inconclusive,
+	decision.TimedOut:        outlier.Failure,
+	decision.ConnectFailed:   outlier.Inconclusive,
+	decision.ConnectionReset: outlier.Failure,
+	decision.Canceled:        outlier.Inconclusive,
+	decision.Unsent:          outlier.Inconclusive,
+	decision.InvalidAnswer:   outlier.Failure,
+}
+
+// Forward makes an attempt at the host that the decision engine has chosen. Where the request may have run it makes none, and says so.
+func (s *service) Forward(to dispatch.Host, r *dispatch.Request, timeout time.Duration, done func(dispatch.Outcome)) dispatch.Attempt {
+	request := r.Payload.(*clientRequest)
+	if !request.beginAttempt() { // it may have run, or an attempt is in flight: the engine doesn't ask for that
 		s.proxy.counters.withheld.Add(1)
-		go done(dispatch.Outcome{Result: decision.Unsent})
+		go done(dispatch.Outcome{Result: decision.Unsent}) // not from here: the engine is in the middle of a step
 		return unsentAttempt{}
 	}
-	s.mu.Lock()
-	b, began := s.hosts[to.Name], s.proxy.clock()
-	s.inFlight++
-	s.outliers.RequestSent(began, to.Name)
-	if b != nil {
-		if b.inFlight++; b.inFlight > b.evenShare {
-			s.proxy.forwarded.overShare.Add(1)
+	host, startedAt := s.attemptStarted(to)
+	s.proxy.countAttempt(to, request)
+	return s.proxy.upstreams.Forward(to, r, timeout, func(o dispatch.Outcome) {
+		var invalid attempt.Event
+		o.Result, invalid = request.endAttempt(o.Result)
+		if invalid != 0 {
+			s.proxy.counters.invalidAnswers[invalid].Add(1)
 		}
-		if b.WarmUpUntil+clockSkew > began {
-			b.coldWindow.Add(began)
-		}
-	}
-	s.mu.Unlock()
-	s.proxy.counters.byRing[to.Distance].Add(1)
-	if s.proxy.forwarded.all.Add(1); to.Distance > 0 && !c.hasHomes {
-		s.proxy.forwarded.otherZone.Add(1)
-	}
-	if c.attemptCount++; c.attemptCount > 1 {
-		s.proxy.counters.retried.Add(1)
-	}
-	return s.proxy.upstreams.Forward(to, r, left, func(o dispatch.Outcome) {
-		var odd attempt.Event
-		if o.Result, odd = c.endAttempt(o.Result); odd != 0 {
-			s.proxy.counters.invalidAnswers[odd].Add(1)
-		}
-		s.mu.Lock()
-		if b != nil {
-			b.inFlight--
-		}
-		s.inFlight--
-		now := s.proxy.clock()
-		s.outliers.RequestEnded(now, to.Name, began, outlierOutcomes[o.Result])
-		if o.Result == decision.Succeeded || o.Result == decision.Failed {
-			s.forecast.Answered(now)
-			if s.meter != nil {
-				s.load.Add(now, loadMemory, float64(now-began)/float64(second))
-			}
-		}
-		s.mu.Unlock()
+		s.attemptEnded(to, host, startedAt, o.Result)
 		s.proxy.counters.endings[o.Result].Add(1)
-		if a, ok := o.Reply.(*reply); ok && a.misdirected && b != nil {
+		if a, ok := o.Reply.(*reply); ok && a.misdirected && host != nil {
 			s.proxy.markReplaced(to.Name)
 		}
 		done(o)
 	})
 }
 
-// unsentAttempt is a hand-off that was not begun.
-type unsentAttempt struct{}
+// attemptStarted notes an attempt at its host, nil where that is not known any more.
+func (s *service) attemptStarted(to dispatch.Host) (host *hostState, startedAt int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	host, startedAt = s.hosts[to.Name], s.proxy.clock()
+	s.inFlight++
+	s.outliers.RequestSent(startedAt, to.Name)
+	if host == nil {
+		return nil, startedAt
+	}
+	host.inFlight++
+	if host.inFlight > host.evenShare {
+		s.proxy.forwarded.overShare.Add(1)
+	}
+	if host.WarmUpUntil+clockSkew > startedAt {
+		host.coldWindow.Add(startedAt)
+	}
+	return host, startedAt
+}
+
+// countAttempt counts an attempt by how far its host is.
+func (p *Proxy) countAttempt(to dispatch.Host, request *clientRequest) {
+	p.counters.byDistance[to.Distance].Add(1)
+	p.forwarded.all.Add(1)
+	if to.Distance > 0 && !request.hasHomeRegions {
+		p.forwarded.otherZone.Add(1)
+	}
+	request.attemptCount++
+	if request.attemptCount > 1 {
+		p.counters.retried.Add(1)
+	}
+}
 
-func (unsentAttempt) Cancel() {}
+// attemptEnded notes the result of an attempt.
+func (s *service) attemptEnded(to dispatch.Host, host *hostState, startedAt int64, result decision.Result) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if host != nil {
+		host.inFlight--
+	}
+	s.inFlight--
+	now := s.proxy.clock()
+	s.outliers.RequestEnded(now, to.Name, startedAt, outlierOutcomes[result])
+	if result != decision.Succeeded && result != decision.Failed {
+		return
+	}
+	s.forecast.Answered(now)
+	if s.meter != nil {
+		s.load.Add(now, loadMemory, float64(now-startedAt)/float64(second))
+	}
+}
+
+// unsentAttempt is an attempt that was not begun.
+type unsentAttempt struct{}
 
+func (unsentAttempt) Cancel()       {}
 func (unsentAttempt) CancelUnsent() {}
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -2,128 +2,134 @@
 
 import (
 	"net/http"
-	"strconv"
 	"time"
 
 	"portflow/internal/cluster/apierror"
+	"portflow/internal/cluster/config"
 	"portflow/internal/dispatch"
-	"portflow/internal/httpframing"
 	"portflow/internal/proxy/attempt"
 )
 
-// ServeHTTP takes a client's request and gives it its one final answer. A panic says that the answer breaks off.
+// ServeHTTP gives a client's request its one final answer. A panic with http.ErrAbortHandler ends the connection instead, so
+// that an answer that breaks off does not look complete.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	p.handle(w, r)
-	if from, known := r.Context().Value(clientConnKey{}).(*clientConn); known {
-		from.answerComplete()
-	}
+	conn := clientConnOf(r)
+	p.handle(w, r, conn)
+	conn.answerComplete()
 }
 
-// handle gives a request its final answer.
-func (p *Proxy) handle(w http.ResponseWriter, r *http.Request) {
+// handle takes a request through its stages: framing, questions about this process, head and route, body, admission, a host. The
+// first check that fails refuses the request, and a body that was not read by then is drained.
+func (p *Proxy) handle(w http.ResponseWriter, r *http.Request, conn *clientConn) {
 	p.counters.received.Add(1)
 	p.openRequests.Add(1)
 	defer p.openRequests.Add(-1)
-	began := p.clock()
-	v := p.snapshot.Load()
-	from, known := r.Context().Value(clientConnKey{}).(*clientConn)
-	var framed httpframing.Fields
-	if known {
-		framed = from.beginRequest() // before the body's deadline is set, which would else be taken for that of a head
-	}
-	if r.ContentLength != 0 { // also for what is left of it once a request is refused: the library reads that
-		http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTime(r.ContentLength)))
-	}
-	read := r.ContentLength == 0 // the request is read whole
+	receivedAt, snapshot := p.clock(), p.snapshot.Load()
+	framing := conn.beginRequest() // before the body's deadline, which would otherwise be replaced by that of a head
+	setBodyDeadline(w, r)
+	bodyRead := r.ContentLength == 0
 	defer func() {
-		if !read {
-			p.readAway(w, r, v.routing.Limits)
+		if !bodyRead {
+			p.drainRefusedBody(w, r, snapshot.routing.Limits)
 		}
 	}()
-	if known {
-		if x := framed; x.Ambiguous() || x.TransferEncodings > 0 && !r.ProtoAtLeast(1, 1) { // the library passes over codings there
-			p.refuse(w, apierror.Malformed, 0)
-			return
-		}
-	}
-	if r.Method == http.MethodOptions && r.RequestURI == "*" { // asks about this router, not about a service
-		w.Header().Set("Content-Length", "0")
+	if kind := checkFraming(r, framing); kind != apierror.None {
+		p.refuse(w, kind, 0)
 		return
 	}
-	if _, ok := requestTarget(r.RequestURI); !ok || len(r.Header["Attempt-Id"]) > 1 { // can't go on as it came, or has two ids
-		p.refuse(w, apierror.Malformed, 0)
+	if isServerOptions(r) {
+		w.Header().Set("Content-Length", "0")
 		return
 	}
-	if headSize(r) > v.routing.Limits.HeaderBytes {
-		p.refuse(w, apierror.HeaderTooLarge, 0)
+	route, timeout, kind := p.checkHead(r, snapshot.routing)
+	if kind != apierror.None {
+		p.refuse(w, kind, 0)
 		return
 	}
-	if !p.ready.Load() || p.refusing.Load() {
-		p.refuse(w, apierror.Unavailable, 0)
+	body, reserved, kind := p.readBody(w, r, snapshot.routing.Limits)
+	bodyRead = kind == apierror.None
+	request := newClientRequest(r, route, bodyReservation{total: &p.heldBodyBytes, bytes: reserved, holders: 1})
+	defer request.release()
+	if kind != apierror.None {
+		p.refuse(w, kind, 0)
 		return
 	}
-	route := v.routing.Match(hostName(r.Host), r.URL.EscapedPath())
-	if route == nil {
-		p.refuse(w, apierror.NoRoute, 0)
+	p.serveRoute(w, r, conn, snapshot, route, request, body, receivedAt+timeout)
+}
+
+// serveRoute admits a request that has been read completely, and has the route's service answer it by the deadline.
+func (p *Proxy) serveRoute(w http.ResponseWriter, r *http.Request, conn *clientConn, snapshot *routingSnapshot,
+	route *config.Route, request *clientRequest, body []byte, deadline int64) {
+	s, kind, wait := p.admit(w, r, snapshot, route)
+	if kind != apierror.None {
+		p.refuse(w, kind, wait)
 		return
 	}
-	left := route.Timeout
-	if t := r.Header.Get("Time-Remaining"); t != "" {
-		ms, err := strconv.ParseFloat(t, 64)
-		if err != nil || !(ms >= 0) || ms > 1e9 {
-			p.refuse(w, apierror.Malformed, 0)
-			return
-		}
-		left = min(left, int64(ms*1e6))
+	answers := make(dispatch.AnswerChan, 1)
+	call := s.newCall(r, route, request, body, deadline, answers)
+	if conn.clientGone() {
+		p.countClientGone()
+		panic(http.ErrAbortHandler)
 	}
-	body, weight, fault := p.readBody(w, r, v.routing.Limits)
-	read = fault == apierror.None
-	load := &clientRequest{id: r.Header.Get("Attempt-Id"), streams: make(chan *streamedReply, 1), attempts: attempt.Request{Idempotent: route.Idempotent},
-		bodyMemory: bodyReservation{total: &p.heldBodyBytes, bytes: weight, holders: 1}}
-	defer load.release()
-	if fault != apierror.None {
-		p.refuse(w, fault, 0)
-		return
+	s.dispatcher.Post(dispatch.RequestReceived{Call: call})
+	select {
+	case answer := <-answers:
+		p.writeAnswer(w, s, answer, call, request.settle())
+	case stream := <-request.streams:
+		request.settle()
+		s.dispatcher.Post(dispatch.StreamStarted{Call: call})
+		p.passStream(w, r, stream)
+	case <-r.Context().Done(): // also where the client shut only its sending side: an empty answer would look like a success
+		request.settle()
+		p.countClientGone()
+		s.dispatcher.Post(dispatch.ClientGone{Call: call})
+		panic(http.ErrAbortHandler)
 	}
-	s := v.services[p.chooseService(route)]
+}
+
+// admit chooses the service of a route for one request and checks the caller's quota there; wait is when to come back.
+func (p *Proxy) admit(w http.ResponseWriter, r *http.Request, snapshot *routingSnapshot, route *config.Route) (
+	s *service, kind apierror.Kind, wait time.Duration) {
+	s = snapshot.services[p.chooseService(route)]
 	if s == nil {
-		p.refuse(w, apierror.NoService, 0)
-		return
+		return nil, apierror.NoService, 0
 	}
-	if v.routing.Quotas != nil {
-		if wait, ok := s.checkQuota(w, r, route.Idempotent); !ok {
-			p.refuse(w, apierror.QuotaExceeded, wait)
-			return
+	if snapshot.routing.Quotas != nil {
+		if wait, admitted := s.checkQuota(w, r, route.Idempotent); !admitted {
+			return nil, apierror.QuotaExceeded, wait
 		}
 	}
-	answers := make(dispatch.AnswerChan, 1)
-	load.host, load.header, load.hasHomes = r.Host, forwardedHeader(r.Header), len(route.HomeRegions) > 0
-	c := &dispatch.Call{Class: s.bandOf(route), Deadline: began + left, Responder: answers, MaxAttempts: route.MaxAttempts,
-		Allowed: func(h dispatch.Host) bool { return s.mayUse(h, route.HomeRegions) },
-		Request: &dispatch.Request{Method: r.Method, Target: r.RequestURI, Body: body, Payload: load}}
-	if known && from.clientGone() {
-		p.counters.clientGone.Add(1)
-		p.counters.cuts.add(cutGone)
-		panic(http.ErrAbortHandler)
+	return s, apierror.None, 0
+}
+
+// newCall is a request as the decision engine gets it.
+func (s *service) newCall(r *http.Request, route *config.Route, request *clientRequest, body []byte, deadline int64,
+	answers dispatch.AnswerChan) *dispatch.Call {
+	request.host = r.Host
+	request.header = forwardedHeader(r.Header)
+	return &dispatch.Call{
+		Class:       s.classOf(route),
+		Deadline:    deadline,
+		Responder:   answers,
+		MaxAttempts: route.MaxAttempts,
+		Allowed:     func(h dispatch.Host) bool { return s.mayUse(h, route.HomeRegions) },
+		Request:     &dispatch.Request{Method: r.Method, Target: r.RequestURI, Body: body, Payload: request},
 	}
-	s.dispatcher.Post(dispatch.RequestReceived{Call: c})
-	select {
-	case a := <-answers:
-		p.writeAnswer(w, s, a, c, load.settle())
-	case t := <-load.streams:
-		load.settle()
-		s.dispatcher.Post(dispatch.StreamStarted{Call: c})
-		if t.length < 0 && !r.ProtoAtLeast(1, 1) { // the connection's end would be its only one, also where it is cut
-			t.done <- attempt.ErrNoStatedEnd
-			p.refuse(w, apierror.UpstreamBroken, 0)
-			return
-		}
-		p.streamReply(w, r, t)
-	case <-r.Context().Done(): // also where only its writing side is shut: no answer, as one that isn't given would be a success
-		load.settle()
-		p.counters.clientGone.Add(1)
-		p.counters.cuts.add(cutGone)
-		s.dispatcher.Post(dispatch.ClientGone{Call: c})
-		panic(http.ErrAbortHandler)
+}
+
+// newClientRequest is a request whose body has been read, or was refused.
+func newClientRequest(r *http.Request, route *config.Route, body bodyReservation) *clientRequest {
+	return &clientRequest{
+		id:             r.Header.Get("Attempt-Id"),
+		hasHomeRegions: len(route.HomeRegions) > 0,
+		streams:        make(chan *streamedReply, 1),
+		attempts:       attempt.Request{Idempotent: route.Idempotent},
+		bodyMemory:     body,
 	}
 }
+
+// countClientGone counts a client that has gone while its request was at work; its connection is ended.
+func (p *Proxy) countClientGone() {
+	p.counters.clientGone.Add(1)
+	p.counters.cuts.add(cutGone)
+}
--- a/internal/proxy/head_limits.go
+++ b/internal/proxy/head_limits.go
@@ -8,14 +8,21 @@
 	"time"
 )
 
-// headSlop is by how many bytes a head may pass the limit before its end has come: as many as net/http's buffer has. What is
-// whole by then is judged by its size.
+// headSlop is by how many bytes a head may exceed the limit before its end has come: as many as net/http's buffer has. A head that is
+// complete by then is judged by headSize.
 const headSlop = 4096
 
+// requestLineSize is what headSize counts beside the method, target, host and fields: the version and the separators.
+const requestLineSize = 20
+
+// resetAvoidance is how long a refused client that still sends gets to read its answer: a connection that is closed beside unread
+// bytes is reset, and the client may lose the answer by that.
+const resetAvoidance = 500 * time.Millisecond
+
 var errLongHead = errors.New("the head is longer than header-bytes")
 
-// overlong tells whether the head that comes in is longer than the limits in force allow.
-func (c *clientConn) overlong() bool {
+// headTooLong reports whether the head that comes in is longer than the limits in force allow.
+func (c *clientConn) headTooLong() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.phase == readingHead && c.framing.Head() > c.limits().HeaderBytes+headSlop
@@ -26,16 +33,12 @@
 	fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
 		http.StatusRequestHeaderFieldsTooLarge, http.StatusText(http.StatusRequestHeaderFieldsTooLarge))
 	c.Conn.SetReadDeadline(time.Now().Add(resetAvoidance))
-	io.Copy(io.Discard, c.Conn)
+	_, _ = io.Copy(io.Discard, c.Conn) // ends at the client's end or the deadline; either way the connection is closed
 }
 
-// resetAvoidance is how long a refused client that still sends gets to read its answer: a connection that is closed beside unread
-// bytes is reset, and the client may lose the answer by that.
-const resetAvoidance = 500 * time.Millisecond
-
 // headSize is about how many bytes a request's head has.
 func headSize(r *http.Request) int {
-	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + 20
+	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + requestLineSize
 	for name, values := range r.Header {
 		for _, v := range values {
 			n += len(name) + len(v) + 4
--- a/internal/proxy/host_state.go
+++ b/internal/proxy/host_state.go
@@ -11,67 +11,120 @@
 	"portflow/internal/proxy/endpoint"
 )
 
-// hostState is one host as this router uses it.
+// clockSkew is by how much the clocks of machines may differ, nanoseconds.
+const clockSkew = second / 2
+
+// hostState is one host as this proxy uses it; the service's lock guards it.
 type hostState struct {
 	instance.Instance
-	inFlight     int
-	coldWindow   endpoint.SlidingWindow
-	share        endpoint.Share // as of a roster and a chart, and no longer than until
-	evenShare    int            // its part of the open ones while nobody lends any
-	shareVersion int
-	shareRouting *config.RoutingTable
-	shareUntil   int64
-	ejection     outlier.Ejection
+	inFlight   int // attempts
+	coldWindow endpoint.SlidingWindow
+	ejection   outlier.Ejection
+
+	share        endpoint.Share       // as of shareVersion and shareRouting, and no longer than until shareUntil
+	evenShare    int                  // its part of the host's concurrent requests while no proxy lends any
+	shareVersion int                  // version of the proxy list
+	shareRouting *config.RoutingTable // its identity
+	shareUntil   int64                // nanoseconds
 }
 
-// clockSkew is by how much the clocks of machines may differ.
-const clockSkew = second / 2
+// updateHosts replaces what is known of the service's hosts. One that has gone stays while attempts at it are in flight.
+func (s *service) updateHosts(instances map[string]instance.Instance, ejections map[string]outlier.Ejection) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for id, h := range instances {
+		if h.Service != s.name {
+			continue
+		}
+		host := s.hosts[id]
+		if host == nil {
+			host = &hostState{}
+			s.hosts[id] = host
+		}
+		host.Instance = h
+		host.ejection = ejections[id]
+	}
+	for id, host := range s.hosts {
+		h, known := instances[id]
+		if host.inFlight == 0 && (!known || h.State == instance.Gone) {
+			delete(s.hosts, id)
+			s.outliers.RemoveHost(id)
+		}
+	}
+}
 
-// mayUse tells whether a request with these homes may go to a host now, as far as this router's parts and the news go.
-func (s *service) mayUse(h dispatch.Host, homes []string) bool {
+// mayUse reports whether a request with these home regions may go to a host now, by the proxy's share of it and its state.
+func (s *service) mayUse(h dispatch.Host, homeRegions []string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b := s.hosts[h.Name]
-	if b == nil {
+	host := s.hosts[h.Name]
+	if host == nil {
 		return false
 	}
-	f := s.proxy
-	if len(homes) > 0 && !slices.Contains(homes, f.Settings.ZoneRegions[b.Zone]) {
+	p := s.proxy
+	if len(homeRegions) > 0 && !slices.Contains(homeRegions, p.Settings.ZoneRegions[host.Zone]) {
 		return false
 	}
-	v := f.snapshot.Load()
-	now := f.clock()
-	if b.shareVersion != v.listVersion || b.shareRouting != v.routing || now >= b.shareUntil { // the parts change with the roster and the service only
-		b.share, b.shareVersion, b.shareRouting, b.shareUntil = f.hostShare(b.Instance, v, v.proxies), v.listVersion, v.routing, math.MaxInt64
-		b.evenShare = b.share.Concurrent
-		if b.Zone == f.Settings.Zone { // where routers lend to each other
-			open := func(all endpoint.ProxyList) int { return f.hostShare(b.Instance, v, all).Concurrent }
-			b.share.Concurrent, b.shareUntil = v.history.LeastConcurrent(now, v.proxies, open)
-			if b.evenShare = b.share.Concurrent; f.borrowing.Load() {
-				b.evenShare = open(v.proxies.EvenWeights())
-			}
-		}
+	snapshot := p.snapshot.Load()
+	now := p.clock()
+	if host.shareOutdated(snapshot, now) {
+		p.updateShare(host, snapshot, now)
 	}
-	p := b.share
-	if b.inFlight >= p.Concurrent || b.inFlight > 0 && now < b.ejection.ProbationUntil { // one on its way back is met gently
+	switch {
+	case host.inFlight >= host.share.Concurrent:
 		return false
-	}
-	if b.WarmUpUntil+clockSkew <= now {
+	case host.inFlight > 0 && now < host.ejection.ProbationUntil: // one attempt at a time on probation
+		return false
+	case host.WarmUpUntil+clockSkew <= now:
 		return true
 	}
-	return b.coldWindow.Allows(now, min(p.ColdPerSecond, f.coldShare(now, b.Instance, v)))
+	return host.coldWindow.Allows(now, min(host.share.ColdPerSecond, p.coldShare(now, host.Instance, snapshot)))
 }
 
-func (p *Proxy) hostShare(h instance.Instance, v *routingSnapshot, all endpoint.ProxyList) endpoint.Share {
-	t := endpoint.ColdBounds{Overrun: p.Settings.Terms.ColdOverrun, Slack: p.Settings.Terms.ColdSlack, PerSecond: v.routing.Services[h.Service].WarmUpPerSecond}
-	return endpoint.ShareOf(h, p.Settings.Name, endpoint.Location{Zone: p.Settings.Zone, Region: p.Settings.Region}, p.Settings.ZoneRegions, all, t)
+// shareOutdated reports whether the host's share is to be computed anew: it changes with the proxy list and the service only.
+func (h *hostState) shareOutdated(snapshot *routingSnapshot, now int64) bool {
+	return h.shareVersion != snapshot.listVersion || h.shareRouting != snapshot.routing || now >= h.shareUntil
+}
+
+// updateShare computes this proxy's share of a host. In its own zone, where proxies lend each other theirs, a share that has grown is
+// used only once the others have had time to shrink theirs.
+func (p *Proxy) updateShare(host *hostState, snapshot *routingSnapshot, now int64) {
+	host.share = p.hostShare(host.Instance, snapshot, snapshot.proxies)
+	host.shareVersion = snapshot.listVersion
+	host.shareRouting = snapshot.routing
+	host.shareUntil = math.MaxInt64
+	host.evenShare = host.share.Concurrent
+	if host.Zone != p.Settings.Zone {
+		return
+	}
+	concurrent := func(proxies endpoint.ProxyList) int {
+		return p.hostShare(host.Instance, snapshot, proxies).Concurrent
+	}
+	host.share.Concurrent, host.shareUntil = snapshot.history.LeastConcurrent(now, snapshot.proxies, concurrent)
+	host.evenShare = host.share.Concurrent
+	if p.borrowing.Load() {
+		host.evenShare = concurrent(snapshot.proxies.EvenWeights())
+	}
+}
+
+// hostShare is this proxy's share of a host where these are the ready proxies.
+func (p *Proxy) hostShare(h instance.Instance, snapshot *routingSnapshot, proxies endpoint.ProxyList) endpoint.Share {
+	bounds := endpoint.ColdBounds{
+		Overrun:   p.Settings.Terms.ColdOverrun,
+		Slack:     p.Settings.Terms.ColdSlack,
+		PerSecond: snapshot.routing.Services[h.Service].WarmUpPerSecond,
+	}
+	location := endpoint.Location{Zone: p.Settings.Zone, Region: p.Settings.Region}
+	return endpoint.ShareOf(h, p.Settings.Name, location, p.Settings.ZoneRegions, proxies, bounds)
 }
 
-// coldShare is the least part of a cold host that this router has had of late: one that is cut off, has just come back, or isn't
-// counted yet has none.
-func (p *Proxy) coldShare(now int64, h instance.Instance, v *routingSnapshot) int {
-	if p.cutOffSince.Load() != 0 || now-p.rejoinedAt.Load() < endpoint.SettleTime || !v.counted {
+// coldShare is the least share of a cold host that this proxy has had of late, requests a second: none for one that is cut off from
+// control, has just rejoined, or isn't on the proxy list yet.
+func (p *Proxy) coldShare(now int64, h instance.Instance, snapshot *routingSnapshot) int {
+	if p.cutOffSince.Load() != 0 || now-p.rejoinedAt.Load() < endpoint.SettleTime || !snapshot.counted {
 		return 0
 	}
-	return v.history.LeastCold(now, func(all endpoint.ProxyList) int { return p.hostShare(h, v, all).ColdPerSecond })
+	return snapshot.history.LeastCold(now, func(proxies endpoint.ProxyList) int {
+		return p.hostShare(h, snapshot, proxies).ColdPerSecond
+	})
 }
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -11,24 +11,24 @@
 	"portflow/internal/connlimit"
 )
 
-// limitedListener keeps clients' connections within their room.
+// limitedListener accepts no more clients' connections than there are slots for.
 type limitedListener struct {
 	net.Listener
 	limiter *connlimit.Limiter
 	cuts    *cutCounts
-	limits  func() config.Limits
+	limits  func() config.Limits // those in force
 }
 
 func (l *limitedListener) Accept() (net.Conn, error) {
-	place := l.limiter.Acquire(nil)
+	slot := l.limiter.Acquire(nil)
 	c, err := l.Listener.Accept()
 	if err != nil {
-		place.Release()
+		slot.Release()
 		return nil, err
 	}
-	v := &clientConn{Conn: c, slot: place, cuts: l.cuts, limits: l.limits, phase: readingHead, since: time.Now()}
-	place.Attach(connlimit.StateNew, v.evict)
-	return v, nil
+	conn := &clientConn{Conn: c, slot: slot, cuts: l.cuts, limits: l.limits, phase: readingHead, since: time.Now()}
+	slot.Attach(connlimit.StateNew, conn.evict)
+	return conn, nil
 }
 
 // backlog is how many connections wait to be accepted; 0 where the listener is not the machine's own.
@@ -42,9 +42,9 @@
 		return 0
 	}
 	waiting := 0
-	raw.Control(func(fd uintptr) {
+	_ = raw.Control(func(fd uintptr) { // fails on a closed listener, at which none waits
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			waiting = int(info.Unacked) // for a listener it is this
+			waiting = int(info.Unacked) // the length of the accept queue, in the state LISTEN
 		}
 	})
 	return waiting
--- a/internal/proxy/refusal.go
+++ b/internal/proxy/refusal.go
@@ -7,21 +7,30 @@
 	"portflow/internal/cluster/apierror"
 )
 
-// refuse answers by the table of faults.
-func (p *Proxy) refuse(w http.ResponseWriter, k apierror.Kind, wait time.Duration) {
-	p.counters.refusals[k].Add(1)
-	a := k.Response()
-	if wait <= 0 {
-		wait = a.RetryAfter
+// refuse answers a request by the table of error kinds; a retryAfter of 0 leaves the kind's own.
+func (p *Proxy) refuse(w http.ResponseWriter, kind apierror.Kind, retryAfter time.Duration) {
+	p.counters.refusals[kind].Add(1)
+	response := kind.Response()
+	if retryAfter <= 0 {
+		retryAfter = response.RetryAfter
 	}
 	h := w.Header()
-	if wait > 0 {
-		h["Retry-After"] = []string{apierror.RetryAfter(wait)}
+	if retryAfter > 0 {
+		h["Retry-After"] = []string{apierror.RetryAfter(retryAfter)}
 	}
-	if a.CloseConnection || p.draining.Load() {
+	if response.CloseConnection || p.draining.Load() {
 		h["Connection"] = []string{"close"}
 	}
 	h["Content-Length"] = []string{"0"}
 	h["Date"] = nil
-	w.WriteHeader(a.Status)
+	w.WriteHeader(response.Status)
+}
+
+// retryAfter is how long a refused client should wait: by the forecast of when the service has room, and at most a third of the time
+// to the request's deadline, as clients wait no longer.
+func (s *service) retryAfter(deadline int64) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.proxy.clock()
+	return time.Duration(s.forecast.Wait(now, max(0, deadline-now)/3))
 }
--- a/internal/proxy/refused_body.go
+++ b/internal/proxy/refused_body.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"errors"
 	"io"
 	"net/http"
 	"time"
@@ -8,37 +9,43 @@
 	"portflow/internal/cluster/config"
 )
 
-// refusedStall is for how long nothing may come of the body of a request that was refused.
-const refusedStall = 2 * time.Second
-
-// libraryReads is up to how many bytes of a refused request's body net/http itself reads away before it answers.
-const libraryReads = 256 << 10
+const (
+	refusedBodyStall  = 2 * time.Second // for which nothing may come of the body of a refused request
+	libraryDrainBytes = 256 << 10       // of a refused request's body that net/http itself reads before it answers
+	drainBufferBytes  = 8 << 10
+)
 
-// readAway answers a request that is refused beside a long body at once, and then reads what still comes of that. net/http would
-// close the connection half a second after the answer, and reset by that a client that sends on, which may lose the answer. It is
-// over once nothing comes for a while, or the body's time is up; a connection that isn't read to its request's end ends.
-func (p *Proxy) readAway(w http.ResponseWriter, r *http.Request, l config.Limits) {
-	if r.ContentLength >= 0 && r.ContentLength <= libraryReads || r.Header.Get("Expect") != "" { // who waits for leave sends nothing
+// drainRefusedBody sends the answer of a request that is refused beside a long body at once, and then reads what still comes of the
+// body. net/http would close the connection half a second after the answer, which resets the connection of a client that still
+// sends, and the client may lose the answer. Draining ends once nothing comes for refusedBodyStall, or the body's time is up; a
+// connection that isn't read to its request's end is closed.
+func (p *Proxy) drainRefusedBody(w http.ResponseWriter, r *http.Request, limits config.Limits) {
+	if r.ContentLength >= 0 && r.ContentLength <= libraryDrainBytes || r.Header.Get("Expect") != "" { // a client that waits for 100 sends nothing
 		return
 	}
 	if r.ContentLength < 0 && w.Header().Get("Connection") != "close" {
-		if _, err := io.CopyN(io.Discard, r.Body, libraryReads); err != nil { // also its end
+		if _, err := io.CopyN(io.Discard, r.Body, libraryDrainBytes); err != nil { // also io.EOF: the body is short
 			return
 		}
 	}
-	c := http.NewResponseController(w)
-	c.EnableFullDuplex()
-	c.Flush()
-	end := time.Now().Add(bodyTime(min(r.ContentLength, int64(l.BodyBytes))))
-	for b, err := make([]byte, 8<<10), error(nil); err != io.EOF; {
-		stall := time.Now().Add(refusedStall)
-		if stall.After(end) {
-			stall = end
+	controller := http.NewResponseController(w)
+	_ = controller.EnableFullDuplex() // net/http's HTTP/1 server always can
+	_ = controller.Flush()            // where it fails, the reads below fail too
+	deadline := time.Now().Add(bodyTime(min(r.ContentLength, int64(limits.BodyBytes))))
+	buffer := make([]byte, drainBufferBytes)
+	for {
+		stall := time.Now().Add(refusedBodyStall)
+		if stall.After(deadline) {
+			stall = deadline
+		}
+		controller.SetReadDeadline(stall)
+		_, err := r.Body.Read(buffer)
+		if errors.Is(err, io.EOF) {
+			return
 		}
-		c.SetReadDeadline(stall)
-		if _, err = r.Body.Read(b); err != nil && err != io.EOF {
+		if err != nil {
 			p.counters.cuts.add(cutUnread)
-			panic(http.ErrAbortHandler) // what is left must not be read as another request
+			panic(http.ErrAbortHandler) // the rest must not be read as another request
 		}
 	}
 }
--- a/internal/proxy/request_class.go
+++ b/internal/proxy/request_class.go
@@ -9,41 +9,56 @@
 	"portflow/internal/dispatch"
 )
 
-// bandKey is what the rules are told of a route; routes that are alike in it share a band.
-type bandKey struct {
-	safe                bool
-	timeout, targetTime int64
-	priority            int
+// classKey is what the decision engine knows of a route; routes with equal keys share a class.
+type classKey struct {
+	idempotent bool
+	timeout    int64 // nanoseconds
+	target     int64 // latency, nanoseconds
+	priority   int
 }
 
-// band is what the rules are told.
-func (k bandKey) band() decision.RequestClass {
-	b := decision.RequestClass{LatencyTarget: k.targetTime, Timeout: k.timeout, Idempotency: decision.NonIdempotent, Value: math.Pow(2, -float64(k.priority)), LateValue: 0.3}
-	if k.safe {
-		b.Idempotency = decision.Idempotent
+// lateValue is the value of an answer after its latency target, as a fraction of its value in time.
+const lateValue = 0.3
+
+// requestClass is the class of a key, whose value halves with each step of priority.
+func (k classKey) requestClass() decision.RequestClass {
+	c := decision.RequestClass{
+		LatencyTarget: k.target,
+		Timeout:       k.timeout,
+		Idempotency:   decision.NonIdempotent,
+		Value:         math.Pow(2, -float64(k.priority)),
+		LateValue:     lateValue,
+	}
+	if k.idempotent {
+		c.Idempotency = decision.Idempotent
 	}
-	return b
+	return c
 }
 
-// distance is how far two keys lie apart, the priority first, then the target, which the rules go by, then the timeout.
-func (k bandKey) distance(other bandKey) [3]int64 {
-	apart := func(a, b int64) int64 { return max(a-b, b-a) }
-	return [3]int64{apart(int64(k.priority), int64(other.priority)), apart(k.targetTime, other.targetTime), apart(k.timeout, other.timeout)}
+// distance is how far two keys lie apart: by priority, then by the latency target, then by the timeout.
+func (k classKey) distance(other classKey) [3]int64 {
+	return [3]int64{
+		difference(int64(k.priority), int64(other.priority)),
+		difference(k.target, other.target),
+		difference(k.timeout, other.timeout),
+	}
 }
 
-// maxBands is how many bands a service may have: the rules drop none, and each costs them memory and time.
-const maxBands = 256
+func difference(a, b int64) int64 { return max(a-b, b-a) }
+
+// maxClasses is how many classes a service may have: the decision engine drops none, and each costs it memory and time.
+const maxClasses = 256
 
-// bandTable numbers the bands of a service in the order in which they were added.
-type bandTable struct {
-	numbers map[bandKey]int
-	keys    []bandKey // by number
-	classes [2]int    // how many are unsafe, and safe
+// classTable numbers the classes of a service in the order in which they were added.
+type classTable struct {
+	numbers map[classKey]int
+	keys    []classKey // by number
+	counts  [2]int     // of classes, by idempotence
 }
 
-// number is the number of a key's band, and whether the band was added for it. Once the table is full, a further key shares the
-// nearest band of its class.
-func (t *bandTable) number(k bandKey) (n int, added bool) {
+// number is the number of a key's class, and whether the class was added for it. Once the table is full, a further key shares the
+// nearest class of its idempotence.
+func (t *classTable) number(k classKey) (n int, added bool) {
 	if n, ok := t.numbers[k]; ok {
 		return n, false
 	}
@@ -51,30 +66,30 @@
 		return t.nearest(k), false
 	}
 	if t.numbers == nil {
-		t.numbers = map[bandKey]int{}
+		t.numbers = map[classKey]int{}
 	}
 	n = len(t.keys)
 	t.numbers[k] = n
 	t.keys = append(t.keys, k)
-	t.classes[class(k)]++
+	t.counts[k.idempotence()]++
 	return n, true
 }
 
-// hasRoom tells whether a band may be added for a key. The last one is kept for a class that has none.
-func (t *bandTable) hasRoom(k bandKey) bool {
-	own, other := t.classes[class(k)], t.classes[1-class(k)]
+// hasRoom reports whether a class may be added for a key. The last one is kept for an idempotence that has none.
+func (t *classTable) hasRoom(k classKey) bool {
+	own, other := t.counts[k.idempotence()], t.counts[1-k.idempotence()]
 	reserved := 0
 	if own > 0 && other == 0 {
 		reserved = 1
 	}
-	return len(t.keys) < maxBands-reserved
+	return len(t.keys) < maxClasses-reserved
 }
 
-// nearest is the band of a key's class that is least far from it, the first of those as near. A full table has one of each class.
-func (t *bandTable) nearest(k bandKey) int {
+// nearest is the class of a key's idempotence that is nearest to it, the first of those as near. A full table has one of each.
+func (t *classTable) nearest(k classKey) int {
 	best, least := -1, [3]int64{}
 	for n, other := range t.keys {
-		if other.safe != k.safe {
+		if other.idempotent != k.idempotent {
 			continue
 		}
 		if d := k.distance(other); best < 0 || slices.Compare(d[:], least[:]) < 0 {
@@ -84,22 +99,22 @@
 	return best
 }
 
-// class is a key's repeat class: 1 for those whose requests may be repeated, 0 for others.
-func class(k bandKey) int {
-	if k.safe {
+// idempotence is 1 for keys whose requests may run more than once, 0 for others.
+func (k classKey) idempotence() int {
+	if k.idempotent {
 		return 1
 	}
 	return 0
 }
 
-// bandOf is the number of a route's band in the rules.
-func (s *service) bandOf(r *config.Route) int {
-	s.bandMu.Lock() // until the band is posted: who finds its number posts a command after it
-	defer s.bandMu.Unlock()
-	k := bandKey{r.Idempotent, r.Timeout, r.LatencyTarget, r.Priority}
-	n, added := s.bands.number(k)
+// classOf is the number of a route's class at the decision engine.
+func (s *service) classOf(r *config.Route) int {
+	s.classMu.Lock() // until the class is posted: whoever finds its number posts a request after it
+	defer s.classMu.Unlock()
+	k := classKey{r.Idempotent, r.Timeout, r.LatencyTarget, r.Priority}
+	n, added := s.classes.number(k)
 	if added {
-		s.dispatcher.Post(dispatch.ClassAdded{RequestClass: k.band()})
+		s.dispatcher.Post(dispatch.ClassAdded{RequestClass: k.requestClass()})
 	}
 	return n
 }
--- a/internal/proxy/request_class_test.go
+++ b/internal/proxy/request_class_test.go
@@ -16,12 +16,12 @@
 	return &config.Route{Idempotent: safe, Timeout: timeout * second, LatencyTarget: target * second, Priority: rank}
 }
 
-// fillBands gives a service a band for each of so many time-outs, and tells which route each number was given for.
-func fillBands(s *service, safe bool, many int) map[int]*config.Route {
+// fillClasses gives a service a band for each of so many time-outs, and tells which route each number was given for.
+func fillClasses(s *service, safe bool, many int) map[int]*config.Route {
 	owners := map[int]*config.Route{}
 	for i := range many {
 		r := timedRoute(safe, int64(1000+i), int64(1+i%7), 1+i%2)
-		if n := s.bandOf(r); owners[n] == nil {
+		if n := s.classOf(r); owners[n] == nil {
 			owners[n] = r
 		}
 	}
@@ -39,9 +39,9 @@
 	}
 	numbers := map[*config.Route]int{}
 	for _, r := range first {
-		numbers[r] = s.bandOf(r)
+		numbers[r] = s.classOf(r)
 	}
-	fillBands(s, true, 2000)
+	fillClasses(s, true, 2000)
 	for name, x := range map[string]struct{ route, shares *config.Route }{
 		"known":                            {timedRoute(false, 5, 1, 1), first[4]},
 		"same target, nearest timeout":     {timedRoute(true, 8, 4, 1), first[2]},
@@ -51,7 +51,7 @@
 		"unsafe, nearest priority":         {timedRoute(false, 5, 2, 9), first[6]},
 	} {
 		for range 3 {
-			c.Check(s.bandOf(x.route), qt.Equals, numbers[x.shares], qt.Commentf(name))
+			c.Check(s.classOf(x.route), qt.Equals, numbers[x.shares], qt.Commentf(name))
 		}
 	}
 }
@@ -64,8 +64,8 @@
 		s := f.startService("another")
 		f.mu.Unlock()
 		c := qt.New(t)
-		ours := fillBands(s, safe, 600)
-		theirs := fillBands(s, !safe, 600)
+		ours := fillClasses(s, safe, 600)
+		theirs := fillClasses(s, !safe, 600)
 		c.Check(len(theirs) > 0, qt.IsTrue)
 		for n := range theirs {
 			c.Check(ours[n], qt.IsNil, qt.Commentf("band %d, filled by safe %v", n, safe))
@@ -102,8 +102,8 @@
 				})
 				f, at := startRouted(t, h)
 				defer close(end)
-				fillBands(f.services["desk"], filled, 600)
-				fillBands(f.services["desk"], !filled, 600)
+				fillClasses(f.services["desk"], filled, 600)
+				fillClasses(f.services["desk"], !filled, 600)
 				f.mu.Lock()
 				tell(t, f, setRoutes(nil, longRoute(x.kind, "desk", x.timeout, x.timeout, 2)))
 				f.mu.Unlock()
--- a/internal/proxy/rollout_vote.go
+++ b/internal/proxy/rollout_vote.go
@@ -12,9 +12,7 @@
 	"portflow/internal/dispatch"
 )
 
-type pilotageRollout = rollout.Rollout
-
-// decisionLog takes what the rules note: a vote that has changed, with what it goes by.
+// decisionLog logs what a decision engine notes: a vote that has changed, with its evidence.
 type decisionLog struct{ service string }
 
 func (l decisionLog) Write(line []byte) (int, error) {
@@ -27,64 +25,77 @@
 	voteLifetime = rollout.VoteLifetime
 )
 
-// statisticsEvery is how many ticks of the rules lie between two times that a voter tells control its figures.
-const statisticsEvery = 20
+// evidenceInterval is how many of its engine's ticks a voter lets pass between two reports of its evidence to control.
+const evidenceInterval = 20
 
-// trialShare is the part of its requests that a router gives to a version on trial: under the bound, as what is turned away
-// does not reach the service and yet was taken.
-func trialShare(b settings.Terms) float64 { return 0.8 * b.ExposureShare }
+// trialShare is the fraction of its requests that a proxy gives to a version on trial: less than the bound, as a request that is
+// rejected does not reach the service and yet counts as received.
+func trialShare(terms settings.Terms) float64 { return trialSharePerAllowed * terms.ExposureShare }
 
-// notifyRollout tells the rules how the rollout stands.
-func (s *service) notifyRollout(n decision.Rollout) {
-	s.rolloutNews.Store(&n)
-	s.dispatcher.Post(dispatch.RolloutChanged{Rollout: n})
+// notifyRollout notifies the decision engine of the rollout's state.
+func (s *service) notifyRollout(r decision.Rollout) {
+	s.engineRollout.Store(&r)
+	s.dispatcher.Post(dispatch.RolloutChanged{Rollout: r})
 }
 
-// Vote tells control what this router wants of a rollout.
-func (s *service) Vote(v decision.Verdict, build, stage int) {
-	p := update.Vote{Service: s.name, Number: uint64(build), Verdict: uint8(v), ReceivedAt: s.proxy.clock()}
-	if v != decision.NoVote { // which only takes the last one back
-		p.Evidence = s.trialStatistics()
+// Vote sends control this proxy's decision on a rollout.
+func (s *service) Vote(v decision.Verdict, build, _ int) {
+	vote := update.Vote{Service: s.name, Number: uint64(build), Verdict: uint8(v), ReceivedAt: s.proxy.clock()}
+	if v != decision.NoVote { // which only withdraws the last one
+		vote.Evidence = s.trialEvidence()
 	}
-	s.proxy.SendVote(p)
-	n := *s.rolloutNews.Load()
-	n.VoteReply = true
-	go s.dispatcher.Post(dispatch.RolloutChanged{Rollout: n}) // the rules are in the middle of a step
+	s.proxy.SendVote(vote)
+	r := *s.engineRollout.Load()
+	r.VoteReply = true
+	go s.dispatcher.Post(dispatch.RolloutChanged{Rollout: r}) // not from here: the engine is in the middle of a step
 }
 
-// trialStatistics is what the rules go by; it is for the midst of an effect.
-func (s *service) trialStatistics() *update.Evidence {
-	j := s.dispatcher.TrialStatistics()
-	return &update.Evidence{Outcomes: j.Outcomes, Excess: j.Excess, Error: j.StandardError, Threshold: j.Threshold, Allowance: j.RemainingBurst}
+// trialEvidence is what the decision engine decides by; only an effect of the engine may call it.
+func (s *service) trialEvidence() *update.Evidence {
+	statistics := s.dispatcher.TrialStatistics()
+	return &update.Evidence{
+		Outcomes:  statistics.Outcomes,
+		Excess:    statistics.Excess,
+		Error:     statistics.StandardError,
+		Threshold: statistics.Threshold,
+		Allowance: statistics.RemainingBurst,
+	}
 }
 
-// SendGossip gossips: while a version is on trial, as there is nothing to be said else. Those who vote tell control what they see.
+// SendGossip gossips while a version is on trial, as there is nothing to share otherwise. Voters also report their evidence to control.
 func (s *service) SendGossip(_ int, message []byte) {
-	n := s.rolloutNews.Load()
-	if n.State != decision.OnTrial {
+	r := s.engineRollout.Load()
+	if r.State != decision.OnTrial {
 		return
 	}
 	s.proxy.gossiper.Send(s.name, message)
-	if s.trialTicks++; s.trialTicks%statisticsEvery == 0 && s.proxy.snapshot.Load().rank <= voterCount {
-		s.proxy.SendVote(update.Vote{Service: s.name, Number: uint64(n.Build), ReceivedAt: s.proxy.clock(), Evidence: s.trialStatistics(), ReportOnly: true})
+	s.trialTicks++
+	if s.trialTicks%evidenceInterval == 0 && s.proxy.snapshot.Load().rank <= voterCount {
+		s.proxy.SendVote(update.Vote{
+			Service:    s.name,
+			Number:     uint64(r.Build),
+			ReceivedAt: s.proxy.clock(),
+			Evidence:   s.trialEvidence(),
+			ReportOnly: true,
+		})
 	}
 }
 
-// SendVote tells control a vote, as the rules do.
-func (p *Proxy) SendVote(poll update.Vote) {
-	go func() { // the rules are in the middle of a step, and the lock may be held by who posts to them
+// SendVote sends control a vote of a decision engine.
+func (p *Proxy) SendVote(vote update.Vote) {
+	go func() { // ends once sent: the engine is in the middle of a step, and whoever posts to it may hold the lock
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.control != nil && decision.Verdict(poll.Verdict) <= decision.RollBack {
-			p.control.stream.Send(update.Message{Votes: []update.Vote{poll}})
+		if p.control != nil && decision.Verdict(vote.Verdict) <= decision.RollBack {
+			p.control.stream.Send(update.Message{Votes: []update.Vote{vote}})
 		}
 	}()
 }
 
-// receiveGossip hears what another router's rules say.
-func (p *Proxy) receiveGossip(topic string, raw []byte) {
-	v := p.snapshot.Load()
-	if s := v.services[topic]; s != nil && v.count > 1 {
-		s.dispatcher.Post(dispatch.GossipReceived{Peer: (v.rank + 1) % v.count, Message: raw})
+// receiveGossip gives a decision engine what another proxy's engine gossiped; the topic is the service's name.
+func (p *Proxy) receiveGossip(topic string, message []byte) {
+	snapshot := p.snapshot.Load()
+	if s := snapshot.services[topic]; s != nil && snapshot.count > 1 {
+		s.dispatcher.Post(dispatch.GossipReceived{Peer: (snapshot.rank + 1) % snapshot.count, Message: message})
 	}
 }
--- a/internal/proxy/route.go
+++ b/internal/proxy/route.go
@@ -1,28 +1,26 @@
 package proxy
 
-import (
-	"portflow/internal/cluster/config"
-)
+import "portflow/internal/cluster/config"
 
-// chooseService is a route's service for one request, by the weights.
-func (p *Proxy) chooseService(r *config.Route) string {
-	if len(r.Backends) == 1 {
-		return r.Backends[0].Service
+// chooseService draws a route's service for one request, by the weights of its backends.
+func (p *Proxy) chooseService(route *config.Route) string {
+	if len(route.Backends) == 1 {
+		return route.Backends[0].Service
 	}
 	sum := 0.0
-	for _, w := range r.Backends {
-		sum += w.Weight
+	for _, backend := range route.Backends {
+		sum += backend.Weight
 	}
-	at := p.randomFloat() * sum
-	for _, w := range r.Backends {
-		if at -= w.Weight; at < 0 {
-			return w.Service
+	left := p.randomFloat() * sum
+	for _, backend := range route.Backends {
+		if left -= backend.Weight; left < 0 {
+			return backend.Service
 		}
 	}
-	return r.Backends[0].Service
+	return route.Backends[0].Service
 }
 
-// randomFloat is a number from [0, 1) by chance.
+// randomFloat draws a number from [0, 1).
 func (p *Proxy) randomFloat() float64 {
 	p.randomMu.Lock()
 	defer p.randomMu.Unlock()
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -8,24 +8,23 @@
 	"time"
 
 	"github.com/go-chi/chi/v5"
+	"k8s.io/klog/v2"
 
 	"portflow/internal/cluster/config"
 	"portflow/internal/connlimit"
 )
 
-// startServers begins to serve clients and the platform's checks.
+const (
+	readinessHeaderTimeout = 2 * time.Second
+	readinessIdleTimeout   = 30 * time.Second
+)
+
+var discardLog = stdlog.New(io.Discard, "", 0) // what clients send wrong is counted, not logged
+
+// startServers begins to serve clients and the platform's readiness checks, until the process's context ends.
 func (p *Proxy) startServers(front, readiness net.Listener) {
-	r := chi.NewRouter()
-	r.Get("/-/readiness", func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Content-Length", "0")
-		if !p.Ready() {
-			w.WriteHeader(http.StatusServiceUnavailable)
-			return
-		}
-		w.WriteHeader(http.StatusOK)
-	})
-	checks := &http.Server{Handler: r, ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 30 * time.Second, ErrorLog: discardLog}
-	go checks.Serve(readiness)
+	checks := p.newReadinessServer()
+	go func() { logServeError("readiness", checks.Serve(readiness)) }()
 	go p.serveClients(front)
 	go func() {
 		<-p.ctx.Done()
@@ -35,32 +34,67 @@
 	}()
 }
 
-var discardLog = stdlog.New(io.Discard, "", 0) // what clients send wrong is counted, not logged
+// logServeError logs why a server ended; ending it gives http.ErrServerClosed or net.ErrClosed.
+func logServeError(name string, err error) {
+	klog.V(1).InfoS("server ended", "server", name, "why", err)
+}
+
+// newReadinessServer is the server of the platform's readiness checks.
+func (p *Proxy) newReadinessServer() *http.Server {
+	router := chi.NewRouter()
+	router.Get("/-/readiness", func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("Content-Length", "0")
+		if !p.Ready() {
+			w.WriteHeader(http.StatusServiceUnavailable)
+			return
+		}
+		w.WriteHeader(http.StatusOK)
+	})
+	return &http.Server{
+		Handler:           router,
+		ReadHeaderTimeout: readinessHeaderTimeout,
+		IdleTimeout:       readinessIdleTimeout,
+		ErrorLog:          discardLog,
+	}
+}
 
-// serveClients serves clients. The server is made before any limits have come; caller replaces its bounds by those in force.
+// serveClients serves clients until the listener is closed. The server is made before any limits have come: clientConn replaces its
+// timeouts by the limits in force.
 func (p *Proxy) serveClients(l net.Listener) {
 	limits := p.snapshot.Load().routing.Limits
-	s := &http.Server{Handler: p, ReadHeaderTimeout: time.Duration(limits.HeaderTimeout), IdleTimeout: time.Duration(limits.IdleTimeout),
-		MaxHeaderBytes: config.HeaderMost, ErrorLog: discardLog, ConnState: p.connStateChanged, ConnContext: withClientConn,
-		DisableGeneralOptionsHandler: true} // which would answer beside ServeHTTP, so that nobody takes the request's framing
-	p.server.Store(s)
+	server := &http.Server{
+		Handler:                      p,
+		ReadHeaderTimeout:            time.Duration(limits.HeaderTimeout),
+		IdleTimeout:                  time.Duration(limits.IdleTimeout),
+		MaxHeaderBytes:               config.HeaderMost,
+		ErrorLog:                     discardLog,
+		ConnState:                    p.connStateChanged,
+		ConnContext:                  withClientConn,
+		DisableGeneralOptionsHandler: true, // it would answer beside ServeHTTP, and nobody would take the request's framing
+	}
+	p.server.Store(server)
 	p.front.Store(&l)
 	defer close(p.accepted)
-	s.Serve(&limitedListener{l, p.connections, &p.counters.cuts, func() config.Limits { return p.snapshot.Load().routing.Limits }})
+	logServeError("front", server.Serve(&limitedListener{
+		Listener: l,
+		limiter:  p.connections,
+		cuts:     &p.counters.cuts,
+		limits:   func() config.Limits { return p.snapshot.Load().routing.Limits },
+	}))
 }
 
-// connStateChanged follows a client's connection, as the library tells of it.
-func (p *Proxy) connStateChanged(c net.Conn, s http.ConnState) {
-	v, ok := c.(*clientConn)
+// connStateChanged follows a client's connection through the states that net/http reports.
+func (p *Proxy) connStateChanged(c net.Conn, state http.ConnState) {
+	conn, ok := c.(*clientConn)
 	if !ok {
 		return
 	}
-	p.unfinished.Add(v.unfinished(s))
-	switch s {
+	p.unfinished.Add(conn.unfinished(state))
+	switch state {
 	case http.StateActive:
-		v.slot.SetState(connlimit.StateActive)
+		conn.slot.SetState(connlimit.StateActive)
 	case http.StateIdle:
-		v.markIdle()
-		v.slot.SetState(connlimit.StateIdle)
+		conn.markIdle()
+		conn.slot.SetState(connlimit.StateIdle)
 	}
 }
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -5,31 +5,34 @@
 	"time"
 )
 
-// acceptAfterTerm is for how long after Leave a router takes requests at the most: what is sent later than 3 s after a SIGTERM has a right to
-// its end, whatever is left of the grace.
-const acceptAfterTerm = 2800 * time.Millisecond
+const (
+	// acceptAfterTerm is the most time for which a draining proxy serves new requests: one that is sent later than 3 s after a
+	// SIGTERM has a right to be finished, whatever is left of the grace.
+	acceptAfterTerm = 2800 * time.Millisecond
+	// finishReserve is left of three quarters of the grace as connections begin to be finished.
+	finishReserve = 200 * time.Millisecond
+	// finishPollInterval is the time between two checks of whether all connections are finished.
+	finishPollInterval = 5 * time.Millisecond
+)
 
-// Drain ends the service: out of the directory and not ready at once, connections closed after their next answer. Who still comes
-// is served for a while, then refused, with leave to go elsewhere at once, until shortly before the grace ends; what was taken has
-// at least half of the grace to be finished.
+// Drain ends the service of clients. The proxy is not ready at once, and connections are closed after their next answer. New requests
+// are served for a while, then refused, until shortly before the grace ends; what was received has at least half of the grace to be
+// finished.
 func (p *Proxy) Drain() {
 	p.draining.Store(true)
 	p.reportStatus()
 	grace := time.Duration(p.Settings.Terms.Grace)
-	takes := min(acceptAfterTerm, grace/2)
-	time.Sleep(takes)
+	serveNew := min(acceptAfterTerm, grace/2)
+	time.Sleep(serveNew)
 	p.refusing.Store(true)
-	time.Sleep(grace*3/4 - 200*time.Millisecond - takes)
+	time.Sleep(grace*3/4 - finishReserve - serveNew)
 	p.finishConnections(grace / 5)
 	p.LogCounters()
 }
 
-// finishPollInterval is the time between two looks at whether all connections are done with.
-const finishPollInterval = 5 * time.Millisecond
-
-// finishConnections ends the service of clients: once none waits to be accepted no connection is taken any more, idle ones are closed, and those
-// that are new or have a request get its answer, for so long at the most. A listener that is closed resets those that wait. http.Server.Shutdown won't do: from its beginning on the server closes a connection without
-// an answer once it has read a request on it.
+// finishConnections stops accepting connections once none waits to be accepted, as closing a listener resets those. Idle connections
+// are closed, and those that are new or have a request get its answer, all within the given time. http.Server.Shutdown won't do: once
+// it has begun, the server closes a connection without an answer after it has read a request on it.
 func (p *Proxy) finishConnections(within time.Duration) {
 	began := time.Now()
 	front := *p.front.Load()
@@ -47,21 +50,21 @@
 	}
 }
 
-// unfinished tells by how much a connection's new state changes the number of those that are new or have a request.
-func (c *clientConn) unfinished(s http.ConnState) int64 {
-	awaited := s == http.StateNew || s == http.StateActive
+// unfinished returns by how much a connection's new state changes the number of those that are new or have a request.
+func (c *clientConn) unfinished(state http.ConnState) int64 {
+	is := state == http.StateNew || state == http.StateActive
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	was := c.unfinishedRequest
-	c.unfinishedRequest = awaited
+	c.unfinishedRequest = is
 	switch {
-	case awaited && !was:
+	case is && !was:
 		return 1
-	case was && !awaited:
+	case was && !is:
 		return -1
 	}
 	return 0
 }
 
-// Close lets the connections to hosts go; the context that it was started with has ended.
+// Close closes the connections to hosts; the context that the process was started with has ended.
 func (p *Proxy) Close() { p.upstreams.Shutdown() }
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -11,34 +11,74 @@
 	"portflow/internal/proxy/endpoint"
 )
 
-// Ready tells whether the process takes requests.
-func (p *Proxy) Ready() bool { return p.ready.Load() && !p.draining.Load() }
+// ticksPerLogLine is how many ticks lie between two log lines of counters.
+const ticksPerLogLine = 20
+
+// runTicker checks whether this proxy is short of capacity and reports outliers, and every so often removes stale hosts and logs the
+// counters, until the process's context ends.
+func (p *Proxy) runTicker() {
+	t := time.NewTicker(time.Duration(endpoint.CheckInterval))
+	defer t.Stop()
+	for n := 1; ; n++ {
+		select {
+		case <-t.C:
+		case <-p.ctx.Done():
+			return
+		}
+		p.reportOutliers()
+		p.checkShortage()
+		if n%ticksPerLogLine == 0 {
+			p.removeStaleHosts()
+			p.LogCounters()
+		}
+	}
+}
+
+// checkShortage decides whether this proxy borrows other proxies' shares, and reports a change of that to control.
+func (p *Proxy) checkShortage() {
+	all, otherZone, overShare := p.forwarded.all.Swap(0), p.forwarded.otherZone.Swap(0), p.forwarded.overShare.Swap(0)
+	short := p.shortage.Check(int(all), int(otherZone), int(overShare))
+	if p.borrowing.Swap(short) != short {
+		klog.InfoS("short of room in the zone", "is", short)
+		p.reportStatus()
+	}
+}
 
-// reportStatus tells control how this router is.
+// reportStatus reports this proxy's own state to control.
 func (p *Proxy) reportStatus() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.control == nil {
 		return
 	}
-	p.control.stream.Send(update.Message{Proxy: &update.Proxy{Name: p.Settings.Name, Zone: p.Settings.Zone, IP: p.Settings.IP,
-		Address: p.Settings.ListenAddresses["front"], Ready: p.Ready(), LacksCapacity: p.borrowing.Load(), RegisteredAt: p.subscribedAt}})
+	p.control.stream.Send(update.Message{Proxy: &update.Proxy{
+		Name:          p.Settings.Name,
+		Zone:          p.Settings.Zone,
+		IP:            p.Settings.IP,
+		Address:       p.Settings.ListenAddresses["front"],
+		Ready:         p.Ready(),
+		LacksCapacity: p.borrowing.Load(),
+		RegisteredAt:  p.subscribedAt,
+	}})
 }
 
-// RouteVersions are those of the routes that this router goes by, dropped ones too.
+// Ready reports whether the process serves requests.
+func (p *Proxy) Ready() bool { return p.ready.Load() && !p.draining.Load() }
+
+// RouteVersions are the versions of the routes that this proxy knows, dropped ones included, by name.
 func (p *Proxy) RouteVersions() map[string]uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all := map[string]uint64{}
-	for _, i := range p.endpoints.Set.All() {
-		if i.Kind == config.KindRoutes {
-			all[i.Name] = i.Version
+	versions := map[string]uint64{}
+	for _, item := range p.endpoints.Set.All() {
+		if item.Kind == config.KindRoutes {
+			versions[item.Name] = item.Version
 		}
 	}
-	return all
+	return versions
 }
 
-// UsableHosts is how many hosts of a service this router may use as far as control has told.
+// UsableHosts is how many hosts of a service this proxy may use by what control has announced.
 func (p *Proxy) UsableHosts(service string) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,26 +89,3 @@
 	}
 	return n
 }
-
-// runTicker looks whether this router is short, and writes the counters now and then.
-func (p *Proxy) runTicker() {
-	t := time.NewTicker(time.Duration(endpoint.CheckInterval))
-	defer t.Stop()
-	for n := 1; ; n++ {
-		select {
-		case <-t.C:
-		case <-p.ctx.Done():
-			return
-		}
-		p.reportOutliers()
-		h := &p.forwarded
-		if short := p.shortage.Check(int(h.all.Swap(0)), int(h.otherZone.Swap(0)), int(h.overShare.Swap(0))); p.borrowing.Swap(short) != short {
-			klog.InfoS("short of room in the zone", "is", short)
-			p.reportStatus()
-		}
-		if n%20 == 0 {
-			p.removeStaleHosts()
-			p.LogCounters()
-		}
-	}
-}
