--- a/internal/proxy/body_memory.go
+++ b/internal/proxy/body_memory.go
@@ -2,30 +2,33 @@
 
 import "sync/atomic"
 
-// Memory of requests' bodies. A body is held whole until its request has its final answer and none of its hand-offs is out: it
-// may have to be sent to another host. All bodies together have a quarter of the machine's memory (bytes), counted before a
-// body is read; long ones leave a part of that to short ones, so that a few clients that state long bodies and send nothing
-// don't keep out all others. Who finds no room is refused at once.
+// A request's body is held completely until the request has its final answer and none of its attempts is in flight, as it may have to
+// be sent to another host. All bodies together have a quarter of the machine's memory, reserved before a body is read; long
+// bodies leave a part of that to short ones, so that a few clients that state long bodies and send nothing don't keep out all others.
+// A body that finds no memory is refused at once.
 
 const (
-	shortBodyBytes  = 64 << 10 // bytes
-	firstChunkBytes = 4 << 10  // bytes of a body without a stated length that are made room for first
+	bodyMemoryDivisor = 4        // of the machine's memory, for all bodies
+	shortBodyDivisor  = 8        // of the bodies' memory, for short bodies alone
+	shortBodyBytes    = 64 << 10 // up to which a body is short
+	firstChunkBytes   = 4 << 10  // reserved first for a body without a stated length
 )
 
-// bodyMemoryLimit is the bytes that all bodies may have together, with one of this length (bytes) among them.
+// bodyMemoryLimit is how many bytes all bodies may have together, with one of this length (bytes) among them.
 func (p *Proxy) bodyMemoryLimit(length int64) int64 {
-	all := int64(p.Settings.MemoryMB) << 20 / 4
+	limit := int64(p.Settings.MemoryMB) << 20 / bodyMemoryDivisor
 	if length > shortBodyBytes {
-		all -= all / 8
+		limit -= limit / shortBodyDivisor
 	}
-	return all
+	return limit
 }
 
-// reserveBody takes up so many bytes for a body, if they are there; length is what the body has, or has by now.
+// reserveBody reserves so many bytes for a body, if they are free; length is what the body has, or has by now.
 func (p *Proxy) reserveBody(bytes, length int64) bool {
-	for most := p.bodyMemoryLimit(length); ; {
+	limit := p.bodyMemoryLimit(length)
+	for {
 		held := p.heldBodyBytes.Load()
-		if held+bytes > most {
+		if held+bytes > limit {
 			return false
 		}
 		if p.heldBodyBytes.CompareAndSwap(held, held+bytes) {
@@ -34,18 +37,19 @@
 	}
 }
 
-// bodyReservation is what a request's body takes up, until the last who uses it leaves: the client's handler, and hand-offs. It has its
-// owner's lock.
+// bodyReservation is the memory of a request's body, until the last of its holders releases it: the client's handler, and attempts.
+// Its owner's lock guards it.
 type bodyReservation struct {
-	total   *atomic.Int64
-	bytes   int64 // bytes
+	total   *atomic.Int64 // of all bodies, bytes
+	bytes   int64
 	holders int
 }
 
 func (r *bodyReservation) retain() { r.holders++ }
 
 func (r *bodyReservation) release() {
-	if r.holders--; r.holders == 0 && r.total != nil {
+	r.holders--
+	if r.holders == 0 && r.total != nil {
 		r.total.Add(-r.bytes)
 	}
 }
--- a/internal/proxy/client_request.go
+++ b/internal/proxy/client_request.go
@@ -7,33 +7,36 @@
 
 	"portflow/internal/decision"
 	"portflow/internal/proxy/attempt"
+	"portflow/internal/upstream"
 )
 
-// clientRequest is a client's request as it goes on, and what is known of its attempts at hosts.
+// clientRequest is a client's request as it is forwarded, and what is known of its attempts at hosts.
 type clientRequest struct {
 	host           string
 	header         http.Header
-	id             string              // of this try
-	attemptCount   int                 // hand-offs so far
+	id             string              // Attempt-Id: of this attempt of the client's
+	attemptCount   int                 // so far; only the decision engine's goroutine uses it
 	hasHomeRegions bool                // it may not go everywhere
-	streams        chan *streamedReply // gets an answer that is too long to be read whole, while none is given
+	streams        chan *streamedReply // gets an answer that is too long to be read completely, while no answer is given
 
-	mu            sync.Mutex // over what follows: the reducer, the hand-off and the client's goroutine have it
+	mu            sync.Mutex // guards what follows: the decision engine, the attempt and the client's goroutine use it
 	attempts      attempt.Request
-	conns         []any // that it was written on; as many as hand-offs at most
+	conns         []any // that it was written on; as many as attempts at most
 	firstConn     [1]any
 	invalidAnswer attempt.Event   // what came in place of an answer to the present attempt, 0 for none
-	bodyMemory    bodyReservation // its body
+	bodyMemory    bodyReservation // of its body
 }
 
-// release tells that its handler is done with it.
+var _ upstream.WriteTracker = (*clientRequest)(nil)
+
+// release notes that the request's handler is done with it.
 func (r *clientRequest) release() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.bodyMemory.release()
 }
 
-// beginAttempt begins an attempt where that may be.
+// beginAttempt begins an attempt, and reports whether that is allowed.
 func (r *clientRequest) beginAttempt() (ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,14 +47,14 @@
 	return ok
 }
 
-// record tells the attempts an event.
+// record applies an event to the present attempt.
 func (r *clientRequest) record(e attempt.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.attempts, _ = r.attempts.Apply(e)
+	r.attempts, _ = r.attempts.Apply(e) // only the start of a write can be refused
 }
 
-// rejectAnswer tells that what came is no answer to the present attempt.
+// rejectAnswer notes that what came is no answer to the present attempt.
 func (r *clientRequest) rejectAnswer(e attempt.Event) {
 	r.record(e)
 	r.mu.Lock()
@@ -59,14 +62,14 @@
 	r.invalidAnswer = e
 }
 
-// WrittenOn tells whether it was written on this connection before.
+// WrittenOn reports whether the request was written on this connection before.
 func (r *clientRequest) WrittenOn(conn any) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Contains(r.conns, conn)
 }
 
-// BeginWrite is asked for leave before a first byte goes to a host. There is none once the final answer is given.
+// BeginWrite is asked for permission before a first byte goes to a host. There is none once the final answer is given.
 func (r *clientRequest) BeginWrite(conn any) (ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,8 +82,8 @@
 	return ok
 }
 
-// Wrote tells that so many bytes went. Which are the last is not told: some may have been all. Where some went before, a write
-// that fails ends nothing: the host's answer may be there already, and the connection is closed behind an early one.
+// Wrote notes that so many bytes were written. Which are the last is not known: some may have been all. A write that fails after some
+// were written ends nothing: the host's answer may be there already, and a host closes its connection behind an early one.
 func (r *clientRequest) Wrote(n int, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,7 +95,7 @@
 	}
 }
 
-// hasWritten tells whether bytes of the present attempt have gone: what comes before that answers another.
+// hasWritten reports whether bytes of the present attempt have been written: what comes before that answers another request.
 func (r *clientRequest) hasWritten() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,17 +103,17 @@
 }
 
 // offerStream gives the client's goroutine an answer to pass on, unless the final one is given.
-func (r *clientRequest) offerStream(t *streamedReply) bool {
+func (r *clientRequest) offerStream(stream *streamedReply) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.attempts.Settled {
 		return false
 	}
-	r.streams <- t // one attempt at a time, and one answer to each
+	r.streams <- stream // never blocks: one attempt at a time, and one answer to each
 	return true
 }
 
-// settle tells what is known as the final answer is given: nothing is written, and no answer is taken up, after it.
+// settle returns what is known as the final answer is given: nothing is written, and no answer is passed on, after it.
 func (r *clientRequest) settle() attempt.Request {
 	r.mu.Lock()
 	r.attempts = r.attempts.Settle()
@@ -118,33 +121,53 @@
 	r.mu.Unlock()
 	for {
 		select {
-		case t := <-r.streams:
-			t.done <- errSettled
+		case stream := <-r.streams:
+			stream.done <- errSettled
 		default:
 			return known
 		}
 	}
 }
 
-// endingEvents are the events that endings of hand-offs tell.
-var endingEvents = [...]attempt.Event{decision.Succeeded: attempt.Answered, decision.Failed: attempt.Answered, decision.Rejected: attempt.TurnedAway,
-	decision.TimedOut: attempt.TimedOut, decision.ConnectFailed: attempt.ConnectFailed, decision.ConnectionReset: attempt.ConnectionReset, decision.Canceled: attempt.Canceled,
-	decision.Unsent: attempt.ConnectFailed, decision.InvalidAnswer: attempt.UnexpectedBytes}
+// resultEvents are the events that the results of attempts mean.
+var resultEvents = [...]attempt.Event{
+	decision.Succeeded:       attempt.Answered,
+	decision.Failed:          attempt.Answered,
+	decision.Rejected:        attempt.TurnedAway,
+	decision.TimedOut:        attempt.TimedOut,
+	decision.ConnectFailed:   attempt.ConnectFailed,
+	decision.ConnectionReset: attempt.ConnectionReset,
+	decision.Canceled:        attempt.Canceled,
+	decision.Unsent:          attempt.ConnectFailed,
+	decision.InvalidAnswer:   attempt.UnexpectedBytes,
+}
 
-// endAttempt ends the present attempt, and tells the rules no more of it than is known: they send again, and refuse, what surely
-// has not run.
-func (r *clientRequest) endAttempt(e decision.Result) (told decision.Result, odd attempt.Event) {
+// endAttempt ends the present attempt, and returns its result as the decision engine is to have it, which says no more than is known:
+// the engine retries, and refuses, what surely has not run.
+func (r *clientRequest) endAttempt(result decision.Result) (known decision.Result, invalid attempt.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.bodyMemory.release()
-	r.attempts, _ = r.attempts.Apply(endingEvents[e])
-	switch known := r.attempts.Current().Execution; {
-	case known == attempt.NotRun && (e == decision.ConnectionReset || e == decision.TimedOut || e == decision.InvalidAnswer):
-		e = decision.ConnectFailed
-	case known == attempt.NotRun && e == decision.Canceled:
-		e = decision.Unsent
-	case known != attempt.NotRun && (e == decision.ConnectFailed || e == decision.Unsent || e == decision.Rejected):
-		e = decision.ConnectionReset
+	r.attempts, _ = r.attempts.Apply(resultEvents[result]) // no write begins by it
+	return knownResult(result, r.attempts.Current().Execution), r.invalidAnswer
+}
+
+// knownResult is the result that fits what is known of whether a host has run the request.
+func knownResult(result decision.Result, execution attempt.Execution) decision.Result {
+	notRun := execution == attempt.NotRun
+	switch result {
+	case decision.ConnectionReset, decision.TimedOut, decision.InvalidAnswer:
+		if notRun {
+			return decision.ConnectFailed
+		}
+	case decision.Canceled:
+		if notRun {
+			return decision.Unsent
+		}
+	case decision.ConnectFailed, decision.Unsent, decision.Rejected:
+		if !notRun {
+			return decision.ConnectionReset
+		}
 	}
-	return e, r.invalidAnswer
+	return result
 }
--- a/internal/proxy/control_candidates.go
+++ b/internal/proxy/control_candidates.go
@@ -8,31 +8,31 @@
 	"portflow/internal/cluster/gossip"
 )
 
-// controlZones are the control processes, by IP number, with their zones as far as they are known.
+// controlZones are the zones of the control processes by IP, empty where the zone is not known yet.
 func (p *Proxy) controlZones() map[string]string {
 	p.mu.Lock()
-	known := p.endpoints.Set.Members()
+	zones := p.endpoints.Set.Members()
 	p.mu.Unlock()
 	for _, m := range p.gossiper.Members() {
-		if _, there := known[m.IP]; m.Kind == gossip.Control && (!there || m.Zone != "") {
-			known[m.IP] = m.Zone
+		if _, known := zones[m.IP]; m.Kind == gossip.Control && (!known || m.Zone != "") {
+			zones[m.IP] = m.Zone
 		}
 	}
-	for _, s := range p.Settings.SeedNodes {
-		if host, _, err := net.SplitHostPort(s); err == nil {
-			if _, there := known[host]; !there {
-				known[host] = ""
+	for _, node := range p.Settings.SeedNodes {
+		if host, _, err := net.SplitHostPort(node); err == nil {
+			if _, known := zones[host]; !known {
+				zones[host] = ""
 			}
 		}
 	}
-	return known
+	return zones
 }
 
-// distances tells how far control processes are: 0 this zone, 1 this region, 2 beyond.
-func (p *Proxy) distances() func(ip string) int {
-	known := p.controlZones()
+// controlDistances returns how far a control process is: 0 in this zone, 1 in this region, 2 beyond.
+func (p *Proxy) controlDistances() func(ip string) int {
+	zones := p.controlZones()
 	return func(ip string) int {
-		switch zone := known[ip]; {
+		switch zone := zones[ip]; {
 		case zone == p.Settings.Zone:
 			return 0
 		case p.Settings.ZoneRegions[zone] == p.Settings.Region:
@@ -42,25 +42,29 @@
 	}
 }
 
-// candidates are the control processes that are known, the nearest first; among equals this router's own order, so that
-// many do not all hang on the same one.
-func (p *Proxy) candidates() (all []string) {
-	far := p.distances()
+// controlCandidates are the known control processes, the nearest first; among equals in an order of this proxy's own, so that many
+// proxies do not all subscribe to the same one.
+func (p *Proxy) controlCandidates() (ips []string) {
+	distance := p.controlDistances()
 	for ip := range p.controlZones() {
-		all = append(all, ip)
+		ips = append(ips, ip)
 	}
-	slices.SortFunc(all, func(a, b string) int {
-		if d := far(a) - far(b); d != 0 {
+	slices.SortFunc(ips, func(a, b string) int {
+		if d := distance(a) - distance(b); d != 0 {
 			return d
 		}
 		return cmp.Compare(hashWithSeed(a, p.Seed), hashWithSeed(b, p.Seed))
 	})
-	return all
+	return ips
 }
 
+// fnvPrime is the prime of the 64-bit FNV hash.
+const fnvPrime = 0x100000001b3
+
+// hashWithSeed is the 64-bit FNV-1a hash of a text that begins at a seed, with its high bits mixed into the low ones.
 func hashWithSeed(text string, seed uint64) uint64 {
 	for _, c := range []byte(text) {
-		seed = (seed ^ uint64(c)) * 0x100000001b3
+		seed = (seed ^ uint64(c)) * fnvPrime
 	}
 	return seed ^ seed>>29
 }
--- a/internal/proxy/control_link.go
+++ b/internal/proxy/control_link.go
@@ -4,133 +4,42 @@
 	"context"
 	"errors"
 	"net"
-	"slices"
 	"strconv"
 	"time"
 
-	"k8s.io/klog/v2"
-
 	"portflow/internal/cluster/stream"
 	"portflow/internal/cluster/update"
 )
 
-// controlLink is a held connection to a control process, from the dial to its end. The one in Fairway.link is the one that this router
+// controlLink is a connection to a control process, from the dial to its end. The one in Proxy.control is the one that this proxy
 // follows; another may be tried beside it.
 type controlLink struct {
-	ip           string
-	stream       *stream.Conn[update.Message]
+	ip     string
+	stream *stream.Conn[update.Message]
+	chosen chan struct{} // closed once this proxy follows it
+	ended  chan error    // why it ended, once
+
+	// the proxy's lock guards these
 	subscription update.Subscription
-	clockOffset  update.ClockOffset // of its clock; under the lock
-	incoming     *update.Assembly   // a snapshot that comes in; it goes on on the next line
-	lastChunkAt  time.Time          // when its last chunk did
-	chosen       chan struct{}      // closed once this router follows it
-	ended        chan error         // why it ended, once
+	clockOffset  update.ClockOffset // of its clock
+	incoming     *update.Assembly   // a snapshot that comes in; the next link goes on with it
+	lastChunkAt  time.Time          // when its last chunk came
 }
 
 const (
 	dialTimeout             = time.Second
-	avoidFor                = 3 * time.Second         // a control process that failed is asked after the others
-	nearerCheckInterval     = 1500 * time.Millisecond // for a nearer one
-	catchUpTimeout          = 600 * time.Millisecond  // with a control process that is behind, or hears too few others
-	partialSnapshotLifetime = 30 * time.Second        // for which a part of a snapshot is kept: no longer than control keeps the rest
+	catchUpTimeout          = 600 * time.Millisecond // with a control process that is catching up, or without quorum
+	partialSnapshotLifetime = 30 * time.Second       // for which a part of a snapshot is kept: no longer than control keeps the rest
 )
 
-// followControl keeps a line to a control process, for as long as this one runs: the nearest that takes it.
-func (p *Proxy) followControl() {
-	avoid := map[string]time.Time{}
-	for p.ctx.Err() == nil {
-		p.dropStaleSnapshot()
-		all := p.candidates()
-		slices.SortStableFunc(all, func(a, b string) int { // those that failed lately come last
-			return int(min(1, max(0, time.Until(avoid[a])))) - int(min(1, max(0, time.Until(avoid[b]))))
-		})
-		if len(all) > 0 {
-			k, err := p.dialControl(p.ctx, all[0], false)
-			if err != nil {
-				p.avoidControl(avoid, all[0], err)
-			}
-			for err == nil && k != nil {
-				next := p.waitForNearer(k, avoid) // until it ends, or a nearer one has taken its place
-				if why := <-k.ended; next != nil {
-					klog.InfoS("line ended", "to", k.ip, "why", why)
-				} else {
-					p.avoidControl(avoid, k.ip, why)
-				}
-				k = next
-			}
-		}
-		select {
-		case <-time.After(50 * time.Millisecond):
-		case <-p.ctx.Done():
-		}
-	}
-}
-
-// avoidControl notes that a control process is of no use for a while.
-func (p *Proxy) avoidControl(avoid map[string]time.Time, ip string, why error) {
-	klog.InfoS("line ended", "to", ip, "why", why)
-	avoid[ip] = time.Now().Add(avoidFor)
-}
-
-var errBehind = errors.New("it is behind, or hears too few others")
-
-var errNearer = errors.New("a nearer one is followed")
-
-// waitForNearer tries, every now and then, the nearest control process that is nearer than the one that this router follows and hasn't failed
-// it of late: who starts knows seeds only, and would else follow one of another region for good. It is tried beside the line that
-// there is, which ends only once the nearer one has said that it is whole and hears more than half of the core: one that is cut off,
-// dark or frozen for long costs the router nothing. It returns the one that is followed in the place of k, or nil once k has ended.
-func (p *Proxy) waitForNearer(k *controlLink, avoid map[string]time.Time) *controlLink {
-	t := time.NewTicker(nearerCheckInterval)
-	defer t.Stop()
-	ctx, cancel := context.WithCancel(p.ctx)
-	defer cancel()
-	go func() {
-		select {
-		case <-k.stream.Done():
-			cancel()
-		case <-ctx.Done():
-		}
-	}()
-	for {
-		select {
-		case <-t.C:
-		case <-k.stream.Done():
-			return nil
-		}
-		far := p.distances()
-		for _, ip := range p.candidates() {
-			if far(ip) >= far(k.ip) {
-				break
-			}
-			if time.Now().Before(avoid[ip]) {
-				continue
-			}
-			x, err := p.dialControl(ctx, ip, true)
-			if err == nil {
-				select {
-				case <-x.chosen:
-					return x
-				case <-k.stream.Done():
-				case err = <-x.ended:
-				}
-				select {
-				case <-x.chosen: // which ended k
-					return x
-				default:
-				}
-				x.stream.Close(errBehind)
-			}
-			if err != nil && ctx.Err() == nil {
-				p.avoidControl(avoid, ip, err)
-			}
-			break // another one at the next look
-		}
-	}
-}
+var (
+	errBehind    = errors.New("it is behind, or hears too few others")
+	errNearer    = errors.New("a nearer one is followed")
+	errUpdateGap = errors.New("news does not follow")
+)
 
-// dialControl opens a line to a control process, which this router follows at once; or, as a trial beside the one that there is, once it
-// has said that it may be followed.
+// dialControl opens a link to a control process, which this proxy follows at once; or, as a trial beside the one that there is, once
+// it has said that it is complete and has a quorum.
 func (p *Proxy) dialControl(ctx context.Context, ip string, trial bool) (*controlLink, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	c, err := p.Network.Dial(ctx, "tcp", net.JoinHostPort(ip, strconv.Itoa(p.Settings.InternalPorts[0])))
@@ -138,87 +47,110 @@
 	if err != nil {
 		return nil, err
 	}
-	l := stream.Open[update.Message](c, stream.ProxyKeepalive)
-	k := &controlLink{ip: ip, stream: l, incoming: &update.Assembly{}, chosen: make(chan struct{}), ended: make(chan error, 1)}
+	link := &controlLink{
+		ip:       ip,
+		stream:   stream.Open[update.Message](c, stream.ProxyKeepalive),
+		incoming: &update.Assembly{},
+		chosen:   make(chan struct{}),
+		ended:    make(chan error, 1),
+	}
+	hello, progress := p.greeting(link, trial)
+	link.stream.Send(update.Message{Hello: &hello, Progress: &progress, StatusOnly: trial})
+	if !trial {
+		p.switchTo(link)
+	}
+	go func() { link.ended <- p.receive(link) }() // ends with the stream
+	return link, nil
+}
+
+// greeting is what a new link begins with: who this proxy is, and what it has received of the updates and of a snapshot.
+func (p *Proxy) greeting(link *controlLink, trial bool) (update.Hello, update.Progress) {
 	p.mu.Lock()
+	defer p.mu.Unlock()
 	hello := update.Hello{Name: p.Settings.Name, IP: p.Settings.IP, Zone: p.Settings.Zone}
 	if p.control != nil {
 		hello.Incarnation, hello.Offset = p.control.subscription.Incarnation, p.control.subscription.Offset
 	}
-	if p.control != nil && !trial { // a part of a snapshot goes on, by whoever has the rest
-		k.incoming, k.lastChunkAt = p.control.incoming, p.control.lastChunkAt
+	if p.control != nil && !trial { // a part of a snapshot is continued by any control process that has the rest
+		link.incoming, link.lastChunkAt = p.control.incoming, p.control.lastChunkAt
 	}
-	part := k.incoming.Progress()
-	p.mu.Unlock()
-	l.Send(update.Message{Hello: &hello, Progress: &part, StatusOnly: trial})
-	if !trial {
-		p.switchTo(k)
-	}
-	go func() { k.ended <- p.receive(k) }()
-	return k, nil
+	return hello, link.incoming.Progress()
 }
 
-// switchTo has this router follow a line; the one before ends.
-func (p *Proxy) switchTo(k *controlLink) {
+// switchTo has this proxy follow a link; the one before ends.
+func (p *Proxy) switchTo(link *controlLink) {
 	p.mu.Lock()
 	old := p.control
 	if old != nil {
-		k.subscription = old.subscription
+		link.subscription = old.subscription
 	}
-	p.control = k
+	p.control = link
 	p.subscribedAt = time.Now().UnixNano()
 	p.mu.Unlock()
-	close(k.chosen)
-	p.reportStatus() // first: others are to hear that it hangs here before they hear that it has left there
+	close(link.chosen)
+	p.reportStatus() // first: others are to be notified that it is subscribed here before they are that it has left there
 	if old != nil {
 		old.stream.Close(errNearer)
 	}
 }
 
-// isCurrent tells whether a line is the one that this router follows.
-func (p *Proxy) isCurrent(k *controlLink) bool {
+// isCurrent reports whether a link is the one that this proxy follows.
+func (p *Proxy) isCurrent(link *controlLink) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.control == k
+	return p.control == link
 }
 
-// receive hears what is said on a line until it ends.
-func (p *Proxy) receive(k *controlLink) error {
-	l := k.stream
-	stop := context.AfterFunc(p.ctx, func() { l.Close(p.ctx.Err()) })
+// receive handles a link's messages until it ends, and returns why it did.
+func (p *Proxy) receive(link *controlLink) error {
+	stop := context.AfterFunc(p.ctx, func() { link.stream.Close(p.ctx.Err()) })
 	defer stop()
-	timer := time.AfterFunc(catchUpTimeout, func() { l.Close(errBehind) })
-	defer timer.Stop()
-	err := l.Run(func(w update.Message) {
-		p.updateClockOffset(k, w)
-		if w.Status != nil {
-			if w.Status.Complete && w.Status.HasQuorum {
-				timer.Stop()
-				select {
-				case <-k.chosen:
-				default:
-					p.switchTo(k)
-				}
-			} else {
-				timer.Reset(catchUpTimeout)
-			}
+	catchUp := time.AfterFunc(catchUpTimeout, func() { link.stream.Close(errBehind) })
+	defer catchUp.Stop()
+	err := link.stream.Run(func(m update.Message) {
+		p.updateClockOffset(link, m)
+		if m.Status != nil {
+			p.receiveStatus(link, *m.Status, catchUp)
 		}
-		switch {
-		case !p.isCurrent(k): // it is tried, or another has taken its place
-		case w.Status != nil && w.Status.Complete && w.Status.HasQuorum:
-			if p.cutOffSince.Swap(0) != 0 {
-				p.rejoinedAt.Store(p.clock()) // others may have taken its parts over
-			}
-		case w.Batch != nil:
-			p.takeUpdate(k, *w.Batch)
-		case w.Chunk != nil:
-			p.takeChunk(k, *w.Chunk)
-		case w.Quota != nil:
-			p.applyAllotments(*w.Quota)
+		if p.isCurrent(link) { // not a trial, nor replaced by another
+			p.applyMessage(link, m)
 		}
 	})
-	if p.isCurrent(k) {
+	if p.isCurrent(link) {
 		p.cutOffSince.CompareAndSwap(0, p.clock())
 	}
 	return err
 }
+
+// receiveStatus follows a link once its control process is usable, and bounds the time for which it is not.
+func (p *Proxy) receiveStatus(link *controlLink, status update.Status, catchUp *time.Timer) {
+	if !usable(status) {
+		catchUp.Reset(catchUpTimeout)
+		return
+	}
+	catchUp.Stop()
+	select {
+	case <-link.chosen:
+	default:
+		p.switchTo(link)
+	}
+}
+
+// usable reports whether a control process has a complete state and a quorum.
+func usable(status update.Status) bool { return status.Complete && status.HasQuorum }
+
+// applyMessage applies a message of the link that this proxy follows.
+func (p *Proxy) applyMessage(link *controlLink, m update.Message) {
+	switch {
+	case m.Status != nil && usable(*m.Status):
+		if p.cutOffSince.Swap(0) != 0 {
+			p.rejoinedAt.Store(p.clock()) // others may have taken over its shares
+		}
+	case m.Batch != nil:
+		p.applyBatch(link, *m.Batch)
+	case m.Chunk != nil:
+		p.applyChunk(link, *m.Chunk)
+	case m.Quota != nil:
+		p.applyAllotments(*m.Quota)
+	}
+}
--- a/internal/proxy/forwarded_header.go
+++ b/internal/proxy/forwarded_header.go
@@ -7,20 +7,21 @@
 	"strings"
 )
 
-// hopByHopHeaders are the headers that concern one connection only.
+// hopByHopHeaders are the header fields that concern one connection only (RFC 9110, section 7.6.1).
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect"}
 
-// endToEndHeaders are headers that are said between a client and a host: Connection can't take them away.
+// endToEndHeaders are header fields between a client and a host: Connection can't remove them.
 var endToEndHeaders = []string{"Attempt-Id", "Server-Seal", "Request-Not-Run", "Time-Remaining", "Retry-After", "Cache-Control", "Content-Type",
 	"Content-Encoding", "Content-Length"}
 
-// forwardedHeader is a header without what concerns one connection only.
+// forwardedHeader is a header without the fields that concern one connection only.
 func forwardedHeader(h http.Header) http.Header {
 	out := h.Clone()
-	for _, v := range h["Connection"] {
-		for _, name := range strings.Split(v, ",") {
-			if name = textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name)); !slices.Contains(endToEndHeaders, name) {
+	for _, options := range h["Connection"] {
+		for _, option := range strings.Split(options, ",") {
+			name := textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(option))
+			if !slices.Contains(endToEndHeaders, name) {
 				delete(out, name)
 			}
 		}
--- a/internal/proxy/host_protocol.go
+++ b/internal/proxy/host_protocol.go
@@ -12,49 +12,67 @@
 	"portflow/internal/decision"
 	"portflow/internal/dispatch"
 	"portflow/internal/proxy/attempt"
+	"portflow/internal/upstream"
 )
 
-// hostProtocol is what hosts are sent and what they answer.
+// hostProtocol is what hosts are sent and what they answer. Answers of up to maxBuffered bytes are read before they are passed on.
 type hostProtocol struct{ maxBuffered int64 }
 
-// NewRequest is the client's request as a host gets it. A body that http.Transport can't have anew is never sent again by it.
-func (hostProtocol) NewRequest(to dispatch.Host, r *dispatch.Request, left time.Duration) *http.Request {
-	c := r.Payload.(*clientRequest)
-	h := c.header.Clone()
-	h["Expected-Instance"] = []string{to.Name}
-	h["Time-Remaining"] = []string{milliseconds(left)}
+var (
+	_ upstream.Protocol        = hostProtocol{}
+	_ upstream.DeadlineRenewer = hostProtocol{}
+)
+
+// NewRequest is the client's request as a host gets it. http.Transport retries no request whose body it can't have again.
+func (hostProtocol) NewRequest(to dispatch.Host, r *dispatch.Request, timeout time.Duration) *http.Request {
+	request := r.Payload.(*clientRequest)
+	u, _ := requestTarget(r.Target) // checkHead has refused those that are not ok
+	u.Scheme, u.Host = "http", to.Address
+	req := &http.Request{
+		Method:        r.Method,
+		URL:           u,
+		Host:          request.host,
+		Header:        hostHeader(request.header, to.Name, timeout),
+		Body:          io.NopCloser(bytes.NewReader(r.Body)),
+		ContentLength: int64(len(r.Body)),
+	}
+	if len(r.Body) == 0 && r.Method != http.MethodGet {
+		req.Body = http.NoBody // otherwise it would be sent in chunks
+	}
+	return req
+}
+
+// hostHeader is a request's header for a host.
+func hostHeader(from http.Header, instance string, timeout time.Duration) http.Header {
+	h := from.Clone()
+	h["Expected-Instance"] = []string{instance}
+	h["Time-Remaining"] = []string{milliseconds(timeout)}
 	if h["User-Agent"] == nil {
-		h["User-Agent"] = nil // none of the library's own
+		h["User-Agent"] = nil // none of net/http's own
 	}
-	for _, name := range []string{"Idempotency-Key", "X-Idempotency-Key"} { // in this spelling it is no leave to send again
+	for _, name := range []string{"Idempotency-Key", "X-Idempotency-Key"} { // in lower case http.Transport retries no request by it
 		if v, ok := h[name]; ok {
 			delete(h, name)
 			h[strings.ToLower(name)] = v
 		}
 	}
-	u, _ := requestTarget(r.Target)
-	u.Scheme, u.Host = "http", to.Address
-	req := &http.Request{Method: r.Method, URL: u, Host: c.host,
-		Header: h, Body: io.NopCloser(bytes.NewReader(r.Body)), ContentLength: int64(len(r.Body))}
-	if len(r.Body) == 0 && r.Method != http.MethodGet {
-		req.Body = http.NoBody // else it would go out in chunks
-	}
-	return req
+	return h
 }
 
-// RenewDeadline states what is left once there is a connection, where that took a while.
-func (hostProtocol) RenewDeadline(r *http.Request, left time.Duration) {
-	if said := r.Header["Time-Remaining"]; said[0] != "" {
-		if ms, err := strconv.ParseInt(said[0], 10, 64); err == nil && ms > left.Milliseconds()+staleMilliseconds {
-			said[0] = milliseconds(left)
-		}
+// maxStaleTime is how many milliseconds too many a host may be given.
+const maxStaleTime = 2
+
+// RenewDeadline states what time is left once there is a connection, where that took a while.
+func (hostProtocol) RenewDeadline(r *http.Request, timeout time.Duration) {
+	stated := r.Header["Time-Remaining"]
+	if ms, err := strconv.ParseInt(stated[0], 10, 64); err == nil && ms > timeout.Milliseconds()+maxStaleTime {
+		stated[0] = milliseconds(timeout)
 	}
 }
 
-const staleMilliseconds = 2 // milliseconds that a host may be told too much
-
-func milliseconds(left time.Duration) string {
-	return strconv.FormatInt(max(1, left.Milliseconds()), 10)
+// milliseconds is a time as Time-Remaining states it, at least 1.
+func milliseconds(d time.Duration) string {
+	return strconv.FormatInt(max(1, d.Milliseconds()), 10)
 }
 
 var (
@@ -62,53 +80,88 @@
 	errSettled          = errors.New("the final answer is given")
 )
 
-// ReadAnswer reads a host's answer whole, and checks that it is one, and the one to this request.
-func (s hostProtocol) ReadAnswer(r *dispatch.Request, resp *http.Response) (dispatch.Outcome, error) {
-	c := r.Payload.(*clientRequest)
-	if !c.hasWritten() {
-		c.rejectAnswer(attempt.WrongID)
+// ReadAnswer reads a host's answer, and checks that it is one, and the one to this request. A long one is passed on as it comes.
+func (p hostProtocol) ReadAnswer(r *dispatch.Request, resp *http.Response) (dispatch.Outcome, error) {
+	request := r.Payload.(*clientRequest)
+	if !request.hasWritten() {
+		request.rejectAnswer(attempt.WrongID)
 		return dispatch.Outcome{}, attempt.ErrWrongRequest
 	}
-	h := resp.Header
-	bodiless := r.Method == http.MethodHead || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified
-	what, err := attempt.Classify(c.id, attempt.Answer{Status: resp.StatusCode, IDs: h["Attempt-Id"], NotRun: h.Get("Request-Not-Run") != "",
-		Sealed: h.Get("Server-Seal") != "", Encoded: h.Get("Content-Encoding") != ""})
-	if err != nil { // what else it says is no matter
-		c.rejectAnswer(what)
+	event, err := attempt.Classify(request.id, answerHead(resp))
+	if err != nil { // whatever else it says
+		request.rejectAnswer(event)
 		return dispatch.Outcome{}, err
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, s.maxBuffered+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, p.maxBuffered+1))
 	if err != nil {
-		c.rejectAnswer(attempt.Truncated)
+		request.rejectAnswer(attempt.Truncated)
 		return dispatch.Outcome{}, err
 	}
-	a := &reply{status: resp.StatusCode, header: forwardedHeader(h), body: body, bodiless: bodiless,
-		notRun: what != attempt.Answered, misdirected: what == attempt.Misdirected}
-	if !bodiless || a.status == http.StatusNoContent {
-		delete(a.header, "Content-Length")
+	answer := newReply(r.Method, resp, body, event)
+	result := answer.result()
+	if int64(len(body)) > p.maxBuffered {
+		if result != decision.Succeeded {
+			request.rejectAnswer(attempt.UnexpectedBytes)
+			return dispatch.Outcome{}, errUnboundedFailure
+		}
+		if err := request.stream(answer, resp); err != nil {
+			request.rejectAnswer(attempt.Truncated)
+			return dispatch.Outcome{}, err
+		}
+	}
+	request.record(event)
+	return dispatch.Outcome{Result: result, Reply: answer}, nil
+}
+
+// answerHead is what an answer's head says of the request.
+func answerHead(resp *http.Response) attempt.Answer {
+	return attempt.Answer{
+		Status:  resp.StatusCode,
+		IDs:     resp.Header["Attempt-Id"],
+		NotRun:  resp.Header.Get("Request-Not-Run") != "",
+		Sealed:  resp.Header.Get("Server-Seal") != "",
+		Encoded: resp.Header.Get("Content-Encoding") != "",
+	}
+}
+
+// newReply is a host's answer as its client gets it.
+func newReply(method string, resp *http.Response, body []byte, event attempt.Event) *reply {
+	answer := &reply{
+		status:      resp.StatusCode,
+		header:      forwardedHeader(resp.Header),
+		body:        body,
+		bodiless:    method == http.MethodHead || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified,
+		notRun:      event != attempt.Answered,
+		misdirected: event == attempt.Misdirected,
 	}
-	o := dispatch.Outcome{Result: decision.Failed, Reply: a}
+	if !answer.bodiless || answer.status == http.StatusNoContent {
+		delete(answer.header, "Content-Length")
+	}
+	return answer
+}
+
+// result is what the decision engine makes of an answer.
+func (a *reply) result() decision.Result {
 	switch {
 	case a.notRun:
-		o.Result = decision.Rejected
+		return decision.Rejected
 	case a.status < 500 && !attempt.PromisesNotRun(a.status):
-		o.Result = decision.Succeeded
+		return decision.Succeeded
 	}
-	if int64(len(body)) > s.maxBuffered {
-		if o.Result != decision.Succeeded {
-			c.rejectAnswer(attempt.UnexpectedBytes)
-			return dispatch.Outcome{}, errUnboundedFailure
-		}
-		t := &streamedReply{reply: a, length: resp.ContentLength, rest: resp.Body, stop: func() { resp.Body.Close() }, done: make(chan error, 1)}
-		err := errSettled
-		if c.offerStream(t) {
-			err = <-t.done
-		}
-		if err != nil {
-			c.rejectAnswer(attempt.Truncated)
-			return dispatch.Outcome{}, err
-		}
+	return decision.Failed
+}
+
+// stream offers an answer whose beginning has been read to the client's goroutine, and waits until that has passed it on.
+func (r *clientRequest) stream(beginning *reply, resp *http.Response) error {
+	stream := &streamedReply{
+		reply:  beginning,
+		length: resp.ContentLength,
+		rest:   resp.Body,
+		stop:   func() { resp.Body.Close() },
+		done:   make(chan error, 1),
+	}
+	if !r.offerStream(stream) {
+		return errSettled
 	}
-	c.record(what)
-	return o, nil
+	return <-stream.done
 }
--- a/internal/proxy/quota.go
+++ b/internal/proxy/quota.go
@@ -11,63 +11,61 @@
 	"portflow/internal/quota"
 )
 
-const loadMemory = 3 * second // of how quickly a service answers this router
-
-// updateMeters has the services' meters go by the shares of a chart; the caller holds the lock. Where there are none this is all
-// that shares cost.
-func (p *Proxy) updateMeters(c *config.RoutingTable, routers int) {
-	if c.Quotas == nil && !p.quotasActive {
+// updateMeters has the services' meters follow the quotas of a routing table; the caller holds the lock of the proxy. Where there are
+// no quotas this is all that they cost.
+func (p *Proxy) updateMeters(routing *config.RoutingTable, proxies int) {
+	if routing.Quotas == nil && !p.quotasActive {
 		return
 	}
 	for name, s := range p.services {
 		s.mu.Lock()
-		switch shares := c.Quotas[name]; {
-		case shares == nil:
+		switch quotas := routing.Quotas[name]; {
+		case quotas == nil:
 			s.meter = nil
 		case s.meter == nil:
-			s.meter = quota.NewMeter(shares, routers, p.clock())
+			s.meter = quota.NewMeter(quotas, proxies, p.clock())
 		default:
-			s.meter.SetQuotas(shares, routers, p.clock())
+			s.meter.SetQuotas(quotas, proxies, p.clock())
 		}
 		s.mu.Unlock()
 	}
 	if !p.quotasActive {
 		p.quotasActive = true
-		go p.reportQuotas()
+		go p.reportQuotas() // ends with the process's context
 	}
 }
 
-// checkQuota takes a request of a service with shares, and tells its caller how it stands; ok is false where it is sent away,
-// to come back after wait.
-func (s *service) checkQuota(w http.ResponseWriter, r *http.Request, safe bool) (wait time.Duration, ok bool) {
+// checkQuota counts a request against its caller's quota, and states that in the answer's header; admitted is false where the request
+// is to be refused, and retryAfter when to come back.
+func (s *service) checkQuota(w http.ResponseWriter, r *http.Request, idempotent bool) (retryAfter time.Duration, admitted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.meter == nil {
 		return 0, true
 	}
-	room := quota.HeadroomFor(float64(s.inFlight) / max(1, s.evenSlots))
-	v := s.meter.Admit(s.proxy.clock(), r.Header.Get(s.meter.CallerHeader()), safe, room)
-	if v.Quota != "" { // as the RateLimit header fields of the IETF's draft
+	headroom := quota.HeadroomFor(float64(s.inFlight) / max(1, s.evenSlots))
+	v := s.meter.Admit(s.proxy.clock(), r.Header.Get(s.meter.CallerHeader()), idempotent, headroom)
+	if v.Quota != "" { // as the RateLimit header fields of draft-ietf-httpapi-ratelimit-headers
 		window := quota.LimitWindow / second
+		reset := math.Ceil(float64(v.Reset) / float64(second))
 		w.Header()["RateLimit-Policy"] = []string{fmt.Sprintf("%q;q=%.0f;w=%d", v.Quota, v.Limit, window)}
-		w.Header()["RateLimit"] = []string{fmt.Sprintf("%q;r=%.0f;t=%.0f", v.Quota, math.Floor(v.Remaining),
-			math.Ceil(float64(v.Reset)/float64(second)))}
+		w.Header()["RateLimit"] = []string{fmt.Sprintf("%q;r=%.0f;t=%.0f", v.Quota, math.Floor(v.Remaining), reset)}
 	}
 	return time.Duration(v.RetryAfter), v.Admitted
 }
 
-// applyAllotments takes what control dealt to this router.
-func (p *Proxy) applyAllotments(t update.QuotaUpdate) {
+// applyAllotments applies what control has allocated to this proxy.
+func (p *Proxy) applyAllotments(u update.QuotaUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock()
 	for name, s := range p.services {
 		s.mu.Lock()
 		if s.meter != nil {
-			if perSecond, told := t.Capacity[name]; told {
+			if perSecond, stated := u.Capacity[name]; stated {
 				s.meter.SetCapacity(perSecond)
 			}
-			s.meter.ApplyAllocations(now, t.Allocations)
+			s.meter.ApplyAllocations(now, u.Allocations)
 		}
 		s.mu.Unlock()
 	}
--- a/internal/proxy/quota_report.go
+++ b/internal/proxy/quota_report.go
@@ -8,10 +8,14 @@
 	"portflow/internal/quota"
 )
 
-// censusEvery is the time between two times that the callers' counts are handed on, nanoseconds.
-const censusEvery = 10 * second
+const (
+	loadMemory      = 3 * second  // nanoseconds: time constant of how quickly a service answers this proxy
+	minLoadAnswers  = 0.1         // answers within loadMemory, below which no load is reported
+	loadInterval    = second      // nanoseconds between two reports of services' loads
+	callersInterval = 10 * second // nanoseconds between two reports of the callers' counts
+)
 
-// reportQuotas tells control what callers with shares ask for, until the process ends; it begins with the first share.
+// reportQuotas reports the demand of callers with quotas to control, until the process's context ends; it begins with the first quota.
 func (p *Proxy) reportQuotas() {
 	t := time.NewTicker(time.Duration(quota.AllocationInterval))
 	defer t.Stop()
@@ -21,58 +25,68 @@
 		case <-p.ctx.Done():
 			return
 		}
-		p.sendQuotaReport(n%(second/quota.AllocationInterval) == 0, n%(censusEvery/quota.AllocationInterval) == 0)
+		withLoads := n%(loadInterval/quota.AllocationInterval) == 0
+		withCallers := n%(callersInterval/quota.AllocationInterval) == 0
+		p.sendQuotaReport(withLoads, withCallers)
 	}
 }
 
-// sendQuotaReport tells what callers ask for; now and then also how quickly services answer, and which callers there were.
-func (p *Proxy) sendQuotaReport(loads, census bool) {
+// sendQuotaReport reports what callers ask for, and where it is asked for also how quickly services answer, and which callers there were.
+func (p *Proxy) sendQuotaReport(withLoads, withCallers bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	tons, v := update.QuotaUpdate{Callers: map[string][]quota.CallerCount{}}, p.snapshot.Load()
+	report := update.QuotaUpdate{Callers: map[string][]quota.CallerCount{}}
+	snapshot := p.snapshot.Load()
 	for name, s := range p.services {
-		if v.routing.Quotas[name] == nil {
-			continue
-		}
-		slots := p.evenSlotShare(name, v)
-		s.mu.Lock()
-		if s.meter != nil {
-			now := p.clock()
-			s.evenSlots = slots
-			tons.Reports = append(tons.Reports, s.meter.Reports(now)...)
-			s.load.Decay(now, loadMemory)
-			if memory := float64(loadMemory) / float64(second); loads && s.load.Count > 0.1 {
-				tons.Loads = append(tons.Loads, quota.Load{Service: name, Completed: s.load.Count / memory, Work: s.load.Total / memory})
-			}
-			if census {
-				tons.Callers[name] = s.meter.DrainCallerCounts()
-			}
+		if snapshot.routing.Quotas[name] != nil {
+			s.addQuotaReport(&report, p.evenSlotShare(name, snapshot), withLoads, withCallers)
 		}
-		s.mu.Unlock()
 	}
-	something := len(tons.Reports) > 0 || len(tons.Loads) > 0 || census
-	if p.control != nil && (something || p.reportedDemand) { // also that there is nothing any more
-		p.control.stream.Send(update.Message{Quota: &tons})
+	hasContent := len(report.Reports) > 0 || len(report.Loads) > 0 || withCallers
+	if p.control != nil && (hasContent || p.reportedDemand) { // also that there is no demand any more
+		p.control.stream.Send(update.Message{Quota: &report})
+	}
+	p.reportedDemand = len(report.Reports) > 0
+}
+
+// addQuotaReport adds a service's part of a report.
+func (s *service) addQuotaReport(report *update.QuotaUpdate, evenSlots float64, withLoads, withCallers bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.meter == nil {
+		return
+	}
+	now := s.proxy.clock()
+	s.evenSlots = evenSlots
+	report.Reports = append(report.Reports, s.meter.Reports(now)...)
+	s.load.Decay(now, loadMemory)
+	if withLoads && s.load.Count > minLoadAnswers {
+		memory := float64(loadMemory) / float64(second)
+		report.Loads = append(report.Loads, quota.Load{Service: s.name, Completed: s.load.Count / memory, Work: s.load.Total / memory})
+	}
+	if withCallers {
+		report.Callers[s.name] = s.meter.DrainCallerCounts()
 	}
-	p.reportedDemand = len(tons.Reports) > 0
 }
 
-// evenSlotShare is this router's even part of the slots of a service's hosts: of its zone's, where there are none of its region's,
-// else of all. The caller holds the lock of the process.
-func (p *Proxy) evenSlotShare(name string, v *routingSnapshot) float64 {
-	var slots [3]float64
+// evenSlotShare is this proxy's even share of the slots of a service's hosts: of its zone's, where there are none of its region's,
+// else of all. The caller holds the lock of the proxy.
+func (p *Proxy) evenSlotShare(name string, snapshot *routingSnapshot) float64 {
+	var slots [3]float64 // by distance
 	for _, h := range p.endpoints.Hosts(name) {
 		if h.Health == decision.Ready {
 			slots[h.Distance] += h.Capacity
 		}
 	}
-	routers := [3]int{}
-	for z, all := range v.proxies {
-		routers[p.endpoints.Ring(z)] += len(all)
+	var proxies [3]int // by distance
+	for zone, list := range snapshot.proxies {
+		proxies[p.endpoints.Ring(zone)] += len(list)
 	}
 	sum, n := 0.0, 0
-	for ring := range slots {
-		if sum, n = sum+slots[ring], n+routers[ring]; sum > 0 {
+	for distance := range slots {
+		sum += slots[distance]
+		n += proxies[distance]
+		if sum > 0 {
 			break
 		}
 	}
--- a/internal/proxy/updates.go
+++ b/internal/proxy/updates.go
@@ -1,37 +1,36 @@
 package proxy
 
 import (
-	"errors"
 	"time"
 
 	"portflow/internal/cluster/update"
 	"portflow/internal/proxy/endpoint"
 )
 
-// updateClockOffset goes by what a word tells of the clock of who says it.
-func (p *Proxy) updateClockOffset(k *controlLink, w update.Message) {
+// updateClockOffset goes by what a message says of its sender's clock.
+func (p *Proxy) updateClockOffset(link *controlLink, m update.Message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if w.Hello != nil {
-		k.clockOffset.Observe(w.Hello.Now, p.clock())
+	if m.Hello != nil {
+		link.clockOffset.Observe(m.Hello.Now, p.clock())
 	}
-	k.clockOffset.Observe(w.Now, p.clock())
+	link.clockOffset.Observe(m.Now, p.clock())
 }
 
-// takeChunk takes a snapshot's chunk. Nothing of it is in force before the whole is there with what came since.
-func (p *Proxy) takeChunk(k *controlLink, c update.Chunk) {
+// applyChunk adds a chunk of a snapshot. Nothing of the snapshot is in force before it is complete, with the changes since.
+func (p *Proxy) applyChunk(link *controlLink, c update.Chunk) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err := k.incoming.Add(c); err != nil {
-		k.stream.Close(err)
+	if err := link.incoming.Add(c); err != nil {
+		link.stream.Close(err)
 		return
 	}
-	k.lastChunkAt = time.Now()
-	part := k.incoming.Progress()
-	k.stream.Send(update.Message{Progress: &part})
+	link.lastChunkAt = time.Now()
+	progress := link.incoming.Progress()
+	link.stream.Send(update.Message{Progress: &progress})
 }
 
-// dropStaleSnapshot lets a part of a snapshot go whose rest nobody keeps any more.
+// dropStaleSnapshot drops a part of a snapshot whose rest no control process keeps any more.
 func (p *Proxy) dropStaleSnapshot() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -40,27 +39,35 @@
 	}
 }
 
-// takeUpdate takes a batch of news.
-func (p *Proxy) takeUpdate(k *controlLink, n update.Batch) {
-	p.mu.Lock()
-	if notes, ok := k.incoming.Finish(n); ok { // the snapshot and what came since, in one step
-		n.Changes, n.Snapshot = notes, true
-	} else if n.Snapshot {
-		k.incoming.Reset()
-	}
-	if !k.subscription.Advance(n.Incarnation, n.From, n.To, n.Snapshot) {
-		p.mu.Unlock()
-		k.stream.Close(errors.New("news does not follow"))
+// applyBatch applies a batch of changes, or a snapshot; the link ends where the batch does not follow the one before.
+func (p *Proxy) applyBatch(link *controlLink, b update.Batch) {
+	if err := p.publishBatch(link, &b); err != nil {
+		link.stream.Close(err)
 		return
 	}
-	for i := range n.Changes {
-		n.Changes[i] = n.Changes[i].ToLocal(k.clockOffset)
-	}
-	p.publish(p.endpoints.ApplyAt(endpoint.Position{Epoch: n.Epoch, Number: n.Number}, n.Changes, n.Snapshot))
-	k.stream.Send(update.Message{Ack: n.To})
-	p.mu.Unlock()
-	if n.Snapshot {
+	if b.Snapshot {
 		p.ready.Store(true)
 		p.reportStatus()
 	}
 }
+
+// publishBatch publishes what the endpoint table is after a batch, and acknowledges the batch. A batch that completes a snapshot in
+// chunks becomes that snapshot.
+func (p *Proxy) publishBatch(link *controlLink, b *update.Batch) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if changes, ok := link.incoming.Finish(*b); ok { // the snapshot and the changes since, in one step
+		b.Changes, b.Snapshot = changes, true
+	} else if b.Snapshot {
+		link.incoming.Reset()
+	}
+	if !link.subscription.Advance(b.Incarnation, b.From, b.To, b.Snapshot) {
+		return errUpdateGap
+	}
+	for i := range b.Changes {
+		b.Changes[i] = b.Changes[i].ToLocal(link.clockOffset)
+	}
+	p.publish(p.endpoints.ApplyAt(endpoint.Position{Epoch: b.Epoch, Number: b.Number}, b.Changes, b.Snapshot))
+	link.stream.Send(update.Message{Ack: b.To})
+	return nil
+}
