--- a/internal/proxy/endpoint/forecast.go
+++ b/internal/proxy/endpoint/forecast.go
@@ -2,30 +2,32 @@
 
 import "portflow/internal/decay"
 
-// Forecast says when a service will have room for one that is sent away now: those who were sent away before come first, and
-// all of them get a part of what the service answers. So not all come back at once.
+// Forecast foretells when a service will have room for a request that is refused now: those that were refused before come first, and all
+// of them get a part of what the service answers, so that not all come back at once.
 type Forecast struct {
 	answers    decay.Sum
-	nextReturn int64 // when the last one that was sent away is to come back, Unix nanoseconds
+	nextReturn int64 // when the last refused request is to come back, Unix nanoseconds
 }
 
 const (
-	answerMemory   = 2 * second     // of answers
-	returningShare = 0.5            // of what is answered is left to those who come back; who comes anew gets the rest
+	answerMemory   = 2 * second     // time constant of the rate of answers
+	returningShare = 0.5            // of the rate of answers is left to requests that come back; new ones get the rest
 	minWait        = second / 5     // about as long as a host takes for one request
 	maxWait        = 5 * second     // beyond which nothing is foretold
-	minRate        = 1 / float64(2) // answers a second are taken for granted, so that a forecast ends
+	minRate        = 1 / float64(2) // answers a second that are assumed at least, so that a forecast ends
 )
 
 // Answered counts one answer of a host.
 func (f *Forecast) Answered(now int64) { f.answers.Add(now, answerMemory, 0) }
 
-// Wait is after how long one that is sent away now should come back, nanoseconds: at most most, as it would not wait longer.
+// Wait is after how many nanoseconds a request that is refused now should come back, at most the given bound, as it would not wait
+// longer.
 func (f *Forecast) Wait(now, most int64) int64 {
 	f.answers.Decay(now, answerMemory)
-	pace := max(minRate, f.answers.Count/(float64(answerMemory)/float64(second))) * returningShare
-	turn := max(f.nextReturn, now) + int64(float64(second)/pace)
-	if turn-now > maxWait { // no more are promised a turn than will have one
+	perSecond := f.answers.Count / (float64(answerMemory) / float64(second))
+	returning := max(minRate, perSecond) * returningShare
+	turn := max(f.nextReturn, now) + int64(float64(second)/returning)
+	if turn-now > maxWait { // no more get the same turn than will have one
 		turn = now + maxWait
 	}
 	f.nextReturn = turn
--- /dev/null
+++ b/internal/proxy/endpoint/hosts.go
@@ -0,0 +1,133 @@
+package endpoint
+
+import (
+	"maps"
+	"slices"
+
+	"portflow/internal/cluster/config"
+	"portflow/internal/cluster/instance"
+	"portflow/internal/cluster/rollout"
+	"portflow/internal/decision"
+	"portflow/internal/dispatch"
+)
+
+// Hosts are a service's hosts as its decision engine is to have them, sorted by id. Hosts of versions that are neither stable nor on
+// trial, of evacuated zones, silent, missing and ejected ones get no more requests.
+func (t *Table) Hosts(service string) (hosts []dispatch.Host) {
+	r := t.Rollout(service)
+	first, _ := t.Set.Lookup(config.Key{Kind: config.KindStableVersions, Name: service}) // the zero item where there is none
+	stable := rollout.StableVersion(first, r)
+	evacuated := map[string]bool{} // by zone, once looked up
+	for _, id := range slices.Sorted(maps.Keys(t.byService[service])) {
+		h := t.Instances[id]
+		if _, known := evacuated[h.Zone]; !known {
+			evacuated[h.Zone] = t.Evacuated(h.Zone)
+		}
+		onTrial := r.State == rollout.Running && h.Version == r.Target
+		build := r.StableBuild()
+		if onTrial {
+			build = r.Number
+		}
+		health := t.healthOf(h)
+		if health == decision.Ready && (evacuated[h.Zone] || h.Version != stable && !onTrial) {
+			health = decision.Draining
+		}
+		hosts = append(hosts, dispatch.Host{
+			Name:     h.ID,
+			Address:  h.Address,
+			Capacity: float64(max(1, h.Slots)),
+			Build:    int(build),
+			Health:   health,
+			Distance: t.Ring(h.Zone),
+		})
+	}
+	return hosts
+}
+
+// healthOf is a host's health by its own state, whatever its zone and version.
+func (t *Table) healthOf(h instance.Instance) decision.Health {
+	ejected := t.Ejections[h.ID].EjectedUntil > 0 && !t.onProbation[h.ID]
+	switch {
+	case h.State == instance.Gone:
+		return decision.Gone
+	case h.State == instance.Draining, h.Unresponsive, t.missing[h.ID], ejected:
+		return decision.Draining
+	}
+	return decision.Ready
+}
+
+// InstancesOf are the known hosts of a service by id. It costs what the service has, not what all services have.
+func (t *Table) InstancesOf(service string) map[string]instance.Instance {
+	instances := make(map[string]instance.Instance, len(t.byService[service]))
+	for id := range t.byService[service] {
+		instances[id] = t.Instances[id]
+	}
+	return instances
+}
+
+// put stores a host, whose service may have changed since its old state.
+func (t *Table) put(old, h instance.Instance) {
+	if old.Service != h.Service {
+		delete(t.byService[old.Service], h.ID)
+	}
+	if t.byService[h.Service] == nil {
+		t.byService[h.Service] = map[string]bool{}
+	}
+	t.byService[h.Service][h.ID] = true
+	t.Instances[h.ID] = h
+}
+
+// EndEjections ends the ejections and probations that are over, and returns the services with hosts that are on probation from now on.
+func (t *Table) EndEjections(now int64) map[string]bool {
+	services := map[string]bool{}
+	for id, e := range t.Ejections {
+		switch {
+		case now >= e.ProbationUntil:
+			delete(t.Ejections, id)
+			delete(t.onProbation, id)
+		case now >= e.EjectedUntil && !t.onProbation[id]:
+			t.onProbation[id] = true
+			services[e.Service] = true
+		}
+	}
+	return services
+}
+
+// silentHostLifetime is for how long a silent or missing host is known, nanoseconds: nobody announces its end, as it may be heard again.
+const silentHostLifetime = int64(600e9)
+
+// RemoveStale takes hosts that have been silent or missing for silentHostLifetime for gone, and returns their services. A later change
+// of such a host makes it known again. It is to be called every so often.
+func (t *Table) RemoveStale(now int64) map[string]bool {
+	services := map[string]bool{}
+	for id, h := range t.Instances {
+		since, known := t.silentSince[id]
+		silent := h.State != instance.Gone && (h.Unresponsive || t.missing[id])
+		switch {
+		case !silent:
+			delete(t.silentSince, id)
+		case !known:
+			t.silentSince[id] = now
+		case now-since > silentHostLifetime:
+			h.State = instance.Gone
+			t.Instances[id] = h
+			services[h.Service] = true
+		}
+	}
+	maps.DeleteFunc(t.silentSince, func(id string, _ int64) bool { return t.Instances[id].ID == "" })
+	return services
+}
+
+// ForgetGone removes a service's hosts that are gone, once the decision engine has been notified of that.
+func (t *Table) ForgetGone(service string) {
+	for id := range t.byService[service] {
+		if t.Instances[id].State == instance.Gone {
+			delete(t.Instances, id)
+			delete(t.missing, id)
+			delete(t.byService[service], id)
+		}
+	}
+	if len(t.byService[service]) == 0 {
+		delete(t.byService, service)
+	}
+}
--- a/internal/proxy/endpoint/share.go
+++ b/internal/proxy/endpoint/share.go
@@ -6,116 +6,143 @@
 	"portflow/internal/cluster/instance"
 )
 
-// This file has the bounds that all routers share without a call between them. Each router works out its own part from the
-// routers that are ready, by name and zone, as control tells them; what doesn't divide goes to some of them, by a hash of
-// router and host, so that at every host others have it, and few parts move when a router comes or goes.
+// This file has the bounds that all proxies keep together without a message between them. Each proxy computes its own share from the
+// list of ready proxies that control announces. The remainder of a division goes to some of them, by a hash of proxy and host, so
+// that other proxies have it at every host, and few shares move when a proxy comes or goes.
 
-// Share is what one router may do at one host.
+// Share is what one proxy may do at one host.
 type Share struct {
 	Concurrent    int // requests at once
-	ColdPerSecond int // requests within any second while it is cold
+	ColdPerSecond int // requests within any second while the host is cold
 }
 
-// ColdBounds are what the parts are of.
+// ColdBounds is the bound on a cold host, of which proxies have shares.
 type ColdBounds struct {
-	Overrun, Slack float64 // of the bound on cold hosts
-	PerSecond      float64
+	Overrun, Slack float64 // the bound is PerSecond times Overrun, and Slack
+	PerSecond      float64 // requests a second
 }
 
 const (
-	ownZoneDepth     = 2    // times its slots is what a host's own zone may have at it at once: what waits at it is soon done
-	sameRegionDepth  = 1    // times its slots for routers of its region's other zones
-	otherRegionDepth = 2    // times its slots for all beyond: homes may leave them no other hosts
-	coldHeadroom     = 0.85 // of the cold bound is dealt out: what is sent in one second may arrive in the next
+	ownZoneDepth     = 2    // times its slots is what a host's own zone may have at it at once: what waits there is soon done
+	sameRegionDepth  = 1    // times its slots for proxies of its region's other zones
+	otherRegionDepth = 2    // times its slots for all beyond: home regions may leave them no other hosts
+	coldHeadroom     = 0.85 // of the cold bound is shared out: what is sent in one second may arrive in the next
 )
 
-// ShareOf is the part of a router at a host. While it is cold its keepers alone may use it: the routers of its zone, or where
-// there are none those of its region, or else all.
-func ShareOf(h instance.Instance, name string, self Location, regions map[string]string, all ProxyList, t ColdBounds) (p Share) {
-	var region, beyond []Proxy
-	for z, names := range all {
+// groups are the ready proxies by how far they are from a host.
+type groups struct{ zone, region, beyond []Proxy }
+
+// groupsOf are the groups of a host in a zone. Their order is irrelevant: divide goes by hashes.
+func groupsOf(zone string, regions map[string]string, list ProxyList) groups {
+	g := groups{zone: list[zone]}
+	for z, proxies := range list {
 		switch {
-		case z == h.Zone:
-		case regions[z] == regions[h.Zone]:
-			region = append(region, names...)
+		case z == zone:
+		case regions[z] == regions[zone]:
+			g.region = append(g.region, proxies...)
 		default:
-			beyond = append(beyond, names...)
+			g.beyond = append(g.beyond, proxies...)
 		}
 	}
-	home := all[h.Zone]
-	bound, group := otherRegionDepth*h.Slots, beyond
+	return g
+}
+
+// nearest is the nearest group that has proxies.
+func (g groups) nearest() []Proxy {
 	switch {
-	case self.Zone == h.Zone:
-		bound, group = ownZoneDepth*h.Slots, home
-	case self.Region == regions[h.Zone] && len(home) == 0:
-		bound, group = (ownZoneDepth+sameRegionDepth)*h.Slots, region
-	case self.Region == regions[h.Zone]:
-		bound, group = sameRegionDepth*h.Slots, region
+	case len(g.zone) > 0:
+		return g.zone
+	case len(g.region) > 0:
+		return g.region
 	}
-	p.Concurrent = divide(bound, h.ID, name, group, self.Zone != h.Zone)
-	keepers := home
-	if len(keepers) == 0 {
-		keepers = region
+	return g.beyond
+}
+
+// concurrent is the bound on concurrent requests of a host with so many slots that a proxy shares, and with which group.
+func (g groups) concurrent(slots int, ownZone, ownRegion bool) (bound int, group []Proxy) {
+	switch {
+	case ownZone:
+		return ownZoneDepth * slots, g.zone
+	case ownRegion && len(g.zone) == 0:
+		return (ownZoneDepth + sameRegionDepth) * slots, g.region
+	case ownRegion:
+		return sameRegionDepth * slots, g.region
 	}
-	if len(keepers) == 0 {
-		keepers = beyond
+	return otherRegionDepth * slots, g.beyond
+}
+
+// ShareOf is the share of a proxy at a host. While the host is cold only the nearest group may use it: the proxies of its zone, where
+// there are none those of its region, else all.
+func ShareOf(h instance.Instance, name string, self Location, regions map[string]string, list ProxyList, cold ColdBounds) Share {
+	g := groupsOf(h.Zone, regions, list)
+	ownZone := self.Zone == h.Zone
+	bound, group := g.concurrent(h.Slots, ownZone, self.Region == regions[h.Zone])
+	coldBound := int(coldHeadroom * (cold.PerSecond*cold.Overrun + cold.Slack))
+	return Share{
+		Concurrent:    divide(bound, h.ID, name, group, !ownZone),
+		ColdPerSecond: divide(coldBound, h.ID, name, g.nearest(), true),
 	}
-	p.ColdPerSecond = divide(int(coldHeadroom*(t.PerSecond*t.Overrun+t.Slack)), h.ID, name, keepers, true)
-	return p
 }
 
-// divide is one's part of a number that is dealt out to a group, evenly or by weight: the whole parts of what each would have,
-// and one more for those whose turn it is at this host: by a hash, and the sooner the more they lack. It sums up to the
-// number whatever the weights. Who isn't of the group has none.
+// divide is one proxy's share of a number n that a group divides, evenly or by weight: the integer part of its quota n*weight/sum, and
+// one more for those first in the order of the remainders at this host, as by the largest remainder method. The shares sum up to
+// n whatever the weights. A proxy that isn't in the group has none.
 func divide(n int, host, name string, group []Proxy, even bool) int {
-	weight := func(r Proxy) int {
+	weight := func(p Proxy) int {
 		if even {
 			return 1
 		}
-		return r.Weight
+		return p.Weight
 	}
 	sum, own := 0, 0
-	for _, r := range group {
-		sum += weight(r)
-		if r.Name == name {
-			own = weight(r)
+	for _, p := range group {
+		sum += weight(p)
+		if p.Name == name {
+			own = weight(p)
 		}
 	}
 	if n <= 0 || own <= 0 {
 		return 0
 	}
-	part, rest := n*own/sum, n
-	for _, r := range group {
-		rest -= n * weight(r) / sum
+	share, left := n*own/sum, n
+	for _, p := range group {
+		left -= n * weight(p) / sum
 	}
-	if rest == 0 || n*own%sum == 0 {
-		return part
+	remainder := n * own % sum
+	if left == 0 || remainder == 0 {
+		return share
 	}
-	mine, before := remainderOrder(host, name, n*own%sum), 0
-	for _, r := range group {
-		if lacks := n * weight(r) % sum; lacks > 0 && r.Name != name {
-			if x := remainderOrder(host, r.Name, lacks); x < mine || x == mine && r.Name < name {
-				before++
-			}
+	order, before := remainderOrder(host, name, remainder), 0
+	for _, p := range group {
+		other := n * weight(p) % sum
+		if other == 0 || p.Name == name {
+			continue
+		}
+		if x := remainderOrder(host, p.Name, other); x < order || x == order && p.Name < name {
+			before++
 		}
 	}
-	if before < rest {
-		part++
+	if before < left {
+		share++
 	}
-	return part
+	return share
 }
 
-// remainderOrder orders those who lack a part of one.
-func remainderOrder(host, name string, lacks int) uint64 {
-	return hashPair(host, name) >> 24 / uint64(lacks)
+// remainderOrder is a proxy's place in the order of remainders at a host: by a hash, and the sooner the greater its remainder.
+func remainderOrder(host, name string, remainder int) uint64 {
+	return hashPair(host, name) >> 24 / uint64(remainder)
 }
 
+// hashMultiplier is the 64-bit golden ratio of multiplicative hashing (Knuth, The Art of Computer Programming, 6.4).
+const hashMultiplier = 0x9e3779b97f4a7c15
+
+// hashPair is the FNV-1a hash of host and name, with its bits mixed.
 func hashPair(host, name string) uint64 {
 	f := fnv.New64a()
-	f.Write([]byte(host))
-	f.Write([]byte{0})
-	f.Write([]byte(name))
+	_, _ = f.Write([]byte(host)) // a hash's Write never fails
+	_, _ = f.Write([]byte{0})
+	_, _ = f.Write([]byte(name))
 	x := f.Sum64()
 	x ^= x >> 32
-	return x * 0x9e3779b97f4a7c15
+	return x * hashMultiplier
 }
--- a/internal/proxy/endpoint/sliding_window.go
+++ b/internal/proxy/endpoint/sliding_window.go
@@ -1,19 +1,22 @@
 package endpoint
 
-// SlidingWindow counts what was sent within the last second.
-type SlidingWindow struct{ times []int64 }
+const second = int64(1e9) // nanoseconds
+
+// windowLength is for how long a request is counted: a second, and a tenth for the time that requests take on their way.
+const windowLength = second + second/10
 
-const second = int64(1e9)
+// SlidingWindow counts the requests of the last second. The zero value is empty.
+type SlidingWindow struct{ times []int64 }
 
-// Allows tells whether fewer than n were sent in the second before now.
+// Allows reports whether fewer than n were sent in the window before now.
 func (w *SlidingWindow) Allows(now int64, n int) bool {
-	drop := 0
-	for drop < len(w.times) && now-w.times[drop] > second+second/10 {
-		drop++
+	expired := 0
+	for expired < len(w.times) && now-w.times[expired] > windowLength {
+		expired++
 	}
-	w.times = w.times[drop:]
+	w.times = w.times[expired:]
 	return len(w.times) < n
 }
 
-// Add counts one.
+// Add counts one that is sent now.
 func (w *SlidingWindow) Add(now int64) { w.times = append(w.times, now) }
