--- a/internal/proxy/attempt/attempt_test.go
+++ b/internal/proxy/attempt/attempt_test.go
@@ -105,7 +105,7 @@
 	}{
 		"fine":                   {"a", fine(func(*Answer) {}), Answered, nil},
 		"an error":               {"a", Answer{Status: 500, IDs: []string{"a"}}, Answered, nil},
-		"turned away":            {"a", Answer{Status: 503, IDs: []string{"a"}, NotRun: true}, TurnedAway, nil},
+		"rejected":               {"a", Answer{Status: 503, IDs: []string{"a"}, NotRun: true}, TurnedAway, nil},
 		"misdirected":            {"a", Answer{Status: 421, IDs: []string{"a"}}, Misdirected, nil},
 		"another's":              {"a", fine(func(a *Answer) { a.IDs = []string{"b"} }), WrongID, ErrWrongRequest},
 		"another's not run":      {"a", Answer{Status: 503, IDs: []string{"b"}, NotRun: true}, WrongID, ErrWrongRequest},
--- a/internal/proxy/attempt/model_test.go
+++ b/internal/proxy/attempt/model_test.go
@@ -68,7 +68,7 @@
 type mutation struct {
 	noID, notRunFirst, noMayHaveRun, noSpent, noSettle, keepPart, sendEarly, keepEarly bool
 	streams                                                                            bool // no fault: bodies go on as they come
-	endsWhole, resends                                                                 bool // faults of that
+	endsComplete, resends                                                              bool // faults of that
 }
 
 type model struct {
@@ -112,7 +112,7 @@
 // on tells a request's attempt an event; where the attempt is over its line is free, or closed.
 func (m *model) on(w *world, i int8, e Event) {
 	a := &w.requests[i]
-	whole := a.state.current.Phase == Written || m.keepEarly
+	complete := a.state.current.Phase == Written || m.keepEarly
 	a.state, _ = a.state.Apply(e)
 	if m.noMayHaveRun && a.state.ended == MayHaveRun {
 		a.state.ended = NotRun
@@ -122,7 +122,7 @@
 	}
 	if l := &w.connections[a.connection]; true {
 		l.request = -1
-		l.open = l.open && (e == Answered || e == TurnedAway || e == Misdirected) && !a.state.busy && whole
+		l.open = l.open && (e == Answered || e == TurnedAway || e == Misdirected) && !a.state.busy && complete
 	}
 	a.connection = -1
 }
@@ -189,7 +189,7 @@
 				if a.state = a.state.Settle(); a.connection < 0 || a.state.current.Phase < WriteBegun {
 					return
 				}
-				if l := &w.connections[a.connection]; m.endsWhole && l.wire == i {
+				if l := &w.connections[a.connection]; m.endsComplete && l.wire == i {
 					l.part = false
 				}
 				m.on(w, i, Canceled)
@@ -407,8 +407,8 @@
 }
 
 // explore plays all histories, or until enough says so.
-func explore(m mutation, harms, tries int, enough func(*model) bool) *model {
-	x := &model{mutation: m, attempts: uint8(tries), visited: map[world]bool{}, violations: map[string]bool{}, ends: map[clientState]map[bool]int{}}
+func explore(m mutation, harms, attempts int, enough func(*model) bool) *model {
+	x := &model{mutation: m, attempts: uint8(attempts), visited: map[world]bool{}, violations: map[string]bool{}, ends: map[clientState]map[bool]int{}}
 	for s := clientSending; s <= clientFailed; s++ {
 		x.ends[s] = map[bool]int{}
 	}
@@ -431,7 +431,7 @@
 // Every history of the model keeps the rules; -args -harms 4 -tries 3 plays those with four harms and three attempts.
 func TestModel(t *testing.T) {
 	for _, streams := range []bool{false, true} {
-		t.Run(map[bool]string{false: "held whole", true: "passed on as they come"}[streams], func(t *testing.T) { assertNoViolations(t, streams) })
+		t.Run(map[bool]string{false: "read before they are sent", true: "passed on as they come"}[streams], func(t *testing.T) { assertNoViolations(t, streams) })
 	}
 }
 
@@ -464,10 +464,10 @@
 		"a request twice on one connection":       {mutation{noSpent: true}, []string{"TWICE", "REFUSED"}},
 		"written after the final answer":          {mutation{noSettle: true}, []string{"REFUSED"}},
 		"a connection kept after half a request":  {mutation{keepPart: true}, []string{"UNASKED"}},
-		"sent before it is read whole":            {mutation{sendEarly: true}, []string{"UNASKED"}},
+		"sent before it is read completely":       {mutation{sendEarly: true}, []string{"UNASKED"}},
 		"a connection kept after an early answer": {mutation{keepEarly: true}, []string{"UNASKED"}},
 		"the same, and bodies are passed on":      {mutation{streams: true, keepEarly: true}, []string{"UNASKED"}},
-		"a body that ends early looks whole":      {mutation{streams: true, endsWhole: true}, []string{"UNASKED"}},
+		"a body that ends early looks complete":   {mutation{streams: true, endsComplete: true}, []string{"UNASKED"}},
 		"a body that is gone is sent again":       {mutation{streams: true, resends: true}, []string{"UNASKED"}},
 		"passed on without 'may have run'":        {mutation{streams: true, noMayHaveRun: true}, []string{"REFUSED"}},
 	} {
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -23,11 +23,11 @@
 	for _, how := range []string{"closed", "reset", "cut head", "cut body"} {
 		t.Run(how, func(t *testing.T) {
 			h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) {
-				whole := goodAnswer(r, "x")
+				answer := goodAnswer(r, "x")
 				if r.Header.Get("Attempt-Id") == "warm" {
-					return whole, true
+					return answer, true
 				}
-				return whole[:map[string]int{"cut head": 20, "cut body": len(whole) - 1}[how]], false
+				return answer[:map[string]int{"cut head": 20, "cut body": len(answer) - 1}[how]], false
 			})
 			h.linger = how == "reset"
 			other := startScriptedHost(t, h.respond) // there would be another host to go to
@@ -138,7 +138,7 @@
 	}
 }
 
-// Whatever a connection pool says of an end, the rules are told no more than is known; and nothing is written once the final
+// Whatever a connection pool says of an end, the decision engine gets no more than is known; and nothing is written once the final
 // answer is given.
 func TestEndingsReportedToDecision(t *testing.T) {
 	c := qt.New(t)
@@ -154,20 +154,20 @@
 				c.Check(x.BeginWrite(2), qt.IsFalse)
 				c.Check(x.WrittenOn(1) && !x.WrittenOn(2), qt.IsTrue)
 			}
-			told, _ := x.endAttempt(e)
+			reported, _ := x.endAttempt(e)
 			known := x.settle()
-			c.Check(unrun[told] || told <= decision.Failed && !sent, qt.Equals, known.Execution() == attempt.NotRun, qt.Commentf("%d, %v: %d", e, sent, told))
+			c.Check(unrun[reported] || reported <= decision.Failed && !sent, qt.Equals, known.Execution() == attempt.NotRun, qt.Commentf("%d, %v: %d", e, sent, reported))
 			c.Check(x.BeginWrite(3), qt.IsFalse)
 		}
 	}
 	x := &clientRequest{streams: make(chan *streamedReply, 1)}
 	x.beginAttempt()
 	c.Check(x.settle().MayRefuse(), qt.IsTrue)
-	c.Check(x.BeginWrite(1), qt.IsFalse) // a hand-off that was under way
+	c.Check(x.BeginWrite(1), qt.IsFalse) // an attempt that was under way
 	c.Check(x.offerStream(&streamedReply{}), qt.IsFalse)
 }
 
-// A long answer that comes as the client goes, or as the final answer is given, is nobody's: its hand-off ends.
+// A long answer that comes as the client goes, or as the final answer is given, is nobody's: its attempt ends.
 func TestLongAnswerToNobody(t *testing.T) {
 	x := &clientRequest{streams: make(chan *streamedReply, 1)}
 	s := &streamedReply{done: make(chan error, 1)}
--- a/internal/proxy/body_memory_test.go
+++ b/internal/proxy/body_memory_test.go
@@ -53,7 +53,7 @@
 	qt.Check(t, most.Load() <= 1<<20 && f.heldBodyBytes.Load() == 0, qt.IsTrue, qt.Commentf("%d, %d", most.Load(), f.heldBodyBytes.Load()))
 }
 
-// A body's memory is given back by whoever leaves last: the handler, or a hand-off that is still out.
+// A body's memory is given back by whoever leaves last: the handler, or an attempt that is still in flight.
 func TestBodyReservedUntilLastRelease(t *testing.T) {
 	for _, handlerFirst := range []bool{true, false} {
 		var held atomic.Int64
--- a/internal/proxy/changes_test.go
+++ b/internal/proxy/changes_test.go
@@ -16,7 +16,7 @@
 	"portflow/internal/cluster/update"
 )
 
-// A request that was read gets its one whole answer whatever change comes while it waits for a host, is worked on, is sent again,
+// A request that was read gets its one complete answer whatever change comes while it waits for a host, is worked on, is sent again,
 // or has a part of its answer; and so does the one that stands behind it on its connection.
 func TestChangesBesideRequests(t *testing.T) {
 	type world struct {
--- a/internal/proxy/client_gone_test.go
+++ b/internal/proxy/client_gone_test.go
@@ -166,7 +166,7 @@
 	return h.scriptedConn.Write(b)
 }
 
-// A host is told the time that is left when it gets the request, however long its connection took to come up.
+// A host gets the time that is left when it gets the request, however long its connection took to come up.
 func TestTimeRemaining(t *testing.T) {
 	for _, slow := range []time.Duration{0, time.Millisecond, 50 * time.Millisecond, 390 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
@@ -191,7 +191,7 @@
 			ms, err := strconv.Atoi(r.Header.Get("Time-Remaining"))
 			qt.Assert(t, err, qt.IsNil)
 			left := (700*time.Millisecond - took).Milliseconds()
-			qt.Check(t, int64(ms) <= left+maxStaleTime && int64(ms) >= left, qt.IsTrue, qt.Commentf("%d told, %d left", ms, left))
+			qt.Check(t, int64(ms) <= left+maxStaleTime && int64(ms) >= left, qt.IsTrue, qt.Commentf("%d stated, %d left", ms, left))
 		})
 	}
 }
--- a/internal/proxy/control_follow.go
+++ b/internal/proxy/control_follow.go
@@ -69,7 +69,7 @@
 	return 0
 }
 
-// waitForNearer tries, every so often, a control process that is nearer than the one that is followed: a proxy that starts knows the
+// waitForNearer dials, every so often, a control process that is nearer than the one that is followed: a proxy that starts knows the
 // seed nodes only, and would otherwise follow one of another region for good. It returns the link that replaces this one, or nil once
 // this one has ended.
 func (p *Proxy) waitForNearer(link *controlLink, avoid avoidList) *controlLink {
@@ -114,7 +114,7 @@
 	return "", false
 }
 
-// tryNearer tries a control process beside the link that is followed, which ends only once the nearer one has said that it is complete
+// tryNearer dials a control process beside the link that is followed, which ends only once the nearer one has said that it is complete
 // and has a quorum: one that is cut off, behind or frozen costs the proxy nothing. It returns nil where the trial failed.
 func (p *Proxy) tryNearer(ctx context.Context, ip string, current *controlLink, avoid avoidList) *controlLink {
 	trial, err := p.dialControl(ctx, ip, true)
--- a/internal/proxy/early_answer_test.go
+++ b/internal/proxy/early_answer_test.go
@@ -27,8 +27,8 @@
 	return c, err
 }
 
-// earlyHost is a host that answers the first request before it has read its body. What comes on that connection then is told once
-// goOn is closed; the connection is kept, or ends right behind the answer. Later connections are served as any other.
+// earlyHost is a host that answers the first request before it has read its body. What comes on that connection then is reported once
+// proceed is closed; the connection is kept, or ends right behind the answer. Later connections are served as any other.
 type earlyHost struct {
 	*scriptedHost
 	answer          func(id string) string
@@ -87,7 +87,7 @@
 		"failed": func(id string) string {
 			return "HTTP/1.1 500 no\r\nAttempt-Id: " + id + "\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n"
 		},
-		"turned away":     notRunAnswer,
+		"rejected":        notRunAnswer,
 		"another's":       func(string) string { return notRunAnswer("other") },
 		"too large to be": func(id string) string { return strings.Replace(notRunAnswer(id), "503", "413", 1) },
 	}
@@ -110,7 +110,7 @@
 					}
 				case "another's":
 					qt.Check(t, status(got), qt.Equals, "502", qt.Commentf("%q", got))
-				default: // sent again, on another connection, whole
+				default: // retried completely, on another connection
 					qt.Check(t, status(got), qt.Equals, "200", qt.Commentf("%q", got))
 					qt.Check(t, got, qt.Contains, "later")
 				}
--- a/internal/proxy/endpoint/forecast_test.go
+++ b/internal/proxy/endpoint/forecast_test.go
@@ -8,13 +8,13 @@
 )
 
 // rushOfReturns plays a service that bears so many requests at once, for a fifth of a second each: what comes beyond is sent away and
-// comes back when it was told, three times at most. It tells how many were sent away, and how many of these once more.
+// comes back when it was to, three times at most. It returns how many were refused, and how many of these once more.
 func rushOfReturns(perSecond float64, wait func(now int64) int64, answered func(now int64)) (away, again int) {
 	const slots, work = 30, second / 5
 	draw := rand.New(rand.NewPCG(4, 4))
 	type caller struct {
-		at    int64
-		tries int
+		at      int64
+		returns int
 	}
 	var all []caller
 	for at := int64(0); at < 6*second; {
@@ -41,10 +41,10 @@
 				ends = append(ends, now+work)
 				continue
 			}
-			if away++; c.tries > 0 {
+			if away++; c.returns > 0 {
 				again++
 			}
-			if c.tries++; c.tries > 3 {
+			if c.returns++; c.returns > 3 {
 				c.at = -1
 			} else {
 				c.at = now + wait(now)
--- a/internal/proxy/endpoint/missing_host_test.go
+++ b/internal/proxy/endpoint/missing_host_test.go
@@ -10,8 +10,8 @@
 	"portflow/internal/decision"
 )
 
-// A router moves to a control process that hasn't heard yet of a host that the former one has told of, and takes its snapshot: the host
-// takes nothing. Once the process has heard of it and says so, it does again, also where it has had no later beat; what its owner says
+// A proxy moves to a control process that hasn't heard yet of a host that the former one has announced, and applies its snapshot: the host
+// takes nothing. Once the process has heard of it and says so, it does again, also where it has had no later heartbeat; what its owner says
 // of it, that it is silent or gone, holds as before.
 func TestHostMissingInASnapshot(t *testing.T) {
 	host := func(sequence uint64, silent bool, state instance.State) update.Change {
@@ -25,9 +25,9 @@
 		changed  bool // the service's hosts are to be looked at anew
 	}
 	for name, takes := range map[string][]take{
-		"told a little later":        {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(1, false, instance.Ready)}, false, decision.Ready, true}},
+		"named a little later":       {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(1, false, instance.Ready)}, false, decision.Ready, true}},
 		"in the next snapshot":       {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{other, host(1, false, instance.Ready)}, true, decision.Ready, true}},
-		"told with a later beat":     {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(4, false, instance.Ready)}, false, decision.Ready, true}},
+		"named, a later heartbeat":   {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(4, false, instance.Ready)}, false, decision.Ready, true}},
 		"missing twice":              {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{other}, true, decision.Draining, false}, {[]update.Change{host(1, false, instance.Ready)}, false, decision.Ready, true}},
 		"silent by its owner's word": {{[]update.Change{host(1, true, instance.Ready)}, false, decision.Draining, true}, {[]update.Change{host(1, false, instance.Ready)}, false, decision.Draining, false}, {[]update.Change{host(2, false, instance.Ready)}, false, decision.Ready, true}},
 		"missing, then silent":       {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(1, true, instance.Ready)}, false, decision.Draining, true}},
--- a/internal/proxy/endpoint/share_test.go
+++ b/internal/proxy/endpoint/share_test.go
@@ -126,13 +126,13 @@
 			if draw.IntN(20) == 0 {
 				name := all[draw.IntN(len(all))].name
 				short[name] = !short[name]
-				told := weigh(short)
+				announced := weigh(short)
 				for _, r := range all { // within a second, and in order
 					at := now + int64(draw.Float64()*0.95*float64(second))
 					if len(r.next) > 0 {
 						at = max(at, r.next[len(r.next)-1].Until)
 					}
-					r.next = append(r.next, FormerList{Proxies: told, Until: at})
+					r.next = append(r.next, FormerList{Proxies: announced, Until: at})
 				}
 			}
 			open := make([]int, len(hosts))
--- a/internal/proxy/endpoint/table_test.go
+++ b/internal/proxy/endpoint/table_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// A host that is set aside takes nothing until its time is over, then comes back, and is forgotten once it is back; an older
+// An ejected host gets nothing until its time is over, then comes back, and is forgotten once it is back; an older
 // judgement changes nothing.
 func TestEjectedHosts(t *testing.T) {
 	c := qt.New(t)
@@ -90,8 +90,8 @@
 	c.Check(all < few*2, qt.IsTrue)
 }
 
-// The hosts of a service are those that were told last, whatever came between: one that ended goes once the rules know, and one
-// that is told under another service is that one's.
+// The hosts of a service are those that were announced last, whatever came between: one that ended goes once the decision engine knows, and one
+// that is announced under another service is that one's.
 func TestHostsOfService(t *testing.T) {
 	c := qt.New(t)
 	b := manyHosts(60)
@@ -116,7 +116,7 @@
 	c.Check(b.Instances, qt.HasLen, 59)
 }
 
-// A router that is told anew, and as it was, changes no roster; one that comes, goes, is ready, is short or moves does.
+// A proxy that is announced anew, and as it was, changes no list; one that comes, goes, is ready, is short or moves does.
 func TestRouterAnnouncedAgain(t *testing.T) {
 	c := qt.New(t)
 	b := newTestTable()
--- a/internal/proxy/endpoint/trace_test.go
+++ b/internal/proxy/endpoint/trace_test.go
@@ -74,14 +74,14 @@
 			default:
 				d.Add(b.ApplyAt(Position{1, uint64(draw.IntN(50))}, notes, draw.IntN(6) == 0))
 			}
-			rank, count, roster, counted := b.ProxyRank()
-			d.Add(b.Position(), rank, count, roster, counted, len(b.Instances), b.Ejections, b.Set.Checksum())
+			rank, count, list, counted := b.ProxyRank()
+			d.Add(b.Position(), rank, count, list, counted, len(b.Instances), b.Ejections, b.Set.Checksum())
 			for n := range 3 {
 				service := fmt.Sprint("s", n)
 				d.Add(b.Hosts(service), b.InstancesOf(service), b.Rollout(service), b.Evacuated(fmt.Sprint("z", n)), b.Ring(fmt.Sprint("z", n)))
 				for _, id := range []string{"h1", "h2"} {
 					if h, known := b.Instances[id]; known {
-						d.Add(ShareOf(h, "router1", Location{"z0", "r0"}, map[string]string{"z0": "r0", "z1": "r0"}, roster, ColdBounds{1.5, 5, 5.4}))
+						d.Add(ShareOf(h, "router1", Location{"z0", "r0"}, map[string]string{"z0": "r0", "z1": "r0"}, list, ColdBounds{1.5, 5, 5.4}))
 					}
 				}
 			}
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -74,7 +74,7 @@
 func (c *scriptedConn) SetReadDeadline(time.Time) error  { return nil }
 func (c *scriptedConn) SetWriteDeadline(time.Time) error { return nil }
 
-// FuzzHostAnswers: whatever a host sends, what is passed on is a whole answer with the request's id, and a seal where it is a
+// FuzzHostAnswers: whatever a host sends, what is passed on is a complete answer with the request's id, and a seal where it is a
 // success; that a request has not run is only known where such an answer says so.
 func FuzzHostAnswers(f *testing.F) {
 	for _, x := range []string{
@@ -91,7 +91,7 @@
 		f.Add([]byte(x), true)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte, head bool) {
-		const most = 64 // bytes that are read whole
+		const most = 64 // bytes that are read before they are passed on
 		p := upstream.New(upstream.Options{Protocol: hostProtocol{most}, ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 2,
 			Dial: func(context.Context, string, string) (net.Conn, error) { return newScriptedConn(raw), nil }})
 		defer p.Shutdown()
@@ -233,11 +233,11 @@
 		f.Add([]byte(x), 5)
 	}
 	h := startScriptedHost(f, func(_ int, r *http.Request, _ string) (string, bool) {
-		whole := goodAnswer(r, "x")
+		answer := goodAnswer(r, "x")
 		if r.Method == "HEAD" {
-			whole = goodAnswer(r, "")
+			answer = goodAnswer(r, "")
 		}
-		return whole, true
+		return answer, true
 	})
 	w, _ := startProxy(f, h)
 	d := fuzzListener{make(chan net.Conn)}
--- a/internal/proxy/http_test.go
+++ b/internal/proxy/http_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// Trailers are left out, both ways: what is held whole goes on with a length. Nothing in them counts as a header.
+// Trailers are left out, both ways: a body that is read before it is forwarded has a length. Nothing in them counts as a header.
 func TestTrailers(t *testing.T) {
 	h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) {
 		id := r.Header.Get("Attempt-Id")
@@ -95,7 +95,7 @@
 	qt.Check(t, in.header.Get("Time-Remaining") != "1", qt.IsTrue)
 }
 
-// Heads up to the limit go on whole; a request's beyond it is answered 431 and goes nowhere, a host's beyond 16 KB is no answer.
+// Heads up to the limit are forwarded complete; a request's beyond it is answered 431 and goes nowhere, a host's beyond 16 KB is no answer.
 func TestLongHeads(t *testing.T) {
 	h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) {
 		if r.Header.Get("Attempt-Id") == "long" {
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -250,7 +250,7 @@
 	for name, x := range map[string]struct {
 		then, now config.Limits
 		pause     time.Duration
-		whole     bool
+		complete  bool
 	}{
 		"slow":                           {config.Limits{IdleTimeout: 5e9}, config.Limits{IdleTimeout: 5e9}, 4 * time.Second, true},
 		"too slow":                       {config.Limits{IdleTimeout: 5e9}, config.Limits{IdleTimeout: 5e9}, 6 * time.Second, false},
@@ -277,8 +277,8 @@
 					}
 				}()
 				n, err := c.Write([]byte(answer))
-				qt.Check(t, err == nil, qt.Equals, x.whole, qt.Commentf("%v", err))
-				qt.Check(t, n == len(answer), qt.Equals, x.whole, qt.Commentf("%d", n))
+				qt.Check(t, err == nil, qt.Equals, x.complete, qt.Commentf("%v", err))
+				qt.Check(t, n == len(answer), qt.Equals, x.complete, qt.Commentf("%d", n))
 				near.Close()
 				synctest.Wait()
 				time.Sleep(time.Minute)
@@ -289,7 +289,7 @@
 }
 
 // A connection whose place is wanted ends only while nothing of a request has come on it, though net/http calls it idle, or new,
-// until a whole head was read.
+// until a complete head was read.
 func TestEvictedBesideARequest(t *testing.T) {
 	b := make([]byte, 100)
 	for name, x := range map[string]struct {
@@ -421,7 +421,7 @@
 	qt.Check(t, <-got, qt.Equals, 20*len(answer))
 }
 
-// A head that became whole as its connection's place was wanted is served, and the connection isn't closed behind its answer.
+// A head that became complete as its connection's place was wanted is served, and the connection isn't closed behind its answer.
 func TestEvictedAsAHeadEnds(t *testing.T) {
 	near, far := connPair(t)
 	near.Read(make([]byte, 1)) // the byte that shows it to be up
@@ -439,6 +439,6 @@
 	n, err := c.Read(b)
 	qt.Check(t, err, qt.IsNil)
 	qt.Check(t, string(b[:n]), qt.Equals, virtualRequest)
-	c.evict() // of one that is whole
+	c.evict() // of one that is complete
 	qt.Check(t, c.evicting, qt.IsFalse)
 }
--- a/internal/proxy/linger_test.go
+++ b/internal/proxy/linger_test.go
@@ -23,7 +23,7 @@
 // A router that ends closes each connection after its next answer. What a client has pipelined behind that request is not read then;
 // the connection must not be reset because of it, as a reset takes the rest of the answer away.
 func TestAnswerBeforeAClose(t *testing.T) {
-	for _, length := range []int{100 << 10, maxBufferedAnswer + 100<<10} { // read whole, and passed on as it comes
+	for _, length := range []int{100 << 10, maxBufferedAnswer + 100<<10} { // read before it is passed on, and streamed
 		c := qt.New(t)
 		answer := strings.Repeat("a", length)
 		h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, answer), true })
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -148,7 +148,7 @@
 // attemptPanicked counts and logs a panic of an attempt, which ends that attempt alone.
 func (p *Proxy) attemptPanicked(v any, stack []byte) {
 	p.counters.panics.Add(1)
-	klog.ErrorS(fmt.Errorf("%v", v), "hand-off", "stack", string(stack))
+	klog.ErrorS(fmt.Errorf("%v", v), "attempt", "stack", string(stack))
 }
 
 // startGossip opens the gossip socket; the seed nodes are the members that are known to begin with.
--- a/internal/proxy/rollout_decision_test.go
+++ b/internal/proxy/rollout_decision_test.go
@@ -173,11 +173,11 @@
 		t.hosts = append(t.hosts, &trialHost{id: uint32(i + 1), slots: 3})
 		listed = append(listed, decision.Host{ID: uint32(i + 1), Capacity: 3})
 	}
-	var roster []update.Proxy
+	var proxies []update.Proxy
 	for i := range routers {
 		r := &trialRouter{trial: t, rank: i, asked: map[uint32]*trialRequest{}}
 		t.routers = append(t.routers, r)
-		roster = append(roster, update.Proxy{Name: fmt.Sprint("r", i)})
+		proxies = append(proxies, update.Proxy{Name: fmt.Sprint("r", i)})
 	}
 	each := func(do func(r *trialRouter)) {
 		for _, r := range t.routers {
@@ -227,7 +227,7 @@
 			for _, p := range t.votes {
 				votes = append(votes, p)
 			}
-			t.order.State = rollout.Decide(t.now, t.order, votes, roster, 0)
+			t.order.State = rollout.Decide(t.now, t.order, votes, proxies, 0)
 		}
 		t.after(200e6, judge)
 	}
--- a/internal/proxy/wire_test.go
+++ b/internal/proxy/wire_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// A second copy of a host's word that it did not run a request, which comes on the connection on which the request is sent
+// A duplicate of a host's answer that it did not run a request, which comes on the connection on which the request is sent
 // again, must not be taken for the answer to the second send.
 func TestNotRunTwice(t *testing.T) {
 	h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) {
@@ -169,7 +169,7 @@
 	}
 }
 
-// An answer that is not whole is no success. One without a stated end is whole where its connection ends in order, and not where
+// An answer that is not complete is no success. One without a stated end is complete where its connection ends in order, and not where
 // it is reset.
 func TestUnendedAnswers(t *testing.T) {
 	long := strings.Repeat("x", maxBufferedAnswer+100)
