--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -7,12 +7,16 @@
 	"portflow/internal/cluster/apierror"
 	"portflow/internal/cluster/config"
 	"portflow/internal/dispatch"
+	"portflow/internal/httpframing"
 	"portflow/internal/proxy/attempt"
 )
 
 // ServeHTTP gives a client's request its one final answer. A panic with http.ErrAbortHandler ends the connection instead, so
 // that an answer that breaks off does not look complete.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	p.counters.received.Add(1)
+	p.openRequests.Add(1)
+	defer p.openRequests.Add(-1)
 	conn := clientConnOf(r)
 	p.handle(w, r, conn)
 	conn.answerComplete()
@@ -21,12 +25,8 @@
 // handle takes a request through its stages: framing, questions about this process, head and route, body, admission, a host. The
 // first check that fails refuses the request, and a body that was not read by then is drained.
 func (p *Proxy) handle(w http.ResponseWriter, r *http.Request, conn *clientConn) {
-	p.counters.received.Add(1)
-	p.openRequests.Add(1)
-	defer p.openRequests.Add(-1)
 	receivedAt, snapshot := p.clock(), p.snapshot.Load()
-	framing := conn.beginRequest() // before the body's deadline, which would otherwise be replaced by that of a head
-	setBodyDeadline(w, r)
+	framing := beginRequest(w, r, conn)
 	bodyRead := r.ContentLength == 0
 	defer func() {
 		if !bodyRead {
@@ -54,19 +54,35 @@
 		p.refuse(w, kind, 0)
 		return
 	}
-	p.serveRoute(w, r, conn, snapshot, route, request, body, receivedAt+timeout)
-}
-
-// serveRoute admits a request that has been read completely, and has the route's service answer it by the deadline.
-func (p *Proxy) serveRoute(w http.ResponseWriter, r *http.Request, conn *clientConn, snapshot *routingSnapshot,
-	route *config.Route, request *clientRequest, body []byte, deadline int64) {
-	s, kind, wait := p.admit(w, r, snapshot, route)
+	s, kind, retryAfter := p.admit(w, r, snapshot, route)
 	if kind != apierror.None {
-		p.refuse(w, kind, wait)
+		p.refuse(w, kind, retryAfter)
 		return
 	}
+	p.awaitAnswer(w, r, conn, s, readRequest{route, request, body, receivedAt + timeout})
+}
+
+// beginRequest takes a request's framing, and then sets the deadline of its body, which clientConn would replace by that of a head
+// before.
+func beginRequest(w http.ResponseWriter, r *http.Request, conn *clientConn) httpframing.Fields {
+	framing := conn.beginRequest()
+	setBodyDeadline(w, r)
+	return framing
+}
+
+// readRequest is a request that has been checked and read completely.
+type readRequest struct {
+	route    *config.Route
+	request  *clientRequest
+	body     []byte
+	deadline int64 // by the proxy's clock, nanoseconds
+}
+
+// awaitAnswer gives an admitted request to its service's decision engine, and its client the answer.
+func (p *Proxy) awaitAnswer(w http.ResponseWriter, r *http.Request, conn *clientConn, s *service, read readRequest) {
+	request := read.request
 	answers := make(dispatch.AnswerChan, 1)
-	call := s.newCall(r, route, request, body, deadline, answers)
+	call := s.newCall(r, read, answers)
 	if conn.clientGone() {
 		p.countClientGone()
 		panic(http.ErrAbortHandler)
@@ -87,33 +103,33 @@
 	}
 }
 
-// admit chooses the service of a route for one request and checks the caller's quota there; wait is when to come back.
+// admit chooses the service of a route for one request and checks the caller's quota there; retryAfter is when to come back.
 func (p *Proxy) admit(w http.ResponseWriter, r *http.Request, snapshot *routingSnapshot, route *config.Route) (
-	s *service, kind apierror.Kind, wait time.Duration) {
+	s *service, kind apierror.Kind, retryAfter time.Duration) {
 	s = snapshot.services[p.chooseService(route)]
 	if s == nil {
 		return nil, apierror.NoService, 0
 	}
 	if snapshot.routing.Quotas != nil {
-		if wait, admitted := s.checkQuota(w, r, route.Idempotent); !admitted {
-			return nil, apierror.QuotaExceeded, wait
+		if retryAfter, admitted := s.checkQuota(w, r, route.Idempotent); !admitted {
+			return nil, apierror.QuotaExceeded, retryAfter
 		}
 	}
 	return s, apierror.None, 0
 }
 
 // newCall is a request as the decision engine gets it.
-func (s *service) newCall(r *http.Request, route *config.Route, request *clientRequest, body []byte, deadline int64,
-	answers dispatch.AnswerChan) *dispatch.Call {
-	request.host = r.Host
-	request.header = forwardedHeader(r.Header)
+func (s *service) newCall(r *http.Request, read readRequest, answers dispatch.AnswerChan) *dispatch.Call {
+	route := read.route
+	read.request.host = r.Host
+	read.request.header = forwardedHeader(r.Header)
 	return &dispatch.Call{
 		Class:       s.classOf(route),
-		Deadline:    deadline,
+		Deadline:    read.deadline,
 		Responder:   answers,
 		MaxAttempts: route.MaxAttempts,
 		Allowed:     func(h dispatch.Host) bool { return s.mayUse(h, route.HomeRegions) },
-		Request:     &dispatch.Request{Method: r.Method, Target: r.RequestURI, Body: body, Payload: request},
+		Request:     &dispatch.Request{Method: r.Method, Target: r.RequestURI, Body: read.body, Payload: read.request},
 	}
 }
 
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -47,13 +47,12 @@
 )
 
 const (
-	releasedAge          = int64(3600e9) // nanoseconds: of the version of a service of which no rollout is known
-	timerResolution      = int64(5e6)    // nanoseconds
-	maxEngineRetryAfter  = int64(500e6)  // nanoseconds
-	voteTimeout          = int64(500e6)  // nanoseconds
-	trialBurstPerSlack   = 0.7           // of the slack of a trial's exposure
-	retryBurstPerSlack   = 0.5           // of the slack of the retry budget
-	trialSharePerAllowed = 0.8           // of a trial's exposure
+	releasedAge         = int64(3600e9) // nanoseconds: of the version of a service of which no rollout is known
+	timerResolution     = int64(5e6)    // nanoseconds
+	maxEngineRetryAfter = int64(500e6)  // nanoseconds
+	voteTimeout         = int64(500e6)  // nanoseconds
+	trialBurstPerSlack  = 0.7           // of the slack of a trial's exposure
+	retryBurstPerSlack  = 0.5           // of the slack of the retry budget
 )
 
 // startService begins a service, whose decision engine runs until the process's context ends; the caller holds the lock of the proxy.
