--- a/internal/proxy/endpoint/share_test.go
+++ b/internal/proxy/endpoint/share_test.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// A router is short once a fifth of what it hands off has gone to other zones for a second and a half, and gives back what was lent after four seconds in
+// A proxy is short once a fifth of what it forwards has gone to other zones for a second and a half, and gives back what was lent after four seconds in
 // which it needed none of it.
 func TestShortage(t *testing.T) {
 	c := qt.New(t)
--- a/internal/proxy/endpoint/trace_test.go
+++ b/internal/proxy/endpoint/trace_test.go
@@ -89,7 +89,7 @@
 	})
 }
 
-// Rosters of the past, a router's being short, forecasts and the count of the last second are what they were.
+// Proxy lists of the past, a proxy's being short, forecasts and the count of the last second are what they were.
 func TestTraceOfParts(t *testing.T) {
 	digest.Pin(t, 50, []string{"d74a85972e05fc81", "cadcb8926acf65f0"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 2))
