--- /dev/null
+++ b/internal/proxy/answer.go
@@ -0,0 +1,94 @@
+package proxy
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+
+	"portflow/internal/cluster/apierror"
+	"portflow/internal/dispatch"
+	"portflow/internal/proxy/attempt"
+)
+
+// deadlineSlack is how long before its deadline a request counts as timed out, nanoseconds.
+const deadlineSlack = int64(20e6)
+
+// writeAnswer gives a request's final answer; known is what was known of its attempts as it was settled.
+func (p *Proxy) writeAnswer(w http.ResponseWriter, s *service, answer dispatch.Answer, call *dispatch.Call, known attempt.Request) {
+	host, _ := answer.Reply.(*reply)
+	switch {
+	case answer.Kind == dispatch.Succeeded && host != nil:
+		p.writeReply(w, host)
+	case answer.Kind == dispatch.Rejected && known.MayRefuse():
+		p.refuse(w, apierror.Overloaded, s.retryAfter(call.Deadline))
+	case host != nil && !host.notRun && !attempt.PromisesNotRun(host.status):
+		p.writeReply(w, host)
+	case p.clock() >= call.Deadline-deadlineSlack && known.Execution() == attempt.NotRun:
+		p.refuse(w, apierror.DeadlineExceeded, 0)
+	case p.clock() >= call.Deadline-deadlineSlack:
+		p.refuse(w, apierror.UpstreamTimeout, 0)
+	default:
+		p.refuse(w, apierror.UpstreamBroken, 0)
+	}
+}
+
+// copyHeader gives an answer a host's header, without the fields that net/http would add.
+func (p *Proxy) copyHeader(w http.ResponseWriter, host *reply) http.Header {
+	p.counters.answered.Add(1)
+	h := w.Header()
+	for name, values := range host.header {
+		h[name] = values
+	}
+	for _, name := range []string{"Date", "Content-Type"} {
+		if _, ok := h[name]; !ok {
+			h[name] = nil
+		}
+	}
+	if p.draining.Load() {
+		h["Connection"] = []string{"close"}
+	}
+	return h
+}
+
+// writeReply passes a host's answer on unchanged.
+func (p *Proxy) writeReply(w http.ResponseWriter, host *reply) {
+	h := p.copyHeader(w, host)
+	if !host.bodiless {
+		h["Content-Length"] = []string{strconv.Itoa(len(host.body))}
+	}
+	w.WriteHeader(host.status)
+	_, _ = w.Write(host.body) // where it fails the client has gone, and net/http ends the connection
+}
+
+// passStream passes on a long answer, or refuses the request where its client could not tell the answer's end: in HTTP/1.0 an answer
+// without a length ends with its connection, also where that is cut.
+func (p *Proxy) passStream(w http.ResponseWriter, r *http.Request, stream *streamedReply) {
+	if stream.length < 0 && !r.ProtoAtLeast(1, 1) {
+		stream.done <- attempt.ErrNoStatedEnd
+		p.refuse(w, apierror.UpstreamBroken, 0)
+		return
+	}
+	p.streamReply(w, r, stream)
+}
+
+// streamReply passes a long answer on as it comes, while its client is there. One that breaks off ends the connection, so that it
+// doesn't look complete.
+func (p *Proxy) streamReply(w http.ResponseWriter, r *http.Request, stream *streamedReply) {
+	defer context.AfterFunc(r.Context(), stream.stop)()
+	h := p.copyHeader(w, stream.reply)
+	if stream.length >= 0 {
+		h["Content-Length"] = []string{strconv.FormatInt(stream.length, 10)}
+	}
+	w.WriteHeader(stream.status)
+	_, err := w.Write(stream.body)
+	if err == nil {
+		_, err = io.Copy(w, stream.rest)
+	}
+	stream.done <- err
+	if err != nil {
+		p.counters.refusals[apierror.UpstreamBroken].Add(1)
+		p.counters.cuts.add(cutBroken)
+		panic(http.ErrAbortHandler)
+	}
+}
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -17,32 +17,21 @@
 	"portflow/internal/proxy/attempt"
 )
 
-// countWrites counts how often hosts had each id.
-func countWrites(hosts ...*scriptedHost) map[string]int {
-	n := map[string]int{}
-	for _, h := range hosts {
-		for _, x := range h.requests() {
-			n[x.header.Get("Attempt-Id")]++
-		}
-	}
-	return n
-}
-
 // Nothing below the rules sends by itself: a host that breaks a kept connection after it has read a request has had it once,
 // whatever the method, the body, and the leave that an Idempotency-Key would give the library.
 func TestNothingBelowSends(t *testing.T) {
 	for _, how := range []string{"closed", "reset", "cut head", "cut body"} {
 		t.Run(how, func(t *testing.T) {
 			h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) {
-				whole := goodAnswer(r, "x")
+				answer := goodAnswer(r, "x")
 				if r.Header.Get("Attempt-Id") == "warm" {
-					return whole, true
+					return answer, true
 				}
-				return whole[:map[string]int{"cut head": 20, "cut body": len(whole) - 1}[how]], false
+				return answer[:map[string]int{"cut head": 20, "cut body": len(answer) - 1}[how]], false
 			})
 			h.linger = how == "reset"
 			other := startScriptedHost(t, h.respond) // there would be another host to go to
-			_, at := startRouted(t, h, other)
+			_, at := startProxy(t, h, other)
 			for i, method := range []string{"GET", "HEAD", "OPTIONS", "TRACE", "DELETE", "POST", "PUT", "PATCH", "PROPFIND"} {
 				for k, extra := range [][]string{nil, {"Idempotency-Key: k"}, {"X-Idempotency-Key: k"}} {
 					for _, body := range []string{"", "body"} {
@@ -71,7 +60,7 @@
 	forgets := func(n int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, "x"), false }
 	hosts := []*scriptedHost{startScriptedHost(t, forgets), startScriptedHost(t, forgets)}
 	hosts[1].linger = true
-	_, at := startRouted(t, hosts...)
+	_, at := startProxy(t, hosts...)
 	var mu sync.Mutex
 	ended := map[string]string{}
 	var all sync.WaitGroup
@@ -124,7 +113,7 @@
 		return c.Conn.Write(b)
 	}
 	n, _ := c.Conn.Write(b[:c.by.after])
-	c.Conn.Close()
+	c.Close()
 	return n, syscall.EPIPE
 }
 
@@ -140,7 +129,7 @@
 			}), startScriptedHost(t, nil)
 			other.respond = h.respond
 			net := &failingNetwork{loopback: &loopback{}, after: x.after}
-			_, at := startRoutedBy(t, net, net.loopback, h, other)
+			_, at := startProxyOn(t, net, net.loopback, h, other)
 			net.fail.Store(1)
 			got := exchange(t, at, method, "/issue/x", "u1", "")
 			qt.Check(t, status(got), qt.Equals, x.status, qt.Commentf("%s after %d: %q", method, x.after, got))
@@ -149,7 +138,7 @@
 	}
 }
 
-// Whatever a connection pool says of an end, the rules are told no more than is known; and nothing is written once the final
+// Whatever a connection pool says of an end, the decision engine gets no more than is known; and nothing is written once the final
 // answer is given.
 func TestEndingsReportedToDecision(t *testing.T) {
 	c := qt.New(t)
@@ -165,20 +154,20 @@
 				c.Check(x.BeginWrite(2), qt.IsFalse)
 				c.Check(x.WrittenOn(1) && !x.WrittenOn(2), qt.IsTrue)
 			}
-			told, _ := x.endAttempt(e)
+			reported, _ := x.endAttempt(e)
 			known := x.settle()
-			c.Check(unrun[told] || told <= decision.Failed && !sent, qt.Equals, known.Execution() == attempt.NotRun, qt.Commentf("%d, %v: %d", e, sent, told))
+			c.Check(unrun[reported] || reported <= decision.Failed && !sent, qt.Equals, known.Execution() == attempt.NotRun, qt.Commentf("%d, %v: %d", e, sent, reported))
 			c.Check(x.BeginWrite(3), qt.IsFalse)
 		}
 	}
 	x := &clientRequest{streams: make(chan *streamedReply, 1)}
 	x.beginAttempt()
 	c.Check(x.settle().MayRefuse(), qt.IsTrue)
-	c.Check(x.BeginWrite(1), qt.IsFalse) // a hand-off that was under way
+	c.Check(x.BeginWrite(1), qt.IsFalse) // an attempt that was under way
 	c.Check(x.offerStream(&streamedReply{}), qt.IsFalse)
 }
 
-// A long answer that comes as the client goes, or as the final answer is given, is nobody's: its hand-off ends.
+// A long answer that comes as the client goes, or as the final answer is given, is nobody's: its attempt ends.
 func TestLongAnswerToNobody(t *testing.T) {
 	x := &clientRequest{streams: make(chan *streamedReply, 1)}
 	s := &streamedReply{done: make(chan error, 1)}
--- /dev/null
+++ b/internal/proxy/quota_report.go
@@ -0,0 +1,94 @@
+package proxy
+
+import (
+	"time"
+
+	"portflow/internal/cluster/update"
+	"portflow/internal/decision"
+	"portflow/internal/quota"
+)
+
+const (
+	loadMemory      = 3 * second  // nanoseconds: time constant of how quickly a service answers this proxy
+	minLoadAnswers  = 0.1         // answers within loadMemory, below which no load is reported
+	loadInterval    = second      // nanoseconds between two reports of services' loads
+	callersInterval = 10 * second // nanoseconds between two reports of the callers' counts
+)
+
+// reportQuotas reports the demand of callers with quotas to control, until the process's context ends; it begins with the first quota.
+func (p *Proxy) reportQuotas() {
+	t := time.NewTicker(time.Duration(quota.AllocationInterval))
+	defer t.Stop()
+	for n := int64(1); ; n++ {
+		select {
+		case <-t.C:
+		case <-p.ctx.Done():
+			return
+		}
+		withLoads := n%(loadInterval/quota.AllocationInterval) == 0
+		withCallers := n%(callersInterval/quota.AllocationInterval) == 0
+		p.sendQuotaReport(withLoads, withCallers)
+	}
+}
+
+// sendQuotaReport reports what callers ask for, and where it is asked for also how quickly services answer, and which callers there were.
+func (p *Proxy) sendQuotaReport(withLoads, withCallers bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	report := update.QuotaUpdate{Callers: map[string][]quota.CallerCount{}}
+	snapshot := p.snapshot.Load()
+	for name, s := range p.services {
+		if snapshot.routing.Quotas[name] != nil {
+			s.addQuotaReport(&report, p.evenSlotShare(name, snapshot), withLoads, withCallers)
+		}
+	}
+	hasContent := len(report.Reports) > 0 || len(report.Loads) > 0 || withCallers
+	if p.control != nil && (hasContent || p.reportedDemand) { // also that there is no demand any more
+		p.control.stream.Send(update.Message{Quota: &report})
+	}
+	p.reportedDemand = len(report.Reports) > 0
+}
+
+// addQuotaReport adds a service's part of a report.
+func (s *service) addQuotaReport(report *update.QuotaUpdate, evenSlots float64, withLoads, withCallers bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.meter == nil {
+		return
+	}
+	now := s.proxy.clock()
+	s.evenSlots = evenSlots
+	report.Reports = append(report.Reports, s.meter.Reports(now)...)
+	s.load.Decay(now, loadMemory)
+	if withLoads && s.load.Count > minLoadAnswers {
+		memory := float64(loadMemory) / float64(second)
+		report.Loads = append(report.Loads, quota.Load{Service: s.name, Completed: s.load.Count / memory, Work: s.load.Total / memory})
+	}
+	if withCallers {
+		report.Callers[s.name] = s.meter.DrainCallerCounts()
+	}
+}
+
+// evenSlotShare is this proxy's even share of the slots of a service's hosts: of its zone's, where there are none of its region's,
+// else of all. The caller holds the lock of the proxy.
+func (p *Proxy) evenSlotShare(name string, snapshot *routingSnapshot) float64 {
+	var slots [3]float64 // by distance
+	for _, h := range p.endpoints.Hosts(name) {
+		if h.Health == decision.Ready {
+			slots[h.Distance] += h.Capacity
+		}
+	}
+	var proxies [3]int // by distance
+	for zone, list := range snapshot.proxies {
+		proxies[p.endpoints.Ring(zone)] += len(list)
+	}
+	sum, n := 0.0, 0
+	for distance := range slots {
+		sum += slots[distance]
+		n += proxies[distance]
+		if sum > 0 {
+			break
+		}
+	}
+	return sum / float64(max(1, n))
+}
--- /dev/null
+++ b/internal/proxy/route.go
@@ -0,0 +1,28 @@
+package proxy
+
+import "portflow/internal/cluster/config"
+
+// chooseService draws a route's service for one request, by the weights of its backends.
+func (p *Proxy) chooseService(route *config.Route) string {
+	if len(route.Backends) == 1 {
+		return route.Backends[0].Service
+	}
+	sum := 0.0
+	for _, backend := range route.Backends {
+		sum += backend.Weight
+	}
+	left := p.randomFloat() * sum
+	for _, backend := range route.Backends {
+		if left -= backend.Weight; left < 0 {
+			return backend.Service
+		}
+	}
+	return route.Backends[0].Service
+}
+
+// randomFloat draws a number from [0, 1).
+func (p *Proxy) randomFloat() float64 {
+	p.randomMu.Lock()
+	defer p.randomMu.Unlock()
+	return p.random.Float64()
+}
--- /dev/null
+++ b/internal/proxy/status.go
@@ -0,0 +1,91 @@
+package proxy
+
+import (
+	"time"
+
+	"k8s.io/klog/v2"
+
+	"portflow/internal/cluster/config"
+	"portflow/internal/cluster/update"
+	"portflow/internal/decision"
+	"portflow/internal/proxy/endpoint"
+)
+
+// ticksPerLogLine is how many ticks lie between two log lines of counters.
+const ticksPerLogLine = 20
+
+// runTicker checks whether this proxy is short of capacity and reports outliers, and every so often removes stale hosts and logs the
+// counters, until the process's context ends.
+func (p *Proxy) runTicker() {
+	t := time.NewTicker(time.Duration(endpoint.CheckInterval))
+	defer t.Stop()
+	for n := 1; ; n++ {
+		select {
+		case <-t.C:
+		case <-p.ctx.Done():
+			return
+		}
+		p.reportOutliers()
+		p.checkShortage()
+		if n%ticksPerLogLine == 0 {
+			p.removeStaleHosts()
+			p.LogCounters()
+		}
+	}
+}
+
+// checkShortage decides whether this proxy borrows other proxies' shares, and reports a change of that to control.
+func (p *Proxy) checkShortage() {
+	all, otherZone, overShare := p.forwarded.all.Swap(0), p.forwarded.otherZone.Swap(0), p.forwarded.overShare.Swap(0)
+	short := p.shortage.Check(int(all), int(otherZone), int(overShare))
+	if p.borrowing.Swap(short) != short {
+		klog.InfoS("short of room in the zone", "is", short)
+		p.reportStatus()
+	}
+}
+
+// reportStatus reports this proxy's own state to control.
+func (p *Proxy) reportStatus() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.control == nil {
+		return
+	}
+	p.control.stream.Send(update.Message{Proxy: &update.Proxy{
+		Name:          p.Settings.Name,
+		Zone:          p.Settings.Zone,
+		IP:            p.Settings.IP,
+		Address:       p.Settings.ListenAddresses["front"],
+		Ready:         p.Ready(),
+		LacksCapacity: p.borrowing.Load(),
+		RegisteredAt:  p.subscribedAt,
+	}})
+}
+
+// Ready reports whether the process serves requests.
+func (p *Proxy) Ready() bool { return p.ready.Load() && !p.draining.Load() }
+
+// RouteVersions are the versions of the routes that this proxy knows, dropped ones included, by name.
+func (p *Proxy) RouteVersions() map[string]uint64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	versions := map[string]uint64{}
+	for _, item := range p.endpoints.Set.All() {
+		if item.Kind == config.KindRoutes {
+			versions[item.Name] = item.Version
+		}
+	}
+	return versions
+}
+
+// UsableHosts is how many hosts of a service this proxy may use by what control has announced.
+func (p *Proxy) UsableHosts(service string) (n int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, h := range p.endpoints.Hosts(service) {
+		if h.Health == decision.Ready {
+			n++
+		}
+	}
+	return n
+}
