--- a/internal/dispatch/clock.go
+++ b/internal/dispatch/clock.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Clock tells monotonic nanoseconds, anchored once at the Unix time of its start, so that the times in lists,
-// which are Unix times, can be compared with it as they are.
+// Clock returns the present time in nanoseconds. It is monotonic and anchored once at the Unix time of its start, so that
+// it can be compared with the Unix times in lists of hosts.
 type Clock func() int64
 
-// NewClock starts a clock.
+// NewClock returns a clock that is anchored at the present time.
 func NewClock() Clock {
 	start := time.Now()
 	unix := start.UnixNano()
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -16,72 +16,97 @@
 	"portflow/internal/retryguard"
 )
 
-// testOutputs is all that is around a router: it keeps what was asked for.
+// testOutputs records the effects of a dispatcher.
 type testOutputs struct {
-	mu            sync.Mutex // a wait for the reducer orders its writes before the test's reads, and not the other way
-	attempts      []*testAttempt
-	forgotten     []string
-	votes         int
-	watchRequests chan bool // gets one for each hand-off
+	mu        sync.Mutex // guards attempts: synctest.Wait orders the dispatcher's writes before the test's reads, not the reverse
+	attempts  []*testAttempt
+	forgotten []string
+	votes     int
 }
 
 type testAttempt struct {
-	address                  string
-	done                     func(Outcome)
-	canceled, canceledUnsent bool
-	completed                bool
+	address        string
+	done           func(Outcome)
+	canceled       bool
+	canceledUnsent bool
+	completed      bool // done was called
 }
 
-func (f *testOutputs) all() []*testAttempt {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return slices.Clone(f.attempts)
+// outputs are the same recorder for everything.
+func (o *testOutputs) outputs() Outputs {
+	return Outputs{Upstream: o, Platform: o, Peers: o, HostWatcher: o}
 }
 
-func (s *testAttempt) Cancel()       { s.canceled = true }
-func (s *testAttempt) CancelUnsent() { s.canceledUnsent = true }
+// all are the attempts so far.
+func (o *testOutputs) all() []*testAttempt {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return slices.Clone(o.attempts)
+}
+
+func (a *testAttempt) Cancel()       { a.canceled = true }
+func (a *testAttempt) CancelUnsent() { a.canceledUnsent = true }
 
-func (f *testOutputs) Forward(to Host, r *Request, left time.Duration, done func(Outcome)) Attempt {
-	s := &testAttempt{address: to.Address, done: done}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.attempts = append(f.attempts, s)
-	return s
+func (o *testOutputs) Forward(to Host, r *Request, left time.Duration, done func(Outcome)) Attempt {
+	a := &testAttempt{address: to.Address, done: done}
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.attempts = append(o.attempts, a)
+	return a
 }
-func (f *testOutputs) CloseIdle(string)                {}
-func (f *testOutputs) Forget(address string)           { f.forgotten = append(f.forgotten, address) }
-func (f *testOutputs) Vote(decision.Verdict, int, int) { f.votes++ }
-func (f *testOutputs) SendGossip(int, []byte)          {}
-func (f *testOutputs) Watch(bool)                      {}
+func (o *testOutputs) CloseIdle(string)                {}
+func (o *testOutputs) Forget(address string)           { o.forgotten = append(o.forgotten, address) }
+func (o *testOutputs) Vote(decision.Verdict, int, int) { o.votes++ }
+func (o *testOutputs) SendGossip(int, []byte)          {}
+func (o *testOutputs) Watch(bool)                      {}
 
-func start() Config {
+// testConfig has two ready hosts and a released build.
+func testConfig() Config {
 	second := int64(time.Second)
-	return Config{Seed: 1, Settings: decision.Settings{Routers: 1, TimerResolution: 1e6, MaxAttempts: 3, Hedging: true, Cancellation: true,
-		Classes: []decision.RequestClass{{LatencyTarget: second, Timeout: 2 * second, Value: 1}}, Customers: []decision.Customer{{PerSecond: 1e6}},
-		CollapseFactor: 4, WarmUpTime: second, ColdCapacity: 0.3, VoteLifetime: second, TrialBurst: 2},
-		Hosts:   HostsChanged{Kind: decision.CachedSnapshot, Hosts: []Host{{Name: "a", Address: "a:1", Capacity: 1}, {Name: "b", Address: "b:1", Capacity: 1}}},
-		Rollout: RolloutChanged{decision.Rollout{State: decision.Released, ExposureCap: 1}}}
+	return Config{
+		Seed: 1,
+		Settings: decision.Settings{
+			Routers:         1,
+			TimerResolution: 1e6,
+			MaxAttempts:     3,
+			Hedging:         true,
+			Cancellation:    true,
+			Classes:         []decision.RequestClass{{LatencyTarget: second, Timeout: 2 * second, Value: 1}},
+			Customers:       []decision.Customer{{PerSecond: 1e6}},
+			CollapseFactor:  4,
+			WarmUpTime:      second,
+			ColdCapacity:    0.3,
+			VoteLifetime:    second,
+			TrialBurst:      2,
+		},
+		Hosts: HostsChanged{Kind: decision.CachedSnapshot, Hosts: []Host{
+			{Name: "a", Address: "a:1", Capacity: 1},
+			{Name: "b", Address: "b:1", Capacity: 1},
+		}},
+		Rollout: RolloutChanged{decision.Rollout{State: decision.Released, ExposureCap: 1}},
+	}
 }
 
-// runAll runs a router beside the test, in time that only passes where all wait.
-func runAll(t *testing.T, act func(r *Dispatcher, f *testOutputs)) { startGuarded(t, nil, act) }
+// runDispatcher runs a dispatcher beside the test, in virtual time.
+func runDispatcher(t *testing.T, act func(d *Dispatcher, out *testOutputs)) { runGuarded(t, nil, act) }
 
-// startGuarded is play with a guard.
-func startGuarded(t *testing.T, g Guard, act func(r *Dispatcher, f *testOutputs)) {
+// runGuarded is runDispatcher with a guard.
+func runGuarded(t *testing.T, g Guard, act func(d *Dispatcher, out *testOutputs)) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &testOutputs{}
-		r := New(NewClock(), zerolog.Nop())
+		out := &testOutputs{}
+		d := New(NewClock(), zerolog.Nop())
 		ctx, cancel := context.WithCancel(context.Background())
-		s := start()
-		s.Guard = g
-		go r.Run(ctx, s, Outputs{Upstream: f, Platform: f, Peers: f, HostWatcher: f})
+		config := testConfig()
+		config.Guard = g
+		go d.Run(ctx, config, out.outputs())
 		synctest.Wait()
 		defer synctest.Wait()
 		defer cancel()
-		act(r, f)
+		act(d, out)
 	})
 }
 
+// receive posts a request and waits until it has been applied.
 func (d *Dispatcher) receive(left time.Duration) *Call {
 	c := &Call{Deadline: d.clock() + int64(left), Request: &Request{}, Responder: make(AnswerChan, 1)}
 	d.Post(RequestReceived{c})
@@ -90,83 +115,86 @@
 }
 
 func TestSucceeded(t *testing.T) {
-	runAll(t, func(r *Dispatcher, f *testOutputs) {
-		c := r.receive(time.Second)
-		if len(f.all()) != 1 || f.all()[0].address == "" {
-			t.Fatal(f.all())
+	runDispatcher(t, func(d *Dispatcher, out *testOutputs) {
+		c := d.receive(time.Second)
+		if len(out.all()) != 1 || out.all()[0].address == "" {
+			t.Fatal(out.all())
 		}
-		f.all()[0].done(Outcome{Result: decision.Succeeded, Body: []byte("hi")})
+		out.all()[0].done(Outcome{Result: decision.Succeeded, Body: []byte("hi")})
 		if a := <-c.Responder.(AnswerChan); a.Kind != Succeeded || string(a.Body) != "hi" {
 			t.Error(a)
 		}
 		synctest.Wait()
-		if len(r.calls) != 0 {
+		if len(d.calls) != 0 {
 			t.Error("not forgotten")
 		}
 	})
 }
 
-// What waits for a connection when its command is answered or its client leaves must not be sent any more.
+// An attempt that waits for a connection when its request is answered or its client leaves must not be sent any more.
 func TestUnsentAttemptsCanceledWithTheirCall(t *testing.T) {
-	runAll(t, func(r *Dispatcher, f *testOutputs) {
-		c := r.receive(time.Second)
-		r.Post(ClientGone{c})
+	runDispatcher(t, func(d *Dispatcher, out *testOutputs) {
+		c := d.receive(time.Second)
+		d.Post(ClientGone{c})
 		synctest.Wait()
-		if !f.all()[0].canceledUnsent || !f.all()[0].canceled {
+		if !out.all()[0].canceledUnsent || !out.all()[0].canceled {
 			t.Error("still on its way")
 		}
-		f.all()[0].done(Outcome{Result: decision.Canceled})
-		late := r.receive(time.Second)
+		out.all()[0].done(Outcome{Result: decision.Canceled})
+		late := d.receive(time.Second)
 		a := <-late.Responder.(AnswerChan)
 		synctest.Wait()
-		if a.Kind != Failed || !f.all()[1].canceledUnsent {
-			t.Error(a.Kind, f.all()[1].canceledUnsent)
+		if a.Kind != Failed || !out.all()[1].canceledUnsent {
+			t.Error(a.Kind, out.all()[1].canceledUnsent)
 		}
 	})
 }
 
-// The list, news and messages must not queue behind commands.
+// Changes of hosts and of the rollout, and gossip, must not queue behind requests.
 func TestUrgentFirst(t *testing.T) {
-	r := New(NewClock(), zerolog.Nop())
-	f := &testOutputs{}
+	d := New(NewClock(), zerolog.Nop())
+	out := &testOutputs{}
 	for range 100 {
-		r.Post(RequestReceived{&Call{Deadline: r.clock() + 1e9, Request: &Request{}, Responder: make(AnswerChan, 1)}})
+		d.Post(RequestReceived{&Call{Deadline: d.clock() + 1e9, Request: &Request{}, Responder: make(AnswerChan, 1)}})
 	}
-	r.Post(HostsChanged{Kind: decision.Snapshot, Hosts: []Host{{Name: "c", Address: "c:1", Capacity: 1}}})
+	d.Post(HostsChanged{Kind: decision.Snapshot, Hosts: []Host{{Name: "c", Address: "c:1", Capacity: 1}}})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan bool)
-	go func() { r.Run(ctx, start(), Outputs{Upstream: f, Platform: f, Peers: f, HostWatcher: f}); done <- true }()
-	for len(r.ordinary) > 0 {
+	go func() { d.Run(ctx, testConfig(), out.outputs()); done <- true }()
+	for len(d.ordinary) > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
 	<-done
-	for _, s := range f.all() {
+	for _, s := range out.all() {
 		if s.address != "c:1" {
 			t.Fatal("sent to", s.address)
 		}
 	}
 }
 
-// A command whose band is posted just before it must not overtake the band, also where both come between the router's look at
-// its queues and its wait: the clock, which is read there too, posts them at every seventh reading.
+// A request whose class is posted just before it must not overtake the class, also where both come between the dispatcher's
+// look at its queues and its wait: the clock, which is read there too, posts them at every seventh reading.
 func TestClassAddedBeforeItsCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, real, readings, left := &testOutputs{}, NewClock(), 0, 300
-		var r *Dispatcher
+		out := &testOutputs{}
+		realClock := NewClock()
+		readings := 0
+		left := 300
+		var d *Dispatcher
 		var all []*Call
-		r = New(func() int64 {
+		d = New(func() int64 {
 			if readings++; readings%7 == 0 && left > 0 {
 				left--
-				c := &Call{Class: 1 + len(all), Deadline: real() + int64(time.Hour), Request: &Request{}, Responder: make(AnswerChan, 1)}
+				c := &Call{Class: 1 + len(all), Deadline: realClock() + int64(time.Hour), Request: &Request{}, Responder: make(AnswerChan, 1)}
 				all = append(all, c)
-				r.Post(ClassAdded{decision.RequestClass{LatencyTarget: int64(time.Second), Timeout: int64(time.Hour), Value: 1}})
-				r.Post(RequestReceived{c})
+				d.Post(ClassAdded{decision.RequestClass{LatencyTarget: int64(time.Second), Timeout: int64(time.Hour), Value: 1}})
+				d.Post(RequestReceived{c})
 			}
-			return real()
+			return realClock()
 		}, zerolog.Nop())
 		ctx, cancel := context.WithCancel(context.Background())
-		go r.Run(ctx, start(), Outputs{Upstream: f, Platform: f, Peers: f, HostWatcher: f})
+		go d.Run(ctx, testConfig(), out.outputs())
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		if cancel(); left > 0 {
@@ -175,129 +203,129 @@
 		synctest.Wait()
 		for _, c := range all {
 			if len(c.attempts) == 0 {
-				t.Error("band", c.Class, "overtaken: its command was handed to no host")
+				t.Error("class", c.Class, "overtaken: its request was forwarded to no host")
 			}
 		}
 	})
 }
 
-// A command of a band that nobody has told is answered, and not kept.
+// A request of an unknown class is answered, and not kept.
 func TestUnknownClass(t *testing.T) {
-	runAll(t, func(r *Dispatcher, f *testOutputs) {
-		c := &Call{Class: 1, Deadline: r.clock() + int64(time.Second), Request: &Request{}, Responder: make(AnswerChan, 1)}
-		r.Post(RequestReceived{c})
+	runDispatcher(t, func(d *Dispatcher, out *testOutputs) {
+		c := &Call{Class: 1, Deadline: d.clock() + int64(time.Second), Request: &Request{}, Responder: make(AnswerChan, 1)}
+		d.Post(RequestReceived{c})
 		synctest.Wait()
-		if len(c.Responder.(AnswerChan)) != 1 || (<-c.Responder.(AnswerChan)).Kind != Rejected || len(r.calls) != 0 {
+		if len(c.Responder.(AnswerChan)) != 1 || (<-c.Responder.(AnswerChan)).Kind != Rejected || len(d.calls) != 0 {
 			t.Error("held")
 		}
 	})
 }
 
-// Builds follow one another, and ids and addresses come back under other builds: what is held levels off, and a host
-// that returns is a new one, with which nothing of the old one is shared.
+// Builds follow one another, and names and addresses come back under other builds: what the dispatcher remembers levels
+// off, and a host that returns is a new one that shares nothing with the old one.
 func TestHostsComeAndGo(t *testing.T) {
-	runAll(t, func(r *Dispatcher, f *testOutputs) {
+	runDispatcher(t, func(d *Dispatcher, out *testOutputs) {
 		for build := range 1000 {
 			var hosts []Host
 			for n := range 5 {
 				hosts = append(hosts, Host{Name: string(rune('a' + (build+n)%26)), Address: string(rune('a'+n)) + ":1", Capacity: 1, Build: build})
 			}
-			form := decision.Snapshot
+			kind := decision.Snapshot
 			if build%3 == 1 {
-				form = decision.Delta
-				for name := range r.hostIDs {
+				kind = decision.Delta
+				for name := range d.hostIDs {
 					hosts = append(hosts, Host{Name: name + "x"}, Host{Name: name, Health: decision.Gone})
 				}
 				hosts = hosts[5:]
 			}
-			r.Post(HostsChanged{Kind: form, Hosts: hosts})
+			d.Post(HostsChanged{Kind: kind, Hosts: hosts})
 			synctest.Wait()
 		}
-		if len(r.hostIDs) != 5 || len(r.hosts) != 5 || int(r.lastHostID) < 1000 || len(f.forgotten) < 1000 {
-			t.Error(len(r.hostIDs), len(r.hosts), r.lastHostID, len(f.forgotten))
+		if len(d.hostIDs) != 5 || len(d.hosts) != 5 || int(d.lastHostID) < 1000 || len(out.forgotten) < 1000 {
+			t.Error(len(d.hostIDs), len(d.hosts), d.lastHostID, len(out.forgotten))
 		}
 	})
 }
 
-// recordingGuard sends marked tries away, and notes what it is told.
+// recordingGuard rejects retries, and records its calls.
 type recordingGuard struct{ calls []string }
 
-func (w *recordingGuard) Admit(_ int64, t *retryguard.Request) (bool, int64) {
-	w.calls = append(w.calls, fmt.Sprint("take ", t.Retry, t.Fingerprint != 0, t.Remaining > 0))
-	return !t.Retry, 3e8
+func (g *recordingGuard) Admit(_ int64, r *retryguard.Request) (bool, int64) {
+	g.calls = append(g.calls, fmt.Sprint("take ", r.Retry, r.Fingerprint != 0, r.Remaining > 0))
+	return !r.Retry, 3e8
 }
-func (w *recordingGuard) AttemptStarted(_ int64, _ *retryguard.Request, n int) {
-	w.calls = append(w.calls, fmt.Sprint("off ", n))
+func (g *recordingGuard) AttemptStarted(_ int64, _ *retryguard.Request, n int) {
+	g.calls = append(g.calls, fmt.Sprint("off ", n))
 }
-func (w *recordingGuard) Rejected(int64, *retryguard.Request, int64) int64 {
-	w.calls = append(w.calls, "dismissed")
+func (g *recordingGuard) Rejected(int64, *retryguard.Request, int64) int64 {
+	g.calls = append(g.calls, "dismissed")
 	return 7e8
 }
-func (w *recordingGuard) Abandoned(int64, *retryguard.Request) { w.calls = append(w.calls, "unserved") }
-func (w *recordingGuard) AttemptEnded(_ int64, _ *retryguard.Request, host uint32, s retryguard.Signal, fulfilled bool, _ int64) {
-	w.calls = append(w.calls, fmt.Sprint("ended ", host > 0, s, fulfilled))
+func (g *recordingGuard) Abandoned(int64, *retryguard.Request) { g.calls = append(g.calls, "unserved") }
+func (g *recordingGuard) AttemptEnded(_ int64, _ *retryguard.Request, host uint32, s retryguard.Signal, fulfilled bool, _ int64) {
+	g.calls = append(g.calls, fmt.Sprint("ended ", host > 0, s, fulfilled))
 }
-func (w *recordingGuard) HostsChanged(_ int64, whole bool, hosts []retryguard.Host) {
-	w.calls = append(w.calls, fmt.Sprint("list ", whole, len(hosts)))
+func (g *recordingGuard) HostsChanged(_ int64, complete bool, hosts []retryguard.Host) {
+	g.calls = append(g.calls, fmt.Sprint("list ", complete, len(hosts)))
 }
 
-// A guard is asked first: what it sends away is answered at once, and neither handed off nor known to the module. It is
-// told all that becomes of the rest.
+// A guard is asked first: what it rejects is answered at once, and neither forwarded nor known to the engine. It is called
+// with all that becomes of the rest.
 func TestGuard(t *testing.T) {
-	w := &recordingGuard{}
-	startGuarded(t, w, func(r *Dispatcher, f *testOutputs) {
-		again := &Call{Deadline: r.clock() + 1e9, Key: 5, Retried: true, Request: &Request{}, Responder: make(AnswerChan, 1)}
-		r.Post(RequestReceived{again})
-		if a := <-again.Responder.(AnswerChan); a.Kind != Rejected || a.RetryAfter != 300*time.Millisecond || len(f.all()) > 0 {
+	g := &recordingGuard{}
+	runGuarded(t, g, func(d *Dispatcher, out *testOutputs) {
+		again := &Call{Deadline: d.clock() + 1e9, Key: 5, Retried: true, Request: &Request{}, Responder: make(AnswerChan, 1)}
+		d.Post(RequestReceived{again})
+		if a := <-again.Responder.(AnswerChan); a.Kind != Rejected || a.RetryAfter != 300*time.Millisecond || len(out.all()) > 0 {
 			t.Error(a)
 		}
-		r.receive(time.Second)
-		f.all()[0].done(Outcome{Result: decision.Succeeded})
+		d.receive(time.Second)
+		out.all()[0].done(Outcome{Result: decision.Succeeded})
 		synctest.Wait()
-		gone := r.receive(time.Second)
-		r.Post(ClientGone{gone})
+		gone := d.receive(time.Second)
+		d.Post(ClientGone{gone})
 		synctest.Wait()
-		f.all()[1].done(Outcome{Result: decision.Canceled})
-		r.Post(HostsChanged{Kind: decision.Snapshot, Hosts: []Host{{Name: "a", Health: decision.Draining}}})
-		late := r.receive(time.Second)
+		out.all()[1].done(Outcome{Result: decision.Canceled})
+		d.Post(HostsChanged{Kind: decision.Snapshot, Hosts: []Host{{Name: "a", Health: decision.Draining}}})
+		late := d.receive(time.Second)
 		if a := <-late.Responder.(AnswerChan); a.Kind != Rejected || a.RetryAfter != 700*time.Millisecond {
 			t.Error(a)
 		}
 		synctest.Wait()
-		if len(r.calls) != 0 {
-			t.Error(len(r.calls), "not forgotten")
+		if len(d.calls) != 0 {
+			t.Error(len(d.calls), "not forgotten")
 		}
 	})
 	want := "[list false 2 take true true true take false false true off 0 ended true 0 true take false false true off 0 unserved" +
 		" ended true 4 false list true 3 take false false true dismissed]"
-	if got := fmt.Sprint(w.calls); got != want {
-		t.Errorf("told\n%s, want\n%s", got, want)
+	if got := fmt.Sprint(g.calls); got != want {
+		t.Errorf("called with\n%s, want\n%s", got, want)
 	}
 }
 
-// FuzzReducer plays random events: each command that stays gets one answer in time, and no hand-off follows it.
+// FuzzReducer plays random events: each request whose client stays gets one answer in time, and no attempt follows it.
 func FuzzReducer(f *testing.F) {
 	for seed := range uint64(8) {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		runAll(t, func(r *Dispatcher, f *testOutputs) {
+		runDispatcher(t, func(d *Dispatcher, out *testOutputs) {
 			rnd := rand.New(rand.NewPCG(seed, 1))
 			var open []*Call
 			for range 300 {
 				switch rnd.IntN(6) {
 				case 0, 1:
-					open = append(open, r.receive(time.Duration(rnd.IntN(500))*time.Millisecond))
+					open = append(open, d.receive(time.Duration(rnd.IntN(500))*time.Millisecond))
 				case 2, 3:
-					if len(f.all()) > 0 {
-						if s := f.all()[rnd.IntN(len(f.all()))]; !s.completed {
+					if len(out.all()) > 0 {
+						if s := out.all()[rnd.IntN(len(out.all()))]; !s.completed {
 							s.completed = true
 							s.done(Outcome{Result: decision.Result(rnd.IntN(8)), Body: []byte{1}})
 						}
 					}
 				case 4:
 					if len(open) > 0 {
-						r.Post(ClientGone{open[rnd.IntN(len(open))]})
+						d.Post(ClientGone{open[rnd.IntN(len(open))]})
 					}
 				case 5:
 					time.Sleep(time.Duration(rnd.IntN(100)) * time.Millisecond)
@@ -311,39 +339,39 @@
 					t.Fatal("no answer, or more than one")
 				}
 			}
-			for i := 0; i < len(f.all()); i++ {
-				if !f.all()[i].completed {
-					f.all()[i].done(Outcome{Result: decision.Canceled})
+			for i := 0; i < len(out.all()); i++ {
+				if !out.all()[i].completed {
+					out.all()[i].done(Outcome{Result: decision.Canceled})
 					synctest.Wait()
 				}
 			}
-			if len(r.calls) != 0 {
-				t.Fatal(len(r.calls), "not forgotten")
+			if len(d.calls) != 0 {
+				t.Fatal(len(d.calls), "not forgotten")
 			}
 		})
 	})
 }
 
-// step makes a function that plays one command through a router that is stepped by hand.
-func step(g Guard) func() {
-	f := &testOutputs{}
+// stepper returns a function that plays one request through a dispatcher that is stepped by hand.
+func stepper(g Guard) func() {
+	out := &testOutputs{}
 	now := int64(1e18)
-	r := New(func() int64 { return now }, zerolog.Nop())
-	s := start()
-	s.Guard = g
-	r.Start(s, Outputs{Upstream: f, Platform: f, Peers: f, HostWatcher: f})
+	d := New(func() int64 { return now }, zerolog.Nop())
+	config := testConfig()
+	config.Guard = g
+	d.Start(config, out.outputs())
 	answer, request := make(AnswerChan, 1), &Request{}
 	return func() {
 		now += 5e6
-		r.Post(RequestReceived{&Call{Deadline: now + 1e9, Key: uint64(now), Request: request, Responder: answer}})
-		for r.Step() {
+		d.Post(RequestReceived{&Call{Deadline: now + 1e9, Key: uint64(now), Request: request, Responder: answer}})
+		for d.Step() {
 		}
-		for _, s := range f.attempts {
+		for _, s := range out.attempts {
 			now += 1e6
 			s.done(Outcome{Result: decision.Succeeded})
 		}
-		f.attempts = f.attempts[:0]
-		for r.Step() {
+		out.attempts = out.attempts[:0]
+		for d.Step() {
 		}
 		<-answer
 	}
@@ -358,18 +386,18 @@
 	return g
 }
 
-// With the guard on and calm traffic a command costs no allocation more.
+// With the guard on, a request of calm traffic costs no further allocation.
 func TestGuardAllocatesNothing(t *testing.T) {
-	off, on := testing.AllocsPerRun(3000, step(nil)), testing.AllocsPerRun(3000, step(newRetryGuard(t)))
+	off, on := testing.AllocsPerRun(3000, stepper(nil)), testing.AllocsPerRun(3000, stepper(newRetryGuard(t)))
 	if on > off {
-		t.Error(on, "allocations a command,", off, "without the guard")
+		t.Error(on, "allocations a request,", off, "without the guard")
 	}
 }
 
 func BenchmarkCall(b *testing.B) {
 	for name, g := range map[string]Guard{"off": nil, "on": newRetryGuard(b)} {
 		b.Run(name, func(b *testing.B) {
-			play := step(g)
+			play := stepper(g)
 			b.ReportAllocs()
 			for b.Loop() {
 				play()
