--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,11 +1,9 @@
 package upstream
 
 import (
-	"context"
 	"errors"
 	"io"
 	"net"
-	"net/http"
 	"os"
 	"sync"
 	"sync/atomic"
@@ -16,36 +14,43 @@
 )
 
 var (
-	errCanceledUnsent = errors.New("revoked before it was written")
+	errCanceledUnsent = errors.New("canceled before it was written")
 	errConnLimit      = errors.New("no room for another connection")
 	errConnUnusable   = errors.New("the connection has ended, or has brought more than its last answer")
+	errNotPollable    = errors.New("a connection that can't say whether bytes wait on it")
 )
 
-// conn is a connection to a host. The hand-off that has it must still stand when its bytes are written, and nothing
-// may have come since the last answer: what hosts send after an answer would else pass for the next one's. The
-// transport doesn't see to that: it writes as soon as it has a connection, and reads what is there as the answer.
+// conn is a connection to a host. Before an attempt is written on it, it checks that the attempt still stands, and that
+// nothing has come since the last answer: what a host sends after an answer would otherwise be read as the next one. The
+// transport does not check that: it writes as soon as it has a connection, and reads what is there as the answer.
 type conn struct {
 	net.Conn
 	raw      syscall.RawConn
-	pending  PendingConn // in place of raw, where the connection is not the machine's
+	pending  PendingConn // in place of raw, for a connection that is not the operating system's
 	slot     *connlimit.Slot
 	counter  ConnCounter
 	openedAt time.Time
 	attempt  atomic.Pointer[attempt]
 
-	mu          sync.Mutex
-	readerWaits sync.Cond // told when the reader waits, or the connection has ended
-	drained     bool      // the reader waits, so all that had come was taken up
+	mu          sync.Mutex // guards the fields up to lastWritten
+	readerWaits sync.Cond  // signaled when the reader waits, or the connection is closed
+	drained     bool       // the reader waits, so all that had come was read
 	closed      bool
-	lastWritten *attempt // that was written last
+	lastWritten *attempt // the attempt that was written last
 
-	partlyTaken *attempt      // of which it has taken bytes; the writer's alone
-	writeLock   chan struct{} // holds one while bytes of a hand-off with a Track are written
-	writeFailed atomic.Bool   // such a write did
+	partlyTaken *attempt      // the attempt of which the host has taken bytes; only Write uses it
+	writeLock   chan struct{} // holds one token while bytes of an attempt with a tracker are written
+	writeFailed atomic.Bool   // such a write failed
 }
 
 func newConn(c net.Conn, slot *connlimit.Slot, observe Observer, to string) (*conn, error) {
-	wrapped := &conn{Conn: c, slot: slot, openedAt: time.Now(), writeLock: make(chan struct{}, 1), counter: observe(to, c.LocalAddr(), c.RemoteAddr())}
+	wrapped := &conn{
+		Conn:      c,
+		slot:      slot,
+		openedAt:  time.Now(),
+		writeLock: make(chan struct{}, 1),
+		counter:   observe(to, c.LocalAddr(), c.RemoteAddr()),
+	}
 	wrapped.readerWaits.L = &wrapped.mu
 	if s, ok := c.(syscall.Conn); ok {
 		raw, err := s.SyscallConn()
@@ -53,49 +58,54 @@
 			return nil, err
 		}
 		wrapped.raw = raw
-	} else if wrapped.pending, ok = c.(PendingConn); !ok {
-		return nil, errors.New("a connection that can't tell whether bytes wait on it")
+		return wrapped, nil
+	}
+	pending, ok := c.(PendingConn)
+	if !ok {
+		return nil, errNotPollable
 	}
+	wrapped.pending = pending
 	return wrapped, nil
 }
 
-// PendingConn is a connection that isn't the machine's own, as of tests in memory: it tells whether bytes, or its end, wait
-// to be read.
+// PendingConn is a connection that isn't the operating system's, as of tests in memory. Pending says whether bytes, or its
+// end, wait to be read.
 type PendingConn interface{ Pending() bool }
 
-// Read reads, and tells an orderly end from one that isn't. A write may take up the word of a reset, and the end then reads
-// like any other: an answer whose end is the connection's would look whole.
+// Read implements net.Conn. An end after a write that failed is io.ErrUnexpectedEOF: the write may have consumed the
+// report of a reset, and the end then reads like an orderly one, so that an answer that ends with its connection would
+// look complete.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.read(b)
-	if err == io.EOF && !c.closedCleanly() {
+	if err != nil && errors.Is(err, io.EOF) && !c.closedCleanly() {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-// lastWriteGrace is for a write that is under way as the end is read: one that the host took has returned long before then.
+// lastWriteGrace is for a write in progress while the end is read: one that the host has taken returns well within it.
 const lastWriteGrace = 50 * time.Millisecond
 
-// closedCleanly tells, at the connection's end, whether all that was written on it was taken.
+// closedCleanly says, at the connection's end, whether the host took all that was written on it.
 func (c *conn) closedCleanly() bool {
 	select {
 	case c.writeLock <- struct{}{}:
 		<-c.writeLock
+		return !c.writeFailed.Load()
 	default:
-		timer := time.NewTimer(lastWriteGrace)
-		defer timer.Stop()
-		select {
-		case c.writeLock <- struct{}{}:
-			<-c.writeLock
-		case <-timer.C:
-			return false
-		}
 	}
-	return !c.writeFailed.Load()
+	timer := time.NewTimer(lastWriteGrace)
+	defer timer.Stop()
+	select {
+	case c.writeLock <- struct{}{}:
+		<-c.writeLock
+		return !c.writeFailed.Load()
+	case <-timer.C:
+		return false
+	}
 }
 
-// read reads under the lock, so that nothing can come between a look for bytes and a write.
-func (c *conn) read(b []byte) (n int, err error) {
+func (c *conn) read(b []byte) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
 	}
@@ -104,13 +114,19 @@
 		c.counter.BytesRead(n)
 		return n, err
 	}
+	return c.readRaw(b)
+}
+
+// readRaw reads under the lock, so that no byte can come between waitFresh's look and the write that follows it.
+func (c *conn) readRaw(b []byte) (n int, err error) {
 	waitErr := c.raw.Read(func(fd uintptr) bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for n, err = syscall.Read(int(fd), b); err == syscall.EINTR; {
 			n, err = syscall.Read(int(fd), b)
 		}
-		if c.drained = err == syscall.EAGAIN; c.drained {
+		c.drained = err == syscall.EAGAIN
+		if c.drained {
 			c.readerWaits.Broadcast()
 		}
 		return !c.drained
@@ -127,22 +143,36 @@
 	return n, nil
 }
 
+// Write implements net.Conn. It refuses an attempt that does not stand any more, and closes a connection that is not fit
+// for it.
 func (c *conn) Write(b []byte) (int, error) {
 	a := c.attempt.Load()
 	if a != nil {
-		if !c.waitFresh(a) || a.alreadyWrittenOn(c) {
-			c.Close()
-			return 0, errConnUnusable
-		}
-		if !a.beginWrite(c) {
-			return 0, errCanceledUnsent
+		if err := c.beginWrite(a); err != nil {
+			return 0, err
 		}
 	}
-	if a == nil || a.tracker == nil {
-		n, err := c.Conn.Write(b)
-		c.counter.BytesWritten(n)
-		return n, err
+	if a != nil && a.tracker != nil {
+		return c.writeTracked(a, b)
+	}
+	n, err := c.Conn.Write(b)
+	c.counter.BytesWritten(n)
+	return n, err
+}
+
+// beginWrite returns an error unless the attempt's bytes may be written on this connection.
+func (c *conn) beginWrite(a *attempt) error {
+	if !c.waitFresh(a) || a.alreadyWrittenOn(c) {
+		c.discard()
+		return errConnUnusable
+	}
+	if !a.beginWrite(c) {
+		return errCanceledUnsent
 	}
+	return nil
+}
+
+func (c *conn) writeTracked(a *attempt, b []byte) (int, error) {
 	c.writeLock <- struct{}{}
 	n, err := c.Conn.Write(b)
 	if err != nil {
@@ -153,8 +183,8 @@
 	if n > 0 {
 		c.partlyTaken = a
 	}
-	if c.partlyTaken == a && (errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET)) {
-		// the host wants no more of it, and may have said why: its answer, or the end, is for the reader
+	if c.partlyTaken == a && isPeerClosed(err) {
+		// The host wants no more of the request, and may have said why: its answer, or the end, is for the reader.
 		a.tracker.Wrote(len(b), nil)
 		return len(b), nil
 	}
@@ -162,7 +192,11 @@
 	return n, err
 }
 
-// waitFresh waits until the reader waits, and tells whether nothing has come since the last answer.
+func isPeerClosed(err error) bool {
+	return errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET)
+}
+
+// waitFresh waits until the reader waits, and says whether nothing has come since the last answer.
 func (c *conn) waitFresh(a *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,16 +224,18 @@
 	return err == nil && peekErr == syscall.EAGAIN
 }
 
-// markIdle tells that a hand-off is over: the connection may make room unless another has it already.
+// markIdle says that an attempt is over: the connection may be evicted, unless another attempt has it already.
 func (c *conn) markIdle(a *attempt) {
-	if c.attempt.Load() == a {
-		c.slot.SetState(connlimit.StateIdle)
-		if c.attempt.Load() != a {
-			c.slot.SetState(connlimit.StateActive)
-		}
+	if c.attempt.Load() != a {
+		return
+	}
+	c.slot.SetState(connlimit.StateIdle)
+	if c.attempt.Load() != a {
+		c.slot.SetState(connlimit.StateActive)
 	}
 }
 
+// Close implements net.Conn.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	c.closed = true
@@ -210,109 +246,5 @@
 	return c.Conn.Close()
 }
 
-// maxDials is how many connections to one host may be coming up at once. A burst that finds none idle would else
-// open one for each hand-off, though those that end first serve the rest; each costs both sides work. With one or
-// two, bursts waited for connections that came up one after another at a host that was slow already.
-const maxDials = 8
-
-// attemptKey names, in a dial's context, the one that ends when its hand-off needs no connection any more, and the hand-off
-// in that.
-type attemptKey struct{}
-
-// host is what the pool has for one address.
-type host struct {
-	pool         *Pool
-	address      string
-	transport    *http.Transport
-	dials        chan struct{} // holds one for each connection that is coming up
-	preconnected chan *conn    // opened before there was a hand-off for them
-	forgotten    atomic.Bool   // forgotten: nothing stays idle
-}
-
-// dial serves the transport, which dials as soon as no connection is idle and gives the hand-off the first that
-// is; a dial that it needs no more by the time that there is room is not begun.
-func (h *host) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	if c := h.takePreconnected(); c != nil {
-		return c, nil
-	}
-	connCtx := ctx.Value(attemptKey{}).(context.Context)
-	a := connCtx.Value(attemptKey{}).(*attempt)
-	select {
-	case h.dials <- struct{}{}:
-	case <-connCtx.Done():
-		return nil, errCanceledUnsent
-	}
-	defer func() { <-h.dials }()
-	slot := h.pool.limiter.Acquire(connCtx.Done())
-	if slot == nil {
-		return nil, errConnLimit
-	}
-	a.dialed.Store(true)
-	c, err := h.connect(ctx, slot)
-	if err != nil {
-		return nil, err
-	}
-	return c, nil
-}
-
-// connect opens a connection at its place.
-func (h *host) connect(ctx context.Context, slot *connlimit.Slot) (*conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, h.pool.ConnectTimeout)
-	defer cancel()
-	raw, err := h.pool.Dial(ctx, "tcp", h.address)
-	if err != nil {
-		slot.Release()
-		return nil, err
-	}
-	c, err := newConn(raw, slot, h.pool.Observe, h.address)
-	if err != nil {
-		raw.Close()
-		slot.Release()
-		return nil, err
-	}
-	slot.Attach(connlimit.StateIdle, func() { c.Close() })
-	return c, nil
-}
-
-// takePreconnected takes a connection that was opened ahead, if one is there and not too old.
-func (h *host) takePreconnected() *conn {
-	for {
-		select {
-		case c := <-h.preconnected:
-			if time.Since(c.openedAt) < h.pool.IdleTimeout/2 {
-				return c
-			}
-			c.Close()
-		default:
-			return nil
-		}
-	}
-}
-
-// maxPreconnected is how many connections to a host a router opens at most before it takes commands: about as many as few routers
-// have in use at once, as the first commands would else wait together for as many to come up.
-const maxPreconnected = 3
-
-// Preconnect opens connections ahead to hosts, at most so many, one to each before the second to any, and those in half of
-// the room. It returns once they are up or failed.
-func (p *Pool) Preconnect(addresses []string, maxConns int) {
-	var wait sync.WaitGroup
-	for n := range maxPreconnected {
-		for _, address := range addresses {
-			if n > 0 && p.limiter.Len() > p.MaxConns/2 || maxConns <= 0 {
-				break
-			}
-			maxConns--
-			h, slot := p.host(address), p.limiter.TryAcquire()
-			if slot == nil {
-				break
-			}
-			wait.Go(func() {
-				if c, err := h.connect(context.Background(), slot); err == nil {
-					h.preconnected <- c
-				}
-			})
-		}
-	}
-	wait.Wait()
-}
+// discard closes a connection that is of no further use, so that an error in closing it matters to nobody.
+func (c *conn) discard() { _ = c.Close() }
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -7,9 +7,11 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	qt "github.com/frankban/quicktest"
 )
 
-// endedConn is a connection of a host that has said all and ends: what its writes and reads tell is set.
+// endedConn is a connection that the host has closed after its last byte; the results of its writes are given.
 type endedConn struct {
 	net.Conn
 	write func(b []byte) (int, error)
@@ -23,13 +25,14 @@
 func (e endedConn) RemoteAddr() net.Addr              { return nil }
 func (e endedConn) SetReadDeadline(t time.Time) error { return nil }
 
-// A connection's end is in order only where all that was written on it was taken: a write takes up the word of a reset, and the
-// read behind it sees an end like any other. What a host has taken a part of is not the writer's to end: its answer may be there.
+// A connection's end is orderly only if the host took all that was written on it: a write consumes the report of a reset, and
+// the read after it sees an end like any other. A write that fails after the host has taken a part does not fail the attempt:
+// the answer may be there.
 func TestOrderlyEnd(t *testing.T) {
-	for name, x := range map[string]struct {
-		second func(b []byte) (int, error)
-		wrote  error
-		end    error
+	for name, test := range map[string]struct {
+		secondWrite func(b []byte) (int, error)
+		writeErr    error
+		readErr     error
 	}{
 		"taken":          {func(b []byte) (int, error) { return len(b), nil }, nil, io.EOF},
 		"reset":          {func(b []byte) (int, error) { return 0, syscall.ECONNRESET }, nil, io.ErrUnexpectedEOF},
@@ -46,14 +49,12 @@
 					if writes++; writes == 1 {
 						return len(b), nil
 					}
-					return x.second(b)
+					return test.secondWrite(b)
 				}}, nil, func(string, net.Addr, net.Addr) ConnCounter { return noCounter{} }, "")
 				if err != nil {
 					t.Fatal(err)
 				}
-				f := &recordingTracker{}
-				h := &attempt{cancel: func(error) {}, tracker: f}
-				c.attempt.Store(h)
+				c.attempt.Store(&attempt{cancel: func(error) {}, tracker: &recordingTracker{}})
 				if n, err := c.Write([]byte("head")); n != 4 || err != nil {
 					t.Fatal(n, err)
 				}
@@ -63,12 +64,9 @@
 					done <- err
 				}()
 				time.Sleep(time.Millisecond)
-				if _, err := c.Read(make([]byte, 9)); err != x.end {
-					t.Errorf("ended with %v, wanted %v", err, x.end)
-				}
-				if err := <-done; err != x.wrote {
-					t.Errorf("wrote with %v, wanted %v", err, x.wrote)
-				}
+				_, err = c.Read(make([]byte, 9))
+				qt.Check(t, err, qt.Equals, test.readErr)
+				qt.Check(t, <-done, qt.Equals, test.writeErr)
 				next := &attempt{cancel: func(error) {}, tracker: &recordingTracker{}}
 				if c.writeFailed.Load() && c.waitFresh(next) {
 					t.Error("used again")
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -12,6 +12,8 @@
 	"testing"
 	"time"
 
+	qt "github.com/frankban/quicktest"
+
 	"portflow/internal/decision"
 	"portflow/internal/dispatch"
 	"portflow/internal/router/protocol"
@@ -19,7 +21,8 @@
 
 const never = time.Minute // longer than any test waits
 
-// startHost is a host: it runs act for the n-th request that is read whole; act returns whether the connection stays.
+// startHost starts a host and returns its address. It calls act with the n-th complete request; act returns whether the
+// connection stays open.
 func startHost(t *testing.T, act func(n int, c net.Conn, r *http.Request, body string) bool) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,37 +60,44 @@
 	return true
 }
 
-func newPool(most int) *Pool {
-	return New(Options{Protocol: protocol.Protocol{ReportFields: []string{"depth", "mean_ms"}}, ConnectTimeout: time.Second / 2, ReadTimeout: time.Second / 2, IdleTimeout: never, MaxConns: most})
+func newPool(maxConns int) *Pool {
+	return New(Options{
+		Protocol:       protocol.Protocol{ReportFields: []string{"depth", "mean_ms"}},
+		ConnectTimeout: time.Second / 2,
+		ReadTimeout:    time.Second / 2,
+		IdleTimeout:    never,
+		MaxConns:       maxConns,
+	})
 }
 
-func start(p *Pool, address string, r dispatch.Request, left time.Duration) (dispatch.Attempt, chan dispatch.Outcome) {
+// start forwards a copy of a request.
+func start(p *Pool, address string, r dispatch.Request, timeout time.Duration) (dispatch.Attempt, chan dispatch.Outcome) {
 	done := make(chan dispatch.Outcome, 1)
 	r.TraceID = "t"
-	return p.Forward(dispatch.Host{Address: address}, &r, left, func(o dispatch.Outcome) { done <- o }), done
+	return p.Forward(dispatch.Host{Address: address}, &r, timeout, func(o dispatch.Outcome) { done <- o }), done
 }
 
 var get = dispatch.Request{Method: "GET", Target: "/display?obj=7f"}
 
 func TestOutcomes(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		status, rest string
-		stay         bool
+		staysOpen    bool
 		want         decision.Result
 	}{
 		"answer":         {"200 OK", "Content-Length: 2\r\nEndpoint-Load-Metrics: TEXT queue=3, latency_ms=1.5\r\n\r\nhi", true, decision.Succeeded},
 		"error":          {"500 no", "Content-Length: 0\r\n\r\n", true, decision.Failed},
-		"turned away":    {"503 no", "X-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", true, decision.Rejected},
+		"rejected":       {"503 no", "X-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", true, decision.Rejected},
 		"maybe run":      {"503 no", "Content-Length: 0\r\n\r\n", true, decision.Failed},
 		"redirect":       {"302 no", "Location: /else\r\nContent-Length: 0\r\n\r\n", true, decision.Failed},
 		"cut short":      {"200 OK", "Content-Length: 9\r\n\r\nhi", false, decision.ConnectionReset},
 		"cut, and open":  {"200 OK", "Content-Length: 9\r\n\r\nhi", true, decision.InvalidAnswer},
 		"half a head":    {"200 OK", "Content-Le", true, decision.InvalidAnswer},
 		"wrong framing":  {"200 OK", "Transfer-Encoding: chunked\r\n\r\nzz\r\n", true, decision.InvalidAnswer},
-		"3 GB":           {"200 OK", "Content-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 90000), true, decision.InvalidAnswer},
+		"states 3 GB":    {"200 OK", "Content-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 90000), true, decision.InvalidAnswer},
 		"1xx before":     {"103 Early Hints", "Link: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", true, decision.Succeeded},
 		"report of none": {"200 OK", "Endpoint-Load-Metrics: %%%\r\nContent-Length: 2\r\n\r\nhi", true, decision.Succeeded},
-		"noise behind":   {"200 OK", "Content-Length: 2\r\n\r\nhi\xff\x00\r\n\r\n", true, decision.Succeeded},
+		"noise after":    {"200 OK", "Content-Length: 2\r\n\r\nhi\xff\x00\r\n\r\n", true, decision.Succeeded},
 		"not HTTP":       {"what", "\r\n\r\n", true, decision.InvalidAnswer},
 		"closed":         {"", "", false, decision.ConnectionReset},
 		"oversized":      {"200 OK", "Content-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), true, decision.InvalidAnswer},
@@ -95,12 +105,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
-				return x.status != "" && writeAnswer(c, x.status, x.rest) && x.stay
+				return test.status != "" && writeAnswer(c, test.status, test.rest) && test.staysOpen
 			})
 			_, done := start(newPool(4), address, get, never)
 			o := <-done
-			if o.Result != x.want || (x.want == decision.Succeeded) != (string(o.Body) == "hi") {
-				t.Errorf("%v %q, wanted %v", o.Result, o.Body, x.want)
+			if o.Result != test.want || (test.want == decision.Succeeded) != (string(o.Body) == "hi") {
+				t.Errorf("%v %q, wanted %v", o.Result, o.Body, test.want)
 			}
 			if name == "answer" && (len(o.LoadReport) != 2 || o.LoadReport[0] != 3 || o.LoadReport[1] != 1.5) {
 				t.Error("report", o.LoadReport)
@@ -109,13 +119,13 @@
 	}
 }
 
-// A second copy, or noise, behind an answer must not pass for the next hand-off's answer, and a connection that the
-// host has closed meanwhile costs no hand-off. All are asked one after another, so each finds an idle connection.
-func TestWhatComesBehindAnAnswer(t *testing.T) {
-	for _, behind := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "\xff\x00\r\n\r\n"} {
+// A second copy, or noise, after an answer must not be read as the next attempt's answer, and a connection that the host has
+// closed meanwhile fails no attempt. Requests follow one another, so each finds an idle connection.
+func TestBytesAfterAnAnswer(t *testing.T) {
+	for _, extra := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "\xff\x00\r\n\r\n"} {
 		address := startHost(t, func(n int, c net.Conn, r *http.Request, _ string) bool {
 			id := r.Header.Get("X-Trace-Id")
-			return writeAnswer(c, "200 OK", fmt.Sprintf("Content-Length: %d\r\n\r\n%s%s", len(id), id, behind))
+			return writeAnswer(c, "200 OK", fmt.Sprintf("Content-Length: %d\r\n\r\n%s%s", len(id), id, extra))
 		})
 		p := newPool(4)
 		for n := range 200 {
@@ -123,7 +133,7 @@
 			r.TraceID = fmt.Sprint("id", n)
 			p.Forward(dispatch.Host{Address: address}, &r, never, func(o dispatch.Outcome) { done <- o })
 			if o := <-done; o.Result != decision.Succeeded || string(o.Body) != r.TraceID {
-				t.Fatalf("%q: %v %q for %s", behind, o.Result, o.Body, r.TraceID)
+				t.Fatalf("%q: %v %q for %s", extra, o.Result, o.Body, r.TraceID)
 			}
 		}
 		if p.Forget(address); len(p.hosts) > 0 {
@@ -135,7 +145,7 @@
 	}
 }
 
-// Connections to hosts that stand idle make room for those that are wanted elsewhere.
+// Idle connections are evicted for attempts at other hosts.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	p := newPool(2)
 	for range 6 {
@@ -156,10 +166,10 @@
 		t.Error("silence is no time-out")
 	}
 	<-read
-	h, done := start(p, address, get, never)
+	attempt, done := start(p, address, get, never)
 	<-read
-	if h.Cancel(); (<-done).Result != decision.Canceled {
-		t.Error("not recalled")
+	if attempt.Cancel(); (<-done).Result != decision.Canceled {
+		t.Error("not canceled")
 	}
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	l.Close()
@@ -172,9 +182,9 @@
 func TestNothingIsSentAgain(t *testing.T) {
 	for _, r := range []dispatch.Request{get, {Method: "POST", Target: "/accept", IdempotencyKey: "k", Body: []byte("body")},
 		{Method: "POST", Target: "/accept", IdempotencyKey: "k"}} {
-		var came atomic.Int64
+		var received atomic.Int64
 		address := startHost(t, func(n int, c net.Conn, _ *http.Request, _ string) bool {
-			came.Store(int64(n))
+			received.Store(int64(n))
 			return n == 1 && writeAnswer(c, "200 OK", "Content-Length: 0\r\n\r\n")
 		})
 		p := newPool(4)
@@ -183,13 +193,13 @@
 			t.Fatal(o.Result)
 		}
 		_, second := start(p, address, r, never)
-		if o := <-second; o.Result != decision.ConnectionReset || came.Load() != 2 {
-			t.Errorf("%s: %v, %d came", r.Method, o.Result, came.Load())
+		if o := <-second; o.Result != decision.ConnectionReset || received.Load() != 2 {
+			t.Errorf("%s: %v, %d received", r.Method, o.Result, received.Load())
 		}
 	}
 }
 
-func TestPassedOnUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	for _, r := range []dispatch.Request{
 		{Method: "GET", Target: "/display?obj=a%2Fb&x=;"},
 		{Method: "POST", Target: "/accept", IdempotencyKey: "k1", Body: []byte(strings.Repeat("x", 64<<10))},
@@ -212,18 +222,18 @@
 	}
 }
 
-// A hand-off that is revoked while it waits for a connection must not be written, whatever the transport does.
+// An attempt that is canceled while it waits for a connection must not be written, whatever the transport does.
 func TestCanceledUnsentIsNeverWritten(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	h := &attempt{cancel: func(error) {}}
-	c := &conn{counter: noCounter{}, Conn: near, lastWritten: h}
-	c.attempt.Store(h)
-	h.CancelUnsent()
-	if n, err := c.Write([]byte("x")); n != 0 || err != errCanceledUnsent {
-		t.Error("written", n, err)
-	}
-	sent := &attempt{cancel: func(error) { t.Error("ended though it was sent") }}
+	canceled := &attempt{cancel: func(error) {}}
+	c := &conn{counter: noCounter{}, Conn: near, lastWritten: canceled}
+	c.attempt.Store(canceled)
+	canceled.CancelUnsent()
+	n, err := c.Write([]byte("x"))
+	qt.Check(t, n, qt.Equals, 0)
+	qt.Check(t, err, qt.Equals, errCanceledUnsent)
+	sent := &attempt{cancel: func(error) { t.Error("canceled though it was sent") }}
 	c.lastWritten = sent
 	c.attempt.Store(sent)
 	go far.Read(make([]byte, 1))
@@ -233,21 +243,21 @@
 	sent.CancelUnsent()
 }
 
-// The want of connections is the router's own: it ends a hand-off as unsent, and says nothing of the host.
+// A router without room for a connection ends the attempt as unsent, which says nothing of the host.
 func TestConnectionLimit(t *testing.T) {
-	came := make(chan bool, 2)
-	address := startHost(t, func(_ int, _ net.Conn, _ *http.Request, _ string) bool { came <- true; return true })
+	received := make(chan bool, 2)
+	address := startHost(t, func(_ int, _ net.Conn, _ *http.Request, _ string) bool { received <- true; return true })
 	p := newPool(1)
 	first, done := start(p, address, get, never)
-	<-came
+	<-received
 	p.ConnectTimeout = 10 * time.Millisecond
 	if _, second := start(p, address, get, never); (<-second).Result != decision.Unsent {
 		t.Error("not unsent")
 	}
 	first.Cancel()
 	<-done
-	if len(came) != 0 {
-		t.Error("a second hand-off was sent")
+	if len(received) != 0 {
+		t.Error("a second attempt was sent")
 	}
 }
 
@@ -274,7 +284,7 @@
 	}
 }
 
-// usedConn is a connection on which more than its first request finds its end.
+// usedConn is a connection that has ended for all but its first request.
 type usedConn struct {
 	net.Conn
 	used atomic.Bool
@@ -282,9 +292,9 @@
 
 func (c *usedConn) Pending() bool { return c.used.Swap(true) }
 
-// A hand-off waits for its connection and is given one that came up after it began, that another used and that has ended since:
-// that says nothing of the host. It goes on to the next one.
-func TestEndedAfterAnothersUse(t *testing.T) {
+// An attempt that waits for its connection may be given one that was opened after it began, that another attempt used and that
+// has ended since: that says nothing of the host, and the attempt goes on to the next connection.
+func TestConnectionEndedAfterAnotherAttempt(t *testing.T) {
 	address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
 		return writeAnswer(c, "200 OK", "Content-Length: 2\r\n\r\nhi")
 	})
--- a/internal/upstream/tracker_test.go
+++ b/internal/upstream/tracker_test.go
@@ -11,19 +11,19 @@
 	"portflow/internal/dispatch"
 )
 
-// recordingTracker is a Track that remembers what it was told.
+// recordingTracker is a WriteTracker that records its calls.
 type recordingTracker struct {
-	mu     sync.Mutex
+	mu     sync.Mutex // guards the fields below
 	deny   bool
 	conns  []any
 	wrote  int
 	failed int
 }
 
-func (f *recordingTracker) WrittenOn(conn any) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, c := range f.conns {
+func (r *recordingTracker) WrittenOn(conn any) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, c := range r.conns {
 		if c == conn {
 			return true
 		}
@@ -31,29 +31,30 @@
 	return false
 }
 
-func (f *recordingTracker) BeginWrite(conn any) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if !f.deny {
-		f.conns = append(f.conns, conn)
+func (r *recordingTracker) BeginWrite(conn any) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.deny {
+		r.conns = append(r.conns, conn)
 	}
-	return !f.deny
+	return !r.deny
 }
 
-func (f *recordingTracker) Wrote(n int, err error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.wrote += n; err != nil {
-		f.failed++
+func (r *recordingTracker) Wrote(n int, err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.wrote += n
+	if err != nil {
+		r.failed++
 	}
 }
 
-// Without leave nothing is written; a request that goes to a host again goes on another connection, and others go on using
-// the ones that are there.
+// Without the tracker's consent nothing is written; a request that is sent to a host again is written on another connection,
+// while other requests use the connections that are open.
 func TestWriteTracker(t *testing.T) {
-	var came, conns atomic.Int64
+	var received, conns atomic.Int64
 	address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
-		came.Add(1)
+		received.Add(1)
 		return writeAnswer(c, "200 OK", "Content-Length: 2\r\n\r\nhi")
 	})
 	p := newPool(4)
@@ -61,25 +62,25 @@
 		conns.Add(1)
 		return noCounter{}
 	}
-	f := &recordingTracker{}
-	for n, want := range []struct{ came, conns int64 }{{1, 1}, {2, 2}, {3, 3}} {
+	tracker := &recordingTracker{}
+	for n, want := range []struct{ received, conns int64 }{{1, 1}, {2, 2}, {3, 3}} {
 		r := get
-		r.Payload = f
-		if _, done := start(p, address, r, never); (<-done).Result != decision.Succeeded || came.Load() != want.came || conns.Load() != want.conns {
-			t.Errorf("%d: %d came on %d connections", n, came.Load(), conns.Load())
+		r.Payload = tracker
+		if _, done := start(p, address, r, never); (<-done).Result != decision.Succeeded || received.Load() != want.received || conns.Load() != want.conns {
+			t.Errorf("%d: %d received on %d connections", n, received.Load(), conns.Load())
 		}
-		_, done := start(p, address, get, never) // has no Track: uses what is there
+		_, done := start(p, address, get, never) // has no tracker
 		if (<-done).Result != decision.Succeeded || conns.Load() != want.conns {
 			t.Errorf("%d: %d connections", n, conns.Load())
 		}
-		came.Add(-1)
+		received.Add(-1)
 	}
-	if len(f.conns) != 3 || f.wrote == 0 || f.failed > 0 {
-		t.Error(len(f.conns), f.wrote, f.failed)
+	if len(tracker.conns) != 3 || tracker.wrote == 0 || tracker.failed > 0 {
+		t.Error(len(tracker.conns), tracker.wrote, tracker.failed)
 	}
-	none := dispatch.Request{Method: "POST", Target: "/accept", Body: []byte("body"), Payload: &recordingTracker{deny: true}}
-	before := came.Load()
-	if _, done := start(p, address, none, never); (<-done).Result == decision.Succeeded || came.Load() != before {
-		t.Error("written without leave")
+	denied := dispatch.Request{Method: "POST", Target: "/accept", Body: []byte("body"), Payload: &recordingTracker{deny: true}}
+	before := received.Load()
+	if _, done := start(p, address, denied, never); (<-done).Result == decision.Succeeded || received.Load() != before {
+		t.Error("written without consent")
 	}
 }
