--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -1,5 +1,7 @@
-// Package connlimit keeps a number of connections within a bound. Where it is reached, a connection that is of no use
-// at the moment is closed for one that is wanted.
+// Package connlimit bounds the number of connections. When the bound is reached, a connection that is not in use is closed
+// for a new one. The package opens no connection and reads none: its users say what each is doing.
+//
+// Begin reading at Limiter.Acquire; slot.go has the states of a connection.
 package connlimit
 
 import (
@@ -8,49 +10,27 @@
 	"time"
 )
 
-// State is what a connection is doing.
-type State uint8
+// retryInterval is the time between two looks for a connection that may be evicted; short beside any of minAge.
+const retryInterval = 5 * time.Millisecond
 
-const (
-	StateNew     State = iota // new, and nothing has come on it
-	StateReading              // something has come that is not whole yet
-	StateIdle                 // between two uses
-	StateActive               // in use: it is never closed to make room
-)
-
-// minAge is how long a connection must have been so before it may be closed to make room. What is new is about to
-// speak, and an idle one about to be used again: a turn of a full core. Who writes slowly gets a little longer.
-var minAge = [StateActive]time.Duration{StateNew: 20 * time.Millisecond, StateReading: 250 * time.Millisecond, StateIdle: 10 * time.Millisecond}
-
-const retryInterval = 5 * time.Millisecond // between looks for a connection that may be closed; short beside any rest
-
-// Limiter is the bound.
+// Limiter is a bound on the number of connections. It is safe for concurrent use.
 type Limiter struct {
 	tokens  chan struct{} // holds one for each connection
-	maxIdle int           // so many may stand idle
-	mu      sync.Mutex
-	byState [StateActive]list.List // of *Place, the longest so first
+	maxIdle int           // connections that may be idle at once
+
+	mu      sync.Mutex             // guards byState and the slots' states
+	byState [StateActive]list.List // of *Slot, the one that has been in its state for longest first
 }
 
-// New makes room for so many connections, of which some may stand idle.
+// New makes a limiter of maxConns connections, of which maxIdle may be idle at once.
 func New(maxConns, maxIdle int) *Limiter {
 	return &Limiter{tokens: make(chan struct{}, maxConns), maxIdle: maxIdle}
 }
 
-// Len is how many connections there are.
+// Len returns the number of connections.
 func (l *Limiter) Len() int { return len(l.tokens) }
 
-// Slot is one connection's.
-type Slot struct {
-	limiter  *Limiter
-	close    func() // the connection, which leaves then
-	state    State
-	since    time.Time
-	element  *list.Element
-	released bool
-}
-
-// TryAcquire takes a place if one is free; the caller must Fill or Leave it.
+// TryAcquire returns a slot if one is free, nil otherwise. The caller must call the slot's Attach or Release.
 func (l *Limiter) TryAcquire() *Slot {
 	select {
 	case l.tokens <- struct{}{}:
@@ -60,7 +40,7 @@
 	}
 }
 
-// Acquire waits for a place, and closes a connection for it if it must; nil if done comes first.
+// Acquire waits for a slot, and evicts a connection for it if it must. It returns nil if done is closed first.
 func (l *Limiter) Acquire(done <-chan struct{}) *Slot {
 	if s := l.TryAcquire(); s != nil {
 		return s
@@ -80,77 +60,55 @@
 	}
 }
 
-// evict closes the connection that has been of no use for longest. An idle one costs its client least, another
-// connection; but what has not asked yet gets no more than half of the room, so that it can't push out those that ask.
+// evict closes one connection that may be evicted, if there is one.
 func (l *Limiter) evict() {
+	if victim := l.victim(); victim != nil {
+		victim.closeConn()
+	}
+}
+
+// victim takes the connection to be evicted out of the choice. An idle one costs its client least, another connection; but
+// those on which no complete request has come get no more than half of the bound, so that they can't displace the others.
+func (l *Limiter) victim() *Slot {
 	l.mu.Lock()
+	defer l.mu.Unlock()
 	order := [...]State{StateIdle, StateNew, StateReading}
-	if l.byState[StateNew].Len()+l.byState[StateReading].Len() > cap(l.tokens)/2 {
+	withoutRequest := l.byState[StateNew].Len() + l.byState[StateReading].Len()
+	if withoutRequest > cap(l.tokens)/2 {
 		order = [...]State{StateNew, StateReading, StateIdle}
 	}
-	var victim *Slot
-	for i := 0; i < len(order) && victim == nil; i++ {
-		victim = l.takeEvictable(order[i])
-	}
-	l.mu.Unlock()
-	if victim != nil {
-		victim.close()
-	}
-}
-
-// takeEvictable takes the connection that has been so for longest out of the choice, to be closed, if it has had its rest; the
-// room is locked.
-func (l *Limiter) takeEvictable(use State) *Slot {
-	first := l.byState[use].Front()
-	if first == nil || time.Since(first.Value.(*Slot).since) < minAge[use] {
-		return nil
+	for _, state := range order {
+		if s := l.takeEvictable(state); s != nil {
+			return s
+		}
 	}
-	s := first.Value.(*Slot)
-	s.move(StateActive)
-	return s
-}
-
-// Attach names the connection's end and use.
-func (s *Slot) Attach(use State, close func()) {
-	s.close = close
-	s.SetState(use)
+	return nil
 }
 
-// SetState tells what the connection is doing from now on.
-func (s *Slot) SetState(use State) {
-	l := s.limiter
+// setState changes a slot's state, and returns the connection to be evicted if too many are idle.
+func (l *Limiter) setState(s *Slot, state State) *Slot {
 	l.mu.Lock()
+	defer l.mu.Unlock()
 	if !s.released {
-		s.move(use)
-	}
-	var victim *Slot
-	if l.byState[StateIdle].Len() > l.maxIdle {
-		victim = l.takeEvictable(StateIdle)
+		s.move(state)
 	}
-	l.mu.Unlock()
-	if victim != nil {
-		victim.close()
+	if l.byState[StateIdle].Len() <= l.maxIdle {
+		return nil
 	}
+	return l.takeEvictable(StateIdle)
 }
 
-// move moves the place; the room is locked.
-func (s *Slot) move(use State) {
-	if s.element != nil {
-		s.limiter.byState[s.state].Remove(s.element)
-		s.element = nil
-	}
-	if s.state, s.since = use, time.Now(); use != StateActive {
-		s.element = s.limiter.byState[use].PushBack(s)
+// takeEvictable takes the connection that has been in a state for longest out of the choice, if it has been for long
+// enough. The caller holds mu.
+func (l *Limiter) takeEvictable(state State) *Slot {
+	first := l.byState[state].Front()
+	if first == nil {
+		return nil
 	}
-}
-
-// Release gives the place up, once however often it is called.
-func (s *Slot) Release() {
-	s.limiter.mu.Lock()
-	defer s.limiter.mu.Unlock()
-	if !s.released {
-		s.move(StateActive)
-		s.released = true
-		<-s.limiter.tokens
+	s := first.Value.(*Slot)
+	if time.Since(s.since) < minAge[state] {
+		return nil
 	}
+	s.move(StateActive)
+	return s
 }
--- a/internal/connlimit/limiter_test.go
+++ b/internal/connlimit/limiter_test.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// What is idle goes first, then what says nothing, then what never ends; what is in use never goes, and what has come a
-// moment ago is given its time. Where most have not asked yet, they go before those that have.
+// Idle connections are evicted first, then those on which nothing has come, then those with part of a request; those in use
+// never are, and a connection is given its time in each state. Where most are without a complete request, they are evicted
+// before the idle ones.
 func TestEvictsIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New(6, 6)
+		limiter := New(6, 6)
 		var closed []string
-		add := func(name string, use State) *Slot {
-			p := r.Acquire(nil)
-			p.Attach(use, func() {
+		add := func(name string, state State) *Slot {
+			slot := limiter.Acquire(nil)
+			slot.Attach(state, func() {
 				closed = append(closed, name)
-				p.Release()
-				p.Release() // a second close gives nothing up
+				slot.Release()
+				slot.Release() // a second call does nothing
 			})
-			return p
+			return slot
 		}
 		check := func(want ...string) {
 			t.Helper()
@@ -29,52 +30,52 @@
 			}
 			closed = nil
 		}
-		add("busy", StateActive)
+		add("active", StateActive)
 		add("idle", StateIdle)
-		add("begun", StateReading)
-		add("silent", StateNew)
+		add("reading", StateReading)
+		add("new", StateNew)
 		add("idle2", StateIdle)
-		add("silent2", StateNew)
+		add("new2", StateNew)
 		time.Sleep(time.Second)
-		add("silent3", StateNew)
+		add("new3", StateNew)
 		check("idle")
 		since := time.Now()
-		add("silent4", StateNew) // four of six have not asked
-		check("silent")
-		add("silent5", StateNew)
-		check("silent2")
-		add("silent6", StateNew) // silent3 has just come
-		check("begun")
-		add("silent7", StateNew)
+		add("new4", StateNew) // four of six are without a request
+		check("new")
+		add("new5", StateNew)
+		check("new2")
+		add("new6", StateNew) // new3 is too new
+		check("reading")
+		add("new7", StateNew)
 		check("idle2")
-		if add("silent8", StateNew); time.Since(since) != minAge[StateNew] {
+		if add("new8", StateNew); time.Since(since) != minAge[StateNew] {
 			t.Error(time.Since(since))
 		}
-		check("silent3")
+		check("new3")
 		time.Sleep(time.Second)
 		for range 5 {
 			add("more", StateActive)
 		}
-		check("silent4", "silent5", "silent6", "silent7", "silent8")
+		check("new4", "new5", "new6", "new7", "new8")
 		done := make(chan struct{})
 		time.AfterFunc(time.Second, func() { close(done) })
-		if r.TryAcquire() != nil || r.Acquire(done) != nil || r.Len() != 6 {
-			t.Error("room for another")
+		if limiter.TryAcquire() != nil || limiter.Acquire(done) != nil || limiter.Len() != 6 {
+			t.Error("a slot beyond the bound")
 		}
 	})
 }
 
-// Beyond those that may stand idle, the longest so is closed though there is room.
+// Beyond maxIdle the connection that has been idle for longest is closed, though there are free slots.
 func TestMaxIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New(6, 2)
+		limiter := New(6, 2)
 		for range 5 {
-			p := r.Acquire(nil)
-			p.Attach(StateIdle, p.Release)
+			slot := limiter.Acquire(nil)
+			slot.Attach(StateIdle, slot.Release)
 			time.Sleep(minAge[StateIdle])
 		}
-		if r.Len() != 2 {
-			t.Error(r.Len(), "stand idle")
+		if limiter.Len() != 2 {
+			t.Error(limiter.Len(), "connections")
 		}
 	})
 }
--- a/internal/connlimit/trace_test.go
+++ b/internal/connlimit/trace_test.go
@@ -9,18 +9,18 @@
 	"portflow/internal/testing/digest"
 )
 
-// Which connections are closed to make room, and when, is what it was: connections come, change their use and go as drawn, in
-// time that only passes where all wait.
+// Which connections are evicted, and when, is unchanged: connections open, change their state and close at random, in virtual
+// time.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 30, []string{"0040b8cd8bb83fdb", "b85ac12a004ecc91", "2771f6c26ad2564b"}, func(seed uint64, d *digest.Digest) {
-		synctest.Test(t, func(t *testing.T) { traceRoom(seed, d) })
+		synctest.Test(t, func(t *testing.T) { traceEvictions(seed, d) })
 	})
 }
 
-func traceRoom(seed uint64, d *digest.Digest) {
+func traceEvictions(seed uint64, d *digest.Digest) {
 	draw := rand.New(rand.NewPCG(seed, 1))
-	r := New(4+draw.IntN(6), 2+draw.IntN(6))
-	began := time.Now()
+	limiter := New(4+draw.IntN(6), 2+draw.IntN(6))
+	startedAt := time.Now()
 	open := []*Slot{}
 	for n := range 120 {
 		time.Sleep(time.Duration(draw.IntN(30)) * time.Millisecond)
@@ -28,19 +28,19 @@
 		case 0, 1:
 			done := make(chan struct{})
 			timer := time.AfterFunc(300*time.Millisecond, func() { close(done) })
-			p := r.Acquire(done)
+			slot := limiter.Acquire(done)
 			timer.Stop()
-			if d.Add(n, p != nil); p != nil {
-				p.Attach(State(draw.IntN(4)), func() {
-					d.Add(n, int64(time.Since(began)))
-					p.Release()
+			if d.Add(n, slot != nil); slot != nil {
+				slot.Attach(State(draw.IntN(4)), func() {
+					d.Add(n, int64(time.Since(startedAt)))
+					slot.Release()
 				})
-				open = append(open, p)
+				open = append(open, slot)
 			}
 		case 2:
-			p := r.TryAcquire()
-			if d.Add(n, p != nil); p != nil {
-				p.Release()
+			slot := limiter.TryAcquire()
+			if d.Add(n, slot != nil); slot != nil {
+				slot.Release()
 			}
 		case 3:
 			if len(open) > 0 {
@@ -51,6 +51,6 @@
 				open[draw.IntN(len(open))].Release()
 			}
 		}
-		d.Add(r.Len(), int64(time.Since(began)))
+		d.Add(limiter.Len(), int64(time.Since(startedAt)))
 	}
 }
