--- a/internal/decision/decision_test.go
+++ b/internal/decision/decision_test.go
@@ -246,7 +246,7 @@
 		w.advance(15 * ms)
 		due = slices.DeleteFunc(due, func(ends func() bool) bool { return ends() })
 	}
-	return slices.ContainsFunc(w.votes, func(v vote) bool { return v.verdict == RollBack })
+	return slices.ContainsFunc(w.votes, func(v vote) bool { return v.choice == RollBack })
 }
 
 func TestTrialDecisions(t *testing.T) {
@@ -355,7 +355,7 @@
 	w.failIf(last() != vote{Advance, 5, 0}, "taken back: %v", last())
 	w.engine.castVote, w.engine.voteCastAt, w.engine.wantedVote = vote{RollBack, 5, 0}, w.now, vote{} // for going back a vote of any stage may count
 	w.engine.updateVote()
-	w.failIf(last().verdict != NoVote, "not taken back: %v", last())
+	w.failIf(last().choice != NoVote, "not taken back: %v", last())
 }
 
 // Answers once came after the contract time of the band that is worth most, long before any was turned away, and
--- /dev/null
+++ b/internal/decision/effects.go
@@ -0,0 +1,107 @@
+package decision
+
+// Effects carries out what an Engine decides. An Engine calls it only during its own calls; the methods must not call the
+// Engine. Times are in nanoseconds.
+type Effects interface {
+	StartAttempt(request, host uint32, deadline int64)
+	Reject(request uint32, retryAfter int64) // the client may send it again
+	Fail(request uint32)
+	CancelAttempt(request uint32, number int)
+	Vote(v Verdict, build, stage int)
+	SendGossip(peer int, message []byte)
+	SetTimer(after int64, id uint64) // replaces the timer before; TimerFired must follow
+	CloseIdle(host uint32)           // closes the idle connections to a host
+	WatchHosts(on bool)              // asks for the list of hosts and its changes
+	Log(text string)
+}
+
+// emitEffects emits what is wanted and was not emitted yet. Each call of the Engine ends with it.
+func (d *decider) emitEffects() {
+	for i := 0; i < len(d.changed); i++ { // the steps may append requests, also the same one
+		d.emitForRequest(d.changed[i])
+	}
+	for _, h := range d.idleToClose {
+		d.effects.CloseIdle(h.id)
+	}
+	d.changed = d.changed[:0]
+	d.idleToClose = d.idleToClose[:0]
+	d.fetchIfDue()
+	d.updateVote()
+	d.emitTimer()
+}
+
+func (d *decider) emitForRequest(req *request) {
+	d.emitAnswer(req)
+	next := req.next
+	req.next = nil
+	if next != nil && !req.allows(next) { // another request of this call was given the host's room
+		d.placeRequest(req)
+		return
+	}
+	if next != nil {
+		d.emitAttempt(req, next)
+	}
+	d.emitCancellations(req)
+}
+
+// emitAnswer gives the wanted answer.
+func (d *decider) emitAnswer(req *request) {
+	if req.wantedAnswer == noAnswer || req.done {
+		return
+	}
+	if req.wantedAnswer == fail {
+		d.effects.Fail(req.id)
+	} else {
+		d.effects.Reject(req.id, d.retryAfter())
+	}
+	d.finish(req)
+	d.finished = append(d.finished, req)
+}
+
+// emitAttempt starts an attempt.
+func (d *decider) emitAttempt(req *request, h *host) {
+	req.attempts = append(req.attempts, &attempt{
+		host:      h,
+		build:     h.build,
+		startedAt: d.now,
+		deadline:  req.attemptDeadline,
+		number:    len(req.attempts),
+		binding:   d.bindKey(req, h.build),
+	})
+	req.inFlight++
+	h.inFlight++
+	if h.inFlight == 1 {
+		h.silentSince = d.now
+	}
+	d.effects.StartAttempt(req.id, h.id, req.attemptDeadline)
+	d.queue.Remove(req.check)
+	req.check = d.queue.Add(d.nextCheckAt(req), req)
+}
+
+// emitCancellations cancels the attempts in flight of a request that needs none any more.
+func (d *decider) emitCancellations(req *request) {
+	if !req.done || !d.settings.Cancellation || req.streaming {
+		return
+	}
+	for _, attempt := range req.attempts {
+		if !attempt.ended && !attempt.canceled {
+			attempt.canceled = true
+			d.effects.CancelAttempt(req.id, attempt.number)
+		}
+	}
+}
+
+// emitTimer sets the timer to the next tick or check, unless it fires before.
+func (d *decider) emitTimer() {
+	next := d.nextTick
+	if at, ok := d.queue.Next(); ok {
+		next = min(next, at)
+	}
+	next = max(next, d.now+1)
+	if d.timerAt != 0 && d.timerAt <= next {
+		return
+	}
+	d.timerAt = next
+	d.timerID++
+	d.effects.SetTimer(next-d.now, d.timerID)
+}
