--- /dev/null
+++ b/internal/decision/binding_test.go
@@ -0,0 +1,43 @@
+package decision
+
+import (
+	"testing"
+)
+
+func TestGuardedStageAndKeys(t *testing.T) {
+	set := testSettings()
+	set.GuardedStages = 1
+	w := newQuietWorld(t, set, true)
+	w.listFourHosts(Gone)
+	a := w.receive(Request{ID: 1, Class: 0, Remaining: 3000 * ms})
+	w.failIf(len(a.attempts) != 0, "a command with an effect went to a guarded stage")
+	w.changeRollout(Rollout{Build: 5})
+	a = w.receive(Request{ID: 3, Class: 1, Remaining: 3000 * ms})
+	w.failIf(len(a.attempts) != 0, "sent to the trial at cap 0")
+	w.changeRollout(Rollout{Build: 5, ExposureCap: 1})
+	a = w.receive(Request{ID: 2, Class: 1, Key: 77, Remaining: 5000 * ms})
+	w.endAttempt(a.attempts[0], Succeeded)
+	w.listFourHosts(Ready)
+	w.changeRollout(Rollout{Build: 5, State: Released, ExposureCap: 1}) // a released build keeps its keys too
+	for id := range uint32(20) {
+		a := w.receive(Request{ID: 10 + id, Class: 1, Key: 77, Remaining: 5000 * ms})
+		w.failIf(len(a.attempts) == 1 && a.attempts[0].build != 5, "a key went back to an earlier build")
+	}
+}
+
+// On sockets an answer counts for its key also where it is recalled, times out or breaks: the key must not go back.
+func TestKeyIsBoundFromTheAttempt(t *testing.T) {
+	for _, e := range []Result{Canceled, TimedOut, ConnectionReset, Succeeded, Failed, ConnectFailed} {
+		d := newDecider(Settings{Routers: 1, TimerResolution: ms, MaxAttempts: 3, KeyAffinity: true, Classes: []RequestClass{{LatencyTarget: 1000 * ms}}}, 1, nil)
+		d.hasRollout, d.rollout = true, Rollout{Build: 5}
+		c := &request{class: d.classes[0], key: 7, done: true}
+		o := &attempt{host: &host{build: 5, capacity: 1}, build: 5, binding: d.bindKey(c, 5)}
+		if d.bindings.latest(7) != 5 {
+			t.Fatal("not tied while the hand-off is out")
+		}
+		d.attemptEnded(c, o, e, true, ms, nil)
+		if bound := d.bindings.latest(7) == 5; bound == (e == Failed || e == ConnectFailed) {
+			t.Errorf("ending %d: tied %v", e, bound)
+		}
+	}
+}
--- /dev/null
+++ b/internal/decision/retry_test.go
@@ -0,0 +1,50 @@
+package decision
+
+import (
+	"testing"
+)
+
+func TestSingleUseAfterDoubt(t *testing.T) {
+	w := newQuietWorld(t, testSettings(), false)
+	a := w.receive(Request{ID: 1, Class: 2, Remaining: 4000 * ms})
+	w.endAttempt(a.attempts[0], ConnectFailed)
+	w.failIf(len(a.attempts) != 2, "not handed off again though it never ran")
+	w.endAttempt(a.attempts[1], ConnectionReset)
+	w.failIf(len(a.attempts) != 2 || !a.done, "%d hand-offs, over %v: it may have run", len(a.attempts), a.done)
+}
+
+func TestDedupWindowAndDrain(t *testing.T) {
+	set := testSettings()
+	set.Classes[0].LatencyTarget, set.Classes[0].Timeout = 4000*ms, 5000*ms
+	w := newQuietWorld(t, set, false)
+	a := w.receive(Request{ID: 1, Class: 0, Remaining: 5000 * ms})
+	w.advance(2500 * ms)
+	sent := len(a.attempts)
+	for _, s := range a.attempts {
+		w.endAttempt(s, ConnectionReset)
+	}
+	w.failIf(len(a.attempts) != sent || !a.done, "handed off again after its repeats are known")
+	w.listFourHosts(Draining)
+	b := w.receive(Request{ID: 2, Class: 1, Remaining: 5000 * ms})
+	w.failIf(len(b.attempts) != 0, "sent to a host that drains")
+	w.advance(1000 * ms)
+	w.failIf(!w.requests[2].done, "what is given up must be answered at once")
+}
+
+// A host that failed at once held nothing, and so looked the best of any two.
+func TestFastFailures(t *testing.T) {
+	w, sent := newQuietWorld(t, testSettings(), false), [4]int{}
+	for i := range uint32(400) {
+		a := w.receive(Request{ID: 10 + i, Class: 1, Remaining: 5000 * ms})
+		for _, s := range a.attempts {
+			if sent[s.host.ID]++; s.host.ID == 2 {
+				w.endAttempt(s, Failed)
+			}
+		}
+		w.advance(10 * ms)
+		for _, s := range w.inFlight[max(0, len(w.inFlight)-12):max(0, len(w.inFlight)-8)] {
+			w.endAttempt(s, Succeeded)
+		}
+	}
+	w.failIf(sent[2] > sent[0]/2, "sent by host: %v", sent)
+}
