--- a/internal/decision/binding_test.go
+++ b/internal/decision/binding_test.go
@@ -10,7 +10,7 @@
 	w := newQuietWorld(t, set, true)
 	w.listFourHosts(Gone)
 	a := w.receive(Request{ID: 1, Class: 0, Remaining: 3000 * ms})
-	w.failIf(len(a.attempts) != 0, "a command with an effect went to a guarded stage")
+	w.failIf(len(a.attempts) != 0, "a request that is not idempotent went to a guarded stage")
 	w.changeRollout(Rollout{Build: 5})
 	a = w.receive(Request{ID: 3, Class: 1, Remaining: 3000 * ms})
 	w.failIf(len(a.attempts) != 0, "sent to the trial at cap 0")
@@ -25,19 +25,19 @@
 	}
 }
 
-// On sockets an answer counts for its key also where it is recalled, times out or breaks: the key must not go back.
+// An attempt that is canceled, times out or breaks may have answered its key: the key must not go to an earlier build.
 func TestKeyIsBoundFromTheAttempt(t *testing.T) {
-	for _, e := range []Result{Canceled, TimedOut, ConnectionReset, Succeeded, Failed, ConnectFailed} {
+	for _, result := range []Result{Canceled, TimedOut, ConnectionReset, Succeeded, Failed, ConnectFailed} {
 		d := newDecider(Settings{Routers: 1, TimerResolution: ms, MaxAttempts: 3, KeyAffinity: true, Classes: []RequestClass{{LatencyTarget: 1000 * ms}}}, 1, nil)
 		d.hasRollout, d.rollout = true, Rollout{Build: 5}
-		c := &request{class: d.classes[0], key: 7, done: true}
-		o := &attempt{host: &host{build: 5, capacity: 1}, build: 5, binding: d.bindKey(c, 5)}
+		req := &request{class: d.classes[0], key: 7, done: true}
+		ended := &attempt{host: &host{build: 5, capacity: 1}, build: 5, binding: d.bindKey(req, 5)}
 		if d.bindings.latest(7) != 5 {
-			t.Fatal("not tied while the hand-off is out")
+			t.Fatal("not bound while the attempt is in flight")
 		}
-		d.attemptEnded(c, o, e, true, ms, nil)
-		if bound := d.bindings.latest(7) == 5; bound == (e == Failed || e == ConnectFailed) {
-			t.Errorf("ending %d: tied %v", e, bound)
+		d.attemptEnded(req, ended, result, true, ms, nil)
+		if bound := d.bindings.latest(7) == 5; bound == (result == Failed || result == ConnectFailed) {
+			t.Errorf("result %d: bound %v", result, bound)
 		}
 	}
 }
--- a/internal/decision/decision_test.go
+++ b/internal/decision/decision_test.go
@@ -8,8 +8,7 @@
 	"portflow/internal/testing/digest"
 )
 
-// FuzzRules plays seeded days with every kind of event, lost, late, repeated and out of order, and unlike
-// settings.
+// FuzzRules plays random days with every kind of event, lost, late, repeated and out of order, and different settings.
 func FuzzRules(f *testing.F) {
 	for seed := range uint64(40) {
 		f.Add(seed)
@@ -17,7 +16,7 @@
 	f.Fuzz(func(t *testing.T, seed uint64) { playDay(t, seed, 1500, nil) })
 }
 
-// playDay plays one seeded day of so many steps; the effects are recorded where there is a digest.
+// playDay plays one random day of so many steps, and records the effects if there is a digest.
 func playDay(t *testing.T, seed uint64, steps int, effects *digest.Digest) {
 	set := testSettings()
 	set.Hedging, set.KeyAffinity, set.CapPerClass = seed%2 == 0, seed%3 == 0, seed%5 == 0
@@ -38,31 +37,32 @@
 	for w.step = range steps {
 		w.random(&id)
 		w.advance(w.rnd.Int64N(15) * ms)
-		for _, f := range w.engine.gossipedValues() { // once divided by nothing, and no peer took its messages any more
-			w.failIf(math.IsNaN(*f) || math.IsInf(*f, 0), "shared figures %v %v", w.engine.state, w.engine.fleetLoad)
+		for _, value := range w.engine.gossipedValues() { // a division by zero once spoiled them, and no peer took the messages any more
+			w.failIf(math.IsNaN(*value) || math.IsInf(*value, 0), "gossiped values %v %v", w.engine.state, w.engine.fleetLoad)
 		}
 	}
-	w.advance(6000 * ms) // what is still out never ends: all must be answered in time all the same
+	w.advance(6000 * ms) // attempts in flight never end: all requests must be answered in time nevertheless
 }
 
+// random plays one random event; id is that of the last request.
 func (w *world) random(id *uint32) {
 	switch p := w.rnd.IntN(100); {
 	case p < 45:
 		for range 1 + w.rnd.IntN(3) {
 			*id++
-			band := w.rnd.IntN(len(w.settings.Classes))
-			w.receive(Request{ID: *id, Class: band, Customer: w.rnd.IntN(3), Key: uint64(w.rnd.IntN(30)),
-				Remaining: w.rnd.Int64N(w.settings.Classes[band].Timeout) + ms})
+			class := w.rnd.IntN(len(w.settings.Classes))
+			w.receive(Request{ID: *id, Class: class, Customer: w.rnd.IntN(3), Key: uint64(w.rnd.IntN(30)),
+				Remaining: w.rnd.Int64N(w.settings.Classes[class].Timeout) + ms})
 		}
 	case p < 85:
 		for range min(len(w.inFlight), 8) {
-			e, at := Succeeded, w.rnd.IntN(len(w.inFlight))
+			result, at := Succeeded, w.rnd.IntN(len(w.inFlight))
 			if w.rnd.IntN(4) == 0 {
-				e = Result(w.rnd.IntN(int(InvalidAnswer) + 1))
+				result = Result(w.rnd.IntN(int(InvalidAnswer) + 1))
 			}
-			s := w.inFlight[at]
+			attempt := w.inFlight[at]
 			w.inFlight = slices.Delete(w.inFlight, at, at+1)
-			w.endAttempt(s, e)
+			w.endAttempt(attempt, result)
 		}
 	case p < 90:
 		h := Host{ID: uint32(w.rnd.IntN(len(w.hosts) + 1)), Health: Health(w.rnd.IntN(3)), Capacity: 1, Build: 4}
@@ -104,6 +104,7 @@
 	}
 }
 
+// newQuietWorld has four ready hosts and a released build, and a host of a build on trial if asked for.
 func newQuietWorld(t *testing.T, set Settings, trial bool) *world {
 	w := newWorld(t, set, 7)
 	w.changeRollout(Rollout{Build: 4, State: Released, ExposureCap: 1})
--- a/internal/decision/golden_test.go
+++ b/internal/decision/golden_test.go
@@ -7,19 +7,19 @@
 	"portflow/internal/golden"
 )
 
-// What routers tell each other of a build on trial has the same bytes, and is read as the same figures.
+// A gossip message has the same bytes, and is decoded to the same values.
 func TestGoldenGossip(t *testing.T) {
 	d := emptyDecider(Settings{Customers: []Customer{{PerSecond: 1}, {PerSecond: 2}}, Routers: 3}, 1, nil)
 	d.rollout.Build, d.now, d.pausedAt = 0x0102, 7*second, second
 	var want []float64
-	for n, f := range d.gossipedValues() {
-		*f = float64(n + 1) // few bits, so that nothing is rounded
-		want = append(want, *f)
+	for n, value := range d.gossipedValues() {
+		*value = float64(n + 1) // few bits, so that nothing is rounded
+		want = append(want, *value)
 	}
 	want = append(want, 6)
 	raw := golden.Equal(t, "gossip.bin", d.encodeGossip())
-	build, figures, ok := d.decodeGossip(raw)
-	if !ok || build != 0x0102 || !reflect.DeepEqual(figures, want) {
-		t.Errorf("read as build %d, %v, %v; not %v", build, figures, ok, want)
+	build, values, ok := d.decodeGossip(raw)
+	if !ok || build != 0x0102 || !reflect.DeepEqual(values, want) {
+		t.Errorf("decoded as build %d, %v, %v; not %v", build, values, ok, want)
 	}
 }
--- a/internal/decision/retry_test.go
+++ b/internal/decision/retry_test.go
@@ -4,15 +4,17 @@
 	"testing"
 )
 
-func TestSingleUseAfterDoubt(t *testing.T) {
+// A request that is not idempotent has another attempt only if the first never ran.
+func TestNonIdempotentIsNotRetriedAfterDoubt(t *testing.T) {
 	w := newQuietWorld(t, testSettings(), false)
 	a := w.receive(Request{ID: 1, Class: 2, Remaining: 4000 * ms})
 	w.endAttempt(a.attempts[0], ConnectFailed)
-	w.failIf(len(a.attempts) != 2, "not handed off again though it never ran")
+	w.failIf(len(a.attempts) != 2, "not retried though it never ran")
 	w.endAttempt(a.attempts[1], ConnectionReset)
-	w.failIf(len(a.attempts) != 2 || !a.done, "%d hand-offs, over %v: it may have run", len(a.attempts), a.done)
+	w.failIf(len(a.attempts) != 2 || !a.done, "%d attempts, done %v: it may have run", len(a.attempts), a.done)
 }
 
+// No retry goes out after the dedup window, and no request to a host that drains.
 func TestDedupWindowAndDrain(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LatencyTarget, set.Classes[0].Timeout = 4000*ms, 5000*ms
@@ -23,16 +25,16 @@
 	for _, s := range a.attempts {
 		w.endAttempt(s, ConnectionReset)
 	}
-	w.failIf(len(a.attempts) != sent || !a.done, "handed off again after its repeats are known")
+	w.failIf(len(a.attempts) != sent || !a.done, "retried after the dedup window")
 	w.listFourHosts(Draining)
 	b := w.receive(Request{ID: 2, Class: 1, Remaining: 5000 * ms})
 	w.failIf(len(b.attempts) != 0, "sent to a host that drains")
 	w.advance(1000 * ms)
-	w.failIf(!w.requests[2].done, "what is given up must be answered at once")
+	w.failIf(!w.requests[2].done, "a request that is given up must be answered at once")
 }
 
-// A host that failed at once held nothing, and so looked the best of any two.
-func TestFastFailures(t *testing.T) {
+// A host that fails fast has no requests in flight, and once looked the less loaded of any two.
+func TestFastFailuresAttractNoRequests(t *testing.T) {
 	w, sent := newQuietWorld(t, testSettings(), false), [4]int{}
 	for i := range uint32(400) {
 		a := w.receive(Request{ID: 10 + i, Class: 1, Remaining: 5000 * ms})
--- a/internal/decision/rollout_test.go
+++ b/internal/decision/rollout_test.go
@@ -8,14 +8,16 @@
 
 func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-6 }
 
+// The state follows equation (5): the forgetting factor each tick, the consensus gain with each message.
 func TestStateAndGossip(t *testing.T) {
 	w := newQuietWorld(t, testSettings(), true)
 	d := w.engine.decider
-	d.trial, d.baseline = sample{count: [statisticCount]float64{4}, badness: [statisticCount]float64{2}}, sample{count: [statisticCount]float64{10}, badness: [statisticCount]float64{1}}
+	d.trial = sample{count: [statisticCount]float64{4}, badness: [statisticCount]float64{2}}
+	d.baseline = sample{count: [statisticCount]float64{10}, badness: [statisticCount]float64{1}}
 	d.tick()
 	w.failIf(!almostEqual(d.state[failures], (1-forgettingFactor)*4*(0.5-0.1)) || !almostEqual(d.count[failures], 4), "state %v, count %v", d.state, d.count)
 	before := d.state[failures]
-	d.tick() // no outcome: the paper's missing measurement counts as 0
+	d.tick() // no outcome: the reading of a missing measurement is 0
 	w.failIf(!almostEqual(d.state[failures], forgettingFactor*before) || !almostEqual(d.count[failures], 4*forgettingFactor), "empty tick: state %v, count %v", d.state, d.count)
 	state, count := d.state[failures], d.count[failures]
 	peer := newQuietWorld(t, testSettings(), true).engine.decider
@@ -27,52 +29,62 @@
 	}
 	state = d.state[failures]
 	bad := [][]byte{nil, make([]byte, len(peer.encodeGossip())+2)}
-	for _, f := range []func(){func() { peer.state[failures] = math.NaN() }, func() { peer.state[failures], peer.count[failures] = 9, -1 },
-		func() { peer.count[failures], peer.state[lag] = 1, 1e30 }, func() { peer.state[lag], peer.rollout.Build = 0, 4 }} {
-		f()
+	for _, spoil := range []func(){
+		func() { peer.state[failures] = math.NaN() },
+		func() { peer.state[failures], peer.count[failures] = 9, -1 },
+		func() { peer.count[failures], peer.state[lag] = 1, 1e30 },
+		func() { peer.state[lag], peer.rollout.Build = 0, 4 },
+	} {
+		spoil()
 		bad = append(bad, peer.encodeGossip())
 	}
 	for _, raw := range bad {
 		w.engine.GossipReceived(w.now, 1, raw)
-		w.failIf(d.state[failures] != state, "the message %x moved the state", raw)
+		w.failIf(d.state[failures] != state, "the message %x changed the state", raw)
 	}
-	for range 60 { // a router that is cut off knows in some seconds that it is alone
+	for range 60 { // a router that is cut off finds out within some seconds
 		d.tick()
 	}
 	w.failIf(d.reachableRouters > 1.2, "%v routers though none is heard", d.reachableRouters)
 }
 
-// One voter among hundreds once sent a good build back by a few slow answers of its own that it had just seen.
+// One voter among hundreds once voted a good build back for a few slow answers that it alone had just seen.
 func TestOwnOutcomesAmongMany(t *testing.T) {
-	for _, lasts := range []bool{false, true} {
+	for _, persists := range []bool{false, true} {
 		set := testSettings()
 		set.Routers = 385
 		w := newQuietWorld(t, set, true)
 		d := w.engine.decider
-		back := false
+		rejected := false
 		for i := range 60 {
-			d.baselineSentAt, d.reachableRouters, d.warmTrialHosts, d.baselineCount[lag] = d.now, 385, 10, 10
-			d.count[lag], d.state[lag], d.meanSquare[lag] = 1.9, (1-forgettingFactor)*1.9*0.8, 0.002
-			if !lasts {
-				d.state[lag] *= math.Pow(0.84, float64(i)) // as gossip mixes it away
+			d.baselineSentAt = d.now
+			d.reachableRouters = 385
+			d.warmTrialHosts = 10
+			d.baselineCount[lag] = 10
+			d.count[lag] = 1.9
+			d.state[lag] = (1 - forgettingFactor) * 1.9 * 0.8
+			d.meanSquare[lag] = 0.002
+			if !persists {
+				d.state[lag] *= math.Pow(0.84, float64(i)) // as gossip averages it
 			}
 			d.decide()
-			back = back || d.buildRejected
+			rejected = rejected || d.buildRejected
 		}
-		w.failIf(back != lasts, "condemned %v, though it lasts: %v", back, lasts)
+		w.failIf(rejected != persists, "rejected %v, though it persists: %v", rejected, persists)
 	}
 }
 
+// scriptedAnswer is how an attempt ends, and whether its answer is reported as wrong.
 type scriptedAnswer struct {
 	took   int64
 	result Result
 	wrong  bool
 }
 
+// scriptedBuild is the answer of a build to the i-th request.
 type scriptedBuild func(w *world, i, build int) scriptedAnswer
 
-// votesBackAlone plays a build on trial at one router: how long an answer takes, how it ends, whether it is reported wrong.
-// It tells whether the router votes the build back.
+// votesBackAlone plays a trial at one router, and returns whether the router votes the build back.
 func votesBackAlone(t *testing.T, play scriptedBuild) bool {
 	set := testSettings()
 	set.KeyAffinity, set.Hedging, set.SideBySide = false, false, true
@@ -111,8 +123,8 @@
 		play scriptedBuild
 	}{
 		"a good build": {false, func(w *world, i, build int) scriptedAnswer { return scriptedAnswer{usual(i), Succeeded, false} }},
-		// one report, worth many failures, once sent good builds back before gossip had spread it
-		"a lone report": {false, func(w *world, i, build int) scriptedAnswer {
+		// one report, which counts as many failures, once rolled good builds back before gossip had spread it
+		"one report": {false, func(w *world, i, build int) scriptedAnswer {
 			return scriptedAnswer{usual(i), Succeeded, build == 5 && i/5 == 80}
 		}},
 		"wrong answers": {true, func(w *world, i, build int) scriptedAnswer {
@@ -124,7 +136,7 @@
 		"slow answers": {true, func(w *world, i, build int) scriptedAnswer {
 			return scriptedAnswer{usual(i) * int64(1+2*(build-4)), Succeeded, false}
 		}},
-		// what is remembered of a busy build's good time must not hide that it turned bad
+		// the good outcomes that are remembered must not hide that a build has become bad
 		"failures that begin late": {true, func(w *world, i, build int) scriptedAnswer {
 			if i == 700 {
 				w.changeRollout(Rollout{Build: 5, State: Released, ExposureCap: 1})
@@ -132,7 +144,7 @@
 			}
 			return scriptedAnswer{usual(i), Result(min(1, i/1300) * (1 - min(1, i%14))), false}
 		}},
-		// nor may what broke on both builds, beside the earlier one, excuse what fails after the release
+		// nor may resets of both builds during the trial excuse failures after the release
 		"failures after resets": {true, func(w *world, i, build int) scriptedAnswer {
 			if i == 900 {
 				w.changeRollout(Rollout{Build: 5, State: Released, ExposureCap: 1})
@@ -144,7 +156,7 @@
 			}
 			return scriptedAnswer{usual(i), e, false}
 		}},
-		// a shared slowdown and its time-outs once passed for the build's fault
+		// a shared slowdown with its time-outs was once taken for the build's fault
 		"all slow after the release": {false, func(w *world, i, build int) scriptedAnswer {
 			if i == 700 {
 				w.changeRollout(Rollout{Build: 5, State: Released, ExposureCap: 1})
@@ -155,8 +167,8 @@
 		"all slow at once": {false, func(w *world, i, build int) scriptedAnswer {
 			return scriptedAnswer{usual(i) * int64(1+min(1, i/800)), Succeeded, false}
 		}},
-		// resets on all hosts once passed for the build's, beside an earlier build's share of a minute
-		"breaks on both builds": {false, func(w *world, i, build int) scriptedAnswer {
+		// resets at all hosts were once taken for the build's, as the earlier build's share was that of a minute
+		"resets of both builds": {false, func(w *world, i, build int) scriptedAnswer {
 			return scriptedAnswer{usual(i), ConnectionReset * Result(min(1, i/800)*max(0, 1-i%8)), false}
 		}},
 		// no comparison of the builds shows this one
@@ -174,13 +186,14 @@
 	}
 }
 
-// Earlier hosts that turned slow by themselves once kept two commands in three, and the test that keeps the trial back
-// left its good hosts idle for six seconds at a time.
+// Hosts of the earlier build that became slow by themselves once kept two thirds of the requests, and pauses of the trial left
+// its good hosts idle for six seconds at a time.
 func TestEarlierHostsTurnSlow(t *testing.T) {
 	var played *world
 	pauses := 0
 	votesBackAlone(t, func(w *world, i, build int) scriptedAnswer {
-		if played = w; w.engine.pausedAt > 0 {
+		played = w
+		if w.engine.pausedAt > 0 {
 			pauses++
 		}
 		took := int64(60+i*37%80) * ms
@@ -194,11 +207,11 @@
 		sum += x
 	}
 	if pauses > 0 || sum < 150 {
-		t.Errorf("kept back at %d commands; %d of the last %d went to the quick third of the hosts", pauses, sum, len(last))
+		t.Errorf("paused at %d requests; %d of the last %d went to the fast third of the hosts", pauses, sum, len(last))
 	}
 }
 
-// All voters once took back their votes on a stage that had passed, and the platform turned those for the next away.
+// All voters once withdrew their votes on a stage that had passed, and the platform rejected those on the next one.
 func TestOutdatedVotes(t *testing.T) {
 	w := newQuietWorld(t, testSettings(), true)
 	w.advance(8000 * ms)
@@ -207,63 +220,74 @@
 	w.changeRollout(Rollout{Build: 5, VoteReply: true, Stage: 0, ExposureCap: 1})
 	w.changeRollout(Rollout{Build: 5, Stage: 1, ExposureCap: 1})
 	w.advance(1000 * ms)
-	w.failIf(last() != vote{Advance, 5, 0}, "taken back: %v", last())
-	w.engine.castVote, w.engine.voteCastAt, w.engine.wantedVote = vote{RollBack, 5, 0}, w.now, vote{} // for going back a vote of any stage may count
+	w.failIf(last() != vote{Advance, 5, 0}, "withdrawn: %v", last())
+	w.engine.castVote = vote{RollBack, 5, 0} // one to roll back may count in any stage
+	w.engine.voteCastAt = w.now
+	w.engine.wantedVote = vote{}
 	w.engine.updateVote()
-	w.failIf(last().choice != NoVote, "not taken back: %v", last())
+	w.failIf(last().choice != NoVote, "not withdrawn: %v", last())
 }
 
+// discardEffects keeps the votes alone.
 type discardEffects struct{ votes *[]Verdict }
 
+var _ Effects = discardEffects{}
+
 func (discardEffects) StartAttempt(uint32, uint32, int64) {}
 func (discardEffects) Reject(uint32, int64)               {}
 func (discardEffects) Fail(uint32)                        {}
 func (discardEffects) CancelAttempt(uint32, int)          {}
-func (n discardEffects) Vote(v Verdict, _, _ int)         { *n.votes = append(*n.votes, v) }
+func (e discardEffects) Vote(v Verdict, _, _ int)         { *e.votes = append(*e.votes, v) }
 func (discardEffects) SendGossip(int, []byte)             {}
 func (discardEffects) SetTimer(int64, uint64)             {}
 func (discardEffects) CloseIdle(uint32)                   {}
 func (discardEffects) WatchHosts(bool)                    {}
 func (discardEffects) Log(string)                         {}
 
-// A router that starts anew took a build that was just released for the one before, and never sent it back: some fail
-// first 11 s after their hosts' start.
+// A router that restarted once took a build that had just been released for a settled one, and never voted it back: some begin
+// to fail 11 s after their hosts' start.
 func TestStartsAfterTheRelease(t *testing.T) {
-	for _, x := range []struct {
-		age  int64
-		e    Result
-		back bool
-	}{{second, Failed, true}, {60 * second, Failed, false}, {second, InvalidAnswer, false}, {second, Succeeded, false}, {0, Failed, false}} {
+	for _, test := range []struct {
+		age    int64
+		result Result
+		back   bool
+	}{
+		{second, Failed, true},
+		{60 * second, Failed, false},
+		{second, InvalidAnswer, false},
+		{second, Succeeded, false},
+		{0, Failed, false},
+	} {
 		now, votes := int64(1e12), []Verdict{}
-		r := New(testSettings(), 1, now, discardEffects{&votes})
+		e := New(testSettings(), 1, now, discardEffects{&votes})
 		var all []Host
 		for n := range 4 {
-			all = append(all, Host{ID: uint32(n), Build: 7, Capacity: 1, StartedAt: min(x.age, 1) * (now - 10*second)})
+			all = append(all, Host{ID: uint32(n), Build: 7, Capacity: 1, StartedAt: min(test.age, 1) * (now - 10*second)})
 		}
-		r.HostsChanged(now, CachedSnapshot, all)
-		r.RolloutChanged(now, Rollout{Build: 7, State: Released, ExposureCap: 1, Age: x.age})
+		e.HostsChanged(now, CachedSnapshot, all)
+		e.RolloutChanged(now, Rollout{Build: 7, State: Released, ExposureCap: 1, Age: test.age})
 		for id := range uint32(500) {
 			now += 10 * ms
-			r.TimerFired(now, r.timerID)
-			r.RequestReceived(now, Request{ID: id, Class: 2, Remaining: 1000 * ms})
-			if c := r.requestsByID[id]; c != nil {
-				e := Succeeded
+			e.TimerFired(now, e.timerID)
+			e.RequestReceived(now, Request{ID: id, Class: 2, Remaining: 1000 * ms})
+			if c := e.requestsByID[id]; c != nil {
+				result := Succeeded
 				if id%8 == 0 {
-					e = x.e
+					result = test.result
 				}
-				r.AttemptEnded(now, id, 0, e, true, ms, nil)
+				e.AttemptEnded(now, id, 0, result, true, ms, nil)
 			}
 		}
-		if slices.Contains(votes, RollBack) != x.back {
-			t.Error(x, votes)
+		if slices.Contains(votes, RollBack) != test.back {
+			t.Error(test, votes)
 		}
 	}
 }
 
-// However many keys, hosts and builds come and go, what is held is that of the build on trial and the last seconds.
-func TestHeldRolloutLevelsOff(t *testing.T) {
+// However many keys, hosts and builds come and go, the engine keeps what belongs to the build on trial and the last seconds.
+func TestMemoryLevelsOff(t *testing.T) {
 	now, id := int64(1e12), uint32(0)
-	r := New(testSettings(), 1, now, discardEffects{new([]Verdict)})
+	e := New(testSettings(), 1, now, discardEffects{new([]Verdict)})
 	for build := 1; build <= 40; build++ {
 		list := func(health Health, build int) (all []Host) {
 			for n := range 4 {
@@ -271,37 +295,39 @@
 			}
 			return all
 		}
-		r.HostsChanged(now, Delta, list(Ready, build))
+		e.HostsChanged(now, Delta, list(Ready, build))
 		for _, s := range []RolloutState{OnTrial, Released} {
-			r.RolloutChanged(now, Rollout{Build: build, State: s, ExposureCap: 1})
+			e.RolloutChanged(now, Rollout{Build: build, State: s, ExposureCap: 1})
 			if s == Released {
-				r.HostsChanged(now, Delta, list(Gone, build-1))
+				e.HostsChanged(now, Delta, list(Gone, build-1))
 			}
 			for range 500 {
 				now += 10 * ms
-				r.TimerFired(now, r.timerID)
+				e.TimerFired(now, e.timerID)
 				id++
-				r.RequestReceived(now, Request{ID: id, Class: 1, Key: uint64(id), Remaining: 1000 * ms})
-				if c := r.requestsByID[id]; c != nil {
-					r.AttemptEnded(now, id, 0, Succeeded, true, ms, nil)
+				e.RequestReceived(now, Request{ID: id, Class: 1, Key: uint64(id), Remaining: 1000 * ms})
+				if c := e.requestsByID[id]; c != nil {
+					e.AttemptEnded(now, id, 0, Succeeded, true, ms, nil)
 				}
 			}
 		}
-		if build == 20 { // sent back after its release: what went there goes to the earlier one again
-			r.RolloutChanged(now, Rollout{Build: build, State: RollingBack})
-			r.HostsChanged(now, Delta, append(list(Ready, build-1), list(Gone, build)...))
-			if id++; r.minBuild != build-1 {
-				t.Error(r.minBuild)
+		if build == 20 { // rolled back after its release: its keys go to the earlier build again
+			e.RolloutChanged(now, Rollout{Build: build, State: RollingBack})
+			e.HostsChanged(now, Delta, append(list(Ready, build-1), list(Gone, build)...))
+			id++
+			if e.minBuild != build-1 {
+				t.Error(e.minBuild)
 			}
-			if r.RequestReceived(now, Request{ID: id, Class: 1, Key: uint64(id - 1), Remaining: 1000 * ms}); len(r.requestsByID[id].attempts) != 1 {
-				t.Error("no host for a key that was answered by a build sent back")
+			e.RequestReceived(now, Request{ID: id, Class: 1, Key: uint64(id - 1), Remaining: 1000 * ms})
+			if len(e.requestsByID[id].attempts) != 1 {
+				t.Error("no host for a key that was answered by a build that was rolled back")
 			}
-			r.RolloutChanged(now, Rollout{Build: build, State: RolledBack})
-			r.HostsChanged(now, Delta, list(Gone, build-1))
-			r.HostsChanged(now, Delta, list(Ready, build))
+			e.RolloutChanged(now, Rollout{Build: build, State: RolledBack})
+			e.HostsChanged(now, Delta, list(Gone, build-1))
+			e.HostsChanged(now, Delta, list(Ready, build))
 		}
-		if len(r.bindings) > 1 || len(r.keySeenAt) > 400 || len(r.hostsByID) != 4 {
-			t.Fatal(build, len(r.bindings), len(r.keySeenAt), len(r.hostsByID))
+		if len(e.bindings) > 1 || len(e.keySeenAt) > 400 || len(e.hostsByID) != 4 {
+			t.Fatal(build, len(e.bindings), len(e.keySeenAt), len(e.hostsByID))
 		}
 	}
 }
--- a/internal/decision/world_test.go
+++ b/internal/decision/world_test.go
@@ -11,21 +11,21 @@
 
 const ms = int64(1e6)
 
-// Which effect follows in the digest.
+// The kinds of effects in the digest.
 const (
-	effectHandOff = iota
-	effectDismiss
-	effectScrap
-	effectRecall
+	effectStartAttempt = iota
+	effectReject
+	effectFail
+	effectCancelAttempt
 	effectVote
-	effectTell
-	effectWake
-	effectClose
-	effectWatch
-	effectNote
+	effectSendGossip
+	effectSetTimer
+	effectCloseIdle
+	effectWatchHosts
+	effectLog
 )
 
-// world plays everything around one router, and checks the five rules at each effect and after each step.
+// world simulates everything around one router, and checks the five rules of the design at each effect and after each step.
 type world struct {
 	t           *testing.T
 	engine      *Engine
@@ -36,7 +36,7 @@
 	requests    map[uint32]*testRequest
 	hosts       map[uint32]*testHost
 	sent        []*testAttempt // of the last window
-	inFlight    []*testAttempt // that may still be out
+	inFlight    []*testAttempt // that may not have ended
 	unanswered  []*testRequest // that may still need an answer
 	arrivals    []arrival
 	answers     []sampledAnswer // of the last window
@@ -44,11 +44,11 @@
 	votes       []vote
 	closedIdle  int
 	rollout     Rollout
-	capSince    int64 // when the last lower cap was told
-	newestBuild int   // the newest there is
+	capSince    int64 // when the cap was lowered last
+	newestBuild int   // the newest build
 	keyBuilds   map[uint64]int
-	trialShare  []int          // for each hand-off, 1 for the trial
-	effects     *digest.Digest // of the router, where they are recorded
+	trialShare  []int          // for each attempt, 1 for the trial
+	effects     *digest.Digest // of the router, nil if they are not recorded
 }
 
 type testRequest struct {
@@ -68,28 +68,62 @@
 
 type testHost struct {
 	Host
-	changedAt int64 // when it was told to be draining or gone, or of its start
+	changedAt int64 // when it was listed last as ready, or as not ready any more
 }
 
 type arrival struct{ at, class int64 }
 
-const grace, window, answerGrace = 500 * ms, 3000 * ms, 20 * ms
+const (
+	grace       = 500 * ms  // for an attempt after a change that forbids it
+	window      = 3000 * ms // in which rates are checked
+	answerGrace = 20 * ms   // for an answer after its deadline
+)
 
 func newWorld(t *testing.T, set Settings, seed uint64) *world {
-	w := &world{t: t, settings: set, rnd: rand.New(rand.NewPCG(seed, 1)), now: 1e12, requests: map[uint32]*testRequest{},
-		hosts: map[uint32]*testHost{}, timers: map[uint64]int64{}, keyBuilds: map[uint64]int{}}
+	w := &world{
+		t:         t,
+		settings:  set,
+		rnd:       rand.New(rand.NewPCG(seed, 1)),
+		now:       1e12,
+		requests:  map[uint32]*testRequest{},
+		hosts:     map[uint32]*testHost{},
+		timers:    map[uint64]int64{},
+		keyBuilds: map[uint64]int{},
+	}
 	w.engine = New(set, seed, w.now, w)
 	return w
 }
 
+// testSettings has one class of each kind of idempotency.
 func testSettings() Settings {
-	return Settings{Routers: 3, TimerResolution: 5 * ms, MaxAttempts: 4, Hedging: true, Cancellation: true, Gossip: true,
-		MaxRetryAfter: 1000 * ms, AdvanceVotes: 2, RollBackVotes: 1, VoteLifetime: 4000 * ms, VoteTimeout: 800 * ms, Gate: MajorityVote, TrialBurst: 2,
-		FirstStageCap: 0.1, KeyAffinity: true, ReportedShare: 0.15, ColdCapacity: 0.33, WarmUpTime: 4000 * ms, CollapseFactor: 2, OverQuotaValue: 0.1,
-		Customers: []Customer{{30}, {20}}, Classes: []RequestClass{
+	return Settings{
+		Routers:         3,
+		TimerResolution: 5 * ms,
+		MaxAttempts:     4,
+		Hedging:         true,
+		Cancellation:    true,
+		Gossip:          true,
+		MaxRetryAfter:   1000 * ms,
+		AdvanceVotes:    2,
+		RollBackVotes:   1,
+		VoteLifetime:    4000 * ms,
+		VoteTimeout:     800 * ms,
+		Gate:            MajorityVote,
+		TrialBurst:      2,
+		FirstStageCap:   0.1,
+		KeyAffinity:     true,
+		ReportedShare:   0.15,
+		ColdCapacity:    0.33,
+		WarmUpTime:      4000 * ms,
+		CollapseFactor:  2,
+		OverQuotaValue:  0.1,
+		Customers:       []Customer{{30}, {20}},
+		Classes: []RequestClass{
 			{LatencyTarget: 750 * ms, Timeout: 3000 * ms, Idempotency: IdempotentByKey, DedupWindow: 2000 * ms, Value: 5},
 			{LatencyTarget: 1500 * ms, Timeout: 5000 * ms, Value: 1, LateValue: 0.2},
-			{LatencyTarget: 1200 * ms, Timeout: 4000 * ms, Idempotency: NonIdempotent, Value: 3}}}
+			{LatencyTarget: 1200 * ms, Timeout: 4000 * ms, Idempotency: NonIdempotent, Value: 3},
+		},
+	}
 }
 
 func (w *world) fail(format string, args ...any) {
@@ -98,12 +132,13 @@
 }
 
 func (w *world) failIf(wrong bool, format string, args ...any) {
-	if w.t.Helper(); wrong {
+	w.t.Helper()
+	if wrong {
 		w.fail(format, args...)
 	}
 }
 
-func (w *world) trialState(build int) (stage int, cap float64, yes bool) {
+func (w *world) trialState(build int) (stage int, exposureCap float64, isTrial bool) {
 	if build > w.rollout.Build {
 		return 0, w.settings.FirstStageCap, true
 	}
@@ -111,23 +146,23 @@
 }
 
 func (w *world) StartAttempt(id, hostID uint32, until int64) {
-	w.effects.Add(effectHandOff, w.now, id, hostID, until)
+	w.effects.Add(effectStartAttempt, w.now, id, hostID, until)
 	req, h := w.requests[id], w.hosts[hostID]
-	w.failIf(req == nil || req.done || h == nil, "hand-off of %d to %d: ended, or a host that was not listed", id, hostID)
-	w.failIf(h.Health != Ready && w.now-h.changedAt > grace, "rule 3: hand-off to a host that was told to drain")
+	w.failIf(req == nil || req.done || h == nil, "attempt of %d at %d: ended, or a host that was not listed", id, hostID)
+	w.failIf(h.Health != Ready && w.now-h.changedAt > grace, "rule 3: attempt at a host that drains")
 	class := w.settings.Classes[req.Class]
 	for _, attempt := range req.attempts {
 		switch {
 		case attempt.inFlight && !w.settings.Hedging:
-			w.fail("two hand-offs at once")
+			w.fail("two attempts at once")
 		case attempt.notRun:
 		case class.Idempotency == NonIdempotent:
-			w.fail("rule 2: a single-use command again")
+			w.fail("rule 2: a request that is not idempotent again")
 		case class.Idempotency == IdempotentByKey && (w.now > attempt.startedAt+class.DedupWindow || class.DedupScope == SameCell && attempt.host.Cell != h.Cell):
-			w.fail("rule 2: a referenced command outside its window or group")
+			w.fail("rule 2: a request that is idempotent by key outside its window or scope")
 		}
 	}
-	w.failIf(len(req.attempts) >= w.settings.MaxAttempts, "too many hand-offs")
+	w.failIf(len(req.attempts) >= w.settings.MaxAttempts, "too many attempts")
 	attempt := &testAttempt{request: req, host: h, build: h.Build, startedAt: w.now, number: len(req.attempts), inFlight: true}
 	w.sent = append(w.sent, attempt)
 	w.inFlight = append(w.inFlight, attempt)
@@ -138,13 +173,13 @@
 
 func (w *world) checkExposure(attempt *testAttempt, class RequestClass) {
 	w.failIf(attempt.request.Key != 0 && w.settings.KeyAffinity && attempt.build < w.keyBuilds[attempt.request.Key], "rule 5: a key goes back to an earlier build")
-	stage, cap, yes := w.trialState(attempt.build)
-	if !yes {
+	stage, exposureCap, isTrial := w.trialState(attempt.build)
+	if !isTrial {
 		return
 	}
-	w.failIf(cap == 0 && w.now-w.capSince > grace || stage < w.settings.GuardedStages && class.Idempotency != Idempotent,
-		"rule 5: cap %v stage %d band %d", cap, stage, attempt.request.Class)
-	from, sent, taken := max(w.now-window, w.capSince), 0, 0
+	w.failIf(exposureCap == 0 && w.now-w.capSince > grace || stage < w.settings.GuardedStages && class.Idempotency != Idempotent,
+		"rule 5: cap %v stage %d class %d", exposureCap, stage, attempt.request.Class)
+	from, sent, received := max(w.now-window, w.capSince), 0, 0
 	for _, x := range w.sent {
 		if x.startedAt > from && x.build == attempt.build && (!w.settings.CapPerClass || x.request.Class == attempt.request.Class) {
 			sent++
@@ -152,13 +187,13 @@
 	}
 	for _, x := range w.arrivals {
 		if x.at > w.now-window && (!w.settings.CapPerClass || x.class == int64(attempt.request.Class)) {
-			taken++
+			received++
 		}
 	}
-	w.failIf(float64(sent) > w.settings.TrialBurst+cap*float64(taken)+1e-6, "rule 5: %d sent of %d taken, cap %v", sent, taken, cap)
+	w.failIf(float64(sent) > w.settings.TrialBurst+exposureCap*float64(received)+1e-6, "rule 5: %d sent of %d received, cap %v", sent, received, exposureCap)
 }
 
-func (w *world) warmShare(h *testHost) float64 {
+func (w *world) warmth(h *testHost) float64 {
 	age := float64(w.now-h.StartedAt) / float64(w.settings.WarmUpTime)
 	if h.StartedAt == 0 || age >= 1 {
 		return 1
@@ -166,22 +201,23 @@
 	return w.settings.ColdCapacity + (1-w.settings.ColdCapacity)*age
 }
 
-// checkColdHost is rule 4: with this router as all the traffic, what is sent must fit twice the host's part of what
-// the fleet was seen to carry, but for a few at the start.
+// checkColdHost is rule 4: if this router is all the traffic, the attempts at a cold host must stay within twice its share of
+// what the fleet was seen to carry, but for a few at the start.
 func (w *world) checkColdHost(h *testHost) {
-	sent, room := 0.0, 5.0
+	sent, allowed := 0.0, 5.0
 	for _, x := range w.sent {
 		if x.host == h && x.startedAt > max(w.now-window, h.changedAt) {
 			sent++
 		}
 	}
 	for _, x := range w.answers {
-		room += 2 * h.Capacity * w.warmShare(h) / x.capacity
+		allowed += 2 * h.Capacity * w.warmth(h) / x.capacity
 	}
-	w.failIf(w.warmShare(h) < 1 && sent > room, "rule 4: %v sent to a cold host that can do %v", sent, room)
+	w.failIf(w.warmth(h) < 1 && sent > allowed, "rule 4: %v sent to a cold host that can do %v", sent, allowed)
 }
 
-type sampledAnswer struct{ at, capacity float64 } // a fulfilled command, and the fleet's capacity at the time
+// sampledAnswer is a request that succeeded, with the capacity of the fleet at that time.
+type sampledAnswer struct{ at, capacity float64 }
 
 func (w *world) finish(id uint32) *testRequest {
 	c := w.requests[id]
@@ -191,40 +227,42 @@
 }
 
 func (w *world) Reject(id uint32, wait int64) {
-	w.effects.Add(effectDismiss, w.now, id, wait)
+	w.effects.Add(effectReject, w.now, id, wait)
 	req := w.finish(id)
 	class := w.settings.Classes[req.Class]
 	for _, s := range req.attempts {
 		w.failIf(!s.notRun && (class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != AllHosts),
-			"rule 2: dismissed though it may have run")
+			"rule 2: rejected though it may have run")
 	}
 }
 func (w *world) Fail(id uint32) {
-	w.effects.Add(effectScrap, w.now, id)
+	w.effects.Add(effectFail, w.now, id)
 	w.finish(id)
 }
 func (w *world) CancelAttempt(id uint32, number int) {
-	w.effects.Add(effectRecall, w.now, id, number)
-	w.failIf(w.requests[id] == nil || number >= len(w.requests[id].attempts), "recall of nothing")
+	w.effects.Add(effectCancelAttempt, w.now, id, number)
+	w.failIf(w.requests[id] == nil || number >= len(w.requests[id].attempts), "cancellation of no attempt")
 }
 func (w *world) Vote(v Verdict, build, stage int) {
 	w.effects.Add(effectVote, w.now, v, build, stage)
 	w.votes = append(w.votes, vote{v, build, stage})
 }
-func (w *world) SendGossip(peer int, message []byte) { w.effects.Add(effectTell, w.now, peer, message) }
-func (w *world) SetTimer(after int64, mark uint64) {
-	w.effects.Add(effectWake, w.now, after, mark)
-	w.timers[mark] = w.now + after
+func (w *world) SendGossip(peer int, message []byte) {
+	w.effects.Add(effectSendGossip, w.now, peer, message)
+}
+func (w *world) SetTimer(after int64, id uint64) {
+	w.effects.Add(effectSetTimer, w.now, after, id)
+	w.timers[id] = w.now + after
 }
 func (w *world) CloseIdle(host uint32) {
-	w.effects.Add(effectClose, w.now, host)
+	w.effects.Add(effectCloseIdle, w.now, host)
 	w.closedIdle++
 }
-func (w *world) WatchHosts(on bool) { w.effects.Add(effectWatch, w.now, on) }
-func (w *world) Log(text string)    { w.effects.Add(effectNote, w.now) } // the text is for people
+func (w *world) WatchHosts(on bool) { w.effects.Add(effectWatchHosts, w.now, on) }
+func (w *world) Log(text string)    { w.effects.Add(effectLog, w.now) } // the text is for people
 
-// advance lets time go by, and delivers the wake-ups that fall due: late, at times again, and a little early, as the
-// clock of their source is coarser, which once stopped all time-outs.
+// advance lets time pass, and fires the timers that are due: late, sometimes twice, and a little early, as the clock of a
+// timer may be coarser, which once ended all time-outs.
 func (w *world) advance(by int64) {
 	for end := w.now + by; w.now < end; {
 		w.now = min(end, w.now+w.settings.TimerResolution)
@@ -293,13 +331,13 @@
 		capacity := 0.0
 		for _, h := range w.hosts {
 			if h.Health == Ready {
-				capacity += h.Capacity * w.warmShare(h)
+				capacity += h.Capacity * w.warmth(h)
 			}
 		}
 		w.answers = append(w.answers, sampledAnswer{float64(w.now), capacity})
 	}
 	w.engine.AttemptEnded(w.now, attempt.request.ID, attempt.number, result, done, w.now-attempt.startedAt, nil)
-	if _, _, yes := w.trialState(attempt.build); result == Succeeded && attempt.request.Key != 0 && (yes || attempt.build == w.rollout.Build) {
+	if _, _, isTrial := w.trialState(attempt.build); result == Succeeded && attempt.request.Key != 0 && (isTrial || attempt.build == w.rollout.Build) {
 		w.keyBuilds[attempt.request.Key] = max(w.keyBuilds[attempt.request.Key], attempt.build)
 	}
 }
