--- /dev/null
+++ b/internal/retryguard/appointment_test.go
@@ -0,0 +1,71 @@
+package retryguard
+
+import (
+	"testing"
+)
+
+// Rejected clients are told to come back at a time with capacity, and not all at once; one that comes earlier has no advantage, and
+// one that keeps its appointment goes before others.
+func TestAppointments(t *testing.T) {
+	w := newWorld(t, testSettings(), 5)
+	w.calm(20, 60, 0)
+	w.outage(3, 60)
+	w.HostsChanged(w.now, true, listHosts(10, w.now))
+	for i := range w.capacity.ready {
+		w.capacity.ready[i].known, w.capacity.ready[i].down = true, false
+	}
+	w.now += tickInterval
+	perSlot := map[int64]int{}
+	for range 600 {
+		w.key++
+		req := &Request{Fingerprint: FingerprintOf(0, 0, w.key, ""), Remaining: 5 * second}
+		if admitted, wait := w.Admit(w.now, req); !admitted {
+			if wait <= 0 || wait > second {
+				t.Fatal("waits", wait)
+			}
+			perSlot[wait/slot]++
+		}
+	}
+	most := 0
+	for _, n := range perSlot {
+		most = max(most, n)
+	}
+	if len(perSlot) < 5 || most > 150 {
+		t.Error(len(perSlot), "slots, most in one", most)
+	}
+	c := w.customer(0)
+	early := w.Stats.AppointmentsEarly
+	if got := w.classify(c, w.now, w.now-1e8, w.now+3e8); got != unscheduledRetry || w.Stats.AppointmentsEarly != early+1 {
+		t.Error("came early and counts as", got)
+	}
+	if got := w.classify(c, w.now, w.now-1e9, w.now); got != appointmentKept {
+		t.Error("kept its appointment and counts as", got)
+	}
+	if got := w.classify(c, w.now, w.now-second, w.now+2*second); got != unscheduledRetry || w.Stats.AppointmentsEarly != early+1 {
+		t.Error("came after its wait, before its appointment, and counts as", got, w.Stats.AppointmentsEarly)
+	}
+	total := workBudget{available: 0.4, rate: 10}
+	unused := 0.0
+	budget := workBudget{available: 10}
+	if budget.admit(&total, &unused, unscheduledRetry, 0.3, 0.5, 0) || !budget.admit(&total, &unused, appointmentKept, 0.3, 0.5, 0) {
+		t.Error("an appointment does not go first")
+	}
+}
+
+// Customers whose clients ignore their appointments are given none.
+func TestIgnoredAppointments(t *testing.T) {
+	w := newWorld(t, testSettings(), 6)
+	w.calm(20, 60, 0)
+	w.outage(2, 60)
+	for range 200 {
+		w.classify(w.customer(0), w.now, w.now, w.now+second/2)
+	}
+	before := w.Stats.Appointments
+	req := &Request{Fingerprint: 77, Customer: 0, Remaining: second}
+	if wait := w.Rejected(w.now, req, 0); w.Stats.Appointments != before || wait < second/2 || wait > second {
+		t.Error(w.Stats.Appointments-before, "appointments, waits", wait)
+	}
+	if len(w.fingerprints.entries)*8 > testSettings().MemoryBytes {
+		t.Error("the table grew")
+	}
+}
--- a/internal/retryguard/detector.go
+++ b/internal/retryguard/detector.go
@@ -2,46 +2,62 @@
 
 import "math"
 
-const tickInterval = second / 10 // the design's tick
+// tickInterval is the time between two ticks.
+const tickInterval = second / 10
 
-// Figures of the change test. In the spirit of the design page: a geometric moving average of the further tries'
-// excess over their calm share, tested against one threshold.
+// The test for a change: a geometric moving average of the retries beyond their calm share, compared with one threshold, as
+// for builds on trial in internal/decision. The sums must show minExcess retries beyond calm traffic's, and exceed the
+// threshold by requiredErrors standard errors: with those, traffic of 2 to 400 requests a second with 0 to 20% of retries in
+// calm raised no alarm in an hour.
 const (
-	// The sums must show so many further tries more than calm traffic's, and clear the threshold by so many standard
-	// errors: with those, traffic of 2 to 400 tries a second with 0 to 20% calm further ones raised no alarm in an hour.
-	minExcess, requiredErrors = 8, 5.5
-	quietTicks                = 10 // ticks under a third of the threshold that end a storm
-	learningRate              = 0.002
+	minExcess      = 8
+	requiredErrors = 5.5
+	quietTicks     = 10 // in a row below a third of the threshold, which end a retry storm
+	learningRate   = 0.002
+	calmForgetting = 0.998 // a memory of 50 s
 )
 
-// forgettingFactors are what the sums keep a tick: 1 s, of which a storm fills half in 400 ms, and 3 s, by which a router of few
-// commands has enough of them.
+// forgettingFactors are what the two sums keep each tick: that of 1 s, of which a retry storm fills half in 400 ms, and that of 3 s,
+// by which a router with few requests has enough of them.
 var forgettingFactors = [2]float64{0.9, 0.97}
 
-// Detector tells when further tries exceed their calm share.
+// Detector detects that the share of retries is higher than in calm traffic.
 type Detector struct {
-	threshold            float64
-	calmShare            float64 // further tries' share of all in calm traffic
-	requests, retries    float64 // this tick's
-	sums                 [2]excess
-	requestSum, retrySum float64
-	calmTicks            int // ticks
-	Storm                bool
+	Storm bool // a retry storm is on
+
+	threshold  float64
+	calmShare  float64 // share of retries in calm traffic
+	requests   float64 // of this tick
+	retries    float64 // of this tick
+	sums       [2]excess
+	requestSum float64 // of the last minute
+	retrySum   float64
+	calmTicks  int // in a row
 }
 
-// excess is how many further tries of some are over the calm share.
+// excess is how many retries there are beyond the calm share of some requests.
 type excess struct{ requests, retries float64 }
 
-// exceeds tells whether an excess clears a threshold, surely.
-func (x excess) exceeds(threshold, calm float64) bool {
-	stdErr := math.Sqrt(max(0.02, calm*(1-calm)) / max(1, x.requests))
+// exceeds says whether an excess is surely beyond a threshold.
+func (x excess) exceeds(threshold, calmShare float64) bool {
+	stdErr := math.Sqrt(max(0.02, calmShare*(1-calmShare)) / max(1, x.requests))
 	return x.retries >= minExcess && x.retries/x.requests > threshold+requiredErrors*stdErr
 }
 
-// NewDetector makes one that knows no traffic yet and takes 5% further tries for calm.
-func NewDetector(threshold float64) Detector { return Detector{threshold: threshold, calmShare: 0.05} }
+// isQuiet says whether there are few retries.
+func (x excess) isQuiet(threshold float64) bool {
+	return x.requests < 1 || x.retries/x.requests < threshold/3
+}
+
+// initialCalmShare is the share of retries that is taken for calm before there is traffic.
+const initialCalmShare = 0.05
 
-// Count counts a try.
+// NewDetector makes a detector that knows no traffic yet.
+func NewDetector(threshold float64) Detector {
+	return Detector{threshold: threshold, calmShare: initialCalmShare}
+}
+
+// Count counts a request.
 func (d *Detector) Count(retry bool) {
 	d.requests++
 	if retry {
@@ -49,31 +65,53 @@
 	}
 }
 
-// Tick ends a tick, and tells whether a storm has just begun. Collapsed says that the hosts went, so that further
-// tries are sure to come.
+// Tick ends a tick, and says whether a retry storm has just begun. collapsed says that the hosts are gone, so that retries are sure
+// to come.
 func (d *Detector) Tick(collapsed bool) (began bool) {
-	detected := collapsed
-	for i := range d.sums {
-		sum := &d.sums[i]
-		sum.requests, sum.retries = forgettingFactors[i]*sum.requests+d.requests, forgettingFactors[i]*sum.retries+d.retries-d.calmShare*d.requests
-		detected = detected || sum.exceeds(d.threshold, d.calmShare)
-	}
-	d.requestSum, d.retrySum = 0.998*d.requestSum+d.requests, 0.998*d.retrySum+d.retries // a memory of 50 s
-	sum := d.sums[0]
-	low := sum.requests < 1 || sum.retries/sum.requests < d.threshold/3
+	detected := d.updateSums() || collapsed
+	lastSecond := d.sums[0] // as it is before the end of a retry storm clears it
 	switch {
 	case detected && !d.Storm:
-		d.Storm, began, d.calmTicks = true, true, 0
-	case !low || collapsed:
+		d.Storm = true
+		began = true
+		d.calmTicks = 0
+	case collapsed || !lastSecond.isQuiet(d.threshold):
 		d.calmTicks = 0
 	default:
-		if d.calmTicks++; d.Storm && d.calmTicks >= quietTicks {
-			d.Storm, d.sums = false, [2]excess{} // what has been answered for counts no more
-		}
-	}
-	if !d.Storm && sum.retries < d.threshold*sum.requests {
-		d.calmShare += learningRate * min(1, d.requests) * (d.retrySum/max(d.requestSum, 20) - d.calmShare)
+		d.countCalmTick()
 	}
-	d.requests, d.retries = 0, 0
+	d.learnCalmShare(lastSecond)
+	d.requests = 0
+	d.retries = 0
 	return began
 }
+
+// updateSums adds the tick's requests to the sums, and says whether one of them exceeds the threshold.
+func (d *Detector) updateSums() (detected bool) {
+	for i := range d.sums {
+		sum := &d.sums[i]
+		sum.requests = forgettingFactors[i]*sum.requests + d.requests
+		sum.retries = forgettingFactors[i]*sum.retries + d.retries - d.calmShare*d.requests
+		detected = detected || sum.exceeds(d.threshold, d.calmShare)
+	}
+	d.requestSum = calmForgetting*d.requestSum + d.requests
+	d.retrySum = calmForgetting*d.retrySum + d.retries
+	return detected
+}
+
+// countCalmTick ends the retry storm after enough quiet ticks. What is in the sums belongs to it, and is forgotten.
+func (d *Detector) countCalmTick() {
+	d.calmTicks++
+	if d.Storm && d.calmTicks >= quietTicks {
+		d.Storm = false
+		d.sums = [2]excess{}
+	}
+}
+
+// learnCalmShare follows the share of retries slowly, outside of retry storms.
+func (d *Detector) learnCalmShare(lastSecond excess) {
+	if d.Storm || lastSecond.retries >= d.threshold*lastSecond.requests {
+		return
+	}
+	d.calmShare += learningRate * min(1, d.requests) * (d.retrySum/max(d.requestSum, 20) - d.calmShare)
+}
--- /dev/null
+++ b/internal/retryguard/schedule_test.go
@@ -0,0 +1,99 @@
+package retryguard
+
+import (
+	"container/heap"
+	"math/rand/v2"
+	"runtime"
+	"testing"
+)
+
+// Reservations stay within each slot's capacity, fill the slots in order, and are those that a scan of all slots would give.
+func TestSchedule(t *testing.T) {
+	for seed := range uint64(20) {
+		rnd := rand.New(rand.NewPCG(seed, 2))
+		s := NewSchedule(2 * second)
+		now := int64(1e18)
+		capacity := func(at int64) float64 { return float64(at/slot%7) / 7 }
+		s.Forecast(now, capacity)
+		for range 400 {
+			earliest := now + int64(rnd.IntN(int(2*second)))
+			want := int64(-1)
+			for at := max(earliest/slot, s.firstSlot); at < s.firstSlot+int64(len(s.capacity)); at++ {
+				if i := s.index(at); s.reserved[i] < s.capacity[i] {
+					want = at * slot
+					break
+				}
+			}
+			due, ok := s.Reserve(earliest, 0.2)
+			if ok != (want >= 0) || ok && due != want {
+				t.Fatal(seed, due, ok, want)
+			}
+			if rnd.IntN(20) == 0 {
+				s.Release(due, 0.2)
+				now += int64(rnd.IntN(int(second / 5)))
+				s.Forecast(now, capacity)
+			}
+		}
+	}
+}
+
+// appointments is a heap, for comparison with the schedule.
+type appointments []struct{ at, fingerprint int64 }
+
+func (a appointments) Len() int           { return len(a) }
+func (a appointments) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a appointments) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *appointments) Push(x any)        { *a = append(*a, x.(struct{ at, fingerprint int64 })) }
+
+func (a *appointments) Pop() any {
+	x := (*a)[len(*a)-1]
+	*a = (*a)[:len(*a)-1]
+	return x
+}
+
+const many = 1_000_000 // appointments
+
+// allocatedBytes is the memory of what fill returns, for each of many appointments.
+func allocatedBytes(fill func() any) float64 {
+	var before, after runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&before)
+	kept := fill()
+	runtime.GC()
+	runtime.ReadMemStats(&after)
+	runtime.KeepAlive(kept)
+	return float64(after.HeapAlloc-before.HeapAlloc) / many
+}
+
+// A million appointments in a schedule with fingerprints, and in a heap with a map.
+func BenchmarkAppointments(b *testing.B) {
+	now := int64(1e18)
+	fillSchedule := func() any {
+		s, f := NewSchedule(60*second), NewFingerprints(16<<20, 60*second)
+		s.Forecast(now, func(int64) float64 { return 400 })
+		for i := range many {
+			due, _ := s.Reserve(now, 1)
+			f.Put(mix(uint64(i)), now, due)
+		}
+		return [2]any{s, f}
+	}
+	fillHeap := func() any {
+		var h appointments
+		at := make(map[int64]int64)
+		for i := range many {
+			due := now + int64(i)*60000
+			heap.Push(&h, struct{ at, fingerprint int64 }{due, int64(mix(uint64(i)))})
+			at[int64(mix(uint64(i)))] = due
+		}
+		return [2]any{h, at}
+	}
+	for name, fill := range map[string]func() any{"schedule": fillSchedule, "heap": fillHeap} {
+		b.Run(name, func(b *testing.B) {
+			for b.Loop() {
+				fill()
+			}
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/many, "ns/appointment")
+			b.ReportMetric(allocatedBytes(fill), "B/appointment")
+		})
+	}
+}
--- a/internal/retryguard/trace_test.go
+++ b/internal/retryguard/trace_test.go
@@ -7,50 +7,57 @@
 	"portflow/internal/testing/digest"
 )
 
-// What a guard lets in, the waits that it tells and what it counts, in drawn traffic with hosts that go and come back, are what
-// they were. The order of the fields of Stats and the numbers of signs count; names don't.
+// What a guard admits, its waits and its statistics are unchanged, in random traffic with hosts that go and come back. The order
+// of the fields of Stats and the numbers of constants are part of the digest; names are not.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 25, []string{"9aa8eda84d93ddbe", "4034c0d95d55fb5c", "926a76439b5d793c", "aa6892acdf423db1"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 7))
 		w := newWorld(t, testSettings(), seed)
-		type open struct {
-			try    *Request
-			number int
+		type openRequest struct {
+			*Request
+			attempts int
 		}
-		var all []open
-		served := true
+		var open []openRequest
+		hostsAnswer := true
 		for n := range 3000 {
 			w.now += draw.Int64N(second / 50)
 			switch at := draw.IntN(20); {
-			case at < 10 || len(all) == 0:
-				band, key := draw.IntN(2), uint64(draw.IntN(60))
-				x := &Request{Class: band, Customer: draw.IntN(3), Fingerprint: FingerprintOf(band, int(key%3), key, ""), Retry: draw.IntN(20) == 0, Remaining: draw.Int64N(5 * second)}
-				in, wait := w.Admit(w.now, x)
-				if d.Add(in, wait); in {
-					w.AttemptStarted(w.now, x, 0)
-					all = append(all, open{x, 1})
+			case at < 10 || len(open) == 0:
+				class, key := draw.IntN(2), uint64(draw.IntN(60))
+				req := &Request{
+					Class:       class,
+					Customer:    draw.IntN(3),
+					Fingerprint: FingerprintOf(class, int(key%3), key, ""),
+					Retry:       draw.IntN(20) == 0,
+					Remaining:   draw.Int64N(5 * second),
+				}
+				admitted, wait := w.Admit(w.now, req)
+				d.Add(admitted, wait)
+				if admitted {
+					w.AttemptStarted(w.now, req, 0)
+					open = append(open, openRequest{req, 1})
 				}
 			case at < 17:
-				which := draw.IntN(len(all))
-				x := all[which]
-				sign := Signal(draw.IntN(5))
-				if served {
-					sign = Answered
+				which := draw.IntN(len(open))
+				req := open[which]
+				signal := Signal(draw.IntN(5))
+				if hostsAnswer {
+					signal = Answered
 				}
-				w.Guard.AttemptEnded(w.now, x.try, uint32(1+draw.IntN(10)), sign, sign == Answered, draw.Int64N(second))
-				if sign != Answered && x.number < 3 && draw.IntN(2) == 0 {
-					w.AttemptStarted(w.now, x.try, x.number)
-					all[which].number++
+				w.AttemptEnded(w.now, req.Request, uint32(1+draw.IntN(10)), signal, signal == Answered, draw.Int64N(second))
+				if signal != Answered && req.attempts < 3 && draw.IntN(2) == 0 {
+					w.AttemptStarted(w.now, req.Request, req.attempts)
+					open[which].attempts++
 					break
 				}
-				if sign != Answered {
-					d.Add(w.Rejected(w.now, x.try, draw.Int64N(second)))
+				if signal != Answered {
+					d.Add(w.Rejected(w.now, req.Request, draw.Int64N(second)))
 				}
-				all[which] = all[len(all)-1]
-				all = all[:len(all)-1]
+				open[which] = open[len(open)-1]
+				open = open[:len(open)-1]
 			case at < 18:
-				w.Abandoned(w.now, all[len(all)-1].try)
-				all = all[:len(all)-1]
+				w.Abandoned(w.now, open[len(open)-1].Request)
+				open = open[:len(open)-1]
 			case at < 19 && draw.IntN(5) == 0:
 				hosts := listHosts(10, w.now-draw.Int64N(6*second))
 				for i := range hosts {
@@ -58,7 +65,7 @@
 				}
 				w.HostsChanged(w.now, draw.IntN(2) == 0, hosts[draw.IntN(5):])
 			case n%100 == 0:
-				served = !served
+				hostsAnswer = !hostsAnswer
 			}
 			if n%50 == 0 {
 				d.Add(w.Stats, w.StormActive(0), w.StormActive(1), w.StormActive(2), w.Bytes(), w.capacity.At(w.now), w.capacity.Warm(), w.capacity.Total())
