--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,4 +1,5 @@
-// Package backoff waits between calls that fail.
+// Package backoff waits between calls that fail: for longer each time, and for a random part of that. It makes no calls. Begin reading
+// at Backoff.
 package backoff
 
 import (
@@ -9,23 +10,24 @@
 )
 
 const (
-	initialDelay = 50 * time.Millisecond // no more than the platforms' own delays
-	maxDelay     = 2 * time.Second       // short beside the outages that routers see
+	initialDelay = 50 * time.Millisecond // the mean after one failure: no more than the platforms' own delays
+	maxDelay     = 2 * time.Second       // the greatest mean: short beside the outages that routers see
+	maxDoublings = 10                    // so that the shift does not overflow; maxDelay is reached before
 )
 
-// Backoff are those of one caller, by the chance of its seed: routers that lost a peer in the same moment would else come
-// back to it in step, again and again. It is not safe for use by two goroutines.
+// Backoff is the waits of one caller, which depend on the seed of its Source: routers that lost a peer at the same moment would
+// otherwise call it again at the same moments. It is not safe for concurrent use.
 type Backoff struct {
 	Source random.Source
 }
 
-// Delay is how long to wait after so many failures in a row: half to one and a half of a time that doubles up to a bound.
+// Delay returns the wait after so many failures in a row: half to one and a half of a mean that doubles up to a bound.
 func (b *Backoff) Delay(failures int) time.Duration {
-	mean := min(maxDelay, initialDelay<<min(max(failures-1, 0), 10))
+	mean := min(maxDelay, initialDelay<<min(max(failures-1, 0), maxDoublings))
 	return time.Duration((0.5 + b.Source.Float64()) * float64(mean))
 }
 
-// Wait waits for so long, or until the context ends.
+// Wait waits for Delay, or until the context ends.
 func (b *Backoff) Wait(ctx context.Context, failures int) {
 	timer := time.NewTimer(b.Delay(failures))
 	defer timer.Stop()
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -7,40 +7,41 @@
 	"portflow/internal/random"
 )
 
-// Three hundred routers that lost a peer in the same moment once asked it again all at once, time after time. They come
-// back spread: in no tenth of the time that they take come more than twice as many as if they came evenly.
-func TestFleetComesBackSpread(t *testing.T) {
+// Three hundred routers that lost a peer at the same moment once called it again all at once, time after time. Their calls are
+// spread: in no tenth of the time that they take are more than three times as many as if they were even.
+func TestCallsOfAFleetAreSpread(t *testing.T) {
 	const routers = 300
 	var at [routers]time.Duration
-	var draws [routers]Backoff
-	for i := range draws {
-		draws[i].Source = random.Source{Seed: uint64(i) * 77}
+	var backoffs [routers]Backoff
+	for i := range backoffs {
+		backoffs[i].Source = random.Source{Seed: uint64(i) * 77}
 	}
 	for failures := 1; failures < 9; failures++ {
-		var least, most time.Duration = 1 << 62, 0
-		for i := range draws {
-			at[i] += draws[i].Delay(failures)
-			least, most = min(least, at[i]), max(most, at[i])
+		var first, last time.Duration = 1 << 62, 0
+		for i := range backoffs {
+			at[i] += backoffs[i].Delay(failures)
+			first, last = min(first, at[i]), max(last, at[i])
 		}
 		var tenths [11]int
 		for _, x := range at {
-			tenths[10*(x-least)/(most-least)]++
+			tenths[10*(x-first)/(last-first)]++
 		}
 		for i, n := range tenths {
 			if n > routers/10*3 {
-				t.Errorf("after %d failures %d of %d in the part %d from %v to %v", failures, n, routers, i, least, most)
+				t.Errorf("after %d failures %d of %d in the tenth %d from %v to %v", failures, n, routers, i, first, last)
 			}
 		}
-		if most-least < initialDelay/2 {
-			t.Errorf("after %d failures all within %v", failures, most-least)
+		if last-first < initialDelay/2 {
+			t.Errorf("after %d failures all within %v", failures, last-first)
 		}
 	}
 }
 
+// Delays stay within their bounds after any number of failures.
 func TestBound(t *testing.T) {
-	var w Backoff
+	var b Backoff
 	for failures := range 100 {
-		if d := w.Delay(failures); d < initialDelay/2 || d > maxDelay*3/2 {
+		if d := b.Delay(failures); d < initialDelay/2 || d > maxDelay*3/2 {
 			t.Error(failures, d)
 		}
 	}
--- a/internal/backoff/trace_test.go
+++ b/internal/backoff/trace_test.go
@@ -7,12 +7,12 @@
 	"portflow/internal/testing/digest"
 )
 
-// The waits of a seed are what they were.
+// The waits of a seed are unchanged.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 100, []string{"202966548be4c4ed", "97bb376050d00e6d"}, func(seed uint64, d *digest.Digest) {
-		w := Backoff{Source: random.Source{Seed: seed}}
+		b := Backoff{Source: random.Source{Seed: seed}}
 		for n := range 50 {
-			d.Add(int64(w.Delay(n % 15)))
+			d.Add(int64(b.Delay(n % 15)))
 		}
 	})
 }
--- a/internal/decay/sum.go
+++ b/internal/decay/sum.go
@@ -1,24 +1,28 @@
-// Package decay counts what came of late: each event is forgotten exponentially. It is pure.
+// Package decay counts recent events: each is forgotten exponentially with time. It is pure, and has no clock: its users pass the
+// time in. Begin reading at Sum.
 package decay
 
 import "math"
 
-// Sum is how many events there were, and the sum of a figure of theirs. Times are nanoseconds; the memory is that in which
-// a third is left.
+// Sum is the decayed number of events and the decayed sum of their values. Times are in nanoseconds; memory is the time constant,
+// after which 1/e is left. The zero Sum is empty. It is not safe for concurrent use.
 type Sum struct {
 	Count, Total float64
-	at           int64
+	at           int64 // up to which it is decayed
 }
 
-// Decay forgets up to now; a time before the last one changes nothing.
+// Decay decays the sum up to now. A time before the last one changes nothing.
 func (s *Sum) Decay(now, memory int64) {
-	if now > s.at {
-		factor := math.Exp(-float64(now-s.at) / float64(memory))
-		s.Count, s.Total, s.at = s.Count*factor, s.Total*factor, now
+	if now <= s.at {
+		return
 	}
+	factor := math.Exp(-float64(now-s.at) / float64(memory))
+	s.Count *= factor
+	s.Total *= factor
+	s.at = now
 }
 
-// Add counts one event with its figure.
+// Add counts one event with its value.
 func (s *Sum) Add(now, memory int64, value float64) {
 	s.Decay(now, memory)
 	s.Count++
--- a/internal/decay/sum_test.go
+++ b/internal/decay/sum_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// What came is forgotten by the time that has passed, however often it is looked at, and a late time changes nothing.
+// Decay depends on the time that has passed, not on how often it is called, and an earlier time changes nothing.
 func TestSum(t *testing.T) {
 	c := qt.New(t)
 	var once, often Sum
@@ -19,7 +19,7 @@
 	once.Decay(200, 50)
 	c.Check(math.Abs(once.Count-math.Exp(-2)) < 1e-12 && math.Abs(once.Total-3*math.Exp(-2)) < 1e-12, qt.IsTrue)
 	c.Check(math.Abs(once.Count-often.Count) < 1e-12, qt.IsTrue)
-	was := once
+	before := once
 	once.Decay(150, 50)
-	c.Check(once, qt.Equals, was)
+	c.Check(once, qt.Equals, before)
 }
--- a/internal/decay/trace_test.go
+++ b/internal/decay/trace_test.go
@@ -7,7 +7,7 @@
 	"portflow/internal/testing/digest"
 )
 
-// Sums of drawn events are what they were, to the last bit.
+// Sums of random events are unchanged, to the last bit.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 50, []string{"808ed13ba0c9a05f", "704f8e3f834634d2"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
--- a/internal/httpframing/stream_test.go
+++ b/internal/httpframing/stream_test.go
@@ -9,10 +9,13 @@
 	"testing"
 )
 
-var lengthLine, codingLine = regexp.MustCompile(`(?im)^content-length:`), regexp.MustCompile(`(?im)^transfer-encoding:`)
+var (
+	lengthLine = regexp.MustCompile(`(?im)^content-length:`)
+	codingLine = regexp.MustCompile(`(?im)^transfer-encoding:`)
+)
 
-// compare reads a connection's bytes with net/http and with a Stream, which gets them in parts: of each request that net/http
-// reads whole both must know the same.
+// compare reads a connection's bytes with net/http, and with a Stream that is given them in parts: both must find the same framing of
+// each request that net/http reads. It returns how many were read completely.
 func compare(t *testing.T, raw []byte, part int) (read int) {
 	var s Stream
 	for rest := raw; len(rest) > 0; {
@@ -22,26 +25,27 @@
 	}
 	source := bytes.NewReader(raw)
 	in := bufio.NewReader(source)
-	at := func() int { return len(raw) - source.Len() - in.Buffered() }
+	position := func() int { return len(raw) - source.Len() - in.Buffered() }
 	for last := ""; ; {
 		if last == http.MethodPost { // as net/http's server does, for old clients
 			next, _ := in.Peek(4)
 			in.Discard(len(next) - len(bytes.TrimLeft(next, "\r\n")))
 		}
-		from := at()
+		from := position()
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return read
 		}
-		head := raw[from:at()]
+		head := raw[from:position()]
 		last = r.Method
-		is := s.Next()
-		if lengths, codings := len(lengthLine.FindAll(head, -1)), len(codingLine.FindAll(head, -1)); !is.Lost &&
-			(lengths != is.Lengths || codings != is.TransferEncodings) {
-			t.Fatalf("%q: %d lengths and %d codings, not %+v", head, lengths, codings, is)
+		found := s.Next()
+		lengths := len(lengthLine.FindAll(head, -1))
+		codings := len(codingLine.FindAll(head, -1))
+		if !found.Lost && (lengths != found.Lengths || codings != found.TransferEncodings) {
+			t.Fatalf("%q: %d lengths and %d codings, not %+v", head, lengths, codings, found)
 		}
-		if is.Ambiguous() || is.TransferEncodings > 0 && !r.ProtoAtLeast(1, 1) { // the connection ends here
-			if is.Lost && len(lengthLine.FindAll(head, -1)) == 0 {
+		if found.Ambiguous() || found.TransferEncodings > 0 && !r.ProtoAtLeast(1, 1) { // the connection ends here
+			if found.Lost && lengths == 0 {
 				t.Fatalf("%q is lost", head)
 			}
 			return read
@@ -53,9 +57,10 @@
 	}
 }
 
+// A Stream finds each request, in parts of any size, as net/http does.
 func TestStream(t *testing.T) {
 	get := "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		raw  string
 		read int
 	}{
@@ -69,16 +74,17 @@
 		"a length of spaces": {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: \t 1 \r\n\r\n1" + get, 2},
 		"HTTP/1.0":           {"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get, 0},
 		"lines between":      {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\n1\r\n\r\nPOST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get, 1},
-		"no end":             {get + "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 400\r\n\r\n" + get, 1},
+		"body without end":   {get + "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 400\r\n\r\n" + get, 1},
 	} {
-		for part := 1; part < len(x.raw)+1; part++ {
-			if got := compare(t, []byte(x.raw), part); got != x.read {
-				t.Errorf("%s, in parts of %d: %d read, wanted %d", name, part, got, x.read)
+		for part := 1; part < len(test.raw)+1; part++ {
+			if got := compare(t, []byte(test.raw), part); got != test.read {
+				t.Errorf("%s, in parts of %d: %d read, wanted %d", name, part, got, test.read)
 			}
 		}
 	}
 }
 
+// FuzzStream compares a Stream with net/http on any bytes.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\nPOST /b HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\n\r\n"), 7)
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\nabc\r\n0\r\nA: b\r\n\r\nGET / HTTP/1.1\r\n\r\n"), 1)
--- a/internal/pacing/calls.go
+++ b/internal/pacing/calls.go
@@ -1,18 +1,19 @@
-// Package pacing decides when a router makes the calls that every router of its fleet may want to make in the same
-// moment: what does no harm in one does in hundreds. It has no clock and no chance of its own.
+// Package pacing decides when and how often a router does what every router of its fleet may want to do at the same moment, and
+// which hosts it uses: what does no harm in one router does in hundreds. It is pure: random numbers are passed in. calls.go is
+// about calls to one service, preconnect.go about connections to hosts.
 package pacing
 
-// Calls is the pace of calls to one service that serves the whole fleet in turn.
+// Calls paces the calls of a fleet to one service.
 type Calls struct {
-	Interval int64 // within so long the service expects one call of each router, nanoseconds
-	Callers  int   // of the fleet, this one too
+	Interval int64 // nanoseconds in which the service expects one call of each router, 0 for a default
+	Callers  int   // routers of the fleet, with this one
 }
 
-// callsPerInterval: a service that takes one call of each router within Every takes more than a hundred of them one after
-// another, so a few routers need hardly wait for each other, and many do for half of that time.
+// callsPerInterval is how many calls a service is taken to answer, one after another, in an interval: a few routers need hardly wait
+// for each other, and many spread their calls over half of it.
 const callsPerInterval = 100
 
-// defaultInterval is Every where the settings don't say.
+// defaultInterval is the interval if the settings have none, in nanoseconds.
 const defaultInterval = int64(10e9)
 
 func (c Calls) interval() int64 {
@@ -22,26 +23,28 @@
 	return defaultInterval
 }
 
-// Spread is over how long the fleet's calls are spread that have the same cause, nanoseconds.
+// Spread returns the time over which calls with the same cause are spread, in nanoseconds.
 func (c Calls) Spread() int64 {
 	return min(c.interval()/2, int64(c.Callers)*c.interval()/callsPerInterval)
 }
 
-// FirstDelay is how long to wait before a call whose cause all routers have seen; chance is from 0 up to 1.
+// FirstDelay returns the wait before a call whose cause all routers have seen, in nanoseconds; chance is a random number from 0 up
+// to 1.
 func (c Calls) FirstDelay(chance float64) int64 { return int64(chance * float64(c.Spread())) }
 
-// minRetryFraction is the mean wait after a failure, in parts of Every: a service that refuses needs more time than one spread.
+// minRetryFraction is the interval over the least mean wait after a failure: a service that refuses calls needs more time than the
+// spread of few.
 const minRetryFraction = 10
 
-// RetryDelay is how long to wait after so many failures in a row: half to one and a half of a mean that doubles, from the
-// spread or a tenth of Every up to Every. Calls that fail cost the service as much as others, and while more come than
-// it can serve, all that it serves comes too late: the fleet's calls must become fewer than that by themselves.
+// RetryDelay returns the wait after so many failures in a row, in nanoseconds: half to one and a half of a mean that doubles, from
+// the spread or a tenth of the interval up to the interval. Calls that fail cost the service as much as others, and while more come
+// than it can answer, all of its answers come too late: the fleet's calls must become fewer than that by themselves.
 func (c Calls) RetryDelay(failures int, chance float64) int64 {
 	mean := max(c.Spread(), c.interval()/minRetryFraction)
 	for ; failures > 1 && mean < c.interval(); failures-- {
 		mean *= 2
 	}
-	if c.Callers*10 < callsPerInterval { // too few to hold up a service: it was down, and is back at any moment
+	if c.Callers*10 < callsPerInterval { // too few to overload a service: it was down, and may be back at any moment
 		mean = min(mean, c.interval()/minRetryFraction)
 	}
 	return int64((0.5 + chance) * float64(min(mean, c.interval())))
--- a/internal/pacing/preconnect.go
+++ b/internal/pacing/preconnect.go
@@ -1,7 +1,7 @@
 package pacing
 
-// SubsetStride is the n of the every n-th host that a router uses which needs so many of them: of powers of two some hosts stay
-// when n changes.
+// SubsetStride returns the n for which a router that needs so many hosts uses every n-th of them. It is a power of two, so that some
+// hosts stay the same when it changes.
 func SubsetStride(hosts int, need float64) int {
 	n := 1
 	for float64(hosts) >= need*2*float64(n) && hosts >= 2*n {
@@ -10,11 +10,11 @@
 	return n
 }
 
-// SubsetOffset is the first host that a router of some rank uses, where it uses every n-th.
+// SubsetOffset returns the first host that a router of some rank uses, if it uses every n-th.
 func SubsetOffset(n, rank int) int { return n - 1 - rank%n }
 
-// PreconnectOrder is which of so many hosts a router opens connections to before its first command: its part of them, beginning at
-// another one than the next router with the same part, as it may not come to all.
+// PreconnectOrder returns which of so many hosts a router opens connections to before its first request, and in which order: those of
+// its subset, beginning at another one than the next router with the same subset, as it may not reach all.
 func PreconnectOrder(hosts, rank int) (order []int) {
 	stride := SubsetStride(hosts, MinHosts)
 	for i := SubsetOffset(stride, rank); i < hosts; i += stride {
@@ -27,18 +27,19 @@
 	return order
 }
 
-// MinHosts is how many hosts a router uses that has little traffic: enough to choose between two that are up.
+// MinHosts is how many hosts a router with little traffic uses: enough to choose between two that are up.
 const MinHosts = 12
 
-// imbalance is how many times the mean a busy router's traffic may be: where fronts deal out connections some get several.
+// imbalance is a busy router's traffic over the mean: where connections are balanced over routers, some get several busy ones.
 const imbalance = 4
 
-// PreconnectCount is how many connections a router opens before its first command: as many as it has in use at once if it is a
-// busy one of a fleet that takes so many commands a second, each of which takes so many seconds. What is opened in vain
-// costs hosts a handshake and a place, by every router that starts in the same moment. 0 says that the rate isn't known.
+// PreconnectCount returns how many connections a router opens before its first request: as many as it has in use at once if it is a
+// busy one of a fleet that receives so many requests a second, each of which takes so many seconds. One that is opened in vain
+// costs a host a handshake and a connection, for every router that starts at the same moment. It is 0 for an unknown rate.
 func PreconnectCount(perSecond, latency float64, routers int) int {
 	if perSecond <= 0 {
 		return 0
 	}
-	return max(MinHosts, int(imbalance*perSecond*latency/float64(max(1, routers))+0.5))
+	inUse := imbalance * perSecond * latency / float64(max(1, routers)) // by Little's law
+	return max(MinHosts, int(inUse+0.5))
 }
--- a/internal/resolver/address.go
+++ b/internal/resolver/address.go
@@ -1,4 +1,5 @@
-// Package resolver is where a peer is asked that may move to another address while it is.
+// Package resolver holds the address of a peer that may change while calls to it are in flight. It looks nothing up: its users set the
+// address. Begin reading at Address.Run.
 package resolver
 
 import (
@@ -7,23 +8,23 @@
 	"sync/atomic"
 )
 
-// Address is that of one peer.
+// Address is the address of one peer. It is safe for concurrent use, except that only one Run may be active.
 type Address struct {
 	current atomic.Pointer[string]
-	changed chan struct{} // gets one when it is another
+	changed chan struct{} // holds one token after Set until Run has noticed
 }
 
-// New makes the address that is asked first.
+// New makes an address with its first value.
 func New(first string) *Address {
 	a := &Address{changed: make(chan struct{}, 1)}
 	a.current.Store(&first)
 	return a
 }
 
-// Current is the present address.
+// Current returns the present address.
 func (a *Address) Current() string { return *a.current.Load() }
 
-// Set takes up another address.
+// Set changes the address.
 func (a *Address) Set(to string) {
 	a.current.Store(&to)
 	select {
@@ -32,15 +33,16 @@
 	}
 }
 
-// Run runs stay at one address after another until the context ends; a move ends the context of the present one, and
-// the next begins when it has returned.
-func (a *Address) Run(ctx context.Context, use func(ctx context.Context, at string)) {
+// Run calls use with the present address, and again with each that follows, until the context ends. A change of the address ends the
+// context of the present call, and the next call begins when that has returned. After use has returned by itself, Run waits
+// for a change.
+func (a *Address) Run(ctx context.Context, use func(ctx context.Context, address string)) {
 	for ctx.Err() == nil {
-		visit, cancel := context.WithCancel(ctx)
+		useCtx, cancel := context.WithCancel(ctx)
 		ended := make(chan struct{})
-		go func() {
+		go func() { // ends when use does, which is waited for below
 			defer close(ended)
-			use(visit, a.Current())
+			use(useCtx, a.Current())
 		}()
 		select {
 		case <-a.changed:
@@ -51,5 +53,5 @@
 	}
 }
 
-// NoRedirect is for http.Client: a peer is where the configuration says, and nowhere else.
+// NoRedirect is an http.Client's CheckRedirect that follows none: a peer is where the configuration says, and nowhere else.
 func NoRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
--- a/internal/retryguard/settings.go
+++ b/internal/retryguard/settings.go
@@ -1,4 +1,4 @@
-// Package retryguard protects hosts from retry storms of retries. It detects that the share of retries is higher than in calm traffic,
+// Package retryguard protects hosts from retry storms. It detects that the share of retries is higher than in calm traffic,
 // admits then only what hosts that come back can do, and makes appointments for the requests that it rejects. It has no
 // clock and no I/O: every call brings the time, in nanoseconds, and chance comes from a seed. It sends nothing and knows no
 // host's address. docs/storms.md compares the ways to do it.
--- a/internal/timerqueue/queue.go
+++ b/internal/timerqueue/queue.go
@@ -1,50 +1,59 @@
-// Package timerqueue keeps things in the order of the times at which they fall due.
+// Package timerqueue keeps values in the order of the times at which they are due. It has no clock: its users pass the time in,
+// as any number that grows. Begin reading at Queue.
 package timerqueue
 
 import "container/heap"
 
-// Item is one entry of a Queue; its holder keeps it to take it out again.
+// Item is one entry of a Queue. Who added it keeps it to remove it again.
 type Item[T any] struct {
 	Value    T
 	at       int64
-	sequence uint64
-	index    int
+	sequence uint64 // of Add, to order items of the same time
+	index    int    // in the heap, -1 once the item was removed
 }
 
+// itemHeap implements heap.Interface.
 type itemHeap[T any] []*Item[T]
 
+var _ heap.Interface = (*itemHeap[int])(nil)
+
 func (h itemHeap[T]) Len() int { return len(h) }
+
 func (h itemHeap[T]) Less(i, j int) bool {
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
 	return h[i].sequence < h[j].sequence
 }
+
 func (h itemHeap[T]) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
+
 func (h *itemHeap[T]) Push(x any) {
 	item := x.(*Item[T])
 	item.index = len(*h)
 	*h = append(*h, item)
 }
+
 func (h *itemHeap[T]) Pop() any {
 	last := len(*h) - 1
 	item := (*h)[last]
-	(*h)[last] = nil
+	(*h)[last] = nil // so that the array does not keep the item
 	*h = (*h)[:last]
 	item.index = -1
 	return item
 }
 
-// Queue orders its items by time, and those of one time by when they were added.
+// Queue holds items by time, and those of the same time in the order in which they were added. The zero Queue is empty. It is not
+// safe for concurrent use.
 type Queue[T any] struct {
 	items    itemHeap[T]
 	sequence uint64
 }
 
-// Add puts v in at the time at.
+// Add adds a value that is due at a time.
 func (q *Queue[T]) Add(at int64, v T) *Item[T] {
 	q.sequence++
 	item := &Item[T]{Value: v, at: at, sequence: q.sequence}
@@ -52,14 +61,14 @@
 	return item
 }
 
-// Remove takes it out; an item that is nil or no longer in the queue is passed over.
+// Remove removes an item; one that is nil or no longer in the queue is ignored.
 func (q *Queue[T]) Remove(item *Item[T]) {
 	if item != nil && item.index >= 0 {
 		heap.Remove(&q.items, item.index)
 	}
 }
 
-// Next tells the earliest time in the queue.
+// Next returns the time of the earliest item; ok is false if the queue is empty.
 func (q *Queue[T]) Next() (at int64, ok bool) {
 	if len(q.items) == 0 {
 		return 0, false
@@ -67,9 +76,10 @@
 	return q.items[0].at, true
 }
 
-// PopDue removes and returns the earliest value that is due at now.
+// PopDue removes and returns the earliest value if it is due at now.
 func (q *Queue[T]) PopDue(now int64) (v T, ok bool) {
-	if at, any := q.Next(); !any || at > now {
+	at, ok := q.Next()
+	if !ok || at > now {
 		return v, false
 	}
 	return heap.Pop(&q.items).(*Item[T]).Value, true
--- a/internal/timerqueue/queue_test.go
+++ b/internal/timerqueue/queue_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// Values come in the order of their times and of their addition, never before their time; Remove may be called again.
 func TestOrder(t *testing.T) {
 	var q Queue[string]
 	late, early := q.Add(9, "late"), q.Add(3, "early")
@@ -9,7 +10,7 @@
 	q.Remove(late)
 	q.Remove(late)
 	if _, ok := q.PopDue(2); ok {
-		t.Fatal("taken before its time")
+		t.Fatal("popped before its time")
 	}
 	for _, want := range []string{"early", "second"} {
 		if got, ok := q.PopDue(5); !ok || got != want {
--- a/internal/timerqueue/trace_test.go
+++ b/internal/timerqueue/trace_test.go
@@ -7,7 +7,7 @@
 	"portflow/internal/testing/digest"
 )
 
-// What falls due in a queue under drawn additions, removals and times is what it was.
+// What is due in a queue under random additions, removals and times is unchanged.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 50, []string{"00cbf86622887a52", "72263111d35126aa"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
