--- a/internal/retryguard/storm_test.go
+++ b/internal/retryguard/storm_test.go
@@ -80,3 +80,17 @@
 		t.Errorf("storm of all %v, of the customer %v; %d of its requests rejected, %d of others", w.detector.Storm, w.customers[1].Storm, rejected, others)
 	}
 }
+
+// The tick that ends a retry storm counts in the calm share as any other: its requests are looked at before the sums are cleared.
+func TestCalmShareIsLearnedInTheLastTickOfAStorm(t *testing.T) {
+	d := NewDetector(0.25)
+	d.Storm = true
+	d.calmTicks = quietTicks - 1
+	for range 10 {
+		d.Count(false)
+	}
+	d.Tick(false)
+	if d.Storm || d.calmShare >= initialCalmShare {
+		t.Errorf("storm %v, calm share %v", d.Storm, d.calmShare)
+	}
+}
