--- a/internal/retryguard/appointment.go
+++ b/internal/retryguard/appointment.go
@@ -8,7 +8,7 @@
 const complianceGain = 0.02
 
 // classify says how a request with an appointment is admitted: as expected at its time or after it, and otherwise as an
-// unscheduled retry. Only a request that came before the client was told to counts against its customer's compliance: the
+// unscheduled retry. Only a request that came before its wait was over counts against its customer's compliance: the
 // wait that a client is told may be shorter than that until its appointment.
 func (g *Guard) classify(c *customer, now, rejectedAt, due int64) admissionClass {
 	advised := due
@@ -70,7 +70,7 @@
 	return at + int64(g.source.Float64()*float64(slot))
 }
 
-// waitUntil is the wait that a client is told for an appointment, 0 for none.
+// waitUntil is the wait that a client is given for an appointment, 0 for none.
 func (g *Guard) waitUntil(now, due int64) int64 {
 	maxWait := g.settings.MaxRetryAfter
 	switch {
--- a/internal/retryguard/appointment_test.go
+++ b/internal/retryguard/appointment_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Rejected clients are told to come back at a time with capacity, and not all at once; one that comes earlier has no advantage, and
+// Rejected clients are asked to come back at a time with capacity, and not all at once; one that comes earlier has no advantage, and
 // one that keeps its appointment goes before others.
 func TestAppointments(t *testing.T) {
 	w := newWorld(t, testSettings(), 5)
--- a/internal/retryguard/guard.go
+++ b/internal/retryguard/guard.go
@@ -127,7 +127,7 @@
 func (g *Guard) isKnownClass(class int) bool { return class >= 0 && class < len(g.latency) }
 
 // Admit decides whether a request that has come goes on to the decision engine. If not, it is to be rejected at once, and
-// its client may be told to wait for so long, if that is above 0.
+// its client may be asked to wait for so long, if that is above 0.
 func (g *Guard) Admit(now int64, req *Request) (admitted bool, wait int64) {
 	g.advance(now)
 	if !g.isKnownClass(req.Class) {
--- a/internal/retryguard/settings.go
+++ b/internal/retryguard/settings.go
@@ -54,7 +54,7 @@
 	Routers       int     // of the deployment, with this one
 	ColdCapacity  float64 // share of its capacity that a host has at its start
 	WarmUpTime    int64   // nanoseconds until it has all of it
-	MaxRetryAfter int64   // the longest wait that a client may be told, nanoseconds, 0 for none
+	MaxRetryAfter int64   // the longest wait that is given to a client, nanoseconds, 0 for none
 }
 
 // check returns an error that names the first setting which is out of its bounds.
