--- a/internal/retryguard/appointment.go
+++ b/internal/retryguard/appointment.go
@@ -9,7 +9,7 @@
 
 // classify says how a request with an appointment is admitted: as expected at its time or after it, and otherwise as an
 // unscheduled retry. Only a request that came before its wait was over counts against its customer's compliance: the
-// wait that a client is told may be shorter than that until its appointment.
+// wait that a client is given may be shorter than that until its appointment.
 func (g *Guard) classify(c *customer, now, rejectedAt, due int64) admissionClass {
 	advised := due
 	if g.settings.MaxRetryAfter > 0 {
