--- a/cmd/portflowd/main.go
+++ b/cmd/portflowd/main.go
@@ -1,6 +1,6 @@
 // Command portflowd runs the cluster's processes: "portflowd proxy" carries traffic from clients to hosts, "portflowd control" is
 // the control process, which keeps the configuration and knows hosts and proxies. The environment variable PORTFLOW_BOOT names the
-// settings file; docs/operate/harbour.md has its fields.
+// settings file; docs/operate/cluster.md has its fields.
 package main
 
 import (
--- /dev/null
+++ b/internal/docs/docs_test.go
@@ -0,0 +1,274 @@
+// Package docs has the tests of the pages in docs: what they name must exist.
+package docs
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+)
+
+const root = "../.."
+
+// Pages of history name what existed when they were written; their links are checked all the same.
+var historyPages = regexp.MustCompile(`^docs/(results\.md|incidents/)`)
+
+var (
+	quoted   = regexp.MustCompile("`([^`]+)`")
+	testName = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w*`)
+	link     = regexp.MustCompile(`\]\(([^)#\s]+)[^)]*\)`)
+	docPath  = regexp.MustCompile(`\bdocs/[\w/.-]*\.md\b`)
+)
+
+// sources are the names that the Go files declare: "package.Name" and "package.Type.Member" of files that are no tests, and the
+// names of tests.
+type sources struct {
+	declared, tests map[string]bool
+}
+
+func readSources(t *testing.T) sources {
+	t.Helper()
+	found := sources{declared: map[string]bool{}, tests: map[string]bool{}}
+	files := token.NewFileSet()
+	for _, folder := range []string{"cmd", "internal", "examples"} {
+		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") {
+				return err
+			}
+			file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
+			if err != nil {
+				return err
+			}
+			if strings.HasSuffix(path, "_test.go") {
+				found.addTests(file)
+			} else {
+				found.addFile(file)
+			}
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return found
+}
+
+func (s sources) addTests(file *ast.File) {
+	for _, decl := range file.Decls {
+		if function, ok := decl.(*ast.FuncDecl); ok && function.Recv == nil {
+			s.tests[function.Name.Name] = true
+		}
+	}
+}
+
+func (s sources) addFile(file *ast.File) {
+	prefix := file.Name.Name + "."
+	for _, decl := range file.Decls {
+		switch decl := decl.(type) {
+		case *ast.FuncDecl:
+			if decl.Recv != nil {
+				s.declared[prefix+receiverType(decl.Recv.List[0].Type)+"."+decl.Name.Name] = true
+				continue
+			}
+			s.declared[prefix+decl.Name.Name] = true
+		case *ast.GenDecl:
+			for _, spec := range decl.Specs {
+				s.addSpec(prefix, spec)
+			}
+		}
+	}
+}
+
+func (s sources) addSpec(prefix string, spec ast.Spec) {
+	switch spec := spec.(type) {
+	case *ast.ValueSpec:
+		for _, name := range spec.Names {
+			s.declared[prefix+name.Name] = true
+		}
+	case *ast.TypeSpec:
+		s.declared[prefix+spec.Name.Name] = true
+		var members *ast.FieldList
+		switch body := spec.Type.(type) {
+		case *ast.StructType:
+			members = body.Fields
+		case *ast.InterfaceType:
+			members = body.Methods
+		default:
+			return
+		}
+		for _, member := range members.List {
+			for _, name := range member.Names {
+				s.declared[prefix+spec.Name.Name+"."+name.Name] = true
+			}
+		}
+	}
+}
+
+// receiverType is the name of a method's type, without pointer and type parameters.
+func receiverType(expr ast.Expr) string {
+	switch expr := expr.(type) {
+	case *ast.StarExpr:
+		return receiverType(expr.X)
+	case *ast.IndexExpr:
+		return receiverType(expr.X)
+	case *ast.IndexListExpr:
+		return receiverType(expr.X)
+	case *ast.Ident:
+		return expr.Name
+	}
+	return ""
+}
+
+// exists says whether a name of the glossary's column of code exists: a path from the root, or a declared name.
+func (s sources) exists(name string) bool {
+	if strings.Contains(name, "/") {
+		_, err := os.Stat(filepath.Join(root, name))
+		return err == nil
+	}
+	return s.declared[name]
+}
+
+// glossaryRow is a row of one of the glossary's tables: a word, its term, where it is in the code, and a sentence.
+type glossaryRow struct {
+	part, word string
+	code       string
+	cells      int
+}
+
+func readGlossary(t *testing.T) (rows []glossaryRow) {
+	t.Helper()
+	raw, err := os.ReadFile(filepath.Join(root, "docs/glossary.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	part := ""
+	for line := range strings.Lines(string(raw)) {
+		if title, ok := strings.CutPrefix(line, "## "); ok {
+			part = strings.TrimSpace(title)
+		}
+		line = strings.TrimSpace(line)
+		if !strings.HasPrefix(line, "| ") || strings.HasPrefix(line, "| ---") || strings.HasPrefix(line, "| Word") {
+			continue
+		}
+		cells := strings.Split(strings.Trim(line, "|"), "|")
+		row := glossaryRow{part: part, word: strings.TrimSpace(cells[0]), cells: len(cells)}
+		if len(cells) > 2 {
+			row.code = cells[2]
+		}
+		rows = append(rows, row)
+	}
+	return rows
+}
+
+// Each row has four cells, and every name in its third exists.
+func TestGlossaryNamesExist(t *testing.T) {
+	known, rows := readSources(t), readGlossary(t)
+	if len(rows) < 100 {
+		t.Errorf("%d rows were read, which is too few for the whole glossary", len(rows))
+	}
+	for _, row := range rows {
+		if row.cells != 4 {
+			t.Errorf("%s, %q: %d cells", row.part, row.word, row.cells)
+			continue
+		}
+		names := quoted.FindAllStringSubmatch(row.code, -1)
+		if len(names) == 0 && strings.TrimSpace(row.code) != "none" {
+			t.Errorf("%s, %q: names nothing in the code, and doesn't say none", row.part, row.word)
+		}
+		for _, name := range names {
+			if !known.exists(name[1]) {
+				t.Errorf("%s, %q: %s doesn't exist", row.part, row.word, name[1])
+			}
+		}
+	}
+}
+
+// Each part is in the order of the alphabet, with no word twice.
+func TestGlossaryIsSorted(t *testing.T) {
+	parts := map[string][]string{}
+	for _, row := range readGlossary(t) {
+		parts[row.part] = append(parts[row.part], strings.ToLower(strings.ReplaceAll(row.word, "`", "")))
+	}
+	if len(parts) != 2 {
+		t.Errorf("%d parts, want 2", len(parts))
+	}
+	for part, words := range parts {
+		for i, word := range words[1:] {
+			if words[i] >= word {
+				t.Errorf("%s: %q stands before %q", part, words[i], word)
+			}
+		}
+	}
+}
+
+// pages are the pages of docs and at the root, with their text.
+func pages(t *testing.T) map[string]string {
+	t.Helper()
+	all := map[string]string{}
+	read := func(path string) {
+		raw, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		name, err := filepath.Rel(root, path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		all[filepath.ToSlash(name)] = string(raw)
+	}
+	for _, name := range []string{"README.md", "CONTRIBUTING.md", "CHANGELOG.md"} {
+		read(filepath.Join(root, name))
+	}
+	err := filepath.WalkDir(filepath.Join(root, "docs"), func(path string, entry fs.DirEntry, err error) error {
+		if err == nil && !entry.IsDir() && strings.HasSuffix(path, ".md") {
+			read(path)
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return all
+}
+
+// The pages that aren't history name only tests that exist.
+func TestPagesNameTestsThatExist(t *testing.T) {
+	known := readSources(t)
+	for page, text := range pages(t) {
+		if historyPages.MatchString(page) || page == "CHANGELOG.md" {
+			continue
+		}
+		names := testName.FindAllString(text, -1)
+		slices.Sort(names)
+		for _, name := range slices.Compact(names) {
+			if !known.tests[name] {
+				t.Errorf("%s: there is no test %s", page, name)
+			}
+		}
+	}
+}
+
+// Links between pages lead to files that exist, and so do pages that are named by their path.
+func TestLinksLeadToFiles(t *testing.T) {
+	for page, text := range pages(t) {
+		for _, target := range link.FindAllStringSubmatch(text, -1) {
+			if strings.Contains(target[1], "://") {
+				continue
+			}
+			if _, err := os.Stat(filepath.Join(root, filepath.Dir(page), target[1])); err != nil {
+				t.Errorf("%s: the link to %s leads nowhere", page, target[1])
+			}
+		}
+		for _, path := range docPath.FindAllString(text, -1) {
+			if _, err := os.Stat(filepath.Join(root, path)); err != nil {
+				t.Errorf("%s: %s doesn't exist", page, path)
+			}
+		}
+	}
+}
