--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -10,6 +10,7 @@
 	"path/filepath"
 	"regexp"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 )
@@ -272,3 +273,65 @@
 		}
 	}
 }
+
+// docs/oncall.md has each message that the proxy and control log.
+func TestOnCallHasEachLogLine(t *testing.T) {
+	page := pages(t)["docs/oncall.md"]
+	messages := 0
+	for _, folder := range []string{"cmd/portflowd", "internal/control/server", "internal/proxy"} {
+		names, err := filepath.Glob(filepath.Join(root, folder, "*.go"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, name := range names {
+			if strings.HasSuffix(name, "_test.go") {
+				continue
+			}
+			for _, message := range logMessages(t, name) {
+				messages++
+				if !strings.Contains(page, "| `"+message+"`") {
+					t.Errorf("docs/oncall.md has no line on %q, which %s logs", message, filepath.Base(name))
+				}
+			}
+		}
+	}
+	if messages < 10 {
+		t.Errorf("%d log messages were found, which is too few", messages)
+	}
+}
+
+// logMessages are the messages that a file logs by klog.InfoS and klog.ErrorS.
+func logMessages(t *testing.T, path string) (messages []string) {
+	t.Helper()
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ast.Inspect(file, func(node ast.Node) bool {
+		call, ok := node.(*ast.CallExpr)
+		if !ok {
+			return true
+		}
+		function, ok := call.Fun.(*ast.SelectorExpr)
+		if !ok {
+			return true
+		}
+		if library, ok := function.X.(*ast.Ident); !ok || library.Name != "klog" || !strings.HasSuffix(function.Sel.Name, "S") {
+			return true
+		}
+		for _, arg := range call.Args[:min(2, len(call.Args))] { // the message is first, or behind an error
+			literal, ok := arg.(*ast.BasicLit)
+			if !ok || literal.Kind != token.STRING {
+				continue
+			}
+			message, err := strconv.Unquote(literal.Value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			messages = append(messages, message)
+			break
+		}
+		return true
+	})
+	return messages
+}
