--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -21,8 +21,11 @@
 var historyPages = regexp.MustCompile(`^docs/(results\.md|incidents/)`)
 
 var (
-	quoted   = regexp.MustCompile("`([^`]+)`")
-	testName = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w*`)
+	quoted     = regexp.MustCompile("`([^`]+)`")
+	testName   = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w*`)
+	sourcePath = regexp.MustCompile(`^(?:internal|cmd|deploy|examples)(?:/[\w.-]+)*$`)
+	// goName is a name with a capital in it, qualified or not, such as Dispatcher, proxy.Proxy or Proxy.handle, or clientConn.
+	goName = regexp.MustCompile(`^[a-z]*(?:\.?[A-Z]\w*)+(?:\.\w+)?$`)
 	// runPattern finds what a page has go test -run play; XXX plays nothing, beside benchmarks.
 	runPattern = regexp.MustCompile(`-run (\w+)`)
 	link       = regexp.MustCompile(`\]\(([^)#\s]+)[^)]*\)`)
@@ -356,3 +359,28 @@
 	})
 	return messages
 }
+
+// architecture.md names paths, and types and functions with or without their package; all of them exist.
+func TestArchitectureNamesExist(t *testing.T) {
+	known := readSources(t)
+	unqualified := map[string]bool{}
+	for name := range known.declared {
+		_, short, _ := strings.Cut(name, ".")
+		unqualified[short] = true
+	}
+	checked := 0
+	for _, quote := range quoted.FindAllStringSubmatch(pages(t)["docs/architecture.md"], -1) {
+		name := strings.TrimSuffix(quote[1], "/...")
+		isPath := sourcePath.MatchString(name)
+		if !isPath && !goName.MatchString(name) {
+			continue
+		}
+		checked++
+		if !known.exists(name) && (isPath || !unqualified[name]) {
+			t.Errorf("docs/architecture.md: %s doesn't exist", name)
+		}
+	}
+	if checked < 60 {
+		t.Errorf("%d names were checked, which is too few", checked)
+	}
+}
