--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -340,7 +340,7 @@
 		if !ok {
 			return true
 		}
-		if library, ok := function.X.(*ast.Ident); !ok || library.Name != "klog" || !strings.HasSuffix(function.Sel.Name, "S") {
+		if !isKlog(function.X) || !strings.HasSuffix(function.Sel.Name, "S") {
 			return true
 		}
 		for _, arg := range call.Args[:min(2, len(call.Args))] { // the message is first, or behind an error
@@ -384,3 +384,15 @@
 		t.Errorf("%d names were checked, which is too few", checked)
 	}
 }
+
+// isKlog says whether an expression is klog or klog.V of a verbosity.
+func isKlog(expr ast.Expr) bool {
+	switch expr := expr.(type) {
+	case *ast.Ident:
+		return expr.Name == "klog"
+	case *ast.CallExpr:
+		function, ok := expr.Fun.(*ast.SelectorExpr)
+		return ok && function.Sel.Name == "V" && isKlog(function.X)
+	}
+	return false
+}
