--- a/cmd/portflowd/main.go
+++ b/cmd/portflowd/main.go
@@ -1,6 +1,6 @@
 // Command portflowd runs the cluster's processes: "portflowd proxy" carries traffic from clients to hosts, "portflowd control" is
 // the control process, which keeps the configuration and knows hosts and proxies, and "portflowd check" reads the settings alone. The
-// environment variable PORTFLOW_BOOT names the settings file; docs/operate has its fields.
+// environment variable PORTFLOW_BOOT names the settings file; docs/operate/cluster.md has its fields.
 //
 // The command only reads the settings, opens the disk and waits for its end: SIGTERM or an interrupt has the process leave and end,
 // SIGHUP has it check the settings file. All else is in packages internal/proxy and internal/control/server.
