--- a/internal/lab/trial/attempt.go
+++ b/internal/lab/trial/attempt.go
@@ -1,27 +1,33 @@
 package trial
 
-import "time"
+import (
+	"fmt"
+	"strings"
+	"time"
+)
 
 // Outcome is how an attempt ended for its client.
 type Outcome uint8
 
+// The outcomes.
 const (
-	Complete Outcome = iota // one whole answer came
-	Cut                     // the connection ended without a whole answer
-	Silent                  // no whole answer came until the client's own deadline
-	Unsent                  // the connection ended while the request was being written
-	Behind                  // pipelined behind an answer that announced the connection's end, or behind a cut
-	Garbled                 // an answer came that is not the one to this request
+	Complete        Outcome = iota // one complete answer came
+	Truncated                      // the connection ended without a complete answer
+	TimedOut                       // no complete answer came until the client's own deadline
+	WriteFailed                    // the connection ended while the request was being written
+	PipelinedBehind                // pipelined behind an answer that announced the connection's end, or behind a cut one
+	Mismatched                     // an answer came that is not the one to this request
 )
 
 // Style is how a client uses its connections.
 type Style string
 
+// The styles, as reports name them.
 const (
-	Kept      Style = "kept"
-	Pipelined Style = "pipelined"
-	Resting   Style = "idle"
-	Fresh     Style = "fresh"
+	KeepAlive  Style = "kept"      // one request after another on a connection
+	Pipelined  Style = "pipelined" // several requests at once on a connection
+	Idling     Style = "idle"      // requests with long pauses, some of about the idle timeout
+	OneRequest Style = "fresh"     // a connection for each request
 )
 
 // Attempt is one request of a client as both its ends saw it. Times count from the start of the trial.
@@ -33,7 +39,7 @@
 	MaxAttempts int // hosts that it may be sent to
 	Stream      bool
 	Path        string
-	Rested      time.Duration // its connection, before it was written; 0 on a new one
+	IdleFor     time.Duration // how long its connection was idle before; 0 on a new one
 	ConnectedAt time.Duration // when its connection was opened
 	BeganAt     time.Duration // when its first byte was written
 
@@ -48,6 +54,17 @@
 	Host HostView
 }
 
+// String describes the attempt in one line, for violations.
+func (a Attempt) String() string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%s %s safe=%v %s proxy %d: ", a.ID, a.Style, a.Idempotent, a.Path, a.Proxy)
+	fmt.Fprintf(&b, "idle for %.3f s, began at %.3f s, sent at %.3f s, ended at %.3f s, ", a.IdleFor.Seconds(), a.BeganAt.Seconds(),
+		a.SentAt.Seconds(), a.EndedAt.Seconds())
+	fmt.Fprintf(&b, "deadline %.3f s, timeout %.1f s, ", a.Deadline.Seconds(), a.Timeout.Seconds())
+	fmt.Fprintf(&b, "outcome %d, status %d, %q; hosts: %+v", a.Outcome, a.Status, a.Detail, a.Host)
+	return b.String()
+}
+
 // HostView is what the hosts counted of one attempt.
 type HostView struct {
 	Arrivals  int           // requests that reached a host, also those that it rejected
@@ -60,23 +77,24 @@
 // Disturbance is what was done to a process.
 type Disturbance uint8
 
+// The disturbances, by the signal that is sent.
 const (
-	Hangup Disturbance = iota
-	Terminated
-	Killed
+	Hangup     Disturbance = iota // SIGHUP
+	Terminated                    // SIGTERM
+	Killed                        // SIGKILL
 )
 
 var disturbanceNames = [...]string{Hangup: "SIGHUP", Terminated: "SIGTERM", Killed: "SIGKILL"}
 
-// Signal is one signal that a proxy was sent.
+// Signal is one signal that a process was sent.
 type Signal struct {
-	Proxy int
+	Proxy int // the proxy's number, -1 for a control process
 	Kind  Disturbance
 	At    time.Duration
 	Until time.Duration // the process had ended by then; 0 where it goes on
 }
 
-// Interval is a stretch of time.
+// Interval is a span of time; both ends belong to it.
 type Interval struct{ From, To time.Duration }
 
 // contains reports whether a moment lies in the interval.
--- /dev/null
+++ b/internal/lab/trial/change.go
@@ -0,0 +1,175 @@
+package trial
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"time"
+)
+
+// changeKind is a kind of change as the report counts it.
+type changeKind string
+
+const (
+	changeInitial    changeKind = "first"
+	changeRoute      changeKind = "route retargeted, split or timed anew"
+	changeDrop       changeKind = "route in use dropped and added"
+	changeIdle       changeKind = "idle route added or dropped"
+	changeLimits     changeKind = "limits"
+	changeService    changeKind = "service's limits"
+	changeTransient  changeKind = "service and route dropped and added"
+	changeBulk       changeKind = "800 routes"
+	changeRace       changeKind = "race of two operators"
+	changeAgain      changeKind = "the same sent again"
+	changeOlder      changeKind = "an older one sent again"
+	changeUnanswered changeKind = "one without a clear answer sent again"
+)
+
+// changeWeights are how often each kind is drawn.
+var changeWeights = []struct {
+	kind   changeKind
+	weight int
+}{
+	{changeRoute, 40},
+	{changeDrop, 8},
+	{changeIdle, 12},
+	{changeLimits, 10},
+	{changeService, 10},
+	{changeTransient, 6},
+	{changeBulk, 1},
+	{changeRace, 6},
+	{changeAgain, 5},
+	{changeOlder, 3},
+}
+
+const (
+	idleRoutes     = 20  // names of idle routes that each operator draws from
+	maxPauseMillis = 60  // between dropping an item in use and adding it again
+	raceTimeout    = 7.5 // seconds; a timeout that idleRoute never draws, so that the two contents of a race differ
+)
+
+// sendChange draws one change and sends it.
+func (o *operator) sendChange(ctx context.Context) {
+	kind := o.drawKind()
+	t := o.targets[o.rng.IntN(len(o.targets))]
+	switch kind {
+	case changeRoute:
+		o.sendRoute(ctx, t)
+	case changeDrop:
+		o.recreateRoute(ctx, t)
+	case changeIdle:
+		o.toggleIdleRoute(ctx)
+	case changeLimits:
+		if o.index == 0 { // the limits are one item, and belong to the first operator
+			o.send(ctx, kind, o.item("limits", "limits", limitsItem(o.rng)))
+		}
+	case changeService:
+		name := services[o.index]
+		o.send(ctx, kind, o.item("services", name, serviceItem(name, o.rng)))
+	case changeTransient:
+		o.recreateService(ctx)
+	case changeBulk:
+		o.toggleBulk(ctx)
+	case changeRace:
+		o.sendRace(ctx)
+	case changeAgain:
+		if o.last != nil {
+			o.send(ctx, kind, o.last...)
+		}
+	case changeOlder:
+		if o.previous != nil {
+			o.send(ctx, kind, o.previous...)
+		}
+	}
+}
+
+func (o *operator) drawKind() changeKind {
+	sum := 0
+	for _, w := range changeWeights {
+		sum += w.weight
+	}
+	drawn := o.rng.IntN(sum)
+	for _, w := range changeWeights {
+		if drawn -= w.weight; drawn < 0 {
+			return w.kind
+		}
+	}
+	return changeRoute
+}
+
+// pause lets some requests arrive under the configuration as it is now.
+func (o *operator) pause(ctx context.Context) {
+	wait(ctx, time.Duration(o.rng.IntN(maxPauseMillis))*time.Millisecond)
+}
+
+// sendRoute changes a route whose service is not dropped meanwhile: t, or one that is drawn in its place.
+func (o *operator) sendRoute(ctx context.Context, t target) {
+	for t.transient {
+		t = o.targets[o.rng.IntN(len(o.targets))]
+	}
+	o.send(ctx, changeRoute, o.item("routes", t.name, t.routeItem(o.rng)))
+}
+
+// recreateRoute drops a route in use and adds it again.
+func (o *operator) recreateRoute(ctx context.Context, t target) {
+	o.send(ctx, changeDrop, o.item("routes", t.name, nil))
+	o.pause(ctx)
+	o.send(ctx, changeDrop, o.item("routes", t.name, t.routeItem(o.rng)))
+}
+
+// toggleIdleRoute adds a route that nobody uses, or drops it if it is there.
+func (o *operator) toggleIdleRoute(ctx context.Context) {
+	name := fmt.Sprintf("idle-%d-%d", o.index, o.rng.IntN(idleRoutes))
+	fields := idleRoute(name, o.rng)
+	if i, sent := o.items[Key{"routes", name}]; sent && !i.Dropped {
+		fields = nil
+	}
+	o.send(ctx, changeIdle, o.item("routes", name, fields))
+}
+
+// recreateService drops a service together with its route, and adds both again.
+func (o *operator) recreateService(ctx context.Context) {
+	for _, t := range o.targets {
+		if !t.transient {
+			continue
+		}
+		o.send(ctx, changeTransient, o.item("routes", t.name, nil), o.item("services", t.service, nil))
+		o.pause(ctx)
+		service := o.item("services", t.service, serviceItem(t.service, o.rng))
+		o.send(ctx, changeTransient, service, o.item("routes", t.name, t.routeItem(o.rng)))
+		return
+	}
+}
+
+// toggleBulk adds or drops many routes in one call.
+func (o *operator) toggleBulk(ctx context.Context) {
+	var all []Item
+	for n := range bulkRoutes {
+		name := fmt.Sprintf("bulk-%d-%d", o.index, n)
+		fields := idleRoute(name, o.rng)
+		if o.bulkPresent {
+			fields = nil
+		}
+		all = append(all, o.item("routes", name, fields))
+	}
+	o.bulkPresent = !o.bulkPresent
+	o.send(ctx, changeBulk, all...)
+}
+
+// sendRace sends two contents under one version to two control processes at once: at most one of them may come into force.
+func (o *operator) sendRace(ctx context.Context) {
+	name := fmt.Sprintf("race-%d", o.index)
+	one := o.item("routes", name, idleRoute(name, o.rng))
+	fields := idleRoute(name, o.rng)
+	fields["timeout-s"] = raceTimeout
+	other := one
+	other.Fields = canonical(fields)
+	var both sync.WaitGroup
+	first := o.rng.IntN(zones)
+	for n, i := range []Item{one, other} {
+		both.Go(func() {
+			_ = o.call(ctx, changeRace, []Item{i}, first+n) // one is refused; call counts and judges both
+		})
+	}
+	both.Wait()
+}
--- a/internal/lab/trial/changes_test.go
+++ b/internal/lab/trial/changes_test.go
@@ -48,11 +48,11 @@
 		}
 		changes.Sent(x.refused)
 		changes.Refused(x.refused)
-		standing := map[Key]Item{}
+		current := map[Key]Item{}
 		for _, i := range x.read {
-			standing[i.Key] = i
+			current[i.Key] = i
 		}
-		c.Check(changes.Check("control-1", standing), qt.HasLen, x.wrong, qt.Commentf("%s", x.name))
+		c.Check(changes.Check("control-1", current), qt.HasLen, x.wrong, qt.Commentf("%s", x.name))
 		c.Check(atOnce, qt.Equals, x.wrongAtOnce, qt.Commentf("%s", x.name))
 	}
 }
@@ -65,16 +65,16 @@
 		{Key: Key{"services", "s"}, Version: 12, Fields: canonical(map[string]any{"name": "s", "health-path": "/health"})},
 		{Key: Key{"limits", "limits"}, Version: 13, Fields: canonical(map[string]any{"body-bytes": 5})},
 	}
-	raw := encode(items)
+	raw := encodeChange(items)
 	c.Assert(string(raw), qt.Contains, `"0000000a"`)
-	standing, err := ReadStanding([]byte(string(raw)[len(`{"drop-names":{},"set-items":`) : len(raw)-1]))
+	current, err := ParseConfiguration([]byte(string(raw)[len(`{"drop-names":{},"set-items":`) : len(raw)-1]))
 	c.Assert(err, qt.IsNil)
-	c.Assert(standing, qt.HasLen, len(items))
+	c.Assert(current, qt.HasLen, len(items))
 	for _, i := range items {
-		c.Check(standing[i.Key], qt.Equals, i)
+		c.Check(current[i.Key], qt.Equals, i)
 	}
 	for _, wrong := range []string{`{`, `{"routes":{"table-columns":["name","version"],"table-rows":[["r","none"]]}}`} {
-		_, err := ReadStanding([]byte(wrong))
+		_, err := ParseConfiguration([]byte(wrong))
 		c.Check(err, qt.IsNotNil)
 	}
 }
--- a/internal/lab/trial/disturb.go
+++ b/internal/lab/trial/disturb.go
@@ -11,58 +11,73 @@
 )
 
 const (
-	proxiesAtOnce = 2                      // that end or are away
-	awayLow       = 50 * time.Millisecond  // before a process is started again
-	awayHigh      = 900 * time.Millisecond // after that at the latest
-	upIn          = 10 * time.Second       // for a process that was started to serve
+	maxProxiesDown = 2 // at once
+	maxControlDown = 1
+
+	minDowntime  = 50 * time.Millisecond // until a process that was ended is started again
+	maxDowntime  = 900 * time.Millisecond
+	startTimeout = 10 * time.Second // for a process that was started to listen
 )
 
-// moments draws so many moments within a stretch, in their order.
-func moments(rng *rand.Rand, n int, lasts time.Duration) (all []time.Duration) {
+// drawTimes draws n times within a duration, sorted.
+func drawTimes(rng *rand.Rand, n int, duration time.Duration) (all []time.Duration) {
 	for range n {
-		all = append(all, time.Duration(rng.Int64N(int64(lasts))))
+		all = append(all, time.Duration(rng.Int64N(int64(duration))))
 	}
 	slices.Sort(all)
 	return all
 }
 
-// disturb sends processes signals at drawn moments, and starts those again that end.
-func (r *rig) disturb(ctx context.Context, rng *rand.Rand, lasts time.Duration) {
-	var all sync.WaitGroup
-	defer all.Wait()
+// disturb sends processes signals at drawn times, and starts those again that end. It returns when all of them have been sent.
+func (r *rig) disturb(ctx context.Context, rng *rand.Rand, duration time.Duration) {
+	var pending sync.WaitGroup
+	defer pending.Wait()
 	began := time.Now()
-	room, control := make(chan struct{}, proxiesAtOnce), make(chan struct{}, 1)
-	for _, moment := range moments(rng, r.options.Kills, lasts) {
+	proxySlots := make(chan struct{}, maxProxiesDown)
+	controlSlots := make(chan struct{}, maxControlDown)
+	for _, at := range drawTimes(rng, r.options.Kills, duration) {
 		kind := Disturbance(rng.IntN(3))
-		away := awayLow + time.Duration(rng.Int64N(int64(awayHigh-awayLow)))
-		p, gate := r.proxies[rng.IntN(len(r.proxies))], room
+		downtime := minDowntime + time.Duration(rng.Int64N(int64(maxDowntime-minDowntime)))
+		p, slots := r.proxies[rng.IntN(len(r.proxies))], proxySlots
 		if rng.IntN(3) == 0 {
-			p, gate = r.control[rng.IntN(len(r.control))], control
+			p, slots = r.control[rng.IntN(len(r.control))], controlSlots
 		}
 		select {
-		case <-time.After(moment - time.Since(began)):
+		case <-time.After(at - time.Since(began)):
 		case <-ctx.Done():
 			return
 		}
-		all.Go(func() {
-			gate <- struct{}{}
-			defer func() { <-gate }()
-			r.strike(p, kind, away)
+		pending.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			r.signalProcess(p, kind, downtime)
 		})
 	}
 }
 
-// strike sends one process one signal.
-func (r *rig) strike(p *process, kind Disturbance, away time.Duration) {
-	p.striking.Lock()
-	defer p.striking.Unlock()
-	if r.over.Load() || !p.serves(upIn) {
+// signalProcess sends a process a signal, and starts it again after its downtime if that ended it.
+func (r *rig) signalProcess(p *process, kind Disturbance, downtime time.Duration) {
+	p.signalling.Lock()
+	defer p.signalling.Unlock()
+	if r.loadDone.Load() || !p.awaitListening(startTimeout) {
 		return
 	}
 	s := Signal{Proxy: -1, Kind: kind, At: r.clock.now()}
 	if p.role == "proxy" {
 		s.Proxy = p.index
 	}
+	r.deliver(p, kind)
+	s.Until = r.clock.now()
+	r.recordSignal(s, p.role)
+	if kind == Hangup {
+		return
+	}
+	time.Sleep(downtime)
+	r.startAgain(p)
+}
+
+// deliver sends a process a signal, and waits for its end if the signal ends it.
+func (r *rig) deliver(p *process, kind Disturbance) {
 	switch kind {
 	case Hangup:
 		p.signal(syscall.SIGHUP)
@@ -73,37 +88,27 @@
 	case Killed:
 		p.kill()
 	}
-	s.Until = r.clock.now()
-	r.noteSignal(s, p.role)
-	if kind == Hangup {
-		return
-	}
-	time.Sleep(away)
-	if err := p.start(); err != nil {
-		r.violate(Violation{"PROCESS: not started", err.Error()})
-	}
 }
 
-// noteSignal keeps a signal for the judgement.
-func (r *rig) noteSignal(s Signal, role string) {
+// recordSignal records a signal for the judge and the report.
+func (r *rig) recordSignal(s Signal, role string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.signals = append(r.signals, s)
-	r.struck[role+" "+disturbanceNames[s.Kind]]++
+	r.signalCounts[role+" "+disturbanceNames[s.Kind]]++
 }
 
-// endedByItself notes the end of a process that was not told to end, and starts it again as the platform does.
-func (r *rig) endedByItself(p *process, why error) {
+// restartAfterExit reports a process that exited though no signal ended it, and starts it again as the platform does. The goroutine
+// that it starts ends with that, or as the load is done.
+func (r *rig) restartAfterExit(p *process, cause error) {
 	at := r.clock.now()
-	r.violate(Violation{"PROCESS: ended by itself", fmt.Sprintf("%s at %.3f s: %v", p.name, at.Seconds(), why)})
+	r.violate(Violation{"PROCESS: ended by itself", fmt.Sprintf("%s at %.3f s: %v", p.name, at.Seconds(), cause)})
 	go func() {
-		p.striking.Lock()
-		defer p.striking.Unlock()
-		if r.over.Load() || !p.ended() {
+		p.signalling.Lock()
+		defer p.signalling.Unlock()
+		if r.loadDone.Load() || !p.hasExited() {
 			return
 		}
-		if err := p.start(); err != nil {
-			r.violate(Violation{"PROCESS: not started", err.Error()})
-		}
+		r.startAgain(p)
 	}()
 }
--- a/internal/lab/trial/judge_test.go
+++ b/internal/lab/trial/judge_test.go
@@ -9,9 +9,9 @@
 
 // cut is an unsafe attempt on a kept connection that ended 50 ms after it was sent, without an answer.
 func cut(change func(*Attempt)) Attempt {
-	a := Attempt{ID: "a", Style: Kept, Path: "POST /", MaxAttempts: 2, ConnectedAt: 8 * time.Second, BeganAt: 10 * time.Second,
+	a := Attempt{ID: "a", Style: KeepAlive, Path: "POST /", MaxAttempts: 2, ConnectedAt: 8 * time.Second, BeganAt: 10 * time.Second,
 		SentAt: 10 * time.Second, EndedAt: 10*time.Second + 50*time.Millisecond, Deadline: 14 * time.Second, Timeout: 3 * time.Second,
-		Outcome: Cut}
+		Outcome: Truncated}
 	change(&a)
 	return a
 }
@@ -39,8 +39,8 @@
 		{"the host broke off", cut(func(a *Attempt) { a.Host = HostView{Arrivals: 1, Ran: 1, BrokeOff: true} }), nil, HostBrokeOff, 0},
 		{"crossed", cut(func(*Attempt) {}), nil, Crossed, 0},
 		{"not passed on, later than the slack", cut(func(a *Attempt) { a.EndedAt = a.SentAt + 250*time.Millisecond }), nil, CutLate, 1},
-		{"idled out", cut(func(a *Attempt) { a.Rested, a.EndedAt = 2*time.Second, a.SentAt+250*time.Millisecond }), nil, IdledOut, 0},
-		{"rested for long, and passed on", cut(func(a *Attempt) { a.Rested, a.Host = 2*time.Second, passedOn }), nil, CutPassedOn, 1},
+		{"idled out", cut(func(a *Attempt) { a.IdleFor, a.EndedAt = 2*time.Second, a.SentAt+250*time.Millisecond }), nil, IdledOut, 0},
+		{"rested for long, and passed on", cut(func(a *Attempt) { a.IdleFor, a.Host = 2*time.Second, passedOn }), nil, CutPassedOn, 1},
 		{"terminated, passed on", cut(func(a *Attempt) { a.Host = passedOn }), []Signal{term}, CutEnding, 1},
 		{"terminated, not passed on", cut(func(*Attempt) {}), []Signal{term}, CrossedEnding, 0},
 		{"terminated, not passed on, later than the slack", cut(func(a *Attempt) { a.EndedAt = a.SentAt + time.Second }), []Signal{term},
@@ -54,11 +54,11 @@
 		}), []Signal{term}, CutEnding, 1},
 		{"the client's time was up", cut(func(a *Attempt) { a.Host, a.EndedAt = passedOn, a.Deadline }), nil, TimeUp, 0},
 		{"the route's time was up", cut(func(a *Attempt) { a.Host, a.Timeout = passedOn, 40*time.Millisecond }), nil, TimeUp, 0},
-		{"no answer", cut(func(a *Attempt) { a.Outcome = Silent }), nil, GivenUp, 0},
-		{"not written", cut(func(a *Attempt) { a.Outcome = Unsent }), nil, NotWritten, 0},
-		{"behind the end", cut(func(a *Attempt) { a.Outcome = Behind }), nil, BehindEnd, 0},
-		{"behind the end, and passed on", cut(func(a *Attempt) { a.Outcome, a.Host = Behind, passedOn }), nil, CutPassedOn, 1},
-		{"another's answer", cut(func(a *Attempt) { a.Outcome = Garbled }), nil, AnsweredWrongly, 1},
+		{"no answer", cut(func(a *Attempt) { a.Outcome = TimedOut }), nil, GivenUp, 0},
+		{"not written", cut(func(a *Attempt) { a.Outcome = WriteFailed }), nil, NotWritten, 0},
+		{"behind the end", cut(func(a *Attempt) { a.Outcome = PipelinedBehind }), nil, BehindEnd, 0},
+		{"behind the end, and passed on", cut(func(a *Attempt) { a.Outcome, a.Host = PipelinedBehind, passedOn }), nil, CutPassedOn, 1},
+		{"another's answer", cut(func(a *Attempt) { a.Outcome = Mismatched }), nil, AnsweredWrongly, 1},
 	} {
 		c := qt.New(t)
 		j := Judge{Terms: terms, Signals: x.signals}
@@ -105,14 +105,14 @@
 	second := time.Second
 	var windows []Interval
 	for _, i := range []Interval{{2 * second, 4 * second}, {3 * second, 5 * second}, {9 * second, 10 * second}} {
-		windows = merge(windows, i)
+		windows = mergeInterval(windows, i)
 	}
 	c.Check(windows, qt.DeepEquals, []Interval{{2 * second, 5 * second}, {9 * second, 10 * second}})
 	at := func(from, to time.Duration) Attempt {
 		return cut(func(a *Attempt) { a.SentAt, a.EndedAt, a.Outcome, a.Status = from, to, Complete, 200 })
 	}
 	s := Sum(Judge{Terms: terms}, []Attempt{at(0, second), at(second, 3*second), at(4*second, 6*second), at(6*second, 12*second)}, windows)
-	c.Check(s.Causes[Answered], qt.Equals, Places{Within: 2, Outside: 2})
+	c.Check(s.Causes[Answered], qt.Equals, Counts{Within: 2, Outside: 2})
 	c.Check(s.Within, qt.Equals, 4*second)
 	c.Check(s.Outside, qt.Equals, 8*second)
 }
--- /dev/null
+++ b/internal/lab/trial/operators.go
@@ -0,0 +1,87 @@
+package trial
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"portflow/internal/client"
+)
+
+const (
+	operatorCount = 3
+	changeTimeout = 20 * time.Second // for one change, all its repetitions together
+	windowSlack   = time.Second      // beyond the time in which an acknowledged change must be in force everywhere
+)
+
+// operatorGroup is what operators share: the versions, and the record of their changes.
+type operatorGroup struct {
+	rig     *rig
+	version atomic.Uint64
+
+	mu      sync.Mutex // guards what follows
+	changes *Changes
+	windows []Interval         // from a call's sending until it must be in force everywhere
+	counts  map[changeKind]int // calls by kind
+	results map[string]int     // calls by status
+}
+
+func (g *operatorGroup) newOperator(index int, rng *rand.Rand) *operator {
+	o := &operator{operatorGroup: g, index: index, rng: rng, items: map[Key]Item{}}
+	for n, t := range targets() {
+		if n%operatorCount == index {
+			o.targets = append(o.targets, t)
+		}
+	}
+	return o
+}
+
+// call makes one call, to the control process of this number first, and records its outcome.
+func (g *operatorGroup) call(ctx context.Context, kind changeKind, items []Item, first int) error {
+	control := client.Client{Addresses: controlAddressesFrom(first), HTTP: g.rig.http, Timeout: changeTimeout}
+	g.mu.Lock()
+	g.changes.Sent(items)
+	g.mu.Unlock()
+	began := g.rig.clock.now()
+	_, err := control.Call(ctx, "configuration.modify", "", encodeChange(items))
+	ended := g.rig.clock.now()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.counts[kind]++
+	g.windows = mergeInterval(g.windows, Interval{began, ended + terms.Configuration + windowSlack})
+	g.recordResult(kind, items, err)
+	return err
+}
+
+// recordResult counts and judges what a call returned; g.mu is held.
+func (g *operatorGroup) recordResult(kind changeKind, items []Item, err error) {
+	var refused *client.ResponseError
+	switch {
+	case err == nil:
+		g.results["200"]++
+		g.rig.violate(g.changes.Acknowledged(items)...)
+	case errors.As(err, &refused) && !errors.Is(err, client.ErrNoAnswer):
+		g.results[fmt.Sprint(refused.Status)]++
+		g.changes.Refused(items)
+		if kind != changeRace {
+			g.rig.violate(Violation{"CONFIGURATION: a change was refused", fmt.Sprintf("%s: %v: %v", kind, refused, items[0])})
+		}
+	default:
+		g.results["no clear answer"]++
+	}
+}
+
+// mergeInterval adds an interval to a list of them; one that overlaps the last is joined with it.
+func mergeInterval(all []Interval, i Interval) []Interval {
+	last := len(all) - 1
+	if last < 0 || i.From > all[last].To {
+		return append(all, i)
+	}
+	all[last].From = min(all[last].From, i.From)
+	all[last].To = max(all[last].To, i.To)
+	return all
+}
--- a/internal/lab/trial/process.go
+++ b/internal/lab/trial/process.go
@@ -11,76 +11,97 @@
 	"time"
 )
 
-// process is one deployed process: it can be signalled, ended and started again.
+// listenPoll is how often a process is asked whether it listens.
+const listenPoll = 20 * time.Millisecond
+
+// process is one deployed process: it can be signalled, ended and started again. Each start makes a new incarnation of it.
 type process struct {
-	name, ip, role, duties string
-	zone, index            int
-	rig                    *rig
+	name   string
+	ip     string
+	role   string // of the command line and the settings
+	duties string // of the settings' "serves"
+	zone   int
+	index  int // among those of its role
+	rig    *rig
 
-	mu     sync.Mutex // over what follows
-	cmd    *exec.Cmd
-	exited chan struct{} // closed when the present incarnation has ended
-	asked  bool          // the present incarnation was told to end
-	starts int
+	mu            sync.Mutex // guards what follows
+	cmd           *exec.Cmd
+	exited        chan struct{} // closed when the present incarnation has ended
+	stopRequested bool          // the present incarnation was sent a signal that ends it
+	starts        int
 
-	striking sync.Mutex // one signal and its consequences at a time
+	signalling sync.Mutex // held for one signal and its consequences; taken before mu
 }
 
-// start brings up an incarnation.
+func (p *process) logPath() string      { return filepath.Join(p.rig.dir, p.name+".log") }
+func (p *process) dataPath() string     { return filepath.Join(p.rig.dir, p.name+".data") }
+func (p *process) settingsPath() string { return filepath.Join(p.rig.dir, p.name+".conf") }
+
+// start starts an incarnation.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	data := ""
-	if p.role == "control" {
-		data = filepath.Join(p.rig.dir, p.name+".data")
-	}
-	path := filepath.Join(p.rig.dir, p.name+".conf")
-	text := settings(p.name, p.ip, p.zone, p.role, p.duties, data, p.starts == 0)
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		return fmt.Errorf("settings of %s: %w", p.name, err)
+	if err := p.writeSettings(); err != nil {
+		return err
 	}
 	log, err := os.OpenFile(p.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("log of %s: %w", p.name, err)
 	}
-	defer log.Close()
-	c := exec.Command(p.rig.options.Program, p.role)
-	c.Stdout, c.Stderr = log, log
-	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	c.Env = append(os.Environ(), "PORTFLOW_BOOT="+path, "GORACE=halt_on_error=0 atexit_sleep_ms=0")
-	if n := p.rig.options.Procs; n > 0 {
-		c.Env = append(c.Env, fmt.Sprintf("GOMAXPROCS=%d", n))
-	}
-	if err := c.Start(); err != nil {
+	defer log.Close() // the process has its own
+	cmd := p.command(log)
+	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("%s: %w", p.rig.options.Program, err)
 	}
 	p.starts++
-	exited := make(chan struct{})
-	p.cmd, p.exited, p.asked = c, exited, false
-	go func() {
-		err := c.Wait()
-		p.mu.Lock()
-		asked := p.asked
-		p.mu.Unlock()
-		if !asked {
-			p.rig.endedByItself(p, err)
-		}
-		close(exited)
-	}()
+	p.cmd = cmd
+	p.exited = make(chan struct{})
+	p.stopRequested = false
+	go p.awaitExit(cmd, p.exited)
 	return nil
 }
 
-func (p *process) logPath() string { return filepath.Join(p.rig.dir, p.name+".log") }
+// writeSettings writes the settings file of the next incarnation; p.mu is held.
+func (p *process) writeSettings() error {
+	if err := os.WriteFile(p.settingsPath(), []byte(p.settings()), 0o600); err != nil {
+		return fmt.Errorf("settings of %s: %w", p.name, err)
+	}
+	return nil
+}
+
+// command makes the command of an incarnation, which ends with the trial's own process.
+func (p *process) command(log *os.File) *exec.Cmd {
+	cmd := exec.Command(p.rig.options.Program, p.role)
+	cmd.Stdout, cmd.Stderr = log, log
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	cmd.Env = append(os.Environ(), "PORTFLOW_BOOT="+p.settingsPath(), "GORACE=halt_on_error=0 atexit_sleep_ms=0")
+	if n := p.rig.options.Procs; n > 0 {
+		cmd.Env = append(cmd.Env, fmt.Sprintf("GOMAXPROCS=%d", n))
+	}
+	return cmd
+}
+
+// awaitExit waits for an incarnation's end, and reports one that was not requested. It runs as a goroutine until then.
+func (p *process) awaitExit(cmd *exec.Cmd, exited chan struct{}) {
+	err := cmd.Wait()
+	p.mu.Lock()
+	requested := p.stopRequested
+	p.mu.Unlock()
+	if !requested {
+		p.rig.restartAfterExit(p, err)
+	}
+	close(exited)
+}
 
-// signal sends the present incarnation a signal.
+// signal sends the present incarnation a signal, and returns the channel that its end closes; nil if it was never started.
 func (p *process) signal(s syscall.Signal) (exited chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return nil
 	}
-	p.asked = p.asked || s != syscall.SIGHUP
-	p.cmd.Process.Signal(s)
+	p.stopRequested = p.stopRequested || s != syscall.SIGHUP
+	_ = p.cmd.Process.Signal(s) // fails only for a process that has ended, which awaitExit handles
 	return p.exited
 }
 
@@ -103,8 +124,8 @@
 	return false
 }
 
-// ended reports whether the present incarnation has ended.
-func (p *process) ended() bool {
+// hasExited reports whether the present incarnation has ended.
+func (p *process) hasExited() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
@@ -115,14 +136,14 @@
 	}
 }
 
-// serves waits until the process listens, and reports whether it does. A signal that comes between the start of a program and that of
-// its main function ends it whatever it would do with it, and says nothing of the program.
-func (p *process) serves(within time.Duration) bool {
-	address := at(p.ip, controlPort)
+// awaitListening waits until the process listens, and reports whether it does. A signal that comes between the start of a program and
+// that of its main function ends it whatever it would do with it, and says nothing of the program.
+func (p *process) awaitListening(within time.Duration) bool {
+	address := addressOf(p.ip, controlPort)
 	if p.role == "proxy" {
-		address = at(p.ip, frontPort)
+		address = addressOf(p.ip, frontPort)
 	}
-	for began := time.Now(); time.Since(began) < within; time.Sleep(20 * time.Millisecond) {
+	for began := time.Now(); time.Since(began) < within; time.Sleep(listenPoll) {
 		if c, err := net.DialTimeout("tcp", address, time.Second); err == nil {
 			c.Close()
 			return true
--- /dev/null
+++ b/internal/lab/trial/request.go
@@ -0,0 +1,161 @@
+package trial
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+const (
+	streamThreshold = 256 << 10 // bytes of an answer beyond which proxies pass it on as it comes
+	maxStreamExtra  = 1 << 20   // bytes beyond that
+	maxSmallAnswer  = 2000      // bytes
+	maxSmallBody    = 3000
+	minLargeBody    = 50_000
+	bodyChunks      = 3 // of a body that is written in pieces
+
+	maxClientTimeout = 5 * time.Second
+	minBodyPause     = time.Millisecond // between the pieces of a slow body
+	maxBodyPause     = 150 * time.Millisecond
+
+	safePostOneIn  = 4 // of the safe requests, one in so many has a body
+	largeBodyOneIn = 8
+	chunkedOneIn   = 3
+	slowBodyOneIn  = 10
+	streamOneIn    = 30
+	paddedOneIn    = 12
+)
+
+// request is a request before it is sent.
+type request struct {
+	attempt      Attempt
+	method       string
+	path         string
+	bodyBytes    int
+	chunked      bool
+	answerBytes  int
+	paddedHeader bool
+	pause        time.Duration // between the head and the body, and within it
+	timeout      time.Duration // that the client sends with it
+}
+
+// drawRequest draws a request to a proxy.
+func (c *trialClient) drawRequest(proxy int) request {
+	c.count++
+	t := c.rig.traffic[c.rng.IntN(len(c.rig.traffic))]
+	q := request{
+		method:      http.MethodGet,
+		answerBytes: c.rng.IntN(maxSmallAnswer),
+		timeout:     c.between(maxClientTimeout/2, maxClientTimeout),
+	}
+	q.attempt = Attempt{
+		ID:          fmt.Sprintf("%s-%06d", c.name, c.count),
+		Proxy:       proxy,
+		Style:       c.style,
+		Idempotent:  t.idempotent,
+		MaxAttempts: trafficAttempts,
+		Timeout:     t.minTimeout,
+	}
+	if !t.idempotent || c.rng.IntN(safePostOneIn) == 0 {
+		c.drawBody(&q)
+	}
+	if c.rng.IntN(streamOneIn) == 0 {
+		q.answerBytes = streamThreshold + 1 + c.rng.IntN(maxStreamExtra)
+		q.attempt.Stream = true
+	}
+	q.paddedHeader = c.rng.IntN(paddedOneIn) == 0
+	q.path = requestPath(t.prefix, q.bodyBytes, q.answerBytes)
+	q.attempt.Path = q.method + " " + q.path
+	return q
+}
+
+// drawBody makes a request one with a body, and draws how that is sent.
+func (c *trialClient) drawBody(q *request) {
+	q.method = http.MethodPost
+	q.bodyBytes = 1 + c.rng.IntN(maxSmallBody)
+	if c.rng.IntN(largeBodyOneIn) == 0 {
+		q.bodyBytes = minLargeBody + c.rng.IntN(minBodyBytes/2)
+	}
+	q.chunked = c.rng.IntN(chunkedOneIn) == 0
+	if c.rng.IntN(slowBodyOneIn) == 0 {
+		q.pause = c.between(minBodyPause, maxBodyPause)
+	}
+}
+
+// head returns the request line and the header.
+func (q request) head() string {
+	var head strings.Builder
+	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", q.method, q.path, siteName)
+	fmt.Fprintf(&head, "Attempt-Id: %s\r\nTime-Remaining: %d\r\n", q.attempt.ID, q.timeout.Milliseconds())
+	if q.paddedHeader {
+		fmt.Fprintf(&head, "X-Padding: %s\r\n", strings.Repeat("p", minHeaderBytes/2))
+	}
+	switch {
+	case q.chunked:
+		head.WriteString("Transfer-Encoding: chunked\r\n")
+	case q.method == http.MethodPost:
+		fmt.Fprintf(&head, "Content-Length: %d\r\n", q.bodyBytes)
+	}
+	head.WriteString("\r\n")
+	return head.String()
+}
+
+// writeTo writes the request, in one piece if it is neither chunked nor slow.
+func (q request) writeTo(conn io.Writer) error {
+	body := bodyPattern(q.attempt.ID, q.bodyBytes)
+	if q.pause == 0 && !q.chunked {
+		_, err := conn.Write(append([]byte(q.head()), body...))
+		return err
+	}
+	if _, err := io.WriteString(conn, q.head()); err != nil {
+		return err
+	}
+	step := max(1, len(body)/bodyChunks)
+	for n := 0; n < len(body); n += step {
+		time.Sleep(q.pause)
+		piece := body[n:min(len(body), n+step)]
+		if q.chunked {
+			piece = fmt.Appendf(nil, "%x\r\n%s\r\n", len(piece), piece)
+		}
+		if _, err := conn.Write(piece); err != nil {
+			return err
+		}
+	}
+	if !q.chunked {
+		return nil
+	}
+	_, err := io.WriteString(conn, "0\r\n\r\n")
+	return err
+}
+
+// requestPath returns the path that asks for an answer: a route's prefix, the length of the body, and that of the answer.
+func requestPath(prefix string, body, answer int) string {
+	return fmt.Sprintf("%s%d/%d", prefix, body, answer)
+}
+
+// parseSizes reads the lengths from a path that requestPath made, 0 where they are missing.
+func parseSizes(path string) (body, answer int) {
+	parts := strings.Split(path, "/")
+	if len(parts) < 2 {
+		return 0, 0
+	}
+	body, _ = strconv.Atoi(parts[len(parts)-2])
+	answer, _ = strconv.Atoi(parts[len(parts)-1])
+	return body, answer
+}
+
+// bodyPattern returns a body of a size that repeats an attempt's id.
+func bodyPattern(id string, size int) []byte {
+	if size <= 0 || id == "" {
+		return nil
+	}
+	return []byte(strings.Repeat(id, size/len(id)+1)[:size])
+}
+
+// matchesPattern reports whether a body is, from its first byte to its last, a pattern of this attempt.
+func matchesPattern(body []byte, id string) bool {
+	return string(body) == string(bodyPattern(id, len(body)))
+}
--- /dev/null
+++ b/internal/lab/trial/summary.go
@@ -0,0 +1,83 @@
+package trial
+
+import (
+	"fmt"
+	"math"
+	"net/http"
+	"slices"
+	"time"
+)
+
+// Report is the result of a trial.
+type Report struct {
+	Seed        uint64             `json:"seed"`
+	Requests    int                `json:"requests"`
+	Within      time.Duration      `json:"within_ns"`  // of the load that is beside a change
+	Outside     time.Duration      `json:"outside_ns"` // and that isn't
+	Causes      map[Cause]Counts   `json:"causes"`
+	Styles      map[Style]int      `json:"styles"`
+	Statuses    map[int]int        `json:"statuses"` // of complete answers
+	Streams     int                `json:"streams"`  // complete answers that proxies passed on as they came
+	Unsafe      int                `json:"unsafe"`
+	Changes     map[changeKind]int `json:"changes"`
+	Results     map[string]int     `json:"results"` // of changes, by status
+	Signals     map[string]int     `json:"signals"` // by role and signal
+	SentSignals []Signal           `json:"struck"`
+	Others      map[string]int64   `json:"others"`
+	Violated    int                `json:"violated"`
+	Incomplete  []string           `json:"cuts"` // the first requests without a complete answer, one a line
+	Violations  []Violation        `json:"violations"`
+	Dir         string             `json:"dir"`
+}
+
+// Counts counts what began beside a change and what did not.
+type Counts struct {
+	Within  int `json:"within"`
+	Outside int `json:"outside"`
+}
+
+// add counts one more.
+func (c Counts) add(within bool) Counts {
+	if within {
+		c.Within++
+	} else {
+		c.Outside++
+	}
+	return c
+}
+
+// Sum counts attempts by their causes, within and outside the intervals of changes.
+func Sum(j Judge, all []Attempt, windows []Interval) *Report {
+	s := &Report{Requests: len(all), Causes: map[Cause]Counts{}, Styles: map[Style]int{}, Statuses: map[int]int{}}
+	first, last := time.Duration(math.MaxInt64), time.Duration(0)
+	for _, a := range all {
+		first = min(first, a.SentAt)
+		last = max(last, a.EndedAt)
+		within := slices.ContainsFunc(windows, func(i Interval) bool { return i.contains(a.SentAt) || i.contains(a.EndedAt) })
+		s.count(a, j.Cause(a), within)
+	}
+	for _, i := range windows {
+		s.Within += max(0, min(i.To, last)-max(i.From, first))
+	}
+	s.Outside = max(0, last-first-s.Within)
+	return s
+}
+
+// count adds one attempt.
+func (s *Report) count(a Attempt, cause Cause, within bool) {
+	s.Causes[cause] = s.Causes[cause].add(within)
+	s.Styles[a.Style]++
+	if !a.Idempotent {
+		s.Unsafe++
+	}
+	if a.Outcome == Complete {
+		s.Statuses[a.Status]++
+	}
+	if a.Outcome == Complete && a.Stream && a.Status == http.StatusOK {
+		s.Streams++
+	}
+	notable := cause != Answered && cause != ProxyKilled && cause != BehindEnd
+	if notable && len(s.Incomplete) < maxKeptViolations {
+		s.Incomplete = append(s.Incomplete, fmt.Sprintf("%s: %v", cause, a))
+	}
+}
