--- a/internal/lab/scenario/catalog.go
+++ b/internal/lab/scenario/catalog.go
@@ -1,6 +1,6 @@
-// Package scenario draws days of troubles for the users' bench, by seed: what a deployment's list of kinds and its site file
-// tell of is read, entries are drawn from it, and a day file is written. It knows no kind, site or figure by itself. It is
-// pure: text comes in, text goes out, and the seed is all its chance.
+// Package scenario draws scenarios of faults and planned work for the users' bench, by seed: it parses a deployment's list of kinds
+// (Catalog) and its site file (Site), draws entries from them (Generator) and writes a scenario file. It owns no kind, site or number
+// itself, and it is pure: text in, text out, and all random draws come from the seed. Begin reading at Generator.Generate.
 package scenario
 
 import (
@@ -13,31 +13,31 @@
 	"github.com/samber/lo"
 )
 
-// Kind is one kind of trouble or of planned work, as its line in the list says.
+// Kind is one kind of fault or of planned work, as its line in the list describes it.
 type Kind struct {
 	Name            string
-	Variants        []string           // variants that its line names
-	Words           []string           // words of its line, to find the fields that it speaks of
+	Variants        []string           // that its line names
+	Words           []string           // of its line, to find the fields that it mentions
 	Defaults        map[string]float64 // by field, where the line gives one in brackets
-	TargetsMachines bool               // it befalls machines, so roles and what may stand after them fit
-	CutsLinks       bool               // it cuts links
+	TargetsMachines bool               // it affects machines, so roles and suffixes fit
+	CutsLinks       bool               // it partitions links
 }
 
-// Catalog is what a list of kinds tells.
+// Catalog is what a list of kinds contains.
 type Catalog struct {
 	Kinds           []Kind
 	Fields          []string            // that the head of the list names
 	Defaults        map[string]float64  // by field, from the head
-	ServerVariants  []string            // variants for kinds that befall servers
-	Roles           []string            // variants for kinds that befall machines: which one
-	Suffixes        []string            // that may stand after a role
-	SuffixKinds     map[string][]string // of After: kinds that it is kept to
-	LinkVariants    []string            // variants for cuts
+	ServerVariants  []string            // variants for kinds that affect servers
+	Roles           []string            // variants for kinds that affect machines: which one
+	Suffixes        []string            // that may follow a role
+	SuffixKinds     map[string][]string // by suffix, the kinds that it is restricted to
+	LinkVariants    []string            // variants for partitions
 	Closings        []string
 	ClosingVariants []string // variants of closings
 }
 
-// Kind finds one by name.
+// Kind returns the kind of a name.
 func (c Catalog) Kind(name string) (Kind, bool) {
 	return lo.Find(c.Kinds, func(k Kind) bool { return k.Name == name })
 }
@@ -53,8 +53,8 @@
 	machineWord    = regexp.MustCompile(`\b(machines?|disks?|SIG[A-Z]+)\b`)
 )
 
-// ParseCatalog reads a list of kinds: a head of sentences, then a line for each kind, its name before a colon. A list without
-// kinds, two lines of one name and a list that tells of no closing fault are errors.
+// ParseCatalog parses a list of kinds: a head of sentences, then a line for each kind, its name before a colon. A list without
+// kinds, two lines of one name and a list without closing faults are errors.
 func ParseCatalog(text string) (Catalog, error) {
 	c := Catalog{Defaults: map[string]float64{}, SuffixKinds: map[string][]string{}}
 	for n, l := range strings.Split(text, "\n") {
@@ -75,22 +75,28 @@
 		return c, fmt.Errorf("kinds: no line tells of closing faults (closing = { kind = A | B })")
 	}
 	c.Fields = lo.Uniq(c.Fields)
-	// a line needn't say again what its neighbour says: kinds whose names begin alike befall alike
-	striking := lo.FilterMap(c.Kinds, func(k Kind, _ int) (string, bool) { return k.family(), k.TargetsMachines })
+	// a line needn't repeat what its neighbour says: kinds of one family affect the same targets
+	machineFamilies := lo.FilterMap(c.Kinds, func(k Kind, _ int) (string, bool) { return k.family(), k.TargetsMachines })
 	for i := range c.Kinds {
-		c.Kinds[i].TargetsMachines = slices.Contains(striking, c.Kinds[i].family())
+		c.Kinds[i].TargetsMachines = slices.Contains(machineFamilies, c.Kinds[i].family())
 	}
 	return c, nil
 }
 
-// family is the first part of a kind's name.
+// family returns the first part of a kind's name.
 func (k Kind) family() string {
 	first, _, _ := strings.Cut(k.Name, "_")
 	return first
 }
 
+// parseKind parses a kind's line.
 func parseKind(name, text string) Kind {
-	k := Kind{Name: name, Defaults: map[string]float64{}, TargetsMachines: machineWord.MatchString(text), CutsLinks: strings.Contains(text, "cut off")}
+	k := Kind{
+		Name:            name,
+		Defaults:        map[string]float64{},
+		TargetsMachines: machineWord.MatchString(text),
+		CutsLinks:       strings.Contains(text, "cut off"),
+	}
 	for _, m := range numericDefault.FindAllStringSubmatch(text, -1) {
 		if v, err := strconv.ParseFloat(m[2], 64); err == nil {
 			if _, ok := k.Defaults[m[1]]; !ok {
--- /dev/null
+++ b/internal/lab/scenario/fields.go
@@ -0,0 +1,125 @@
+package scenario
+
+import (
+	"math"
+	"slices"
+	"strings"
+
+	"github.com/samber/lo"
+
+	"portflow/internal/random"
+)
+
+// fillEntry returns an entry with the fields that it lacks: a start, and what its kind's line or the site's entries of the kind name.
+func (g *Generator) fillEntry(rng *random.Source, kind Kind, requested Entry) Entry {
+	start := g.LengthS * (earliestStart + rng.Float64()*(latestStart-earliestStart))
+	entry := Entry{"at": roundHundredths(start)}
+	example := Entry{}
+	if examples := g.Examples[kind.Name]; len(examples) > 0 {
+		example = pick(rng, examples)
+	}
+	for _, field := range g.Fields {
+		g.drawField(rng, entry, kind, field, example)
+	}
+	if namesBoth(kind, entry) {
+		delete(entry, "count")
+	}
+	for field, v := range requested {
+		entry[field] = v
+	}
+	if requested["count"] != nil {
+		delete(entry, "share")
+	}
+	if entry["how"] == "" {
+		delete(entry, "how")
+	}
+	return entry
+}
+
+// namesBoth reports whether an entry could have both a count and a share, of which it may have one.
+func namesBoth(kind Kind, entry Entry) bool {
+	return slices.Contains(kind.Words, "count") && slices.Contains(kind.Words, "share") || entry["count"] != nil && entry["share"] != nil
+}
+
+// drawField draws an entry's field, if its kind has it; example is an entry of the kind that the site shows.
+func (g *Generator) drawField(rng *random.Source, entry Entry, kind Kind, field string, example Entry) {
+	roll := rng.Float64()
+	v, isShown := example[field]
+	if !isShown && field == "on" && g.mayNameClass(kind) && roll < classProbability {
+		if classes := g.classesShown(); len(classes) > 0 {
+			entry[field] = pick(rng, classes)
+		}
+	}
+	_, hasDefault := kind.Defaults[field]
+	if !isShown && !hasDefault && !slices.Contains(kind.Words, field) {
+		return
+	}
+	if names := g.allowedNames(field); names != nil { // where it is left out, the bench picks
+		if isShown && roll < nameProbability {
+			entry[field] = pick(rng, names)
+		}
+		return
+	}
+	if isString(v) {
+		entry[field] = v
+		return
+	}
+	if v == nil {
+		v = lo.CoalesceOrEmpty(kind.Defaults[field], g.Defaults[field])
+	}
+	if amount := scaleAmount(field, v, roll); amount != nil {
+		entry[field] = amount
+	}
+}
+
+// mayNameClass reports whether entries of a kind may name the class of machines that they affect.
+func (g *Generator) mayNameClass(kind Kind) bool {
+	return kind.TargetsMachines && !g.Planned[kind.Name] && slices.Contains(kind.Words, "share")
+}
+
+// scaleAmount returns a field's typical value scaled by a roll within 0 and 1, nil if that is 0, as its size is unknown then.
+func scaleAmount(field string, typicalValue any, roll float64) any {
+	typical := numberValue(typicalValue)
+	amount := typical * (minScale + roll*(maxScale-minScale))
+	if amount == 0 {
+		return nil
+	}
+	_, isInteger := typicalValue.(int64)
+	looksCounted := typical >= 1 && typical == math.Trunc(typical) && !strings.HasSuffix(field, "_s")
+	if isInteger || field == "count" || looksCounted {
+		amount = max(1, math.Round(amount))
+	}
+	switch field {
+	case "count":
+		return int64(amount)
+	case "share":
+		amount = min(1, amount)
+	}
+	return roundHundredths(amount)
+}
+
+// classesShown returns the classes of machines that the site's entries name.
+func (g *Generator) classesShown() []string {
+	var found []string
+	for _, k := range g.Kinds {
+		for _, e := range g.Examples[k.Name] {
+			if on := stringValue(e["on"]); on != "" {
+				found = append(found, on)
+			}
+		}
+	}
+	return lo.Uniq(found)
+}
+
+// drawVariant draws a kind's variant: one of its own, or of those that the site shows, at times with extra ones.
+func (g *Generator) drawVariant(rng *random.Source, k Kind) string {
+	shown := lo.Map(g.Examples[k.Name], func(e Entry, _ int) string { return strings.Join(e.Variant(), " ") })
+	words := strings.Fields(pick(rng, append(g.ownVariants(k), shown...)))
+	if extra := g.extraVariants(k); len(extra) > 0 && rng.Float64() < extraProbability {
+		words = append(words, pick(rng, extra))
+		if suffixes := g.suffixes(k); len(suffixes) > 0 && k.TargetsMachines && rng.Float64() < extraProbability {
+			words = append(words, pick(rng, suffixes))
+		}
+	}
+	return strings.Join(lo.Uniq(words), " ")
+}
--- a/internal/lab/scenario/generator_test.go
+++ b/internal/lab/scenario/generator_test.go
@@ -68,7 +68,7 @@
 	return d
 }
 
-// What the list tells is read as it stands: variants without remarks, defaults, fields, what may be added where.
+// The catalog has what the list says: variants without remarks, defaults, fields, what may be added where.
 func TestParseCatalog(t *testing.T) {
 	c := newTestGenerator(t).Catalog
 	for name, hows := range map[string][]string{
@@ -94,7 +94,7 @@
 	qt.Check(t, c.ClosingVariants, qt.DeepEquals, []string{"early", "late"})
 }
 
-// The same seed gives the same day, another one another.
+// A seed always gives the same scenario, and different seeds different ones.
 func TestSameSeedSameScenario(t *testing.T) {
 	seen := map[string]uint64{}
 	for seed := uint64(1); seed <= 200; seed++ {
@@ -110,7 +110,7 @@
 }
 
 // Each kind comes alone with each of its variants, and each closing fault and none, within the first seeds; after them
-// days hold two kinds or three, each kind somewhere more than once a day and with variants.
+// scenarios have two kinds or three, each kind somewhere more than once and with variants.
 func TestEveryKindIsGenerated(t *testing.T) {
 	d := newTestGenerator(t)
 	alone, closings, often, mixed := map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}
@@ -147,8 +147,8 @@
 	qt.Check(t, closings, qt.DeepEquals, map[string]bool{"": true, "dark_all": true, "wet_all": true})
 }
 
-// A day file is TOML; read again it holds what was drawn, in the right lists, within bounds, with the site's traffic and
-// its lowest floors and without its days' own marks.
+// A scenario file is TOML; parsed again it has what was drawn, in the right lists, within bounds, with the site's traffic and
+// its lowest floors and without the marks of its own scenarios.
 func TestScenarioFile(t *testing.T) {
 	d := newTestGenerator(t)
 	traffic := 0
@@ -184,7 +184,7 @@
 	qt.Check(t, traffic > 100 && traffic < 400, qt.IsTrue, qt.Commentf("%d of 500 days have the traffic of the day that has one", traffic))
 }
 
-// What the bench would turn away or pass over is found, with its place.
+// What the bench would reject or ignore is found, with its place.
 func TestCheck(t *testing.T) {
 	d := newTestGenerator(t)
 	for name, c := range map[string]struct {
@@ -216,7 +216,7 @@
 	qt.Check(t, err, qt.ErrorMatches, "seeds count from 1")
 }
 
-// Wishes hold, what they leave open is drawn, and bad ones are told by line and field.
+// Requests are kept, what they leave open is drawn, and errors name line and field.
 func TestRequests(t *testing.T) {
 	d := newTestGenerator(t)
 	requests, err := d.ParseRequests("# a remark\nstrand on=core count=1 how=captain,twice at=4.5 + paper how=lines # and one here\n? whale + paper\n\nleak + closing=wet_all how=late\npaper + closing=none\n")
@@ -261,7 +261,7 @@
 	}
 }
 
-// Bad input is told by its place; a kind that nothing places is no guess.
+// Errors name the place of bad input; a kind of which nothing shows where it belongs is an error.
 func TestBadInput(t *testing.T) {
 	for name, c := range map[string]struct{ text, says string }{
 		"empty":       {"", "kinds: no line of 1 names a kind.*"},
@@ -297,7 +297,7 @@
 	qt.Check(t, d.Planned["whale"] && d.Planned["swap"], qt.IsTrue)
 }
 
-// A journal entry is read whole or told of; the line and the table show what broke.
+// A journal entry is parsed completely or is an error; the line and the table show what broke.
 func TestRunResult(t *testing.T) {
 	entry := func(days string) string {
 		return fmt.Sprintf(`{"id":"0a1b2c3d","head":"f00","site":"pond","error":null,"days":[%s]}`, days)
@@ -341,7 +341,7 @@
 	}
 }
 
-// Whatever text comes in, reading it ends, and what it accepts draws days that pass their own check.
+// Parsing ends for any text, and what it accepts draws scenarios that pass their own check.
 func FuzzGenerate(f *testing.F) {
 	f.Add(listText, siteText, uint64(3))
 	f.Add("leak: how: ((a\nclosing = { kind = b }", siteText, uint64(9))
--- a/internal/lab/scenario/result.go
+++ b/internal/lab/scenario/result.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"regexp"
 	"slices"
 	"strings"
@@ -12,29 +11,29 @@
 	"github.com/samber/lo"
 )
 
-// RunResult is how one day went.
+// RunResult is the result of one run.
 type RunResult struct {
 	Site       string         `json:"site"`
-	Scenario   string         `json:"day"` // its name
+	Scenario   string         `json:"day"` // the scenario's name
 	Seed       uint64         `json:"seed"`
 	Kinds      []string       `json:"troubles"`
 	Closing    string         `json:"closing,omitempty"`
 	Head       string         `json:"head"`  // the commit that was played
 	Score      float64        `json:"score"` // 0 with a broken rule or a fault
-	Goodput    float64        `json:"worth"` // less prices, before rules
+	Goodput    float64        `json:"worth"` // the bench's G: before deductions for broken rules
 	Served     float64        `json:"served"`
-	Violations map[string]int `json:"rules"` // broken, and how often
+	Violations map[string]int `json:"rules"` // how often each was broken
 	Fault      string         `json:"fault,omitempty"`
 	GatePassed bool           `json:"gate"`
 	Shortfalls []string       `json:"short,omitempty"` // why the gate failed, if by no rule
-	NotStarted []string       `json:"idle,omitempty"`  // entries that befell nobody, so that the day shows less than it says
+	NotStarted []string       `json:"idle,omitempty"`  // entries that affected nothing, so that the run shows less than its file says
 	Entry      string         `json:"entry"`           // of the journal
 }
 
 var startedLine = regexp.MustCompile(`^ *-?[0-9.]+ s to +-?[0-9.]+ s  ([a-z_]+)((?: \([^)]*\))?) *(.*)$`)
 
-// NotStarted reads, from what the bench prints of a day, the entries that befell no machine, server or place, though the kind
-// is one that does: such an entry was passed over in silence.
+// NotStarted returns, from what the bench printed of a run, the entries that affected no machine, server or place though their kind
+// does: the bench ignored them.
 func (g *Generator) NotStarted(printed string) (idle []string) {
 	for l := range strings.Lines(printed) {
 		m := startedLine.FindStringSubmatch(strings.TrimRight(l, "\n"))
@@ -48,7 +47,7 @@
 	return idle
 }
 
-// ParseRunResult reads what a journal entry of one day holds. An entry that isn't whole, or of no day or several, is an error.
+// ParseRunResult parses a journal entry of one run. An entry that is incomplete, or of no run or several, is an error.
 func ParseRunResult(text []byte) (RunResult, error) {
 	var e struct {
 		ID    string  `json:"id"`
@@ -81,14 +80,27 @@
 	if d.Name == "" || e.Head == "" {
 		return RunResult{}, errors.New("journal entry " + e.ID + ": days[0].name and head are wanted")
 	}
-	return RunResult{Site: e.Site, Scenario: d.Name, Seed: d.Seed, Kinds: d.Troubles, Head: e.Head, Score: d.Score, Goodput: d.G, Served: d.Served,
-		Violations: d.Rules, Fault: lo.FromPtr(d.Fault), GatePassed: d.Gate, Shortfalls: d.Short, Entry: e.ID}, nil
+	return RunResult{
+		Site:       e.Site,
+		Scenario:   d.Name,
+		Seed:       d.Seed,
+		Kinds:      d.Troubles,
+		Head:       e.Head,
+		Score:      d.Score,
+		Goodput:    d.G,
+		Served:     d.Served,
+		Violations: d.Rules,
+		Fault:      lo.FromPtr(d.Fault),
+		GatePassed: d.Gate,
+		Shortfalls: d.Short,
+		Entry:      e.ID,
+	}, nil
 }
 
-// Failed tells whether a rule was broken or a fault seen.
+// Failed reports whether a rule was broken or a fault seen.
 func (r RunResult) Failed() bool { return len(r.Violations) > 0 || r.Fault != "" }
 
-// String is the day's one line.
+// String returns the result in one line.
 func (r RunResult) String() string {
 	l := fmt.Sprintf("%-16s %6d  %.2f  served %.3f  gate %-6s %s", r.Site, r.Seed, r.Goodput, r.Served, lo.Ternary(r.GatePassed, "passed", "failed"), r.Scenario)
 	if r.Closing != "" {
@@ -110,38 +122,3 @@
 	}
 	return l
 }
-
-// FormatTable writes, by site and kind of trouble, how many days were played with it, broke a rule, had a fault or failed the
-// gate, and the mean and the lowest worth; a day counts for each of its kinds.
-func FormatTable(w io.Writer, all []RunResult) {
-	type row struct {
-		days, broke, fault, gate int
-		worth, least             float64
-	}
-	rows := map[string]*row{}
-	for _, p := range all {
-		kinds := append(lo.Uniq(p.Kinds), "closing "+lo.CoalesceOrEmpty(p.Closing, "none"), "all")
-		for _, k := range kinds {
-			key := p.Site + "\x00" + k
-			r := rows[key]
-			if r == nil {
-				r = &row{least: p.Goodput}
-				rows[key] = r
-			}
-			r.days++
-			r.broke += lo.Ternary(len(p.Violations) > 0, 1, 0)
-			r.fault += lo.Ternary(p.Fault != "", 1, 0)
-			r.gate += lo.Ternary(p.GatePassed, 0, 1)
-			r.worth += p.Goodput
-			r.least = min(r.least, p.Goodput)
-		}
-	}
-	fmt.Fprintf(w, "%-20s %-28s %5s %6s %6s %11s %5s %6s\n", "site", "kind", "days", "broken", "faults", "gate failed", "worth", "lowest")
-	keys := lo.Keys(rows)
-	slices.Sort(keys)
-	for _, k := range keys {
-		site, kind, _ := strings.Cut(k, "\x00")
-		r := rows[k]
-		fmt.Fprintf(w, "%-20s %-28s %5d %6d %6d %11d %5.2f %6.2f\n", site, kind, r.days, r.broke, r.fault, r.gate, r.worth/float64(r.days), r.least)
-	}
-}
--- /dev/null
+++ b/internal/lab/scenario/table.go
@@ -0,0 +1,50 @@
+package scenario
+
+import (
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+
+	"github.com/samber/lo"
+)
+
+// tableRow sums up the runs of one site with one kind.
+type tableRow struct {
+	runs, broken, faults, gateFailed int
+	sum, lowest                      float64 // of their goodput
+}
+
+func (r *tableRow) add(result RunResult) {
+	r.runs++
+	r.broken += lo.Ternary(len(result.Violations) > 0, 1, 0)
+	r.faults += lo.Ternary(result.Fault != "", 1, 0)
+	r.gateFailed += lo.Ternary(result.GatePassed, 0, 1)
+	r.sum += result.Goodput
+	r.lowest = min(r.lowest, result.Goodput)
+}
+
+// FormatTable writes, by site and kind, how many runs had it, broke a rule, had a fault or failed the gate, and their mean and lowest
+// goodput; a run counts for each of its kinds.
+func FormatTable(w io.Writer, all []RunResult) {
+	rows := map[string]*tableRow{} // by site and kind
+	for _, result := range all {
+		kinds := append(lo.Uniq(result.Kinds), "closing "+lo.CoalesceOrEmpty(result.Closing, "none"), "all")
+		for _, kind := range kinds {
+			key := result.Site + "\x00" + kind
+			if rows[key] == nil {
+				rows[key] = &tableRow{lowest: result.Goodput}
+			}
+			rows[key].add(result)
+		}
+	}
+	fmt.Fprintf(w, "%-20s %-28s %5s %6s %6s %11s %5s %6s\n", "site", "kind", "days", "broken", "faults", "gate failed", "worth", "lowest")
+	keys := lo.Keys(rows)
+	slices.Sort(keys)
+	for _, key := range keys {
+		site, kind, _ := strings.Cut(key, "\x00")
+		r := rows[key]
+		fmt.Fprintf(w, "%-20s %-28s %5d %6d %6d %11d %5.2f %6.2f\n",
+			site, kind, r.runs, r.broken, r.faults, r.gateFailed, r.sum/float64(r.runs), r.lowest)
+	}
+}
