--- a/internal/lab/baselines.go
+++ b/internal/lab/baselines.go
@@ -8,7 +8,7 @@
 
 type retryGuard = dispatch.Guard
 
-// fixedLimit has everyone who is sent away come back after the longest advice.
+// fixedLimit gives every rejected client the longest Retry-After, and rejects no retries itself.
 type fixedLimit struct{}
 
 func (*fixedLimit) Admit(int64, *retryguard.Request) (bool, int64)                                  { return true, 0 }
@@ -18,7 +18,7 @@
 func (*fixedLimit) AttemptEnded(int64, *retryguard.Request, uint32, retryguard.Signal, bool, int64) {}
 func (*fixedLimit) HostsChanged(int64, bool, []retryguard.Host)                                     {}
 
-// retryBudget lets marked further tries in up to a tenth of what is fulfilled.
+// retryBudget admits marked retries for up to a tenth of the requests that succeed.
 type retryBudget struct {
 	fixedLimit
 	tokens float64
@@ -41,8 +41,8 @@
 	}
 }
 
-// throttle turns tries away by chance, the more of them beyond twice what was accepted of late: the adaptive throttle
-// that clients use, at the router.
+// throttle rejects requests at random, the more of them beyond twice what was accepted lately: the adaptive throttle that clients
+// use, at the router.
 type throttle struct {
 	fixedLimit
 	rng                random.Source
--- a/internal/lab/emulation.go
+++ b/internal/lab/emulation.go
@@ -10,11 +10,10 @@
 	"portflow/internal/decision"
 	"portflow/internal/dispatch"
 	"portflow/internal/random"
-	"portflow/internal/retryguard"
 	"portflow/internal/standin"
 )
 
-// emulation plays an experiment in virtual time: the program's reducers, rules and guards, and models around them.
+// emulation runs an experiment in virtual time: the program's dispatchers, decisions and guards, and models around them.
 type emulation struct {
 	StormExperiment
 	timeline
@@ -29,14 +28,7 @@
 	rollbackVotes  int
 }
 
-// emulatedRouter is a router.
-type emulatedRouter struct {
-	*emulation
-	steppedRouter
-	index int
-	guard *retryguard.Guard
-}
-
+// host is the model of a host, with the requests that are at it.
 type host struct {
 	*standin.Machine
 	name        string
@@ -47,6 +39,7 @@
 	forwards    []*forward
 }
 
+// attempt is one attempt of a client's command.
 type attempt struct {
 	*command
 	client int
@@ -56,7 +49,7 @@
 	ended  bool
 }
 
-// Emulate plays an experiment in virtual time.
+// Emulate runs an experiment in virtual time.
 func Emulate(exp StormExperiment) (Result, error) {
 	if err := exp.validate(); err != nil {
 		return Result{}, err
@@ -112,7 +105,7 @@
 	return result, nil
 }
 
-// scheduleOutages plays what goes and returns. Hosts that died return cold, one after another within a second.
+// scheduleOutages schedules what fails and returns. Hosts that crashed return cold, one after another within a second.
 func (e *emulation) scheduleOutages() {
 	outage := func(at int64) {
 		switch e.Kind {
@@ -145,7 +138,7 @@
 	}
 }
 
-// sendHostList sends all routers the list, each some moments later.
+// sendHostList sends all routers the list of hosts, each after a random delay.
 func (e *emulation) sendHostList(complete bool) {
 	for _, n := range e.routers {
 		e.after(int64(e.rng.Float64()*3e8), func() {
@@ -166,7 +159,7 @@
 	return hosts
 }
 
-// scheduleArrivals plays the clients' commands: a Poisson stream from all clients that don't wait for an answer.
+// scheduleArrivals schedules the clients' commands: a Poisson stream from all clients that don't wait for an answer.
 func (e *emulation) scheduleArrivals() {
 	rate := e.commandRate()
 	inOutage := e.now >= int64(e.Warmup) && e.now < int64(e.Warmup+e.Outage)
@@ -186,7 +179,7 @@
 	})
 }
 
-// recordCapacity adds up what the hosts that went can do.
+// recordCapacity records, step by step, the capacity of the hosts that the outage affects.
 func (e *emulation) recordCapacity() {
 	for _, h := range e.hosts {
 		if h.inOutage || e.Kind == "list" || e.Kind == "carrier" || e.Kind == "none" {
@@ -196,7 +189,7 @@
 	e.after(int64(step), e.recordCapacity)
 }
 
-// sendAttempt sends one try to the client's router.
+// sendAttempt sends one attempt to the client's router.
 func (e *emulation) sendAttempt(cmd *command, client int) {
 	e.serial++
 	rank := client % e.Routers
@@ -224,7 +217,7 @@
 	})
 }
 
-// Respond gets the router's final answer.
+// Respond receives the router's final answer.
 func (a *attempt) Respond(answer dispatch.Answer) {
 	em := a.router.emulation
 	em.after(5e5, func() {
@@ -242,7 +235,7 @@
 }
 
 func (e *emulation) scheduleRetry(at *attempt, advised int64) {
-	wait, again := at.behaviour.NextRetry(at.command.attempts-1, advised, e.rng.Float64())
+	wait, again := at.behaviour.NextRetry(at.attempts-1, advised, e.rng.Float64())
 	if !again {
 		e.waitingClients[at.client/64] &^= 1 << (at.client % 64)
 		return
@@ -250,46 +243,6 @@
 	e.after(wait, func() { e.sendAttempt(at.command, at.client) })
 }
 
-// forward is a hand-off on its way.
-type forward struct {
-	router      *emulatedRouter
-	done        func(dispatch.Outcome)
-	sent, ended bool
-	host        *host
-}
-
-func (f *forward) finish(outcome dispatch.Outcome) {
-	if f.ended {
-		return
-	}
-	f.ended = true
-	if h := f.host; h != nil {
-		for i, x := range h.forwards {
-			if x == f {
-				h.forwards[i] = h.forwards[len(h.forwards)-1]
-				h.forwards = h.forwards[:len(h.forwards)-1]
-				break
-			}
-		}
-	}
-	f.done(outcome)
-}
-
-// finishExternally ends it from outside the router.
-func (f *forward) finishExternally(outcome dispatch.Outcome) {
-	if !f.ended {
-		f.finish(outcome)
-		f.router.pump()
-	}
-}
-
-func (f *forward) Cancel() { f.finish(dispatch.Outcome{Result: decision.Canceled}) }
-func (f *forward) CancelUnsent() {
-	if !f.sent {
-		f.finish(dispatch.Outcome{Result: decision.Unsent})
-	}
-}
-
 func (h *host) crash() {
 	h.Stop()
 	h.incarnation++
@@ -297,61 +250,3 @@
 		h.forwards[0].finishExternally(dispatch.Outcome{Result: decision.ConnectionReset})
 	}
 }
-
-func (r *emulatedRouter) Forward(to dispatch.Host, req *dispatch.Request, remaining time.Duration, done func(dispatch.Outcome)) dispatch.Attempt {
-	fwd := &forward{router: r, done: done}
-	at := r.attempts[req.TraceID]
-	r.after(int64(remaining), func() { fwd.finishExternally(dispatch.Outcome{Result: decision.TimedOut}) })
-	r.after(3e5, func() {
-		if fwd.ended {
-			return
-		}
-		i, err := strconv.Atoi(to.Address[min(1, len(to.Address)):])
-		if err != nil || i >= len(r.hosts) || !r.hosts[i].Up {
-			fwd.finishExternally(dispatch.Outcome{Result: decision.ConnectFailed})
-			return
-		}
-		target := r.hosts[i]
-		fwd.sent, fwd.host = true, target
-		serviceTime := at.drawWork(&r.rng)
-		if target.inOutage || r.Kind != "half" {
-			r.recorder.recordWork(r.now, serviceTime)
-		}
-		if at.idempotencyKey != "" && !r.effects.Run(r.now, at.idempotencyKey, req.TraceID) {
-			serviceTime = 1e6 // the repeat is known
-		}
-		finishAt, ok := target.Arrive(r.now, serviceTime)
-		if !ok {
-			fwd.finishExternally(dispatch.Outcome{Result: decision.Rejected})
-			return
-		}
-		target.forwards = append(target.forwards, fwd)
-		incarnation := target.incarnation
-		r.after(finishAt-r.now+3e5, func() {
-			if target.incarnation == incarnation {
-				fwd.finishExternally(dispatch.Outcome{Result: decision.Succeeded})
-			}
-		})
-	})
-	return fwd
-}
-
-func (r *emulatedRouter) CloseIdle(string) {}
-func (r *emulatedRouter) Forget(string)    {}
-func (r *emulatedRouter) Watch(bool)       {}
-
-// Vote answers a vote with the build as it stands.
-func (r *emulatedRouter) Vote(vote decision.Verdict, build, stage int) {
-	if vote == decision.RollBack {
-		r.rollbackVotes++
-	}
-	r.post(2e6, dispatch.RolloutChanged{Rollout: decision.Rollout{Build: build, Stage: stage, State: decision.OnTrial, VoteReply: true, ExposureCap: 0.4}})
-}
-
-// SendGossip carries a message, of which one in fifty is lost.
-func (r *emulatedRouter) SendGossip(peer int, message []byte) {
-	if r.rng.Float64() < 0.02 {
-		return
-	}
-	r.routers[peer].post(2e6, dispatch.GossipReceived{Peer: r.index, Message: message})
-}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -11,23 +11,23 @@
 	"portflow/internal/standin"
 )
 
-// FleetExperiment is an experiment in virtual time on what routers ask for by themselves: the program's reducers without a
-// command, a discovery that serves all of them in turn, and a platform that takes so many calls a second. A build is on
-// trial from the second second on; a share of the routers is killed at once and starts again from nothing.
+// FleetExperiment is an experiment in virtual time on the calls that routers make by themselves: the program's dispatchers without
+// a command, a discovery service that serves them in turn, and a platform that accepts a number of calls a second. A build is on
+// trial from the second second on; a fraction of the routers is killed at once and starts again without state.
 type FleetExperiment struct {
 	Routers, Hosts         int
-	ListSeconds            float64 // seconds in which discovery takes one call of each router
-	PlatformCallsPerSecond float64 // that the platform takes a second
-	RequiredVotes          int     // routers that must stand for a stage
-	KilledFraction         float64 // part of them
+	ListSeconds            float64 // seconds in which the discovery service serves one call of each router
+	PlatformCallsPerSecond float64 // that the platform accepts
+	RequiredVotes          int     // routers whose votes a stage needs
+	KilledFraction         float64 // of the routers
 	Seed                   uint64
 }
 
-// FleetResult counts over the whole fleet. Times are seconds, below 0 for never.
+// FleetResult counts over the complete fleet. Times are seconds, below 0 for never.
 type FleetResult struct {
-	ListCalls, LateCalls, RejectedCalls      int     // calls to discovery, and those that it answered too late or turned away
-	ListedSeconds, RelistedSeconds           float64 // until each router had its list: from the start, and from the kill
-	VoteCalls, RejectedVotes, WithdrawnVotes int     // calls to the platform, those turned away, and those that took a vote back
+	ListCalls, LateCalls, RejectedCalls      int     // to the discovery service, and those that it answered too late or rejected
+	ListedSeconds, RelistedSeconds           float64 // until each router had its list, from the start and from the kill
+	VoteCalls, RejectedVotes, WithdrawnVotes int     // to the platform, those rejected, and those that withdrew a vote
 	Stages                                   []float64
 }
 
@@ -44,16 +44,16 @@
 	FleetExperiment
 	timeline
 	routers         []*idleRouter
-	discovery       standin.CallQueue // discovery
+	discovery       standin.CallQueue
 	callTokens      float64
 	refilledAt      int64
-	votesValidUntil []int64 // until when each router's vote for the stage stands
+	votesValidUntil []int64 // until when each router's vote for the stage counts
 	stage           int
 	stageSince      int64
 	result          FleetResult
 }
 
-// idleRouter is a router of the fleet.
+// idleRouter is a router of the fleet, which has no requests.
 type idleRouter struct {
 	*fleetEmulation
 	steppedRouter
@@ -61,7 +61,7 @@
 	listed bool
 }
 
-// EmulateFleet plays it.
+// EmulateFleet runs a fleet experiment.
 func EmulateFleet(exp FleetExperiment) FleetResult {
 	f := &fleetEmulation{FleetExperiment: exp, votesValidUntil: make([]int64, exp.Routers), stage: -1}
 	f.discovery = standin.CallQueue{ServiceNanos: min(int64(1e9), int64(exp.ListSeconds*1e9)/int64(exp.Routers)), MaxQueueNanos: 3 * listCallTimeout, CallerTimeout: listCallTimeout}
@@ -97,7 +97,7 @@
 	r.pump()
 }
 
-// buildHosts are those of a build.
+// buildHosts returns the hosts of a build.
 func (f *fleetEmulation) buildHosts(build int) (all []dispatch.Host) {
 	for i := range f.Hosts {
 		name := strconv.Itoa(build) + "-" + strconv.Itoa(i)
@@ -113,7 +113,7 @@
 	return decision.Rollout{Build: 2, Stage: f.stage, ExposureCap: 0.3, Age: f.now - f.stageSince}
 }
 
-// advanceStage brings the build to a stage, and all routers hear of it.
+// advanceStage brings the build to a stage, and informs all routers.
 func (f *fleetEmulation) advanceStage(stage int) {
 	if f.stage, f.stageSince = stage, f.now; stage > 0 {
 		f.result.Stages = append(f.result.Stages, float64(f.now)/1e9)
@@ -124,7 +124,7 @@
 	}
 }
 
-// Watch is a call to discovery.
+// Watch is a call to the discovery service.
 func (r *idleRouter) Watch(bool) {
 	ok, at := r.discovery.Call(r.now)
 	if !ok {
@@ -168,18 +168,18 @@
 		r.result.RejectedVotes++
 	}
 	r.post(1e8, dispatch.RolloutChanged{Rollout: reply})
-	standing := 0
+	votes := 0
 	for _, until := range r.votesValidUntil {
 		if until > r.now {
-			standing++
+			votes++
 		}
 	}
-	if r.stage >= 0 && standing >= r.RequiredVotes && r.now-r.stageSince > stageDwell {
+	if r.stage >= 0 && votes >= r.RequiredVotes && r.now-r.stageSince > stageDwell {
 		r.advanceStage(r.stage + 1)
 	}
 }
 
-// SendGossip carries a message to a router that is there.
+// SendGossip sends a message to another router.
 func (r *idleRouter) SendGossip(peer int, message []byte) {
 	r.routers[peer].post(5e6, dispatch.GossipReceived{Peer: r.index, Message: message})
 }
--- a/internal/lab/fleet_test.go
+++ b/internal/lab/fleet_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// A whole fleet starts at once, and later seven in ten of it again, before a discovery that can just take one call of
-// each router in 8 s, or only in 14, and a platform that can just take the votes that it needs. Routers that asked again
-// after a second on average never had their list (80 of them: 2,795 calls, all that were answered too late); those that
-// took back votes on a stage that had passed spent half of their calls on that.
+// A complete fleet starts at once, and later seven in ten of it again, before a discovery service that can just serve one call of
+// each router in 8 s, or only in 14, and a platform that can just accept the votes that it needs. Routers that repeated their calls
+// after a second on average never had their list (80 of them: 2,795 calls, all answered too late); those that withdrew votes for a
+// stage that had passed spent half of their calls on that.
 func TestFleetsStart(t *testing.T) {
 	for _, x := range []FleetExperiment{
 		{Routers: 3, Hosts: 10, ListSeconds: 8, PlatformCallsPerSecond: 16, RequiredVotes: 2, KilledFraction: 0.7},
--- a/internal/lab/flows.go
+++ b/internal/lab/flows.go
@@ -16,6 +16,7 @@
 
 	"portflow/internal/dispatch"
 	"portflow/internal/router"
+	"portflow/internal/router/config"
 	"portflow/internal/router/flow"
 	"portflow/internal/router/flow/export"
 	"portflow/internal/router/flow/ipfix"
@@ -34,7 +35,7 @@
 	Seed              uint64        `json:"Seed"`
 }
 
-// FlowResult is what a run tells.
+// FlowResult is the result of a flow experiment.
 type FlowResult struct {
 	Connections        uint64  `json:"connections"`
 	Records            uint64  `json:"records"`
@@ -68,139 +69,248 @@
 	return n, err
 }
 
-// RunFlowExperiment plays the experiment.
-func RunFlowExperiment(exp FlowExperiment) (result FlowResult, err error) {
-	settings := DefaultStorm()
-	settings.Kind, settings.Routers, settings.Hosts, settings.Seed, result.Seed = "none", 2, 3, exp.Seed, exp.Seed
+// flowRun is a flow experiment that runs.
+type flowRun struct {
+	FlowExperiment
+	loopback  *loopbackRun
+	collector *collector.Collector
+	meter     *export.Meter
+	configs   []config.Config
+	routers   []*router.Router
+
+	mu                      sync.Mutex // guards latencies
+	latencies               [flowRouters][]time.Duration
+	clientBytes, successful atomic.Uint64 // of the requests to the router that exports
+	result                  FlowResult
+}
+
+const (
+	flowRouters = 2 // of which the first exports
+	flowHosts   = 3
+	flowClients = 16 // at once
+
+	accountEvery  = 64 // requests between two checks of the meter's account
+	exportTimeout = 2 * time.Second
+	flowRelease   = `{"release":1,"tranche":0,"mode":"stable","exposure":1,"old_ms":60000}`
+)
+
+// RunFlowExperiment runs a flow experiment.
+func RunFlowExperiment(exp FlowExperiment) (FlowResult, error) {
+	run := &flowRun{FlowExperiment: exp, result: FlowResult{Seed: exp.Seed}}
 	coll, err := collector.New(exp.Collector, nil)
 	if err != nil {
-		return result, err
+		return run.result, err
+	}
+	run.collector = coll
+	defer run.stop()
+	if err := run.startHosts(); err != nil {
+		return run.result, err
+	}
+	if err := run.startRouters(); err != nil {
+		return run.result, err
+	}
+	coll.Stop() // away from the first connection on
+	start := time.Now()
+	run.sendCommands()
+	time.Sleep(exp.CollectorDowntime - time.Since(start))
+	if err := coll.Restart(); err != nil {
+		return run.result, err
+	}
+	for _, n := range run.routers {
+		if err := n.Drain(); err != nil {
+			return run.result, err
+		}
 	}
+	run.compare(run.awaitExport())
+	coll.Stop()
+	return run.result, nil
+}
+
+// stop ends hosts and services.
+func (run *flowRun) stop() {
+	if run.loopback == nil {
+		return
+	}
+	if run.loopback.services != nil {
+		run.loopback.services.Close()
+	}
+	for _, h := range run.loopback.hosts {
+		h.Stop()
+	}
+}
+
+// startHosts starts the hosts, the services that name them, and draws the routers' configurations.
+func (run *flowRun) startHosts() (err error) {
+	settings := DefaultStorm()
+	settings.Kind = "none"
+	settings.Routers = flowRouters
+	settings.Hosts = flowHosts
+	settings.Seed = run.Seed
 	lb := &loopbackRun{StormExperiment: settings, recorder: newRecorder(settings), start: time.Now(), effects: servers.SharedEffects{}}
+	run.loopback = lb
 	for i := range settings.Hosts {
-		hostServer := &servers.Host{Name: fmt.Sprint("h", i), Effects: &lb.effects, Clock: lb.clock, OnWork: func(int64, int64) {}, Work: func() int64 { return 1e6 }}
-		if err := hostServer.Start(&standin.Machine{Cores: 64, QueueNanos: 1e9}); err != nil {
-			return result, err
+		h := &servers.Host{
+			Name:    fmt.Sprint("h", i),
+			Effects: &lb.effects,
+			Clock:   lb.clock,
+			OnWork:  func(int64, int64) {},
+			Work:    func() int64 { return 1e6 },
+		}
+		if err := h.Start(&standin.Machine{Cores: 64, QueueNanos: 1e9}); err != nil {
+			return err
 		}
-		defer hostServer.Stop()
-		lb.hosts = append(lb.hosts, hostServer)
+		lb.hosts = append(lb.hosts, h)
 	}
-	if lb.services, err = servers.NewServices(`{"release":1,"tranche":0,"mode":"stable","exposure":1,"old_ms":60000}`, lb.memberList(true)); err != nil {
-		return result, err
+	if lb.services, err = servers.NewServices(flowRelease, lb.memberList(true)); err != nil {
+		return err
 	}
-	defer lb.services.Close()
-	configs, err := lb.routerConfigs()
-	if err != nil {
-		return result, err
+	run.configs, err = lb.routerConfigs()
+	return err
+}
+
+// startRouters starts the routers, of which the first exports.
+func (run *flowRun) startRouters() error {
+	run.meter = export.NewMeter(flow.Limits{Active: 60e9, Idle: 15e9, MaxConnections: 1024}, 1, run.BacklogBytes, dispatch.NewClock())
+	for i, exporter := range []*export.Exporter{export.New(run.exportOptions(), run.meter, zerolog.Nop()), nil} {
+		n, err := router.StartWith(context.Background(), run.configs[i], nil, exporter, zerolog.Nop())
+		if err != nil {
+			return err
+		}
+		run.routers = append(run.routers, n)
 	}
-	network := exp.Collector
-	if network == "netflow9" {
+	return nil
+}
+
+func (run *flowRun) exportOptions() export.Options {
+	version9 := run.Collector == "netflow9"
+	network := run.Collector
+	if version9 {
 		network = "udp"
 	}
-	meter := export.NewMeter(flow.Limits{Active: 60e9, Idle: 15e9, MaxConnections: 1024}, 1, exp.BacklogBytes, dispatch.NewClock())
-	exporter := export.New(export.Options{Version9: exp.Collector == "netflow9", Collectors: []export.Collector{{Network: network, Address: coll.Address}},
-		Enterprise: ipfix.Documentation, Names: ipfix.Names{Carriers: carrierNames, Bands: []string{experimentBands[0].name, experimentBands[1].name}},
-		Refresh: time.Second, Packets: 50, MTU: 1400, Linger: 5 * time.Second}, meter, zerolog.Nop())
-	var nodes []*router.Router
-	for i, flowExporter := range []*export.Exporter{exporter, nil} {
-		n, err := router.StartWith(context.Background(), configs[i], nil, flowExporter, zerolog.Nop())
-		if err != nil {
-			return result, err
-		}
-		nodes = append(nodes, n)
+	return export.Options{
+		Version9:   version9,
+		Collectors: []export.Collector{{Network: network, Address: run.collector.Address}},
+		Enterprise: ipfix.Documentation,
+		Names:      ipfix.Names{Carriers: carrierNames, Bands: []string{experimentBands[0].name, experimentBands[1].name}},
+		Refresh:    time.Second,
+		Packets:    50,
+		MTU:        1400,
+		Linger:     5 * time.Second,
 	}
-	coll.Stop() // away from the first connection on
-	var bytes, commands atomic.Uint64
-	latencies := [2][]time.Duration{}
-	var mu sync.Mutex
+}
+
+// sendCommands sends all commands, to the routers in turn, and checks the meter's account meanwhile.
+func (run *flowRun) sendCommands() {
 	var workers sync.WaitGroup
-	start := time.Now()
-	jobs := make(chan int, 16) // so many clients at once
-	for range cap(jobs) {
+	jobs := make(chan int, flowClients)
+	for range flowClients {
 		workers.Go(func() {
 			for i := range jobs {
-				sentAt := time.Now()
-				ok, n := sendOnce(configs[i%2].Listen, i)
-				latency := time.Since(sentAt)
-				mu.Lock()
-				latencies[i%2] = append(latencies[i%2], latency)
-				mu.Unlock()
-				if i%2 == 0 {
-					bytes.Add(n)
-					if ok {
-						commands.Add(1)
-					}
-				}
+				run.sendCommand(i)
 			}
 		})
 	}
-	for i := range 2 * exp.Connections {
+	for i := range flowRouters * run.Connections {
 		jobs <- i
-		if i%64 == 0 {
-			account, backlogBytes := meter.Account(0)
-			if result.BacklogPeak = max(result.BacklogPeak, backlogBytes); !account.Balanced() {
-				result.IdentityViolations++
-			}
+		if i%accountEvery == 0 {
+			run.checkAccount()
 		}
 	}
 	close(jobs)
 	workers.Wait()
-	time.Sleep(exp.CollectorDowntime - time.Since(start))
-	if err := coll.Restart(); err != nil {
-		return result, err
+}
+
+// sendCommand sends one command and records its latency.
+func (run *flowRun) sendCommand(i int) {
+	target := i % flowRouters
+	start := time.Now()
+	ok, bytes := sendOnce(run.configs[target].Listen, i)
+	latency := time.Since(start)
+	run.mu.Lock()
+	run.latencies[target] = append(run.latencies[target], latency)
+	run.mu.Unlock()
+	if target != 0 {
+		return
 	}
-	for _, n := range nodes {
-		if err := n.Drain(); err != nil {
-			return result, err
-		}
+	run.clientBytes.Add(bytes)
+	if ok {
+		run.successful.Add(1)
+	}
+}
+
+// checkAccount checks that the meter's account is balanced, and records the backlog's peak.
+func (run *flowRun) checkAccount() {
+	account, backlogBytes := run.meter.Account(0)
+	run.result.BacklogPeak = max(run.result.BacklogPeak, backlogBytes)
+	if !account.Balanced() {
+		run.result.IdentityViolations++
 	}
-	account, _ := meter.Account(0)
-	for deadline := time.Now().Add(2 * time.Second); time.Now().Before(deadline); runtime.Gosched() {
-		if sum, _, _, _ := coll.Totals(); sum.Records >= account.Exported.Records {
+}
+
+// awaitExport waits until the collector has all records that were exported, and returns the meter's account.
+func (run *flowRun) awaitExport() flow.Ledger {
+	account, _ := run.meter.Account(0)
+	for deadline := time.Now().Add(exportTimeout); time.Now().Before(deadline); runtime.Gosched() {
+		if sum, _, _, _ := run.collector.Totals(); sum.Records >= account.Exported.Records {
 			break
 		}
 	}
-	bySide, _ := coll.TotalsBySide()
+	return account
+}
+
+// compare compares what the collector has with what the clients counted.
+func (run *flowRun) compare(account flow.Ledger) {
+	if !account.Balanced() {
+		run.result.IdentityViolations++
+	}
+	bySide, _ := run.collector.TotalsBySide()
 	clientSide := bySide[flow.Clients]
-	result.Connections, result.Records, result.BytesRouter, result.BytesCollector = clientSide.Connections, account.Counted.Records, bytes.Load(), clientSide.Forward+clientSide.Reverse
+	result := &run.result
+	result.Connections = clientSide.Connections
+	result.Records = account.Counted.Records
+	result.BytesRouter = run.clientBytes.Load()
+	result.BytesCollector = clientSide.Forward + clientSide.Reverse
 	result.BytesError = relativeError(result.BytesCollector, result.BytesRouter)
-	result.CommandsError = relativeError(clientSide.Commands, commands.Load())
+	result.CommandsError = relativeError(clientSide.Commands, run.successful.Load())
 	result.Lost = account.Lost.Records
-	if !account.Balanced() {
-		result.IdentityViolations++
-	}
-	for i := range latencies {
-		slices.Sort(latencies[i])
-	}
-	p99 := func(t []time.Duration) float64 { return float64(t[len(t)*99/100]) }
-	result.P99Ratio = p99(latencies[0]) / p99(latencies[1])
-	result.Folded = coll.FoldedRecords()
-	coll.Stop()
-	return result, nil
+	result.P99Ratio = p99(run.latencies[0]) / p99(run.latencies[1])
+	result.Folded = run.collector.FoldedRecords()
+}
+
+// p99 returns the 99th percentile of latencies, in nanoseconds.
+func p99(latencies []time.Duration) float64 {
+	slices.Sort(latencies)
+	return float64(latencies[len(latencies)*99/100])
 }
 
-// relativeError is by how much one is off another, as a part of it.
+// relativeError returns by how much a number differs from the wanted one, as a fraction of that.
 func relativeError(got, want uint64) float64 {
 	return max(float64(got)-float64(want), float64(want)-float64(got)) / max(1, float64(want))
 }
 
-// sendOnce plays one command on a connection of its own.
+// sendOnce sends one command on a connection of its own, and returns whether it succeeded and the connection's bytes.
 func sendOnce(address string, i int) (ok bool, bytes uint64) {
 	var count atomic.Uint64
 	transport := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 		raw, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		return countedConn{raw, &count}, err
 	}}
-	req, err := http.NewRequest(http.MethodGet, "http://"+address+"/"+experimentBands[0].name+"?obj="+fmt.Sprint(i%50), nil)
+	url := fmt.Sprintf("http://%s/%s?obj=%d", address, experimentBands[0].name, i%50)
+	req, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
 		return false, 0
 	}
-	req.Header = http.Header{"X-Trace-Id": {fmt.Sprint("f", i)}, "X-Qos": {experimentBands[0].name}, "X-Customer": {carrierNames[i/2%3]}, "X-Expires-In": {"2000m"}}
+	req.Header = http.Header{
+		"X-Trace-Id":   {fmt.Sprint("f", i)},
+		"X-Qos":        {experimentBands[0].name},
+		"X-Customer":   {carrierNames[i/2%3]},
+		"X-Expires-In": {"2000m"},
+	}
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
 		return false, count.Load()
 	}
-	io.Copy(io.Discard, resp.Body)
+	_, _ = io.Copy(io.Discard, resp.Body) // the connection counts what has come
 	resp.Body.Close()
 	return resp.StatusCode == http.StatusOK, count.Load()
 }
--- a/internal/lab/quota_test.go
+++ b/internal/lab/quota_test.go
@@ -1,14 +1,13 @@
 package lab
 
 import (
-	"fmt"
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 )
 
-// A caller that asks for ten times its share gets it, and no more than the stated bounds, whatever the routers and the
-// trouble: -v shows all figures, also of the ways that were weighed.
+// A caller at ten times its quota is granted the quota, and no more than the stated bounds, whatever the routers and the fault: -v
+// shows all numbers, also of the baseline methods.
 func TestQuotaMethods(t *testing.T) {
 	sizes, ways := []int{13, 92}, []string{"dealt"}
 	if testing.Verbose() {
@@ -40,6 +39,6 @@
 			}
 		}
 	}
-	_, err := RunQuotaExperiment(QuotaExperiment{Method: fmt.Sprint("none")})
+	_, err := RunQuotaExperiment(QuotaExperiment{Method: "none"})
 	qt.Check(t, err, qt.ErrorMatches, "way: .*")
 }
--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -27,7 +27,7 @@
 	"portflow/internal/standin/servers"
 )
 
-// loopbackRun plays an experiment on sockets: the program's own routers, and stand-ins around them.
+// loopbackRun runs an experiment on sockets: the program's own routers, and stand-ins around them.
 type loopbackRun struct {
 	StormExperiment
 	recorder *recorder
@@ -45,7 +45,7 @@
 
 var carrierNames = []string{"c0", "c1", "c2"}
 
-// RunSockets plays an experiment on loopback, in real time.
+// RunSockets runs an experiment on loopback, in real time.
 func RunSockets(exp StormExperiment) (Result, error) {
 	if err := exp.validate(); err != nil {
 		return Result{}, err
@@ -134,7 +134,7 @@
 	return all
 }
 
-// routerConfigs are the routers', with free addresses.
+// routerConfigs returns the routers' configurations, with free addresses.
 func (l *loopbackRun) routerConfigs() ([]config.Config, error) {
 	known := discovery.Update{HostsChanged: dispatch.HostsChanged{Kind: decision.Snapshot}}
 	for _, h := range l.hosts {
@@ -168,7 +168,7 @@
 	return all, nil
 }
 
-// playOutage plays the script and the clients' commands, in one goroutine until the end.
+// playOutage schedules the outage and sends the clients' commands, in one goroutine until the end.
 func (l *loopbackRun) playOutage() {
 	at := func(t time.Duration, act func()) {
 		l.clients.Add(1)
@@ -182,7 +182,11 @@
 			continue
 		}
 		at(l.Warmup, h.Stop)
-		at(l.Warmup+l.Outage+time.Duration(i)*time.Second/time.Duration(len(l.hosts)), func() { h.Restart() })
+		at(l.Warmup+l.Outage+time.Duration(i)*time.Second/time.Duration(len(l.hosts)), func() {
+			if err := h.Restart(); err != nil {
+				panic(err) // the host's own address is taken: the run would measure nothing
+			}
+		})
 	}
 	if l.Kind == "list" {
 		at(l.Warmup, func() { l.services.SetMembers(l.memberList(false)) })
@@ -208,7 +212,7 @@
 		time.Sleep(time.Duration(next - l.clock()))
 		l.mu.Lock()
 		client := int(l.rng.Float64() * float64(l.Clients))
-		c := l.StormExperiment.newCommand(l.clock(), client, &l.rng)
+		c := l.newCommand(l.clock(), client, &l.rng)
 		l.mu.Unlock()
 		l.clients.Add(1)
 		go func() {
@@ -218,7 +222,7 @@
 	}
 }
 
-// runCommand plays a client's tries.
+// runCommand sends a client's attempts until one succeeds or the client gives up.
 func (l *loopbackRun) runCommand(c *command, client int) {
 	for {
 		fulfilled, advised := l.sendAttempt(c, client)
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -2,9 +2,7 @@
 
 import (
 	"fmt"
-	"math"
 	"slices"
-	"sync"
 	"time"
 
 	"portflow/internal/decision"
@@ -13,41 +11,41 @@
 	"portflow/internal/standin"
 )
 
-// StormExperiment is one experiment: hosts go and return, and clients ask again.
+// StormExperiment is one experiment with a retry storm: hosts fail and return, and clients retry.
 type StormExperiment struct {
 	Routers      int               `json:"Routers"`
 	Hosts        int               `json:"Hosts"`
 	Clients      int               `json:"Clients"`
 	Outage       time.Duration     `json:"Outage"`
-	Kind         string            `json:"Kind"`    // what goes: "hosts", "half", "list", "carrier" or "none"
-	Carrier      int               `json:"Carrier"` // whose keys a storm of one carrier is about
+	Kind         string            `json:"Kind"`    // what fails: "hosts", "half", "list", "carrier" or "none"
+	Carrier      int               `json:"Carrier"` // of kind "carrier": the one whose keys are requested
 	Policy       string            `json:"Policy"`  // "on", "off", or a baseline: "fixed", "budget", "throttle"
 	HeedFraction float64           `json:"Heed"`
 	MarkRetries  bool              `json:"Marks"`
 	SecondOutage bool              `json:"Again"` // a second outage, 3 s after the hosts' return
 	SkewRouters  bool              `json:"Busy"`  // one router has nine tenths of the traffic
 	Trial        bool              `json:"Trial"` // a build is on trial meanwhile, on every fifth host
-	Load         float64           `json:"Load"`  // calm traffic's part of what the hosts can do
+	Load         float64           `json:"Load"`  // of the traffic before the outage, as a fraction of the hosts' capacity
 	Warmup       time.Duration     `json:"Calm"`
 	Cooldown     time.Duration     `json:"After"`
 	Seed         uint64            `json:"Seed"`
 	Tuning       retryguard.Tuning `json:"Tuning"`
 }
 
-// DefaultStorm are those of the command line.
+// DefaultStorm returns the defaults of the command line.
 func DefaultStorm() StormExperiment {
 	return StormExperiment{Routers: 3, Hosts: 10, Clients: 2000, Outage: 5 * time.Second, Kind: "hosts", Policy: "on", HeedFraction: 0.7,
 		Load: 0.6, Warmup: 6 * time.Second, Cooldown: 15 * time.Second, Seed: 1, Tuning: retryguard.Defaults()}
 }
 
-// Result is what a run tells; the greatest load counts what came to returning hosts over any 500 ms as a multiple of
-// what they could do then, over all routers.
+// Result is the result of a run. The peak load is what returning hosts received over any 500 ms, as a multiple of their capacity
+// then, over all routers.
 type Result struct {
 	LoadLimit           float64 `json:"ceiling"`
 	PeakLoad            float64 `json:"peak"`
 	LoadLimitKept       bool    `json:"ceiling_kept"`
 	RecoverySeconds     float64 `json:"recovered_s"` // -1 for never
-	Goodput             float64 `json:"goodput"`     // worth fulfilled in time of all that was asked for
+	Goodput             float64 `json:"goodput"`     // value served in time, as a fraction of all
 	FirstAttemptsServed float64 `json:"first_try_served"`
 	OtherCarriersServed float64 `json:"other_carriers_served"`
 	AttemptsPerCommand  float64 `json:"tries_per_command"`
@@ -69,12 +67,12 @@
 
 const (
 	step       = 100 * time.Millisecond
-	loadLimit  = 1.25 // the ceiling that runs are held to: a quarter over what hosts can do fits into their queues
+	loadLimit  = 1.25 // of the peak load: a quarter over the hosts' capacity fits into their queues
 	loadWindow = 5    // steps of a load's 500 ms
 	maxAdvice  = int64(time.Second)
 )
 
-// experimentBands are the experiment's: short work of little worth that may repeat, and marked work of more.
+// experimentBands are the experiment's classes: short work of little value that may be repeated, and marked work of more.
 var experimentBands = []struct {
 	decision.RequestClass
 	name       string
@@ -106,7 +104,7 @@
 
 func (x StormExperiment) duration() int64 { return int64(x.Warmup + x.Outage + x.Cooldown) }
 
-// routerSettings are a router's.
+// routerSettings returns a router's settings.
 func (x StormExperiment) routerSettings(rank int) decision.Settings {
 	out := decision.Settings{Rank: rank, Routers: x.Routers, OverQuotaValue: 0.1, TimerResolution: 5e6, MaxAttempts: 3, Hedging: true,
 		Cancellation: true, Gossip: x.Routers > 1, MaxRetryAfter: maxAdvice, Gate: decision.MajorityVote, AdvanceVotes: 1, RollBackVotes: 1, VoteLifetime: 4e9,
@@ -121,7 +119,7 @@
 	return out
 }
 
-// commandRate is how many commands clients ask for in calm, a second.
+// commandRate is the commands a second that clients send before the outage.
 func (x StormExperiment) commandRate() float64 {
 	return x.Load * float64(x.Hosts*coresPerHost) / meanWorkSeconds
 }
@@ -130,7 +128,7 @@
 	return &standin.Machine{Cores: coresPerHost, ColdStartFactor: 0.33, ColdDuration: 4e9, CollapseFactor: 2, CollapseDuration: 3e9, QueueNanos: 2e9}
 }
 
-// newGuard is a router's, by the policy; nil for none.
+// newGuard makes a router's guard by the policy, nil for none.
 func (x StormExperiment) newGuard(rank int, now int64) (retryGuard, *retryguard.Guard, error) {
 	switch x.Policy {
 	case "off":
@@ -153,176 +151,3 @@
 	observed, err := retryguard.New(settings, x.Seed*1000+uint64(rank), now)
 	return observed, observed, err
 }
-
-// command is one that a client wants, with all its tries.
-type command struct {
-	band, carrier  int
-	key            uint64
-	idempotencyKey string
-	behaviour      standin.ClientBehaviour
-	firstSentAt    int64
-	attempts       int
-	served         bool // within its contract time
-}
-
-// recorder counts what clients and hosts saw. Its methods may be called by many goroutines.
-type recorder struct {
-	StormExperiment
-	sync.Mutex
-	commands                           []*command
-	attempts                           int
-	lost                               int
-	firstUnservedAt                    int64 // the first try in the outage that went unserved
-	offered                            []float64
-	admitted                           []float64
-	capacity                           []float64
-	served                             []float64
-	returningLoad                      []float64 // work that came to hosts, as they return
-	firstAttempts, firstAttemptsServed float64   // first tries after the return, and those served at once
-}
-
-func newRecorder(s StormExperiment) *recorder {
-	n := int(s.duration()/int64(step)) + 2
-	row := func() []float64 { return make([]float64, n) }
-	return &recorder{StormExperiment: s, offered: row(), admitted: row(), capacity: row(), served: row(), returningLoad: row()}
-}
-
-func addToSeries(row []float64, at int64, x float64) {
-	if i := at / int64(step); i >= 0 && int(i) < len(row) {
-		row[i] += x
-	}
-}
-
-// recordAttempt counts a try.
-func (r *recorder) recordAttempt(now int64, c *command) {
-	r.Lock()
-	defer r.Unlock()
-	if c.attempts++; c.attempts == 1 {
-		c.firstSentAt = now
-		r.commands = append(r.commands, c)
-	}
-	r.attempts++
-	addToSeries(r.offered, now, 1)
-}
-
-// recordWork counts a hand-off's work at a host.
-func (r *recorder) recordWork(now int64, work int64) {
-	r.Lock()
-	defer r.Unlock()
-	addToSeries(r.admitted, now, float64(work)/1e9)
-}
-
-// recordOutcome counts how a try ended: answered says that the router gave it an answer in time.
-func (r *recorder) recordOutcome(now, sent int64, cmd *command, fulfilled, answered bool) {
-	r.Lock()
-	defer r.Unlock()
-	returnAt := int64(r.Warmup + r.Outage)
-	if firstAttempt := cmd.attempts == 1; firstAttempt && cmd.firstSentAt >= returnAt && cmd.firstSentAt < returnAt+10e9 {
-		r.firstAttempts++
-		if fulfilled {
-			r.firstAttemptsServed++
-		}
-	}
-	if !answered {
-		r.lost++
-	}
-	switch {
-	case fulfilled && now-sent <= experimentBands[cmd.band].LatencyTarget:
-		addToSeries(r.served, now, 1)
-		cmd.served = cmd.served || now-cmd.firstSentAt <= experimentBands[cmd.band].Timeout
-	case !fulfilled && sent >= int64(r.Warmup) && (r.firstUnservedAt == 0 || now < r.firstUnservedAt):
-		r.firstUnservedAt = now
-	}
-}
-
-func sum(row []float64, from, to int) (s float64) {
-	for i := max(0, from); i < to && i < len(row); i++ {
-		s += row[i]
-	}
-	return s
-}
-
-// summarize reads the book.
-func (r *recorder) summarize() Result {
-	result := Result{LoadLimit: loadLimit, RecoverySeconds: -1, DetectionMillis: -1, Lost: r.lost, Commands: len(r.commands), Seed: r.Seed,
-		Series: Series{Offered: r.offered, Admitted: r.admitted, Capacity: r.capacity, Served: r.served}}
-	outageStep, returnStep := int(r.Warmup/step), int((r.Warmup+r.Outage)/step)
-	last := int(r.duration() / int64(step))
-	for i := returnStep; i+loadWindow <= last; i++ {
-		if capacity := sum(r.capacity, i, i+loadWindow) * step.Seconds(); capacity > 0 {
-			result.PeakLoad = max(result.PeakLoad, sum(r.admitted, i, i+loadWindow)/capacity)
-		}
-	}
-	result.LoadLimitKept = result.PeakLoad <= result.LoadLimit
-	calm := sum(r.served, outageStep-40, outageStep) / 40
-	for i := returnStep; i+10 <= last; i++ {
-		if sum(r.served, i, i+10) >= 0.95*10*calm && sum(r.served, i+10, i+20) >= 0.85*10*calm {
-			result.RecoverySeconds = float64(i-returnStep) * step.Seconds()
-			break
-		}
-	}
-	served, asked, others, othersOK := 0.0, 0.0, 0.0, 0.0
-	for _, cmd := range r.commands {
-		weight := experimentBands[cmd.band].Value
-		asked += weight
-		if cmd.served {
-			served += weight
-		}
-		if cmd.carrier != r.Carrier && cmd.firstSentAt >= int64(r.Warmup) {
-			if others++; cmd.served {
-				othersOK++
-			}
-		}
-	}
-	result.Goodput, result.OtherCarriersServed = served/max(1, asked), othersOK/max(1, others)
-	result.FirstAttemptsServed = r.firstAttemptsServed / max(1, r.firstAttempts)
-	result.AttemptsPerCommand = float64(r.attempts) / max(1, float64(len(r.commands)))
-	return result
-}
-
-// recordDetection fills in what guards saw: alarms before the outage, and the median time from its first unserved try on.
-func (r *recorder) recordDetection(result *Result, detectedAt []int64) {
-	var waits []float64
-	for _, detected := range detectedAt {
-		if detected == 0 {
-			continue
-		}
-		if detected < int64(r.Warmup) {
-			result.FalseAlarms++
-		} else if r.firstUnservedAt > 0 {
-			waits = append(waits, float64(detected-r.firstUnservedAt)/1e6)
-		}
-	}
-	if len(waits) > 0 {
-		slices.Sort(waits)
-		result.DetectionMillis = math.Round(waits[len(waits)/2])
-	}
-}
-
-// newCommand draws a new command of a client.
-func (x StormExperiment) newCommand(now int64, client int, rng *random.Source) *command {
-	cmd := &command{band: 1}
-	if rng.Float64() < experimentBands[0].share {
-		cmd.band = 0
-	}
-	position := float64(client%1000) / 1000 // a client is always of one carrier
-	for position >= carrierShares[cmd.carrier] && cmd.carrier < len(carrierShares)-1 {
-		position -= carrierShares[cmd.carrier]
-		cmd.carrier++
-	}
-	cmd.key = 1 + uint64(client)
-	cmd.behaviour = standin.DrawBehaviour(x.HeedFraction, x.MarkRetries, rng.Float64(), rng.Float64(), rng.Float64(), rng.Float64())
-	if x.Kind == "carrier" && cmd.carrier == x.Carrier && now >= int64(x.Warmup) && now < int64(x.Warmup+x.Outage) {
-		cmd.key = 1 + uint64(client%5)                                                                                                                                              // a few keys
-		cmd.behaviour = standin.ClientBehaviour{Retries: 3, Patience: 0.04, HonoursRetryAfter: cmd.behaviour.HonoursRetryAfter, EarlyFactor: 1, SendsIdempotencyKey: x.MarkRetries} // given up soon, and asked again at once
-	}
-	if cmd.band == 1 {
-		cmd.idempotencyKey = fmt.Sprintf("m%d-%d-%d", x.Seed, client, now)
-	}
-	return cmd
-}
-
-func (c *command) drawWork(d *random.Source) int64 {
-	b := experimentBands[c.band]
-	return b.least + int64(d.Float64()*float64(b.top-b.least))
-}
--- a/internal/lab/storm_test.go
+++ b/internal/lab/storm_test.go
@@ -11,9 +11,9 @@
 	"portflow/internal/random"
 )
 
-// The hard cases of a retry storm, each in virtual time: returning hosts get no more than the ceiling, service is back
-// in time, no effect comes twice, nothing is lost, nobody is pushed over and no vote goes back. Where off breaks, the
-// same without the guard must break the ceiling, so that the case shows something.
+// The hard cases of a retry storm, each in virtual time: returning hosts get no more than the load limit, service recovers in time,
+// no effect happens twice, nothing is lost, no host collapses and no vote rolls back. Where off is set, the same without the guard
+// must exceed the limit, so that the case proves something.
 func TestHardCases(t *testing.T) {
 	for name, c := range map[string]struct {
 		set  func(*StormExperiment)
@@ -55,7 +55,7 @@
 	}
 }
 
-// A storm of one carrier's keys must not cost the others: they are served as in calm, and better than without.
+// A retry storm for one carrier's keys must not cost the others: they are served as before it, and better than without the guard.
 func TestOtherCarriersServed(t *testing.T) {
 	s := DefaultStorm()
 	s.Kind, s.Carrier = "carrier", 0
@@ -67,7 +67,7 @@
 	}
 }
 
-// One seed gives one run.
+// One seed gives one result.
 func TestSameSeedSameResult(t *testing.T) {
 	s := DefaultStorm()
 	s.Trial = true
@@ -86,7 +86,7 @@
 	}
 }
 
-// On sockets, small: the same figures come out of the program's own routers.
+// On sockets, with few hosts: the program's own routers give the same numbers.
 func TestSockets(t *testing.T) {
 	s := DefaultStorm()
 	s.Hosts, s.Warmup, s.Outage, s.Cooldown = 4, 2*time.Second, 2*time.Second, 4*time.Second
@@ -115,8 +115,8 @@
 	}
 }
 
-// An accept that is asked for again with its mark runs once within the hosts' memory; beyond it, it is its client's
-// doing, and no hand-off of a router's.
+// A command that is repeated with its key runs once within the hosts' retention; beyond it, a repeat is its client's doing, and
+// none of a router.
 func TestIdempotencyKeys(t *testing.T) {
 	e := &emulation{}
 	e.effects.Retention = 2e9
--- a/internal/lab/timeline.go
+++ b/internal/lab/timeline.go
@@ -1,5 +1,6 @@
-// Package lab tries designs out: an emulator in virtual time that drives the program's own reducer, rules and guard
-// for sizes that sockets don't reach, and runs on loopback. It is no part of a router.
+// Package lab runs experiments with designs: an emulator in virtual time that drives the program's own dispatcher, decisions and retry
+// guard for sizes that sockets don't reach, and runs on loopback. It owns the experiments (StormExperiment, QuotaExperiment,
+// FleetExperiment, FlowExperiment) and their results, and is no part of any process in service. Begin reading at Emulate.
 package lab
 
 import (
@@ -14,7 +15,7 @@
 	run      func()
 }
 
-// timeline plays what is due in the order of time, and of asking within one instant.
+// timeline runs what is due in the order of time, and of scheduling within one instant.
 type timeline struct {
 	now      int64
 	sequence uint64
@@ -49,7 +50,7 @@
 	}
 }
 
-// steppedRouter is a router whose events and wake-ups come on a timeline, until it is gone.
+// steppedRouter is a router whose events and timers run on a timeline, until it is stopped.
 type steppedRouter struct {
 	timeline *timeline
 	router   *dispatch.Dispatcher
@@ -57,7 +58,7 @@
 	stopped  bool
 }
 
-// post tells the router an event after a while.
+// post sends the router an event after a delay.
 func (s *steppedRouter) post(wait int64, e dispatch.Event) {
 	s.timeline.after(wait, func() {
 		if !s.stopped {
@@ -67,7 +68,7 @@
 	})
 }
 
-// pump lets the router do what it can do now, and plans its next wake-up.
+// pump lets the router do what it can do now, and schedules its next timer.
 func (s *steppedRouter) pump() {
 	for s.router.Step() {
 	}
--- a/internal/lab/trial/cause.go
+++ b/internal/lab/trial/cause.go
@@ -95,7 +95,7 @@
 
 // endingSignal returns the SIGTERM during which an attempt ended, nil for none, and whether the proxy was killed just then.
 func (j Judge) endingSignal(a Attempt) (terminated *Signal, killed bool) {
-	for n, s := range j.Signals {
+	for n, s := range j.Sent {
 		if s.Proxy != a.Proxy {
 			continue
 		}
@@ -107,7 +107,7 @@
 		case Killed:
 			killed = true
 		case Terminated:
-			terminated = &j.Signals[n]
+			terminated = &j.Sent[n]
 		}
 	}
 	return terminated, killed
--- a/internal/lab/trial/client.go
+++ b/internal/lab/trial/client.go
@@ -37,7 +37,7 @@
 	net.Conn
 	in        *bufio.Reader
 	proxy     int
-	requests  int           // sent on it
+	requests  int           // written to it
 	idleSince time.Duration // when the last exchange ended
 	openedAt  time.Duration
 }
--- a/internal/lab/trial/disturb.go
+++ b/internal/lab/trial/disturb.go
@@ -94,7 +94,7 @@
 func (r *rig) recordSignal(s Signal, role string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.signals = append(r.signals, s)
+	r.sent = append(r.sent, s)
 	r.signalCounts[role+" "+disturbanceNames[s.Kind]]++
 }
 
--- a/internal/lab/trial/judge.go
+++ b/internal/lab/trial/judge.go
@@ -21,10 +21,10 @@
 
 func (v Violation) String() string { return v.Rule + ": " + v.Detail }
 
-// Judge decides whether attempts broke rules. It is pure: it knows the signals that proxies were sent, and nothing else.
+// Judge decides whether attempts broke rules. It is pure: it knows what signal each proxy was sent when, and nothing else.
 type Judge struct {
-	Terms   Terms
-	Signals []Signal
+	Terms Terms
+	Sent  []Signal
 }
 
 // promisesNotRun reports whether a status says that the request has not run and never will.
--- a/internal/lab/trial/judge_test.go
+++ b/internal/lab/trial/judge_test.go
@@ -61,7 +61,7 @@
 		{"another's answer", cut(func(a *Attempt) { a.Outcome = Mismatched }), nil, AnsweredWrongly, 1},
 	} {
 		c := qt.New(t)
-		j := Judge{Terms: terms, Signals: x.signals}
+		j := Judge{Terms: terms, Sent: x.signals}
 		c.Check(j.Cause(x.attempt), qt.Equals, x.cause, qt.Commentf("%s", x.name))
 		c.Check(j.Violations(x.attempt), qt.HasLen, x.broken, qt.Commentf("%s", x.name))
 	}
--- a/internal/lab/trial/options.go
+++ b/internal/lab/trial/options.go
@@ -8,7 +8,7 @@
 	Lasts    time.Duration // of the load; the restarts at the end come on top
 	Seed     uint64
 	Clients  int
-	Kills    int          // signals that processes are sent
+	Kills    int          // processes that are sent a signal
 	Restarts int          // times that all control processes are killed at once at the end
 	Procs    int          // GOMAXPROCS of the processes, 0 for all
 	Requests int          // the most that are sent
--- a/internal/lab/trial/report.go
+++ b/internal/lab/trial/report.go
@@ -13,7 +13,7 @@
 	windows := slices.Clone(r.operators.windows)
 	r.operators.mu.Unlock()
 	r.mu.Lock()
-	j := Judge{Terms: terms, Signals: slices.Clone(r.signals)}
+	j := Judge{Terms: terms, Sent: slices.Clone(r.sent)}
 	r.mu.Unlock()
 	all := r.recorder.joinedAttempts()
 	for _, a := range all {
@@ -26,12 +26,12 @@
 	s.Dir = r.dir
 	s.Changes = r.operators.counts
 	s.Results = r.operators.results
-	s.Signals = r.signalCounts
-	s.SentSignals = j.Signals
+	s.SignalCounts = r.signalCounts
+	s.Sent = j.Sent
 	s.Violated = r.violated
 	s.Violations = r.violations
 	s.Others = map[string]int64{
-		"connections that the proxy closed while they were idle, nothing sent on them": r.counters.closedIdle.Load(),
+		"connections that the proxy closed while they were idle, nothing sent": r.counters.closedIdle.Load(),
 		"connections refused":         r.counters.refusedConnections.Load(),
 		"hosts that drained and left": r.counters.hostsLeft.Load(),
 	}
@@ -42,7 +42,7 @@
 func (s *Report) Write(w io.Writer) {
 	s.writeTotals(w)
 	s.writeCauses(w)
-	s.writeSignals(w)
+	s.writeSent(w)
 	fmt.Fprintln(w, "first requests without a complete answer, but those of killed proxies:")
 	for _, request := range s.Incomplete {
 		fmt.Fprintln(w, " ", request)
@@ -61,7 +61,7 @@
 		changes += n
 	}
 	fmt.Fprintf(w, "%d changes: %v\n  by kind: %v\n", changes, s.Results, s.Changes)
-	fmt.Fprintf(w, "signals: %v\nstyles: %v\nstatuses of complete answers: %v\n", s.Signals, s.Styles, s.Statuses)
+	fmt.Fprintf(w, "signals: %v\nstyles: %v\nstatuses of complete answers: %v\n", s.SignalCounts, s.Styles, s.Statuses)
 	for _, name := range slices.Sorted(maps.Keys(s.Others)) {
 		fmt.Fprintf(w, "%s: %d\n", name, s.Others[name])
 	}
@@ -74,9 +74,9 @@
 	}
 }
 
-// writeSignals writes what proxies were sent.
-func (s *Report) writeSignals(w io.Writer) {
-	for _, signal := range s.SentSignals {
+// writeSent writes each signal that a proxy was sent.
+func (s *Report) writeSent(w io.Writer) {
+	for _, signal := range s.Sent {
 		if signal.Proxy >= 0 {
 			fmt.Fprintf(w, "  proxy %d, %s from %.3f s to %.3f s\n",
 				signal.Proxy, disturbanceNames[signal.Kind], signal.At.Seconds(), signal.Until.Seconds())
--- a/internal/lab/trial/rig.go
+++ b/internal/lab/trial/rig.go
@@ -35,7 +35,7 @@
 	proxies   []*process
 	traffic   []target
 	operators *operatorGroup
-	loadDone  atomic.Bool // no more signals are sent, and processes are not started again
+	loadDone  atomic.Bool // no signal is sent any more, and processes are not started again
 
 	counters struct {
 		closedIdle         atomic.Int64 // connections that the proxy closed while they were idle
@@ -44,7 +44,7 @@
 	}
 
 	mu           sync.Mutex // guards what follows
-	signals      []Signal
+	sent         []Signal
 	signalCounts map[string]int // by role and signal
 	violations   []Violation    // the first maxKeptViolations
 	violated     int            // all of them
--- a/internal/lab/trial/summary.go
+++ b/internal/lab/trial/summary.go
@@ -10,24 +10,24 @@
 
 // Report is the result of a trial.
 type Report struct {
-	Seed        uint64             `json:"seed"`
-	Requests    int                `json:"requests"`
-	Within      time.Duration      `json:"within_ns"`  // of the load that is beside a change
-	Outside     time.Duration      `json:"outside_ns"` // and that isn't
-	Causes      map[Cause]Counts   `json:"causes"`
-	Styles      map[Style]int      `json:"styles"`
-	Statuses    map[int]int        `json:"statuses"` // of complete answers
-	Streams     int                `json:"streams"`  // complete answers that proxies passed on as they came
-	Unsafe      int                `json:"unsafe"`
-	Changes     map[changeKind]int `json:"changes"`
-	Results     map[string]int     `json:"results"` // of changes, by status
-	Signals     map[string]int     `json:"signals"` // by role and signal
-	SentSignals []Signal           `json:"struck"`
-	Others      map[string]int64   `json:"others"`
-	Violated    int                `json:"violated"`
-	Incomplete  []string           `json:"cuts"` // the first requests without a complete answer, one a line
-	Violations  []Violation        `json:"violations"`
-	Dir         string             `json:"dir"`
+	Seed         uint64             `json:"seed"`
+	Requests     int                `json:"requests"`
+	Within       time.Duration      `json:"within_ns"`  // of the load that is beside a change
+	Outside      time.Duration      `json:"outside_ns"` // and that isn't
+	Causes       map[Cause]Counts   `json:"causes"`
+	Styles       map[Style]int      `json:"styles"`
+	Statuses     map[int]int        `json:"statuses"` // of complete answers
+	Streams      int                `json:"streams"`  // complete answers that proxies passed on as they came
+	Unsafe       int                `json:"unsafe"`
+	Changes      map[changeKind]int `json:"changes"`
+	Results      map[string]int     `json:"results"` // of changes, by status
+	SignalCounts map[string]int     `json:"signals"` // by role and signal
+	Sent         []Signal           `json:"struck"`
+	Others       map[string]int64   `json:"others"`
+	Violated     int                `json:"violated"`
+	Incomplete   []string           `json:"cuts"` // the first requests without a complete answer, one a line
+	Violations   []Violation        `json:"violations"`
+	Dir          string             `json:"dir"`
 }
 
 // Counts counts what began beside a change and what did not.
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -17,13 +17,13 @@
 const (
 	calmFraction    = 0.12
 	changesFraction = 0.40
-	signalsFraction = 0.40
+	disturbFraction = 0.40
 )
 
 // Parts of the trial that have a random source of their own, see rig.rng.
 const (
 	firstOperatorPart = 1
-	signalsPart       = 500
+	disturbPart       = 500
 	firstRestartPart  = 600
 	firstHostPart     = 1000
 	firstClientPart   = 10_000
@@ -93,10 +93,10 @@
 	r.progress("changes")
 	wait(ctx, part(changesFraction))
 	r.progress("changes and signals")
-	r.disturb(ctx, r.rng(signalsPart), part(signalsFraction))
+	r.disturb(ctx, r.rng(disturbPart), part(disturbFraction))
 	stopOperators()
 	r.progress("no more changes")
-	wait(ctx, part(1-calmFraction-changesFraction-signalsFraction)+terms.Configuration+time.Second)
+	wait(ctx, part(1-calmFraction-changesFraction-disturbFraction)+terms.Configuration+time.Second)
 	close(stopClients)
 	clients.Wait()
 	wait(ctx, settleTime)
--- a/internal/standin/behaviour.go
+++ b/internal/standin/behaviour.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// ClientBehaviour is how a client asks again.
+// ClientBehaviour is how a client retries.
 type ClientBehaviour struct {
 	Retries             int     // at most
-	InitialWait         int64   // before a further try, 0 for at once
-	BackoffFactor       float64 // the wait with each try; 1 for a fixed one
-	HonoursRetryAfter   bool    // it waits as long as it is told, where that is longer
-	EarlyFactor         float64 // part of the told time after which it comes all the same, 1 for when it is told
-	SendsIdempotencyKey bool    // it marks further tries
-	Patience            float64 // part of the cut-off after which it gives a try up
+	InitialWait         int64   // before a retry, 0 for at once
+	BackoffFactor       float64 // of the wait with each attempt; 1 for a fixed one
+	HonoursRetryAfter   bool    // it waits as long as Retry-After says, where that is longer
+	EarlyFactor         float64 // fraction of Retry-After after which it retries all the same, 1 for none
+	SendsIdempotencyKey bool    // it marks retries
+	Patience            float64 // fraction of the timeout after which it gives an attempt up
 }
 
-// NextRetry tells how long to wait before the next try, if there is one; try counts from 0, and draw is from [0, 1).
+// NextRetry returns how long to wait before the next attempt, if there is one; attempt counts from 0, and draw is from [0, 1).
 func (b ClientBehaviour) NextRetry(attempt int, advised int64, draw float64) (wait int64, again bool) {
 	if attempt >= b.Retries {
 		return 0, false
@@ -25,8 +25,8 @@
 	return wait, true
 }
 
-// DrawBehaviour is a mixture of habits, as fleets have them: of hasty clients, patient ones, and those that heed what they
-// are told; u, v, w and x are draws from [0, 1).
+// DrawBehaviour returns a mixture of behaviours, as fleets have them: hasty clients, patient ones, and those that honour
+// Retry-After; u, v, w and x are draws from [0, 1).
 func DrawBehaviour(heed float64, marks bool, u, v, w, x float64) ClientBehaviour {
 	h := ClientBehaviour{Retries: 3, BackoffFactor: 1, EarlyFactor: 1, SendsIdempotencyKey: marks, Patience: 0.4 + 0.6*u, HonoursRetryAfter: w < heed}
 	switch {
--- a/internal/standin/callqueue.go
+++ b/internal/standin/callqueue.go
@@ -1,14 +1,14 @@
 package standin
 
-// CallQueue is a service that takes calls in turn and turns away those that would wait for too long. What has waited for
-// longer than its callers do is served all the same, to nobody. Times are nanoseconds.
+// CallQueue is a service that serves calls in turn and rejects those that would wait for too long. A call that waits longer than
+// its caller does is served all the same, in vain. Times are nanoseconds.
 type CallQueue struct {
-	ServiceNanos, MaxQueueNanos, CallerTimeout int64 // for a call, and the longest that one may have to wait, or waits
+	ServiceNanos, MaxQueueNanos, CallerTimeout int64 // of a call, the longest that one may have to wait, and the longest that a caller waits
 	Calls, Late, Rejected                      int
-	freeAt                                     int64 // when it has served all that it took
+	freeAt                                     int64 // when it has served all that it accepted
 }
 
-// Call tells whether a call is answered, and when its caller knows.
+// Call returns whether a call is answered, and when its caller knows.
 func (q *CallQueue) Call(now int64) (ok bool, at int64) {
 	q.Calls++
 	if q.freeAt = max(q.freeAt, now); q.freeAt-now > q.MaxQueueNanos {
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -1,17 +1,18 @@
-// Package standin holds models of what is around routers: hosts that start cold and can be pushed over, and clients
-// that ask again. They have no clock; the emulator plays them in virtual time, and servers on loopback in real time.
+// Package standin has models of what is around routers: hosts that start cold and can collapse (Machine), clients that retry
+// (ClientBehaviour) and services with a queue (CallQueue). They have no clock and no I/O; the emulator runs them in virtual time, and
+// package servers on loopback in real time.
 package standin
 
 import "sort"
 
-// Machine is a host: cores that take commands in turn, slower while it is cold.
+// Machine is a host: cores that run commands in turn, slower while it is cold.
 type Machine struct {
 	Cores            int
 	ColdStartFactor  float64
 	ColdDuration     int64
-	CollapseFactor   float64 // sent more than this over what it can do, for FallFor while it is cold, it falls and stays down
+	CollapseFactor   float64 // sent more than this multiple of its capacity for CollapseDuration while it is cold, it collapses and stays down
 	CollapseDuration int64
-	QueueNanos       int64 // the longest wait for a core; what would wait longer is turned away
+	QueueNanos       int64 // the longest wait for a core; what would wait longer is rejected
 
 	Up, Collapsed bool
 	coldSince     int64   // since when, 0 for warm
@@ -24,7 +25,7 @@
 	seconds float64
 }
 
-// Start brings it up, cold since now, or warm.
+// Start starts the machine, cold or warm.
 func (m *Machine) Start(now int64, warm bool) {
 	m.Up, m.coldSince, m.coreFreeAt, m.recentWork = !m.Collapsed, now, make([]int64, m.Cores), nil
 	if warm {
@@ -32,10 +33,10 @@
 	}
 }
 
-// Stop ends it, and all that it had.
+// Stop ends the machine, and all that it runs.
 func (m *Machine) Stop() { m.Up = false }
 
-// Capacity is what it can do at a time, in seconds of work a second.
+// Capacity returns what the machine can do at a time, in seconds of work a second.
 func (m *Machine) Capacity(at int64) float64 {
 	if !m.Up {
 		return 0
@@ -43,6 +44,7 @@
 	return float64(m.Cores) * m.warmth(at)
 }
 
+// warmth is the fraction of its speed that the machine has at a time.
 func (m *Machine) warmth(at int64) float64 {
 	if m.coldSince == 0 || at-m.coldSince >= m.ColdDuration {
 		return 1
@@ -50,7 +52,7 @@
 	return m.ColdStartFactor + (1-m.ColdStartFactor)*float64(max(0, at-m.coldSince))/float64(m.ColdDuration)
 }
 
-// Arrive takes a command's work, in nanoseconds, and tells when it is done; false is for a full queue.
+// Arrive queues a command's work, in nanoseconds, and returns when it is done; ok is false for a full queue.
 func (m *Machine) Arrive(now, need int64) (done int64, ok bool) {
 	m.collapse(now, float64(need)/1e9)
 	if !m.Up {
@@ -70,7 +72,7 @@
 	return m.coreFreeAt[i], true
 }
 
-// collapse pushes a cold machine over that was sent too much for too long.
+// collapse has a cold machine collapse that was sent too much for too long.
 func (m *Machine) collapse(now int64, seconds float64) {
 	if m.coldSince == 0 || m.CollapseDuration <= 0 {
 		return
@@ -93,11 +95,11 @@
 	}
 }
 
-// EffectLog is what all hosts did for commands with a mark, and their common memory, by which a repeat is dropped.
+// EffectLog is what all hosts did for commands with a key, and their common memory, by which a repeat is dropped.
 type EffectLog struct {
 	Retention  int64
 	lastRuns   map[string]effect
-	Duplicates int // hand-offs of one try whose effect happened a second time
+	Duplicates int // attempts whose effect happened a second time
 	Runs       int
 }
 
@@ -106,7 +108,7 @@
 	trace string
 }
 
-// Run tells whether a command runs, or is a repeat that is dropped.
+// Run reports whether a command runs, or is a repeat that is dropped.
 func (e *EffectLog) Run(now int64, mark, trace string) bool {
 	if e.lastRuns == nil {
 		e.lastRuns = map[string]effect{}
