--- a/cmd/lab/hollow.go
+++ b/cmd/lab/hollow.go
@@ -11,13 +11,24 @@
 	"portflow/internal/lab/hollow"
 )
 
-// childCommand is the word that makes this program a process of a play.
+// childCommand is the command that makes this program a process of a run.
 const childCommand = "hollow-child"
 
-func hollowCommand() []*cobra.Command {
+// hollowCommands returns the commands of package hollow. The first had the name harbour before.
+func hollowCommands() []*cobra.Command {
+	formerName := runHollow("harbour")
+	formerName.Deprecated = "use lab hollow"
+	return []*cobra.Command{runHollow("hollow"), formerName, runChild(), plotSlopes()}
+}
+
+// runHollow returns the command that runs a plan.
+func runHollow(name string) *cobra.Command {
 	p := hollow.TargetPlan()
 	var asJSON bool
-	c := &cobra.Command{Use: "harbour", Short: "real control processes before hollow routers and hosts, on loopback", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:   name,
+		Short: "real control processes before hollow routers and hosts, on loopback",
+		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			start := time.Now()
 			p.Progress = func(text string) { fmt.Fprintf(os.Stderr, "%5.1f s  %s\n", time.Since(start).Seconds(), text) }
@@ -30,7 +41,8 @@
 			}
 			hollow.FormatTable(os.Stdout, r)
 			return nil
-		}}
+		},
+	}
 	f := c.Flags()
 	f.IntVar(&p.Routers, "routers", p.Routers, "hollow routers")
 	f.IntVar(&p.Hosts, "hosts", p.Hosts, "hollow hosts")
@@ -38,42 +50,66 @@
 	f.IntVar(&p.Zones, "zones", p.Zones, "zones, three to a region")
 	f.IntVar(&p.Services, "services", p.Services, "services")
 	f.IntVar(&p.Routes, "routes", p.Routes, "routes")
-	f.IntVar(&p.Quotas, "shares", p.Quotas, "callers' shares")
+	f.IntVar(&p.Quotas, "shares", p.Quotas, "callers' quotas")
 	f.IntVar(&p.RealRouters, "real", p.RealRouters, "routers that are processes, beside the hollow ones")
-	f.BoolVar(&p.FreshConnections, "fresh", p.FreshConnections, "hosts open a connection for each beat")
-	f.DurationVar(&p.IdleTime, "calm", p.IdleTime, "how long to count with nothing going on")
+	f.BoolVar(&p.FreshConnections, "fresh", p.FreshConnections, "hosts open a connection for each heartbeat")
+	f.DurationVar(&p.IdleTime, "calm", p.IdleTime, "how long to count while nothing changes")
 	f.IntVar(&p.Changes, "changes", p.Changes, "changes of a route, one after another")
 	f.IntVar(&p.Drains, "drains", p.Drains, "hosts that drain")
-	f.IntVar(&p.Burst, "burst", p.Burst, "changes as fast as they are taken")
+	f.IntVar(&p.Burst, "burst", p.Burst, "changes as fast as they are accepted")
 	f.BoolVar(&p.KillControl, "kill", p.KillControl, "kill a control process, and start it again")
 	f.BoolVar(&p.RestartRouters, "restart", p.RestartRouters, "restart half of the routers")
-	f.DurationVar(&p.PartitionTime, "cut", p.PartitionTime, "cut the last region off for so long, 0 for not")
+	f.DurationVar(&p.PartitionTime, "cut", p.PartitionTime, "how long to partition the last region, 0 for not")
 	f.StringVar(&p.Profile, "profile", "", "a folder for processor profiles of all processes")
-	f.Uint64Var(&p.Seed, "seed", p.Seed, "seed of all chance")
+	f.Uint64Var(&p.Seed, "seed", p.Seed, "seed of all random draws")
 	f.BoolVar(&asJSON, "json", false, "print the result as one JSON object in the last line")
-	one := &cobra.Command{Use: childCommand, Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return hollow.RunChild(os.Stdin, os.Stdout) }}
-	slopes := &cobra.Command{Use: "slopes DIR FILE...", Short: "plots and slopes of plays of harbour --json, in the order of their routers", Args: cobra.MinimumNArgs(3),
+	return c
+}
+
+// runChild returns the command of a process that a run starts.
+func runChild() *cobra.Command {
+	return &cobra.Command{
+		Use:    childCommand,
+		Hidden: true,
+		Args:   cobra.NoArgs,
+		RunE:   func(*cobra.Command, []string) error { return hollow.RunChild(os.Stdin, os.Stdout) },
+	}
+}
+
+// plotSlopes returns the command that compares results of several sizes.
+func plotSlopes() *cobra.Command {
+	return &cobra.Command{
+		Use:   "slopes DIR FILE...",
+		Short: "plots and slopes of results of hollow --json, in the order of their routers",
+		Args:  cobra.MinimumNArgs(3),
 		RunE: func(_ *cobra.Command, args []string) error {
-			var all []hollow.Result
-			for _, name := range args[1:] {
-				raw, err := os.ReadFile(name)
-				if err != nil {
-					return err
-				}
-				var r hollow.Result
-				if err := json.Unmarshal(raw, &r); err != nil {
-					return fmt.Errorf("%s: %w", name, err)
-				}
-				all = append(all, r)
+			results, err := readHollowResults(args[1:])
+			if err != nil {
+				return err
 			}
-			for _, f := range hollow.Metrics {
-				fmt.Printf("%-52s", f.Name)
-				for _, r := range all {
-					fmt.Printf(" %10.3f", f.Value(r))
+			for _, metric := range hollow.Metrics {
+				fmt.Printf("%-52s", metric.Name)
+				for _, r := range results {
+					fmt.Printf(" %10.3f", metric.Value(r))
 				}
-				fmt.Printf("  power %.2f\n", hollow.GrowthExponent(all, f))
+				fmt.Printf("  power %.2f\n", hollow.GrowthExponent(results, metric))
 			}
-			return hollow.WritePlot(args[0], all)
-		}}
-	return []*cobra.Command{c, one, slopes}
+			return hollow.WritePlot(args[0], results)
+		},
+	}
+}
+
+func readHollowResults(paths []string) (results []hollow.Result, err error) {
+	for _, path := range paths {
+		raw, err := os.ReadFile(path)
+		if err != nil {
+			return nil, err
+		}
+		var r hollow.Result
+		if err := json.Unmarshal(raw, &r); err != nil {
+			return nil, fmt.Errorf("%s: %w", path, err)
+		}
+		results = append(results, r)
+	}
+	return results, nil
 }
--- a/cmd/lab/scenario.go
+++ b/cmd/lab/scenario.go
@@ -20,7 +20,14 @@
 	"portflow/internal/lab/scenario"
 )
 
-// scenarioCommand is what the commands of days share: where to draw from, and what.
+const (
+	maxScenarios = 1000 // of one command
+	maxJobs      = 64
+	maxWhyBytes  = 120
+	maxLineBytes = 1 << 20 // of a file of results
+)
+
+// scenarioCommand is what the commands of scenarios share: from what to draw, and how many.
 type scenarioCommand struct {
 	siteDir      string
 	learnSites   []string
@@ -32,7 +39,7 @@
 }
 
 func scenarioCommands() *cobra.Command {
-	root := &cobra.Command{Use: "days", Short: "days of our own for the users' bench, drawn by seed"}
+	root := &cobra.Command{Use: "days", Short: "scenarios for the users' bench, drawn by seed; the bench calls them days"}
 	root.AddCommand(listKinds(), makeScenarios(), playScenarios(), printTable())
 	return root
 }
@@ -41,15 +48,15 @@
 	f := c.Flags()
 	f.StringVar(&sc.siteDir, "bench", "", "the bench's program")
 	f.StringSliceVar(&sc.learnSites, "learn", nil, "site files beside SITE, to learn what is planned work")
-	f.StringVar(&sc.requestsFile, "wishes", "", "a file of wishes, one a line: KIND field=value ... + KIND ... + closing=KIND; without it each kind alone, then pairs and triples")
-	f.IntVar(&sc.kindCount, "mix", 0, "kinds a day at least (0: as seed or wish say)")
+	f.StringVar(&sc.requestsFile, "wishes", "", "a file of requests, one a line: KIND field=value ... + KIND ... + closing=KIND; without it each kind alone, then pairs and triples")
+	f.IntVar(&sc.kindCount, "mix", 0, "kinds a day at least (0: as seed or request say)")
 	f.Uint64Var(&sc.firstSeed, "from", 1, "the first seed")
 	f.IntVar(&sc.count, "days", 1, "days, 1000 at most")
 	f.StringVar(&sc.outDir, "out", "", "a folder for day files, outputs and results; outside the sources")
 	lo.Must0(c.MarkFlagRequired("bench"))
 }
 
-// newGenerator reads what the bench tells of a site, and the site file.
+// newGenerator reads what the bench lists for a site, and the site file.
 func (sc *scenarioCommand) newGenerator(site string) (*scenario.Generator, error) {
 	listed, err := exec.Command(sc.siteDir, "kinds", site).Output()
 	if err != nil {
@@ -59,18 +66,18 @@
 	if err != nil {
 		return nil, err
 	}
-	of, err := readSite(site)
+	parsed, err := readSite(site)
 	if err != nil {
 		return nil, err
 	}
-	for _, l := range sc.learnSites {
-		other, err := readSite(l)
+	for _, path := range sc.learnSites {
+		other, err := readSite(path)
 		if err != nil {
 			return nil, err
 		}
-		of.LearnFrom(other)
+		parsed.LearnFrom(other)
 	}
-	return scenario.NewGenerator(kinds, of)
+	return scenario.NewGenerator(kinds, parsed)
 }
 
 func readSite(path string) (scenario.Site, error) {
@@ -85,160 +92,219 @@
 	return s, nil
 }
 
-// generate draws the days and writes their files into the folder.
-func (sc *scenarioCommand) generate(site string) (*scenario.Generator, []scenario.Scenario, []string, error) {
-	if sc.count < 1 || sc.count > 1000 {
-		return nil, nil, nil, fmt.Errorf("--days %d: 1 to 1000", sc.count)
+// generatedScenarios are scenarios and their files.
+type generatedScenarios struct {
+	generator *scenario.Generator
+	scenarios []scenario.Scenario
+	paths     []string
+}
+
+// generate draws the scenarios and writes their files into the folder.
+func (sc *scenarioCommand) generate(site string) (*generatedScenarios, error) {
+	if sc.count < 1 || sc.count > maxScenarios {
+		return nil, fmt.Errorf("--days %d: 1 to %d", sc.count, maxScenarios)
 	}
 	if sc.outDir == "" {
-		return nil, nil, nil, errors.New("--out: a folder is wanted")
+		return nil, errors.New("--out: a folder is wanted")
 	}
-	dr, err := sc.newGenerator(site)
+	g, err := sc.newGenerator(site)
 	if err != nil {
-		return nil, nil, nil, err
+		return nil, err
 	}
-	var requests []scenario.Request
-	if sc.requestsFile != "" {
-		text, err := os.ReadFile(sc.requestsFile)
-		if err != nil {
-			return nil, nil, nil, err
-		}
-		if requests, err = dr.ParseRequests(string(text)); err != nil {
-			return nil, nil, nil, fmt.Errorf("%s: %w", filepath.Base(sc.requestsFile), err)
-		}
+	requests, err := sc.readRequests(g)
+	if err != nil {
+		return nil, err
 	}
 	if err := os.MkdirAll(sc.outDir, 0o755); err != nil {
-		return nil, nil, nil, err
+		return nil, err
 	}
-	var made []scenario.Scenario
-	var paths []string
+	all := &generatedScenarios{generator: g}
 	for i := range sc.count {
-		generated, err := dr.Generate(sc.firstSeed+uint64(i), sc.kindCount, requests)
+		generated, err := g.Generate(sc.firstSeed+uint64(i), sc.kindCount, requests)
 		if err != nil {
-			return nil, nil, nil, err
+			return all, err
 		}
-		path := filepath.Join(sc.outDir, dr.Site.Name+"-"+generated.Name+".toml")
+		path := filepath.Join(sc.outDir, g.Name+"-"+generated.Name+".toml")
 		if err := os.WriteFile(path, []byte(generated.TOML()), 0o644); err != nil {
-			return nil, nil, nil, err
+			return all, err
 		}
-		made, paths = append(made, generated), append(paths, path)
+		all.scenarios = append(all.scenarios, generated)
+		all.paths = append(all.paths, path)
 	}
-	return dr, made, paths, nil
+	return all, nil
+}
+
+// readRequests reads the file of requests, if there is one.
+func (sc *scenarioCommand) readRequests(g *scenario.Generator) ([]scenario.Request, error) {
+	if sc.requestsFile == "" {
+		return nil, nil
+	}
+	text, err := os.ReadFile(sc.requestsFile)
+	if err != nil {
+		return nil, err
+	}
+	requests, err := g.ParseRequests(string(text))
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", filepath.Base(sc.requestsFile), err)
+	}
+	return requests, nil
 }
 
 func listKinds() *cobra.Command {
-	var d scenarioCommand
-	c := &cobra.Command{Use: "kinds SITE", Short: "what was read of a site: kinds, variants, fields, and how many seeds play each alone", Args: cobra.ExactArgs(1),
+	var sc scenarioCommand
+	c := &cobra.Command{
+		Use:   "kinds SITE",
+		Short: "what was read of a site: kinds, variants, fields, and how many seeds play each alone",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			dr, err := d.newGenerator(args[0])
+			g, err := sc.newGenerator(args[0])
 			if err != nil {
 				return err
 			}
-			for _, k := range dr.Kinds {
-				fmt.Printf("%-20s %-6s %s\n", k.Name, lo.Ternary(dr.Planned[k.Name], "plan", "faults"), strings.Join(dr.Variants(k), " | "))
+			for _, k := range g.Kinds {
+				fmt.Printf("%-20s %-6s %s\n", k.Name, lo.Ternary(g.Planned[k.Name], "plan", "faults"), strings.Join(g.Variants(k), " | "))
 			}
-			fmt.Printf("fields: %s\nclosing: %s (%s)\n%d seeds play each alone\n", strings.Join(dr.Fields, " "), strings.Join(dr.Closings, " "),
-				strings.Join(dr.ClosingVariants, " "), dr.SingleKinds())
+			fmt.Printf("fields: %s\nclosing: %s (%s)\n%d seeds play each alone\n", strings.Join(g.Fields, " "), strings.Join(g.Closings, " "),
+				strings.Join(g.ClosingVariants, " "), g.SingleKinds())
 			return nil
-		}}
-	d.flags(c)
+		},
+	}
+	sc.flags(c)
 	return c
 }
 
 func makeScenarios() *cobra.Command {
-	var d scenarioCommand
-	c := &cobra.Command{Use: "make SITE", Short: "write day files", Args: cobra.ExactArgs(1),
+	var sc scenarioCommand
+	c := &cobra.Command{
+		Use:   "make SITE",
+		Short: "write day files",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			_, _, paths, err := d.generate(args[0])
-			for _, p := range paths {
-				fmt.Println(p)
+			all, err := sc.generate(args[0])
+			if all != nil {
+				for _, path := range all.paths {
+					fmt.Println(path)
+				}
 			}
 			return err
-		}}
-	d.flags(c)
+		},
+	}
+	sc.flags(c)
 	return c
 }
 
+// scenarioRun plays scenarios on the bench, several at once.
+type scenarioRun struct {
+	scenarioCommand
+	*generatedScenarios
+	site    string
+	jobs    int
+	why     string
+	log     string
+	noCPU   bool
+	journal *json.Encoder // of results.jsonl
+
+	mu      sync.Mutex // guards what follows, and journal
+	results []scenario.RunResult
+	failed  []error
+}
+
 func playScenarios() *cobra.Command {
-	var d scenarioCommand
-	var jobs int
-	var why, log string
-	var noCPU bool
-	c := &cobra.Command{Use: "play SITE", Short: "make days and play them in the repository, a line a day and a table; results are added to results.jsonl in --out", Args: cobra.ExactArgs(1),
+	var run scenarioRun
+	c := &cobra.Command{
+		Use:   "play SITE",
+		Short: "make days and play them in the repository, a line a day and a table; results are added to results.jsonl in --out",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			if jobs < 1 || jobs > 64 {
-				return fmt.Errorf("--jobs %d: 1 to 64", jobs)
-			}
-			if why == "" || len(why) >= 120 || strings.Contains(why, "\n") {
-				return errors.New("--why: one plain sentence under 120 characters")
-			}
-			dr, made, paths, err := d.generate(args[0])
-			if err != nil {
-				return err
-			}
-			// built once, so that days side by side don't build
-			if out, err := exec.Command(d.siteDir, "build").CombinedOutput(); err != nil {
-				return fmt.Errorf("%s build: %w\n%s", filepath.Base(d.siteDir), err, out)
-			}
-			results, err := os.OpenFile(filepath.Join(d.outDir, "results.jsonl"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
-			if err != nil {
-				return err
-			}
-			defer results.Close()
-			var mu sync.Mutex
-			var all []scenario.RunResult
-			var failed []error
-			left := make(chan int, len(made))
-			for i := range made {
-				left <- i
-			}
-			close(left)
-			var wg sync.WaitGroup
-			for range min(jobs, len(made)) {
-				wg.Go(func() {
-					for i := range left {
-						call := []string{"run", args[0], paths[i], "--jobs", "1", "--why", why}
-						if log != "" {
-							call = append(call, "--log", log)
-						}
-						if noCPU {
-							call = append(call, "--no-cpu")
-						}
-						p, printed, err := playScenario(d.siteDir, call, strings.TrimSuffix(paths[i], ".toml")+".txt")
-						mu.Lock()
-						if err != nil {
-							failed = append(failed, fmt.Errorf("%s: %w", made[i].Name, err))
-							fmt.Println("NOT PLAYED", made[i].Name, err)
-						} else {
-							p.NotStarted = dr.NotStarted(printed)
-							p.Closing = strings.TrimSpace(made[i].Closing.Kind() + " " + strings.Join(made[i].Closing.Variant(), " "))
-							all = append(all, p)
-							fmt.Println(p)
-							failed = append(failed, json.NewEncoder(results).Encode(p))
-						}
-						mu.Unlock()
-					}
-				})
-			}
-			wg.Wait()
-			scenario.FormatTable(os.Stdout, all)
-			broke := lo.Filter(all, func(p scenario.RunResult, _ int) bool { return p.Failed() })
-			fmt.Printf("%d days played, %d of them with a broken rule or a fault, %d not played\n", len(all), len(broke), len(made)-len(all))
-			return errors.Join(failed...)
-		}}
-	d.flags(c)
+			run.site = args[0]
+			return run.play()
+		},
+	}
+	run.flags(c)
 	f := c.Flags()
-	f.IntVar(&jobs, "jobs", 1, "days side by side")
-	f.StringVar(&why, "why", "", "a sentence for the journal")
-	f.StringVar(&log, "log", "", "machines whose output goes into the day's text file")
-	f.BoolVar(&noCPU, "no-cpu", false, "processor time isn't counted")
+	f.IntVar(&run.jobs, "jobs", 1, "days at once")
+	f.StringVar(&run.why, "why", "", "a sentence for the journal")
+	f.StringVar(&run.log, "log", "", "machines whose output goes into the day's text file")
+	f.BoolVar(&run.noCPU, "no-cpu", false, "processor time isn't counted")
 	lo.Must0(c.MarkFlagRequired("why"))
 	return c
 }
 
+// play makes the scenarios, plays them and prints the table.
+func (run *scenarioRun) play() (err error) {
+	if run.jobs < 1 || run.jobs > maxJobs {
+		return fmt.Errorf("--jobs %d: 1 to %d", run.jobs, maxJobs)
+	}
+	if run.why == "" || len(run.why) >= maxWhyBytes || strings.Contains(run.why, "\n") {
+		return fmt.Errorf("--why: one plain sentence under %d characters", maxWhyBytes)
+	}
+	if run.generatedScenarios, err = run.generate(run.site); err != nil {
+		return err
+	}
+	// built once, so that scenarios that run at once don't build
+	if out, err := exec.Command(run.siteDir, "build").CombinedOutput(); err != nil {
+		return fmt.Errorf("%s build: %w\n%s", filepath.Base(run.siteDir), err, out)
+	}
+	file, err := os.OpenFile(filepath.Join(run.outDir, "results.jsonl"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	if err != nil {
+		return err
+	}
+	defer file.Close()
+	run.journal = json.NewEncoder(file)
+	run.playAll()
+	scenario.FormatTable(os.Stdout, run.results)
+	broken := lo.CountBy(run.results, scenario.RunResult.Failed)
+	fmt.Printf("%d days played, %d of them with a broken rule or a fault, %d not played\n",
+		len(run.results), broken, len(run.scenarios)-len(run.results))
+	return errors.Join(run.failed...)
+}
+
+// playAll plays all scenarios, as many at once as there are jobs.
+func (run *scenarioRun) playAll() {
+	pending := make(chan int, len(run.scenarios))
+	for i := range run.scenarios {
+		pending <- i
+	}
+	close(pending)
+	var workers sync.WaitGroup
+	for range min(run.jobs, len(run.scenarios)) {
+		workers.Go(func() {
+			for i := range pending {
+				run.playOne(i)
+			}
+		})
+	}
+	workers.Wait()
+}
+
+// playOne plays one scenario and records its result.
+func (run *scenarioRun) playOne(i int) {
+	call := []string{"run", run.site, run.paths[i], "--jobs", "1", "--why", run.why}
+	if run.log != "" {
+		call = append(call, "--log", run.log)
+	}
+	if run.noCPU {
+		call = append(call, "--no-cpu")
+	}
+	result, printed, err := playScenario(run.siteDir, call, strings.TrimSuffix(run.paths[i], ".toml")+".txt")
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	if err != nil {
+		run.failed = append(run.failed, fmt.Errorf("%s: %w", run.scenarios[i].Name, err))
+		fmt.Println("NOT PLAYED", run.scenarios[i].Name, err)
+		return
+	}
+	closing := run.scenarios[i].Closing
+	result.NotStarted = run.generator.NotStarted(printed)
+	result.Closing = strings.TrimSpace(closing.Kind() + " " + strings.Join(closing.Variant(), " "))
+	run.results = append(run.results, result)
+	fmt.Println(result)
+	run.failed = append(run.failed, run.journal.Encode(result))
+}
+
 var journalEntryID = regexp.MustCompile(`(?m)^snapshot ([0-9a-f]{8})$`)
 
-// playScenario plays one day, keeps what it prints and reads its journal entry.
+// playScenario plays one scenario, writes what the bench prints into a file and reads its journal entry.
 func playScenario(bench string, call []string, out string) (p scenario.RunResult, text string, err error) {
 	var printed bytes.Buffer
 	cmd := exec.Command(bench, call...)
@@ -265,36 +331,46 @@
 }
 
 func printTable() *cobra.Command {
-	return &cobra.Command{Use: "table RESULTS...", Short: "the table of days played before, by site and kind", Args: cobra.MinimumNArgs(1),
+	return &cobra.Command{
+		Use:   "table RESULTS...",
+		Short: "the table of days played before, by site and kind",
+		Args:  cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			var all []scenario.RunResult
 			for _, path := range args {
-				f, err := os.Open(path)
+				results, err := readResults(path)
 				if err != nil {
 					return err
 				}
-				s := bufio.NewScanner(f)
-				s.Buffer(nil, 1<<20)
-				for n := 1; s.Scan(); n++ {
-					var p scenario.RunResult
-					if err := json.Unmarshal(s.Bytes(), &p); err != nil {
-						f.Close()
-						return fmt.Errorf("%s, line %d: %w", filepath.Base(path), n, err)
-					}
-					all = append(all, p)
-				}
-				f.Close()
-				if err := s.Err(); err != nil {
-					return err
-				}
+				all = append(all, results...)
 			}
 			slices.SortStableFunc(all, func(a, b scenario.RunResult) int { return strings.Compare(a.Site, b.Site) })
-			for _, p := range all {
-				if p.Failed() || !p.GatePassed {
-					fmt.Println(p)
+			for _, result := range all {
+				if result.Failed() || !result.GatePassed {
+					fmt.Println(result)
 				}
 			}
 			scenario.FormatTable(os.Stdout, all)
 			return nil
-		}}
+		},
+	}
+}
+
+// readResults reads a file of results, one a line.
+func readResults(path string) (results []scenario.RunResult, err error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer f.Close()
+	lines := bufio.NewScanner(f)
+	lines.Buffer(nil, maxLineBytes)
+	for n := 1; lines.Scan(); n++ {
+		var result scenario.RunResult
+		if err := json.Unmarshal(lines.Bytes(), &result); err != nil {
+			return nil, fmt.Errorf("%s, line %d: %w", filepath.Base(path), n, err)
+		}
+		results = append(results, result)
+	}
+	return results, lines.Err()
 }
--- a/cmd/lab/trial.go
+++ b/cmd/lab/trial.go
@@ -40,7 +40,7 @@
 	f := c.Flags()
 	f.StringVar(&o.Program, "program", o.Program, "the program that is started")
 	f.IntVar(&seconds, "seconds", seconds, "how long clients ask; the restarts at the end come on top")
-	f.Uint64Var(&o.Seed, "seed", o.Seed, "seed of all chance")
+	f.Uint64Var(&o.Seed, "seed", o.Seed, "seed of all random draws")
 	f.IntVar(&o.Clients, "clients", o.Clients, "clients")
 	f.IntVar(&o.Kills, "kills", o.Kills, "signals (SIGHUP, SIGTERM, SIGKILL) that processes are sent")
 	f.IntVar(&o.Restarts, "restarts", o.Restarts, "times that all control processes are killed at once at the end")
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,4 +1,4 @@
-// Command toy plays what is around a router, on the addresses of config.json: two hosts, discovery and the platform.
+// Command toy runs what is around a router, on the addresses of config.json: two hosts, discovery and the platform.
 package main
 
 import (
@@ -25,9 +25,10 @@
 	serve("127.0.0.1:6400", platform)
 }
 
+// serve answers requests until the program ends.
 func serve(address string, h http.HandlerFunc) { log.Fatal(http.ListenAndServe(address, h)) }
 
-// discovery has one list, which never changes.
+// discovery answers one list, which never changes.
 func discovery(w http.ResponseWriter, r *http.Request) {
 	if r.FormValue("index") != "2" {
 		fmt.Fprint(w, memberList)
@@ -41,7 +42,7 @@
 	}
 }
 
-// platform has one build, which is released.
+// platform answers one build, which is released.
 func platform(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/api/watch" {
 		fmt.Fprint(w, releaseState)
@@ -49,7 +50,9 @@
 	}
 	fmt.Fprintln(w, `{"type":"news","object":`+releaseState+`}`)
 	for r.Context().Err() == nil {
-		http.NewResponseController(w).Flush()
+		if err := http.NewResponseController(w).Flush(); err != nil {
+			return
+		}
 		time.Sleep(time.Second)
 		fmt.Fprintln(w, "{}")
 	}
--- a/internal/standin/collector/collector.go
+++ b/internal/standin/collector/collector.go
@@ -34,7 +34,9 @@
 	done         sync.WaitGroup
 }
 
-// New makes one that listens on a free address of the network: udp, tcp or tls, or netflow9 for version 9 over UDP.
+const readBuffer = 4 << 20 // bytes, of the UDP socket
+
+// New makes a collector that listens on a free address of the network: udp, tcp or tls, or netflow9 for version 9 over UDP.
 func New(network string, config *tls.Config) (*Collector, error) {
 	v9 := network == "netflow9"
 	if v9 {
@@ -44,7 +46,7 @@
 	return c, c.Restart()
 }
 
-// Restart has it listen, on the address that it had.
+// Restart has the collector listen again, on the address that it had.
 func (c *Collector) Restart() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +57,7 @@
 			return err
 		}
 		if u, ok := l.(*net.UDPConn); ok {
-			u.SetReadBuffer(4 << 20)
+			_ = u.SetReadBuffer(readBuffer) // with less some datagrams may be lost, which Stats.Missed shows
 		}
 		c.udp, c.Address = l, l.LocalAddr().String()
 		c.done.Go(func() { c.readDatagrams(l) })
@@ -92,7 +94,7 @@
 	c.dropDatagram = lose
 }
 
-// Stop closes all that it has open; what had come whole is counted.
+// Stop closes all sockets; messages that had come completely are counted.
 func (c *Collector) Stop() {
 	c.mu.Lock()
 	if c.udp != nil {
@@ -108,7 +110,7 @@
 	c.done.Wait()
 }
 
-// Totals tells what has come: in all, and by the reason that records ended.
+// Totals returns what has come, in all and by the reason that records ended.
 func (c *Collector) Totals() (all flow.Totals, by map[flow.Reason]flow.Totals, s ipfix.Stats, dropped int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,14 +121,14 @@
 	return c.sum, by, c.stats, c.lost
 }
 
-// FoldedRecords is how many records came in ones that stand for several.
+// FoldedRecords returns how many records came folded into others.
 func (c *Collector) FoldedRecords() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.folded
 }
 
-// TotalsBySide tells what has come of clients' connections and of hosts'.
+// TotalsBySide returns what has come of clients' connections and of hosts'.
 func (c *Collector) TotalsBySide() ([2]flow.Totals, ipfix.Stats) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +137,7 @@
 
 func (c *Collector) read(d *ipfix.Decoder, message []byte) {
 	before := d.Stats
-	d.Message(message, func(x ipfix.Data) {
+	_ = d.Message(message, func(x ipfix.Data) { // Stats.Bad counts its errors
 		if r, ok := d.Flow(x); ok {
 			c.count(r)
 		}
@@ -159,7 +161,7 @@
 func add(a, b flow.Totals) flow.Totals {
 	a.Records += b.Records
 	a.Connections += b.Connections
-	a.Counts.Add(b.Counts)
+	a.Add(b.Counts)
 	return a
 }
 
@@ -175,7 +177,7 @@
 		if c.dropDatagram != nil && c.dropDatagram(n) {
 			c.lost++
 		} else if c.netFlow9 {
-			older.Message(b[:size], c.count)
+			_ = older.Message(b[:size], c.count) // what can't be read is missing from the totals
 		} else {
 			c.read(d, b[:size])
 		}
--- a/internal/standin/servers/servers.go
+++ b/internal/standin/servers/servers.go
@@ -1,5 +1,5 @@
-// Package servers plays what is around routers on loopback, by the platform's protocol: hosts, discovery and the
-// platform itself.
+// Package servers runs the models of package standin on loopback, by the platform's protocol: hosts, discovery and the platform
+// itself. It owns their listeners, and it is for experiments and tests only. Begin reading at Host and Services.
 package servers
 
 import (
@@ -14,15 +14,15 @@
 	"portflow/internal/standin"
 )
 
-// Host is a host at an address of its own, which it keeps when it goes and returns.
+// Host is a host at an address of its own, which it keeps over restarts.
 type Host struct {
 	Name, Address string
 	Effects       *SharedEffects
-	Work          func() int64             // a command's, in nanoseconds
-	OnWork        func(now int64, w int64) // is told each hand-off and its work
+	Work          func() int64             // of a command, in nanoseconds
+	OnWork        func(now int64, w int64) // is called with each request and its work
 	Clock         func() int64
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards what follows
 	machine *standin.Machine
 	server  *http.Server
 	started int64 // Unix milliseconds, 0 for long ago
@@ -34,14 +34,14 @@
 	standin.EffectLog
 }
 
-// Run is Effects.Run, by many goroutines.
+// Run is EffectLog.Run, safe for concurrent use.
 func (s *SharedEffects) Run(now int64, mark, trace string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.EffectLog.Run(now, mark, trace)
 }
 
-// Start brings a host up, warm; its maker has set the exported fields but for the address.
+// Start starts a host, warm; its exported fields but for the address are set before.
 func (h *Host) Start(m *standin.Machine) error {
 	h.machine = m
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,12 +54,13 @@
 	return nil
 }
 
+// serve answers requests until the server is closed, which ends the goroutine.
 func (h *Host) serve(l net.Listener) {
 	server := &http.Server{Handler: http.HandlerFunc(h.answer)}
 	h.mu.Lock()
 	h.server = server
 	h.mu.Unlock()
-	go server.Serve(l)
+	go func() { _ = server.Serve(l) }() // returns as Stop closes it
 }
 
 // Stop ends the host's process: its connections break, and new ones are refused.
@@ -71,7 +72,7 @@
 	server.Close()
 }
 
-// Restart starts it anew, cold.
+// Restart starts the host again, cold.
 func (h *Host) Restart() error {
 	l, err := net.Listen("tcp", h.Address)
 	if err != nil {
@@ -85,14 +86,14 @@
 	return nil
 }
 
-// Capacity is what the host can do now, in seconds of work a second, and whether it was pushed over.
-func (h *Host) Capacity() (can float64, fallen bool) {
+// Capacity returns what the host can do now, in seconds of work a second, and whether it has collapsed.
+func (h *Host) Capacity() (capacity float64, collapsed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.machine.Capacity(h.Clock()), h.machine.Collapsed
 }
 
-// Started is when it last started, in Unix milliseconds, 0 for long ago.
+// Started returns when the host last started, in Unix milliseconds, 0 for long ago.
 func (h *Host) Started() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -107,10 +108,10 @@
 	}
 	h.mu.Lock()
 	done, ok := h.machine.Arrive(now, need)
-	fallen := h.machine.Collapsed
+	collapsed := h.machine.Collapsed
 	h.mu.Unlock()
 	if !ok {
-		if fallen {
+		if collapsed {
 			panic(http.ErrAbortHandler)
 		}
 		w.Header().Set("X-Never-Ran", "1")
@@ -136,37 +137,38 @@
 	Image    int     `json:"image_id"`
 }
 
-// Services is discovery and the platform, at one address.
+// Services are discovery and the platform, at one address.
 type Services struct {
 	Address string
-	Release string // the state that the platform tells, as JSON
-	mu      sync.Mutex
+	Release string // the state that the platform answers, as JSON
+
+	mu      sync.Mutex // guards what follows
 	members []Member
 	version int
 	changed chan struct{}
 	server  *http.Server
 }
 
-// NewServices makes one that lists these members.
-func NewServices(news string, members []Member) (*Services, error) {
+// NewServices starts services with a release and members.
+func NewServices(release string, members []Member) (*Services, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	a := &Services{Address: l.Addr().String(), Release: news, members: members, version: 1, changed: make(chan struct{})}
+	a := &Services{Address: l.Addr().String(), Release: release, members: members, version: 1, changed: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/api/targets", a.targets)
 	mux.HandleFunc("/api/watch", a.watch)
 	mux.HandleFunc("/api/verdicts", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, a.Release) })
 	a.server = &http.Server{Handler: mux}
-	go a.server.Serve(l)
+	go func() { _ = a.server.Serve(l) }() // returns as Close closes it
 	return a, nil
 }
 
-// Close ends it.
+// Close ends the services.
 func (a *Services) Close() { a.server.Close() }
 
-// SetMembers puts another list in place of the one before.
+// SetMembers replaces the list of members.
 func (a *Services) SetMembers(members []Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -194,7 +196,7 @@
 		version, members = a.version, a.members
 		a.mu.Unlock()
 	}
-	json.NewEncoder(w).Encode(map[string]any{"revision": version, "complete": true, "members": members})
+	_ = json.NewEncoder(w).Encode(map[string]any{"revision": version, "complete": true, "members": members}) // the router may be gone
 }
 
 func (a *Services) watch(w http.ResponseWriter, r *http.Request) {
@@ -202,7 +204,7 @@
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
-		http.NewResponseController(w).Flush()
+		_ = http.NewResponseController(w).Flush() // a router that is gone ends the context
 		select {
 		case <-tick.C:
 			fmt.Fprintln(w, "{}")
