--- a/examples/cluster/main.go
+++ b/examples/cluster/main.go
@@ -1,12 +1,13 @@
-// Command cluster starts a small cluster on loopback addresses: in each of three zones a control process, a router and two
-// hosts. It has a configuration taken, sends requests, kills a control process and a router in the middle, and ends with a
-// table of what was served. With -toll it measures instead what a router adds to a request.
+// Command cluster starts a small cluster on loopback addresses: in each of three zones a control process, a router and two hosts. It
+// sets a configuration, sends requests, kills a control process and a router in the middle, and ends with a table of what was
+// served. With -toll it measures instead what a router adds to a request. Begin reading at run.
 package main
 
 import (
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -15,6 +16,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"text/tabwriter"
@@ -33,7 +35,7 @@
 	controlPort, proxyPort, readinessPort, directoryPort = 8146, 8144, 8140, 8143
 )
 
-// settingsFile is a process's settings file.
+// settingsFile returns a process's settings file.
 func settingsFile(z int, role, serves, data string) string {
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
@@ -72,9 +74,9 @@
 
 func main() {
 	program := flag.String("program", "target/portflowd", "the program that is started")
-	verbose := flag.Bool("v", false, "show what the processes write")
+	verbose := flag.Bool("v", false, "show the processes' output")
 	measure := flag.Bool("toll", false, "measure what a router adds to a request, beside a bare proxy")
-	bareHosts := flag.String("bare", "", "be that proxy, for these hosts")
+	bareHosts := flag.String("bare", "", "run that proxy, for these hosts")
 	flag.Parse()
 	var err error
 	if *bareHosts != "" {
@@ -88,96 +90,146 @@
 	}
 }
 
-func run(program string, verbose, measure bool) error {
+// demo is a cluster that runs.
+type demo struct {
+	program  string
+	verbose  bool
+	dir      string
+	controls []*exec.Cmd // by zone
+	proxies  []*exec.Cmd // by zone
+	operator *client.Client
+}
+
+const (
+	hostsPerZone       = 2
+	defaultServiceTime = 30 * time.Millisecond // of a request at a host
+	operatorTimeout    = 10 * time.Second
+
+	driveSeconds      = 8
+	requestsPerSecond = 60
+	killControlAt     = 2 // second
+	killProxyAt       = 4
+)
+
+// run starts the cluster, sends requests or measures, and ends it.
+func run(program string, verbose, measure bool) (err error) {
 	dir, err := os.MkdirTemp("", "cluster")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
-	var processes []*exec.Cmd
-	defer func() {
-		for _, c := range processes {
-			c.Process.Kill()
-			c.Wait()
-		}
-	}()
-	start := func(z int, role, serves string) (*exec.Cmd, error) {
-		path := filepath.Join(dir, fmt.Sprintf("%s-%d.conf", role, z))
-		if err := os.WriteFile(path, []byte(settingsFile(z, role, serves, filepath.Join(dir, fmt.Sprint("disk", z)))), 0o600); err != nil {
-			return nil, err
-		}
-		c := exec.Command(program, role)
-		c.Env = append(os.Environ(), "PORTFLOW_BOOT="+path)
-		if verbose {
-			c.Stdout, c.Stderr = os.Stdout, os.Stderr
-		}
-		if err := c.Start(); err != nil {
-			return nil, fmt.Errorf("%s: %w (make system builds it)", program, err)
-		}
-		processes = append(processes, c)
-		return c, nil
+	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
+	d := &demo{program: program, verbose: verbose, dir: dir}
+	defer d.stop()
+	if err := d.startProcesses(); err != nil {
+		return err
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	serviceTime := defaultServiceTime
+	if measure {
+		serviceTime = overheadServiceTime
 	}
-	var controls, proxies []*exec.Cmd
-	var addresses []string
+	localHosts, err := d.startHosts(ctx, serviceTime)
+	if err != nil {
+		return err
+	}
+	if _, err := d.operator.Call(ctx, "configuration.modify", "", []byte(initialConfiguration)); err != nil {
+		return fmt.Errorf("the configuration: %w", err)
+	}
+	fmt.Println("the configuration is accepted: it is on a majority of the control processes")
+	if err := awaitReady(ctx, d.operator); err != nil {
+		return err
+	}
+	if measure {
+		return measureOverhead(ctx, d.proxies[0], localHosts)
+	}
+	return d.drive()
+}
+
+// startProcesses starts a control process and a router in each zone.
+func (d *demo) startProcesses() error {
+	d.operator = &client.Client{HTTP: &http.Client{}, Timeout: operatorTimeout}
 	for z := range zones {
-		ctl, err := start(z, "control", "control,directory")
+		control, err := d.start(z, "control", "control,directory")
 		if err != nil {
 			return err
 		}
-		px, err := start(z, "proxy", "front")
+		d.controls = append(d.controls, control)
+		proxy, err := d.start(z, "proxy", "front")
 		if err != nil {
 			return err
 		}
-		controls, proxies = append(controls, ctl), append(proxies, px)
-		addresses = append(addresses, listenAddress(z, controlPort))
+		d.proxies = append(d.proxies, proxy)
+		d.operator.Addresses = append(d.operator.Addresses, listenAddress(z, controlPort))
 	}
-	operator := &client.Client{Addresses: addresses, HTTP: &http.Client{}, Timeout: 10 * time.Second}
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	serviceTime, localHosts := 30*time.Millisecond, []string{} // a host's time for a request, and the first zone's hosts
-	if measure {
-		serviceTime = overheadServiceTime
+	return nil
+}
+
+// start starts a process of a zone.
+func (d *demo) start(z int, role, serves string) (*exec.Cmd, error) {
+	path := filepath.Join(d.dir, fmt.Sprintf("%s-%d.conf", role, z))
+	text := settingsFile(z, role, serves, filepath.Join(d.dir, fmt.Sprint("disk", z)))
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		return nil, err
+	}
+	c := exec.Command(d.program, role)
+	c.Env = append(os.Environ(), "PORTFLOW_BOOT="+path)
+	if d.verbose {
+		c.Stdout, c.Stderr = os.Stdout, os.Stderr
+	}
+	if err := c.Start(); err != nil {
+		return nil, fmt.Errorf("%s: %w (make system builds it)", d.program, err)
+	}
+	return c, nil
+}
+
+// stop kills all processes.
+func (d *demo) stop() {
+	for _, c := range slices.Concat(d.controls, d.proxies) {
+		kill(c)
+		_ = c.Wait() // says that it was killed
 	}
+}
+
+// kill ends a process; one that has ended already is left as it is.
+func kill(c *exec.Cmd) { _ = c.Process.Kill() }
+
+// startHosts starts the hosts, and returns the addresses of the first zone's.
+func (d *demo) startHosts(ctx context.Context, serviceTime time.Duration) (localHosts []string, err error) {
 	for z := range zones {
-		for n := range 2 {
-			address, err := startHost(ctx, operator, z, n, serviceTime)
+		for n := range hostsPerZone {
+			address, err := startHost(ctx, d.operator, z, n, serviceTime)
 			if err != nil {
-				return err
+				return nil, err
 			}
 			if z == 0 {
 				localHosts = append(localHosts, address)
 			}
 		}
 	}
-	if _, err := operator.Call(ctx, "configuration.modify", "", []byte(initialConfiguration)); err != nil {
-		return fmt.Errorf("the configuration: %w", err)
-	}
-	fmt.Println("a configuration is taken: kept on more than half of the control processes")
-	if err := awaitReady(ctx, operator); err != nil {
-		return err
-	}
-	if measure {
-		return measureOverhead(ctx, proxies[0], localHosts)
-	}
+	return localHosts, nil
+}
+
+// drive sends requests, kills two processes in the middle, and prints what was served.
+func (d *demo) drive() error {
 	counts := statusCounts{byZone: map[string]map[string]int{}}
-	for second := range 8 {
+	for second := range driveSeconds {
 		switch second {
-		case 2:
+		case killControlAt:
 			fmt.Println("control process of z1 killed")
-			controls[0].Process.Kill()
-		case 4:
+			kill(d.controls[0])
+		case killProxyAt:
 			fmt.Println("router of z3 killed: its clients go where the directory says")
-			proxies[2].Process.Kill()
+			kill(d.proxies[2])
 		}
 		var pending sync.WaitGroup
-		for i := range 60 {
-			pending.Go(func() { counts.sendRequest(second*60+i, i%zones) })
-			time.Sleep(time.Second / 60)
+		for i := range requestsPerSecond {
+			pending.Go(func() { counts.sendRequest(second*requestsPerSecond+i, i%zones) })
+			time.Sleep(time.Second / requestsPerSecond)
 		}
 		pending.Wait()
 	}
-	counts.print()
-	return nil
+	return counts.print()
 }
 
 const initialConfiguration = `{"set-items":{
@@ -187,51 +239,56 @@
 "table-rows":[["desk","/health",100,"h1",false,3,5,"00000001"]]},
 "limits":{"header-bytes":16384,"body-bytes":1048576,"header-timeout-s":3,"idle-timeout-s":15,"version":"00000001"}}}`
 
-// awaitReady waits until all routers are, and all control processes have the same items.
+// clusterStatus is what harbour.read answers, as far as it is used here.
+type clusterStatus struct {
+	Routers []struct {
+		Ready bool `json:"ready"`
+	} `json:"routers"`
+	Core []struct {
+		Same bool `json:"same"`
+	} `json:"core"`
+}
+
+// upToDate counts the routers that are ready, and the control processes that have the newest configuration.
+func (s clusterStatus) upToDate() (n int) {
+	for _, r := range s.Routers {
+		if r.Ready {
+			n++
+		}
+	}
+	for _, c := range s.Core {
+		if c.Same {
+			n++
+		}
+	}
+	return n
+}
+
+// awaitReady waits until all routers are ready, and all control processes have the same items.
 func awaitReady(ctx context.Context, operator *client.Client) error {
 	for range 50 {
 		raw, err := operator.Call(ctx, "harbour.read", "", nil)
 		if err != nil {
 			return err
 		}
-		var status struct {
-			Routers []struct {
-				Ready bool `json:"ready"`
-			} `json:"routers"`
-			Core []struct {
-				Same bool `json:"same"`
-			} `json:"core"`
-		}
-		upToDate := 0
-		if json.Unmarshal(raw, &status) == nil {
-			for _, r := range status.Routers {
-				if r.Ready {
-					upToDate++
-				}
-			}
-			for _, c := range status.Core {
-				if c.Same {
-					upToDate++
-				}
-			}
-		}
-		if upToDate == 2*zones { // all control processes have the configuration, and tell it
+		var status clusterStatus
+		if json.Unmarshal(raw, &status) == nil && status.upToDate() == 2*zones {
 			time.Sleep(200 * time.Millisecond)
 			return nil
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return fmt.Errorf("the routers are not ready")
+	return errors.New("the routers are not ready")
 }
 
-// startHost is one of a service: it runs requests and tells control that it is there.
+// startHost starts a host of a service, which runs requests and reports itself to control. It serves until the program ends.
 func startHost(ctx context.Context, operator *client.Client, z, n int, serviceTime time.Duration) (address string, err error) {
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.7.%d.%d:0", z+1, 10+n))
 	if err != nil {
 		return "", err
 	}
 	id := fmt.Sprintf("host-%d-%d", z+1, n+1)
-	go http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	handler := func(w http.ResponseWriter, r *http.Request) {
 		if expected := r.Header.Get("Expected-Instance"); expected != "" && expected != id {
 			w.WriteHeader(http.StatusMisdirectedRequest)
 			return
@@ -240,23 +297,36 @@
 		w.Header().Set("Attempt-Id", r.Header.Get("Attempt-Id"))
 		w.Header().Set("Server-Seal", id)
 		fmt.Fprintln(w, id)
-	}))
-	go func() {
-		for n := 1; ctx.Err() == nil; n++ {
-			body, _ := json.Marshal(map[string]any{"address": ln.Addr().String(), "information": map[string]any{"service": "desk", "version": "v1",
-				"zone-name": fmt.Sprintf("z%d", z+1), "slot-count": 4}, "current-status": map[string]any{"server-state": "ready", "sequence": n}})
-			localFirst := *operator
-			localFirst.Addresses = append(append([]string(nil), operator.Addresses[z:]...), operator.Addresses[:z]...)
-			localFirst.Call(ctx, "instances.heartbeat", id, body)
-			time.Sleep(500 * time.Millisecond)
-		}
-	}()
+	}
+	go func() { fmt.Fprintln(os.Stderr, id, http.Serve(ln, http.HandlerFunc(handler))) }()
+	localFirst := *operator
+	localFirst.Addresses = slices.Concat(operator.Addresses[z:], operator.Addresses[:z])
+	go sendHeartbeats(ctx, &localFirst, id, z, ln.Addr().String())
 	return ln.Addr().String(), nil
 }
 
+// sendHeartbeats reports a host to control until the context ends.
+func sendHeartbeats(ctx context.Context, control *client.Client, id string, z int, address string) {
+	for n := 1; ctx.Err() == nil; n++ {
+		body, err := json.Marshal(map[string]any{
+			"address": address,
+			"information": map[string]any{
+				"service": "desk", "version": "v1", "zone-name": fmt.Sprintf("z%d", z+1), "slot-count": 4,
+			},
+			"current-status": map[string]any{"server-state": "ready", "sequence": n},
+		})
+		if err != nil {
+			panic(err) // strings and numbers
+		}
+		_, _ = control.Call(ctx, "instances.heartbeat", id, body) // the next one follows
+		time.Sleep(500 * time.Millisecond)
+	}
+}
+
+// statusCounts counts how requests ended.
 type statusCounts struct {
-	mu     sync.Mutex
-	byZone map[string]map[string]int // by zone: how it ended
+	mu     sync.Mutex                // guards byZone
+	byZone map[string]map[string]int // by zone and outcome
 }
 
 // sendRequest sends one request of a zone's client: to a router that the directory names, and to another if that one is gone.
@@ -268,24 +338,18 @@
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
-		method, path := "GET", "/look/1"
+		method, path := http.MethodGet, "/look/1"
 		if n%3 == 0 {
-			method, path = "POST", "/issue/1"
+			method, path = http.MethodPost, "/issue/1"
 		}
-		req, _ := http.NewRequest(method, "http://"+address+path, bytes.NewReader(nil))
-		req.Host = "desk.example"
-		req.Header.Set("Attempt-Id", fmt.Sprintf("%d-%d", n, attempt))
-		req.Header.Set("Time-Remaining", "2000")
-		resp, err := http.DefaultClient.Do(req)
+		status, err := sendOnce(http.DefaultClient, method, "http://"+address+path, fmt.Sprintf("%d-%d", n, attempt))
 		if err != nil {
 			outcome = "broken off"
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
-		io.Copy(io.Discard, resp.Body)
-		resp.Body.Close()
-		outcome = resp.Status
-		if resp.StatusCode == 200 {
+		outcome = fmt.Sprint(status, " ", http.StatusText(status))
+		if status == http.StatusOK {
 			break
 		}
 	}
@@ -298,6 +362,25 @@
 	c.byZone[zone][outcome]++
 }
 
+// sendOnce sends one attempt and reads its answer; it returns the answer's status.
+func sendOnce(client *http.Client, method, url, attemptID string) (status int, err error) {
+	req, err := http.NewRequest(method, url, bytes.NewReader(nil))
+	if err != nil {
+		return 0, err
+	}
+	req.Host = "desk.example"
+	req.Header.Set("Attempt-Id", attemptID)
+	req.Header.Set("Time-Remaining", "2000")
+	resp, err := client.Do(req)
+	if err != nil {
+		return 0, err
+	}
+	defer resp.Body.Close()
+	_, _ = io.Copy(io.Discard, resp.Body) // the status is what is counted
+	return resp.StatusCode, nil
+}
+
+// resolve returns the n-th router that the directory names to a zone's clients, empty for none.
 func resolve(z, n int) string {
 	for i := range zones {
 		resp, err := http.Get(fmt.Sprintf("http://%s/-/resolution?name=desk.example&zone-name=z%d&region-name=r%d", listenAddress((z+i)%zones, directoryPort), z+1, z+1))
@@ -316,7 +399,8 @@
 	return ""
 }
 
-func (c *statusCounts) print() {
+// print writes the table.
+func (c *statusCounts) print() error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "\nCLIENTS IN\tHOW IT ENDED\tREQUESTS")
 	for z := range zones {
@@ -325,5 +409,5 @@
 			fmt.Fprintf(w, "%s\t%s\t%d\n", zone, outcome, n)
 		}
 	}
-	w.Flush()
+	return w.Flush()
 }
--- a/examples/cluster/overhead.go
+++ b/examples/cluster/overhead.go
@@ -18,17 +18,18 @@
 	"time"
 )
 
-// This file measures what a router costs a request: the time that it adds to a host's own, and its processor's, beside a
-// proxy that does nothing but pass requests on.
-
+// The measurement of what a router adds to a request: time beyond the host's own, and processor time, beside a proxy that does
+// nothing but forward requests.
 const (
-	overheadServiceTime = 5 * time.Millisecond // a host's
+	overheadServiceTime = 5 * time.Millisecond // of a request at a host
 	overheadRate        = 300                  // requests a second, all through one router
 	overheadDuration    = 10 * time.Second
 	bareProxyAddress    = "127.7.1.99:8150"
+	bareProxyStartTime  = 300 * time.Millisecond
+	clockTick           = 10 * time.Millisecond // of /proc's processor times
 )
 
-// runBareProxy is such a proxy: net/http on both sides, hosts in turn. It runs in a process of its own.
+// runBareProxy runs that proxy: net/http on both sides, hosts in turn. It runs in a process of its own.
 func runBareProxy(hosts []string) error {
 	l, err := net.Listen("tcp", bareProxyAddress)
 	if err != nil {
@@ -49,11 +50,11 @@
 			w.Header()[name] = values
 		}
 		w.WriteHeader(resp.StatusCode)
-		io.Copy(w, resp.Body)
+		_, _ = io.Copy(w, resp.Body) // where it fails, the client gets a short answer
 	}))
 }
 
-// measureOverhead plays the same requests straight at the hosts, through the bare proxy and through a router, twice over in turn.
+// measureOverhead sends the same requests to the hosts themselves, through the bare proxy and through a router, in turn, twice.
 func measureOverhead(ctx context.Context, router *exec.Cmd, hosts []string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -63,9 +64,11 @@
 	if err := proxy.Start(); err != nil {
 		return err
 	}
-	defer proxy.Wait()
-	defer proxy.Process.Kill()
-	time.Sleep(300 * time.Millisecond)
+	defer func() {
+		kill(proxy)
+		_ = proxy.Wait() // says that it was killed
+	}()
+	time.Sleep(bareProxyStartTime)
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "\nTHROUGH\tREQUESTS\tNOT 200\tp50 ms\tp99 ms\tPROCESSOR ms A REQUEST\n")
 	for range 2 {
@@ -74,9 +77,9 @@
 			to      []string
 			process *exec.Cmd
 		}{{"nothing", hosts, nil}, {"bare proxy", []string{bareProxyAddress}, proxy}, {"router", []string{listenAddress(0, proxyPort)}, router}} {
-			before := cpuSeconds(x.process)
+			before := cpuTime(x.process)
 			latencies, wrong := generateLoad(x.to)
-			cpu := cpuSeconds(x.process) - before
+			cpu := cpuTime(x.process) - before
 			slices.Sort(latencies)
 			ms := func(part float64) float64 {
 				return float64(latencies[int(part*float64(len(latencies)-1))].Microseconds()) / 1000
@@ -87,7 +90,7 @@
 	return w.Flush()
 }
 
-// generateLoad sends requests at an even pace and tells how long each took.
+// generateLoad sends requests at an even rate, and returns their latencies and how many were not answered with 200.
 func generateLoad(to []string) (latencies []time.Duration, wrong int) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: 2 * time.Second}
 	defer client.CloseIdleConnections()
@@ -98,21 +101,13 @@
 	for n := range int(overheadDuration.Seconds() * overheadRate) {
 		<-t.C
 		all.Go(func() {
-			host := to[n%len(to)]
-			req, _ := http.NewRequest("GET", "http://"+host+"/look/1", bytes.NewReader(nil))
-			req.Host = "desk.example"
-			req.Header.Set("Attempt-Id", strconv.Itoa(n))
-			req.Header.Set("Time-Remaining", "2000")
 			start := time.Now()
-			resp, err := client.Do(req)
-			ok := err == nil && resp.StatusCode == http.StatusOK
-			if err == nil {
-				io.Copy(io.Discard, resp.Body)
-				resp.Body.Close()
-			}
+			status, err := sendOnce(client, http.MethodGet, "http://"+to[n%len(to)]+"/look/1", strconv.Itoa(n))
+			latency := time.Since(start)
 			mu.Lock()
 			defer mu.Unlock()
-			if latencies = append(latencies, time.Since(start)); !ok {
+			latencies = append(latencies, latency)
+			if err != nil || status != http.StatusOK {
 				wrong++
 			}
 		})
@@ -121,8 +116,8 @@
 	return latencies, wrong
 }
 
-// cpuSeconds is the time that a process has had of the processor, as the system counts it in hundredths of a second.
-func cpuSeconds(c *exec.Cmd) time.Duration {
+// cpuTime returns the processor time of a process, as the system counts it in ticks; 0 for none.
+func cpuTime(c *exec.Cmd) time.Duration {
 	if c == nil {
 		return 0
 	}
@@ -132,11 +127,11 @@
 	}
 	fields := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:]))
 	var ticks int64
-	for _, at := range []int{11, 12} { // of the program and of the system for it
-		if at < len(fields) {
-			n, _ := strconv.ParseInt(fields[at], 10, 64)
+	for _, field := range []int{11, 12} { // of the program, and of the system for it
+		if field < len(fields) {
+			n, _ := strconv.ParseInt(fields[field], 10, 64) // 0 where it is no number
 			ticks += n
 		}
 	}
-	return time.Duration(ticks) * 10 * time.Millisecond
+	return time.Duration(ticks) * clockTick
 }
--- a/internal/lab/hollow/plan.go
+++ b/internal/lab/hollow/plan.go
@@ -51,18 +51,23 @@
 	zonesPerRegion = 3
 )
 
+// validate checks the plan against the bounds.
 func (p Plan) validate() error {
+	for _, b := range []struct {
+		value, low, high int
+		message          string
+	}{
+		{p.Routers, 1, maxRouters, fmt.Sprintf("routers: 1 to %d", maxRouters)},
+		{p.Hosts, 0, maxHosts, fmt.Sprintf("hosts: 0 to %d", maxHosts)},
+		{p.RealRouters, 0, maxRealRouters, fmt.Sprintf("real: 0 to %d", maxRealRouters)},
+		{p.Zones, 1, 16, "zones: 1 to 16"},
+		{p.Voters, 1, p.Zones, "core: at most one a zone"},
+	} {
+		if b.value < b.low || b.value > b.high {
+			return errors.New(b.message)
+		}
+	}
 	switch {
-	case p.Routers < 1 || p.Routers > maxRouters:
-		return fmt.Errorf("routers: 1 to %d", maxRouters)
-	case p.Hosts < 0 || p.Hosts > maxHosts:
-		return fmt.Errorf("hosts: 0 to %d", maxHosts)
-	case p.RealRouters < 0 || p.RealRouters > maxRealRouters:
-		return fmt.Errorf("real: 0 to %d", maxRealRouters)
-	case p.Zones < 1 || p.Zones > 16:
-		return errors.New("zones: 1 to 16")
-	case p.Voters < 1 || p.Voters > p.Zones:
-		return errors.New("core: at most one a zone")
 	case p.Services < 1 || p.Services > 2000 || p.Routes < 0 || p.Routes > 20000 || p.Quotas < 0 || p.Quotas > 50000:
 		return errors.New("services, routes, shares: 2,000, 20,000 and 50,000 at most")
 	case p.IdleTime+p.PartitionTime > 10*time.Minute || p.Changes > 2000 || p.Burst > 2000 || p.Drains > 1000:
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -128,7 +128,7 @@
 
 func processStats(data string) (stats ProcessStats) {
 	var usage syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // it has no other errors than bad arguments
 	stats.CPU = time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 	stats.Peak = usage.Maxrss << 10
 	var memory runtime.MemStats
@@ -136,7 +136,7 @@
 	stats.Heap, stats.Allocated, stats.Mallocs = int64(memory.HeapAlloc), int64(memory.TotalAlloc), int64(memory.Mallocs)
 	if raw, err := os.ReadFile("/proc/self/statm"); err == nil {
 		var size, pages int64
-		fmt.Sscan(string(raw), &size, &pages)
+		_, _ = fmt.Sscan(string(raw), &size, &pages) // 0 where the file has another form
 		stats.RSS = pages * int64(os.Getpagesize())
 	}
 	if files, err := os.ReadDir("/proc/self/fd"); err == nil {
@@ -144,7 +144,7 @@
 	}
 	stats.FramesSent, stats.BytesSent, stats.Heartbeats = stream.FramesWritten.Load(), stream.FrameBytesWritten.Load(), stream.HeartbeatsWritten.Load()
 	if data != "" {
-		filepath.WalkDir(data, func(_ string, d fs.DirEntry, err error) error {
+		_ = filepath.WalkDir(data, func(_ string, d fs.DirEntry, err error) error {
 			if err == nil && !d.IsDir() {
 				if i, err := d.Info(); err == nil {
 					stats.DiskBytes += i.Size()
@@ -229,7 +229,7 @@
 
 func (c *partitionedConn) Write(b []byte) (int, error) {
 	if c.network.isBlocked(c.peer) {
-		c.Conn.Close() // a frame that is lost can't be made good later
+		c.Close() // a frame that is lost can't be made good later
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
@@ -310,7 +310,7 @@
 }
 
 func (p *childProcess) kill() {
-	p.cmd.Process.Kill()
-	p.cmd.Wait()
+	_ = p.cmd.Process.Kill() // fails where it has ended already
+	_ = p.cmd.Wait()         // says that it was killed
 	p.log.Close()
 }
--- a/internal/lab/hollow/router.go
+++ b/internal/lab/hollow/router.go
@@ -26,8 +26,9 @@
 // FrameKind is what a frame that control sends a router holds.
 type FrameKind int
 
+// The kinds of frames.
 const (
-	HeartbeatFrame FrameKind = iota // a beat of the line
+	HeartbeatFrame FrameKind = iota // empty
 	HelloFrame
 	SnapshotFrame
 	BatchFrame
@@ -234,13 +235,32 @@
 	return err
 }
 
+const (
+	dialTimeout    = time.Second
+	statusTimeout  = 600 * time.Millisecond  // for a status that says that control has caught up
+	nearerInterval = 1500 * time.Millisecond // until a nearer control process is preferred
+	preamble       = "pfl1"                  // of both directions of a stream
+	compressedBit  = 1 << 31                 // of a frame's length
+)
+
+// controlStream is a router's stream to a control process.
+type controlStream struct {
+	*hollowRouter
+	nc          net.Conn
+	zone        int // of the control process
+	distance    int
+	closed      closeReason
+	statusTimer *time.Timer
+}
+
+// subscribe subscribes to the control process of a zone until the stream ends, and returns why it did.
 func (r *hollowRouter) subscribe(ctx context.Context, zone int, avoid map[int]time.Time) error {
 	r.run.received.Dials.Add(1)
 	if r.run.partitioned(r.zone, zone) {
 		time.Sleep(time.Second)
 		return errUnreachable
 	}
-	dialer := net.Dialer{Timeout: time.Second, KeepAlive: -1, LocalAddr: &net.TCPAddr{IP: net.ParseIP(r.ip)}}
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1, LocalAddr: &net.TCPAddr{IP: net.ParseIP(r.ip)}}
 	nc, err := dialer.DialContext(ctx, "tcp", net.JoinHostPort(address(zone, 0), strconv.Itoa(firstInternalPort)))
 	if err != nil {
 		return err
@@ -248,91 +268,145 @@
 	defer nc.Close()
 	stop := context.AfterFunc(ctx, func() { nc.Close() })
 	defer stop()
-	dist := distance(r.zone, zone)
+	s := &controlStream{hollowRouter: r, nc: nc, zone: zone, distance: distance(r.zone, zone)}
+	s.sendHello()
+	defer r.clearConn()
+	s.statusTimer = time.AfterFunc(statusTimeout, func() { s.closeFor(&errControlBehind) })
+	defer s.statusTimer.Stop()
+	nearerTimer := time.AfterFunc(nearerInterval, func() { s.closeForNearer(avoid) })
+	defer nearerTimer.Stop()
+	prefix := make([]byte, len(preamble))
+	if err := s.read(prefix); err != nil || string(prefix) != preamble {
+		return s.closed.or(cmp.Or(err, errors.New("no stream of this protocol")))
+	}
+	for {
+		payload, compressed, err := s.readFrame()
+		if err != nil {
+			return s.closed.or(err)
+		}
+		if err := s.handleFrame(payload, compressed); err != nil {
+			return err
+		}
+	}
+}
+
+// sendHello makes the stream the router's connection, and sends what the router has.
+func (s *controlStream) sendHello() {
+	r := s.hollowRouter
 	r.mu.Lock()
-	r.conn, r.controlZone, r.changedAt = nc, zone, time.Now().UnixNano()
+	r.conn, r.controlZone, r.changedAt = s.nc, s.zone, time.Now().UnixNano()
 	hello := update.Hello{Name: r.name, IP: r.ip, Zone: zoneName(r.zone), Incarnation: r.subscription.Incarnation, Offset: r.subscription.Offset}
 	progress := r.snapshotHeader.Progress
 	r.mu.Unlock()
-	defer func() {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.conn = nil
-	}()
-	nc.Write([]byte("pfl1"))
+	_, _ = s.nc.Write([]byte(preamble)) // where it fails, the first read does too
 	r.send(update.Message{Hello: &hello, Progress: &progress})
 	r.sendStatus(false)
-	var closed closeReason
-	statusTimer := time.AfterFunc(600*time.Millisecond, func() { closed.Store(&errControlBehind); nc.Close() })
-	defer statusTimer.Stop()
-	nearerTimer := time.AfterFunc(1500*time.Millisecond, func() {
-		if r.readySince.Load() != 0 {
-			if best := r.nearest(r.run.controlZones(), avoid); distance(best, r.zone) < dist {
-				closed.Store(&errNearerControl)
-				nc.Close()
-			}
-		}
-	})
-	defer nearerTimer.Stop()
+}
+
+// clearConn leaves the router without a connection.
+func (r *hollowRouter) clearConn() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.conn = nil
+}
+
+// closeFor closes the stream for a reason.
+func (s *controlStream) closeFor(reason *error) {
+	s.closed.Store(reason)
+	s.nc.Close()
+}
+
+// closeForNearer closes the stream of a ready router if a nearer control process could be used.
+func (s *controlStream) closeForNearer(avoid map[int]time.Time) {
+	if s.readySince.Load() == 0 {
+		return
+	}
+	if best := s.nearest(s.run.controlZones(), avoid); distance(best, s.hollowRouter.zone) < s.distance {
+		s.closeFor(&errNearerControl)
+	}
+}
+
+// read reads a number of bytes within the keepalive's timeout.
+func (s *controlStream) read(b []byte) error {
+	s.nc.SetReadDeadline(time.Now().Add(stream.ProxyKeepalive.Timeout))
+	_, err := io.ReadFull(s.nc, b)
+	return err
+}
+
+// readFrame reads a frame's payload.
+func (s *controlStream) readFrame() (payload []byte, compressed bool, err error) {
 	prefix := make([]byte, 4)
-	read := func(b []byte) error {
-		nc.SetReadDeadline(time.Now().Add(stream.ProxyKeepalive.Timeout))
-		_, err := io.ReadFull(nc, b)
+	if err := s.read(prefix); err != nil {
+		return nil, false, err
+	}
+	length := binary.BigEndian.Uint32(prefix)
+	payload = make([]byte, length&^compressedBit)
+	return payload, length&compressedBit != 0, s.read(payload)
+}
+
+// handleFrame counts a frame and answers it.
+func (s *controlStream) handleFrame(payload []byte, compressed bool) error {
+	header, err := parseFrame(payload, compressed)
+	if err != nil {
 		return err
 	}
-	if err := read(prefix); err != nil || string(prefix) != "pfl1" {
-		return closed.or(cmp.Or(err, errors.New("no line of ours")))
+	stats := &s.run.received
+	stats.Frames[header.Kind][s.distance].Add(1)
+	stats.Bytes[header.Kind][s.distance].Add(int64(len(payload) + 4))
+	switch header.Kind {
+	case StatusFrame:
+		s.handleStatus(header)
+	case SnapshotFrame, BatchFrame:
+		return s.handleUpdate(header)
 	}
-	for {
-		if err := read(prefix); err != nil {
-			return closed.or(err)
-		}
-		length := binary.BigEndian.Uint32(prefix)
-		compressed := length&(1<<31) != 0
-		payload := make([]byte, length&^(1<<31))
-		if err := read(payload); err != nil {
-			return closed.or(err)
-		}
-		header, err := parseFrame(payload, compressed)
-		if err != nil {
-			return err
-		}
-		stats := &r.run.received
-		stats.Frames[header.Kind][dist].Add(1)
-		stats.Bytes[header.Kind][dist].Add(int64(len(payload) + 4))
-		switch header.Kind {
-		case StatusFrame:
-			if header.Complete && header.Quorum {
-				if statusTimer.Stop(); r.subscription.Incarnation != "" && r.subscribedZone == zone { // it has been here before: changes are enough
-					r.markReady()
-				}
-			} else {
-				statusTimer.Reset(600 * time.Millisecond)
-			}
-		case SnapshotFrame, BatchFrame:
-			stats.Hosts.Add(int64(header.Hosts))
-			stats.Routers.Add(int64(header.Routers))
-			stats.Items.Add(int64(header.Items))
-			if header.Progress.Name != "" { // the changes since it come with the next batch
-				r.snapshotHeader = header
-				r.send(update.Message{Progress: &header.Progress})
-				continue
-			}
-			if snap := r.snapshotHeader; snap.ChunkTotal == snap.Progress.Received && snap.Progress.Name != "" && header.Kind == BatchFrame && header.Incarnation == snap.Incarnation && header.From == snap.To {
-				header.Kind, r.snapshotHeader = SnapshotFrame, frameHeader{}
-			}
-			if !r.subscription.Advance(header.Incarnation, header.From, header.To, header.Kind == SnapshotFrame) {
-				return errors.New("news does not follow")
-			}
-			r.send(update.Message{Ack: header.To})
-			if header.Kind == SnapshotFrame {
-				r.subscribedZone = zone
-				r.markReady()
-			} else {
-				r.run.recordSeen(r.index, header.Body)
-			}
-		}
+	return nil
+}
+
+// handleStatus notes whether control has caught up.
+func (s *controlStream) handleStatus(header frameHeader) {
+	if !header.Complete || !header.Quorum {
+		s.statusTimer.Reset(statusTimeout)
+		return
+	}
+	s.statusTimer.Stop()
+	if s.subscription.Incarnation != "" && s.subscribedZone == s.zone { // it was subscribed here before: changes are enough
+		s.markReady()
+	}
+}
+
+// handleUpdate acknowledges a chunk of a snapshot or a batch of changes.
+func (s *controlStream) handleUpdate(header frameHeader) error {
+	r := s.hollowRouter
+	stats := &r.run.received
+	stats.Hosts.Add(int64(header.Hosts))
+	stats.Routers.Add(int64(header.Routers))
+	stats.Items.Add(int64(header.Items))
+	if header.Progress.Name != "" { // the changes since it come with the next batch
+		r.snapshotHeader = header
+		r.send(update.Message{Progress: &header.Progress})
+		return nil
+	}
+	if header.completes(r.snapshotHeader) {
+		header.Kind, r.snapshotHeader = SnapshotFrame, frameHeader{}
+	}
+	isSnapshot := header.Kind == SnapshotFrame
+	if !r.subscription.Advance(header.Incarnation, header.From, header.To, isSnapshot) {
+		return errors.New("an update does not follow on the last one")
 	}
+	r.send(update.Message{Ack: header.To})
+	if isSnapshot {
+		r.subscribedZone = s.zone
+		r.markReady()
+	} else {
+		r.run.recordSeen(r.index, header.Body)
+	}
+	return nil
+}
+
+// completes reports whether a batch follows on the last chunk of a snapshot.
+func (h frameHeader) completes(snapshot frameHeader) bool {
+	received := snapshot.Progress.Name != "" && snapshot.ChunkTotal == snapshot.Progress.Received
+	return received && h.Kind == BatchFrame && h.Incarnation == snapshot.Incarnation && h.From == snapshot.To
 }
 
 // markReady notes that the router knows all, and tells control so.
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -121,7 +121,6 @@
 	heartbeats        HeartbeatStats
 	partitionedRegion atomic.Int64 // a region that is cut off, plus one
 	pending           atomic.Pointer[pendingChange]
-	spawnedCommands   []string
 	command           []string
 }
 
@@ -153,7 +152,17 @@
 	}
 }
 
-// Run plays a plan; command is what makes this program a child. All that it started has ended when it returns.
+// tell sends a child a command without an answer. A child that does not take it has ended, which the end of the run reports.
+func (r *run) tell(child *childProcess, command string) {
+	if err := child.call(command, nil); err != nil {
+		r.progress("%s: %v", command, err)
+	}
+}
+
+// runTimeout bounds a run.
+const runTimeout = 15 * time.Minute
+
+// Run runs a plan; command is what makes this program a child. All that it started has ended when it returns.
 func Run(parent context.Context, plan Plan, command []string) (result Result, err error) {
 	if err := plan.validate(); err != nil {
 		return result, err
@@ -162,101 +171,155 @@
 	if err != nil {
 		return result, err
 	}
-	defer os.RemoveAll(dir)
-	ctx, cancel := context.WithTimeout(parent, 15*time.Minute)
-	defer cancel()
 	rn := &run{Plan: plan, dir: dir, controls: map[int]*childProcess{}, command: command}
+	defer rn.removeDir()
+	ctx, cancel := context.WithTimeout(parent, runTimeout)
+	defer cancel()
 	result = Result{Plan: plan, Phases: map[string]Phase{}}
-	defer func() {
-		for _, child := range rn.controls {
-			child.kill()
-		}
-		for _, child := range rn.realProxies {
-			child.kill()
-		}
-	}()
+	defer rn.killChildren()
+	if err := rn.startCluster(ctx, &result); err != nil {
+		return result, err
+	}
+	if err := rn.measureAll(ctx, &result); err != nil {
+		return result, err
+	}
 	for _, zone := range rn.controlZones() {
-		if err := rn.startControl(zone, true); err != nil {
-			return result, err
+		if child := rn.controls[zone]; child == nil || child.cmd.ProcessState != nil {
+			result.Failures = append(result.Failures, "a control process ended: "+zoneName(zone))
+		}
+	}
+	return result, ctx.Err()
+}
+
+func (r *run) removeDir() {
+	if err := os.RemoveAll(r.dir); err != nil {
+		r.progress("%v", err)
+	}
+}
+
+func (r *run) killChildren() {
+	for _, child := range r.controls {
+		child.kill()
+	}
+	for _, child := range r.realProxies {
+		child.kill()
+	}
+}
+
+// startCluster starts control, configures it, and starts hosts and routers.
+func (r *run) startCluster(ctx context.Context, result *Result) error {
+	for _, zone := range r.controlZones() {
+		if err := r.startControl(zone, true); err != nil {
+			return err
 		}
 	}
 	start := time.Now()
-	if err := rn.configure(ctx, &result); err != nil {
-		return result, err
+	if err := r.configure(ctx, result); err != nil {
+		return err
 	}
 	result.ConfigureSeconds = time.Since(start).Seconds()
-	rn.progress("%d control processes, %d items configured in %.1f s", plan.Voters, plan.Services+plan.Routes+plan.Quotas, result.ConfigureSeconds)
-	endPhase := rn.beginPhase(&result, "start")
-	rn.writeProfiles("start")
-	controlZones := rn.controlZones()
-	for n := range plan.Hosts {
-		zone := n % plan.Zones
-		h := &hollowHost{run: rn, index: n, id: fmt.Sprintf("host-%05d", n), ip: address(zone, 100+n/plan.Zones%1000), zone: zone, service: fmt.Sprintf("service-%03d", n/plan.Zones%plan.Services),
-			controlZone: controlZones[n%len(controlZones)]}
-		rn.hosts = append(rn.hosts, h)
-		go h.start(ctx)
-	}
-	for n := range plan.Routers {
-		zone := n % plan.Zones
-		rn.routers = append(rn.routers, &hollowRouter{run: rn, index: n, name: fmt.Sprintf("router-%04d", n), ip: address(zone, 2000+n/plan.Zones), zone: zone})
+	r.progress("%d control processes, %d items configured in %.1f s", r.Voters, r.Services+r.Routes+r.Quotas, result.ConfigureSeconds)
+	endPhase := r.beginPhase(result, "start")
+	r.writeProfiles("start")
+	r.startHosts(ctx)
+	for n := range r.Routers {
+		zone := n % r.Zones
+		r.routers = append(r.routers, &hollowRouter{run: r, index: n, name: fmt.Sprintf("router-%04d", n), ip: address(zone, 2000+n/r.Zones), zone: zone})
 	}
 	startedAt := time.Now()
-	if err := rn.startRouters(ctx, rn.routers); err != nil {
-		return result, err
+	if err := r.startRouters(ctx, r.routers); err != nil {
+		return err
 	}
-	for n := range plan.RealRouters {
-		zone := n % plan.Zones
-		child, err := startChild(command, childStart{Role: proxyRole, Settings: plan.settings(fmt.Sprintf("real-%02d", n), proxyRole, zone, 4000+n/plan.Zones), Seed: plan.Seed + uint64(n)},
-			filepath.Join(dir, fmt.Sprintf("real-%d.log", n)))
+	if err := r.startRealProxies(); err != nil {
+		return err
+	}
+	go r.sendHeartbeats(ctx) // until the run's end
+	result.StartReady = r.awaitSubscribed(r.routers, startedAt, time.Minute)
+	r.awaitQuiet(ctx)
+	endPhase()
+	r.progress("all subscribed: p50 %.0f, worst %.0f ms, %d never", result.StartReady.P50, result.StartReady.Worst, result.StartReady.TimedOut)
+	return nil
+}
+
+// startHosts starts all hosts, whose goroutines end with the context.
+func (r *run) startHosts(ctx context.Context) {
+	controlZones := r.controlZones()
+	for n := range r.Hosts {
+		zone := n % r.Zones
+		h := &hollowHost{
+			run:         r,
+			index:       n,
+			id:          fmt.Sprintf("host-%05d", n),
+			ip:          address(zone, 100+n/r.Zones%1000),
+			zone:        zone,
+			service:     fmt.Sprintf("service-%03d", n/r.Zones%r.Services),
+			controlZone: controlZones[n%len(controlZones)],
+		}
+		r.hosts = append(r.hosts, h)
+		go h.start(ctx)
+	}
+}
+
+// startRealProxies starts the routers that are processes.
+func (r *run) startRealProxies() error {
+	for n := range r.RealRouters {
+		zone := n % r.Zones
+		settings := r.settings(fmt.Sprintf("real-%02d", n), proxyRole, zone, 4000+n/r.Zones)
+		start := childStart{Role: proxyRole, Settings: settings, Seed: r.Seed + uint64(n)}
+		child, err := startChild(r.command, start, filepath.Join(r.dir, fmt.Sprintf("real-%d.log", n)))
 		if err != nil {
-			return result, err
+			return err
 		}
-		rn.realProxies = append(rn.realProxies, child)
+		r.realProxies = append(r.realProxies, child)
 	}
-	go rn.sendHeartbeats(ctx)
-	result.StartReady = rn.awaitSubscribed(rn.routers, startedAt, time.Minute)
-	rn.awaitQuiet(ctx)
-	endPhase()
-	rn.progress("all follow: p50 %.0f, worst %.0f ms, %d never", result.StartReady.P50, result.StartReady.Worst, result.StartReady.TimedOut)
-	if err := rn.measureIdle(ctx, &result); err != nil {
-		return result, err
+	return nil
+}
+
+// measureAll measures one phase after another.
+func (r *run) measureAll(ctx context.Context, result *Result) error {
+	if err := r.measureIdle(ctx, result); err != nil {
+		return err
 	}
-	result.ClusterRead, result.ConfigurationRead = rn.measureRead(ctx, "harbour.read"), rn.measureRead(ctx, "configuration.read")
-	rn.measureChanges(ctx, &result)
-	rn.measureDrains(ctx, &result)
-	if plan.Burst > 0 {
-		rn.measureBurst(ctx, &result)
+	result.ClusterRead = r.measureRead(ctx, "harbour.read")
+	result.ConfigurationRead = r.measureRead(ctx, "configuration.read")
+	r.measureChanges(ctx, result)
+	r.measureDrains(result)
+	if r.Burst > 0 {
+		r.measureBurst(ctx, result)
 	}
-	if plan.RestartRouters {
-		endRestart := rn.beginPhase(&result, "restart")
-		half := rn.routers[:len(rn.routers)/2]
-		for _, rt := range half {
-			rt.cancel()
-		}
-		time.Sleep(200 * time.Millisecond)
-		at := time.Now()
-		if err := rn.startRouters(ctx, half); err != nil {
-			return result, err
+	if r.RestartRouters {
+		if err := r.measureRestart(ctx, result); err != nil {
+			return err
 		}
-		result.Restarted = rn.awaitSubscribed(half, at, 30*time.Second)
-		rn.awaitQuiet(ctx)
-		endRestart()
-		rn.progress("half of the routers restarted: p50 %.0f, worst %.0f ms, %d never", result.Restarted.P50, result.Restarted.Worst, result.Restarted.TimedOut)
 	}
-	if plan.KillControl && plan.Voters > 2 {
-		if err := rn.measureControlLoss(ctx, &result); err != nil {
-			return result, err
+	if r.KillControl && r.Voters > 2 {
+		if err := r.measureControlLoss(ctx, result); err != nil {
+			return err
 		}
 	}
-	if plan.PartitionTime > 0 {
-		rn.measurePartition(ctx, &result)
+	if r.PartitionTime > 0 {
+		r.measurePartition(ctx, result)
 	}
-	for _, zone := range controlZones {
-		if child := rn.controls[zone]; child == nil || child.cmd.ProcessState != nil {
-			result.Failures = append(result.Failures, "a control process ended: "+zoneName(zone))
-		}
+	return nil
+}
+
+// measureRestart restarts half of the routers.
+func (r *run) measureRestart(ctx context.Context, result *Result) error {
+	endPhase := r.beginPhase(result, "restart")
+	half := r.routers[:len(r.routers)/2]
+	for _, rt := range half {
+		rt.cancel()
 	}
-	return result, ctx.Err()
+	time.Sleep(200 * time.Millisecond)
+	at := time.Now()
+	if err := r.startRouters(ctx, half); err != nil {
+		return err
+	}
+	result.Restarted = r.awaitSubscribed(half, at, 30*time.Second)
+	r.awaitQuiet(ctx)
+	endPhase()
+	r.progress("half of the routers restarted: p50 %.0f, worst %.0f ms, %d never", result.Restarted.P50, result.Restarted.Worst, result.Restarted.TimedOut)
+	return nil
 }
 
 func (r *run) startControl(zone int, first bool) error {
@@ -493,14 +556,14 @@
 		if name != "" {
 			path = filepath.Join(r.Profile, fmt.Sprintf("%s-%s.pprof", name, zoneName(z)))
 		}
-		c.call("profile "+path, nil)
+		r.tell(c, "profile "+path)
 	}
 	for n, c := range r.realProxies {
 		path := ""
 		if name != "" {
 			path = filepath.Join(r.Profile, fmt.Sprintf("%s-real-%02d.pprof", name, n))
 		}
-		c.call("profile "+path, nil)
+		r.tell(c, "profile "+path)
 	}
 }
 
@@ -548,7 +611,7 @@
 }
 
 // measureDrains has hosts say that they drain, one after another.
-func (r *run) measureDrains(ctx context.Context, result *Result) {
+func (r *run) measureDrains(result *Result) {
 	if n := min(r.Drains, len(r.hosts)); n > 0 {
 		endPhase := r.beginPhase(result, "drains")
 		for _, h := range r.hosts[:n] {
@@ -638,7 +701,7 @@
 					command += fmt.Sprintf(" 127.%d.", 100+x)
 				}
 			}
-			c.call(command, nil)
+			r.tell(c, command)
 		}
 		r.partitionedRegion.Store(0)
 		if blocked {
