--- a/internal/lab/simulation/restart_test.go
+++ b/internal/lab/simulation/restart_test.go
@@ -13,6 +13,30 @@
 	"portflow/internal/control/server"
 )
 
+// startSixZones starts a cluster of six zones, with twelve proxies and twelve hosts, and waits until all know each other.
+func startSixZones(c *qt.C) *Cluster {
+	layout := smallLayout
+	layout.Zones, layout.Rate = 6, 2
+	cluster := startCluster(c, layout)
+	time.Sleep(4 * time.Second)
+	return cluster
+}
+
+// readyProxies returns the names of the proxies that a control process reports as ready.
+func (cl *Cluster) readyProxies(at int) (names []string, err error) {
+	var status server.ClusterStatus
+	_, raw := cl.callOneFor(at, "harbour.read", "", nil)
+	if err := json.Unmarshal(raw, &status); err != nil {
+		return nil, err
+	}
+	for _, proxy := range status.Proxies {
+		if proxy.Ready {
+			names = append(names, proxy.Name)
+		}
+	}
+	return names, nil
+}
+
 // A control process is killed and starts again a second later. One of the hosts that send it heartbeats loses power meanwhile: the
 // restarted process has never had a heartbeat of it, and the others leave the hosts of a process that is in contact to that one.
 // All proxies are informed all the same that the host is silent; the other hosts stay, also where the process comes back before a
@@ -22,10 +46,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				layout := smallLayout
-				layout.Zones, layout.Rate = 6, 2
-				cluster := startCluster(c, layout)
-				time.Sleep(4 * time.Second)
+				cluster := startSixZones(c)
 				for _, px := range cluster.Proxies {
 					c.Assert(px.Running.UsableHosts("desk"), qt.Equals, 12)
 				}
@@ -59,19 +80,10 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				layout := smallLayout
-				layout.Zones, layout.Rate = 6, 2
-				cluster := startCluster(c, layout)
-				time.Sleep(4 * time.Second)
-				routers := func(at int) (names []string) {
-					var s server.ClusterStatus
-					_, raw := cluster.callOneFor(at, "harbour.read", "", nil)
-					c.Assert(json.Unmarshal(raw, &s), qt.IsNil)
-					for _, r := range s.Proxies {
-						if r.Ready {
-							names = append(names, r.Name)
-						}
-					}
+				cluster := startSixZones(c)
+				routers := func(at int) []string {
+					names, err := cluster.readyProxies(at)
+					c.Assert(err, qt.IsNil)
 					return names
 				}
 				for at := range cluster.Controls {
@@ -108,24 +120,11 @@
 func TestRouterListAfterPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		layout := smallLayout
-		layout.Zones, layout.Rate = 6, 2
-		cluster := startCluster(c, layout)
-		time.Sleep(4 * time.Second)
+		cluster := startSixZones(c)
 		allKnown := func() bool {
 			for at := range cluster.Controls {
-				var s server.ClusterStatus
-				_, raw := cluster.callOneFor(at, "harbour.read", "", nil)
-				if json.Unmarshal(raw, &s) != nil {
-					return false
-				}
-				ready := 0
-				for _, r := range s.Proxies {
-					if r.Ready {
-						ready++
-					}
-				}
-				if ready != 12 {
+				names, err := cluster.readyProxies(at)
+				if err != nil || len(names) != 12 {
 					return false
 				}
 			}
