--- a/internal/lab/simulation/randomschedule_test.go
+++ b/internal/lab/simulation/randomschedule_test.go
@@ -170,6 +170,157 @@
 	}
 }
 
+// newRandomOperator makes the operator of a seed.
+func newRandomOperator(cluster *Cluster, seed int) *randomOperator {
+	return &randomOperator{
+		cluster:        cluster,
+		rng:            random.Source{Seed: uint64(seed) * 977},
+		sent:           map[string]map[string]bool{},
+		acceptedPrefix: map[string]string{},
+		ackedVersion:   map[string]string{},
+		rolloutEnds:    map[string]string{},
+		currentFault:   "calm",
+	}
+}
+
+// runUntilStopped runs a function in the background. The function that it returns stops it and waits for its end.
+func runUntilStopped(run func(stop chan bool)) (stopAndWait func()) {
+	stop, done := make(chan bool), make(chan bool)
+	go func() {
+		defer close(done)
+		run(stop)
+	}()
+	return func() {
+		close(stop)
+		<-done
+	}
+}
+
+// watchRoutes checks that no proxy goes back to an older version of a route.
+func (o *randomOperator) watchRoutes(stop chan bool) {
+	highest := map[string]uint64{}
+	for {
+		select {
+		case <-stop:
+			return
+		case <-time.After(50 * time.Millisecond):
+		}
+		for _, proxyNode := range o.cluster.Proxies {
+			for name, version := range proxyNode.Running.RouteVersions() {
+				key := proxyNode.Settings.Name + " " + name
+				if version < highest[key] {
+					o.cluster.violation("CONFIG: %s went back from %d to %d", key, highest[key], version)
+				}
+				highest[key] = max(highest[key], version)
+			}
+		}
+	}
+}
+
+// sendDuringFaults injects three faults, one after the other, and sends changes meanwhile. It returns the faults.
+func (o *randomOperator) sendDuringFaults() (faults []string) {
+	for range 3 {
+		faultOver := make(chan bool)
+		go func() {
+			defer close(faultOver)
+			time.Sleep(time.Duration(o.intn(500)) * time.Millisecond)
+			faults = append(faults, o.injectFault())
+		}()
+		for range 6 {
+			time.Sleep(time.Duration(100+o.intn(500)) * time.Millisecond)
+			if o.intn(4) == 0 {
+				o.toggleEvacuation()
+			} else {
+				o.sendChange(o.intn(4) == 0)
+			}
+		}
+		<-faultOver
+		time.Sleep(5 * time.Second) // recovered before the next
+	}
+	return faults
+}
+
+// restartAll ends all control processes at once and starts them again: 0 for killed, 1 for a loss of power, 2 for that and the loss
+// of the disk of the one that acknowledged last.
+func (o *randomOperator) restartAll(closing int) {
+	for i, node := range o.cluster.Controls {
+		node.Kill()
+		if closing > 0 {
+			node.Disk.PowerLoss(i%2 == 0)
+		}
+	}
+	if closing == 2 {
+		o.cluster.Controls[o.lastAckedBy].Disk.Wipe()
+	}
+	time.Sleep(1300 * time.Millisecond)
+	for _, node := range o.cluster.Controls {
+		node.mustStart()
+		time.Sleep(time.Duration(o.intn(150)) * time.Millisecond)
+	}
+}
+
+// recordRecovery records how long it is until all control processes have a quorum, 4 s at most.
+func (o *randomOperator) recordRecovery() (recovered chan bool) {
+	recovered = make(chan bool)
+	start := time.Now()
+	go func() {
+		defer close(recovered)
+		for _, node := range o.cluster.Controls {
+			for node.Status() != "in touch" && time.Since(start) < 4*time.Second {
+				time.Sleep(10 * time.Millisecond)
+			}
+		}
+		recoveryTimes = append(recoveryTimes, time.Since(start))
+	}()
+	return recovered
+}
+
+// readAll reads the configuration from all control processes, which must be the same, and returns its items by name.
+func (o *randomOperator) readAll(c *qt.C, faults []string, closing int) map[string]config.Item {
+	var first string
+	for i, node := range o.cluster.Controls {
+		status, by, reply := o.cluster.Call("configuration.read", "", nil, time.Second, i)
+		c.Assert([2]int{status, by}, qt.Equals, [2]int{200, i}, qt.Commentf("%v, closing %d: %s is %s", faults, closing, node.Settings.Name, node.Status()))
+		if first == "" {
+			first = string(reply)
+		}
+		c.Check(string(reply), qt.Equals, first, qt.Commentf("%v", faults))
+	}
+	items, err := config.ParseChange([]byte(`{"set-items":` + first + `}`))
+	c.Assert(err, qt.IsNil)
+	stored := map[string]config.Item{}
+	for _, i := range items {
+		stored[i.Name] = i
+	}
+	return stored
+}
+
+// checkStored checks that what was acknowledged is stored, and nothing that was not sent.
+func (o *randomOperator) checkStored(c *qt.C, stored map[string]config.Item, faults []string, closing int) {
+	for route, version := range o.ackedVersion {
+		i, found := stored[route]
+		c.Check(found && config.FormatVersion(i.Version) >= version, qt.IsTrue,
+			qt.Commentf("LOST: %s %s was acknowledged, %d stands; %v, closing %d", route, version, i.Version, faults, closing))
+		prefix, _ := i.Tree()["path-prefix"].(string)
+		key := route + config.FormatVersion(i.Version)
+		c.Check(o.sent[key][prefix], qt.IsTrue, qt.Commentf("%s %s was never sent", route, prefix))
+		if accepted := o.acceptedPrefix[key]; accepted != "" {
+			c.Check(prefix, qt.Equals, accepted, qt.Commentf("LOST: of two contents of one version; %v, closing %d", faults, closing))
+		}
+	}
+}
+
+// checkEvacuation checks that the last evacuation or its end, if it was acknowledged, is in force.
+func (o *randomOperator) checkEvacuation(c *qt.C, faults []string) {
+	if o.ackedEvacuation == "" {
+		return
+	}
+	_, _, reply := o.cluster.Call("harbour.read", "", nil, time.Second, 0)
+	var status struct{ Evacuated []string }
+	c.Assert(json.Unmarshal(reply, &status), qt.IsNil)
+	c.Check(len(status.Evacuated) == 1, qt.Equals, o.ackedEvacuation == "evacuation.begin", qt.Commentf("LOST: %s; %v", o.ackedEvacuation, faults))
+}
+
 // playRandomSchedule plays the schedule of a seed: changes, races, evacuations and faults, a closing fault right after an
 // acknowledgement, and then all is checked against what was acknowledged.
 func playRandomSchedule(t *testing.T, seed int) {
@@ -181,129 +332,34 @@
 		c.Assert(cluster.Start(), qt.IsNil)
 		defer cluster.Stop()
 		time.Sleep(2 * time.Second)
-		op := &randomOperator{cluster: cluster, rng: random.Source{Seed: uint64(seed) * 977}, sent: map[string]map[string]bool{}, acceptedPrefix: map[string]string{}, ackedVersion: map[string]string{}, rolloutEnds: map[string]string{}, currentFault: "calm"}
-		status, _, reply := cluster.Call("configuration.modify", "", cluster.ChangeBody(true, safeRoute), 5*time.Second, 0)
-		c.Assert(status, qt.Equals, 200, qt.Commentf("%s", reply))
-		stopWatch, watchDone := make(chan bool), make(chan bool)
-		go func() { // no router goes back
-			defer close(watchDone)
-			highest := map[string]uint64{}
-			for {
-				select {
-				case <-stopWatch:
-					return
-				case <-time.After(50 * time.Millisecond):
-				}
-				for _, px := range cluster.Proxies {
-					for name, v := range px.Running.RouteVersions() {
-						k := px.Settings.Name + " " + name
-						if v < highest[k] {
-							cluster.violation("CONFIG: %s went back from %d to %d", k, highest[k], v)
-						}
-						highest[k] = max(highest[k], v)
-					}
-				}
-			}
-		}()
-		stopRollouts, rolloutsDone := make(chan bool), make(chan bool)
-		go func() {
-			defer close(rolloutsDone)
-			op.runRollouts(stopRollouts)
-		}()
-		var faults []string
-		for range 3 {
-			faultOver := make(chan bool)
-			go func() {
-				defer close(faultOver)
-				time.Sleep(time.Duration(op.intn(500)) * time.Millisecond)
-				faults = append(faults, op.injectFault())
-			}()
-			for range 6 {
-				time.Sleep(time.Duration(100+op.intn(500)) * time.Millisecond)
-				if op.intn(4) == 0 {
-					op.toggleEvacuation()
-				} else {
-					op.sendChange(op.intn(4) == 0)
-				}
-			}
-			<-faultOver
-			time.Sleep(5 * time.Second) // back for good before the next
-		}
+		op := newRandomOperator(cluster, seed)
+		configure(c, cluster, cluster.ChangeBody(true, safeRoute), 0)
+		stopWatch := runUntilStopped(op.watchRoutes)
+		stopRollouts := runUntilStopped(op.runRollouts)
+		faults := op.sendDuringFaults()
 		op.sendChange(false)
 		closing := op.intn(3)
-		for i, node := range cluster.Controls {
-			node.Kill()
-			if closing > 0 {
-				node.Disk.PowerLoss(i%2 == 0)
-			}
-		}
-		if closing == 2 {
-			cluster.Controls[op.lastAckedBy].Disk.Wipe()
-		}
-		time.Sleep(1300 * time.Millisecond)
-		for _, node := range cluster.Controls {
-			node.mustStart()
-			time.Sleep(time.Duration(op.intn(150)) * time.Millisecond)
-		}
-		start, recovered := time.Now(), make(chan bool)
-		go func() {
-			defer close(recovered)
-			for _, node := range cluster.Controls {
-				for node.Status() != "in touch" && time.Since(start) < 4*time.Second {
-					time.Sleep(10 * time.Millisecond)
-				}
-			}
-			recoveryTimes = append(recoveryTimes, time.Since(start))
-		}()
-		for i := range 60 { // whoever answers knows all that was acknowledged, from its first answer on
+		op.restartAll(closing)
+		recovered := op.recordRecovery()
+		for i := range 60 { // processes that answer have all that was acknowledged, from their first answer on
 			op.checkAcked(c, i%len(cluster.Controls), faults)
 			time.Sleep(50 * time.Millisecond)
 		}
 		time.Sleep(2 * time.Second)
 		<-recovered
-		close(stopWatch)
-		<-watchDone
-		close(stopRollouts)
-		<-rolloutsDone
+		stopWatch()
+		stopRollouts()
 		for _, end := range op.rolloutEnds {
 			rolloutOutcomes[end]++
 		}
 		c.Check(cluster.Violations, qt.HasLen, 0)
 		c.Check(op.overdue, qt.Equals, 0, qt.Commentf("orders not taken; %v", faults))
-		var first string
-		for i := range cluster.Controls {
-			status, by, reply := cluster.Call("configuration.read", "", nil, time.Second, i)
-			c.Assert([2]int{status, by}, qt.Equals, [2]int{200, i}, qt.Commentf("%v, closing %d: %s is %s", faults, closing, cluster.Controls[i].Settings.Name, cluster.Controls[i].Status()))
-			if first == "" {
-				first = string(reply)
-			}
-			c.Check(string(reply), qt.Equals, first, qt.Commentf("%v", faults))
-		}
-		items, err := config.ParseChange([]byte(`{"set-items":` + first + `}`))
-		c.Assert(err, qt.IsNil)
-		stored := map[string]config.Item{}
-		for _, i := range items {
-			stored[i.Name] = i
-		}
-		for route, version := range op.ackedVersion {
-			i, found := stored[route]
-			c.Check(found && config.FormatVersion(i.Version) >= version, qt.IsTrue,
-				qt.Commentf("LOST: %s %s was acknowledged, %d stands; %v, closing %d", route, version, i.Version, faults, closing))
-			prefix, _ := i.Tree()["path-prefix"].(string)
-			c.Check(op.sent[route+config.FormatVersion(i.Version)][prefix], qt.IsTrue, qt.Commentf("%s %s was never sent", route, prefix))
-			if accepted := op.acceptedPrefix[route+config.FormatVersion(i.Version)]; accepted != "" {
-				c.Check(prefix, qt.Equals, accepted, qt.Commentf("LOST: of two contents of one version; %v, closing %d", faults, closing))
-			}
-		}
-		if op.ackedEvacuation != "" {
-			_, _, reply := cluster.Call("harbour.read", "", nil, time.Second, 0)
-			var s struct{ Evacuated []string }
-			c.Assert(json.Unmarshal(reply, &s), qt.IsNil)
-			c.Check(len(s.Evacuated) == 1, qt.Equals, op.ackedEvacuation == "evacuation.begin", qt.Commentf("LOST: %s; %v", op.ackedEvacuation, faults))
-		}
-		for _, px := range cluster.Proxies {
-			for name, v := range px.Running.RouteVersions() {
-				c.Check(v, qt.Equals, stored[name].Version, qt.Commentf("%s has %s", px.Settings.Name, name))
+		stored := op.readAll(c, faults, closing)
+		op.checkStored(c, stored, faults, closing)
+		op.checkEvacuation(c, faults)
+		for _, proxyNode := range cluster.Proxies {
+			for name, version := range proxyNode.Running.RouteVersions() {
+				c.Check(version, qt.Equals, stored[name].Version, qt.Commentf("%s has %s", proxyNode.Settings.Name, name))
 			}
 		}
 	})
