--- a/internal/lab/flows.go
+++ b/internal/lab/flows.go
@@ -91,7 +91,6 @@
 
 	accountEvery  = 64 // requests between two checks of the meter's account
 	exportTimeout = 2 * time.Second
-	flowRelease   = `{"release":1,"tranche":0,"mode":"stable","exposure":1,"old_ms":60000}`
 )
 
 // RunFlowExperiment runs a flow experiment.
@@ -161,7 +160,7 @@
 		}
 		lb.hosts = append(lb.hosts, h)
 	}
-	if lb.services, err = servers.NewServices(flowRelease, lb.memberList(true)); err != nil {
+	if lb.services, err = servers.NewServices(releasedBuild, lb.memberList(true)); err != nil {
 		return err
 	}
 	run.configs, err = lb.routerConfigs()
--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -43,75 +43,136 @@
 	serial   int
 }
 
+// releasedBuild is the state of the platform in experiments on loopback: build 1 is released.
+const releasedBuild = `{"release":1,"tranche":0,"mode":"stable","exposure":1,"old_ms":60000}`
+
 var carrierNames = []string{"c0", "c1", "c2"}
 
+// The most that sockets are used for.
+const (
+	maxSocketRouters = 16
+	maxSocketHosts   = 64
+)
+
 // RunSockets runs an experiment on loopback, in real time.
 func RunSockets(exp StormExperiment) (Result, error) {
 	if err := exp.validate(); err != nil {
 		return Result{}, err
 	}
-	if exp.Trial || exp.Routers > 16 || exp.Hosts > 64 {
+	if exp.Trial || exp.Routers > maxSocketRouters || exp.Hosts > maxSocketHosts {
 		return Result{}, errors.New("lab: no trial, 16 routers and 64 hosts at most on sockets")
 	}
-	lb := &loopbackRun{StormExperiment: exp, recorder: newRecorder(exp), start: time.Now(), rng: random.Source{Seed: exp.Seed},
-		effects: servers.SharedEffects{EffectLog: standin.EffectLog{Retention: 2e9}},
-		client:  http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512, IdleConnTimeout: time.Second}}}
+	lb := &loopbackRun{
+		StormExperiment: exp,
+		recorder:        newRecorder(exp),
+		start:           time.Now(),
+		rng:             random.Source{Seed: exp.Seed},
+		effects:         servers.SharedEffects{EffectLog: standin.EffectLog{Retention: 2e9}},
+		client:          http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512, IdleConnTimeout: time.Second}},
+	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	for i := range exp.Hosts {
-		h := &servers.Host{Name: "h" + strconv.Itoa(i), Effects: &lb.effects, Clock: lb.clock, OnWork: lb.recorder.recordWork,
-			Work: func() int64 { return int64(meanWorkSeconds * 1e9 * (0.6 + 0.8*lb.nextCommand())) }}
-		if err := h.Start(exp.newMachine()); err != nil {
-			return Result{}, err
-		}
-		defer h.Stop()
-		lb.hosts = append(lb.hosts, h)
+	defer lb.stop()
+	if err := lb.startHosts(); err != nil {
+		return Result{}, err
 	}
-	var err error
-	if lb.services, err = servers.NewServices(`{"release":1,"tranche":0,"mode":"stable","exposure":1,"old_ms":60000}`, lb.memberList(true)); err != nil {
+	nodes, err := lb.startRouters(ctx)
+	if err != nil {
 		return Result{}, err
 	}
-	defer lb.services.Close()
-	var nodes []*router.Router
-	var spies []*retryguard.Guard
-	configs, err := lb.routerConfigs()
+	lb.start = time.Now()
+	lb.playOutage()
+	lb.clients.Wait()
+	lb.client.CloseIdleConnections()
+	detectedAt, err := lb.drain(nodes)
 	if err != nil {
 		return Result{}, err
 	}
+	return lb.summarize(detectedAt), nil
+}
+
+// guardedRouter is a router and its guard, nil for none that records.
+type guardedRouter struct {
+	*router.Router
+	guard *retryguard.Guard
+}
+
+// stop ends hosts and services.
+func (l *loopbackRun) stop() {
+	if l.services != nil {
+		l.services.Close()
+	}
+	for _, h := range l.hosts {
+		h.Stop()
+	}
+}
+
+// startHosts starts the hosts, and the services that list them.
+func (l *loopbackRun) startHosts() (err error) {
+	for i := range l.Hosts {
+		h := &servers.Host{
+			Name:    "h" + strconv.Itoa(i),
+			Effects: &l.effects,
+			Clock:   l.clock,
+			OnWork:  l.recorder.recordWork,
+			Work:    func() int64 { return int64(meanWorkSeconds * 1e9 * (0.6 + 0.8*l.nextCommand())) },
+		}
+		if err := h.Start(l.newMachine()); err != nil {
+			return err
+		}
+		l.hosts = append(l.hosts, h)
+	}
+	l.services, err = servers.NewServices(releasedBuild, l.memberList(true))
+	return err
+}
+
+// startRouters starts the routers with the guards of the policy.
+func (l *loopbackRun) startRouters(ctx context.Context) (nodes []guardedRouter, err error) {
+	configs, err := l.routerConfigs()
+	if err != nil {
+		return nil, err
+	}
 	for rank, c := range configs {
-		g, spy, err := exp.newGuard(rank, time.Now().UnixNano())
+		limiter, guard, err := l.newGuard(rank, time.Now().UnixNano())
 		if err != nil {
-			return Result{}, err
+			return nil, err
 		}
-		n, err := router.StartWith(ctx, c, g, nil, zerolog.Nop())
+		n, err := router.StartWith(ctx, c, limiter, nil, zerolog.Nop())
 		if err != nil {
-			return Result{}, err
+			return nil, err
 		}
-		nodes, spies = append(nodes, n), append(spies, spy)
-		lb.routers = append(lb.routers, c.Listen)
+		nodes = append(nodes, guardedRouter{n, guard})
+		l.routers = append(l.routers, c.Listen)
 	}
-	lb.start = time.Now()
-	lb.playOutage()
-	lb.clients.Wait()
-	lb.client.CloseIdleConnections()
-	noticed := make([]int64, len(nodes))
+	return nodes, nil
+}
+
+// drain drains the routers, and returns when each one's guard detected the retry storm, 0 for never.
+func (l *loopbackRun) drain(nodes []guardedRouter) (detectedAt []int64, err error) {
+	detectedAt = make([]int64, len(nodes))
 	for i, n := range nodes {
 		if err := n.Drain(); err != nil {
-			return Result{}, err
+			return nil, err
 		}
-		if spies[i] != nil && spies[i].Stats.FirstStormAt > 0 {
-			noticed[i] = spies[i].Stats.FirstStormAt - lb.start.UnixNano()
+		if n.guard != nil && n.guard.Stats.FirstStormAt > 0 {
+			detectedAt[i] = n.guard.Stats.FirstStormAt - l.start.UnixNano()
 		}
 	}
-	r := lb.recorder.summarize()
-	lb.recorder.recordDetection(&r, noticed)
-	r.Duplicates, r.Seconds = lb.effects.Duplicates, time.Since(lb.start).Seconds()
-	for _, h := range lb.hosts {
-		if _, fallen := h.Capacity(); fallen {
-			r.FailedHosts++
+	return detectedAt, nil
+}
+
+// summarize computes the result.
+func (l *loopbackRun) summarize(detectedAt []int64) Result {
+	result := l.recorder.summarize()
+	l.recorder.recordDetection(&result, detectedAt)
+	result.Duplicates = l.effects.Duplicates
+	result.Seconds = time.Since(l.start).Seconds()
+	for _, h := range l.hosts {
+		if _, collapsed := h.Capacity(); collapsed {
+			result.FailedHosts++
 		}
 	}
-	return r, nil
+	return result
 }
 
 func (l *loopbackRun) clock() int64 { return int64(time.Since(l.start)) }
