--- a/internal/lab/simulation/cluster_test.go
+++ b/internal/lab/simulation/cluster_test.go
@@ -19,52 +19,6 @@
 	"portflow/internal/control/server"
 )
 
-var smallLayout = Layout{Zones: 4, ProxiesPerZone: 2, HostsPerZone: 2, Services: []string{"desk"}, ServiceTime: 80 * time.Millisecond, Concurrency: 3, Rate: 4, Seed: 1}
-
-var (
-	safeRoute   = Route{Name: "safe-look", Prefix: "/look/", Service: "desk", Version: "00000001", Idempotent: true}
-	unsafeRoute = Route{Name: "issue", Prefix: "/issue/", Service: "desk", Version: "00000001"}
-)
-
-// startCluster is a harbour that has been started and has taken a configuration with two routes; it is stopped at the test's end.
-func startCluster(c *qt.C, layout Layout) *Cluster {
-	cluster := New(layout)
-	c.Assert(cluster.Start(), qt.IsNil)
-	c.Cleanup(cluster.Stop)
-	time.Sleep(2 * time.Second)
-	configure(c, cluster, cluster.ChangeBody(true, safeRoute, unsafeRoute), 0)
-	return cluster
-}
-
-// configure sends a change to one control process, and to others where that doesn't take it.
-func configure(c *qt.C, cluster *Cluster, change []byte, first int) {
-	status, _, reply := cluster.Call("configuration.modify", "", change, 5*time.Second, first)
-	c.Assert(status, qt.Equals, 200, qt.Commentf("%s", reply))
-}
-
-// playScenario plays a day on a harbour in virtual time: it is started, configured, has traffic in all zones for so long, and what
-// happens happens beside that. At the end no rule may be broken.
-func playScenario(t *testing.T, layout Layout, duration time.Duration, happens func(c *qt.C, cluster *Cluster), good float64) {
-	synctest.Test(t, func(t *testing.T) {
-		c := qt.New(t)
-		cluster := startCluster(c, layout)
-		time.Sleep(2 * time.Second)
-		var tally Tally
-		for z := range layout.Zones {
-			cluster.GenerateTraffic(&tally, z, safeRoute, 2*layout.Rate, duration)
-			cluster.GenerateTraffic(&tally, z, unsafeRoute, layout.Rate, duration)
-		}
-		time.Sleep(time.Second)
-		happens(c, cluster)
-		cluster.background.Go(func() { time.Sleep(duration + 4*time.Second) })
-		time.Sleep(duration + 4*time.Second)
-		served, requests, outcome := tally.Counts()
-		c.Logf("%d of %d good: %s", served, requests, outcome)
-		c.Check(cluster.Verify(), qt.HasLen, 0)
-		c.Check(float64(served) >= good*float64(requests), qt.IsTrue, qt.Commentf("%d of %d good: %s", served, requests, outcome))
-	})
-}
-
 func TestNoFaults(t *testing.T) {
 	playScenario(t, smallLayout, 6*time.Second, func(c *qt.C, cluster *Cluster) {}, 1)
 }
@@ -84,8 +38,8 @@
 	}, 0.95)
 }
 
-// A core process loses its disk right after it acknowledged, and all others lose power: what was acknowledged stands, and
-// the one without a disk counts only once it has it again.
+// A control process loses its disk right after it acknowledged a change, and all others lose power: the change is still there, and
+// the process without a disk counts towards the quorum only once it has the state again.
 func TestWipedAfterAcknowledging(t *testing.T) {
 	playScenario(t, smallLayout, 14*time.Second, func(c *qt.C, cluster *Cluster) {
 		changed := unsafeRoute
@@ -122,8 +76,8 @@
 	}, 0.5)
 }
 
-// A control process is cut off from the others and comes back: it takes no order meanwhile, and it must not tell of hosts
-// that beat elsewhere. Its hosts go on to others, so that all are known throughout.
+// A control process is partitioned from the others and comes back: it accepts no changes meanwhile, and must not report on hosts
+// that send their heartbeats elsewhere. Its hosts go on to others, so that all stay known.
 func TestControlProcessCutOff(t *testing.T) {
 	layout := smallLayout
 	layout.Zones = 6
@@ -200,9 +154,9 @@
 	}
 }
 
-// A host that fails most of what it is sent while its beats are good is set aside by what all routers of its zone see, has no
-// requests until it is let back, and is used as others once it is well. One router alone sees too little: it only avoids it.
-// All clocks may be apart.
+// A host that fails most requests while its heartbeats are good is ejected by what all proxies of its zone observe, gets no
+// requests until its probation, and is used like others once it is healthy. One proxy alone observes too little: it only avoids the
+// host. All clocks may differ.
 func TestPartlyFailingHost(t *testing.T) {
 	layout := Layout{Zones: 3, ProxiesPerZone: 8, HostsPerZone: 4, Services: []string{"desk"}, ServiceTime: 80 * time.Millisecond, Concurrency: 3, Rate: 20, Seed: 5}
 	for _, layout.SkewClocks = range []bool{false, true} {
@@ -249,8 +203,8 @@
 	}, 0.97)
 }
 
-// A zone comes back cold while its routers restart: over all routers together its hosts get no more than they bear, though
-// the routers' parts change hands. Of the last two seeds all clocks are apart.
+// A zone comes back cold while its proxies restart: from all proxies together its hosts get no more than they bear, though the
+// proxies' shares change hands. With the last two seeds all clocks differ.
 func TestZoneReturnsCold(t *testing.T) {
 	layout := smallLayout
 	layout.ProxiesPerZone, layout.Rate, layout.ServiceTime = 3, 16, 40*time.Millisecond
@@ -377,8 +331,8 @@
 	}
 }
 
-// A configuration that is taken while the lines of the core are still coming up is everywhere within a second, also at a
-// control process that the order itself did not reach.
+// A configuration that is accepted while control processes still connect to each other is in force everywhere within a second, also
+// at a control process that the change itself did not reach.
 func TestChangeWhileStreamsConnect(t *testing.T) {
 	for seed := range uint64(12) {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/lab/simulation/randomschedule_test.go
+++ b/internal/lab/simulation/randomschedule_test.go
@@ -59,59 +59,6 @@
 	o.currentFault = fault
 }
 
-// sendChange sends one change of one of four routes to a control process by chance; twice sends another of the same version to
-// another at once.
-func (o *randomOperator) sendChange(conflicting bool) {
-	o.nextVersion += 1 + o.intn(3)
-	version := config.FormatVersion(uint64(o.nextVersion))
-	route := fmt.Sprintf("r%d", o.intn(4))
-	senders := 1
-	if conflicting {
-		senders = 2
-	}
-	type callEnd struct {
-		prefix string
-		status int
-	}
-	results := make(chan callEnd, senders)
-	for k := range senders {
-		prefix := fmt.Sprintf("/%s-%s-%d/", route, version, k)
-		if o.sent[route+version] == nil {
-			o.sent[route+version] = map[string]bool{}
-		}
-		o.sent[route+version][prefix] = true
-		first := o.intn(len(o.cluster.Controls))
-		body := o.cluster.ChangeBody(false, Route{Name: route, Prefix: prefix, Service: "desk", Version: version})
-		go func() {
-			status, answeredBy, _ := o.cluster.Call("configuration.modify", "", body, 8*time.Second, first)
-			o.mu.Lock()
-			o.lastAckedBy = max(0, answeredBy)
-			o.mu.Unlock()
-			results <- callEnd{prefix, status}
-		}()
-	}
-	start, refused := time.Now(), 0
-	for range senders {
-		switch result := <-results; {
-		case result.status == 200 && o.acceptedPrefix[route+version] != "":
-			o.cluster.violation("TWICE: %s %s was acknowledged as %s and as %s", route, version, o.acceptedPrefix[route+version], result.prefix)
-		case result.status == 200:
-			o.acceptedPrefix[route+version] = result.prefix
-			o.ackedVersion[route] = max(o.ackedVersion[route], version)
-		case result.status == 409:
-			refused++
-		default:
-			o.overdue++
-		}
-	}
-	if refused > 0 && o.acceptedPrefix[route+version] == "" { // right only where the other one was taken
-		o.overdue += refused
-	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	ackLatencies[o.currentFault] = append(ackLatencies[o.currentFault], time.Since(start))
-}
-
 func (o *randomOperator) toggleEvacuation() {
 	call := []string{"evacuation.begin", "evacuation.finish"}[o.intn(2)]
 	o.ackedEvacuation = ""
@@ -122,7 +69,7 @@
 	}
 }
 
-// injectFault does one harm of those that the settings tolerate, and undoes it. It tells what it did.
+// injectFault injects one fault of those that the settings tolerate, and undoes it. It returns which.
 func (o *randomOperator) injectFault() string {
 	cluster := o.cluster
 	index := o.intn(len(cluster.Controls))
@@ -203,42 +150,6 @@
 	}
 }
 
-// runRollouts orders one after the other, has routers vote this way and that, and notes every end that any control process
-// tells: of one order there may be one only.
-func (o *randomOperator) runRollouts(stop chan bool) {
-	cluster, rng := o.cluster, random.Source{Seed: uint64(o.intn(1 << 30))}
-	client := cluster.httpClient(cluster.Network.Process("10.200.0.3"), time.Second)
-	defer client.CloseIdleConnections()
-	for n := 2; ; n++ {
-		target := fmt.Sprint("v", n)
-		status, _, _ := cluster.Call("rollouts.begin", "", []byte(`{"service":"desk","target-version":"`+target+`","duration-s":5}`), 8*time.Second, int(rng.Float64()*6))
-		rollbackShare := []float64{0, 0.02, 0.1, 0.5}[int(rng.Float64()*4)] // how many of the votes
-		for range 24 {
-			select {
-			case <-stop:
-				return
-			case <-time.After(250 * time.Millisecond):
-			}
-			for _, px := range cluster.Proxies {
-				if status == 200 && rng.Float64() < 0.7 {
-					px.Running.SendVote(update.Vote{Service: "desk", Number: uint64(n - 1), Verdict: uint8(lo.Ternary(rng.Float64() < rollbackShare, decision.RollBack, decision.Advance))})
-				}
-			}
-			node := cluster.Controls[int(rng.Float64()*6)]
-			if status, raw, err := callRPC(cluster.ctx, client, node.Settings.ListenAddresses["control"], "rollouts.read", "desk", nil); err == nil && status == 200 {
-				var reply map[string]string
-				json.Unmarshal(raw, &reply)
-				if outcome := reply["server-state"]; outcome != "running" {
-					if previous := o.rolloutEnds[reply["target-version"]]; previous != "" && previous != outcome {
-						cluster.violation("LOST: %s was %s and is %s", reply["target-version"], previous, outcome)
-					}
-					o.rolloutEnds[reply["target-version"]] = outcome
-				}
-			}
-		}
-	}
-}
-
 // checkAcked reads the configuration at one control process; if it answers, nothing acknowledged may be missing.
 func (o *randomOperator) checkAcked(c *qt.C, index int, faults []string) {
 	client := o.cluster.httpClient(o.cluster.Network.Process("10.200.0.2"), time.Second)
@@ -259,8 +170,159 @@
 	}
 }
 
-// playRandomSchedule plays one day of a seed: changes, races, evacuations and harms, a closing fault right after an acknowledgement, and
-// then all is held against what was acknowledged.
+// newRandomOperator makes the operator of a seed.
+func newRandomOperator(cluster *Cluster, seed int) *randomOperator {
+	return &randomOperator{
+		cluster:        cluster,
+		rng:            random.Source{Seed: uint64(seed) * 977},
+		sent:           map[string]map[string]bool{},
+		acceptedPrefix: map[string]string{},
+		ackedVersion:   map[string]string{},
+		rolloutEnds:    map[string]string{},
+		currentFault:   "calm",
+	}
+}
+
+// runUntilStopped runs a function in the background. The function that it returns stops it and waits for its end.
+func runUntilStopped(run func(stop chan bool)) (stopAndWait func()) {
+	stop, done := make(chan bool), make(chan bool)
+	go func() {
+		defer close(done)
+		run(stop)
+	}()
+	return func() {
+		close(stop)
+		<-done
+	}
+}
+
+// watchRoutes checks that no proxy goes back to an older version of a route.
+func (o *randomOperator) watchRoutes(stop chan bool) {
+	highest := map[string]uint64{}
+	for {
+		select {
+		case <-stop:
+			return
+		case <-time.After(50 * time.Millisecond):
+		}
+		for _, proxyNode := range o.cluster.Proxies {
+			for name, version := range proxyNode.Running.RouteVersions() {
+				key := proxyNode.Settings.Name + " " + name
+				if version < highest[key] {
+					o.cluster.violation("CONFIG: %s went back from %d to %d", key, highest[key], version)
+				}
+				highest[key] = max(highest[key], version)
+			}
+		}
+	}
+}
+
+// sendDuringFaults injects three faults, one after the other, and sends changes meanwhile. It returns the faults.
+func (o *randomOperator) sendDuringFaults() (faults []string) {
+	for range 3 {
+		faultOver := make(chan bool)
+		go func() {
+			defer close(faultOver)
+			time.Sleep(time.Duration(o.intn(500)) * time.Millisecond)
+			faults = append(faults, o.injectFault())
+		}()
+		for range 6 {
+			time.Sleep(time.Duration(100+o.intn(500)) * time.Millisecond)
+			if o.intn(4) == 0 {
+				o.toggleEvacuation()
+			} else {
+				o.sendChange(o.intn(4) == 0)
+			}
+		}
+		<-faultOver
+		time.Sleep(5 * time.Second) // recovered before the next
+	}
+	return faults
+}
+
+// restartAll ends all control processes at once and starts them again: 0 for killed, 1 for a loss of power, 2 for that and the loss
+// of the disk of the one that acknowledged last.
+func (o *randomOperator) restartAll(closing int) {
+	for i, node := range o.cluster.Controls {
+		node.Kill()
+		if closing > 0 {
+			node.Disk.PowerLoss(i%2 == 0)
+		}
+	}
+	if closing == 2 {
+		o.cluster.Controls[o.lastAckedBy].Disk.Wipe()
+	}
+	time.Sleep(1300 * time.Millisecond)
+	for _, node := range o.cluster.Controls {
+		node.mustStart()
+		time.Sleep(time.Duration(o.intn(150)) * time.Millisecond)
+	}
+}
+
+// recordRecovery records how long it is until all control processes have a quorum, 4 s at most.
+func (o *randomOperator) recordRecovery() (recovered chan bool) {
+	recovered = make(chan bool)
+	start := time.Now()
+	go func() {
+		defer close(recovered)
+		for _, node := range o.cluster.Controls {
+			for node.Status() != "in touch" && time.Since(start) < 4*time.Second {
+				time.Sleep(10 * time.Millisecond)
+			}
+		}
+		recoveryTimes = append(recoveryTimes, time.Since(start))
+	}()
+	return recovered
+}
+
+// readAll reads the configuration from all control processes, which must be the same, and returns its items by name.
+func (o *randomOperator) readAll(c *qt.C, faults []string, closing int) map[string]config.Item {
+	var first string
+	for i, node := range o.cluster.Controls {
+		status, by, reply := o.cluster.Call("configuration.read", "", nil, time.Second, i)
+		c.Assert([2]int{status, by}, qt.Equals, [2]int{200, i}, qt.Commentf("%v, closing %d: %s is %s", faults, closing, node.Settings.Name, node.Status()))
+		if first == "" {
+			first = string(reply)
+		}
+		c.Check(string(reply), qt.Equals, first, qt.Commentf("%v", faults))
+	}
+	items, err := config.ParseChange([]byte(`{"set-items":` + first + `}`))
+	c.Assert(err, qt.IsNil)
+	stored := map[string]config.Item{}
+	for _, i := range items {
+		stored[i.Name] = i
+	}
+	return stored
+}
+
+// checkStored checks that what was acknowledged is stored, and nothing that was not sent.
+func (o *randomOperator) checkStored(c *qt.C, stored map[string]config.Item, faults []string, closing int) {
+	for route, version := range o.ackedVersion {
+		i, found := stored[route]
+		c.Check(found && config.FormatVersion(i.Version) >= version, qt.IsTrue,
+			qt.Commentf("LOST: %s %s was acknowledged, %d stands; %v, closing %d", route, version, i.Version, faults, closing))
+		prefix, _ := i.Tree()["path-prefix"].(string)
+		key := route + config.FormatVersion(i.Version)
+		c.Check(o.sent[key][prefix], qt.IsTrue, qt.Commentf("%s %s was never sent", route, prefix))
+		if accepted := o.acceptedPrefix[key]; accepted != "" {
+			c.Check(prefix, qt.Equals, accepted, qt.Commentf("LOST: of two contents of one version; %v, closing %d", faults, closing))
+		}
+	}
+}
+
+// checkEvacuation checks that the last evacuation or its end, if it was acknowledged, is in force.
+func (o *randomOperator) checkEvacuation(c *qt.C, faults []string) {
+	if o.ackedEvacuation == "" {
+		return
+	}
+	_, _, reply := o.cluster.Call("harbour.read", "", nil, time.Second, 0)
+	var status struct{ Evacuated []string }
+	c.Assert(json.Unmarshal(reply, &status), qt.IsNil)
+	c.Check(len(status.Evacuated) == 1, qt.Equals, o.ackedEvacuation == "evacuation.begin", qt.Commentf("LOST: %s; %v", o.ackedEvacuation, faults))
+}
+
+// playRandomSchedule plays the schedule of a seed: changes, races, evacuations and faults, a closing fault right after an
+// acknowledgement, and then all is checked against what was acknowledged.
 func playRandomSchedule(t *testing.T, seed int) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -270,129 +332,34 @@
 		c.Assert(cluster.Start(), qt.IsNil)
 		defer cluster.Stop()
 		time.Sleep(2 * time.Second)
-		op := &randomOperator{cluster: cluster, rng: random.Source{Seed: uint64(seed) * 977}, sent: map[string]map[string]bool{}, acceptedPrefix: map[string]string{}, ackedVersion: map[string]string{}, rolloutEnds: map[string]string{}, currentFault: "calm"}
-		status, _, reply := cluster.Call("configuration.modify", "", cluster.ChangeBody(true, safeRoute), 5*time.Second, 0)
-		c.Assert(status, qt.Equals, 200, qt.Commentf("%s", reply))
-		stopWatch, watchDone := make(chan bool), make(chan bool)
-		go func() { // no router goes back
-			defer close(watchDone)
-			highest := map[string]uint64{}
-			for {
-				select {
-				case <-stopWatch:
-					return
-				case <-time.After(50 * time.Millisecond):
-				}
-				for _, px := range cluster.Proxies {
-					for name, v := range px.Running.RouteVersions() {
-						k := px.Settings.Name + " " + name
-						if v < highest[k] {
-							cluster.violation("CONFIG: %s went back from %d to %d", k, highest[k], v)
-						}
-						highest[k] = max(highest[k], v)
-					}
-				}
-			}
-		}()
-		stopRollouts, rolloutsDone := make(chan bool), make(chan bool)
-		go func() {
-			defer close(rolloutsDone)
-			op.runRollouts(stopRollouts)
-		}()
-		var faults []string
-		for range 3 {
-			faultOver := make(chan bool)
-			go func() {
-				defer close(faultOver)
-				time.Sleep(time.Duration(op.intn(500)) * time.Millisecond)
-				faults = append(faults, op.injectFault())
-			}()
-			for range 6 {
-				time.Sleep(time.Duration(100+op.intn(500)) * time.Millisecond)
-				if op.intn(4) == 0 {
-					op.toggleEvacuation()
-				} else {
-					op.sendChange(op.intn(4) == 0)
-				}
-			}
-			<-faultOver
-			time.Sleep(5 * time.Second) // back for good before the next
-		}
+		op := newRandomOperator(cluster, seed)
+		configure(c, cluster, cluster.ChangeBody(true, safeRoute), 0)
+		stopWatch := runUntilStopped(op.watchRoutes)
+		stopRollouts := runUntilStopped(op.runRollouts)
+		faults := op.sendDuringFaults()
 		op.sendChange(false)
 		closing := op.intn(3)
-		for i, node := range cluster.Controls {
-			node.Kill()
-			if closing > 0 {
-				node.Disk.PowerLoss(i%2 == 0)
-			}
-		}
-		if closing == 2 {
-			cluster.Controls[op.lastAckedBy].Disk.Wipe()
-		}
-		time.Sleep(1300 * time.Millisecond)
-		for _, node := range cluster.Controls {
-			node.mustStart()
-			time.Sleep(time.Duration(op.intn(150)) * time.Millisecond)
-		}
-		start, recovered := time.Now(), make(chan bool)
-		go func() {
-			defer close(recovered)
-			for _, node := range cluster.Controls {
-				for node.Status() != "in touch" && time.Since(start) < 4*time.Second {
-					time.Sleep(10 * time.Millisecond)
-				}
-			}
-			recoveryTimes = append(recoveryTimes, time.Since(start))
-		}()
-		for i := range 60 { // whoever answers knows all that was acknowledged, from its first answer on
+		op.restartAll(closing)
+		recovered := op.recordRecovery()
+		for i := range 60 { // processes that answer have all that was acknowledged, from their first answer on
 			op.checkAcked(c, i%len(cluster.Controls), faults)
 			time.Sleep(50 * time.Millisecond)
 		}
 		time.Sleep(2 * time.Second)
 		<-recovered
-		close(stopWatch)
-		<-watchDone
-		close(stopRollouts)
-		<-rolloutsDone
+		stopWatch()
+		stopRollouts()
 		for _, end := range op.rolloutEnds {
 			rolloutOutcomes[end]++
 		}
 		c.Check(cluster.Violations, qt.HasLen, 0)
 		c.Check(op.overdue, qt.Equals, 0, qt.Commentf("orders not taken; %v", faults))
-		var first string
-		for i := range cluster.Controls {
-			status, by, reply := cluster.Call("configuration.read", "", nil, time.Second, i)
-			c.Assert([2]int{status, by}, qt.Equals, [2]int{200, i}, qt.Commentf("%v, closing %d: %s is %s", faults, closing, cluster.Controls[i].Settings.Name, cluster.Controls[i].Status()))
-			if first == "" {
-				first = string(reply)
-			}
-			c.Check(string(reply), qt.Equals, first, qt.Commentf("%v", faults))
-		}
-		items, err := config.ParseChange([]byte(`{"set-items":` + first + `}`))
-		c.Assert(err, qt.IsNil)
-		stored := map[string]config.Item{}
-		for _, i := range items {
-			stored[i.Name] = i
-		}
-		for route, version := range op.ackedVersion {
-			i, found := stored[route]
-			c.Check(found && config.FormatVersion(i.Version) >= version, qt.IsTrue,
-				qt.Commentf("LOST: %s %s was acknowledged, %d stands; %v, closing %d", route, version, i.Version, faults, closing))
-			prefix, _ := i.Tree()["path-prefix"].(string)
-			c.Check(op.sent[route+config.FormatVersion(i.Version)][prefix], qt.IsTrue, qt.Commentf("%s %s was never sent", route, prefix))
-			if accepted := op.acceptedPrefix[route+config.FormatVersion(i.Version)]; accepted != "" {
-				c.Check(prefix, qt.Equals, accepted, qt.Commentf("LOST: of two contents of one version; %v, closing %d", faults, closing))
-			}
-		}
-		if op.ackedEvacuation != "" {
-			_, _, reply := cluster.Call("harbour.read", "", nil, time.Second, 0)
-			var s struct{ Evacuated []string }
-			c.Assert(json.Unmarshal(reply, &s), qt.IsNil)
-			c.Check(len(s.Evacuated) == 1, qt.Equals, op.ackedEvacuation == "evacuation.begin", qt.Commentf("LOST: %s; %v", op.ackedEvacuation, faults))
-		}
-		for _, px := range cluster.Proxies {
-			for name, v := range px.Running.RouteVersions() {
-				c.Check(v, qt.Equals, stored[name].Version, qt.Commentf("%s has %s", px.Settings.Name, name))
+		stored := op.readAll(c, faults, closing)
+		op.checkStored(c, stored, faults, closing)
+		op.checkEvacuation(c, faults)
+		for _, proxyNode := range cluster.Proxies {
+			for name, version := range proxyNode.Running.RouteVersions() {
+				c.Check(version, qt.Equals, stored[name].Version, qt.Commentf("%s has %s", proxyNode.Settings.Name, name))
 			}
 		}
 	})
@@ -411,3 +378,92 @@
 	slices.Sort(recoveryTimes)
 	t.Logf("all in touch %v (median), %v (worst) after the last one's start", recoveryTimes[len(recoveryTimes)/2], recoveryTimes[len(recoveryTimes)-1])
 }
+
+// sendChange sends one change of one of four routes to a control process by chance; twice sends another of the same version to
+// another at once.
+func (o *randomOperator) sendChange(conflicting bool) {
+	o.nextVersion += 1 + o.intn(3)
+	version := config.FormatVersion(uint64(o.nextVersion))
+	route := fmt.Sprintf("r%d", o.intn(4))
+	senders := 1
+	if conflicting {
+		senders = 2
+	}
+	type callEnd struct {
+		prefix string
+		status int
+	}
+	results := make(chan callEnd, senders)
+	for k := range senders {
+		prefix := fmt.Sprintf("/%s-%s-%d/", route, version, k)
+		if o.sent[route+version] == nil {
+			o.sent[route+version] = map[string]bool{}
+		}
+		o.sent[route+version][prefix] = true
+		first := o.intn(len(o.cluster.Controls))
+		body := o.cluster.ChangeBody(false, Route{Name: route, Prefix: prefix, Service: "desk", Version: version})
+		go func() {
+			status, answeredBy, _ := o.cluster.Call("configuration.modify", "", body, 8*time.Second, first)
+			o.mu.Lock()
+			o.lastAckedBy = max(0, answeredBy)
+			o.mu.Unlock()
+			results <- callEnd{prefix, status}
+		}()
+	}
+	start, refused := time.Now(), 0
+	for range senders {
+		switch result := <-results; {
+		case result.status == 200 && o.acceptedPrefix[route+version] != "":
+			o.cluster.violation("TWICE: %s %s was acknowledged as %s and as %s", route, version, o.acceptedPrefix[route+version], result.prefix)
+		case result.status == 200:
+			o.acceptedPrefix[route+version] = result.prefix
+			o.ackedVersion[route] = max(o.ackedVersion[route], version)
+		case result.status == 409:
+			refused++
+		default:
+			o.overdue++
+		}
+	}
+	if refused > 0 && o.acceptedPrefix[route+version] == "" { // right only where the other one was taken
+		o.overdue += refused
+	}
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	ackLatencies[o.currentFault] = append(ackLatencies[o.currentFault], time.Since(start))
+}
+
+// runRollouts begins one rollout after the other, has proxies vote either way, and records every end that any control process
+// reports: each rollout has one only.
+func (o *randomOperator) runRollouts(stop chan bool) {
+	cluster, rng := o.cluster, random.Source{Seed: uint64(o.intn(1 << 30))}
+	client := cluster.httpClient(cluster.Network.Process("10.200.0.3"), time.Second)
+	defer client.CloseIdleConnections()
+	for n := 2; ; n++ {
+		target := fmt.Sprint("v", n)
+		status, _, _ := cluster.Call("rollouts.begin", "", []byte(`{"service":"desk","target-version":"`+target+`","duration-s":5}`), 8*time.Second, int(rng.Float64()*6))
+		rollbackShare := []float64{0, 0.02, 0.1, 0.5}[int(rng.Float64()*4)] // how many of the votes
+		for range 24 {
+			select {
+			case <-stop:
+				return
+			case <-time.After(250 * time.Millisecond):
+			}
+			for _, px := range cluster.Proxies {
+				if status == 200 && rng.Float64() < 0.7 {
+					px.Running.SendVote(update.Vote{Service: "desk", Number: uint64(n - 1), Verdict: uint8(lo.Ternary(rng.Float64() < rollbackShare, decision.RollBack, decision.Advance))})
+				}
+			}
+			node := cluster.Controls[int(rng.Float64()*6)]
+			if status, raw, err := callRPC(cluster.ctx, client, node.Settings.ListenAddresses["control"], "rollouts.read", "desk", nil); err == nil && status == 200 {
+				var reply map[string]string
+				json.Unmarshal(raw, &reply)
+				if outcome := reply["server-state"]; outcome != "running" {
+					if previous := o.rolloutEnds[reply["target-version"]]; previous != "" && previous != outcome {
+						cluster.violation("LOST: %s was %s and is %s", reply["target-version"], previous, outcome)
+					}
+					o.rolloutEnds[reply["target-version"]] = outcome
+				}
+			}
+		}
+	}
+}
