--- a/internal/control/consensus/node.go
+++ b/internal/control/consensus/node.go
@@ -164,7 +164,7 @@
 
 // String describes the node in a log.
 func (n *Node) String() string {
-	return fmt.Sprintf("number %d, epoch %d of %d, %v, caught up %v", n.hardState.Applied, n.membership.Epoch, len(n.membership.Members), n.proposer.phase, n.caughtUp)
+	return fmt.Sprintf("number %d, epoch %d of %d, %v, whole %v", n.hardState.Applied, n.membership.Epoch, len(n.membership.Members), n.proposer.phase, n.caughtUp)
 }
 
 // Step handles one event, and returns what the caller has to do.
--- a/internal/lab/simulation/race_test.go
+++ b/internal/lab/simulation/race_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// raced says that the race detector is on: a history costs some eight times as much.
-const raced = true
+// raceEnabled says that the race detector is on: a history costs some eight times as much.
+const raceEnabled = true
