--- a/internal/retryguard/appointment.go
+++ b/internal/retryguard/appointment.go
@@ -10,23 +10,23 @@
 // classify says how a request with an appointment is admitted: as expected at its time or after it, and otherwise as an
 // unscheduled retry. Only a request that came before its wait was over counts against its customer's compliance: the
 // wait that a client is given may be shorter than that until its appointment.
-func (g *Guard) classify(c *customer, now, rejectedAt, due int64) admissionClass {
+func (g *Guard) classifyAppointment(c *customer, now, rejectedAt, due int64) admissionClass {
 	advised := due
 	if g.settings.MaxRetryAfter > 0 {
 		advised = min(due, rejectedAt+g.settings.MaxRetryAfter)
 	}
 	const tolerance = 2 * timeUnit // for the rounding of the fingerprints' times and of the wait's milliseconds
 	if now < advised-max(tolerance, (advised-rejectedAt)/10) {
-		g.Stats.AppointmentsEarly++
+		g.Stats.EarlyRetries++
 		c.compliance += complianceGain * (0 - c.compliance)
 		return unscheduledRetry
 	}
-	g.Stats.AppointmentsKept++
+	g.Stats.ScheduledRetries++
 	c.compliance += complianceGain * (1 - c.compliance)
 	if now < due-slot {
 		return unscheduledRetry
 	}
-	return appointmentKept
+	return scheduledRetry
 }
 
 // releaseAppointment takes back the work that was reserved for a request.
@@ -39,7 +39,7 @@
 
 // appoint makes an appointment at least minWait from now, or keeps the one that the request came with, and returns how long
 // the client is to wait.
-func (g *Guard) appoint(now int64, req *Request, minWait int64) int64 {
+func (g *Guard) makeAppointment(now int64, req *Request, minWait int64) int64 {
 	maxWait := g.settings.MaxRetryAfter
 	cost := g.latency[req.Class]
 	if maxWait <= 0 {
@@ -56,14 +56,14 @@
 	}
 	g.fingerprints.Put(req.Fingerprint, now, due)
 	req.appointment = 0
-	return g.waitUntil(now, due)
+	return g.clientWait(now, due)
 }
 
 // reserve makes an appointment, at a random time within its slot; 0 if no slot has room.
 func (g *Guard) reserve(earliest int64, cost float64) int64 {
 	at, ok := g.schedule.Reserve(earliest, cost)
 	if !ok {
-		g.Stats.NoAppointment++
+		g.Stats.AppointmentsUnavailable++
 		return 0
 	}
 	g.Stats.Appointments++
@@ -71,7 +71,7 @@
 }
 
 // waitUntil is the wait that a client is given for an appointment, 0 for none.
-func (g *Guard) waitUntil(now, due int64) int64 {
+func (g *Guard) clientWait(now, due int64) int64 {
 	maxWait := g.settings.MaxRetryAfter
 	switch {
 	case due == 0: // spread over the later half of the waits
--- a/internal/retryguard/appointment_test.go
+++ b/internal/retryguard/appointment_test.go
@@ -7,10 +7,10 @@
 // Rejected clients are asked to come back at a time with capacity, and not all at once; one that comes earlier has no advantage, and
 // one that keeps its appointment goes before others.
 func TestAppointments(t *testing.T) {
-	w := newWorld(t, testSettings(), 5)
-	w.calm(20, 60, 0)
+	w := newWorkload(t, testSettings(), 5)
+	w.normalTraffic(20, 60, 0)
 	w.outage(3, 60)
-	w.HostsChanged(w.now, true, listHosts(10, w.now))
+	w.HostsChanged(w.now, true, newHosts(10, w.now))
 	for i := range w.capacity.ready {
 		w.capacity.ready[i].known, w.capacity.ready[i].down = true, false
 	}
@@ -34,31 +34,31 @@
 		t.Error(len(perSlot), "slots, most in one", most)
 	}
 	c := w.customer(0)
-	early := w.Stats.AppointmentsEarly
-	if got := w.classify(c, w.now, w.now-1e8, w.now+3e8); got != unscheduledRetry || w.Stats.AppointmentsEarly != early+1 {
+	early := w.Stats.EarlyRetries
+	if got := w.classifyAppointment(c, w.now, w.now-1e8, w.now+3e8); got != unscheduledRetry || w.Stats.EarlyRetries != early+1 {
 		t.Error("came early and counts as", got)
 	}
-	if got := w.classify(c, w.now, w.now-1e9, w.now); got != appointmentKept {
+	if got := w.classifyAppointment(c, w.now, w.now-1e9, w.now); got != scheduledRetry {
 		t.Error("kept its appointment and counts as", got)
 	}
-	if got := w.classify(c, w.now, w.now-second, w.now+2*second); got != unscheduledRetry || w.Stats.AppointmentsEarly != early+1 {
-		t.Error("came after its wait, before its appointment, and counts as", got, w.Stats.AppointmentsEarly)
+	if got := w.classifyAppointment(c, w.now, w.now-second, w.now+2*second); got != unscheduledRetry || w.Stats.EarlyRetries != early+1 {
+		t.Error("came after its wait, before its appointment, and counts as", got, w.Stats.EarlyRetries)
 	}
 	total := workBudget{available: 0.4, rate: 10}
 	unused := 0.0
 	budget := workBudget{available: 10}
-	if budget.admit(&total, &unused, unscheduledRetry, 0.3, 0.5, 0) || !budget.admit(&total, &unused, appointmentKept, 0.3, 0.5, 0) {
+	if budget.admit(&total, &unused, unscheduledRetry, 0.3, 0.5, 0) || !budget.admit(&total, &unused, scheduledRetry, 0.3, 0.5, 0) {
 		t.Error("an appointment does not go first")
 	}
 }
 
 // Customers whose clients ignore their appointments are given none.
 func TestIgnoredAppointments(t *testing.T) {
-	w := newWorld(t, testSettings(), 6)
-	w.calm(20, 60, 0)
+	w := newWorkload(t, testSettings(), 6)
+	w.normalTraffic(20, 60, 0)
 	w.outage(2, 60)
 	for range 200 {
-		w.classify(w.customer(0), w.now, w.now, w.now+second/2)
+		w.classifyAppointment(w.customer(0), w.now, w.now, w.now+second/2)
 	}
 	before := w.Stats.Appointments
 	req := &Request{Fingerprint: 77, Customer: 0, Remaining: second}
--- a/internal/retryguard/budget.go
+++ b/internal/retryguard/budget.go
@@ -30,7 +30,7 @@
 type admissionClass uint8
 
 const (
-	appointmentKept admissionClass = iota // it comes at its appointment or later
+	scheduledRetry admissionClass = iota // it comes at its appointment or later
 	firstTry
 	unscheduledRetry
 )
@@ -50,7 +50,7 @@
 			return false
 		}
 	}
-	if admission != appointmentKept {
+	if admission != scheduledRetry {
 		required += (1 - value) * valueReserve * spare
 	}
 	if total.available < required || !b.takeWork(unused, cost) {
--- a/internal/retryguard/capacity.go
+++ b/internal/retryguard/capacity.go
@@ -70,7 +70,7 @@
 		c.removeUnlisted(hosts)
 	}
 	for _, h := range hosts {
-		c.applyEntry(h)
+		c.applyHost(h)
 	}
 	c.ready = c.ready[:0]
 	for _, state := range c.hosts {
@@ -93,7 +93,7 @@
 }
 
 // applyEntry takes over one entry of the list. A host with another start is a new one.
-func (c *Capacity) applyEntry(h Host) {
+func (c *Capacity) applyHost(h Host) {
 	if !h.Ready {
 		delete(c.hosts, h.ID)
 		return
@@ -118,7 +118,7 @@
 		return
 	}
 	if s == Answered || s == Overloaded {
-		state.setUp(now)
+		state.markUp(now)
 		return
 	}
 	state.failures++
@@ -129,7 +129,7 @@
 	}
 }
 
-func (s *hostState) setUp(now int64) {
+func (s *hostState) markUp(now int64) {
 	if s.down && s.restarted {
 		s.coldSince = now
 	}
@@ -158,22 +158,22 @@
 func (c *Capacity) Warm() float64 { return c.sum(func(s *hostState) float64 { return s.Capacity }) }
 
 func (c *Capacity) sum(capacity func(*hostState) float64) float64 {
-	var up, unknown float64       // by capacity
-	var knownSize, upSize float64 // the same if all were warm
+	var up, unknown float64         // by capacity
+	var knownTotal, upTotal float64 // the same if all were warm
 	for _, s := range c.ready {
 		switch {
 		case !s.known:
 			unknown += capacity(s)
 		case !s.down:
 			up += capacity(s)
-			upSize += s.Capacity
-			knownSize += s.Capacity
+			upTotal += s.Capacity
+			knownTotal += s.Capacity
 		default:
-			knownSize += s.Capacity
+			knownTotal += s.Capacity
 		}
 	}
-	if knownSize > 0 {
-		unknown *= upSize / knownSize
+	if knownTotal > 0 {
+		unknown *= upTotal / knownTotal
 	}
 	return up + unknown
 }
--- a/internal/retryguard/capacity_test.go
+++ b/internal/retryguard/capacity_test.go
@@ -11,7 +11,7 @@
 		want   float64
 	}{{ConnectionFailed, 9.33}, {NoAnswer, 10}, {NotSent, 10}} {
 		capacity := NewCapacity(0.33, 4*second)
-		capacity.HostsChanged(true, listHosts(10, 0))
+		capacity.HostsChanged(true, newHosts(10, 0))
 		for id := range uint32(10) {
 			capacity.AttemptEnded(second, id+1, Answered)
 		}
@@ -30,7 +30,7 @@
 		}
 	}
 	capacity := NewCapacity(0.33, 4*second)
-	capacity.HostsChanged(true, listHosts(4, 0))
+	capacity.HostsChanged(true, newHosts(4, 0))
 	capacity.AttemptEnded(0, 1, Answered)
 	for range 2 {
 		capacity.AttemptEnded(0, 2, ConnectionFailed)
--- a/internal/retryguard/detector.go
+++ b/internal/retryguard/detector.go
@@ -14,33 +14,33 @@
 	requiredErrors = 5.5
 	quietTicks     = 10 // in a row below a third of the threshold, which end a retry storm
 	learningRate   = 0.002
-	calmForgetting = 0.998 // a memory of 50 s
+	baselineDecay  = 0.998 // a memory of 50 s
 )
 
 // forgettingFactors are what the two sums keep each tick: that of 1 s, of which a retry storm fills half in 400 ms, and that of 3 s,
 // by which a router with few requests has enough of them.
-var forgettingFactors = [2]float64{0.9, 0.97}
+var decayFactors = [2]float64{0.9, 0.97}
 
 // Detector detects that the share of retries is higher than in calm traffic.
 type Detector struct {
 	Storm bool // a retry storm is on
 
-	threshold  float64
-	calmShare  float64 // share of retries in calm traffic
-	requests   float64 // of this tick
-	retries    float64 // of this tick
-	sums       [2]excess
-	requestSum float64 // of the last minute
-	retrySum   float64
-	calmTicks  int // in a row
+	threshold        float64
+	baselineRatio    float64 // share of retries in calm traffic
+	requests         float64 // of this tick
+	retries          float64 // of this tick
+	sums             [2]excess
+	baselineRequests float64 // of the last minute
+	baselineRetries  float64
+	consecutiveQuiet int // in a row
 }
 
 // excess is how many retries there are beyond the calm share of some requests.
 type excess struct{ requests, retries float64 }
 
 // exceeds says whether an excess is surely beyond a threshold.
-func (x excess) exceeds(threshold, calmShare float64) bool {
-	stdErr := math.Sqrt(max(0.02, calmShare*(1-calmShare)) / max(1, x.requests))
+func (x excess) exceeds(threshold, baselineRatio float64) bool {
+	stdErr := math.Sqrt(max(0.02, baselineRatio*(1-baselineRatio)) / max(1, x.requests))
 	return x.retries >= minExcess && x.retries/x.requests > threshold+requiredErrors*stdErr
 }
 
@@ -50,11 +50,11 @@
 }
 
 // initialCalmShare is the share of retries that is taken for calm before there is traffic.
-const initialCalmShare = 0.05
+const initialBaselineRatio = 0.05
 
 // NewDetector makes a detector that knows no traffic yet.
 func NewDetector(threshold float64) Detector {
-	return Detector{threshold: threshold, calmShare: initialCalmShare}
+	return Detector{threshold: threshold, baselineRatio: initialBaselineRatio}
 }
 
 // Count counts a request.
@@ -74,13 +74,13 @@
 	case detected && !d.Storm:
 		d.Storm = true
 		began = true
-		d.calmTicks = 0
+		d.consecutiveQuiet = 0
 	case collapsed || !lastSecond.isQuiet(d.threshold):
-		d.calmTicks = 0
+		d.consecutiveQuiet = 0
 	default:
-		d.countCalmTick()
+		d.countQuietTick()
 	}
-	d.learnCalmShare(lastSecond)
+	d.updateBaselineRatio(lastSecond)
 	d.requests = 0
 	d.retries = 0
 	return began
@@ -90,28 +90,28 @@
 func (d *Detector) updateSums() (detected bool) {
 	for i := range d.sums {
 		sum := &d.sums[i]
-		sum.requests = forgettingFactors[i]*sum.requests + d.requests
-		sum.retries = forgettingFactors[i]*sum.retries + d.retries - d.calmShare*d.requests
-		detected = detected || sum.exceeds(d.threshold, d.calmShare)
+		sum.requests = decayFactors[i]*sum.requests + d.requests
+		sum.retries = decayFactors[i]*sum.retries + d.retries - d.baselineRatio*d.requests
+		detected = detected || sum.exceeds(d.threshold, d.baselineRatio)
 	}
-	d.requestSum = calmForgetting*d.requestSum + d.requests
-	d.retrySum = calmForgetting*d.retrySum + d.retries
+	d.baselineRequests = baselineDecay*d.baselineRequests + d.requests
+	d.baselineRetries = baselineDecay*d.baselineRetries + d.retries
 	return detected
 }
 
 // countCalmTick ends the retry storm after enough quiet ticks. What is in the sums belongs to it, and is forgotten.
-func (d *Detector) countCalmTick() {
-	d.calmTicks++
-	if d.Storm && d.calmTicks >= quietTicks {
+func (d *Detector) countQuietTick() {
+	d.consecutiveQuiet++
+	if d.Storm && d.consecutiveQuiet >= quietTicks {
 		d.Storm = false
 		d.sums = [2]excess{}
 	}
 }
 
 // learnCalmShare follows the share of retries slowly, outside of retry storms.
-func (d *Detector) learnCalmShare(lastSecond excess) {
+func (d *Detector) updateBaselineRatio(lastSecond excess) {
 	if d.Storm || lastSecond.retries >= d.threshold*lastSecond.requests {
 		return
 	}
-	d.calmShare += learningRate * min(1, d.requests) * (d.retrySum/max(d.requestSum, 20) - d.calmShare)
+	d.baselineRatio += learningRate * min(1, d.requests) * (d.baselineRetries/max(d.baselineRequests, 20) - d.baselineRatio)
 }
--- a/internal/retryguard/fingerprint.go
+++ b/internal/retryguard/fingerprint.go
@@ -25,7 +25,7 @@
 	bucketEntries = 4       // entries of a bucket; with two buckets a fingerprint, nine tenths fill before one is evicted
 	entryBytes    = 8       // memory of an entry
 	timeUnit      = 1 << 22 // nanoseconds, some 4 ms, of the times in an entry
-	timeUnits     = 1 << 16 // after which times wrap around: 275 s
+	timeModulus   = 1 << 16 // after which times wrap around: 275 s
 )
 
 // maxLifetime bounds the age of entries: well before their times wrap around.
@@ -36,12 +36,12 @@
 type entry uint64
 
 func pack(tag uint64, rejectedAt, delay uint64) entry {
-	return entry(tag<<32 | rejectedAt%timeUnits<<16 | min(delay, timeUnits-1))
+	return entry(tag<<32 | rejectedAt%timeModulus<<16 | min(delay, timeModulus-1))
 }
 
 func (e entry) tag() uint64        { return uint64(e) >> 32 }
-func (e entry) rejectedAt() uint64 { return uint64(e) >> 16 % timeUnits }
-func (e entry) delay() uint64      { return uint64(e) % timeUnits }
+func (e entry) rejectedAt() uint64 { return uint64(e) >> 16 % timeModulus }
+func (e entry) delay() uint64      { return uint64(e) % timeModulus }
 
 // Fingerprints remembers requests that lately went unserved, each for some time: a set-associative table with two buckets a
 // fingerprint and 8 bytes an entry. Its memory is fixed: where both buckets are full, the oldest entry is evicted, and the retry
@@ -50,11 +50,11 @@
 // A first try is taken for a retry with a probability of 2^-31 for each entry that it is compared with, eight at most: 4e-9. A
 // map takes some 40 bytes an entry and must be walked to drop old ones.
 type Fingerprints struct {
-	entries   []entry
-	mask      uint64 // of a bucket's number
-	lifetime  uint64 // in units
-	nextSwept int    // the next entry for Sweep
-	Evicted   uint64 // entries that were evicted before their time
+	entries    []entry
+	mask       uint64 // of a bucket's number
+	lifetime   uint64 // in units
+	sweepIndex int    // the next entry for Sweep
+	Evicted    uint64 // entries that were evicted before their time
 }
 
 // NewFingerprints makes a table of at most so many bytes that keeps each entry for a time, in nanoseconds, 200 s at most.
@@ -82,7 +82,7 @@
 
 // age is an entry's age in units, and whether it is free or too old. A clock that was set back makes all old.
 func (f *Fingerprints) age(e entry, now uint64) (age uint64, expired bool) {
-	age = (now - e.rejectedAt()) % timeUnits
+	age = (now - e.rejectedAt()) % timeModulus
 	return age, e == 0 || age > f.lifetime
 }
 
@@ -99,7 +99,7 @@
 		for i := range bucket {
 			age, expired := f.age(bucket[i], units)
 			if expired {
-				age = timeUnits // beyond any age
+				age = timeModulus // beyond any age
 			}
 			if target == nil || age > oldest {
 				target = &bucket[i]
@@ -107,7 +107,7 @@
 			}
 		}
 	}
-	if oldest < timeUnits {
+	if oldest < timeModulus {
 		f.Evicted++
 	}
 	*target = pack(tag, units, uint64(max(0, due-now)/timeUnit))
@@ -152,10 +152,10 @@
 func (f *Fingerprints) Sweep(now int64) {
 	units := uint64(now / timeUnit)
 	for range min(len(f.entries), max(64, len(f.entries)/256)) {
-		if _, expired := f.age(f.entries[f.nextSwept], units); expired {
-			f.entries[f.nextSwept] = 0
+		if _, expired := f.age(f.entries[f.sweepIndex], units); expired {
+			f.entries[f.sweepIndex] = 0
 		}
-		f.nextSwept = (f.nextSwept + 1) % len(f.entries)
+		f.sweepIndex = (f.sweepIndex + 1) % len(f.entries)
 	}
 }
 
--- a/internal/retryguard/fingerprint_test.go
+++ b/internal/retryguard/fingerprint_test.go
@@ -47,7 +47,7 @@
 			table.Sweep(now + i*second)
 		}
 	}
-	if _, _, ok := table.Take(7, now+timeUnits*timeUnit); ok {
+	if _, _, ok := table.Take(7, now+timeModulus*timeUnit); ok {
 		t.Error("found after times had wrapped around")
 	}
 }
--- a/internal/retryguard/guard.go
+++ b/internal/retryguard/guard.go
@@ -33,10 +33,10 @@
 	currentCapacity float64   // of all hosts
 
 	// What calm traffic has shown.
-	calmTicks       float64
-	calmCapacity    float64
-	calmWorkRate    float64 // work done a second, for each unit of capacity
-	calmConcurrency float64 // requests in flight, for each unit of capacity
+	baselineTicks       float64
+	baselineCapacity    float64
+	baselineWorkRate    float64 // work done a second, for each unit of capacity
+	baselineConcurrency float64 // requests in flight, for each unit of capacity
 
 	// The limits of a retry storm.
 	rateFactor        float64    // of the work rate, over that of calm traffic
@@ -50,7 +50,7 @@
 	tickWork           float64 // work done in this tick
 	recentWorkRate     float64 // work done, a second
 	answers            float64
-	relativeLatency    float64 // sum of the answers' latencies over the usual
+	latencyRatioSum    float64 // sum of the answers' latencies over the usual
 	overloadedAnswers  float64
 	rateLimited        float64 // requests rejected for want of budget
 	concurrencyLimited float64 // requests rejected as maxInFlight were in flight
@@ -72,7 +72,7 @@
 
 // New makes a guard. An error says which setting is out of its bounds.
 func New(s Settings, seed uint64, now int64) (*Guard, error) {
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return nil, err
 	}
 	g := &Guard{
@@ -135,18 +135,18 @@
 	}
 	c := g.customer(req.Customer)
 	cost := g.latency[req.Class]
-	admission := g.recognize(now, c, req)
+	admission := g.classifyRequest(now, c, req)
 	c.work += cost
-	if !g.StormActive(req.Customer) || g.hasRoom(c, req, admission, cost) {
-		g.admit(req, cost)
+	if !g.StormActive(req.Customer) || g.admitDuringStorm(c, req, admission, cost) {
+		g.markAdmitted(req, cost)
 		return true, 0
 	}
 	g.Stats.Rejected++
-	return false, g.appoint(now, req, 0)
+	return false, g.makeAppointment(now, req, 0)
 }
 
 // recognize says whether a request is a first try or a retry, with or without an appointment, and counts it.
-func (g *Guard) recognize(now int64, c *customer, req *Request) admissionClass {
+func (g *Guard) classifyRequest(now int64, c *customer, req *Request) admissionClass {
 	rejectedAt, due, known := g.fingerprints.Take(req.Fingerprint, now)
 	isRetry := known || req.Retry
 	g.detector.Count(isRetry)
@@ -159,22 +159,22 @@
 		g.Stats.FirstTries++
 	}
 	if known {
-		g.Stats.KnownRetries++
+		g.Stats.FingerprintMatches++
 	}
 	if due > 0 {
-		admission = g.classify(c, now, rejectedAt, due)
+		admission = g.classifyAppointment(c, now, rejectedAt, due)
 		req.appointment = due
 	}
 	return admission
 }
 
 // hasRoom says whether a request may be admitted during a retry storm, and takes its work from the budgets.
-func (g *Guard) hasRoom(c *customer, req *Request, admission admissionClass, cost float64) bool {
-	isHopeless := float64(req.Remaining) < 0.8*cost*float64(second)
+func (g *Guard) admitDuringStorm(c *customer, req *Request, admission admissionClass, cost float64) bool {
+	cannotFinish := float64(req.Remaining) < 0.8*cost*float64(second)
 	switch {
-	case isHopeless:
-		g.Stats.Hopeless++
-	case !g.hasFreeSlot():
+	case cannotFinish:
+		g.Stats.InsufficientTime++
+	case !g.belowMaxInFlight():
 		g.concurrencyLimited++
 	case !c.admit(&g.budget, &g.unusedBudget, admission, cost, g.settings.FirstShare, g.value[req.Class]):
 		g.rateLimited++
@@ -186,13 +186,13 @@
 
 // hasFreeSlot says whether one more request may be in flight. The limit of a router with little traffic may be less than
 // one: then it admits one with that probability.
-func (g *Guard) hasFreeSlot() bool {
+func (g *Guard) belowMaxInFlight() bool {
 	left := g.maxInFlight - g.inFlight
 	return left >= 1 || left > 0 && g.source.Float64() < left
 }
 
 // admit admits a request, and ends its appointment.
-func (g *Guard) admit(req *Request, cost float64) {
+func (g *Guard) markAdmitted(req *Request, cost float64) {
 	req.admitted = true
 	req.admittedAt = g.lastTime
 	g.inFlight++
@@ -227,7 +227,7 @@
 	}
 	g.unservedRequests++
 	if g.StormActive(req.Customer) {
-		return g.appoint(now, req, wait)
+		return g.makeAppointment(now, req, wait)
 	}
 	g.fingerprints.Put(req.Fingerprint, now, 0)
 	if wait > 0 {
@@ -265,15 +265,15 @@
 
 // recordAnswer counts the work that was done.
 func (g *Guard) recordAnswer(now int64, req *Request, latency int64) {
-	usual := g.latency[req.Class]
+	expected := g.latency[req.Class]
 	g.answers++
-	g.relativeLatency += float64(now-req.admittedAt) / float64(second) / usual // with the time that it waited for a host
-	g.tickWork += usual
+	g.latencyRatioSum += float64(now-req.admittedAt) / float64(second) / expected // with the time that it waited for a host
+	g.tickWork += expected
 	c := g.customer(req.Customer)
-	maxRetries := 10 + c.rate/usual // those of a second
+	maxRetries := 10 + c.rate/expected // those of a second
 	c.retryBudget = min(maxRetries, c.retryBudget+g.settings.Budget)
 	if !g.anyStorm() {
-		g.latency[req.Class] += 0.01 * (float64(latency)/float64(second) - usual) // about the last hundred
+		g.latency[req.Class] += 0.01 * (float64(latency)/float64(second) - expected) // about the last hundred
 	}
 }
 
--- a/internal/retryguard/guard_test.go
+++ b/internal/retryguard/guard_test.go
@@ -5,27 +5,27 @@
 )
 
 // What is admitted stays within the ceiling of what hosts can do as they warm up, and grows with them.
-func TestAdmissionStaysWithinTheCeiling(t *testing.T) {
-	w := newWorld(t, testSettings(), 3)
-	w.calm(30, 60, 0)
-	calmWorkRate := w.calmWorkRate
+func TestAdmittedWorkStaysBelowCeiling(t *testing.T) {
+	w := newWorkload(t, testSettings(), 3)
+	w.normalTraffic(30, 60, 0)
+	baselineWorkRate := w.baselineWorkRate
 	w.outage(5, 60)
 	if !w.detector.Storm {
 		t.Fatal("no storm")
 	}
-	back := w.now
-	w.HostsChanged(back, true, []Host{})
+	restartedAt := w.now
+	w.HostsChanged(restartedAt, true, []Host{})
 	var cold []Host
-	for _, h := range listHosts(10, back) {
+	for _, h := range newHosts(10, restartedAt) {
 		h.ID += 100
 		cold = append(cold, h)
 	}
-	w.HostsChanged(back, false, cold)
-	if can := w.capacity.At(back); can < 3.2 || can > 3.4 {
+	w.HostsChanged(restartedAt, false, cold)
+	if can := w.capacity.At(restartedAt); can < 3.2 || can > 3.4 {
 		t.Error("cold hosts can do", can)
 	}
 	work := 0.0
-	for w.now < back+second/2 {
+	for w.now < restartedAt+second/2 {
 		w.now += second / 1000
 		w.key++
 		req := &Request{Fingerprint: FingerprintOf(0, 0, w.key, ""), Customer: int(w.key % 3), Remaining: 5 * second}
@@ -34,20 +34,20 @@
 		}
 	}
 	// the share of one of three routers: of 30 s of work a second of warm hosts, in half a second, of cold ones
-	allowed := 1.25 * max(calmWorkRate*w.capacity.At(w.now)*0.5, w.capacity.At(w.now)/3*0.5) * 1.2
+	allowed := 1.25 * max(baselineWorkRate*w.capacity.At(w.now)*0.5, w.capacity.At(w.now)/3*0.5) * 1.2
 	if work == 0 || work > allowed {
 		t.Errorf("%.2f s of work admitted, %.2f are allowed", work, allowed)
 	}
 }
 
 // A request that can't be answered before its client gives up is not admitted, whatever budget there is.
-func TestHopelessRequestsAreRejected(t *testing.T) {
-	w := newWorld(t, testSettings(), 7)
-	w.calm(20, 60, 0)
+func TestRejectsRequestsWithInsufficientTime(t *testing.T) {
+	w := newWorkload(t, testSettings(), 7)
+	w.normalTraffic(20, 60, 0)
 	w.outage(2, 60)
 	w.budget.available = 100
 	w.maxInFlight = 100
-	if admitted, _ := w.Admit(w.now, &Request{Fingerprint: 1, Remaining: 1e7}); admitted || w.Stats.Hopeless == 0 {
+	if admitted, _ := w.Admit(w.now, &Request{Fingerprint: 1, Remaining: 1e7}); admitted || w.Stats.InsufficientTime == 0 {
 		t.Error("admitted with 10 ms left")
 	}
 }
@@ -61,7 +61,7 @@
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		s := testSettings()
 		s.MemoryBytes = 8 << 10
-		w := newWorld(t, s, seed)
+		w := newWorkload(t, s, seed)
 		bytes := w.Bytes()
 		var open []*Request
 		for range 4000 {
@@ -115,8 +115,8 @@
 
 // In calm traffic a request costs no allocation.
 func TestNoAllocations(t *testing.T) {
-	w := newWorld(t, testSettings(), 9)
-	w.calm(5, 60, 0.1)
+	w := newWorkload(t, testSettings(), 9)
+	w.normalTraffic(5, 60, 0.1)
 	req := &Request{Fingerprint: 9, Remaining: second}
 	if n := testing.AllocsPerRun(2000, func() {
 		w.now += second / 200
@@ -131,7 +131,7 @@
 
 // Settings out of their bounds are refused.
 func TestSettings(t *testing.T) {
-	for _, spoil := range []func(*Settings){
+	for _, invalidate := range []func(*Settings){
 		func(s *Settings) { s.Ceiling = 9 },
 		func(s *Settings) { s.MemoryBytes = 1 },
 		func(s *Settings) { s.Horizon = 0 },
@@ -139,7 +139,7 @@
 		func(s *Settings) { s.Routers = 0 },
 	} {
 		s := testSettings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s, 1, 0); err == nil {
 			t.Error("accepted:", s)
 		}
@@ -147,7 +147,7 @@
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	w := newWorld(b, testSettings(), 9)
+	w := newWorkload(b, testSettings(), 9)
 	req := &Request{}
 	for b.Loop() {
 		w.now += second / 200
@@ -160,8 +160,8 @@
 
 // Cases each of which was once forgotten somewhere.
 func TestEdgeCases(t *testing.T) {
-	w := newWorld(t, testSettings(), 10)
-	w.calm(20, 60, 0)
+	w := newWorkload(t, testSettings(), 10)
+	w.normalTraffic(20, 60, 0)
 	waits := map[int64]bool{}
 	for i := range uint64(20) { // in calm traffic, requests rejected together don't return together
 		req := &Request{Fingerprint: i + 1, Remaining: second}
@@ -176,10 +176,10 @@
 		t.Error("different waits:", len(waits))
 	}
 	w.now -= 3600 * second // after the clock is set back, ticks go on
-	ticksBefore := w.calmTicks
-	w.calm(2, 60, 0)
-	if w.calmTicks < ticksBefore+15 || w.Stats.ClockJumps != 1 {
-		t.Error("ticks after the jump:", w.calmTicks-ticksBefore, w.Stats.ClockJumps)
+	ticksBefore := w.baselineTicks
+	w.normalTraffic(2, 60, 0)
+	if w.baselineTicks < ticksBefore+15 || w.Stats.ClockJumps != 1 {
+		t.Error("ticks after the jump:", w.baselineTicks-ticksBefore, w.Stats.ClockJumps)
 	}
 	w.outage(2, 60)
 	w.budget.available = 1
--- a/internal/retryguard/regulate.go
+++ b/internal/retryguard/regulate.go
@@ -6,7 +6,7 @@
 // answered as fast as usual, and shrink as soon as answers are slower or hosts reject requests.
 
 // forgettingFactor is what the averages of the last half second keep each tick.
-const forgettingFactor = 0.85
+const decayFactor = 0.85
 
 // How the factors of the limits change each tick, and their bounds.
 const (
@@ -32,21 +32,21 @@
 // tick does what is done once every tickInterval.
 func (g *Guard) tick(now int64) {
 	workRate := g.tickWork * float64(second/tickInterval)
-	g.recentWorkRate += (1 - forgettingFactor) * (workRate - g.recentWorkRate)
+	g.recentWorkRate += (1 - decayFactor) * (workRate - g.recentWorkRate)
 	g.fingerprints.Sweep(now)
 	g.currentCapacity = g.capacity.At(now)
 	totalCapacity := g.capacity.Total()
 	g.detectStorms(now)
 	g.updateValues()
 	if !g.anyStorm() {
-		g.learnCalm(totalCapacity)
+		g.updateBaseline(totalCapacity)
 	} else {
 		g.adjustLimits()
 	}
 	g.refill(now)
 	g.tickWork = 0
-	for _, average := range []*float64{&g.answers, &g.relativeLatency, &g.overloadedAnswers, &g.rateLimited, &g.concurrencyLimited} {
-		*average *= forgettingFactor
+	for _, average := range []*float64{&g.answers, &g.latencyRatioSum, &g.overloadedAnswers, &g.rateLimited, &g.concurrencyLimited} {
+		*average *= decayFactor
 	}
 }
 
@@ -63,13 +63,13 @@
 }
 
 // learnCalm learns from calm traffic what the fleet does for this router, and the customers' shares of it.
-func (g *Guard) learnCalm(totalCapacity float64) {
-	g.calmTicks++
-	gain := max(0.01, 1/g.calmTicks) // a memory of 10 s, shorter at the start
-	g.calmCapacity += gain * (totalCapacity - g.calmCapacity)
+func (g *Guard) updateBaseline(totalCapacity float64) {
+	g.baselineTicks++
+	gain := max(0.01, 1/g.baselineTicks) // a memory of 10 s, shorter at the start
+	g.baselineCapacity += gain * (totalCapacity - g.baselineCapacity)
 	if g.currentCapacity > 0.5*totalCapacity && totalCapacity > 0 {
-		g.calmConcurrency += gain * (g.inFlight/totalCapacity - g.calmConcurrency)
-		g.calmWorkRate += gain * (g.tickWork*float64(second/tickInterval)/g.currentCapacity - g.calmWorkRate)
+		g.baselineConcurrency += gain * (g.inFlight/totalCapacity - g.baselineConcurrency)
+		g.baselineWorkRate += gain * (g.tickWork*float64(second/tickInterval)/g.currentCapacity - g.baselineWorkRate)
 	}
 	total := 0.0
 	for i := range g.customers {
@@ -93,8 +93,8 @@
 	if warmCapacity > 0 {
 		warmth = g.currentCapacity / warmCapacity
 	}
-	hostsGone := warmCapacity < collapsedShare*g.calmCapacity
-	if hostsGone && g.answers < 1 { // that hosts were fast before they went says nothing of those that return
+	collapsed := warmCapacity < collapseThreshold*g.baselineCapacity
+	if collapsed && g.answers < 1 { // that hosts were fast before they went says nothing of those that return
 		g.rateFactor = min(g.rateFactor, 1)
 		g.concurrencyFactor = min(g.concurrencyFactor, 1)
 		return
@@ -102,7 +102,7 @@
 	if g.answers < 0.5 {
 		return
 	}
-	latencyRatio := g.relativeLatency / max(g.answers, 1e-3) * warmth // cold hosts are slower by as much as they can do less
+	latencyRatio := g.latencyRatioSum / max(g.answers, 1e-3) * warmth // cold hosts are slower by as much as they can do less
 	isOverloaded := g.overloadedAnswers > 0.1*g.answers && g.overloadedAnswers >= 2
 	switch {
 	case latencyRatio > overloadedRatio || isOverloaded:
@@ -133,8 +133,8 @@
 // factor, and no less than its part of one request at a time at each host.
 func (g *Guard) workRate(capacity float64) float64 {
 	routers := float64(g.settings.Routers)
-	own := max(g.calmWorkRate*g.rateFactor*capacity, capacity/routers)
-	return max(g.settings.Ceiling*own, probeShare*g.calmWorkRate*g.calmCapacity, probeShare/routers)
+	own := max(g.baselineWorkRate*g.rateFactor*capacity, capacity/routers)
+	return max(g.settings.Ceiling*own, probeShare*g.baselineWorkRate*g.baselineCapacity, probeShare/routers)
 }
 
 // refill adds a tick's work to the budgets, and in a retry storm sets what appointments may be made for the next seconds.
@@ -161,8 +161,8 @@
 // same throughput, and what queues at them delays what comes next.
 func (g *Guard) updateMaxInFlight() {
 	warmCapacity := g.capacity.Warm()
-	usual := max(g.calmConcurrency*warmCapacity, warmCapacity/float64(g.settings.Routers))
-	g.maxInFlight = max(g.settings.Ceiling*g.concurrencyFactor*usual, probeShare*g.calmConcurrency*g.calmCapacity)
+	expected := max(g.baselineConcurrency*warmCapacity, warmCapacity/float64(g.settings.Routers))
+	g.maxInFlight = max(g.settings.Ceiling*g.concurrencyFactor*expected, probeShare*g.baselineConcurrency*g.baselineCapacity)
 	g.maxInFlight += math.Sqrt(g.maxInFlight) // requests come by chance, and the mean of a router with few is below one
 }
 
@@ -181,10 +181,10 @@
 	for i := range g.customers {
 		compliance += g.customers[i].compliance * g.customers[i].share
 	}
-	part := (1 - g.settings.FirstShare) * float64(slot) / float64(second) / max(0.3, compliance)
+	retryWork := (1 - g.settings.FirstShare) * float64(slot) / float64(second) / max(0.3, compliance)
 	g.schedule.Forecast(now, func(t int64) float64 {
 		position := min(forecastPoints, max(0, float64(t-now)/float64(g.settings.Horizon)*forecastPoints))
 		i := min(forecastPoints-1, int(position))
-		return part * g.workRate(forecast[i]+(forecast[i+1]-forecast[i])*(position-float64(i)))
+		return retryWork * g.workRate(forecast[i]+(forecast[i+1]-forecast[i])*(position-float64(i)))
 	})
 }
--- a/internal/retryguard/schedule_test.go
+++ b/internal/retryguard/schedule_test.go
@@ -38,23 +38,23 @@
 }
 
 // appointments is a heap, for comparison with the schedule.
-type appointments []struct{ at, fingerprint int64 }
+type appointmentHeap []struct{ at, fingerprint int64 }
 
-func (a appointments) Len() int           { return len(a) }
-func (a appointments) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a appointments) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *appointments) Push(x any)        { *a = append(*a, x.(struct{ at, fingerprint int64 })) }
+func (a appointmentHeap) Len() int           { return len(a) }
+func (a appointmentHeap) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a appointmentHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *appointmentHeap) Push(x any)        { *a = append(*a, x.(struct{ at, fingerprint int64 })) }
 
-func (a *appointments) Pop() any {
+func (a *appointmentHeap) Pop() any {
 	x := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return x
 }
 
-const many = 1_000_000 // appointments
+const appointmentCount = 1_000_000 // appointments
 
 // allocatedBytes is the memory of what fill returns, for each of many appointments.
-func allocatedBytes(fill func() any) float64 {
+func bytesPerAppointment(fill func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -62,7 +62,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	runtime.KeepAlive(kept)
-	return float64(after.HeapAlloc-before.HeapAlloc) / many
+	return float64(after.HeapAlloc-before.HeapAlloc) / appointmentCount
 }
 
 // A million appointments in a schedule with fingerprints, and in a heap with a map.
@@ -71,16 +71,16 @@
 	fillSchedule := func() any {
 		s, f := NewSchedule(60*second), NewFingerprints(16<<20, 60*second)
 		s.Forecast(now, func(int64) float64 { return 400 })
-		for i := range many {
+		for i := range appointmentCount {
 			due, _ := s.Reserve(now, 1)
 			f.Put(mix(uint64(i)), now, due)
 		}
 		return [2]any{s, f}
 	}
 	fillHeap := func() any {
-		var h appointments
+		var h appointmentHeap
 		at := make(map[int64]int64)
-		for i := range many {
+		for i := range appointmentCount {
 			due := now + int64(i)*60000
 			heap.Push(&h, struct{ at, fingerprint int64 }{due, int64(mix(uint64(i)))})
 			at[int64(mix(uint64(i)))] = due
@@ -92,8 +92,8 @@
 			for b.Loop() {
 				fill()
 			}
-			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/many, "ns/appointment")
-			b.ReportMetric(allocatedBytes(fill), "B/appointment")
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/appointmentCount, "ns/appointment")
+			b.ReportMetric(bytesPerAppointment(fill), "B/appointment")
 		})
 	}
 }
--- a/internal/retryguard/settings.go
+++ b/internal/retryguard/settings.go
@@ -58,7 +58,7 @@
 }
 
 // check returns an error that names the first setting which is out of its bounds.
-func (s Settings) check() error {
+func (s Settings) validate() error {
 	tuning := s.Tuning
 	for _, bound := range []struct {
 		name      string
--- a/internal/retryguard/storm.go
+++ b/internal/retryguard/storm.go
@@ -2,17 +2,17 @@
 
 // A collapse of the hosts is the cause of a retry storm by itself: retries are sure to come.
 const (
-	collapsedShare = 0.5 // hosts can do less than this share of the usual
-	minUnserved    = 3   // requests that went unserved for it
+	collapseThreshold = 0.5 // hosts can do less than this share of the usual
+	minUnserved       = 3   // requests that went unserved for it
 )
 
 // detectStorms ends the detectors' tick, and starts a retry storm if there is none yet.
 func (g *Guard) detectStorms(now int64) {
 	before := g.anyStorm()
-	collapsed := g.currentCapacity < collapsedShare*g.calmCapacity && g.unservedRequests >= minUnserved
-	g.unservedRequests *= forgettingFactors[0]
+	collapsed := g.currentCapacity < collapseThreshold*g.baselineCapacity && g.unservedRequests >= minUnserved
+	g.unservedRequests *= decayFactors[0]
 	worst := g.tickCustomers()
-	g.tickAll(collapsed, worst)
+	g.tickAllTraffic(collapsed, worst)
 	if before || !g.anyStorm() {
 		return
 	}
@@ -38,14 +38,14 @@
 
 // tickAll ends the tick of the detector of all traffic. Its retry storm counts only if it shows without the worst customer too,
 // whose own detector limits it, or if the hosts collapsed.
-func (g *Guard) tickAll(collapsed bool, worst int) {
-	others := g.sumOthers(worst)
+func (g *Guard) tickAllTraffic(collapsed bool, worst int) {
+	others := g.sumOtherCustomers(worst)
 	began := g.detector.Tick(collapsed)
 	if !began {
 		return
 	}
-	shows := others[0].exceeds(0, g.detector.calmShare) || others[1].exceeds(0, g.detector.calmShare)
-	if !collapsed && !shows {
+	isWidespread := others[0].exceeds(0, g.detector.baselineRatio) || others[1].exceeds(0, g.detector.baselineRatio)
+	if !collapsed && !isWidespread {
 		g.detector.Storm = false
 		return
 	}
@@ -53,9 +53,9 @@
 }
 
 // sumOthers is the retries of all customers but one; of the only one, if there is one.
-func (g *Guard) sumOthers(without int) (others [2]excess) {
+func (g *Guard) sumOtherCustomers(excluded int) (others [2]excess) {
 	for i := range g.customers {
-		if i == without && len(g.customers) > 1 {
+		if i == excluded && len(g.customers) > 1 {
 			continue
 		}
 		for k, sum := range g.customers[i].sums {
@@ -70,8 +70,8 @@
 func (g *Guard) startStorm() {
 	g.rateFactor = 1
 	g.concurrencyFactor = 1
-	if g.currentCapacity >= collapsedShare*g.calmCapacity && g.calmWorkRate > 0 {
-		g.rateFactor = min(maxFactor, max(1, g.recentWorkRate/(g.calmWorkRate*g.currentCapacity)))
+	if g.currentCapacity >= collapseThreshold*g.baselineCapacity && g.baselineWorkRate > 0 {
+		g.rateFactor = min(maxFactor, max(1, g.recentWorkRate/(g.baselineWorkRate*g.currentCapacity)))
 		g.concurrencyFactor = g.rateFactor
 	}
 	g.budget.available *= g.source.Float64() // however many routers there are, each begins at its own time
--- a/internal/retryguard/storm_test.go
+++ b/internal/retryguard/storm_test.go
@@ -11,12 +11,12 @@
 		for _, retryShare := range []float64{0, 0.05, 0.2} {
 			alarms := 0
 			for seed := range uint64(10) {
-				w := newWorld(t, testSettings(), seed)
-				w.detector.calmShare = retryShare // as after hours of it
+				w := newWorkload(t, testSettings(), seed)
+				w.detector.baselineRatio = retryShare // as after hours of it
 				for i := range w.customers {
-					w.customers[i].calmShare = retryShare
+					w.customers[i].baselineRatio = retryShare
 				}
-				w.calm(360, rate, retryShare)
+				w.normalTraffic(360, rate, retryShare)
 				alarms += w.Stats.Storms + w.Stats.CustomerStorms
 			}
 			if alarms > 0 {
@@ -28,24 +28,24 @@
 
 // A retry storm is detected within half a second of the first unserved second, by its retries alone.
 func TestDetectsStorm(t *testing.T) {
-	w := newWorld(t, testSettings(), 1)
-	w.calm(20, 50, 0.05)
-	from := w.now
-	for !w.detector.Storm && w.now < from+2*second {
+	w := newWorkload(t, testSettings(), 1)
+	w.normalTraffic(20, 50, 0.05)
+	start := w.now
+	for !w.detector.Storm && w.now < start+2*second {
 		w.now += second / 100
 		fingerprint := FingerprintOf(0, w.rnd.IntN(3), uint64(w.rnd.IntN(40)), "") // each of 40 is sent again and again
 		req := &Request{Customer: w.rnd.IntN(3), Fingerprint: fingerprint, Remaining: 5 * second}
 		w.Admit(w.now, req)
 		w.Abandoned(w.now, req)
 	}
-	if took := w.now - from; took > 1500e6 {
+	if took := w.now - start; took > 1500e6 {
 		t.Errorf("detected after %d ms", took/1e6)
 	}
 	// at once if the hosts are gone
-	w = newWorld(t, testSettings(), 1)
-	w.calm(20, 50, 0.05)
-	from = w.now
-	for w.now < from+500e6 && !w.detector.Storm {
+	w = newWorkload(t, testSettings(), 1)
+	w.normalTraffic(20, 50, 0.05)
+	start = w.now
+	for w.now < start+500e6 && !w.detector.Storm {
 		w.now += second / 50
 		w.key++
 		w.request(0, FingerprintOf(0, 0, w.key, ""), false)
@@ -57,8 +57,8 @@
 
 // One customer's retry storm costs the others nothing.
 func TestStormOfOneCustomer(t *testing.T) {
-	w := newWorld(t, testSettings(), 4)
-	w.calm(20, 60, 0)
+	w := newWorkload(t, testSettings(), 4)
+	w.normalTraffic(20, 60, 0)
 	rejected, others := 0, 0
 	for range 1500 {
 		w.now += second / 300
@@ -82,15 +82,15 @@
 }
 
 // The tick that ends a retry storm counts in the calm share as any other: its requests are looked at before the sums are cleared.
-func TestCalmShareIsLearnedInTheLastTickOfAStorm(t *testing.T) {
+func TestBaselineRatioUpdatedWhenStormEnds(t *testing.T) {
 	d := NewDetector(0.25)
 	d.Storm = true
-	d.calmTicks = quietTicks - 1
+	d.consecutiveQuiet = quietTicks - 1
 	for range 10 {
 		d.Count(false)
 	}
 	d.Tick(false)
-	if d.Storm || d.calmShare >= initialCalmShare {
-		t.Errorf("storm %v, calm share %v", d.Storm, d.calmShare)
+	if d.Storm || d.baselineRatio >= initialBaselineRatio {
+		t.Errorf("storm %v, calm share %v", d.Storm, d.baselineRatio)
 	}
 }
--- a/internal/retryguard/trace_test.go
+++ b/internal/retryguard/trace_test.go
@@ -12,7 +12,7 @@
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 25, []string{"9aa8eda84d93ddbe", "4034c0d95d55fb5c", "926a76439b5d793c", "aa6892acdf423db1"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 7))
-		w := newWorld(t, testSettings(), seed)
+		w := newWorkload(t, testSettings(), seed)
 		type openRequest struct {
 			*Request
 			attempts int
@@ -59,7 +59,7 @@
 				w.Abandoned(w.now, open[len(open)-1].Request)
 				open = open[:len(open)-1]
 			case at < 19 && draw.IntN(5) == 0:
-				hosts := listHosts(10, w.now-draw.Int64N(6*second))
+				hosts := newHosts(10, w.now-draw.Int64N(6*second))
 				for i := range hosts {
 					hosts[i].Ready = draw.IntN(3) > 0
 				}
--- a/internal/retryguard/world_test.go
+++ b/internal/retryguard/world_test.go
@@ -21,24 +21,24 @@
 }
 
 // world is a guard with ten warm hosts and a virtual clock.
-type world struct {
+type workload struct {
 	*Guard
 	now int64
 	rnd *rand.Rand
 	key uint64 // of the latest request
 }
 
-func newWorld(t testing.TB, s Settings, seed uint64) *world {
-	w := &world{now: 1e18, rnd: rand.New(rand.NewPCG(seed, 1))}
+func newWorkload(t testing.TB, s Settings, seed uint64) *workload {
+	w := &workload{now: 1e18, rnd: rand.New(rand.NewPCG(seed, 1))}
 	var err error
 	if w.Guard, err = New(s, seed, w.now); err != nil {
 		t.Fatal(err)
 	}
-	w.HostsChanged(w.now, true, listHosts(10, 0))
+	w.HostsChanged(w.now, true, newHosts(10, 0))
 	return w
 }
 
-func listHosts(n int, started int64) (all []Host) {
+func newHosts(n int, started int64) (all []Host) {
 	for i := range n {
 		all = append(all, Host{ID: uint32(i + 1), Ready: true, Capacity: 1, StartedAt: started})
 	}
@@ -46,7 +46,7 @@
 }
 
 // request brings a request; one that is admitted succeeds after the usual time if served, and otherwise its host is gone.
-func (w *world) request(customer int, fingerprint uint64, served bool) (admitted bool, wait int64) {
+func (w *workload) request(customer int, fingerprint uint64, served bool) (admitted bool, wait int64) {
 	req := &Request{Class: 0, Customer: customer, Fingerprint: fingerprint, Remaining: 5 * second}
 	if admitted, wait = w.Admit(w.now, req); !admitted {
 		return
@@ -62,7 +62,7 @@
 }
 
 // calm plays calm traffic: so many requests a second, a share of which are retries of requests that went unserved.
-func (w *world) calm(seconds float64, perSecond int, retryShare float64) {
+func (w *workload) normalTraffic(seconds float64, perSecond int, retryShare float64) {
 	for range int(seconds * float64(perSecond)) {
 		w.now += second / int64(perSecond)
 		w.key++
@@ -75,7 +75,7 @@
 }
 
 // outage plays hosts that are gone for some seconds, with all rejected requests coming back after their wait.
-func (w *world) outage(seconds float64, perSecond int) {
+func (w *workload) outage(seconds float64, perSecond int) {
 	type client struct {
 		at          int64 // of its next try
 		fingerprint uint64
