--- a/internal/retryguard/appointment.go
+++ b/internal/retryguard/appointment.go
@@ -1,27 +1,27 @@
 package retryguard
 
-// minCompliance is the share of appointments that are not come to early below which a customer is given none: its clients
-// send when they like.
+// minCompliance is the compliance at or below which a customer gets no new appointments, because its clients retry regardless
+// of Retry-After.
 const minCompliance = 0.2
 
-// complianceGain averages compliance over about the last fifty appointments.
+// complianceGain is the weight of the newest sample in the moving average of compliance, which covers about 50 appointments.
 const complianceGain = 0.02
 
-// classify says how a request with an appointment is admitted: as expected at its time or after it, and otherwise as an
-// unscheduled retry. Only a request that came before its wait was over counts against its customer's compliance: the
-// wait that a client is given may be shorter than that until its appointment.
+// classifyAppointment returns the admission class of a retry whose appointment is at due: scheduledRetry from one slot before
+// due, unscheduledRetry before that. The wait sent to a client is capped at MaxRetryAfter, so a client that honored it may
+// still arrive before due. Only a retry that arrives before the end of that wait lowers its customer's compliance.
 func (g *Guard) classifyAppointment(c *customer, now, rejectedAt, due int64) admissionClass {
 	advised := due
 	if g.settings.MaxRetryAfter > 0 {
 		advised = min(due, rejectedAt+g.settings.MaxRetryAfter)
 	}
-	const tolerance = 2 * timeUnit // for the rounding of the fingerprints' times and of the wait's milliseconds
+	const tolerance = 2 * timeUnit // allows for the resolution of fingerprint times and of waits in milliseconds
 	if now < advised-max(tolerance, (advised-rejectedAt)/10) {
 		g.Stats.EarlyRetries++
 		c.compliance += complianceGain * (0 - c.compliance)
 		return unscheduledRetry
 	}
-	g.Stats.ScheduledRetries++
+	g.Stats.OnTimeRetries++
 	c.compliance += complianceGain * (1 - c.compliance)
 	if now < due-slot {
 		return unscheduledRetry
@@ -29,7 +29,7 @@
 	return scheduledRetry
 }
 
-// releaseAppointment takes back the work that was reserved for a request.
+// releaseAppointment cancels the request's appointment, if any, and returns the reserved work to the schedule.
 func (g *Guard) releaseAppointment(req *Request, cost float64) {
 	if req.appointment > 0 {
 		g.schedule.Release(req.appointment, cost)
@@ -37,8 +37,8 @@
 	}
 }
 
-// appoint makes an appointment at least minWait from now, or keeps the one that the request came with, and returns how long
-// the client is to wait.
+// makeAppointment records the request as rejected and returns the wait to send to its client. It keeps a future appointment of
+// the request; otherwise it makes one at least minWait from now, if the customer is compliant and the schedule has capacity.
 func (g *Guard) makeAppointment(now int64, req *Request, minWait int64) int64 {
 	maxWait := g.settings.MaxRetryAfter
 	cost := g.latency[req.Class]
@@ -59,7 +59,7 @@
 	return g.clientWait(now, due)
 }
 
-// reserve makes an appointment, at a random time within its slot; 0 if no slot has room.
+// reserve reserves work in the schedule and returns a random time within the reserved slot, or 0 if no slot has capacity left.
 func (g *Guard) reserve(earliest int64, cost float64) int64 {
 	at, ok := g.schedule.Reserve(earliest, cost)
 	if !ok {
@@ -70,13 +70,13 @@
 	return at + int64(g.source.Float64()*float64(slot))
 }
 
-// waitUntil is the wait that a client is given for an appointment, 0 for none.
+// clientWait returns the wait to send to a client whose appointment is at due, or that has none if due is 0.
 func (g *Guard) clientWait(now, due int64) int64 {
 	maxWait := g.settings.MaxRetryAfter
 	switch {
-	case due == 0: // spread over the later half of the waits
+	case due == 0: // random in the upper half of the allowed range
 		return maxWait/2 + int64(g.source.Float64()*float64(maxWait/2))
-	case due-now > maxWait: // it will be rejected once more; not all at the same moment
+	case due-now > maxWait: // it retries before due and is rejected again; jitter spreads these retries
 		return maxWait - int64(g.source.Float64()*float64(maxWait/10))
 	}
 	return due - now
--- a/internal/retryguard/appointment_test.go
+++ b/internal/retryguard/appointment_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// Rejected clients are asked to come back at a time with capacity, and not all at once; one that comes earlier has no advantage, and
-// one that keeps its appointment goes before others.
+// Guards against clients that are rejected together retrying together, early retries gaining an advantage, and retries at their
+// appointment lacking priority.
 func TestAppointments(t *testing.T) {
 	w := newWorkload(t, testSettings(), 5)
 	w.normalTraffic(20, 60, 0)
@@ -31,28 +31,28 @@
 		most = max(most, n)
 	}
 	if len(perSlot) < 5 || most > 150 {
-		t.Error(len(perSlot), "slots, most in one", most)
+		t.Error(len(perSlot), "slots used, most retries in one slot", most)
 	}
 	c := w.customer(0)
 	early := w.Stats.EarlyRetries
 	if got := w.classifyAppointment(c, w.now, w.now-1e8, w.now+3e8); got != unscheduledRetry || w.Stats.EarlyRetries != early+1 {
-		t.Error("came early and counts as", got)
+		t.Error("early retry: got class", got)
 	}
 	if got := w.classifyAppointment(c, w.now, w.now-1e9, w.now); got != scheduledRetry {
-		t.Error("kept its appointment and counts as", got)
+		t.Error("retry at its appointment: got class", got)
 	}
 	if got := w.classifyAppointment(c, w.now, w.now-second, w.now+2*second); got != unscheduledRetry || w.Stats.EarlyRetries != early+1 {
-		t.Error("came after its wait, before its appointment, and counts as", got, w.Stats.EarlyRetries)
+		t.Error("retry after its wait but before its appointment: got class and early retries", got, w.Stats.EarlyRetries)
 	}
 	total := workBudget{available: 0.4, rate: 10}
 	unused := 0.0
 	budget := workBudget{available: 10}
 	if budget.admit(&total, &unused, unscheduledRetry, 0.3, 0.5, 0) || !budget.admit(&total, &unused, scheduledRetry, 0.3, 0.5, 0) {
-		t.Error("an appointment does not go first")
+		t.Error("retry at its appointment has no priority over an unscheduled retry")
 	}
 }
 
-// Customers whose clients ignore their appointments are given none.
+// Customers whose clients ignore Retry-After get no appointments, but a random wait.
 func TestIgnoredAppointments(t *testing.T) {
 	w := newWorkload(t, testSettings(), 6)
 	w.normalTraffic(20, 60, 0)
@@ -63,9 +63,9 @@
 	before := w.Stats.Appointments
 	req := &Request{Fingerprint: 77, Customer: 0, Remaining: second}
 	if wait := w.Rejected(w.now, req, 0); w.Stats.Appointments != before || wait < second/2 || wait > second {
-		t.Error(w.Stats.Appointments-before, "appointments, waits", wait)
+		t.Error(w.Stats.Appointments-before, "new appointments, want 0; wait", wait)
 	}
 	if len(w.fingerprints.entries)*8 > testSettings().MemoryBytes {
-		t.Error("the table grew")
+		t.Error("table of fingerprints exceeds MemoryBytes")
 	}
 }
--- a/internal/retryguard/budget.go
+++ b/internal/retryguard/budget.go
@@ -1,17 +1,17 @@
 package retryguard
 
-// burstSeconds is how much of its rate a budget holds, in seconds: with it, what is admitted in half a second stays within a
-// fifth of the rate.
+// burstSeconds is the burst size of a budget, in seconds at its rate. It limits the work admitted within half a second to 20%
+// above the rate.
 const burstSeconds = 0.1
 
-// workBudget is how much work may still be admitted, in seconds of a host's time.
+// workBudget is a token bucket of work, in seconds of host time.
 type workBudget struct {
 	available   float64
-	rate        float64 // seconds of work a second, of all hosts
-	retryBudget float64 // retries that may be admitted while work is scarce
+	rate        float64 // seconds of work per second, over all hosts
+	retryBudget float64 // unscheduled retries that may be admitted while work is scarce
 }
 
-// refill adds a tick's work, and returns what is beyond the limit.
+// refill adds the work of one tick and returns the excess over the limit.
 func (b *workBudget) refill(rate, maxCost float64) (unused float64) {
 	b.rate = rate
 	b.available += rate * float64(tickInterval) / float64(second)
@@ -23,23 +23,24 @@
 	return unused
 }
 
-// limit is how much the budget holds; one request always fits.
+// limit returns the size of the bucket, which always fits at least one request of maxCost.
 func (b *workBudget) limit(maxCost float64) float64 { return max(burstSeconds*b.rate, 1.2*maxCost) }
 
-// admissionClass is the priority of a request, the first before the last.
+// admissionClass is the admission priority of a request, from highest to lowest.
 type admissionClass uint8
 
 const (
-	scheduledRetry admissionClass = iota // it comes at its appointment or later
+	scheduledRetry admissionClass = iota // a retry that arrives at its appointment or later
 	firstTry
 	unscheduledRetry
 )
 
-// valueReserve is the part of the total budget that a request without an appointment and without value must leave.
+// valueReserve is the fraction of the total budget that a request of value 0 without an appointment must leave unused.
 const valueReserve = 0.3
 
-// admit takes a request's work from the total budget, and from its customer's, b, or from what others have left unused; it
-// returns false if there is too little for its priority and value. reserve is the part that is kept for first tries.
+// admit charges cost to the total budget and to the customer's budget b, or to the work that other customers left unused if b is
+// too low. It returns false, charging nothing, if too little work is left for the request's priority and value. reserve is the
+// fraction of the total budget kept for first tries.
 func (b *workBudget) admit(total *workBudget, unused *float64, admission admissionClass, cost, reserve, value float64) bool {
 	spare := total.limit(cost) - cost
 	required := cost
@@ -63,7 +64,7 @@
 	return true
 }
 
-// takeWork takes work from the budget, or else from what others have left unused.
+// takeWork charges cost to the budget or, if it is too low, to the work that other customers left unused.
 func (b *workBudget) takeWork(unused *float64, cost float64) bool {
 	switch {
 	case b.available >= cost:
--- a/internal/retryguard/capacity.go
+++ b/internal/retryguard/capacity.go
@@ -5,30 +5,31 @@
 	"slices"
 )
 
-// Host is a host as the list has it.
+// Host is an entry of the host list.
 type Host struct {
 	ID        uint32
 	Ready     bool
 	Capacity  float64 // relative to other hosts
-	StartedAt int64   // 0 for long ago
+	StartedAt int64   // start of its process in nanoseconds, 0 if it is warm
 }
 
-// Signal is what the end of an attempt says of its host.
+// Signal is the evidence that the result of an attempt gives about the state of its host.
 type Signal uint8
 
-// What an end says.
+// Signals of an attempt's result.
 const (
-	Answered         Signal = iota // any answer
-	Overloaded                     // rejected: it is up, and has enough to do
-	ConnectionFailed               // no connection, or one that broke: its process may be gone
-	NoAnswer                       // no answer in time
-	NotSent                        // nothing was sent: it says nothing
+	Answered         Signal = iota // the host answered, successfully or not
+	Overloaded                     // the host is up and rejected the request
+	ConnectionFailed               // connect failed or the connection broke; the process may have terminated
+	NoAnswer                       // timeout
+	NotSent                        // nothing was sent; the signal is ignored
 )
 
-// failuresUntilDown is the number of failures in a row after which a host is taken for down: one may be a lost connection.
+// failuresUntilDown is the number of consecutive failures after which a host counts as down. A single failure may be only a
+// lost connection.
 const failuresUntilDown = 2
 
-// Capacities outside of these bounds are taken as 1.
+// Capacities that are not strictly between these bounds are replaced by 1.
 const (
 	minCapacity = 1e-3
 	maxCapacity = 1e6
@@ -36,26 +37,27 @@
 
 type hostState struct {
 	Host
-	coldSince int64 // when it began to warm up, 0 for warm
+	coldSince int64 // start of the warm-up, 0 if warm
 	down      bool
-	known     bool // it has answered, or is down
-	restarted bool // it is down by broken connections: it comes back cold
-	failures  int  // failures in a row
+	known     bool // its state was observed: it has answered or is down
+	restarted bool // connections failed while it was down, so it returns cold
+	failures  int  // consecutive
 }
 
-// Capacity estimates what all hosts can do, now and in the next seconds.
+// Capacity estimates the capacity of all hosts now and a few seconds ahead, taking warm-up and hosts that are down into
+// account. Capacities are relative: 1 is one warm host of capacity 1.
 type Capacity struct {
-	coldCapacity float64 // share of its capacity that a host has at its start
+	coldCapacity float64 // fraction of its capacity that a host has when it starts
 	warmUpTime   int64
 	hosts        map[uint32]*hostState
-	ready        []*hostState // by id, so that sums are added in the same order
+	ready        []*hostState // by ID, so that floating-point sums are deterministic
 }
 
-// minColdCapacity is the least that a host is taken to do at its start.
+// minColdCapacity is the lower bound for the fraction of its capacity that a host has when it starts.
 const minColdCapacity = 0.05
 
-// NewCapacity makes an estimate without hosts. Hosts have a share of their capacity at their start, and all of it after
-// warmUpTime nanoseconds.
+// NewCapacity returns an estimator without hosts. The capacity of a host grows linearly from the fraction coldCapacity at its
+// start to its full capacity after warmUpTime nanoseconds.
 func NewCapacity(coldCapacity float64, warmUpTime int64) *Capacity {
 	return &Capacity{
 		coldCapacity: min(1, max(minColdCapacity, coldCapacity)),
@@ -64,7 +66,8 @@
 	}
 }
 
-// HostsChanged takes over the complete list of hosts, or changes.
+// HostsChanged applies an update of the host list. If complete is true, hosts replaces the list; otherwise it has only the
+// changed entries.
 func (c *Capacity) HostsChanged(complete bool, hosts []Host) {
 	if complete {
 		c.removeUnlisted(hosts)
@@ -79,7 +82,7 @@
 	slices.SortFunc(c.ready, func(a, b *hostState) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// removeUnlisted removes the hosts that a complete list does not name.
+// removeUnlisted removes all hosts that are not in hosts.
 func (c *Capacity) removeUnlisted(hosts []Host) {
 	listed := make(map[uint32]bool, len(hosts))
 	for _, h := range hosts {
@@ -92,7 +95,7 @@
 	}
 }
 
-// applyEntry takes over one entry of the list. A host with another start is a new one.
+// applyHost applies one entry of the list. A different start time means a new process, whose state starts afresh.
 func (c *Capacity) applyHost(h Host) {
 	if !h.Ready {
 		delete(c.hosts, h.ID)
@@ -110,8 +113,8 @@
 	state.Host = h
 }
 
-// AttemptEnded takes over what an attempt's end says of a host. One that answers after its connections broke is taken for a
-// new process that is cold, until the list says when it started.
+// AttemptEnded updates the state of a host from an attempt's result. A host that was down with failed connections and answers
+// again counts as a new, cold process until the list has its new start time.
 func (c *Capacity) AttemptEnded(now int64, id uint32, s Signal) {
 	state := c.hosts[id]
 	if state == nil || s == NotSent {
@@ -139,7 +142,7 @@
 	s.failures = 0
 }
 
-// warmth is the share of its capacity that a host has at a time.
+// warmth returns the fraction of its capacity that a host has at the given time.
 func (c *Capacity) warmth(s *hostState, at int64) float64 {
 	age := at - s.coldSince
 	if s.coldSince == 0 || age >= c.warmUpTime {
@@ -148,18 +151,18 @@
 	return c.coldCapacity + (1-c.coldCapacity)*float64(max(0, age))/float64(c.warmUpTime)
 }
 
-// At is what all hosts that are up will be able to do at a time, in units of a host's capacity. A router meets few of many
-// hosts: of those that it has not met, the same share counts as up as of the others.
+// At returns the estimated capacity at the given time of all hosts that are up now. A router sends requests to only some of
+// the hosts: the others are assumed to be up in the same proportion as those it has observed.
 func (c *Capacity) At(at int64) float64 {
 	return c.sum(func(s *hostState) float64 { return s.Capacity * c.warmth(s, at) })
 }
 
-// Warm is what the same hosts could do if they were warm.
+// Warm returns the capacity that the same hosts would have if all were warm.
 func (c *Capacity) Warm() float64 { return c.sum(func(s *hostState) float64 { return s.Capacity }) }
 
 func (c *Capacity) sum(capacity func(*hostState) float64) float64 {
-	var up, unknown float64         // by capacity
-	var knownTotal, upTotal float64 // the same if all were warm
+	var up, unknown float64         // sums of capacity(s)
+	var knownTotal, upTotal float64 // sums of the capacity when warm
 	for _, s := range c.ready {
 		switch {
 		case !s.known:
@@ -178,7 +181,7 @@
 	return up + unknown
 }
 
-// Total is what all listed hosts could do if they were up and warm.
+// Total returns the capacity that all listed hosts would have if they were up and warm.
 func (c *Capacity) Total() (total float64) {
 	for _, s := range c.ready {
 		total += s.Capacity
--- a/internal/retryguard/capacity_test.go
+++ b/internal/retryguard/capacity_test.go
@@ -4,7 +4,8 @@
 	"testing"
 )
 
-// A host whose connections broke comes back cold, one that was silent as it was; a start on the list goes before.
+// A host returns cold after connection failures but not after timeouts, hosts not observed yet are estimated from the others, and
+// an invalid capacity counts as 1.
 func TestCapacity(t *testing.T) {
 	for _, test := range []struct {
 		signal Signal
@@ -19,14 +20,14 @@
 			capacity.AttemptEnded(second, 4, test.signal)
 		}
 		if down := capacity.At(second); test.signal != NotSent && down != 9 {
-			t.Error("one is down, and the others can do", down)
+			t.Error("one of ten hosts is down: got capacity", down)
 		}
 		capacity.AttemptEnded(2*second, 4, Answered)
-		if can := capacity.At(2 * second); can < test.want-0.01 || can > test.want+0.01 {
-			t.Errorf("after signal %d: %v, want %v", test.signal, can, test.want)
+		if got := capacity.At(2 * second); got < test.want-0.01 || got > test.want+0.01 {
+			t.Errorf("capacity after signal %d: got %v, want %v", test.signal, got, test.want)
 		}
 		if warm := capacity.At(6 * second); warm != 10 {
-			t.Error("warm hosts can do", warm)
+			t.Error("all hosts are warm: got capacity", warm)
 		}
 	}
 	capacity := NewCapacity(0.33, 4*second)
@@ -35,8 +36,8 @@
 	for range 2 {
 		capacity.AttemptEnded(0, 2, ConnectionFailed)
 	}
-	if can := capacity.At(0); can != 2 { // of the two that it has met one is up, and so of the two others
-		t.Error(can)
+	if got := capacity.At(0); got != 2 { // one of the two observed hosts is up, so half of the other two count as up
+		t.Error(got)
 	}
 	capacity.HostsChanged(true, []Host{{ID: 9, Ready: true, Capacity: -1}})
 	if capacity.Total() != 1 {
--- a/internal/retryguard/detector.go
+++ b/internal/retryguard/detector.go
@@ -2,62 +2,63 @@
 
 import "math"
 
-// tickInterval is the time between two ticks.
+// tickInterval is the period of Guard.tick, in nanoseconds.
 const tickInterval = second / 10
 
-// The test for a change: a geometric moving average of the retries beyond their calm share, compared with one threshold, as
-// for builds on trial in internal/decision. The sums must show minExcess retries beyond calm traffic's, and exceed the
-// threshold by requiredErrors standard errors: with those, traffic of 2 to 400 requests a second with 0 to 20% of retries in
-// calm raised no alarm in an hour.
+// Change detection with a geometric moving average (EWMA chart) of the retries in excess of the baseline, as for trials in
+// internal/decision. An alarm requires minExcess excess retries and a ratio of excess retries that is above the threshold by
+// requiredErrors standard errors. TestNoFalseAlarms checks the rate of false alarms.
 const (
 	minExcess      = 8
 	requiredErrors = 5.5
-	quietTicks     = 10 // in a row below a third of the threshold, which end a retry storm
-	learningRate   = 0.002
-	baselineDecay  = 0.998 // a memory of 50 s
+	quietTicks     = 10    // consecutive ticks below a third of the threshold that end a retry storm
+	learningRate   = 0.002 // of the baseline ratio, per tick
+	baselineDecay  = 0.998 // per tick, a time constant of 50 s
 )
 
-// forgettingFactors are what the two sums keep each tick: that of 1 s, of which a retry storm fills half in 400 ms, and that of 3 s,
-// by which a router with few requests has enough of them.
+// decayFactors are the factors by which the two sums decay per tick: a time constant of 1 s detects a retry storm quickly, and
+// one of 3 s collects enough requests at a router with little traffic.
 var decayFactors = [2]float64{0.9, 0.97}
 
-// Detector detects that the share of retries is higher than in calm traffic.
+// Detector detects a retry storm: a ratio of retries to requests well above that of normal traffic. Use NewDetector; the zero
+// value has no threshold.
 type Detector struct {
-	Storm bool // a retry storm is on
+	Storm bool // a retry storm is active
 
 	threshold        float64
-	baselineRatio    float64 // share of retries in calm traffic
-	requests         float64 // of this tick
-	retries          float64 // of this tick
+	baselineRatio    float64 // ratio of retries to requests in normal traffic
+	requests         float64 // in this tick
+	retries          float64 // in this tick
 	sums             [2]excess
-	baselineRequests float64 // of the last minute
+	baselineRequests float64 // decayed by baselineDecay
 	baselineRetries  float64
-	consecutiveQuiet int // in a row
+	consecutiveQuiet int // quiet ticks in a row
 }
 
-// excess is how many retries there are beyond the calm share of some requests.
+// excess is a decayed number of requests, and of retries in excess of the baseline ratio of them.
 type excess struct{ requests, retries float64 }
 
-// exceeds says whether an excess is surely beyond a threshold.
+// exceeds reports whether the ratio of excess retries is above the threshold with statistical significance.
 func (x excess) exceeds(threshold, baselineRatio float64) bool {
 	stdErr := math.Sqrt(max(0.02, baselineRatio*(1-baselineRatio)) / max(1, x.requests))
 	return x.retries >= minExcess && x.retries/x.requests > threshold+requiredErrors*stdErr
 }
 
-// isQuiet says whether there are few retries.
+// isQuiet reports whether the ratio of excess retries is below a third of the threshold.
 func (x excess) isQuiet(threshold float64) bool {
 	return x.requests < 1 || x.retries/x.requests < threshold/3
 }
 
-// initialCalmShare is the share of retries that is taken for calm before there is traffic.
+// initialBaselineRatio is the baseline ratio of retries before any traffic was observed.
 const initialBaselineRatio = 0.05
 
-// NewDetector makes a detector that knows no traffic yet.
+// NewDetector returns a detector with the initial baseline. threshold is the ratio of excess retries to requests above which
+// a retry storm is detected.
 func NewDetector(threshold float64) Detector {
 	return Detector{threshold: threshold, baselineRatio: initialBaselineRatio}
 }
 
-// Count counts a request.
+// Count counts a request in the current tick.
 func (d *Detector) Count(retry bool) {
 	d.requests++
 	if retry {
@@ -65,11 +66,11 @@
 	}
 }
 
-// Tick ends a tick, and says whether a retry storm has just begun. collapsed says that the hosts are gone, so that retries are sure
-// to come.
+// Tick ends a tick and reports whether a retry storm began in it. collapsed means that the hosts have lost so much capacity
+// that retries are certain to follow; it starts a storm, or keeps it active, whatever the ratio of retries.
 func (d *Detector) Tick(collapsed bool) (began bool) {
 	detected := d.updateSums() || collapsed
-	lastSecond := d.sums[0] // as it is before the end of a retry storm clears it
+	lastSecond := d.sums[0] // copied because the end of a retry storm clears the sums
 	switch {
 	case detected && !d.Storm:
 		d.Storm = true
@@ -86,7 +87,7 @@
 	return began
 }
 
-// updateSums adds the tick's requests to the sums, and says whether one of them exceeds the threshold.
+// updateSums adds the tick's requests to the sums and reports whether one of them exceeds the threshold.
 func (d *Detector) updateSums() (detected bool) {
 	for i := range d.sums {
 		sum := &d.sums[i]
@@ -99,7 +100,8 @@
 	return detected
 }
 
-// countCalmTick ends the retry storm after enough quiet ticks. What is in the sums belongs to it, and is forgotten.
+// countQuietTick ends the retry storm after quietTicks quiet ticks in a row. It clears the sums, which still contain retries of
+// that storm.
 func (d *Detector) countQuietTick() {
 	d.consecutiveQuiet++
 	if d.Storm && d.consecutiveQuiet >= quietTicks {
@@ -108,7 +110,8 @@
 	}
 }
 
-// learnCalmShare follows the share of retries slowly, outside of retry storms.
+// updateBaselineRatio moves the baseline slowly towards the long-term ratio of retries. It does nothing during a retry storm or
+// when the excess of the last second is at the threshold or above.
 func (d *Detector) updateBaselineRatio(lastSecond excess) {
 	if d.Storm || lastSecond.retries >= d.threshold*lastSecond.requests {
 		return
--- a/internal/retryguard/fingerprint_test.go
+++ b/internal/retryguard/fingerprint_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// A million forged fingerprints leave the table at its size, and true ones are found as long as they are young.
+// The table keeps its size under a flood of fingerprints, finds recent ones, and drops expired ones before times wrap around.
 func TestFingerprints(t *testing.T) {
 	table := NewFingerprints(64<<10, 5*second)
 	now := int64(1e18)
@@ -28,7 +28,7 @@
 		}
 	}
 	if falsePositives > 2 {
-		t.Error(falsePositives, "of a million were never put")
+		t.Error(falsePositives, "false positives in a million lookups")
 	}
 	table.Put(5, now, now+3*second)
 	if rejectedAt, due, ok := table.Take(5, now+second); !ok || rejectedAt-now > timeUnit || now-rejectedAt > timeUnit || due-now-3*second > 2*timeUnit || now+3*second-due > 2*timeUnit {
@@ -39,20 +39,20 @@
 	}
 	table.Put(6, now, 0)
 	if _, _, ok := table.Take(6, now+6*second); ok {
-		t.Error("found after its time")
+		t.Error("found after it expired")
 	}
 	table.Put(7, now, 0)
-	for i := range int64(300) { // until times wrap around
+	for i := range int64(300) { // longer than times take to wrap around
 		for range 10 {
 			table.Sweep(now + i*second)
 		}
 	}
 	if _, _, ok := table.Take(7, now+timeModulus*timeUnit); ok {
-		t.Error("found after times had wrapped around")
+		t.Error("found after times wrapped around")
 	}
 }
 
-// Half a million others are between the Put of a fingerprint and its Take, as many as both tables then hold.
+// Compares the table with a map, both with half a million entries: each fingerprint is taken half a million puts after its own.
 func BenchmarkFingerprints(b *testing.B) {
 	const half = 500_000
 	now := int64(1e18)
--- a/internal/retryguard/guard.go
+++ b/internal/retryguard/guard.go
@@ -2,19 +2,20 @@
 
 import "portflow/internal/random"
 
-// Request is one request as a guard sees it. Its maker keeps it until the final answer.
+// Request is the guard's state of one request. The caller creates it and passes the same Request to all calls up to the final
+// answer.
 type Request struct {
 	Class, Customer int
-	Fingerprint     uint64 // by FingerprintOf
-	Retry           bool   // the client says that it has sent the request before
+	Fingerprint     uint64 // from FingerprintOf, 0 for none
+	Retry           bool   // the client marked the request as a retry
 	Remaining       int64  // nanoseconds until the client gives up
 
-	appointment int64 // that it came with, 0 for none
-	admitted    bool  // it was admitted and has no final answer yet
+	appointment int64 // time of the appointment that this retry was given, 0 for none
+	admitted    bool  // admitted and without a final answer yet
 	admittedAt  int64
 }
 
-// Guard guards one router. It is not safe for concurrent use.
+// Guard is the admission control of one router against retry storms. It is not safe for concurrent use.
 type Guard struct {
 	settings     Settings
 	source       random.Source
@@ -23,54 +24,54 @@
 	schedule     *Schedule
 	Stats        Stats
 
-	lastTime int64 // of the latest call
+	lastTime int64 // time of the latest call
 	nextTick int64
 	detector Detector // of all traffic
 
 	customers       []customer
-	latency         []float64 // mean by class, in seconds: the work of a request
-	value           []float64 // by class: value for its work, over that of the best class
+	latency         []float64 // by class: mean latency in seconds, used as the work of a request
+	value           []float64 // by class: value per work, relative to the best class
 	currentCapacity float64   // of all hosts
 
-	// What calm traffic has shown.
+	// Baseline from normal traffic. Rates and concurrency are per unit of capacity.
 	baselineTicks       float64
 	baselineCapacity    float64
-	baselineWorkRate    float64 // work done a second, for each unit of capacity
-	baselineConcurrency float64 // requests in flight, for each unit of capacity
+	baselineWorkRate    float64 // work done per second
+	baselineConcurrency float64 // requests in flight
 
-	// The limits of a retry storm.
-	rateFactor        float64    // of the work rate, over that of calm traffic
-	concurrencyFactor float64    // of the concurrency, over that of calm traffic
+	// Limits during a retry storm.
+	rateFactor        float64    // limit of the work rate, relative to the baseline
+	concurrencyFactor float64    // limit of the concurrency, relative to the baseline
 	budget            workBudget // of all customers
-	unusedBudget      float64    // work that customers had budget for and did not need
-	inFlight          float64    // admitted requests without an answer
+	unusedBudget      float64    // work that customers had budget for and did not use
+	inFlight          float64    // admitted requests without a final answer
 	maxInFlight       float64
 
-	// Of the last half second or so.
-	tickWork           float64 // work done in this tick
-	recentWorkRate     float64 // work done, a second
+	// Exponentially decayed by decayFactor, except as noted.
+	tickWork           float64 // work done in this tick, not decayed
+	recentWorkRate     float64 // moving average of the work done per second
 	answers            float64
-	latencyRatioSum    float64 // sum of the answers' latencies over the usual
+	latencyRatioSum    float64 // sum of the answers' latencies, each relative to the mean of its class
 	overloadedAnswers  float64
-	rateLimited        float64 // requests rejected for want of budget
-	concurrencyLimited float64 // requests rejected as maxInFlight were in flight
-	unservedRequests   float64 // requests that ended without an answer, of the last second or so
+	rateLimited        float64 // requests rejected because the budget was exceeded
+	concurrencyLimited float64 // requests rejected because maxInFlight was reached
+	unservedRequests   float64 // requests rejected by the decision engine or abandoned, decayed by decayFactors[0]
 }
 
-// customer is what is known of one customer.
+// customer is the state of one customer.
 type customer struct {
 	Detector
 	workBudget
 	work       float64 // of its requests in this tick
-	recentWork float64 // the same of the last 10 s of calm
-	share      float64 // its part of the recent work of all customers
-	compliance float64 // share of its appointments that are not come to early
+	recentWork float64 // of its requests in normal traffic, decayed with a time constant of 10 s
+	share      float64 // fraction of the recent work of all customers
+	compliance float64 // fraction of its retries with an appointment that did not arrive early
 }
 
-// initialRecentWork makes the customers' shares equal until there is traffic.
+// initialRecentWork gives all customers the same share until there is traffic.
 const initialRecentWork = 1e-3
 
-// New makes a guard. An error says which setting is out of its bounds.
+// New returns a guard without hosts, or an error that names the first setting that is out of range.
 func New(s Settings, seed uint64, now int64) (*Guard, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -99,15 +100,15 @@
 		}
 	}
 	for i, class := range s.Classes {
-		g.latency[i] = float64(class.LatencyTarget) / 5 / float64(second) // as decision.RequestClass.InitialLatency
+		g.latency[i] = float64(class.LatencyTarget) / 5 / float64(second) // the same as decision.RequestClass.InitialLatency
 	}
 	return g, nil
 }
 
-// Bytes is the memory of the tables of fingerprints and of the schedule; nothing else grows with traffic.
+// Bytes returns the memory of the fingerprints and the schedule. It is fixed, and no other memory depends on the traffic.
 func (g *Guard) Bytes() int { return g.fingerprints.Bytes() + g.schedule.Bytes() }
 
-// StormActive says whether there is a retry storm of all traffic, or of this customer.
+// StormActive reports whether there is a retry storm in the traffic as a whole or in that of the given customer.
 func (g *Guard) StormActive(customer int) bool { return g.detector.Storm || g.customer(customer).Storm }
 
 func (g *Guard) anyStorm() bool {
@@ -126,8 +127,8 @@
 
 func (g *Guard) isKnownClass(class int) bool { return class >= 0 && class < len(g.latency) }
 
-// Admit decides whether a request that has come goes on to the decision engine. If not, it is to be rejected at once, and
-// its client may be asked to wait for so long, if that is above 0.
+// Admit reports whether a new request may go on to the decision engine. If not, the caller must reject it at once, with a
+// Retry-After of wait nanoseconds if wait is positive. Requests of an unknown class are always admitted.
 func (g *Guard) Admit(now int64, req *Request) (admitted bool, wait int64) {
 	g.advance(now)
 	if !g.isKnownClass(req.Class) {
@@ -145,7 +146,8 @@
 	return false, g.makeAppointment(now, req, 0)
 }
 
-// recognize says whether a request is a first try or a retry, with or without an appointment, and counts it.
+// classifyRequest counts a request as a first try or a retry and returns its admission class. It takes the request's entry from
+// the fingerprints and sets req.appointment.
 func (g *Guard) classifyRequest(now int64, c *customer, req *Request) admissionClass {
 	rejectedAt, due, known := g.fingerprints.Take(req.Fingerprint, now)
 	isRetry := known || req.Retry
@@ -168,7 +170,7 @@
 	return admission
 }
 
-// hasRoom says whether a request may be admitted during a retry storm, and takes its work from the budgets.
+// admitDuringStorm reports whether a request may be admitted during a retry storm and, if so, charges it to the budgets.
 func (g *Guard) admitDuringStorm(c *customer, req *Request, admission admissionClass, cost float64) bool {
 	cannotFinish := float64(req.Remaining) < 0.8*cost*float64(second)
 	switch {
@@ -184,14 +186,14 @@
 	return false
 }
 
-// hasFreeSlot says whether one more request may be in flight. The limit of a router with little traffic may be less than
-// one: then it admits one with that probability.
+// belowMaxInFlight reports whether one more request may be in flight. maxInFlight need not be an integer: a remainder below 1
+// admits one more request with that probability, so that a router with little traffic is not blocked.
 func (g *Guard) belowMaxInFlight() bool {
 	left := g.maxInFlight - g.inFlight
 	return left >= 1 || left > 0 && g.source.Float64() < left
 }
 
-// admit admits a request, and ends its appointment.
+// markAdmitted counts the request as in flight and releases its appointment.
 func (g *Guard) markAdmitted(req *Request, cost float64) {
 	req.admitted = true
 	req.admittedAt = g.lastTime
@@ -199,7 +201,7 @@
 	g.releaseAppointment(req, cost)
 }
 
-// finish counts a request as not in flight any more.
+// finish ends the request's time in flight. It does nothing if the request is not in flight.
 func (g *Guard) finish(req *Request) {
 	if req.admitted {
 		req.admitted = false
@@ -207,8 +209,8 @@
 	}
 }
 
-// AttemptStarted is called with each attempt; number counts those of a request from 0. A retry of the decision engine was
-// not admitted by itself, and takes its work from the budget all the same.
+// AttemptStarted must be called for each attempt; number is the attempt's number within its request, from 0. During a retry
+// storm a retry by the decision engine is charged to the budget, although it never passes Admit.
 func (g *Guard) AttemptStarted(now int64, req *Request, number int) {
 	g.advance(now)
 	if number > 0 && g.isKnownClass(req.Class) && g.StormActive(req.Customer) {
@@ -216,9 +218,9 @@
 	}
 }
 
-// Rejected is called when the decision engine rejects a request, with the wait that it would have. It returns the wait for
-// the client: about the same in calm traffic, spread so that requests that are rejected together do not return together,
-// and that until an appointment in a retry storm.
+// Rejected must be called when the decision engine rejects a request; wait is the Retry-After that the engine proposes. It
+// returns the one to send: wait with a jitter of 50% in normal traffic, so that clients rejected together do not retry
+// together, and the wait for an appointment during a retry storm.
 func (g *Guard) Rejected(now int64, req *Request, wait int64) int64 {
 	g.advance(now)
 	g.finish(req)
@@ -236,7 +238,7 @@
 	return wait
 }
 
-// Abandoned is called when a request fails, or its client gives up.
+// Abandoned must be called when a request fails or its client gives up.
 func (g *Guard) Abandoned(now int64, req *Request) {
 	g.advance(now)
 	g.finish(req)
@@ -244,8 +246,8 @@
 	g.fingerprints.Put(req.Fingerprint, now, 0)
 }
 
-// AttemptEnded is called with the end of an attempt: its host, what the end says of it, whether the request succeeded, and
-// how long the attempt took.
+// AttemptEnded must be called at the end of each attempt. succeeded is true if this attempt answered the request; latency is the
+// duration of the attempt in nanoseconds.
 func (g *Guard) AttemptEnded(now int64, req *Request, host uint32, signal Signal, succeeded bool, latency int64) {
 	g.advance(now)
 	g.capacity.AttemptEnded(now, host, signal)
@@ -263,31 +265,32 @@
 	}
 }
 
-// recordAnswer counts the work that was done.
+// recordAnswer updates the work done, the retry budget of the customer and, in normal traffic, the mean latency of the class.
 func (g *Guard) recordAnswer(now int64, req *Request, latency int64) {
 	expected := g.latency[req.Class]
 	g.answers++
-	g.latencyRatioSum += float64(now-req.admittedAt) / float64(second) / expected // with the time that it waited for a host
+	g.latencyRatioSum += float64(now-req.admittedAt) / float64(second) / expected // since admission, including queueing and earlier attempts
 	g.tickWork += expected
 	c := g.customer(req.Customer)
-	maxRetries := 10 + c.rate/expected // those of a second
+	maxRetries := 10 + c.rate/expected // 10 plus the requests that the budget admits per second
 	c.retryBudget = min(maxRetries, c.retryBudget+g.settings.Budget)
 	if !g.anyStorm() {
-		g.latency[req.Class] += 0.01 * (float64(latency)/float64(second) - expected) // about the last hundred
+		g.latency[req.Class] += 0.01 * (float64(latency)/float64(second) - expected) // moving average over about 100 answers
 	}
 }
 
-// HostsChanged is called with the complete list of hosts, or with changes.
+// HostsChanged applies an update of the host list. If complete is true, hosts replaces the list; otherwise it has only the
+// changed entries.
 func (g *Guard) HostsChanged(now int64, complete bool, hosts []Host) {
 	g.advance(now)
 	g.capacity.HostsChanged(complete, hosts)
 	g.currentCapacity = g.capacity.At(now)
 }
 
-// maxClockStep is the most time between two calls; after a longer one the clock is taken to have jumped.
+// maxClockStep is the longest time between two calls for which ticks are made up; a longer one counts as a clock jump.
 const maxClockStep = 10 * second
 
-// advance does the ticks that are due. After a jump of the clock, ticks begin anew.
+// advance runs the ticks that are due. After a clock jump, the next tick is at now.
 func (g *Guard) advance(now int64) {
 	if now < g.lastTime {
 		g.Stats.ClockJumps++
--- a/internal/retryguard/guard_test.go
+++ b/internal/retryguard/guard_test.go
@@ -4,14 +4,14 @@
 	"testing"
 )
 
-// What is admitted stays within the ceiling of what hosts can do as they warm up, and grows with them.
+// Guards against admitting more work than the ceiling allows for hosts that restart cold.
 func TestAdmittedWorkStaysBelowCeiling(t *testing.T) {
 	w := newWorkload(t, testSettings(), 3)
 	w.normalTraffic(30, 60, 0)
 	baselineWorkRate := w.baselineWorkRate
 	w.outage(5, 60)
 	if !w.detector.Storm {
-		t.Fatal("no storm")
+		t.Fatal("retry storm not detected")
 	}
 	restartedAt := w.now
 	w.HostsChanged(restartedAt, true, []Host{})
@@ -21,8 +21,8 @@
 		cold = append(cold, h)
 	}
 	w.HostsChanged(restartedAt, false, cold)
-	if can := w.capacity.At(restartedAt); can < 3.2 || can > 3.4 {
-		t.Error("cold hosts can do", can)
+	if got := w.capacity.At(restartedAt); got < 3.2 || got > 3.4 {
+		t.Error("ten cold hosts: got capacity", got)
 	}
 	work := 0.0
 	for w.now < restartedAt+second/2 {
@@ -33,14 +33,14 @@
 			work += w.latency[0]
 		}
 	}
-	// the share of one of three routers: of 30 s of work a second of warm hosts, in half a second, of cold ones
+	// One of three routers, half a second: the baseline rate or a third of the hosts' capacity, with 50% margin.
 	allowed := 1.25 * max(baselineWorkRate*w.capacity.At(w.now)*0.5, w.capacity.At(w.now)/3*0.5) * 1.2
 	if work == 0 || work > allowed {
-		t.Errorf("%.2f s of work admitted, %.2f are allowed", work, allowed)
+		t.Errorf("admitted %.2f s of work, want more than 0 and at most %.2f", work, allowed)
 	}
 }
 
-// A request that can't be answered before its client gives up is not admitted, whatever budget there is.
+// A request that cannot be answered before its client gives up is rejected even if there is budget for it.
 func TestRejectsRequestsWithInsufficientTime(t *testing.T) {
 	w := newWorkload(t, testSettings(), 7)
 	w.normalTraffic(20, 60, 0)
@@ -52,8 +52,8 @@
 	}
 }
 
-// Whatever comes, in whatever order: nothing panics, memory stays within its bound, waits are within the longest, and the number
-// of requests in flight never is below zero.
+// For any sequence of calls and clock jumps: nothing panics, memory and waits stay within their bounds, and the number of requests
+// in flight is never negative.
 func FuzzGuard(f *testing.F) {
 	for seed := range uint64(6) {
 		f.Add(seed)
@@ -67,7 +67,7 @@
 		for range 4000 {
 			switch w.rnd.IntN(40) {
 			case 0:
-				w.now += int64(w.rnd.IntN(int(20 * second))) // a clock that jumps
+				w.now += int64(w.rnd.IntN(int(20 * second))) // clock jump
 			case 1:
 				w.now -= int64(w.rnd.IntN(int(20 * second)))
 			case 2:
@@ -113,7 +113,7 @@
 	})
 }
 
-// In calm traffic a request costs no allocation.
+// Requests allocate no memory in normal traffic.
 func TestNoAllocations(t *testing.T) {
 	w := newWorkload(t, testSettings(), 9)
 	w.normalTraffic(5, 60, 0.1)
@@ -125,11 +125,11 @@
 		w.AttemptStarted(w.now, req, 0)
 		w.AttemptEnded(w.now, req, 1, Answered, true, 2e8)
 	}); n > 0 {
-		t.Error(n, "allocations a request")
+		t.Error(n, "allocations per request")
 	}
 }
 
-// Settings out of their bounds are refused.
+// New rejects settings that are out of range.
 func TestSettings(t *testing.T) {
 	for _, invalidate := range []func(*Settings){
 		func(s *Settings) { s.Ceiling = 9 },
@@ -158,12 +158,13 @@
 	}
 }
 
-// Cases each of which was once forgotten somewhere.
+// Regression tests: jitter of waits in normal traffic, a clock that is set back, budget for retries by the decision engine, limits
+// after a collapse of the hosts, and no storm below minExcess retries.
 func TestEdgeCases(t *testing.T) {
 	w := newWorkload(t, testSettings(), 10)
 	w.normalTraffic(20, 60, 0)
 	waits := map[int64]bool{}
-	for i := range uint64(20) { // in calm traffic, requests rejected together don't return together
+	for i := range uint64(20) { // requests rejected together get different waits in normal traffic
 		req := &Request{Fingerprint: i + 1, Remaining: second}
 		w.Admit(w.now, req)
 		wait := w.Rejected(w.now, req, 250e6)
@@ -175,7 +176,7 @@
 	if len(waits) < 15 {
 		t.Error("different waits:", len(waits))
 	}
-	w.now -= 3600 * second // after the clock is set back, ticks go on
+	w.now -= 3600 * second // ticks continue after the clock is set back
 	ticksBefore := w.baselineTicks
 	w.normalTraffic(2, 60, 0)
 	if w.baselineTicks < ticksBefore+15 || w.Stats.ClockJumps != 1 {
@@ -199,6 +200,6 @@
 		d.Count(true)
 	}
 	if d.Tick(false) {
-		t.Error("four retries are a storm")
+		t.Error("four retries detected as a retry storm")
 	}
 }
--- a/internal/retryguard/regulate.go
+++ b/internal/retryguard/regulate.go
@@ -2,34 +2,35 @@
 
 import "math"
 
-// The limits of a retry storm follow what calm traffic has shown. They grow while it is they that reject requests and admitted ones are
-// answered as fast as usual, and shrink as soon as answers are slower or hosts reject requests.
+// The limits during a retry storm are multiples of the baseline from normal traffic. A limit grows while it rejects requests and
+// admitted requests are answered with normal latency. The limits shrink when answers become slow or hosts reject requests.
 
-// forgettingFactor is what the averages of the last half second keep each tick.
+// decayFactor is the decay per tick of the short-term averages, a time constant of about 0.6 s.
 const decayFactor = 0.85
 
-// How the factors of the limits change each tick, and their bounds.
+// Multipliers of rateFactor and concurrencyFactor per tick, and the bounds of both factors.
 const (
 	rateIncrease        = 1.07
 	concurrencyIncrease = 1.03
-	warmIncrease        = 1.2 // of both at warm hosts, to find out soon that nothing is short
+	warmIncrease        = 1.2 // of both factors while hosts are warm, to lift unneeded limits quickly
 	concurrencyDecrease = 0.97
-	overloadDecrease    = 0.85 // of both
+	overloadDecrease    = 0.85 // of both factors
 	minFactor           = 0.3
 	maxFactor           = 3
 )
 
-// Answers' latency over the usual: up to fastRatio the limits grow, beyond the others they shrink.
+// Ratios of the mean latency to its baseline. Below fastRatio the limits may grow, above slowRatio the concurrency limit
+// shrinks, and above overloadedRatio both limits do.
 const (
 	fastRatio       = 1.25
 	slowRatio       = 1.6
 	overloadedRatio = 2.5
 )
 
-// probeShare is the share of the usual work that a router sends if no host seems to be up, to find out.
+// probeShare is the fraction of the baseline work that a router still sends while no host seems to be up, to detect recovery.
 const probeShare = 0.02
 
-// tick does what is done once every tickInterval.
+// tick updates all averages, detectors, limits and budgets. It runs once per tickInterval.
 func (g *Guard) tick(now int64) {
 	workRate := g.tickWork * float64(second/tickInterval)
 	g.recentWorkRate += (1 - decayFactor) * (workRate - g.recentWorkRate)
@@ -50,7 +51,7 @@
 	}
 }
 
-// updateValues sets what requests of each class are worth for their work, over the best class.
+// updateValues computes the value per work of each class, relative to the best class.
 func (g *Guard) updateValues() {
 	best := 0.0
 	for i, class := range g.settings.Classes {
@@ -62,10 +63,11 @@
 	}
 }
 
-// learnCalm learns from calm traffic what the fleet does for this router, and the customers' shares of it.
+// updateBaseline updates the baseline of capacity, work rate and concurrency and the customers' shares of the work. It is called
+// only in normal traffic.
 func (g *Guard) updateBaseline(totalCapacity float64) {
 	g.baselineTicks++
-	gain := max(0.01, 1/g.baselineTicks) // a memory of 10 s, shorter at the start
+	gain := max(0.01, 1/g.baselineTicks) // a time constant of 10 s, shorter at the start
 	g.baselineCapacity += gain * (totalCapacity - g.baselineCapacity)
 	if g.currentCapacity > 0.5*totalCapacity && totalCapacity > 0 {
 		g.baselineConcurrency += gain * (g.inFlight/totalCapacity - g.baselineConcurrency)
@@ -83,7 +85,7 @@
 	}
 }
 
-// adjustLimits changes the factors of the limits by how answers come.
+// adjustLimits changes the factors of the limits according to the latency of answers and the rejections by hosts.
 func (g *Guard) adjustLimits() {
 	for i := range g.customers {
 		g.customers[i].work = 0
@@ -94,7 +96,7 @@
 		warmth = g.currentCapacity / warmCapacity
 	}
 	collapsed := warmCapacity < collapseThreshold*g.baselineCapacity
-	if collapsed && g.answers < 1 { // that hosts were fast before they went says nothing of those that return
+	if collapsed && g.answers < 1 { // the limits from before the collapse may be too high for the hosts that return
 		g.rateFactor = min(g.rateFactor, 1)
 		g.concurrencyFactor = min(g.concurrencyFactor, 1)
 		return
@@ -102,7 +104,7 @@
 	if g.answers < 0.5 {
 		return
 	}
-	latencyRatio := g.latencyRatioSum / max(g.answers, 1e-3) * warmth // cold hosts are slower by as much as they can do less
+	latencyRatio := g.latencyRatioSum / max(g.answers, 1e-3) * warmth // assumes that latency is inversely proportional to warmth
 	isOverloaded := g.overloadedAnswers > 0.1*g.answers && g.overloadedAnswers >= 2
 	switch {
 	case latencyRatio > overloadedRatio || isOverloaded:
@@ -115,7 +117,7 @@
 	}
 }
 
-// raiseLimits raises the factors of those limits that have rejected requests.
+// raiseLimits raises the factors of those limits that have recently rejected requests.
 func (g *Guard) raiseLimits(warmth float64) {
 	rateGain, concurrencyGain := rateIncrease, concurrencyIncrease
 	if warmth > 0.95 {
@@ -129,15 +131,16 @@
 	}
 }
 
-// workRate is the work a second that this router may admit at hosts of some capacity: what calm traffic has shown times the
-// factor, and no less than its part of one request at a time at each host.
+// workRate returns the work per second that this router may admit for the given capacity of the hosts: the baseline times
+// rateFactor, but at least this router's share of one request at a time per host. The result is scaled by Ceiling and never
+// below the probe rate.
 func (g *Guard) workRate(capacity float64) float64 {
 	routers := float64(g.settings.Routers)
 	own := max(g.baselineWorkRate*g.rateFactor*capacity, capacity/routers)
 	return max(g.settings.Ceiling*own, probeShare*g.baselineWorkRate*g.baselineCapacity, probeShare/routers)
 }
 
-// refill adds a tick's work to the budgets, and in a retry storm sets what appointments may be made for the next seconds.
+// refill adds the work of one tick to the budgets and updates maxInFlight. During a retry storm it also updates the schedule.
 func (g *Guard) refill(now int64) {
 	rate := g.workRate(g.currentCapacity)
 	maxCost := 0.0
@@ -157,21 +160,21 @@
 	}
 }
 
-// updateMaxInFlight allows as many requests in flight as in calm traffic, by Little's law: slower hosts need no more for the
-// same throughput, and what queues at them delays what comes next.
+// updateMaxInFlight sets maxInFlight from the baseline concurrency. By Little's law, that is what the baseline throughput needs at
+// normal latency; more requests in flight at slower hosts would only add queueing delay.
 func (g *Guard) updateMaxInFlight() {
 	warmCapacity := g.capacity.Warm()
 	expected := max(g.baselineConcurrency*warmCapacity, warmCapacity/float64(g.settings.Routers))
 	g.maxInFlight = max(g.settings.Ceiling*g.concurrencyFactor*expected, probeShare*g.baselineConcurrency*g.baselineCapacity)
-	g.maxInFlight += math.Sqrt(g.maxInFlight) // requests come by chance, and the mean of a router with few is below one
+	g.maxInFlight += math.Sqrt(g.maxInFlight) // margin of one standard deviation for random arrivals; with little traffic the mean is below 1
 }
 
-// forecastPoints is at how many times the capacity is forecast; between them it is interpolated, as the sum over all hosts is too
-// expensive for each slot.
+// forecastPoints is the number of intervals between the times for which the capacity is computed. It is interpolated in between,
+// as a sum over all hosts would be too expensive for each slot.
 const forecastPoints = 16
 
-// forecastSchedule sets the work for which appointments may be made: what first tries leave of the work rate. More are made
-// than that if few are kept.
+// forecastSchedule sets the capacity of the schedule's slots: the work rate less the fraction kept for first tries. The schedule
+// is overbooked by up to a factor of 1/0.3 if customers with low compliance are unlikely to arrive at their appointments.
 func (g *Guard) forecastSchedule(now int64) {
 	var forecast [forecastPoints + 1]float64
 	for i := range forecast {
@@ -181,10 +184,10 @@
 	for i := range g.customers {
 		compliance += g.customers[i].compliance * g.customers[i].share
 	}
-	retryWork := (1 - g.settings.FirstShare) * float64(slot) / float64(second) / max(0.3, compliance)
+	retrySeconds := (1 - g.settings.FirstShare) * float64(slot) / float64(second) / max(0.3, compliance)
 	g.schedule.Forecast(now, func(t int64) float64 {
 		position := min(forecastPoints, max(0, float64(t-now)/float64(g.settings.Horizon)*forecastPoints))
 		i := min(forecastPoints-1, int(position))
-		return retryWork * g.workRate(forecast[i]+(forecast[i+1]-forecast[i])*(position-float64(i)))
+		return retrySeconds * g.workRate(forecast[i]+(forecast[i+1]-forecast[i])*(position-float64(i)))
 	})
 }
--- a/internal/retryguard/schedule.go
+++ b/internal/retryguard/schedule.go
@@ -1,24 +1,23 @@
 package retryguard
 
-// slot is how long one slot of the schedule is: a few answers' time at a busy router, and short beside a wait.
+// slot is the length of a slot of the schedule in nanoseconds. It is short compared with the waits that clients are given.
 const slot = 20 * second / 1000
 
-// Schedule is the work for which appointments were made: a timing wheel whose slots hold the work reserved in them, in seconds of a
-// host's time, up to the capacity that was forecast. It holds no appointments: those are in the fingerprints, 8 bytes each, and a
-// slot is found by its time. The first slot with room is found by skips over full ones that are shortened as they are followed,
-// so that an appointment costs next to nothing however full the schedule is. A heap with a map takes three times the memory and
-// twice the time at a million appointments.
+// Schedule reserves capacity for future retries. It is a timing wheel: each slot has a forecast capacity and the work reserved in
+// it, both in seconds of host time. The appointments themselves are stored in Fingerprints, 8 bytes each; a slot is addressed by
+// its time. Full slots are skipped by links with path compression, as in a union-find structure, so that a reservation is cheap
+// however full the schedule is. BenchmarkAppointments compares it with a heap and a map.
 type Schedule struct {
-	capacity  []float64 // by slot, a ring
-	reserved  []float64
-	skip      []int32 // how many slots on to look, 0 where there is room
-	firstSlot int64   // the first slot of the ring, counted from time 0
+	capacity  []float64 // ring of slots, indexed by slot number modulo its length
+	reserved  []float64 // likewise
+	skip      []int32   // likewise; number of slots to skip ahead, 0 if the slot has capacity left
+	firstSlot int64     // slot number, time divided by slot, of the first slot of the ring
 }
 
-// slotBytes is the memory of a slot.
+// slotBytes is the memory of a slot in the three rings.
 const slotBytes = 8 + 8 + 4
 
-// NewSchedule makes an empty schedule that reaches so many nanoseconds ahead.
+// NewSchedule returns a schedule that reaches horizon nanoseconds ahead. All its slots have no capacity until Forecast is called.
 func NewSchedule(horizon int64) *Schedule {
 	n := int(horizon/slot) + 2
 	return &Schedule{
@@ -28,16 +27,17 @@
 	}
 }
 
-// Bytes is the memory of the schedule.
+// Bytes returns the memory of the schedule's slots, which never changes.
 func (s *Schedule) Bytes() int { return slotBytes * len(s.capacity) }
 
 func (s *Schedule) index(at int64) int { return int(at % int64(len(s.capacity))) }
 
-// Forecast moves the schedule on to now and sets the capacity of each slot, in seconds of work.
+// Forecast advances the schedule to now, dropping reservations in past slots, and sets the capacity of each slot. capacity
+// returns the capacity, in seconds of work, of the slot that begins at the given time.
 func (s *Schedule) Forecast(now int64, capacity func(at int64) float64) {
 	first := now / slot
 	n := int64(len(s.capacity))
-	if first < s.firstSlot || first-s.firstSlot >= n { // the clock jumped, or there was no appointment for long
+	if first < s.firstSlot || first-s.firstSlot >= n { // the clock jumped, or the last forecast was long ago
 		clear(s.reserved)
 		s.firstSlot = first
 	}
@@ -52,14 +52,15 @@
 	}
 }
 
-// markIfFull makes Reserve skip a slot without room.
+// markIfFull makes Reserve skip a slot that has no capacity left.
 func (s *Schedule) markIfFull(i int) {
 	if s.reserved[i] >= s.capacity[i] {
 		s.skip[i] = 1
 	}
 }
 
-// Reserve reserves work in the first slot with room from a time on, and returns when the slot begins; ok is false if none has.
+// Reserve reserves work in the first slot with capacity left that ends after earliest, and returns the start of that slot, which
+// may be before earliest. ok is false if no slot has capacity left. The last reservation in a slot may exceed its capacity.
 func (s *Schedule) Reserve(earliest int64, work float64) (due int64, ok bool) {
 	begin := max(earliest/slot, s.firstSlot)
 	end := s.firstSlot + int64(len(s.capacity))
@@ -77,7 +78,7 @@
 	return at * slot, true
 }
 
-// shortenSkips makes the slots that were followed from begin skip to the one that was found.
+// shortenSkips compresses the path that Reserve followed: each slot on it from begin on now skips directly to found.
 func (s *Schedule) shortenSkips(begin, found, end int64) {
 	for begin < found {
 		i := s.index(begin)
@@ -87,7 +88,7 @@
 	}
 }
 
-// Release takes back work that was reserved. A slot that was full stays skipped until the next forecast.
+// Release cancels a reservation of work in the slot that contains due. A full slot is still skipped until the next Forecast.
 func (s *Schedule) Release(due int64, work float64) {
 	at := due / slot
 	if at < s.firstSlot || at >= s.firstSlot+int64(len(s.capacity)) {
--- a/internal/retryguard/schedule_test.go
+++ b/internal/retryguard/schedule_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Reservations stay within each slot's capacity, fill the slots in order, and are those that a scan of all slots would give.
+// Reserve with path compression returns the same slots as a linear scan: the first one with capacity left.
 func TestSchedule(t *testing.T) {
 	for seed := range uint64(20) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
@@ -37,7 +37,7 @@
 	}
 }
 
-// appointments is a heap, for comparison with the schedule.
+// appointmentHeap is the alternative to Schedule in BenchmarkAppointments.
 type appointmentHeap []struct{ at, fingerprint int64 }
 
 func (a appointmentHeap) Len() int           { return len(a) }
@@ -51,9 +51,9 @@
 	return x
 }
 
-const appointmentCount = 1_000_000 // appointments
+const appointmentCount = 1_000_000
 
-// allocatedBytes is the memory of what fill returns, for each of many appointments.
+// bytesPerAppointment returns the heap memory of the value that fill returns, divided by appointmentCount.
 func bytesPerAppointment(fill func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -65,7 +65,7 @@
 	return float64(after.HeapAlloc-before.HeapAlloc) / appointmentCount
 }
 
-// A million appointments in a schedule with fingerprints, and in a heap with a map.
+// Compares a schedule and fingerprints with a heap and a map, with a million appointments each.
 func BenchmarkAppointments(b *testing.B) {
 	now := int64(1e18)
 	fillSchedule := func() any {
--- a/internal/retryguard/settings.go
+++ b/internal/retryguard/settings.go
@@ -1,10 +1,12 @@
-// Package retryguard protects hosts from retry storms. It detects that the share of retries is higher than in calm traffic,
-// admits then only what hosts that come back can do, and makes appointments for the requests that it rejects. It has no
-// clock and no I/O: every call brings the time, in nanoseconds, and chance comes from a seed. It sends nothing and knows no
-// host's address. docs/storms.md compares the ways to do it.
+// Package retryguard protects recovering hosts from retry storms. It detects a ratio of retries well above that of normal
+// traffic. During such a storm, it limits admission to the capacity of the hosts and gives rejected requests an appointment: a
+// time at which capacity is reserved for the retry, sent to the client as Retry-After.
 //
-// A Guard is asked about each request before the decision engine, and is called with every final answer and every attempt's
-// end. Begin reading at Guard.Admit.
+// The package has no clock and does no I/O: the current time, in nanoseconds, is an argument of every call, and random
+// numbers depend only on a seed. docs/storms.md compares it with other approaches.
+//
+// A Guard decides about each request before the decision engine does, and is notified of each final answer and of the end of each
+// attempt. Start reading at Guard.Admit.
 package retryguard
 
 import (
@@ -12,11 +14,11 @@
 	"math"
 )
 
-// second is a second in nanoseconds, the unit of all times here.
+// second is one second in nanoseconds, the unit of all times and durations in this package unless noted otherwise.
 const second = int64(1e9)
 
-// Tuning is what an operator may set; the schema of the operator's file has the bounds and says what each is for. Its JSON
-// form is that of the file.
+// Tuning has the settings that an operator may change. The JSON form is that of the operator's file, whose schema documents each
+// setting and its bounds.
 type Tuning struct {
 	On          bool    `json:"on"`
 	Ceiling     float64 `json:"ceiling"`
@@ -27,7 +29,7 @@
 	Horizon     int64   `json:"horizon"` // nanoseconds
 }
 
-// Defaults returns the settings of a guard that is switched on without any.
+// Defaults returns the settings of a guard that is enabled without explicit settings.
 func Defaults() Tuning {
 	return Tuning{
 		On:          true,
@@ -40,24 +42,24 @@
 	}
 }
 
-// Class is what a guard needs to know of a class of requests.
+// Class has the settings of a request class that are relevant to a guard.
 type Class struct {
-	LatencyTarget, Timeout int64   // from the first byte of the request, nanoseconds
-	Value                  float64 // of a request that is answered in time
+	LatencyTarget, Timeout int64   // nanoseconds from the first byte of the request
+	Value                  float64 // value of an answer in time, relative to other classes
 }
 
-// Settings are those of the deployment; they come with a router's own settings.
+// Settings are the settings of a guard: the operator's Tuning, and those that follow from the router's settings.
 type Settings struct {
 	Tuning
 	Classes       []Class
 	Customers     int
-	Routers       int     // of the deployment, with this one
-	ColdCapacity  float64 // share of its capacity that a host has at its start
-	WarmUpTime    int64   // nanoseconds until it has all of it
-	MaxRetryAfter int64   // the longest wait that is given to a client, nanoseconds, 0 for none
+	Routers       int     // number of routers in the deployment, including this one
+	ColdCapacity  float64 // fraction of its capacity that a host has when it starts
+	WarmUpTime    int64   // nanoseconds from the start of a host to its full capacity
+	MaxRetryAfter int64   // longest wait sent to a client, in nanoseconds; 0 sends none
 }
 
-// check returns an error that names the first setting which is out of its bounds.
+// validate returns an error that names the first setting that is out of range.
 func (s Settings) validate() error {
 	tuning := s.Tuning
 	for _, bound := range []struct {
@@ -76,13 +78,14 @@
 	} {
 		isWithin := bound.value >= bound.low && bound.value <= bound.high // false for NaN
 		if !isWithin {
-			return fmt.Errorf("storm.%s: %v is not within %v and %v", bound.name, bound.value, bound.low, bound.high)
+			return fmt.Errorf("storm.%s: %v is out of range, want %v to %v", bound.name, bound.value, bound.low, bound.high)
 		}
 	}
 	return nil
 }
 
-// fingerprintLifetime is how long a fingerprint must be remembered: until the last appointment, or until its client gives up.
+// fingerprintLifetime returns how long fingerprints must be kept: past the last possible appointment, and until clients that were
+// rejected have given up.
 func (s Settings) fingerprintLifetime() int64 {
 	lifetime := s.Horizon + 2*second
 	for _, class := range s.Classes {
--- a/internal/retryguard/stats.go
+++ b/internal/retryguard/stats.go
@@ -1,12 +1,12 @@
 package retryguard
 
-// Stats counts what a guard did since its start.
+// Stats has the counters of a guard since its creation.
 type Stats struct {
-	Storms, CustomerStorms                   int // that began: of all traffic, of one customer
-	Rejected, ScheduledRetries, EarlyRetries int
-	Appointments, AppointmentsUnavailable    int   // that were made, that could not be made
-	InsufficientTime                         int   // requests with too little time left for an answer
-	FirstStormAt                             int64 // when the first retry storm began, 0 for none yet
-	ClockJumps                               int   // times that the clock was set back
-	FirstTries, Retries, FingerprintMatches  int   // requests; KnownRetries are the retries known by their fingerprint
+	Storms, CustomerStorms                  int   // retry storms that began, in all traffic and of single customers
+	Rejected, OnTimeRetries, EarlyRetries   int   // requests rejected by Admit; retries that honored their wait, or did not
+	Appointments, AppointmentsUnavailable   int   // appointments made; not made because no slot had capacity left
+	InsufficientTime                        int   // requests rejected because too little time remained to answer them
+	FirstStormAt                            int64 // start of the first retry storm, 0 if there was none
+	ClockJumps                              int   // times the clock was set back
+	FirstTries, Retries, FingerprintMatches int   // requests passed to Admit, by kind; those with a known fingerprint
 }
--- a/internal/retryguard/storm.go
+++ b/internal/retryguard/storm.go
@@ -1,12 +1,12 @@
 package retryguard
 
-// A collapse of the hosts is the cause of a retry storm by itself: retries are sure to come.
+// A collapse of the hosts' capacity starts a retry storm at once, as retries are certain to follow.
 const (
-	collapseThreshold = 0.5 // hosts can do less than this share of the usual
-	minUnserved       = 3   // requests that went unserved for it
+	collapseThreshold = 0.5 // of the baseline capacity; less counts as a collapse
+	minUnserved       = 3   // unserved requests that are required as well
 )
 
-// detectStorms ends the detectors' tick, and starts a retry storm if there is none yet.
+// detectStorms ends the tick of all detectors. It initializes the limits if a retry storm began and there was none before.
 func (g *Guard) detectStorms(now int64) {
 	before := g.anyStorm()
 	collapsed := g.currentCapacity < collapseThreshold*g.baselineCapacity && g.unservedRequests >= minUnserved
@@ -22,7 +22,7 @@
 	g.startStorm()
 }
 
-// tickCustomers ends the tick of the customers' detectors, and returns the customer with most retries.
+// tickCustomers ends the tick of the customers' detectors and returns the customer with the most excess retries.
 func (g *Guard) tickCustomers() (worst int) {
 	for i := range g.customers {
 		c := &g.customers[i]
@@ -36,8 +36,8 @@
 	return worst
 }
 
-// tickAll ends the tick of the detector of all traffic. Its retry storm counts only if it shows without the worst customer too,
-// whose own detector limits it, or if the hosts collapsed.
+// tickAllTraffic ends the tick of the detector of all traffic. A storm that it detects is ignored if it is due to the worst
+// customer alone, as that customer's own detector limits it, unless the hosts' capacity collapsed.
 func (g *Guard) tickAllTraffic(collapsed bool, worst int) {
 	others := g.sumOtherCustomers(worst)
 	began := g.detector.Tick(collapsed)
@@ -52,7 +52,7 @@
 	g.Stats.Storms++
 }
 
-// sumOthers is the retries of all customers but one; of the only one, if there is one.
+// sumOtherCustomers returns the sums of the detectors of all customers but one. If there is only one customer, it is included.
 func (g *Guard) sumOtherCustomers(excluded int) (others [2]excess) {
 	for i := range g.customers {
 		if i == excluded && len(g.customers) > 1 {
@@ -66,7 +66,8 @@
 	return others
 }
 
-// startStorm sets the limits by what the hosts do as a retry storm begins.
+// startStorm sets the initial limits of a retry storm to the baseline or, unless the hosts' capacity collapsed, to the recent work
+// rate if that is higher.
 func (g *Guard) startStorm() {
 	g.rateFactor = 1
 	g.concurrencyFactor = 1
@@ -74,7 +75,7 @@
 		g.rateFactor = min(maxFactor, max(1, g.recentWorkRate/(g.baselineWorkRate*g.currentCapacity)))
 		g.concurrencyFactor = g.rateFactor
 	}
-	g.budget.available *= g.source.Float64() // however many routers there are, each begins at its own time
+	g.budget.available *= g.source.Float64() // random, so that many routers do not admit their first requests in step
 	g.rateLimited = 0
 	g.concurrencyLimited = 0
 }
--- a/internal/retryguard/storm_test.go
+++ b/internal/retryguard/storm_test.go
@@ -4,15 +4,15 @@
 	"testing"
 )
 
-// Calm traffic raises no alarm in an hour, at the rates of routers with little and much traffic, with as many retries as impatient
-// clients send: here a tenth of an hour for each of ten seeds.
+// Normal traffic raises no false alarm in an hour, simulated as six minutes for each of ten seeds, at various rates and ratios of
+// retries.
 func TestNoFalseAlarms(t *testing.T) {
 	for _, rate := range []int{2, 30, 240} {
 		for _, retryShare := range []float64{0, 0.05, 0.2} {
 			alarms := 0
 			for seed := range uint64(10) {
 				w := newWorkload(t, testSettings(), seed)
-				w.detector.baselineRatio = retryShare // as after hours of it
+				w.detector.baselineRatio = retryShare // as learned from a long time of such traffic
 				for i := range w.customers {
 					w.customers[i].baselineRatio = retryShare
 				}
@@ -20,20 +20,20 @@
 				alarms += w.Stats.Storms + w.Stats.CustomerStorms
 			}
 			if alarms > 0 {
-				t.Errorf("%d requests a second, %v of them retries: %d alarms in an hour", rate, retryShare, alarms)
+				t.Errorf("%d requests/s, ratio of retries %v: got %d alarms in an hour, want none", rate, retryShare, alarms)
 			}
 		}
 	}
 }
 
-// A retry storm is detected within half a second of the first unserved second, by its retries alone.
+// A retry storm is detected within 1.5 s from its retries alone, and within 0.5 s if the hosts are down.
 func TestDetectsStorm(t *testing.T) {
 	w := newWorkload(t, testSettings(), 1)
 	w.normalTraffic(20, 50, 0.05)
 	start := w.now
 	for !w.detector.Storm && w.now < start+2*second {
 		w.now += second / 100
-		fingerprint := FingerprintOf(0, w.rnd.IntN(3), uint64(w.rnd.IntN(40)), "") // each of 40 is sent again and again
+		fingerprint := FingerprintOf(0, w.rnd.IntN(3), uint64(w.rnd.IntN(40)), "") // 40 requests, retried repeatedly
 		req := &Request{Customer: w.rnd.IntN(3), Fingerprint: fingerprint, Remaining: 5 * second}
 		w.Admit(w.now, req)
 		w.Abandoned(w.now, req)
@@ -41,7 +41,7 @@
 	if took := w.now - start; took > 1500e6 {
 		t.Errorf("detected after %d ms", took/1e6)
 	}
-	// at once if the hosts are gone
+	// faster if the hosts are down
 	w = newWorkload(t, testSettings(), 1)
 	w.normalTraffic(20, 50, 0.05)
 	start = w.now
@@ -51,11 +51,11 @@
 		w.request(0, FingerprintOf(0, 0, w.key, ""), false)
 	}
 	if !w.detector.Storm {
-		t.Error("not detected though the hosts are gone")
+		t.Error("retry storm not detected after the hosts went down")
 	}
 }
 
-// One customer's retry storm costs the others nothing.
+// A retry storm of one customer must not cause rejections of other customers' requests.
 func TestStormOfOneCustomer(t *testing.T) {
 	w := newWorkload(t, testSettings(), 4)
 	w.normalTraffic(20, 60, 0)
@@ -77,11 +77,11 @@
 		}
 	}
 	if w.detector.Storm || !w.customers[1].Storm || rejected < 500 || others > 0 {
-		t.Errorf("storm of all %v, of the customer %v; %d of its requests rejected, %d of others", w.detector.Storm, w.customers[1].Storm, rejected, others)
+		t.Errorf("storm in all traffic %v, of the customer %v; rejected %d of its requests and %d of others", w.detector.Storm, w.customers[1].Storm, rejected, others)
 	}
 }
 
-// The tick that ends a retry storm counts in the calm share as any other: its requests are looked at before the sums are cleared.
+// The tick that ends a retry storm updates the baseline ratio, even though it also clears the sums.
 func TestBaselineRatioUpdatedWhenStormEnds(t *testing.T) {
 	d := NewDetector(0.25)
 	d.Storm = true
@@ -91,6 +91,6 @@
 	}
 	d.Tick(false)
 	if d.Storm || d.baselineRatio >= initialBaselineRatio {
-		t.Errorf("storm %v, calm share %v", d.Storm, d.baselineRatio)
+		t.Errorf("storm %v, baseline ratio %v", d.Storm, d.baselineRatio)
 	}
 }
--- a/internal/retryguard/trace_test.go
+++ b/internal/retryguard/trace_test.go
@@ -7,8 +7,8 @@
 	"portflow/internal/testing/digest"
 )
 
-// What a guard admits, its waits and its statistics are unchanged, in random traffic with hosts that go and come back. The order
-// of the fields of Stats and the numbers of constants are part of the digest; names are not.
+// Guards against unintended changes of admission, waits or Stats, by digests of random traffic with hosts that go down and return.
+// The digests depend on the order of the fields of Stats and on the values of constants, but not on names.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 25, []string{"9aa8eda84d93ddbe", "4034c0d95d55fb5c", "926a76439b5d793c", "aa6892acdf423db1"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 7))
--- a/internal/retryguard/world_test.go
+++ b/internal/retryguard/world_test.go
@@ -20,12 +20,12 @@
 	}
 }
 
-// world is a guard with ten warm hosts and a virtual clock.
+// workload drives a guard with synthetic traffic on a virtual clock. newWorkload starts it with ten warm hosts.
 type workload struct {
 	*Guard
 	now int64
 	rnd *rand.Rand
-	key uint64 // of the latest request
+	key uint64 // of the latest new request
 }
 
 func newWorkload(t testing.TB, s Settings, seed uint64) *workload {
@@ -45,7 +45,7 @@
 	return all
 }
 
-// request brings a request; one that is admitted succeeds after the usual time if served, and otherwise its host is gone.
+// request passes a request to the guard. If it is admitted, its only attempt succeeds if served, and otherwise fails to connect.
 func (w *workload) request(customer int, fingerprint uint64, served bool) (admitted bool, wait int64) {
 	req := &Request{Class: 0, Customer: customer, Fingerprint: fingerprint, Remaining: 5 * second}
 	if admitted, wait = w.Admit(w.now, req); !admitted {
@@ -61,7 +61,8 @@
 	return admitted, w.Rejected(w.now, req, 25e7)
 }
 
-// calm plays calm traffic: so many requests a second, a share of which are retries of requests that went unserved.
+// normalTraffic passes perSecond requests per second to the guard, all of which succeed. retryShare is the fraction that are
+// retries of abandoned requests.
 func (w *workload) normalTraffic(seconds float64, perSecond int, retryShare float64) {
 	for range int(seconds * float64(perSecond)) {
 		w.now += second / int64(perSecond)
@@ -74,10 +75,11 @@
 	}
 }
 
-// outage plays hosts that are gone for some seconds, with all rejected requests coming back after their wait.
+// outage passes perSecond new requests per second to the guard while no host accepts connections. Each rejected request is retried
+// after its wait.
 func (w *workload) outage(seconds float64, perSecond int) {
 	type client struct {
-		at          int64 // of its next try
+		at          int64 // of its next attempt
 		fingerprint uint64
 		customer    int
 	}
