--- a/internal/retryguard/guard_test.go
+++ b/internal/retryguard/guard_test.go
@@ -4,28 +4,28 @@
 	"testing"
 )
 
-// What is admitted stays within the ceiling of what hosts can do as they warm up, and grows with them.
-func TestAdmissionStaysWithinTheCeiling(t *testing.T) {
-	w := newWorld(t, testSettings(), 3)
-	w.calm(30, 60, 0)
-	calmWorkRate := w.calmWorkRate
+// Guards against admitting more work than the ceiling allows for hosts that restart cold.
+func TestAdmittedWorkStaysBelowCeiling(t *testing.T) {
+	w := newWorkload(t, testSettings(), 3)
+	w.normalTraffic(30, 60, 0)
+	baselineWorkRate := w.baselineWorkRate
 	w.outage(5, 60)
 	if !w.detector.Storm {
-		t.Fatal("no storm")
+		t.Fatal("retry storm not detected")
 	}
-	back := w.now
-	w.HostsChanged(back, true, []Host{})
+	restartedAt := w.now
+	w.HostsChanged(restartedAt, true, []Host{})
 	var cold []Host
-	for _, h := range listHosts(10, back) {
+	for _, h := range newHosts(10, restartedAt) {
 		h.ID += 100
 		cold = append(cold, h)
 	}
-	w.HostsChanged(back, false, cold)
-	if can := w.capacity.At(back); can < 3.2 || can > 3.4 {
-		t.Error("cold hosts can do", can)
+	w.HostsChanged(restartedAt, false, cold)
+	if got := w.capacity.At(restartedAt); got < 3.2 || got > 3.4 {
+		t.Error("ten cold hosts: got capacity", got)
 	}
 	work := 0.0
-	for w.now < back+second/2 {
+	for w.now < restartedAt+second/2 {
 		w.now += second / 1000
 		w.key++
 		req := &Request{Fingerprint: FingerprintOf(0, 0, w.key, ""), Customer: int(w.key % 3), Remaining: 5 * second}
@@ -33,27 +33,27 @@
 			work += w.latency[0]
 		}
 	}
-	// the share of one of three routers: of 30 s of work a second of warm hosts, in half a second, of cold ones
-	allowed := 1.25 * max(calmWorkRate*w.capacity.At(w.now)*0.5, w.capacity.At(w.now)/3*0.5) * 1.2
+	// One of three routers, half a second: the baseline rate or a third of the hosts' capacity, with 50% margin.
+	allowed := 1.25 * max(baselineWorkRate*w.capacity.At(w.now)*0.5, w.capacity.At(w.now)/3*0.5) * 1.2
 	if work == 0 || work > allowed {
-		t.Errorf("%.2f s of work admitted, %.2f are allowed", work, allowed)
+		t.Errorf("admitted %.2f s of work, want more than 0 and at most %.2f", work, allowed)
 	}
 }
 
-// A request that can't be answered before its client gives up is not admitted, whatever budget there is.
-func TestHopelessRequestsAreRejected(t *testing.T) {
-	w := newWorld(t, testSettings(), 7)
-	w.calm(20, 60, 0)
+// A request that cannot be answered before its client gives up is rejected even if there is budget for it.
+func TestRejectsRequestsWithInsufficientTime(t *testing.T) {
+	w := newWorkload(t, testSettings(), 7)
+	w.normalTraffic(20, 60, 0)
 	w.outage(2, 60)
 	w.budget.available = 100
 	w.maxInFlight = 100
-	if admitted, _ := w.Admit(w.now, &Request{Fingerprint: 1, Remaining: 1e7}); admitted || w.Stats.Hopeless == 0 {
+	if admitted, _ := w.Admit(w.now, &Request{Fingerprint: 1, Remaining: 1e7}); admitted || w.Stats.InsufficientTime == 0 {
 		t.Error("admitted with 10 ms left")
 	}
 }
 
-// Whatever comes, in whatever order: nothing panics, memory stays within its bound, waits are within the longest, and the number
-// of requests in flight never is below zero.
+// For any sequence of calls and clock jumps: nothing panics, memory and waits stay within their bounds, and the number of requests
+// in flight is never negative.
 func FuzzGuard(f *testing.F) {
 	for seed := range uint64(6) {
 		f.Add(seed)
@@ -61,13 +61,13 @@
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		s := testSettings()
 		s.MemoryBytes = 8 << 10
-		w := newWorld(t, s, seed)
+		w := newWorkload(t, s, seed)
 		bytes := w.Bytes()
 		var open []*Request
 		for range 4000 {
 			switch w.rnd.IntN(40) {
 			case 0:
-				w.now += int64(w.rnd.IntN(int(20 * second))) // a clock that jumps
+				w.now += int64(w.rnd.IntN(int(20 * second))) // clock jump
 			case 1:
 				w.now -= int64(w.rnd.IntN(int(20 * second)))
 			case 2:
@@ -113,10 +113,10 @@
 	})
 }
 
-// In calm traffic a request costs no allocation.
+// Requests allocate no memory in normal traffic.
 func TestNoAllocations(t *testing.T) {
-	w := newWorld(t, testSettings(), 9)
-	w.calm(5, 60, 0.1)
+	w := newWorkload(t, testSettings(), 9)
+	w.normalTraffic(5, 60, 0.1)
 	req := &Request{Fingerprint: 9, Remaining: second}
 	if n := testing.AllocsPerRun(2000, func() {
 		w.now += second / 200
@@ -125,13 +125,13 @@
 		w.AttemptStarted(w.now, req, 0)
 		w.AttemptEnded(w.now, req, 1, Answered, true, 2e8)
 	}); n > 0 {
-		t.Error(n, "allocations a request")
+		t.Error(n, "allocations per request")
 	}
 }
 
-// Settings out of their bounds are refused.
+// New rejects settings that are out of range.
 func TestSettings(t *testing.T) {
-	for _, spoil := range []func(*Settings){
+	for _, invalidate := range []func(*Settings){
 		func(s *Settings) { s.Ceiling = 9 },
 		func(s *Settings) { s.MemoryBytes = 1 },
 		func(s *Settings) { s.Horizon = 0 },
@@ -139,7 +139,7 @@
 		func(s *Settings) { s.Routers = 0 },
 	} {
 		s := testSettings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s, 1, 0); err == nil {
 			t.Error("accepted:", s)
 		}
@@ -147,7 +147,7 @@
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	w := newWorld(b, testSettings(), 9)
+	w := newWorkload(b, testSettings(), 9)
 	req := &Request{}
 	for b.Loop() {
 		w.now += second / 200
@@ -158,12 +158,13 @@
 	}
 }
 
-// Cases each of which was once forgotten somewhere.
+// Regression tests: jitter of waits in normal traffic, a clock that is set back, budget for retries by the decision engine, limits
+// after a collapse of the hosts, and no storm below minExcess retries.
 func TestEdgeCases(t *testing.T) {
-	w := newWorld(t, testSettings(), 10)
-	w.calm(20, 60, 0)
+	w := newWorkload(t, testSettings(), 10)
+	w.normalTraffic(20, 60, 0)
 	waits := map[int64]bool{}
-	for i := range uint64(20) { // in calm traffic, requests rejected together don't return together
+	for i := range uint64(20) { // requests rejected together get different waits in normal traffic
 		req := &Request{Fingerprint: i + 1, Remaining: second}
 		w.Admit(w.now, req)
 		wait := w.Rejected(w.now, req, 250e6)
@@ -175,11 +176,11 @@
 	if len(waits) < 15 {
 		t.Error("different waits:", len(waits))
 	}
-	w.now -= 3600 * second // after the clock is set back, ticks go on
-	ticksBefore := w.calmTicks
-	w.calm(2, 60, 0)
-	if w.calmTicks < ticksBefore+15 || w.Stats.ClockJumps != 1 {
-		t.Error("ticks after the jump:", w.calmTicks-ticksBefore, w.Stats.ClockJumps)
+	w.now -= 3600 * second // ticks continue after the clock is set back
+	ticksBefore := w.baselineTicks
+	w.normalTraffic(2, 60, 0)
+	if w.baselineTicks < ticksBefore+15 || w.Stats.ClockJumps != 1 {
+		t.Error("ticks after the jump:", w.baselineTicks-ticksBefore, w.Stats.ClockJumps)
 	}
 	w.outage(2, 60)
 	w.budget.available = 1
@@ -199,6 +200,6 @@
 		d.Count(true)
 	}
 	if d.Tick(false) {
-		t.Error("four retries are a storm")
+		t.Error("four retries detected as a retry storm")
 	}
 }
