--- a/internal/control/membership/list.go
+++ b/internal/control/membership/list.go
@@ -50,8 +50,8 @@
 }
 
 // FromItem returns the list in an item, the zero List if it can't be read or is of another epoch than the item's version.
-func FromItem(i config.Item) (l List) {
-	if json.Unmarshal(i.Body, &l) != nil || l.Epoch != i.Version {
+func FromItem(item config.Item) (l List) {
+	if json.Unmarshal(item.Body, &l) != nil || l.Epoch != item.Version {
 		return List{}
 	}
 	return l
@@ -65,11 +65,11 @@
 
 // ByIP returns the member with an IP address, and whether there is one.
 func (l List) ByIP(ip string) (Member, bool) {
-	at := slices.IndexFunc(l.Members, func(m Member) bool { return m.IP == ip })
-	if at < 0 {
+	index := slices.IndexFunc(l.Members, func(m Member) bool { return m.IP == ip })
+	if index < 0 {
 		return Member{}, false
 	}
-	return l.Members[at], true
+	return l.Members[index], true
 }
 
 // Contains reports whether the process with an IP address and a disk is a member.
--- a/internal/control/membership/list_test.go
+++ b/internal/control/membership/list_test.go
@@ -11,20 +11,20 @@
 )
 
 // list returns a list of members written as "ip/id/zone ...".
-func list(epoch uint64, members string) (l List) {
+func newList(epoch uint64, members string) (l List) {
 	l.Epoch = epoch
 	for _, m := range strings.Fields(members) {
-		l.Members = append(l.Members, member(m))
+		l.Members = append(l.Members, parseMember(m))
 	}
 	return l
 }
 
-func member(s string) Member {
+func parseMember(s string) Member {
 	f := strings.Split(s, "/")
 	return Member{IP: f[0], ID: f[1], Zone: f[2], Name: "n" + f[0]}
 }
 
-func (l List) text() string {
+func (l List) format() string {
 	var all []string
 	for _, m := range l.Members {
 		all = append(all, m.IP+"/"+m.ID+"/"+m.Zone)
@@ -33,7 +33,7 @@
 }
 
 func TestChange(t *testing.T) {
-	for name, x := range map[string]struct{ was, in, out, next string }{
+	for name, x := range map[string]struct{ old, joining, leaving, want string }{
 		"the first list":                  {"", "2/b/y 1/a/x", "", "1 1/a/x 2/b/y"},
 		"one more, in its place":          {"1/a/x 3/c/z", "2/b/y", "", "8 1/a/x 2/b/y 3/c/z"},
 		"there already":                   {"1/a/x 2/b/y", "2/b/y", "", "7 1/a/x 2/b/y"},
@@ -51,23 +51,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			was := list(7, x.was)
-			if x.was == "" {
-				was.Epoch = 0
+			old := newList(7, x.old)
+			if x.old == "" {
+				old.Epoch = 0
 			}
-			before := was.text()
-			c.Check(was.Change(list(0, x.in).Members, strings.Fields(x.out)).text(), qt.Equals, x.next)
-			c.Check(was.text(), qt.Equals, before, qt.Commentf("the old list is as it was"))
+			before := old.format()
+			c.Check(old.Change(newList(0, x.joining).Members, strings.Fields(x.leaving)).format(), qt.Equals, x.want)
+			c.Check(old.format(), qt.Equals, before, qt.Commentf("the old list is as it was"))
 		})
 	}
 }
 
-func TestSurplus(t *testing.T) {
+func TestRemovable(t *testing.T) {
 	const six = "1/a/x 2/b/x 3/c/y 4/d/y 5/e/y 6/f/z"
 	for name, x := range map[string]struct {
 		silent  string
 		perZone int
-		out     string
+		want    string
 	}{
 		"nobody is silent":                 {"", 1, ""},
 		"one of three":                     {"4", 2, "4"},
@@ -81,7 +81,7 @@
 		"a zone with fewer than are to be": {"6", 3, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			qt.Check(t, strings.Join(list(7, six).Removable(strings.Fields(x.silent), x.perZone), " "), qt.Equals, x.out)
+			qt.Check(t, strings.Join(newList(7, six).Removable(strings.Fields(x.silent), x.perZone), " "), qt.Equals, x.want)
 		})
 	}
 }
@@ -89,7 +89,7 @@
 func TestTolerates(t *testing.T) {
 	for name, x := range map[string]struct {
 		members, down string
-		bears         int
+		losses        int
 		zones         string
 	}{
 		"none":                    {"", "", -1, ""},
@@ -106,8 +106,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			n, zones := list(7, x.members).Tolerates(strings.Fields(x.down))
-			c.Check(n, qt.Equals, x.bears)
+			n, zones := newList(7, x.members).Tolerates(strings.Fields(x.down))
+			c.Check(n, qt.Equals, x.losses)
 			c.Check(strings.Join(zones, " "), qt.Equals, x.zones)
 		})
 	}
@@ -116,8 +116,8 @@
 // A quorum counts disks, not IP addresses.
 func TestQuorum(t *testing.T) {
 	for name, x := range map[string]struct {
-		members, yes string
-		quorum       bool
+		members, acks string
+		quorum        bool
 	}{
 		"nobody of none":              {"", "", false},
 		"somebody of none":            {"", "1/a/", false},
@@ -131,33 +131,33 @@
 		"an ID that nobody has given": {"1//x 2/b/y 3/c/z", "1//", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			yes := map[string]string{}
-			for _, m := range list(0, x.yes).Members {
-				yes[m.IP] = m.ID
+			acks := map[string]string{}
+			for _, m := range newList(0, x.acks).Members {
+				acks[m.IP] = m.ID
 			}
-			qt.Check(t, list(7, x.members).HasQuorum(yes), qt.Equals, x.quorum)
+			qt.Check(t, newList(7, x.members).HasQuorum(acks), qt.Equals, x.quorum)
 		})
 	}
 }
 
 // Two quorums of one list have a member in common, whatever the size.
-func TestQuorumsMeet(t *testing.T) {
+func TestQuorumsIntersect(t *testing.T) {
 	for size := 1; size <= 9; size++ {
 		l := List{Epoch: 1}
 		for n := range size {
 			l.Members = append(l.Members, Member{IP: fmt.Sprint(n), ID: "d"})
 		}
-		for some := range 1 << size {
-			yes, no := map[string]string{}, map[string]string{}
+		for subset := range 1 << size {
+			acks, otherAcks := map[string]string{}, map[string]string{}
 			for n := range size {
-				if some>>n&1 != 0 {
-					yes[fmt.Sprint(n)] = "d"
+				if subset>>n&1 != 0 {
+					acks[fmt.Sprint(n)] = "d"
 				} else {
-					no[fmt.Sprint(n)] = "d"
+					otherAcks[fmt.Sprint(n)] = "d"
 				}
 			}
-			if l.HasQuorum(yes) && l.HasQuorum(no) {
-				t.Fatalf("%d members: %v and %v are both more than half", size, yes, no)
+			if l.HasQuorum(acks) && l.HasQuorum(otherAcks) {
+				t.Fatalf("%d members: %v and %v are both more than half", size, acks, otherAcks)
 			}
 		}
 	}
@@ -166,7 +166,7 @@
 // A list is read back from its item alike; what isn't a list, or of another epoch than its item, is the zero List.
 func TestItem(t *testing.T) {
 	c := qt.New(t)
-	l := list(7, "1/a/x 2/b/y")
+	l := newList(7, "1/a/x 2/b/y")
 	c.Check(FromItem(l.Item()), qt.DeepEquals, l)
 	s := config.NewSet()
 	c.Check(FromSet(s), qt.DeepEquals, List{})
@@ -174,7 +174,7 @@
 	c.Check(FromSet(s), qt.DeepEquals, l)
 	c.Check(s.Members(), qt.DeepEquals, map[string]string{"1": "x", "2": "y"})
 	s.Merge(l.Change(nil, []string{"1"}).Item())
-	c.Check(FromSet(s).text(), qt.Equals, "8 2/b/y")
+	c.Check(FromSet(s).format(), qt.Equals, "8 2/b/y")
 	c.Check(s.Merge(l.Item()), qt.IsFalse, qt.Commentf("an older epoch comes back"))
 	i := l.Item()
 	i.Version = 8
--- a/internal/control/membership/tolerance_test.go
+++ b/internal/control/membership/tolerance_test.go
@@ -18,15 +18,15 @@
 func TestTolerance(t *testing.T) {
 	six, five, seven := listOfSize(6), listOfSize(5), listOfSize(7)
 	one, two := []string{"10.0.0.5"}, []string{"10.0.0.4", "10.0.0.5"}
-	type look struct {
-		at          int64
-		l           List
-		down        []string
-		began, over bool
-		now         int
-		last        int64
+	type observation struct {
+		at              int64
+		l               List
+		down            []string
+		began, restored bool
+		current         int
+		lastOutage      int64
 	}
-	for name, looks := range map[string][]look{
+	for name, observations := range map[string][]observation{
 		"lost and back":                 {{1, six, nil, false, false, 2, 0}, {5, six, one, true, false, 1, 0}, {9, six, one, false, false, 1, 0}, {12, six, nil, false, true, 2, 7}},
 		"lost and voted out":            {{1, six, nil, false, false, 2, 0}, {5, six, one, true, false, 1, 0}, {7, five, nil, false, true, 2, 2}},
 		"a second loss meanwhile":       {{1, six, nil, false, false, 2, 0}, {5, six, one, true, false, 1, 0}, {6, six, two, false, false, 0, 0}, {8, six, one, false, false, 1, 0}, {9, six, nil, false, true, 2, 4}},
@@ -38,10 +38,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			var m Tolerance
-			for n, x := range looks {
-				began, over := m.Observe(x.at, x.l, x.down)
-				c.Check([]any{began, over, m.Current, m.LastOutage}, qt.DeepEquals, []any{x.began, x.over, x.now, x.last}, qt.Commentf("look %d", n))
+			var tolerance Tolerance
+			for n, x := range observations {
+				began, restored := tolerance.Observe(x.at, x.l, x.down)
+				c.Check([]any{began, restored, tolerance.Current, tolerance.LastOutage}, qt.DeepEquals, []any{x.began, x.restored, x.current, x.lastOutage}, qt.Commentf("look %d", n))
 			}
 		})
 	}
@@ -51,19 +51,19 @@
 func TestExcluded(t *testing.T) {
 	c := qt.New(t)
 	l := listOfSize(3)
-	gone := l.Members[2]
-	l = l.Change(nil, []string{gone.IP}).Exclude([]Member{gone})
-	c.Check(l.Excludes(gone.ID), qt.IsTrue)
-	l = l.Exclude([]Member{gone})
+	removed := l.Members[2]
+	l = l.Change(nil, []string{removed.IP}).Exclude([]Member{removed})
+	c.Check(l.Excludes(removed.ID), qt.IsTrue)
+	l = l.Exclude([]Member{removed})
 	c.Check(l.Excluded, qt.HasLen, 1)
-	c.Check(FromItem(l.Item()).Excluded, qt.DeepEquals, []Member{gone})
-	anew := gone
-	anew.ID = "another disk"
-	c.Check(l.Change([]Member{anew}, nil).Excludes(gone.ID), qt.IsTrue)
-	c.Check(l.Change([]Member{gone}, nil).Excludes(gone.ID), qt.IsFalse)
+	c.Check(FromItem(l.Item()).Excluded, qt.DeepEquals, []Member{removed})
+	newDisk := removed
+	newDisk.ID = "another disk"
+	c.Check(l.Change([]Member{newDisk}, nil).Excludes(removed.ID), qt.IsTrue)
+	c.Check(l.Change([]Member{removed}, nil).Excludes(removed.ID), qt.IsFalse)
 	for i := range MaxExcluded {
 		l = l.Exclude([]Member{{IP: "10.1.0.1", ID: fmt.Sprint("x", i)}})
 	}
 	c.Check(l.Excluded, qt.HasLen, MaxExcluded)
-	c.Check(l.Excludes(gone.ID), qt.IsFalse)
+	c.Check(l.Excludes(removed.ID), qt.IsFalse)
 }
--- a/internal/control/operation/condition.go
+++ b/internal/control/operation/condition.go
@@ -37,7 +37,7 @@
 }
 
 // ifCurrent returns items, which the operation sets, or an error if it sets some and its condition does not hold any more.
-func (o Operation) ifCurrent(s *config.Set, items []config.Item) ([]config.Item, error) {
+func (o Operation) checkCondition(s *config.Set, items []config.Item) ([]config.Item, error) {
 	if len(items) > 0 && o.isStale(s) {
 		return nil, apierror.New(apierror.Unavailable, "%s: it was changed since the order was handed over", o.Name)
 	}
--- a/internal/control/operation/modify.go
+++ b/internal/control/operation/modify.go
@@ -37,7 +37,7 @@
 	}
 	updated, err := s.CheckChange(unseen)
 	if err == nil && len(updated) > 0 && forgotten != nil {
-		return nil, forgottenConflict(s, *forgotten, updated[0])
+		return nil, forgottenVersionError(s, *forgotten, updated[0])
 	}
 	for at, item := range updated {
 		if old, exists := s.Lookup(item.Key()); exists {
@@ -61,7 +61,7 @@
 	old, exists := s.Lookup(item.Key())
 	same := exists && old.Equal(item)
 	if exists && old.Version == item.Version && !same {
-		return versionUnseen, conflict(item, old)
+		return versionUnseen, conflictError(item, old)
 	}
 	known, sameContent := old.MatchesPast(item)
 	switch {
@@ -77,14 +77,14 @@
 }
 
 // conflict returns the error for an item that differs from the one of the same version in the set; it names the field.
-func conflict(item, old config.Item) error {
+func conflictError(item, old config.Item) error {
 	return apierror.New(apierror.Conflict, "%s %s: %s: version %s stands as %s",
 		item.Kind, item.Name, DifferingField(item, old), config.FormatVersion(item.Version), describe(old))
 }
 
 // forgottenConflict returns the error for a change with a version that is older than those known, of which another item is new: if the
 // change had taken effect, that item would be in the set.
-func forgottenConflict(s *config.Set, forgotten, unseen config.Item) error {
+func forgottenVersionError(s *config.Set, forgotten, unseen config.Item) error {
 	old, _ := s.Lookup(forgotten.Key())
 	return apierror.New(apierror.Conflict, "%s %s: version %s is older than the %d before version %s, which stands as %s, and %s %s of its call was never taken: nothing of it is",
 		forgotten.Kind, forgotten.Name, config.FormatVersion(forgotten.Version), config.MaxHistory, config.FormatVersion(old.Version), describe(old), unseen.Kind, unseen.Name)
--- a/internal/control/operation/operation.go
+++ b/internal/control/operation/operation.go
@@ -81,13 +81,13 @@
 	case ModifyConfig:
 		return modifyConfig(s, o.Items)
 	case Evacuate:
-		return o.ifCurrent(s, setEvacuation(s, o))
+		return o.checkCondition(s, setEvacuation(s, o))
 	case BeginRollout:
 		items, err := beginRollout(s, o)
 		if err != nil {
 			return nil, err
 		}
-		return o.ifCurrent(s, items)
+		return o.checkCondition(s, items)
 	case EndRollout:
 		return endRollout(s, o), nil
 	case CompleteSwitch:
--- a/internal/control/operation/operation_test.go
+++ b/internal/control/operation/operation_test.go
@@ -26,7 +26,7 @@
 		`{"home-regions":["%s"],"host-name":"%s.example","name":"%s","path-prefix":"/","route-kind":"safe_method","service":"%s","timeout-s":1}`, content, name, name, service))}
 }
 
-func dropped(kind, name string, version uint64) config.Item {
+func tombstone(kind, name string, version uint64) config.Item {
 	return config.Item{Kind: kind, Name: name, Version: version, Deleted: true}
 }
 
@@ -50,11 +50,11 @@
 	return Operation{Kind: EndRollout, Name: "desk", Expected: number, Outcome: state, SubmittedAt: 77 * second}
 }
 
-func evacuateOp(begun bool) Operation { return Operation{Kind: Evacuate, Name: "z1", Active: begun} }
+func evacuateOp(active bool) Operation { return Operation{Kind: Evacuate, Name: "z1", Active: active} }
 
-func changeMembersOp(epoch uint64, in string, out ...string) Operation {
-	o := Operation{Kind: ChangeMembers, Remove: out, Expected: epoch}
-	for _, f := range strings.Fields(in) {
+func changeMembersOp(epoch uint64, add string, remove ...string) Operation {
+	o := Operation{Kind: ChangeMembers, Remove: remove, Expected: epoch}
+	for _, f := range strings.Fields(add) {
 		o.Add = append(o.Add, membership.Member{IP: f, ID: "d" + f, Zone: "z"})
 	}
 	return o
@@ -63,7 +63,7 @@
 // conditionalOp is an operation with the condition of the state before a step.
 type conditionalOp struct {
 	Operation
-	after int // how many steps came before
+	stepsBefore int // how many steps came before
 }
 
 // Operations are applied one after the other; each step says how many items it sets, or the kind of error and a part of its text.
@@ -71,10 +71,10 @@
 	base := modifyOp(service("desk", 1), service("bags", 1))
 	r1, r2 := route("r1", 2, "desk", "a"), route("r2", 2, "desk", "a")
 	type step struct {
-		o    any
-		sets int
-		kind apierror.Kind
-		says string
+		o         any
+		sets      int
+		wantKind  apierror.Kind
+		wantError string
 	}
 	for name, steps := range map[string][]step{
 		"taken, and again": {
@@ -85,7 +85,7 @@
 		"a late copy after later versions": {
 			{modifyOp(r1), 1, apierror.None, ""},
 			{modifyOp(route("r1", 3, "bags", "b")), 1, apierror.None, ""},
-			{modifyOp(dropped(config.KindRoutes, "r1", 4)), 1, apierror.None, ""},
+			{modifyOp(tombstone(config.KindRoutes, "r1", 4)), 1, apierror.None, ""},
 			{modifyOp(r1), 0, apierror.None, ""},
 			{modifyOp(route("r1", 3, "bags", "b")), 0, apierror.None, ""},
 		},
@@ -93,12 +93,12 @@
 			{modifyOp(r1), 1, apierror.None, ""},
 			{modifyOp(route("r1", 2, "desk", "b")), 0, apierror.Conflict, "routes r1: home-regions: version 00000002 stands as .*\"a\""},
 			{modifyOp(route("r1", 2, "bags", "a")), 0, apierror.Conflict, "r1: service: version"},
-			{modifyOp(dropped(config.KindRoutes, "r1", 2)), 0, apierror.Conflict, "r1: dropped: version"},
+			{modifyOp(tombstone(config.KindRoutes, "r1", 2)), 0, apierror.Conflict, "r1: dropped: version"},
 		},
 		"a rival of a drop": {
 			{modifyOp(r1), 1, apierror.None, ""},
-			{modifyOp(dropped(config.KindRoutes, "r1", 3)), 1, apierror.None, ""},
-			{modifyOp(dropped(config.KindRoutes, "r1", 3)), 0, apierror.None, ""},
+			{modifyOp(tombstone(config.KindRoutes, "r1", 3)), 1, apierror.None, ""},
+			{modifyOp(tombstone(config.KindRoutes, "r1", 3)), 0, apierror.None, ""},
 			{modifyOp(route("r1", 3, "desk", "b")), 0, apierror.Conflict, "r1: dropped: version 00000003 stands as dropped"},
 		},
 		"a rival with other items is refused with all of them": {
@@ -128,7 +128,7 @@
 		},
 		"behind, with a service that was dropped since": {
 			{modifyOp(route("r1", 2, "bags", "a")), 1, apierror.None, ""},
-			{modifyOp(route("r1", 3, "desk", "b"), dropped(config.KindServices, "bags", 3)), 2, apierror.None, ""},
+			{modifyOp(route("r1", 3, "desk", "b"), tombstone(config.KindServices, "bags", 3)), 2, apierror.None, ""},
 			{modifyOp(route("r1", 2, "bags", "a")), 0, apierror.None, ""},
 			{modifyOp(route("r1", 4, "bags", "c")), 0, apierror.Invalid, "service bags does not stand|service: bags does not stand"},
 		},
@@ -229,7 +229,7 @@
 			{Operation{Kind: BeginRollout, Name: "nowhere", TargetVersion: "v2"}, 0, apierror.Invalid, "service: nowhere does not stand"},
 		},
 		"a begin of what was dropped": {
-			{modifyOp(dropped(config.KindServices, "desk", 4)), 1, apierror.None, ""},
+			{modifyOp(tombstone(config.KindServices, "desk", 4)), 1, apierror.None, ""},
 			{beginOp("v2", 100*second), 0, apierror.Invalid, "service: desk does not stand"},
 		},
 		"an end, twice, and the wrong ones": {
@@ -280,21 +280,21 @@
 			}
 			for n, x := range steps {
 				sets = append(sets, set.Clone())
-				o, plain := x.o.(Operation)
-				if b, ok := x.o.(conditionalOp); !plain && ok {
-					o = Bind(sets[b.after], b.Operation)
+				o, unconditional := x.o.(Operation)
+				if b, ok := x.o.(conditionalOp); !unconditional && ok {
+					o = Bind(sets[b.stepsBefore], b.Operation)
 				}
 				items, err := do(o)
-				c.Check(apierror.KindOf(err), qt.Equals, x.kind, qt.Commentf("step %d: %v", n, err))
-				if x.says != "" {
-					c.Check(err, qt.ErrorMatches, "(?s).*("+x.says+").*", qt.Commentf("step %d", n))
+				c.Check(apierror.KindOf(err), qt.Equals, x.wantKind, qt.Commentf("step %d: %v", n, err))
+				if x.wantError != "" {
+					c.Check(err, qt.ErrorMatches, "(?s).*("+x.wantError+").*", qt.Commentf("step %d", n))
 				}
 				c.Check(items, qt.HasLen, x.sets, qt.Commentf("step %d: %v", n, items))
 				for _, i := range items {
 					c.Check(set.Merge(i), qt.IsTrue, qt.Commentf("step %d: %v isn't newer than what stands", n, i))
 				}
 				again, err := do(o)
-				if x.kind == apierror.None && o.Expected == 0 { // it stands
+				if x.wantKind == apierror.None && o.Expected == 0 { // it stands
 					c.Check(err, qt.IsNil)
 					c.Check(again, qt.HasLen, 0, qt.Commentf("step %d, again: %v", n, again))
 				}
@@ -322,17 +322,17 @@
 	}
 	do(modifyOp(service("desk", 1), route("r1", 5, "desk", "a"), route("r2", 5, "desk", "a")))
 	do(changeMembersOp(0, "1 2"))
-	snapshot := Operation{Kind: RestoreSnapshot, Expected: 1, Version: "first", Items: []config.Item{service("desk", 1), route("r1", 3, "desk", "old"), dropped(config.KindRoutes, "r3", 4), membership.List{Epoch: 9}.Item()}}
+	snapshot := Operation{Kind: RestoreSnapshot, Expected: 1, Version: "first", Items: []config.Item{service("desk", 1), route("r1", 3, "desk", "old"), tombstone(config.KindRoutes, "r3", 4), membership.List{Epoch: 9}.Item()}}
 	c.Check(ReplacesAll(do(snapshot)), qt.IsTrue)
 	c.Check(membership.FromSet(set), qt.DeepEquals, membership.List{Epoch: 2, Members: changeMembersOp(0, "1 2").Add, RestoredSnapshots: []string{"first"}})
 	for _, i := range snapshot.Items[:3] {
-		now, there := set.Lookup(i.Key())
-		c.Check(there && now.Equal(i), qt.IsTrue, qt.Commentf("%s %s", i.Kind, i.Name))
+		item, exists := set.Lookup(i.Key())
+		c.Check(exists && item.Equal(i), qt.IsTrue, qt.Commentf("%s %s", i.Kind, i.Name))
 	}
-	_, there := set.Lookup(config.Key{Kind: config.KindRoutes, Name: "r2"})
-	c.Check(there, qt.IsFalse)
-	_, there = set.Lookup(ReplaceAllKey)
-	c.Check(there, qt.IsFalse)
+	_, exists := set.Lookup(config.Key{Kind: config.KindRoutes, Name: "r2"})
+	c.Check(exists, qt.IsFalse)
+	_, exists = set.Lookup(ReplaceAllKey)
+	c.Check(exists, qt.IsFalse)
 	c.Check(set.Len(), qt.Equals, 4)
 	c.Check(do(snapshot), qt.HasLen, 0, qt.Commentf("again"))
 	c.Check(do(modifyOp(route("r2", 4, "desk", "b"))), qt.HasLen, 1, qt.Commentf("a version lower than what stood before"))
@@ -342,8 +342,8 @@
 	c.Check(do(snapshot), qt.HasLen, 0, qt.Commentf("a late copy of a later try"))
 	do(changeMembersOp(2, "3"))
 	c.Check(do(snapshot), qt.HasLen, 0, qt.Commentf("after a change of members"))
-	now, _ := set.Lookup(config.Key{Kind: config.KindRoutes, Name: "r2"})
-	c.Check(now.Version, qt.Equals, uint64(4))
+	item, _ := set.Lookup(config.Key{Kind: config.KindRoutes, Name: "r2"})
+	c.Check(item.Version, qt.Equals, uint64(4))
 	// restoring the same snapshot again is another operation; it fails if it expects an older epoch
 	snapshot.Version = "second"
 	_, err := Apply(set, snapshot)
@@ -381,10 +381,10 @@
 	}{
 		{beginOp("v2", 1*second), rollout.Rollout{Number: 1, From: "v1", Target: "v2", StartedAt: 1 * second, State: rollout.Running}},
 		{endOp(1, rollout.RolledBack), rollout.Rollout{Number: 1, From: "v1", Target: "v2", StartedAt: 1 * second, State: rollout.RolledBack, EndedAt: 77 * second}},
-		{beginOp("v3", 2*second), rollout.Rollout{Number: 2, From: "v1", Target: "v3", StartedAt: 2 * second, State: rollout.Running, PastDigests: pastRollout("v2")}},
-		{endOp(2, rollout.Completed), rollout.Rollout{Number: 2, From: "v1", Target: "v3", StartedAt: 2 * second, State: rollout.Completed, EndedAt: 77 * second, Switching: true, PastDigests: pastRollout("v2")}},
-		{completeSwitchOp(2), rollout.Rollout{Number: 2, From: "v1", Target: "v3", StartedAt: 2 * second, State: rollout.Completed, EndedAt: 77 * second, PastDigests: pastRollout("v2")}},
-		{beginOp("v4", 3*second), rollout.Rollout{Number: 3, From: "v3", BaseNumber: 2, Target: "v4", StartedAt: 3 * second, State: rollout.Running, PastDigests: pastRollout("v3", "v2")}},
+		{beginOp("v3", 2*second), rollout.Rollout{Number: 2, From: "v1", Target: "v3", StartedAt: 2 * second, State: rollout.Running, PastDigests: pastDigests("v2")}},
+		{endOp(2, rollout.Completed), rollout.Rollout{Number: 2, From: "v1", Target: "v3", StartedAt: 2 * second, State: rollout.Completed, EndedAt: 77 * second, Switching: true, PastDigests: pastDigests("v2")}},
+		{completeSwitchOp(2), rollout.Rollout{Number: 2, From: "v1", Target: "v3", StartedAt: 2 * second, State: rollout.Completed, EndedAt: 77 * second, PastDigests: pastDigests("v2")}},
+		{beginOp("v4", 3*second), rollout.Rollout{Number: 3, From: "v3", BaseNumber: 2, Target: "v4", StartedAt: 3 * second, State: rollout.Running, PastDigests: pastDigests("v3", "v2")}},
 	} {
 		x.want.Service, x.want.Duration = "desk", 10*second
 		c.Check(do(x.o), qt.Equals, x.want, qt.Commentf("step %d", n))
@@ -392,7 +392,7 @@
 }
 
 // pastRollout returns the digests of rollouts of the usual duration, the newest first.
-func pastRollout(targets ...string) (all [rollout.MaxPastDigests]uint64) {
+func pastDigests(targets ...string) (all [rollout.MaxPastDigests]uint64) {
 	for n, x := range targets {
 		all[n] = rollout.Digest(x, 10*second)
 	}
@@ -400,7 +400,7 @@
 }
 
 // A rollout knows the digests of those before it, as many as are kept, also when it is read from its item.
-func TestRolloutsBefore(t *testing.T) {
+func TestPastDigests(t *testing.T) {
 	c := qt.New(t)
 	r := rollout.Rollout{Service: "desk"}
 	var targets []string
@@ -408,7 +408,7 @@
 		r = r.Next()
 		r.Target, r.Duration = fmt.Sprint("v", n), 10*second
 		c.Check(rollout.FromItem(r.Item()), qt.Equals, r)
-		c.Check(r.PastDigests, qt.Equals, pastRollout(targets[:min(len(targets), rollout.MaxPastDigests)]...))
+		c.Check(r.PastDigests, qt.Equals, pastDigests(targets[:min(len(targets), rollout.MaxPastDigests)]...))
 		targets = append([]string{r.Target}, targets...)
 	}
 	c.Check(rollout.Digest("v1", 1) != rollout.Digest("v1", 2), qt.IsTrue)
@@ -417,7 +417,7 @@
 }
 
 // DifferingField returns the first field by name.
-func TestDiffers(t *testing.T) {
+func TestDifferingField(t *testing.T) {
 	a := config.Item{Body: []byte(`{"b":1,"c":[1,2]}`)}
 	for body, field := range map[string]string{`{"b":1,"c":[1,2]}`: "", `{"b":2,"c":[1]}`: "b", `{"b":1,"c":[2,1]}`: "c", `{"b":1}`: "c", `{"a":0,"b":2,"c":[1,2]}`: "a", `{}`: "b"} {
 		qt.Check(t, DifferingField(a, config.Item{Body: []byte(body)}), qt.Equals, field, qt.Commentf(body))
