--- a/internal/control/membership/list.go
+++ b/internal/control/membership/list.go
@@ -1,8 +1,8 @@
-// Package membership defines who the members of the core are: a list of control processes with an epoch. It owns which sets of them
-// are a quorum, how lists follow on each other, and which losses a list tolerates. The list is an item of the replicated set, and is
-// changed by consensus like any other; this package never decides a change. It is pure.
+// Package membership defines the list of voting members: control processes under an epoch. It determines which sets of members form a
+// quorum, how the next list is derived from the current one, and how many losses a list tolerates. The list is an item of the
+// replicated set and is changed by consensus like any other item; this package does not decide changes. It has no side effects.
 //
-// Begin reading at List; Tolerance follows over time how many losses the members tolerate.
+// Start with List. Tolerance tracks over time how many losses the members tolerate.
 package membership
 
 import (
@@ -13,17 +13,17 @@
 	"portflow/internal/cluster/config"
 )
 
-// MaxRestoredSnapshots is how many restored snapshots a list remembers; beyond it the oldest is forgotten.
+// MaxRestoredSnapshots is the maximum length of List.RestoredSnapshots; the oldest names are dropped first.
 const MaxRestoredSnapshots = 8
 
-// MaxExcluded is how many excluded members a list remembers; beyond it the first is forgotten.
+// MaxExcluded is the maximum length of List.Excluded; the oldest entries are dropped first.
 const MaxExcluded = 32
 
-// Key is the key of the list's item in the replicated set.
+// Key is the key of the member list in the replicated set.
 var Key = config.Key{Kind: config.KindCore, Name: "members"}
 
-// Member is a control process whose vote counts. ID identifies its disk: a process that lost its disk comes back as another member,
-// as it forgot what it promised and voted.
+// Member is a control process that votes. ID identifies its disk: a process that lost its disk also lost its promises and votes, so it
+// returns as a different member.
 type Member struct {
 	IP   string `json:"p"`
 	ID   string `json:"i"`
@@ -31,16 +31,18 @@
 	Zone string `json:"z"`
 }
 
-// List is the members of one epoch, in the order of their IP addresses. The zero List stands for the time before the first epoch.
-// Methods return changed copies and leave the list as it is.
+// List holds the members of one epoch, sorted by IP address. The zero List is the state before the first epoch. Methods never modify the
+// list; those that change it return a copy.
 type List struct {
-	Epoch             uint64   `json:"e"`
-	Members           []Member `json:"m"`
-	Excluded          []Member `json:"h,omitempty"` // removed by an operator: with these disks they don't join again by themselves
-	RestoredSnapshots []string `json:"r,omitempty"` // names of the last restores, so that a late copy of one does nothing
+	Epoch   uint64   `json:"e"`
+	Members []Member `json:"m"`
+	// Excluded holds members that an operator removed, oldest first. A process with one of these disks does not rejoin automatically.
+	Excluded []Member `json:"h,omitempty"`
+	// RestoredSnapshots holds the names of the latest restores, oldest first, so that a delayed copy of one has no effect.
+	RestoredSnapshots []string `json:"r,omitempty"`
 }
 
-// FromSet returns the list in a set, the zero List if there is none.
+// FromSet returns the set's member list, or the zero List if it has none.
 func FromSet(s *config.Set) List {
 	item, exists := s.Lookup(Key)
 	if !exists {
@@ -49,7 +51,7 @@
 	return FromItem(item)
 }
 
-// FromItem returns the list in an item, the zero List if it can't be read or is of another epoch than the item's version.
+// FromItem decodes a list from an item. It returns the zero List if the body can't be decoded or its epoch differs from the item's version.
 func FromItem(item config.Item) (l List) {
 	if json.Unmarshal(item.Body, &l) != nil || l.Epoch != item.Version {
 		return List{}
@@ -57,13 +59,13 @@
 	return l
 }
 
-// Item returns the list as an item; its version is the epoch.
+// Item encodes the list as an item whose version is the epoch.
 func (l List) Item() config.Item {
-	body, _ := json.Marshal(l) // can't fail: it holds strings and numbers
+	body, _ := json.Marshal(l) // can't fail: the list holds only strings and numbers
 	return config.Item{Kind: Key.Kind, Name: Key.Name, Version: l.Epoch, Body: body}
 }
 
-// ByIP returns the member with an IP address, and whether there is one.
+// ByIP returns the member with the given IP address and whether it exists.
 func (l List) ByIP(ip string) (Member, bool) {
 	index := slices.IndexFunc(l.Members, func(m Member) bool { return m.IP == ip })
 	if index < 0 {
@@ -72,21 +74,21 @@
 	return l.Members[index], true
 }
 
-// Contains reports whether the process with an IP address and a disk is a member.
+// Contains reports whether there is a member with this IP address and this disk ID.
 func (l List) Contains(ip, id string) bool {
 	member, exists := l.ByIP(ip)
 	return exists && member.ID == id
 }
 
-// Majority returns how many members are a quorum: more than half, so that any two quorums of a list have a member in common.
+// Majority returns the size of a quorum: more than half of the members, so that any two quorums of a list intersect.
 func (l List) Majority() int { return len(l.Members)/2 + 1 }
 
-// HasQuorum reports whether those that acknowledged, disk IDs by IP address, include a quorum. An empty list has none.
+// HasQuorum reports whether acks, which maps IP addresses to disk IDs, includes a quorum. An empty list has no quorum.
 func (l List) HasQuorum(acks map[string]string) bool {
 	return len(l.Members) > 0 && l.QuorumMargin(acks) >= 0
 }
 
-// QuorumMargin returns by how many members those that acknowledged exceed a majority; below 0 they are no quorum.
+// QuorumMargin returns the number of members in acks (disk IDs by IP address) minus Majority. A negative margin means no quorum.
 func (l List) QuorumMargin(acks map[string]string) int {
 	count := 0
 	for ip, id := range acks {
@@ -97,8 +99,9 @@
 	return count - l.Majority()
 }
 
-// Change returns the list of the next epoch, with members that join and without those that leave (by IP address). One that joins
-// takes the place of a member with its IP address. Where nothing changes, or nobody would be left, it returns the same list.
+// Change returns the list of the next epoch with the members of joining added and those of leaving (IP addresses) removed. A joining
+// member replaces a member with the same IP address; leaving takes precedence over joining. Change returns the list unchanged if there
+// is nothing to change or if no members would remain.
 func (l List) Change(joining []Member, leaving []string) List {
 	next := List{
 		Epoch:             l.Epoch + 1,
@@ -126,19 +129,20 @@
 	return next
 }
 
-// isReplaced reports whether one that joins has a member's IP address and differs from it.
+// isReplaced reports whether a joining member has the member's IP address but differs from it.
 func isReplaced(member Member, joining []Member) bool {
 	return slices.ContainsFunc(joining, func(joined Member) bool { return joined.IP == member.IP && joined != member })
 }
 
-// excludedWithout returns the excluded members without those whose disks join.
+// excludedWithout returns the excluded members except those whose disk IDs are in joining.
 func (l List) excludedWithout(joining []Member) []Member {
 	return slices.DeleteFunc(slices.Clone(l.Excluded), func(excluded Member) bool {
 		return slices.ContainsFunc(joining, func(joined Member) bool { return joined.ID == excluded.ID })
 	})
 }
 
-// Exclude returns the list with members excluded that are removed, the last of them last.
+// Exclude returns the list with removed appended to its excluded members; members that were excluded already move to the end. The epoch
+// does not change.
 func (l List) Exclude(removed []Member) List {
 	excluded := slices.DeleteFunc(slices.Clone(l.Excluded), func(m Member) bool { return slices.Contains(removed, m) })
 	excluded = append(excluded, removed...)
@@ -146,12 +150,12 @@
 	return l
 }
 
-// Excludes reports whether a process with a disk is excluded.
+// Excludes reports whether the disk ID belongs to an excluded member.
 func (l List) Excludes(id string) bool {
 	return slices.ContainsFunc(l.Excluded, func(m Member) bool { return m.ID == id })
 }
 
-// WithRestored returns the list of the next epoch, which remembers a restore by its name.
+// WithRestored returns the list of the next epoch with the name of a restore added to RestoredSnapshots.
 func (l List) WithRestored(name string) List {
 	l.Epoch++
 	restored := append(slices.Clone(l.RestoredSnapshots), name)
@@ -159,7 +163,7 @@
 	return l
 }
 
-// Removable returns the IP addresses of those silent members that can be removed while their zones keep at least perZone members.
+// Removable returns the IP addresses of the silent members that can be removed such that their zones keep at least perZone members.
 func (l List) Removable(silent []string, perZone int) (removable []string) {
 	count := map[string]int{}
 	for _, member := range l.Members {
@@ -174,13 +178,13 @@
 	return removable
 }
 
-// Tolerates returns how many more members may be lost while those in down (by IP address) are lost already, below 0 if there is no
-// majority now; and the zones of which any one may be lost, in order.
+// Tolerates returns how many members can be lost in addition to those in down (IP addresses) without losing the majority; a negative
+// number means that there is no majority. It also returns, sorted, the zones of which any single one can be lost as a whole.
 func (l List) Tolerates(down []string) (members int, zones []string) {
 	up := 0
 	upInZone := map[string]int{}
 	for _, member := range l.Members {
-		upInZone[member.Zone] += 0 // a zone that is down can be lost too
+		upInZone[member.Zone] += 0 // include zones with no member up
 		if !slices.Contains(down, member.IP) {
 			up++
 			upInZone[member.Zone]++
--- a/internal/control/membership/list_test.go
+++ b/internal/control/membership/list_test.go
@@ -10,7 +10,7 @@
 	"portflow/internal/cluster/config"
 )
 
-// list returns a list of members written as "ip/id/zone ...".
+// newList parses members written as "ip/id/zone ...".
 func newList(epoch uint64, members string) (l List) {
 	l.Epoch = epoch
 	for _, m := range strings.Fields(members) {
@@ -34,20 +34,20 @@
 
 func TestChange(t *testing.T) {
 	for name, x := range map[string]struct{ old, joining, leaving, want string }{
-		"the first list":                  {"", "2/b/y 1/a/x", "", "1 1/a/x 2/b/y"},
-		"one more, in its place":          {"1/a/x 3/c/z", "2/b/y", "", "8 1/a/x 2/b/y 3/c/z"},
-		"there already":                   {"1/a/x 2/b/y", "2/b/y", "", "7 1/a/x 2/b/y"},
-		"nobody":                          {"1/a/x", "", "", "7 1/a/x"},
-		"a new disk under the same IP":    {"1/a/x 2/b/y", "2/e/y", "", "8 1/a/x 2/e/y"},
-		"the same disk in another zone":   {"1/a/x 2/b/y", "2/b/z", "", "8 1/a/x 2/b/z"},
-		"one for another":                 {"1/a/x 2/b/y 3/c/z", "4/d/z", "3", "8 1/a/x 2/b/y 4/d/z"},
-		"one goes":                        {"1/a/x 2/b/y 3/c/z", "", "2", "8 1/a/x 3/c/z"},
-		"one goes that isn't there":       {"1/a/x 2/b/y", "", "9", "7 1/a/x 2/b/y"},
-		"in and out at once":              {"1/a/x 2/b/y", "2/e/y", "2", "8 1/a/x"},
-		"nobody would be left":            {"1/a/x 2/b/y", "", "1 2", "7 1/a/x 2/b/y"},
-		"all but the one that comes":      {"1/a/x 2/b/y", "3/c/z", "1 2", "8 3/c/z"},
-		"the same one twice":              {"1/a/x", "2/b/y 2/b/y", "", "8 1/a/x 2/b/y"},
-		"two disks of one IP, first wins": {"1/a/x", "2/b/y 2/c/y", "", "8 1/a/x 2/b/y"},
+		"first list":                        {"", "2/b/y 1/a/x", "", "1 1/a/x 2/b/y"},
+		"added in sorted order":             {"1/a/x 3/c/z", "2/b/y", "", "8 1/a/x 2/b/y 3/c/z"},
+		"already a member":                  {"1/a/x 2/b/y", "2/b/y", "", "7 1/a/x 2/b/y"},
+		"nobody":                            {"1/a/x", "", "", "7 1/a/x"},
+		"same IP with a new disk":           {"1/a/x 2/b/y", "2/e/y", "", "8 1/a/x 2/e/y"},
+		"same disk in another zone":         {"1/a/x 2/b/y", "2/b/z", "", "8 1/a/x 2/b/z"},
+		"one added, one removed":            {"1/a/x 2/b/y 3/c/z", "4/d/z", "3", "8 1/a/x 2/b/y 4/d/z"},
+		"one removed":                       {"1/a/x 2/b/y 3/c/z", "", "2", "8 1/a/x 3/c/z"},
+		"removal of a non-member":           {"1/a/x 2/b/y", "", "9", "7 1/a/x 2/b/y"},
+		"same IP added and removed":         {"1/a/x 2/b/y", "2/e/y", "2", "8 1/a/x"},
+		"no members would remain":           {"1/a/x 2/b/y", "", "1 2", "7 1/a/x 2/b/y"},
+		"all replaced by one":               {"1/a/x 2/b/y", "3/c/z", "1 2", "8 3/c/z"},
+		"same member added twice":           {"1/a/x", "2/b/y 2/b/y", "", "8 1/a/x 2/b/y"},
+		"two disks with one IP: first wins": {"1/a/x", "2/b/y 2/c/y", "", "8 1/a/x 2/b/y"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -57,7 +57,7 @@
 			}
 			before := old.format()
 			c.Check(old.Change(newList(0, x.joining).Members, strings.Fields(x.leaving)).format(), qt.Equals, x.want)
-			c.Check(old.format(), qt.Equals, before, qt.Commentf("the old list is as it was"))
+			c.Check(old.format(), qt.Equals, before, qt.Commentf("Change modified its receiver"))
 		})
 	}
 }
@@ -69,16 +69,16 @@
 		perZone int
 		want    string
 	}{
-		"nobody is silent":                 {"", 1, ""},
-		"one of three":                     {"4", 2, "4"},
-		"two of three, one must stay":      {"4 5", 2, "4"},
-		"two of three":                     {"4 5", 1, "4 5"},
-		"all of a zone: one stays":         {"3 4 5", 1, "3 4"},
-		"the last of its zone stays":       {"6", 1, ""},
-		"as many as there are to be":       {"1", 2, ""},
-		"in two zones":                     {"1 3 4", 1, "1 3 4"},
-		"a silent one that is no member":   {"9", 1, ""},
-		"a zone with fewer than are to be": {"6", 3, ""},
+		"no silent members":              {"", 1, ""},
+		"one of three":                   {"4", 2, "4"},
+		"two of three, two must remain":  {"4 5", 2, "4"},
+		"two of three":                   {"4 5", 1, "4 5"},
+		"all of a zone, one must remain": {"3 4 5", 1, "3 4"},
+		"last member of its zone":        {"6", 1, ""},
+		"zone already at its minimum":    {"1", 2, ""},
+		"in two zones":                   {"1 3 4", 1, "1 3 4"},
+		"silent non-member":              {"9", 1, ""},
+		"zone below its minimum":         {"6", 3, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			qt.Check(t, strings.Join(newList(7, six).Removable(strings.Fields(x.silent), x.perZone), " "), qt.Equals, x.want)
@@ -92,17 +92,17 @@
 		losses        int
 		zones         string
 	}{
-		"none":                    {"", "", -1, ""},
-		"one":                     {"1/a/x", "", 0, ""},
-		"two":                     {"1/a/x 2/b/y", "", 0, ""},
-		"three zones":             {"1/a/x 2/b/y 3/c/z", "", 1, "x y z"},
-		"three zones, one down":   {"1/a/x 2/b/y 3/c/z", "2", 0, "y"},
-		"three zones, two down":   {"1/a/x 2/b/y 3/c/z", "2 3", -1, ""},
-		"a large zone":            {"1/a/x 2/b/x 3/c/x 4/d/y 5/e/z", "", 2, "y z"},
-		"four bear what three do": {"1/a/x 2/b/y 3/c/z 4/d/z", "", 1, "x y"},
-		"six in three zones":      {"1/a/x 2/b/x 3/c/y 4/d/y 5/e/z 6/f/z", "", 2, "x y z"},
-		"six, one down":           {"1/a/x 2/b/x 3/c/y 4/d/y 5/e/z 6/f/z", "1", 1, "x"},
-		"down, but no member":     {"1/a/x 2/b/y 3/c/z", "9", 1, "x y z"},
+		"none":                           {"", "", -1, ""},
+		"one":                            {"1/a/x", "", 0, ""},
+		"two":                            {"1/a/x 2/b/y", "", 0, ""},
+		"three zones":                    {"1/a/x 2/b/y 3/c/z", "", 1, "x y z"},
+		"three zones, one down":          {"1/a/x 2/b/y 3/c/z", "2", 0, "y"},
+		"three zones, two down":          {"1/a/x 2/b/y 3/c/z", "2 3", -1, ""},
+		"one large zone":                 {"1/a/x 2/b/x 3/c/x 4/d/y 5/e/z", "", 2, "y z"},
+		"four tolerate as much as three": {"1/a/x 2/b/y 3/c/z 4/d/z", "", 1, "x y"},
+		"six in three zones":             {"1/a/x 2/b/x 3/c/y 4/d/y 5/e/z 6/f/z", "", 2, "x y z"},
+		"six, one down":                  {"1/a/x 2/b/x 3/c/y 4/d/y 5/e/z 6/f/z", "1", 1, "x"},
+		"non-member down":                {"1/a/x 2/b/y 3/c/z", "9", 1, "x y z"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -113,22 +113,22 @@
 	}
 }
 
-// A quorum counts disks, not IP addresses.
+// Acknowledgements count toward a quorum by IP address and disk ID.
 func TestQuorum(t *testing.T) {
 	for name, x := range map[string]struct {
 		members, acks string
 		quorum        bool
 	}{
-		"nobody of none":              {"", "", false},
-		"somebody of none":            {"", "1/a/", false},
+		"empty list, no acks":         {"", "", false},
+		"empty list, one ack":         {"", "1/a/", false},
 		"one of one":                  {"1/a/x", "1/a/", true},
 		"one of two":                  {"1/a/x 2/b/y", "1/a/", false},
 		"two of three":                {"1/a/x 2/b/y 3/c/z", "1/a/ 3/c/", true},
 		"two of four":                 {"1/a/x 2/b/y 3/c/z 4/d/z", "1/a/ 3/c/", false},
-		"a wiped one doesn't count":   {"1/a/x 2/b/y 3/c/z", "1/a/ 3/e/", false},
-		"another disk's ID":           {"1/a/x 2/b/y 3/c/z", "1/a/ 2/c/", false},
-		"others don't count":          {"1/a/x 2/b/y 3/c/z", "1/a/ 4/d/ 5/e/ 6/f/", false},
-		"an ID that nobody has given": {"1//x 2/b/y 3/c/z", "1//", false},
+		"member with a wiped disk":    {"1/a/x 2/b/y 3/c/z", "1/a/ 3/e/", false},
+		"ID of another member's disk": {"1/a/x 2/b/y 3/c/z", "1/a/ 2/c/", false},
+		"non-members don't count":     {"1/a/x 2/b/y 3/c/z", "1/a/ 4/d/ 5/e/ 6/f/", false},
+		"member without a disk ID":    {"1//x 2/b/y 3/c/z", "1//", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			acks := map[string]string{}
@@ -140,7 +140,7 @@
 	}
 }
 
-// Two quorums of one list have a member in common, whatever the size.
+// Any two quorums of a list intersect, so no set of members and its complement are both quorums.
 func TestQuorumsIntersect(t *testing.T) {
 	for size := 1; size <= 9; size++ {
 		l := List{Epoch: 1}
@@ -157,13 +157,13 @@
 				}
 			}
 			if l.HasQuorum(acks) && l.HasQuorum(otherAcks) {
-				t.Fatalf("%d members: %v and %v are both more than half", size, acks, otherAcks)
+				t.Fatalf("%d members: disjoint sets %v and %v are both quorums", size, acks, otherAcks)
 			}
 		}
 	}
 }
 
-// A list is read back from its item alike; what isn't a list, or of another epoch than its item, is the zero List.
+// A list survives encoding as an item. An invalid body or an epoch other than the item's version yields the zero List.
 func TestItem(t *testing.T) {
 	c := qt.New(t)
 	l := newList(7, "1/a/x 2/b/y")
@@ -175,7 +175,7 @@
 	c.Check(s.Members(), qt.DeepEquals, map[string]string{"1": "x", "2": "y"})
 	s.Merge(l.Change(nil, []string{"1"}).Item())
 	c.Check(FromSet(s).format(), qt.Equals, "8 2/b/y")
-	c.Check(s.Merge(l.Item()), qt.IsFalse, qt.Commentf("an older epoch comes back"))
+	c.Check(s.Merge(l.Item()), qt.IsFalse, qt.Commentf("merge of an older epoch"))
 	i := l.Item()
 	i.Version = 8
 	c.Check(FromItem(i).Members, qt.HasLen, 0)
--- a/internal/control/membership/tolerance.go
+++ b/internal/control/membership/tolerance.go
@@ -1,18 +1,18 @@
 package membership
 
-// Tolerance follows over time how many losses the members tolerate, as one process sees them, and how long it took until a loss was
-// made up for. It reads no clock: times are those of a monotonic clock, in nanoseconds. The zero Tolerance is ready to use.
+// Tolerance tracks how many losses the members tolerate, as observed by one process, and how long it takes to recover from a loss. Times
+// are monotonic, in nanoseconds, and passed in by the caller. The zero Tolerance is ready to use.
 type Tolerance struct {
-	Baseline    int      // losses tolerated before the present loss; without one, those tolerated now
-	Current     int      // losses tolerated now; below 0 there is no majority
-	LostAt      int64    // when the present loss began, 0 for none
-	Lost        []string // IP addresses of the members lost in it
-	LastOutage  int64    // how long the last loss took until it was over
-	initialized bool     // a list with a majority was seen
+	Baseline    int      // losses tolerated before the ongoing loss, or at present if there is none
+	Current     int      // losses tolerated at present; negative without a majority
+	LostAt      int64    // start of the ongoing loss, 0 if there is none
+	Lost        []string // IP addresses of the members that are down during the ongoing loss
+	LastOutage  int64    // duration of the last loss that was recovered from, in nanoseconds
+	initialized bool     // a list with a majority has been observed
 }
 
-// Observe takes the present members, and the IP addresses of those that are down. It reports whether a loss has begun, or is over: the
-// members tolerate as many losses as before it, or none of them is down.
+// Observe records the current members and the IP addresses of those that are down. It reports whether a loss began or was recovered
+// from at this observation. A loss is over once the members tolerate as many losses as before it, or none of them is down.
 func (t *Tolerance) Observe(now int64, members List, down []string) (began, restored bool) {
 	t.Current, _ = members.Tolerates(down)
 	if !t.initialized && !t.initialize(members) {
@@ -37,8 +37,8 @@
 	return !lost && !tolerant, lost && tolerant
 }
 
-// initialize begins with the first list that has a majority, and reports whether this one has. The baseline is what the list tolerates
-// with all its members up.
+// initialize sets the baseline from the first list that has a majority, and reports whether this list has one. The baseline is the
+// number of losses that the list tolerates with all its members up.
 func (t *Tolerance) initialize(members List) bool {
 	t.initialized = t.Current >= 0 && len(members.Members) > 0
 	if t.initialized {
--- a/internal/control/membership/tolerance_test.go
+++ b/internal/control/membership/tolerance_test.go
@@ -27,27 +27,27 @@
 		lastOutage      int64
 	}
 	for name, observations := range map[string][]observation{
-		"lost and back":                 {{1, six, nil, false, false, 2, 0}, {5, six, one, true, false, 1, 0}, {9, six, one, false, false, 1, 0}, {12, six, nil, false, true, 2, 7}},
-		"lost and voted out":            {{1, six, nil, false, false, 2, 0}, {5, six, one, true, false, 1, 0}, {7, five, nil, false, true, 2, 2}},
-		"a second loss meanwhile":       {{1, six, nil, false, false, 2, 0}, {5, six, one, true, false, 1, 0}, {6, six, two, false, false, 0, 0}, {8, six, one, false, false, 1, 0}, {9, six, nil, false, true, 2, 4}},
-		"a new one in its place":        {{1, six, nil, false, false, 2, 0}, {5, six, one, true, false, 1, 0}, {8, seven, one, false, true, 2, 3}, {9, six, nil, false, false, 2, 3}},
-		"an odd one let go for good":    {{1, seven, nil, false, false, 3, 0}, {5, six, nil, false, false, 2, 0}, {6, six, one, true, false, 1, 0}, {9, six, nil, false, true, 2, 3}},
-		"it starts during a loss":       {{1, six, []string{"10.0.0.0", "10.0.0.1", "10.0.0.2", "10.0.0.3"}, false, false, -2, 0}, {2, six, one, true, false, 1, 0}, {4, six, nil, false, true, 2, 2}},
-		"no list yet":                   {{1, List{}, nil, false, false, -1, 0}, {2, six, nil, false, false, 2, 0}},
-		"a loss that an even one bears": {{1, seven, nil, false, false, 3, 0}, {2, seven, one, true, false, 2, 0}, {5, six, nil, false, true, 2, 3}},
+		"member lost and back":               {{1, six, nil, false, false, 2, 0}, {5, six, one, true, false, 1, 0}, {9, six, one, false, false, 1, 0}, {12, six, nil, false, true, 2, 7}},
+		"lost member removed":                {{1, six, nil, false, false, 2, 0}, {5, six, one, true, false, 1, 0}, {7, five, nil, false, true, 2, 2}},
+		"second loss during the first":       {{1, six, nil, false, false, 2, 0}, {5, six, one, true, false, 1, 0}, {6, six, two, false, false, 0, 0}, {8, six, one, false, false, 1, 0}, {9, six, nil, false, true, 2, 4}},
+		"replacement added":                  {{1, six, nil, false, false, 2, 0}, {5, six, one, true, false, 1, 0}, {8, seven, one, false, true, 2, 3}, {9, six, nil, false, false, 2, 3}},
+		"odd member removed for good":        {{1, seven, nil, false, false, 3, 0}, {5, six, nil, false, false, 2, 0}, {6, six, one, true, false, 1, 0}, {9, six, nil, false, true, 2, 3}},
+		"first observed during a loss":       {{1, six, []string{"10.0.0.0", "10.0.0.1", "10.0.0.2", "10.0.0.3"}, false, false, -2, 0}, {2, six, one, true, false, 1, 0}, {4, six, nil, false, true, 2, 2}},
+		"no list yet":                        {{1, List{}, nil, false, false, -1, 0}, {2, six, nil, false, false, 2, 0}},
+		"lost member of an odd list removed": {{1, seven, nil, false, false, 3, 0}, {2, seven, one, true, false, 2, 0}, {5, six, nil, false, true, 2, 3}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			var tolerance Tolerance
 			for n, x := range observations {
 				began, restored := tolerance.Observe(x.at, x.l, x.down)
-				c.Check([]any{began, restored, tolerance.Current, tolerance.LastOutage}, qt.DeepEquals, []any{x.began, x.restored, x.current, x.lastOutage}, qt.Commentf("look %d", n))
+				c.Check([]any{began, restored, tolerance.Current, tolerance.LastOutage}, qt.DeepEquals, []any{x.began, x.restored, x.current, x.lastOutage}, qt.Commentf("observation %d", n))
 			}
 		})
 	}
 }
 
-// Who is removed is excluded until it is added again, by its disk; beyond the bound the first is forgotten.
+// A removed member stays excluded until a member with its disk ID is added again. Beyond MaxExcluded entries the oldest is dropped.
 func TestExcluded(t *testing.T) {
 	c := qt.New(t)
 	l := listOfSize(3)
--- a/internal/control/membership/trace_test.go
+++ b/internal/control/membership/trace_test.go
@@ -9,8 +9,7 @@
 	"portflow/internal/testing/digest"
 )
 
-// Lists of members under random changes, what they tolerate, and the tolerance over time, are what they were. The order of the fields of
-// lists counts; names don't.
+// Pins the behaviour of lists and of Tolerance under random changes. The digests depend on the order of the struct fields, not on names.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 50, []string{"2211adb74ac4631a", "12fe61352c20af2b", "62de7e76daff1ee3"}, func(seed uint64, d *digest.Digest) {
 		rng := rand.New(rand.NewPCG(seed, 1))
