--- a/internal/control/membership/list.go
+++ b/internal/control/membership/list.go
@@ -36,7 +36,8 @@
 type List struct {
 	Epoch   uint64   `json:"e"`
 	Members []Member `json:"m"`
-	// Excluded holds members that an operator removed, oldest first. A process with one of these disks does not rejoin automatically.
+	// Excluded holds the members and learners that an operator removed or replaced, oldest first. A process with one of these disks
+	// does not rejoin automatically.
 	Excluded []Member `json:"h,omitempty"`
 	// RestoredSnapshots holds the names of the latest restores, oldest first, so that a delayed copy of one has no effect.
 	RestoredSnapshots []string `json:"r,omitempty"`
--- a/internal/control/operation/condition.go
+++ b/internal/control/operation/condition.go
@@ -5,7 +5,7 @@
 	"portflow/internal/cluster/config"
 )
 
-// conditionKey returns the key of the item that an operation changes, if its outcome depends on what that item is now.
+// conditionKey returns the key of the item that the operation changes, if the outcome depends on the current state of that item.
 func (o Operation) conditionKey() (key config.Key, depends bool) {
 	switch o.Kind {
 	case Evacuate:
@@ -16,15 +16,17 @@
 	return config.Key{}, false
 }
 
-// DependsOnState reports whether it depends on the present state that the operation is done already. It does not for a change of the
-// configuration, where a version has one content for ever, nor for a restore, whose name is kept.
+// DependsOnState reports whether the current state decides if the operation has been carried out already, as for evacuations and the
+// beginning of rollouts. It is false, for example, for a configuration change, where a version never changes its content, and for a
+// restore, whose name is remembered.
 func (o Operation) DependsOnState() bool {
 	_, depends := o.conditionKey()
 	return depends
 }
 
-// Bind returns the operation with the condition that the item it changes is as in s. Copies of it may then be sent to other processes:
-// none of them takes effect after a later operation on that item.
+// Bind returns the operation with the condition that the item it changes still has the version that it has in s. Copies may then be sent
+// to several processes: none takes effect once a later operation has changed the item. Operations that do not depend on the state are
+// returned unchanged.
 func Bind(s *config.Set, o Operation) Operation {
 	key, depends := o.conditionKey()
 	if !depends {
@@ -36,7 +38,7 @@
 	return o
 }
 
-// ifCurrent returns items, which the operation sets, or an error if it sets some and its condition does not hold any more.
+// checkCondition returns items, which the operation sets, or an error if there are any and the condition of the operation is no longer met.
 func (o Operation) checkCondition(s *config.Set, items []config.Item) ([]config.Item, error) {
 	if len(items) > 0 && o.isStale(s) {
 		return nil, apierror.New(apierror.Unavailable, "%s: it was changed since the order was handed over", o.Name)
@@ -44,7 +46,7 @@
 	return items, nil
 }
 
-// isStale reports whether the operation has a condition that does not hold.
+// isStale reports whether the operation has a condition that is not met.
 func (o Operation) isStale(s *config.Set) bool {
 	key, depends := o.conditionKey()
 	item, _ := s.Lookup(key)
--- a/internal/control/operation/conflict_test.go
+++ b/internal/control/operation/conflict_test.go
@@ -9,8 +9,8 @@
 	"portflow/internal/cluster/config"
 )
 
-// A change that was refused for one of its items never takes effect, in no part of it, however many versions of that item follow; one that
-// took effect is confirmed again.
+// A change that was rejected because of one item must never take effect, not even in part, however many versions of that item follow. A
+// change that took effect is confirmed when it is repeated.
 func TestRejectedChangeStaysRejected(t *testing.T) {
 	c := qt.New(t)
 	set := config.NewSet()
@@ -33,11 +33,11 @@
 	_, exists := set.Lookup(config.Key{Kind: config.KindRoutes, Name: "r3"})
 	c.Check(exists, qt.IsFalse, qt.Commentf("%v", err))
 	c.Check(apierror.KindOf(err), qt.Equals, apierror.Conflict)
-	c.Check(err, qt.ErrorMatches, `(?s).*r1: version 00000002 is older than the 8 before version 00000016, which stands as \{.*"a".*r3 of its call.*`)
+	c.Check(err, qt.ErrorMatches, `(?s).*r1: version 00000002 is older than the last 8 versions before the current version 00000016 \(\{.*"a".*r3 of the same change.*`)
 	c.Check(apply(accepted...), qt.IsNil)
-	c.Check(apply(rejected[:1]...), qt.IsNil, qt.Commentf("an older version alone changes nothing"))
+	c.Check(apply(rejected[:1]...), qt.IsNil, qt.Commentf("an older version on its own has no effect"))
 	c.Assert(apply(route("r3", 9, "desk", "d")), qt.IsNil)
-	c.Check(apply(rejected...), qt.IsNil, qt.Commentf("nor a call of which all is passed"))
+	c.Check(apply(rejected...), qt.IsNil, qt.Commentf("a change whose items are all outdated has no effect"))
 	current, _ := set.Lookup(config.Key{Kind: config.KindRoutes, Name: "r3"})
 	c.Check(current.Version, qt.Equals, uint64(9))
 }
--- a/internal/control/operation/members.go
+++ b/internal/control/operation/members.go
@@ -8,13 +8,14 @@
 	"portflow/internal/control/membership"
 )
 
-// ReplaceAllKey is the key of the marker item that begins a value which replaces the set, whatever the versions in it.
+// ReplaceAllKey is the key of the marker item. A value that starts with it replaces the whole set, regardless of the versions of its items.
 var ReplaceAllKey = config.Key{Kind: config.KindCore, Name: "whole"}
 
-// ReplacesAll reports whether a value begins with that marker.
+// ReplacesAll reports whether the value starts with the marker item of ReplaceAllKey.
 func ReplacesAll(value []config.Item) bool { return len(value) > 0 && value[0].Key() == ReplaceAllKey }
 
-// changeMembers adds and removes members, in a new epoch. A change is also that more of those removed are excluded.
+// changeMembers adds, removes and excludes members in a new epoch. Excluding one more member counts as a change even if the members stay
+// the same.
 func changeMembers(s *config.Set, o Operation) ([]config.Item, error) {
 	list := membership.FromSet(s)
 	if o.Expected != 0 && o.Expected != list.Epoch {
@@ -29,20 +30,20 @@
 	return []config.Item{next.Exclude(o.Exclude).Item()}, nil
 }
 
-// restoreSnapshot replaces the set by a snapshot, once for each name of a restore.
+// restoreSnapshot replaces the set with a snapshot, once per restore name.
 func restoreSnapshot(s *config.Set, o Operation) ([]config.Item, error) {
 	list := membership.FromSet(s)
 	if slices.Contains(list.RestoredSnapshots, o.Version) {
 		return nil, nil
 	}
 	if o.Expected != list.Epoch {
-		return nil, apierror.New(apierror.Unavailable, "the members or all that stands have changed since: epoch %d, not %d", list.Epoch, o.Expected)
+		return nil, apierror.New(apierror.Unavailable, "the members changed or a snapshot was restored in the meantime: the epoch is %d, not %d", list.Epoch, o.Expected)
 	}
 	return restoreValue(list.WithRestored(o.Version), o.Items), nil
 }
 
-// restoreValue returns the value that replaces the set by a snapshot. The members stay, in a new epoch, by which proxies accept lower
-// versions too.
+// restoreValue returns the value that replaces the set with a snapshot. The members are kept. The new epoch makes proxies accept lower
+// versions as well.
 func restoreValue(list membership.List, items []config.Item) []config.Item {
 	marker := config.Item{Kind: ReplaceAllKey.Kind, Name: ReplaceAllKey.Name, Version: list.Epoch}
 	value := []config.Item{marker, list.Item()}
--- a/internal/control/operation/modify.go
+++ b/internal/control/operation/modify.go
@@ -8,13 +8,13 @@
 	"portflow/internal/cluster/config"
 )
 
-// itemOverhead is how many bytes an item counts in a change beside its name and body.
+// itemOverhead is the number of bytes that each item adds to the size of a change besides its name and body.
 const itemOverhead = 64
 
-// modifyConfig makes a change of the configuration, all of it or none: a version of an item has one content for ever. Items that are
-// older than what the set has change nothing. An item that differs from a version that the set has or still knows is a
-// conflict, and so is a version older than those that are known if other items of the change are new: such a change may have
-// been refused for that version before, and must not take effect in part.
+// modifyConfig applies a change of the configuration as a whole or not at all. A version of an item never changes its content. Items older
+// than those in the set have no effect. An item that differs from the same version in the set or in its history is a conflict. A
+// version older than the history is a conflict if other items of the change are new: the change may have been rejected because
+// of that version before, and must not take effect in part.
 func modifyConfig(s *config.Set, change []config.Item) ([]config.Item, error) {
 	var unseen []config.Item
 	var forgotten *config.Item
@@ -22,7 +22,7 @@
 	for at, item := range change {
 		size += len(item.Body) + len(item.Name) + itemOverhead
 		if size > MaxChangeBytes {
-			return nil, apierror.New(apierror.BodyTooLarge, "the change has %d items; from %s %s on it is over %d bytes", len(change), item.Kind, item.Name, MaxChangeBytes)
+			return nil, apierror.New(apierror.BodyTooLarge, "change of %d items is too large: with %s %s it exceeds %d bytes", len(change), item.Kind, item.Name, MaxChangeBytes)
 		}
 		history, err := compareWithHistory(s, item)
 		if err != nil {
@@ -47,16 +47,17 @@
 	return updated, err
 }
 
-// versionHistory says what the set knows of a version of an item.
+// versionHistory is the result of looking up a version of an item in the set and its history.
 type versionHistory uint8
 
 const (
-	versionUnseen    versionHistory = iota // it was never set, as far as the set knows
-	versionSeen                            // it was set with the same content
-	versionForgotten                       // it is older than all versions that the set knows: it may have been set or refused
+	versionUnseen    versionHistory = iota // neither in the set nor in its history
+	versionSeen                            // set with the same content
+	versionForgotten                       // older than the history: may have been set or rejected
 )
 
-// compareWithHistory returns what the set knows of an item's version; a Conflict if that version was set with another content.
+// compareWithHistory looks up the item's version in the set and its history. It returns a Conflict if that version was set with different
+// content.
 func compareWithHistory(s *config.Set, item config.Item) (versionHistory, error) {
 	old, exists := s.Lookup(item.Key())
 	same := exists && old.Equal(item)
@@ -76,21 +77,21 @@
 	return versionUnseen, nil
 }
 
-// conflict returns the error for an item that differs from the one of the same version in the set; it names the field.
+// conflictError returns the error for an item whose version is in the set with different content. It names the first differing field.
 func conflictError(item, old config.Item) error {
 	return apierror.New(apierror.Conflict, "%s %s: %s: version %s stands as %s",
 		item.Kind, item.Name, DifferingField(item, old), config.FormatVersion(item.Version), describe(old))
 }
 
-// forgottenConflict returns the error for a change with a version that is older than those known, of which another item is new: if the
-// change had taken effect, that item would be in the set.
+// forgottenVersionError returns the error for a change that has a version older than the history, and another item that is new: if the
+// change had taken effect before, that item would be in the set.
 func forgottenVersionError(s *config.Set, forgotten, unseen config.Item) error {
 	old, _ := s.Lookup(forgotten.Key())
-	return apierror.New(apierror.Conflict, "%s %s: version %s is older than the %d before version %s, which stands as %s, and %s %s of its call was never taken: nothing of it is",
+	return apierror.New(apierror.Conflict, "%s %s: version %s is older than the last %d versions before the current version %s (%s), and %s %s of the same change was never applied: the whole change is rejected",
 		forgotten.Kind, forgotten.Name, config.FormatVersion(forgotten.Version), config.MaxHistory, config.FormatVersion(old.Version), describe(old), unseen.Kind, unseen.Name)
 }
 
-// describe returns the content of an item for an error.
+// describe returns the content of an item for use in an error message.
 func describe(item config.Item) string {
 	if item.Deleted {
 		return "dropped"
@@ -98,8 +99,8 @@
 	return string(item.Body)
 }
 
-// DifferingField returns the name of the first field, by name, in which two items differ: "dropped" if only one is deleted, empty if
-// none does.
+// DifferingField returns the first field, in the order of names, in which two items differ. It returns "dropped" if only one of them is
+// deleted, and "" if no field differs.
 func DifferingField(a, b config.Item) string {
 	if a.Deleted != b.Deleted {
 		return "dropped"
@@ -116,9 +117,9 @@
 	return first
 }
 
-// equalJSON reports whether two values that were decoded from JSON have the same encoding; a missing one is null.
+// equalJSON reports whether two values decoded from JSON have the same encoding. A missing value (nil) equals null.
 func equalJSON(a, b any) bool {
-	encodedA, _ := json.Marshal(a) // can't fail: it was decoded from JSON
+	encodedA, _ := json.Marshal(a) // can't fail: both were decoded from JSON
 	encodedB, _ := json.Marshal(b)
 	return bytes.Equal(encodedA, encodedB)
 }
--- a/internal/control/operation/operation_test.go
+++ b/internal/control/operation/operation_test.go
@@ -20,7 +20,7 @@
 	return config.Item{Kind: config.KindServices, Name: name, Version: version, Body: []byte(fmt.Sprintf(`{"health-path":"/","name":"%s"}`, name))}
 }
 
-// route returns a route on a host of its own; content makes rivals differ.
+// route returns a route with its own host name. Items of one version conflict if their content differs.
 func route(name string, version uint64, service, content string) config.Item {
 	return config.Item{Kind: config.KindRoutes, Name: name, Version: version, Body: []byte(fmt.Sprintf(
 		`{"home-regions":["%s"],"host-name":"%s.example","name":"%s","path-prefix":"/","route-kind":"safe_method","service":"%s","timeout-s":1}`, content, name, name, service))}
@@ -32,12 +32,12 @@
 
 func modifyOp(items ...config.Item) Operation { return Operation{Kind: ModifyConfig, Items: items} }
 
-// beginOp returns a BeginRollout submitted where the first rollout is known, which began at 100 s; the wall clock there is wrong.
+// beginOp returns a BeginRollout submitted at now, by a process that has known rollout 1 since 100 s; its clock is not agreed.
 func beginOp(target string, now int64) Operation {
 	return Operation{Kind: BeginRollout, Name: "desk", TargetVersion: target, Duration: 10 * second, RetryWindow: 5 * second, SubmittedAt: now, KnownRollout: 1, KnownRolloutAge: now - 100*second}
 }
 
-// beginCopyOp returns a BeginRollout submitted where a rollout has been known for so long.
+// beginCopyOp returns a BeginRollout submitted by a process that has known the rollout with number known for age.
 func beginCopyOp(target string, known uint64, age int64) Operation {
 	return Operation{Kind: BeginRollout, Name: "desk", TargetVersion: target, Duration: 10 * second, RetryWindow: 5 * second, KnownRollout: known, KnownRolloutAge: age}
 }
@@ -60,13 +60,13 @@
 	return o
 }
 
-// conditionalOp is an operation with the condition of the state before a step.
+// conditionalOp is an operation that is bound to the state before a step.
 type conditionalOp struct {
 	Operation
-	stepsBefore int // how many steps came before
+	stepsBefore int // number of steps applied before
 }
 
-// Operations are applied one after the other; each step says how many items it sets, or the kind of error and a part of its text.
+// Applies operations in sequence. Each step states the number of items set, or the kind of error and a pattern of its text.
 func TestOperations(t *testing.T) {
 	base := modifyOp(service("desk", 1), service("bags", 1))
 	r1, r2 := route("r1", 2, "desk", "a"), route("r2", 2, "desk", "a")
@@ -77,66 +77,66 @@
 		wantError string
 	}
 	for name, steps := range map[string][]step{
-		"taken, and again": {
+		"applied, then repeated": {
 			{modifyOp(r1, r2), 2, apierror.None, ""},
 			{modifyOp(r1, r2), 0, apierror.None, ""},
 			{modifyOp(r2), 0, apierror.None, ""},
 		},
-		"a late copy after later versions": {
+		"late copy after later versions": {
 			{modifyOp(r1), 1, apierror.None, ""},
 			{modifyOp(route("r1", 3, "bags", "b")), 1, apierror.None, ""},
 			{modifyOp(tombstone(config.KindRoutes, "r1", 4)), 1, apierror.None, ""},
 			{modifyOp(r1), 0, apierror.None, ""},
 			{modifyOp(route("r1", 3, "bags", "b")), 0, apierror.None, ""},
 		},
-		"a rival of what stands": {
+		"conflict with the current version": {
 			{modifyOp(r1), 1, apierror.None, ""},
 			{modifyOp(route("r1", 2, "desk", "b")), 0, apierror.Conflict, "routes r1: home-regions: version 00000002 stands as .*\"a\""},
 			{modifyOp(route("r1", 2, "bags", "a")), 0, apierror.Conflict, "r1: service: version"},
 			{modifyOp(tombstone(config.KindRoutes, "r1", 2)), 0, apierror.Conflict, "r1: dropped: version"},
 		},
-		"a rival of a drop": {
+		"conflict with a deletion": {
 			{modifyOp(r1), 1, apierror.None, ""},
 			{modifyOp(tombstone(config.KindRoutes, "r1", 3)), 1, apierror.None, ""},
 			{modifyOp(tombstone(config.KindRoutes, "r1", 3)), 0, apierror.None, ""},
 			{modifyOp(route("r1", 3, "desk", "b")), 0, apierror.Conflict, "r1: dropped: version 00000003 stands as dropped"},
 		},
-		"a rival with other items is refused with all of them": {
+		"one conflicting item rejects the whole change": {
 			{modifyOp(r1), 1, apierror.None, ""},
 			{modifyOp(r2, route("r1", 2, "desk", "b")), 0, apierror.Conflict, "routes r1"},
 			{modifyOp(r2), 1, apierror.None, ""},
 		},
-		"a rival stays refused once a later version stands": {
+		"rejected change stays rejected after a later version": {
 			{modifyOp(r1), 1, apierror.None, ""},
 			{modifyOp(r2, route("r1", 2, "desk", "b")), 0, apierror.Conflict, "routes r1"},
 			{modifyOp(route("r1", 3, "desk", "c")), 1, apierror.None, ""},
 			{modifyOp(r2, route("r1", 2, "desk", "b")), 0, apierror.Conflict, "r1: version 00000002 was taken with another content; version 00000003 stands"},
 			{modifyOp(r2, r1), 1, apierror.None, ""},
 		},
-		"what is behind and was never taken changes nothing, and the rest is taken": {
+		"outdated item that was never set is skipped, the rest is set": {
 			{modifyOp(route("r1", 5, "desk", "a")), 1, apierror.None, ""},
 			{modifyOp(route("r1", 3, "desk", "z"), r2), 1, apierror.None, ""},
 			{modifyOp(route("r1", 5, "desk", "a")), 0, apierror.None, ""},
 		},
-		"an unknown service": {
+		"unknown service": {
 			{modifyOp(route("r1", 2, "nowhere", "a"), r2), 0, apierror.Invalid, "route r1: service:? nowhere does not stand"},
 			{modifyOp(r2), 1, apierror.None, ""},
 		},
-		"a service in the same call": {
+		"service in the same change": {
 			{modifyOp(route("r1", 2, "gate", "a"), service("gate", 2)), 2, apierror.None, ""},
 			{modifyOp(route("r1", 2, "gate", "a"), service("gate", 2)), 0, apierror.None, ""},
 		},
-		"behind, with a service that was dropped since": {
+		"outdated route to a service deleted since": {
 			{modifyOp(route("r1", 2, "bags", "a")), 1, apierror.None, ""},
 			{modifyOp(route("r1", 3, "desk", "b"), tombstone(config.KindServices, "bags", 3)), 2, apierror.None, ""},
 			{modifyOp(route("r1", 2, "bags", "a")), 0, apierror.None, ""},
 			{modifyOp(route("r1", 4, "bags", "c")), 0, apierror.Invalid, "service bags does not stand|service: bags does not stand"},
 		},
-		"the place of another route": {
+		"same host and path prefix as another route": {
 			{modifyOp(r1), 1, apierror.None, ""},
 			{modifyOp(config.Item{Kind: config.KindRoutes, Name: "r3", Version: 2, Body: []byte(strings.Replace(string(r1.Body), `"name":"r1"`, `"name":"r3"`, 1))}), 0, apierror.Invalid, "r[13]"},
 		},
-		"an evacuation": {
+		"evacuation begun and withdrawn": {
 			{evacuateOp(false), 0, apierror.None, ""},
 			{evacuateOp(true), 1, apierror.None, ""},
 			{evacuateOp(true), 0, apierror.None, ""},
@@ -144,96 +144,96 @@
 			{evacuateOp(false), 0, apierror.None, ""},
 			{evacuateOp(true), 1, apierror.None, ""},
 		},
-		"an evacuation handed over, and withdrawn meanwhile": {
+		"conditional evacuation, withdrawn in the meantime": {
 			{evacuateOp(true), 1, apierror.None, ""},
 			{evacuateOp(false), 1, apierror.None, ""},
 			{conditionalOp{evacuateOp(true), 0}, 0, apierror.Unavailable, "changed since"},
 			{conditionalOp{evacuateOp(false), 0}, 0, apierror.None, ""},
 			{conditionalOp{evacuateOp(true), 2}, 1, apierror.None, ""},
 		},
-		"a begin, and again": {
+		"begin repeated": {
 			{beginOp("v2", 100*second), 1, apierror.None, ""},
 			{beginOp("v2", 100*second), 0, apierror.None, ""},
 			{beginOp("v2", 105*second), 0, apierror.None, ""},
 			{endOp(1, rollout.Completed), 1, apierror.None, ""},
 			{completeSwitchOp(1), 1, apierror.None, ""},
-			{beginOp("v2", 114*second), 0, apierror.None, ""}, // a late copy
-			{beginOp("v2", 115*second), 1, apierror.None, ""}, // anew
+			{beginOp("v2", 114*second), 0, apierror.None, ""}, // late copy
+			{beginOp("v2", 115*second), 1, apierror.None, ""}, // new rollout
 		},
-		"a begin to another target": {
+		"begin with another target": {
 			{beginOp("v2", 100*second), 1, apierror.None, ""},
 			{beginOp("v3", 101*second), 0, apierror.InProgress, "desk is being moved to v2"},
 			{endOp(1, rollout.RolledBack), 1, apierror.None, ""},
 			{beginOp("v3", 102*second), 1, apierror.None, ""},
 		},
-		"a begin of another term once the first has ended": {
+		"begin with another duration after the first rollout ended": {
 			{beginOp("v2", 100*second), 1, apierror.None, ""},
 			{endOp(1, rollout.RolledBack), 1, apierror.None, ""},
 			{Operation{Kind: BeginRollout, Name: "desk", TargetVersion: "v2", Duration: 20 * second, RetryWindow: 5 * second, SubmittedAt: 101 * second, KnownRollout: 1, KnownRolloutAge: second}, 1, apierror.None, ""},
 		},
-		"a copy of a begin, by clocks of day an hour apart": {
+		"copy of a begin, submitters' wall clocks an hour apart": {
 			{beginOp("v2", 100*second), 1, apierror.None, ""},
 			{endOp(1, rollout.RolledBack), 1, apierror.None, ""},
 			{Operation{Kind: BeginRollout, Name: "desk", TargetVersion: "v2", Duration: 10 * second, RetryWindow: 5 * second, SubmittedAt: 3700 * second, KnownRollout: 1, KnownRolloutAge: 14 * second}, 0, apierror.None, ""},
-			{Operation{Kind: BeginRollout, Name: "desk", TargetVersion: "v2", Duration: 10 * second, RetryWindow: 5 * second, SubmittedAt: 1, KnownRollout: 1, KnownRolloutAge: 15 * second}, 1, apierror.None, ""}, // anew
+			{Operation{Kind: BeginRollout, Name: "desk", TargetVersion: "v2", Duration: 10 * second, RetryWindow: 5 * second, SubmittedAt: 1, KnownRollout: 1, KnownRolloutAge: 15 * second}, 1, apierror.None, ""}, // new rollout
 		},
-		"a copy of a begin, at one who doesn't know of it yet": {
+		"copy of a begin, submitter doesn't know the rollout yet": {
 			{beginOp("v2", 100*second), 1, apierror.None, ""},
 			{endOp(1, rollout.RolledBack), 1, apierror.None, ""},
 			{Operation{Kind: BeginRollout, Name: "desk", TargetVersion: "v2", Duration: 10 * second, RetryWindow: 5 * second, SubmittedAt: 200 * second, KnownRollout: 0, KnownRolloutAge: 99 * second}, 0, apierror.None, ""},
 		},
-		"completed, and still switching": {
+		"completed but still switching": {
 			{completeSwitchOp(1), 0, apierror.None, ""},
 			{beginOp("v2", 100*second), 1, apierror.None, ""},
-			{completeSwitchOp(1), 0, apierror.None, ""}, // it runs
+			{completeSwitchOp(1), 0, apierror.None, ""}, // still running
 			{endOp(1, rollout.Completed), 1, apierror.None, ""},
-			{beginOp("v2", 200*second), 0, apierror.None, ""}, // for operators it runs still
+			{beginOp("v2", 200*second), 0, apierror.None, ""}, // still running for operators
 			{beginOp("v3", 200*second), 0, apierror.InProgress, "desk is being moved to v2"},
-			{endOp(1, rollout.Completed), 0, apierror.None, ""}, // a copy of the end tells nothing
+			{endOp(1, rollout.Completed), 0, apierror.None, ""}, // a copy of the end does not complete the switch
 			{endOp(1, rollout.RolledBack), 0, apierror.None, ""},
 			{completeSwitchOp(2), 0, apierror.None, ""},
 			{completeSwitchOp(1), 1, apierror.None, ""},
 			{completeSwitchOp(1), 0, apierror.None, ""},
 			{beginOp("v3", 200*second), 1, apierror.None, ""},
-			{completeSwitchOp(1), 0, apierror.None, ""}, // of one that is over
+			{completeSwitchOp(1), 0, apierror.None, ""}, // rollout 1 is over
 			{completeSwitchOp(2), 0, apierror.None, ""},
 		},
-		"rolled back needs no switch": {
+		"no switch after a rollback": {
 			{beginOp("v2", 100*second), 1, apierror.None, ""},
 			{endOp(1, rollout.RolledBack), 1, apierror.None, ""},
 			{completeSwitchOp(1), 0, apierror.None, ""},
 		},
-		"a copy of a begin, while the next one runs, and once that has ended": {
+		"copy of a begin during and after the next rollout": {
 			{beginOp("v2", 100*second), 1, apierror.None, ""},
 			{endOp(1, rollout.RolledBack), 1, apierror.None, ""},
 			{beginOp("v3", 101*second), 1, apierror.None, ""},
-			{beginCopyOp("v2", 2, 2*second), 0, apierror.None, ""},  // it was taken: confirmed, and not begun once more
-			{beginCopyOp("v2", 1, 99*second), 0, apierror.None, ""}, // by one who doesn't know the next one yet
+			{beginCopyOp("v2", 2, 2*second), 0, apierror.None, ""},  // already applied: confirmed, not begun again
+			{beginCopyOp("v2", 1, 99*second), 0, apierror.None, ""}, // submitter doesn't know the next rollout yet
 			{beginCopyOp("v4", 2, 2*second), 0, apierror.InProgress, "desk is being moved to v3"},
-			{Operation{Kind: BeginRollout, Name: "desk", TargetVersion: "v2", Duration: 20 * second, RetryWindow: 5 * second, KnownRollout: 2, KnownRolloutAge: 2 * second}, 0, apierror.InProgress, "v3"}, // of another term
-			{beginCopyOp("v2", 2, 5*second), 0, apierror.InProgress, "desk is being moved to v3"},                                                                                                          // nobody sends it again so late
+			{Operation{Kind: BeginRollout, Name: "desk", TargetVersion: "v2", Duration: 20 * second, RetryWindow: 5 * second, KnownRollout: 2, KnownRolloutAge: 2 * second}, 0, apierror.InProgress, "v3"}, // another duration
+			{beginCopyOp("v2", 2, 5*second), 0, apierror.InProgress, "desk is being moved to v3"},                                                                                                          // too late to be a retry
 			{endOp(2, rollout.RolledBack), 1, apierror.None, ""},
 			{beginCopyOp("v2", 2, 4*second), 0, apierror.None, ""},
 			{beginCopyOp("v3", 2, 14*second), 0, apierror.None, ""},
-			{beginCopyOp("v2", 2, 5*second), 1, apierror.None, ""}, // anew
+			{beginCopyOp("v2", 2, 5*second), 1, apierror.None, ""}, // new rollout
 			{beginCopyOp("v3", 3, second), 0, apierror.None, ""},
 		},
-		"a begin handed over, and another since": {
+		"conditional begin, another rollout since": {
 			{beginOp("v2", 100*second), 1, apierror.None, ""},
 			{endOp(1, rollout.Completed), 1, apierror.None, ""},
 			{completeSwitchOp(1), 1, apierror.None, ""},
 			{conditionalOp{beginOp("v3", 100*second), 0}, 0, apierror.Unavailable, "changed since"},
 			{conditionalOp{beginOp("v2", 100*second), 0}, 0, apierror.None, ""},
 		},
-		"a begin of what doesn't stand": {
+		"begin for an unknown service": {
 			{Operation{Kind: BeginRollout, Name: "nowhere", TargetVersion: "v2"}, 0, apierror.Invalid, "service: nowhere does not stand"},
 		},
-		"a begin of what was dropped": {
+		"begin for a deleted service": {
 			{modifyOp(tombstone(config.KindServices, "desk", 4)), 1, apierror.None, ""},
 			{beginOp("v2", 100*second), 0, apierror.Invalid, "service: desk does not stand"},
 		},
-		"an end, twice, and the wrong ones": {
-			{endOp(1, rollout.Completed), 0, apierror.None, ""}, // none runs
+		"end repeated, and invalid ends": {
+			{endOp(1, rollout.Completed), 0, apierror.None, ""}, // none running
 			{beginOp("v2", 100*second), 1, apierror.None, ""},
 			{endOp(2, rollout.Completed), 0, apierror.None, ""},
 			{endOp(0, rollout.Completed), 0, apierror.None, ""},
@@ -241,13 +241,13 @@
 			{endOp(1, rollout.Running), 0, apierror.None, ""},
 			{endOp(1, rollout.RolledBack+1), 0, apierror.None, ""},
 			{endOp(1, rollout.RolledBack), 1, apierror.None, ""},
-			{endOp(1, rollout.Completed), 0, apierror.None, ""}, // it is decided once
+			{endOp(1, rollout.Completed), 0, apierror.None, ""}, // already ended
 			{endOp(1, rollout.RolledBack), 0, apierror.None, ""},
 		},
-		"a first version": {
+		"initial version": {
 			{Operation{Kind: SetInitialVersion, Name: "desk", Version: "v1"}, 1, apierror.None, ""},
 			{Operation{Kind: SetInitialVersion, Name: "desk", Version: "v1"}, 0, apierror.None, ""},
-			{Operation{Kind: SetInitialVersion, Name: "desk", Version: "v9"}, 0, apierror.None, ""}, // the first holds
+			{Operation{Kind: SetInitialVersion, Name: "desk", Version: "v9"}, 0, apierror.None, ""}, // keeps the first
 		},
 		"members": {
 			{changeMembersOp(0, "1 2 3"), 1, apierror.None, ""},
@@ -255,10 +255,10 @@
 			{changeMembersOp(1, "4", "3"), 1, apierror.None, ""},
 			{changeMembersOp(1, "5"), 0, apierror.Unavailable, "epoch 2, not 1"},
 			{changeMembersOp(2, "", "9"), 0, apierror.None, ""},
-			{changeMembersOp(2, "", "1", "2", "4"), 0, apierror.None, ""}, // nobody would be left
+			{changeMembersOp(2, "", "1", "2", "4"), 0, apierror.None, ""}, // no members would remain
 			{changeMembersOp(0, "5"), 1, apierror.None, ""},
 		},
-		"no such order": {
+		"unknown operation kind": {
 			{Operation{Kind: "sink"}, 0, apierror.Malformed, "sink"},
 			{Operation{}, 0, apierror.Malformed, ""},
 		},
@@ -270,7 +270,7 @@
 			do := func(o Operation) ([]config.Item, error) {
 				before := set.Checksum()
 				items, err := Apply(set, o)
-				c.Assert(set.Checksum(), qt.Equals, before, qt.Commentf("the set is not touched"))
+				c.Assert(set.Checksum(), qt.Equals, before, qt.Commentf("Apply modified the set"))
 				return items, err
 			}
 			items, err := do(base)
@@ -291,10 +291,10 @@
 				}
 				c.Check(items, qt.HasLen, x.sets, qt.Commentf("step %d: %v", n, items))
 				for _, i := range items {
-					c.Check(set.Merge(i), qt.IsTrue, qt.Commentf("step %d: %v isn't newer than what stands", n, i))
+					c.Check(set.Merge(i), qt.IsTrue, qt.Commentf("step %d: %v is not newer than the item in the set", n, i))
 				}
 				again, err := do(o)
-				if x.wantKind == apierror.None && o.Expected == 0 { // it stands
+				if x.wantKind == apierror.None && o.Expected == 0 { // applied, so a repetition has no effect
 					c.Check(err, qt.IsNil)
 					c.Check(again, qt.HasLen, 0, qt.Commentf("step %d, again: %v", n, again))
 				}
@@ -303,8 +303,8 @@
 	}
 }
 
-// A restored snapshot replaces all but the members, also where it is older, in a new epoch; a copy of the operation changes nothing, whatever
-// was confirmed since.
+// A restore replaces everything except the members, in a new epoch, even with older versions. A copy of the operation has no effect,
+// whatever was confirmed since.
 func TestRestore(t *testing.T) {
 	c := qt.New(t)
 	set := config.NewSet()
@@ -335,16 +335,16 @@
 	c.Check(exists, qt.IsFalse)
 	c.Check(set.Len(), qt.Equals, 4)
 	c.Check(do(snapshot), qt.HasLen, 0, qt.Commentf("again"))
-	c.Check(do(modifyOp(route("r2", 4, "desk", "b"))), qt.HasLen, 1, qt.Commentf("a version lower than what stood before"))
-	// a copy of the operation that was in flight changes nothing that was confirmed since
+	c.Check(do(modifyOp(route("r2", 4, "desk", "b"))), qt.HasLen, 1, qt.Commentf("a lower version than before the restore"))
+	// A delayed copy of the operation must not undo what was confirmed since.
 	c.Check(do(snapshot), qt.HasLen, 0, qt.Commentf("a late copy"))
 	snapshot.Expected = 2
-	c.Check(do(snapshot), qt.HasLen, 0, qt.Commentf("a late copy of a later try"))
+	c.Check(do(snapshot), qt.HasLen, 0, qt.Commentf("a late copy of a later attempt"))
 	do(changeMembersOp(2, "3"))
-	c.Check(do(snapshot), qt.HasLen, 0, qt.Commentf("after a change of members"))
+	c.Check(do(snapshot), qt.HasLen, 0, qt.Commentf("a late copy after a membership change"))
 	item, _ := set.Lookup(config.Key{Kind: config.KindRoutes, Name: "r2"})
 	c.Check(item.Version, qt.Equals, uint64(4))
-	// restoring the same snapshot again is another operation; it fails if it expects an older epoch
+	// Restoring the same snapshot again is a different operation. It fails if it expects an older epoch.
 	snapshot.Version = "second"
 	_, err := Apply(set, snapshot)
 	c.Check(apierror.KindOf(err), qt.Equals, apierror.Unavailable)
@@ -360,7 +360,7 @@
 	c.Check(ReplacesAll(nil), qt.IsFalse)
 }
 
-// A rollout's number is one more than the last, it begins from the stable version, and its end has the same number.
+// A rollout starts from the stable version with the next number, and keeps that number when it ends.
 func TestRollouts(t *testing.T) {
 	c := qt.New(t)
 	set := config.NewSet()
@@ -391,7 +391,7 @@
 	}
 }
 
-// pastRollout returns the digests of rollouts of the usual duration, the newest first.
+// pastDigests returns the digests of rollouts to the targets with a duration of 10 s, newest first.
 func pastDigests(targets ...string) (all [rollout.MaxPastDigests]uint64) {
 	for n, x := range targets {
 		all[n] = rollout.Digest(x, 10*second)
@@ -399,7 +399,7 @@
 	return all
 }
 
-// A rollout knows the digests of those before it, as many as are kept, also when it is read from its item.
+// A rollout has the digests of the rollouts before it, up to MaxPastDigests, also after decoding from its item.
 func TestPastDigests(t *testing.T) {
 	c := qt.New(t)
 	r := rollout.Rollout{Service: "desk"}
@@ -413,10 +413,10 @@
 	}
 	c.Check(rollout.Digest("v1", 1) != rollout.Digest("v1", 2), qt.IsTrue)
 	c.Check(rollout.Digest("1 v", 2) != rollout.Digest("v", 21), qt.IsTrue)
-	c.Check(string(rollout.Rollout{Number: 1, State: rollout.Running}.Item().Body), qt.Not(qt.Contains), "past") // as before where there is none
+	c.Check(string(rollout.Rollout{Number: 1, State: rollout.Running}.Item().Body), qt.Not(qt.Contains), "past") // omitted if empty
 }
 
-// DifferingField returns the first field by name.
+// DifferingField returns the first differing field in the order of names, whichever item comes first.
 func TestDifferingField(t *testing.T) {
 	a := config.Item{Body: []byte(`{"b":1,"c":[1,2]}`)}
 	for body, field := range map[string]string{`{"b":1,"c":[1,2]}`: "", `{"b":2,"c":[1]}`: "b", `{"b":1,"c":[2,1]}`: "c", `{"b":1}`: "c", `{"a":0,"b":2,"c":[1,2]}`: "a", `{}`: "b"} {
@@ -426,7 +426,8 @@
 	qt.Check(t, DifferingField(a, config.Item{Deleted: true}), qt.Equals, "dropped")
 }
 
-// What an operation sets fits a frame as it is encoded, with the history of its items; a restore that doesn't is refused with the sizes.
+// The encoded items of an operation, with their history, must fit a frame. A restore that doesn't fit is rejected with both sizes, and
+// EncodedSizeBound is an upper bound of the encoding.
 func TestValueFitsAFrame(t *testing.T) {
 	c := qt.New(t)
 	set := config.NewSet()
@@ -438,10 +439,10 @@
 	c.Check(err, qt.IsNil)
 	_, err = Apply(set, Operation{Kind: RestoreSnapshot, Items: restored, Version: "two"})
 	c.Check(apierror.KindOf(err), qt.Equals, apierror.BodyTooLarge)
-	c.Check(err, qt.ErrorMatches, "(?s).*restore , 3 items: 220[0-9]{5} bytes, of at most 20971520 .*")
+	c.Check(err, qt.ErrorMatches, "(?s).*restore , 3 items: value of up to 220[0-9]{5} bytes exceeds the limit of 20971520 bytes .*")
 
 	var items []config.Item
-	for n := range 400 { // of nine versions each, with the longest numbers
+	for n := range 400 { // each with a full history and large version numbers
 		i := config.Item{Kind: config.KindRoutes, Name: fmt.Sprint("route-", n), Version: 1 << 62, Body: []byte(`{}`)}
 		for v := range uint64(9) {
 			old := i
@@ -452,6 +453,6 @@
 	}
 	raw, err := json.Marshal(items)
 	c.Assert(err, qt.IsNil)
-	c.Check(len(raw) <= config.EncodedSizeBound(items), qt.IsTrue, qt.Commentf("%d, bounded by %d", len(raw), config.EncodedSizeBound(items)))
-	c.Check(len(raw) > config.EncodedSizeBound(items)*3/4, qt.IsTrue, qt.Commentf("%d, bounded by %d", len(raw), config.EncodedSizeBound(items)))
+	c.Check(len(raw) <= config.EncodedSizeBound(items), qt.IsTrue, qt.Commentf("encoded in %d bytes, bound %d", len(raw), config.EncodedSizeBound(items)))
+	c.Check(len(raw) > config.EncodedSizeBound(items)*3/4, qt.IsTrue, qt.Commentf("encoded in %d bytes, bound %d", len(raw), config.EncodedSizeBound(items)))
 }
--- a/internal/control/operation/rollout.go
+++ b/internal/control/operation/rollout.go
@@ -21,13 +21,13 @@
 	return []config.Item{{Kind: key.Kind, Name: key.Name, Version: old.Version + 1, Body: body}}
 }
 
-// currentRollout returns the newest rollout of a service, the zero Rollout if there was none.
+// currentRollout returns the newest rollout of a service, running or ended, or the zero Rollout if there was none.
 func currentRollout(s *config.Set, service string) rollout.Rollout {
 	item, _ := s.Lookup(config.Key{Kind: config.KindRollouts, Name: service})
 	return rollout.FromItem(item)
 }
 
-// beginRollout begins a rollout, unless the operation is a late copy of one that began before.
+// beginRollout begins a rollout. It has no effect if one to the same version is running, or if the operation is a late copy.
 func beginRollout(s *config.Set, o Operation) ([]config.Item, error) {
 	current := currentRollout(s, o.Name)
 	running := current.VisibleState() == rollout.Running
@@ -52,9 +52,9 @@
 	return []config.Item{next.Item()}, nil
 }
 
-// isLateCopy reports whether the operation is a copy of one that began the current rollout, which has ended, or one before it. A client
-// repeats an operation for RetryWindow after the rollout's duration at most. A process that does not know the current rollout yet
-// has submitted the operation before it.
+// isLateCopy reports whether the operation is a copy of one that began an earlier rollout, or the current one if that has ended. Clients
+// retry an operation until RetryWindow after the rollout's duration at the latest. A submitter that did not know the current rollout
+// submitted the operation before that rollout began.
 func (o Operation) isLateCopy(current rollout.Rollout) bool {
 	submittedBefore := current.Number != o.KnownRollout
 	ended := current.State > rollout.Running
@@ -63,12 +63,12 @@
 			return true
 		}
 	}
-	// a copy of an earlier one was first sent before the current rollout began, so RetryWindow counts from there
+	// The operation of an earlier rollout was first submitted before the current rollout began, so RetryWindow counts from there.
 	began := slices.Contains(current.PastDigests[:], rollout.Digest(o.TargetVersion, o.Duration))
 	return began && (submittedBefore || o.KnownRolloutAge < o.RetryWindow)
 }
 
-// endRollout ends the rollout with the expected number, once.
+// endRollout ends the rollout with the expected number. It has no effect if that rollout is not running.
 func endRollout(s *config.Set, o Operation) []config.Item {
 	current := currentRollout(s, o.Name)
 	validOutcome := o.Outcome == rollout.Completed || o.Outcome == rollout.RolledBack
--- a/internal/control/operation/trace_test.go
+++ b/internal/control/operation/trace_test.go
@@ -12,7 +12,7 @@
 	"portflow/internal/testing/digest"
 )
 
-// randomOperation returns an operation on one of few names, so that many concern the same.
+// randomOperation returns an operation on one of a few names, so that many operations affect the same item.
 func randomOperation(rng *rand.Rand, set *config.Set, now int64) Operation {
 	rolloutItem, _ := set.Lookup(config.Key{Kind: config.KindRollouts, Name: "desk"})
 	newest := rollout.FromItem(rolloutItem)
@@ -58,8 +58,8 @@
 		Items: []config.Item{service("desk", 1), route("r0", 2, "desk", "a")}}
 }
 
-// What random operations make of a set, also when they are conditional and repeated, is what it was. The order of the fields of items and
-// the numbers of kinds of errors count; names don't, but the texts of errors do.
+// Pins the effect of random operations on a set, some of them conditional or repeated. The digests depend on the order of the struct fields,
+// the numeric error kinds and the error texts, not on identifiers.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 50, []string{"642c1648d149b2cf", "4ba78587696ac7b8", "2bb1ef900fdfafad", "a223a450d5ca658f"}, func(seed uint64, d *digest.Digest) {
 		rng := rand.New(rand.NewPCG(seed, 1))
