--- a/internal/control/membership/list.go
+++ b/internal/control/membership/list.go
@@ -180,7 +180,7 @@
 }
 
 // Tolerates returns how many members can be lost in addition to those in down (IP addresses) without losing the majority; a negative
-// number means that there is no majority. It also returns, sorted, the zones of which any single one can be lost as a whole.
+// number means that there is no majority. It also returns, sorted, the zones that can be lost as a whole, any one of them at a time.
 func (l List) Tolerates(down []string) (members int, zones []string) {
 	up := 0
 	upInZone := map[string]int{}
--- a/internal/control/membership/tolerance.go
+++ b/internal/control/membership/tolerance.go
@@ -7,12 +7,12 @@
 	Current     int      // losses tolerated at present; negative without a majority
 	LostAt      int64    // start of the ongoing loss, 0 if there is none
 	Lost        []string // IP addresses of the members that are down during the ongoing loss
-	LastOutage  int64    // duration of the last loss that was recovered from, in nanoseconds
+	LastOutage  int64    // duration of the last loss that ended
 	initialized bool     // a list with a majority has been observed
 }
 
-// Observe records the current members and the IP addresses of those that are down. It reports whether a loss began or was recovered
-// from at this observation. A loss is over once the members tolerate as many losses as before it, or none of them is down.
+// Observe records the current members and the IP addresses of those that are down. It reports whether a loss began or ended with this
+// observation. A loss ends once the members tolerate as many losses as before it, or none of them is down.
 func (t *Tolerance) Observe(now int64, members List, down []string) (began, restored bool) {
 	t.Current, _ = members.Tolerates(down)
 	if !t.initialized && !t.initialize(members) {
--- a/internal/control/operation/condition.go
+++ b/internal/control/operation/condition.go
@@ -38,7 +38,7 @@
 	return o
 }
 
-// checkCondition returns items, which the operation sets, or an error if there are any and the condition of the operation is no longer met.
+// checkCondition returns the items that the operation sets, or an error if there are any although its condition is no longer met.
 func (o Operation) checkCondition(s *config.Set, items []config.Item) ([]config.Item, error) {
 	if len(items) > 0 && o.isStale(s) {
 		return nil, apierror.New(apierror.Unavailable, "%s: it was changed since the order was handed over", o.Name)
--- a/internal/control/operation/modify.go
+++ b/internal/control/operation/modify.go
@@ -11,7 +11,7 @@
 // itemOverhead is the number of bytes that each item adds to the size of a change besides its name and body.
 const itemOverhead = 64
 
-// modifyConfig applies a change of the configuration as a whole or not at all. A version of an item never changes its content. Items older
+// modifyConfig applies a change of the configuration as a whole or not at all. The content of a version never changes. Items older
 // than those in the set have no effect. An item that differs from the same version in the set or in its history is a conflict. A
 // version older than the history is a conflict if other items of the change are new: the change may have been rejected because
 // of that version before, and must not take effect in part.
--- a/internal/control/operation/operation.go
+++ b/internal/control/operation/operation.go
@@ -47,7 +47,7 @@
 	SubmittedAt     int64               `json:"n,omitempty"` // Unix time
 	ClockAgreed     bool                `json:"w,omitempty"` // the clocks of a majority of the members agree on SubmittedAt
 	RetryWindow     int64               `json:"a,omitempty"` // BeginRollout: how long after Duration a client may still retry it
-	KnownRollout    uint64              `json:"y,omitempty"` // number of the service's newest rollout known to the process where the operation was submitted
+	KnownRollout    uint64              `json:"y,omitempty"` // number of the service's newest rollout known to the submitting process
 	KnownRolloutAge int64               `json:"g,omitempty"` // how long that process has known KnownRollout
 	Expected        uint64              `json:"u,omitempty"` // rollout number for EndRollout and CompleteSwitch; epoch for ChangeMembers (0 for any) and RestoreSnapshot
 	Outcome         rollout.State       `json:"s,omitempty"` // EndRollout: rollout.Completed or rollout.RolledBack
--- a/internal/control/operation/operation_test.go
+++ b/internal/control/operation/operation_test.go
@@ -32,7 +32,7 @@
 
 func modifyOp(items ...config.Item) Operation { return Operation{Kind: ModifyConfig, Items: items} }
 
-// beginOp returns a BeginRollout submitted at now, by a process that has known rollout 1 since 100 s; its clock is not agreed.
+// beginOp returns a BeginRollout submitted at now, by a process that has known rollout 1 since 100 s and whose wall clock is not agreed on.
 func beginOp(target string, now int64) Operation {
 	return Operation{Kind: BeginRollout, Name: "desk", TargetVersion: target, Duration: 10 * second, RetryWindow: 5 * second, SubmittedAt: now, KnownRollout: 1, KnownRolloutAge: now - 100*second}
 }
@@ -60,10 +60,10 @@
 	return o
 }
 
-// conditionalOp is an operation that is bound to the state before a step.
+// conditionalOp is an operation that is bound to an earlier state of the set.
 type conditionalOp struct {
 	Operation
-	stepsBefore int // number of steps applied before
+	stepsBefore int // number of steps applied before that state
 }
 
 // Applies operations in sequence. Each step states the number of items set, or the kind of error and a pattern of its text.
@@ -247,7 +247,7 @@
 		"initial version": {
 			{Operation{Kind: SetInitialVersion, Name: "desk", Version: "v1"}, 1, apierror.None, ""},
 			{Operation{Kind: SetInitialVersion, Name: "desk", Version: "v1"}, 0, apierror.None, ""},
-			{Operation{Kind: SetInitialVersion, Name: "desk", Version: "v9"}, 0, apierror.None, ""}, // keeps the first
+			{Operation{Kind: SetInitialVersion, Name: "desk", Version: "v9"}, 0, apierror.None, ""}, // keeps the first version
 		},
 		"members": {
 			{changeMembersOp(0, "1 2 3"), 1, apierror.None, ""},
--- a/internal/control/operation/rollout.go
+++ b/internal/control/operation/rollout.go
@@ -68,7 +68,8 @@
 	return began && (submittedBefore || o.KnownRolloutAge < o.RetryWindow)
 }
 
-// endRollout ends the rollout with the expected number. It has no effect if that rollout is not running.
+// endRollout ends the rollout with the expected number. It has no effect if that rollout is not running or the outcome
+// is invalid.
 func endRollout(s *config.Set, o Operation) []config.Item {
 	current := currentRollout(s, o.Name)
 	validOutcome := o.Outcome == rollout.Completed || o.Outcome == rollout.RolledBack
