--- a/internal/decay/sum.go
+++ b/internal/decay/sum.go
@@ -8,23 +8,23 @@
 // after which 1/e is left. The zero Sum is empty. It is not safe for concurrent use.
 type Sum struct {
 	Count, Total float64
-	at           int64 // up to which it is decayed
+	updatedAt    int64 // up to which it is decayed
 }
 
 // Decay decays the sum up to now. A time before the last one changes nothing.
-func (s *Sum) Decay(now, memory int64) {
-	if now <= s.at {
+func (s *Sum) Decay(now, timeConstant int64) {
+	if now <= s.updatedAt {
 		return
 	}
-	factor := math.Exp(-float64(now-s.at) / float64(memory))
+	factor := math.Exp(-float64(now-s.updatedAt) / float64(timeConstant))
 	s.Count *= factor
 	s.Total *= factor
-	s.at = now
+	s.updatedAt = now
 }
 
 // Add counts one event with its value.
-func (s *Sum) Add(now, memory int64, value float64) {
-	s.Decay(now, memory)
+func (s *Sum) Add(now, timeConstant int64, value float64) {
+	s.Decay(now, timeConstant)
 	s.Count++
 	s.Total += value
 }
--- a/internal/dispatch/apply.go
+++ b/internal/dispatch/apply.go
@@ -36,16 +36,16 @@
 	if d.guard == nil {
 		return true
 	}
-	call.guarded = retryguard.Request{
+	call.guardRequest = retryguard.Request{
 		Class:       call.Class,
 		Customer:    call.Customer,
 		Retry:       call.Retried,
 		Remaining:   call.Deadline - now,
 		Fingerprint: retryguard.FingerprintOf(call.Class, call.Customer, call.Key, call.Request.IdempotencyKey),
 	}
-	admitted, wait := d.guard.Admit(now, &call.guarded)
+	admitted, retryAfter := d.guard.Admit(now, &call.guardRequest)
 	if !admitted {
-		call.respond(Answer{Kind: Rejected, RetryAfter: time.Duration(wait)})
+		call.respond(Answer{Kind: Rejected, RetryAfter: time.Duration(retryAfter)})
 	}
 	return admitted
 }
@@ -76,7 +76,7 @@
 	call.finish()
 	now := d.clock()
 	if d.guard != nil && call.id != 0 {
-		d.guard.Abandoned(now, &call.guarded)
+		d.guard.Abandoned(now, &call.guardRequest)
 	}
 	d.engine.ClientGone(now, call.id)
 	d.removeIfDone(call)
@@ -102,11 +102,11 @@
 	call.lastReply = e.Outcome.Reply
 	now := d.clock()
 	attempt := call.attempts[e.Number]
-	took := now - attempt.startedAt
+	latency := now - attempt.startedAt
 	if d.guard != nil {
-		d.guard.AttemptEnded(now, &call.guarded, attempt.host, hostSignals[result], result == decision.Succeeded, took)
+		d.guard.AttemptEnded(now, &call.guardRequest, attempt.host, hostSignals[result], result == decision.Succeeded, latency)
 	}
-	d.engine.AttemptEnded(now, call.id, e.Number, result, call.done, took, e.Outcome.LoadReport)
+	d.engine.AttemptEnded(now, call.id, e.Number, result, call.done, latency, e.Outcome.LoadReport)
 	d.removeIfDone(call)
 }
 
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -57,12 +57,12 @@
 	MaxAttempts     int             // 0 for as many as the settings allow
 	Allowed         func(Host) bool // whether it may go to a host now, nil for any
 
-	lastReply any
-	guarded   retryguard.Request
-	id        uint32 // 0 until the decision engine has it
-	done      bool   // it was answered, or needs no answer any more
-	attempts  []callAttempt
-	inFlight  int
+	lastReply    any
+	guardRequest retryguard.Request
+	id           uint32 // 0 until the decision engine has it
+	done         bool   // it was answered, or needs no answer any more
+	attempts     []callAttempt
+	inFlight     int
 }
 
 type callAttempt struct {
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -38,7 +38,7 @@
 }
 
 // all are the attempts so far.
-func (o *testOutputs) all() []*testAttempt {
+func (o *testOutputs) startedAttempts() []*testAttempt {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.attempts)
@@ -47,7 +47,7 @@
 func (a *testAttempt) Cancel()       { a.canceled = true }
 func (a *testAttempt) CancelUnsent() { a.canceledUnsent = true }
 
-func (o *testOutputs) Forward(to Host, r *Request, left time.Duration, done func(Outcome)) Attempt {
+func (o *testOutputs) Forward(to Host, r *Request, timeout time.Duration, done func(Outcome)) Attempt {
 	a := &testAttempt{address: to.Address, done: done}
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -88,10 +88,10 @@
 }
 
 // runDispatcher runs a dispatcher beside the test, in virtual time.
-func runDispatcher(t *testing.T, act func(d *Dispatcher, out *testOutputs)) { runGuarded(t, nil, act) }
+func runDispatcher(t *testing.T, run func(d *Dispatcher, out *testOutputs)) { runGuarded(t, nil, run) }
 
 // runGuarded is runDispatcher with a guard.
-func runGuarded(t *testing.T, g Guard, act func(d *Dispatcher, out *testOutputs)) {
+func runGuarded(t *testing.T, g Guard, run func(d *Dispatcher, out *testOutputs)) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &testOutputs{}
 		d := New(NewClock(), zerolog.Nop())
@@ -102,13 +102,13 @@
 		synctest.Wait()
 		defer synctest.Wait()
 		defer cancel()
-		act(d, out)
+		run(d, out)
 	})
 }
 
 // receive posts a request and waits until it has been applied.
-func (d *Dispatcher) receive(left time.Duration) *Call {
-	c := &Call{Deadline: d.clock() + int64(left), Request: &Request{}, Responder: make(AnswerChan, 1)}
+func (d *Dispatcher) receive(timeout time.Duration) *Call {
+	c := &Call{Deadline: d.clock() + int64(timeout), Request: &Request{}, Responder: make(AnswerChan, 1)}
 	d.Post(RequestReceived{c})
 	synctest.Wait()
 	return c
@@ -117,10 +117,10 @@
 func TestSucceeded(t *testing.T) {
 	runDispatcher(t, func(d *Dispatcher, out *testOutputs) {
 		c := d.receive(time.Second)
-		if len(out.all()) != 1 || out.all()[0].address == "" {
-			t.Fatal(out.all())
+		if len(out.startedAttempts()) != 1 || out.startedAttempts()[0].address == "" {
+			t.Fatal(out.startedAttempts())
 		}
-		out.all()[0].done(Outcome{Result: decision.Succeeded, Body: []byte("hi")})
+		out.startedAttempts()[0].done(Outcome{Result: decision.Succeeded, Body: []byte("hi")})
 		if a := <-c.Responder.(AnswerChan); a.Kind != Succeeded || string(a.Body) != "hi" {
 			t.Error(a)
 		}
@@ -137,21 +137,21 @@
 		c := d.receive(time.Second)
 		d.Post(ClientGone{c})
 		synctest.Wait()
-		if !out.all()[0].canceledUnsent || !out.all()[0].canceled {
+		if !out.startedAttempts()[0].canceledUnsent || !out.startedAttempts()[0].canceled {
 			t.Error("still on its way")
 		}
-		out.all()[0].done(Outcome{Result: decision.Canceled})
-		late := d.receive(time.Second)
-		a := <-late.Responder.(AnswerChan)
+		out.startedAttempts()[0].done(Outcome{Result: decision.Canceled})
+		timedOut := d.receive(time.Second)
+		a := <-timedOut.Responder.(AnswerChan)
 		synctest.Wait()
-		if a.Kind != Failed || !out.all()[1].canceledUnsent {
-			t.Error(a.Kind, out.all()[1].canceledUnsent)
+		if a.Kind != Failed || !out.startedAttempts()[1].canceledUnsent {
+			t.Error(a.Kind, out.startedAttempts()[1].canceledUnsent)
 		}
 	})
 }
 
 // Changes of hosts and of the rollout, and gossip, must not queue behind requests.
-func TestUrgentFirst(t *testing.T) {
+func TestUrgentEventsFirst(t *testing.T) {
 	d := New(NewClock(), zerolog.Nop())
 	out := &testOutputs{}
 	for range 100 {
@@ -166,9 +166,9 @@
 	}
 	cancel()
 	<-done
-	for _, s := range out.all() {
-		if s.address != "c:1" {
-			t.Fatal("sent to", s.address)
+	for _, a := range out.startedAttempts() {
+		if a.address != "c:1" {
+			t.Fatal("sent to", a.address)
 		}
 	}
 }
@@ -180,14 +180,14 @@
 		out := &testOutputs{}
 		realClock := NewClock()
 		readings := 0
-		left := 300
+		remaining := 300
 		var d *Dispatcher
-		var all []*Call
+		var calls []*Call
 		d = New(func() int64 {
-			if readings++; readings%7 == 0 && left > 0 {
-				left--
-				c := &Call{Class: 1 + len(all), Deadline: realClock() + int64(time.Hour), Request: &Request{}, Responder: make(AnswerChan, 1)}
-				all = append(all, c)
+			if readings++; readings%7 == 0 && remaining > 0 {
+				remaining--
+				c := &Call{Class: 1 + len(calls), Deadline: realClock() + int64(time.Hour), Request: &Request{}, Responder: make(AnswerChan, 1)}
+				calls = append(calls, c)
 				d.Post(ClassAdded{decision.RequestClass{LatencyTarget: int64(time.Second), Timeout: int64(time.Hour), Value: 1}})
 				d.Post(RequestReceived{c})
 			}
@@ -197,11 +197,11 @@
 		go d.Run(ctx, testConfig(), out.outputs())
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		if cancel(); left > 0 {
-			t.Error(left, "not posted")
+		if cancel(); remaining > 0 {
+			t.Error(remaining, "not posted")
 		}
 		synctest.Wait()
-		for _, c := range all {
+		for _, c := range calls {
 			if len(c.attempts) == 0 {
 				t.Error("class", c.Class, "overtaken: its request was forwarded to no host")
 			}
@@ -223,7 +223,7 @@
 
 // Builds follow one another, and names and addresses come back under other builds: what the dispatcher remembers levels
 // off, and a host that returns is a new one that shares nothing with the old one.
-func TestHostsComeAndGo(t *testing.T) {
+func TestRemovedHostsForgotten(t *testing.T) {
 	runDispatcher(t, func(d *Dispatcher, out *testOutputs) {
 		for build := range 1000 {
 			var hosts []Host
@@ -254,16 +254,16 @@
 	g.calls = append(g.calls, fmt.Sprint("take ", r.Retry, r.Fingerprint != 0, r.Remaining > 0))
 	return !r.Retry, 3e8
 }
-func (g *recordingGuard) AttemptStarted(_ int64, _ *retryguard.Request, n int) {
-	g.calls = append(g.calls, fmt.Sprint("off ", n))
+func (g *recordingGuard) AttemptStarted(_ int64, _ *retryguard.Request, number int) {
+	g.calls = append(g.calls, fmt.Sprint("off ", number))
 }
 func (g *recordingGuard) Rejected(int64, *retryguard.Request, int64) int64 {
 	g.calls = append(g.calls, "dismissed")
 	return 7e8
 }
 func (g *recordingGuard) Abandoned(int64, *retryguard.Request) { g.calls = append(g.calls, "unserved") }
-func (g *recordingGuard) AttemptEnded(_ int64, _ *retryguard.Request, host uint32, s retryguard.Signal, fulfilled bool, _ int64) {
-	g.calls = append(g.calls, fmt.Sprint("ended ", host > 0, s, fulfilled))
+func (g *recordingGuard) AttemptEnded(_ int64, _ *retryguard.Request, host uint32, s retryguard.Signal, succeeded bool, _ int64) {
+	g.calls = append(g.calls, fmt.Sprint("ended ", host > 0, s, succeeded))
 }
 func (g *recordingGuard) HostsChanged(_ int64, complete bool, hosts []retryguard.Host) {
 	g.calls = append(g.calls, fmt.Sprint("list ", complete, len(hosts)))
@@ -274,21 +274,21 @@
 func TestGuard(t *testing.T) {
 	g := &recordingGuard{}
 	runGuarded(t, g, func(d *Dispatcher, out *testOutputs) {
-		again := &Call{Deadline: d.clock() + 1e9, Key: 5, Retried: true, Request: &Request{}, Responder: make(AnswerChan, 1)}
-		d.Post(RequestReceived{again})
-		if a := <-again.Responder.(AnswerChan); a.Kind != Rejected || a.RetryAfter != 300*time.Millisecond || len(out.all()) > 0 {
+		retry := &Call{Deadline: d.clock() + 1e9, Key: 5, Retried: true, Request: &Request{}, Responder: make(AnswerChan, 1)}
+		d.Post(RequestReceived{retry})
+		if a := <-retry.Responder.(AnswerChan); a.Kind != Rejected || a.RetryAfter != 300*time.Millisecond || len(out.startedAttempts()) > 0 {
 			t.Error(a)
 		}
 		d.receive(time.Second)
-		out.all()[0].done(Outcome{Result: decision.Succeeded})
+		out.startedAttempts()[0].done(Outcome{Result: decision.Succeeded})
 		synctest.Wait()
-		gone := d.receive(time.Second)
-		d.Post(ClientGone{gone})
+		abandoned := d.receive(time.Second)
+		d.Post(ClientGone{abandoned})
 		synctest.Wait()
-		out.all()[1].done(Outcome{Result: decision.Canceled})
+		out.startedAttempts()[1].done(Outcome{Result: decision.Canceled})
 		d.Post(HostsChanged{Kind: decision.Snapshot, Hosts: []Host{{Name: "a", Health: decision.Draining}}})
-		late := d.receive(time.Second)
-		if a := <-late.Responder.(AnswerChan); a.Kind != Rejected || a.RetryAfter != 700*time.Millisecond {
+		rejected := d.receive(time.Second)
+		if a := <-rejected.Responder.(AnswerChan); a.Kind != Rejected || a.RetryAfter != 700*time.Millisecond {
 			t.Error(a)
 		}
 		synctest.Wait()
@@ -304,31 +304,31 @@
 }
 
 // FuzzReducer plays random events: each request whose client stays gets one answer in time, and no attempt follows it.
-func FuzzReducer(f *testing.F) {
+func FuzzEvents(f *testing.F) {
 	for seed := range uint64(8) {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		runDispatcher(t, func(d *Dispatcher, out *testOutputs) {
-			rnd := rand.New(rand.NewPCG(seed, 1))
+			rng := rand.New(rand.NewPCG(seed, 1))
 			var open []*Call
 			for range 300 {
-				switch rnd.IntN(6) {
+				switch rng.IntN(6) {
 				case 0, 1:
-					open = append(open, d.receive(time.Duration(rnd.IntN(500))*time.Millisecond))
+					open = append(open, d.receive(time.Duration(rng.IntN(500))*time.Millisecond))
 				case 2, 3:
-					if len(out.all()) > 0 {
-						if s := out.all()[rnd.IntN(len(out.all()))]; !s.completed {
-							s.completed = true
-							s.done(Outcome{Result: decision.Result(rnd.IntN(8)), Body: []byte{1}})
+					if len(out.startedAttempts()) > 0 {
+						if a := out.startedAttempts()[rng.IntN(len(out.startedAttempts()))]; !a.completed {
+							a.completed = true
+							a.done(Outcome{Result: decision.Result(rng.IntN(8)), Body: []byte{1}})
 						}
 					}
 				case 4:
 					if len(open) > 0 {
-						d.Post(ClientGone{open[rnd.IntN(len(open))]})
+						d.Post(ClientGone{open[rng.IntN(len(open))]})
 					}
 				case 5:
-					time.Sleep(time.Duration(rnd.IntN(100)) * time.Millisecond)
+					time.Sleep(time.Duration(rng.IntN(100)) * time.Millisecond)
 				}
 				synctest.Wait()
 			}
@@ -339,9 +339,9 @@
 					t.Fatal("no answer, or more than one")
 				}
 			}
-			for i := 0; i < len(out.all()); i++ {
-				if !out.all()[i].completed {
-					out.all()[i].done(Outcome{Result: decision.Canceled})
+			for i := 0; i < len(out.startedAttempts()); i++ {
+				if !out.startedAttempts()[i].completed {
+					out.startedAttempts()[i].done(Outcome{Result: decision.Canceled})
 					synctest.Wait()
 				}
 			}
@@ -353,7 +353,7 @@
 }
 
 // stepper returns a function that plays one request through a dispatcher that is stepped by hand.
-func stepper(g Guard) func() {
+func newCallRunner(g Guard) func() {
 	out := &testOutputs{}
 	now := int64(1e18)
 	d := New(func() int64 { return now }, zerolog.Nop())
@@ -366,9 +366,9 @@
 		d.Post(RequestReceived{&Call{Deadline: now + 1e9, Key: uint64(now), Request: request, Responder: answer}})
 		for d.Step() {
 		}
-		for _, s := range out.attempts {
+		for _, a := range out.attempts {
 			now += 1e6
-			s.done(Outcome{Result: decision.Succeeded})
+			a.done(Outcome{Result: decision.Succeeded})
 		}
 		out.attempts = out.attempts[:0]
 		for d.Step() {
@@ -387,8 +387,8 @@
 }
 
 // With the guard on, a request of calm traffic costs no further allocation.
-func TestGuardAllocatesNothing(t *testing.T) {
-	off, on := testing.AllocsPerRun(3000, stepper(nil)), testing.AllocsPerRun(3000, stepper(newRetryGuard(t)))
+func TestGuardAddsNoAllocations(t *testing.T) {
+	off, on := testing.AllocsPerRun(3000, newCallRunner(nil)), testing.AllocsPerRun(3000, newCallRunner(newRetryGuard(t)))
 	if on > off {
 		t.Error(on, "allocations a request,", off, "without the guard")
 	}
@@ -397,10 +397,10 @@
 func BenchmarkCall(b *testing.B) {
 	for name, g := range map[string]Guard{"off": nil, "on": newRetryGuard(b)} {
 		b.Run(name, func(b *testing.B) {
-			play := stepper(g)
+			runCall := newCallRunner(g)
 			b.ReportAllocs()
 			for b.Loop() {
-				play()
+				runCall()
 			}
 		})
 	}
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -17,7 +17,7 @@
 	now := e.clock()
 	number := len(call.attempts)
 	if e.guard != nil {
-		e.guard.AttemptStarted(now, &call.guarded, number)
+		e.guard.AttemptStarted(now, &call.guardRequest, number)
 	}
 	call.inFlight++
 	call.attempts = append(call.attempts, callAttempt{startedAt: now, host: host})
@@ -28,21 +28,21 @@
 // Reject implements decision.Effects.
 func (e effects) Reject(callID uint32, retryAfter int64) {
 	if e.guard != nil {
-		retryAfter = e.guard.Rejected(e.clock(), &e.calls[callID].guarded, retryAfter)
+		retryAfter = e.guard.Rejected(e.clock(), &e.calls[callID].guardRequest, retryAfter)
 	}
-	e.finish(callID, Answer{Kind: Rejected, RetryAfter: time.Duration(retryAfter)})
+	e.sendAnswer(callID, Answer{Kind: Rejected, RetryAfter: time.Duration(retryAfter)})
 }
 
 // Fail implements decision.Effects.
 func (e effects) Fail(callID uint32) {
 	if e.guard != nil {
-		e.guard.Abandoned(e.clock(), &e.calls[callID].guarded)
+		e.guard.Abandoned(e.clock(), &e.calls[callID].guardRequest)
 	}
-	e.finish(callID, Answer{Kind: Failed, Reply: e.calls[callID].lastReply})
+	e.sendAnswer(callID, Answer{Kind: Failed, Reply: e.calls[callID].lastReply})
 }
 
-// finish answers a call. The engine may ask for that in the course of any event, not only of the call's own.
-func (e effects) finish(callID uint32, a Answer) {
+// sendAnswer answers a call. The engine may ask for that in the course of any event, not only of the call's own.
+func (e effects) sendAnswer(callID uint32, a Answer) {
 	call := e.calls[callID]
 	call.respond(a)
 	e.removeIfDone(call)
--- a/internal/dispatch/outputs.go
+++ b/internal/dispatch/outputs.go
@@ -40,15 +40,15 @@
 // *retryguard.Guard is one. All times are on the dispatcher's Clock.
 type Guard interface {
 	// Admit decides whether a request goes on; if not, wait is after how long it may be sent again.
-	Admit(now int64, r *retryguard.Request) (admitted bool, wait int64)
+	Admit(now int64, r *retryguard.Request) (admitted bool, retryAfter int64)
 	// AttemptStarted is called with each attempt's number, from 0.
 	AttemptStarted(now int64, r *retryguard.Request, number int)
 	// Rejected is called when the engine rejects a request; it returns after how long the client may send it again.
-	Rejected(now int64, r *retryguard.Request, wait int64) int64
+	Rejected(now int64, r *retryguard.Request, retryAfter int64) int64
 	// Abandoned is called when a request ends without an answer of a host.
 	Abandoned(now int64, r *retryguard.Request)
 	// AttemptEnded is called with what an attempt's end says of its host.
-	AttemptEnded(now int64, r *retryguard.Request, host uint32, s retryguard.Signal, fulfilled bool, took int64)
+	AttemptEnded(now int64, r *retryguard.Request, host uint32, signal retryguard.Signal, succeeded bool, latency int64)
 	// HostsChanged is called with the complete list of hosts, or with changes.
 	HostsChanged(now int64, complete bool, hosts []retryguard.Host)
 }
--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -39,7 +39,7 @@
 }
 
 // recordedAnswers is the client of a request.
-type recordedAnswers struct {
+type recordingResponder struct {
 	recorder *recorder
 	number   int
 }
@@ -47,9 +47,9 @@
 func (a *recordedAttempt) Cancel()       { a.recorder.effects.Add(traceCancel, a.number) }
 func (a *recordedAttempt) CancelUnsent() { a.recorder.effects.Add(traceCancelUnsent, a.number) }
 
-func (r *recorder) Forward(to Host, request *Request, left time.Duration, done func(Outcome)) Attempt {
+func (r *recorder) Forward(to Host, request *Request, timeout time.Duration, done func(Outcome)) Attempt {
 	r.count++
-	r.effects.Add(traceStartAttempt, r.count, to, request.Target, int64(left))
+	r.effects.Add(traceStartAttempt, r.count, to, request.Target, int64(timeout))
 	a := &recordedAttempt{r, r.count, done}
 	r.open = append(r.open, a)
 	return a
@@ -62,22 +62,22 @@
 func (r *recorder) SendGossip(peer int, message []byte) { r.effects.Add(traceGossip, peer, message) }
 func (r *recorder) Watch(on bool)                       { r.effects.Add(traceWatch, on) }
 
-func (a recordedAnswers) Respond(x Answer) {
-	a.recorder.effects.Add(traceRespond, a.number, x.Kind, x.Body, int64(x.RetryAfter))
+func (a recordingResponder) Respond(answer Answer) {
+	a.recorder.effects.Add(traceRespond, a.number, answer.Kind, answer.Body, int64(answer.RetryAfter))
 }
 
 // drawnHost is a host of one of eight names.
-func drawnHost(draw *rand.Rand, now int64) Host {
-	n := draw.IntN(8)
-	return Host{Name: fmt.Sprint("h", n), Address: fmt.Sprintf("h%d:%d", n, draw.IntN(2)), Cell: n % 2,
-		Health: decision.Health(draw.IntN(3)), Build: 4 + draw.IntN(2), Capacity: 1, StartedAt: now - draw.Int64N(4e9), Distance: n % 3}
+func randomHost(rng *rand.Rand, now int64) Host {
+	n := rng.IntN(8)
+	return Host{Name: fmt.Sprint("h", n), Address: fmt.Sprintf("h%d:%d", n, rng.IntN(2)), Cell: n % 2,
+		Health: decision.Health(rng.IntN(3)), Build: 4 + rng.IntN(2), Capacity: 1, StartedAt: now - rng.Int64N(4e9), Distance: n % 3}
 }
 
 // The effects of a dispatcher that is stepped by hand through random events are unchanged. The order of the fields of Host
 // and the numbers of constants are part of the digest; names are not.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 25, []string{"c664daf94c73f5b5", "62cd6e7880f351f6", "0a15de61f244dc1b", "f28412759ef51019"}, func(seed uint64, d *digest.Digest) {
-		draw := rand.New(rand.NewPCG(seed, 1))
+		rng := rand.New(rand.NewPCG(seed, 1))
 		now := int64(1e18)
 		outputs := &recorder{effects: d}
 		dispatcher := New(func() int64 { return now }, zerolog.Nop())
@@ -87,36 +87,36 @@
 		dispatcher.Start(config, Outputs{Upstream: outputs, Platform: outputs, Peers: outputs, HostWatcher: outputs})
 		var calls []*Call
 		for n := range 500 {
-			now += draw.Int64N(20e6)
-			switch at := draw.IntN(20); {
-			case at < 8:
-				c := &Call{Key: uint64(draw.IntN(20)), Deadline: now + draw.Int64N(2e9),
-					Retried: draw.IntN(10) == 0, Request: &Request{Target: fmt.Sprint("/", n)}, Responder: recordedAnswers{outputs, n}, MaxAttempts: draw.IntN(4)}
+			now += rng.Int64N(20e6)
+			switch event := rng.IntN(20); {
+			case event < 8:
+				c := &Call{Key: uint64(rng.IntN(20)), Deadline: now + rng.Int64N(2e9),
+					Retried: rng.IntN(10) == 0, Request: &Request{Target: fmt.Sprint("/", n)}, Responder: recordingResponder{outputs, n}, MaxAttempts: rng.IntN(4)}
 				calls = append(calls, c)
 				dispatcher.Post(RequestReceived{c})
-			case at < 15 && len(outputs.open) > 0:
-				which := draw.IntN(len(outputs.open))
-				s := outputs.open[which]
-				outputs.open = append(outputs.open[:which], outputs.open[which+1:]...)
-				o := Outcome{Result: decision.Succeeded, Body: []byte("hi"), LoadReport: []float64{draw.Float64(), 1}}
-				if draw.IntN(3) == 0 {
-					o = Outcome{Result: decision.Result(draw.IntN(int(decision.InvalidAnswer) + 1))}
+			case event < 15 && len(outputs.open) > 0:
+				i := rng.IntN(len(outputs.open))
+				attempt := outputs.open[i]
+				outputs.open = append(outputs.open[:i], outputs.open[i+1:]...)
+				o := Outcome{Result: decision.Succeeded, Body: []byte("hi"), LoadReport: []float64{rng.Float64(), 1}}
+				if rng.IntN(3) == 0 {
+					o = Outcome{Result: decision.Result(rng.IntN(int(decision.InvalidAnswer) + 1))}
 				}
-				s.done(o)
-			case at < 16 && len(calls) > 0:
-				dispatcher.Post(ClientGone{calls[draw.IntN(len(calls))]})
-			case at < 17:
-				dispatcher.Post(HostsChanged{Kind: decision.Delta, Hosts: []Host{drawnHost(draw, now), drawnHost(draw, now)}})
-			case at < 18:
-				dispatcher.Post(RolloutChanged{decision.Rollout{Build: 4 + draw.IntN(2), Stage: draw.IntN(3), State: decision.RolloutState(draw.IntN(4)), ExposureCap: draw.Float64()}})
-			case at < 19:
-				dispatcher.Post(AnswerFlagged{Host: fmt.Sprint("h", draw.IntN(8)), Age: draw.Int64N(1e9)})
-			case draw.IntN(3) == 0:
-				dispatcher.Post(RankChanged{Rank: draw.IntN(3), Routers: 3})
+				attempt.done(o)
+			case event < 16 && len(calls) > 0:
+				dispatcher.Post(ClientGone{calls[rng.IntN(len(calls))]})
+			case event < 17:
+				dispatcher.Post(HostsChanged{Kind: decision.Delta, Hosts: []Host{randomHost(rng, now), randomHost(rng, now)}})
+			case event < 18:
+				dispatcher.Post(RolloutChanged{decision.Rollout{Build: 4 + rng.IntN(2), Stage: rng.IntN(3), State: decision.RolloutState(rng.IntN(4)), ExposureCap: rng.Float64()}})
+			case event < 19:
+				dispatcher.Post(AnswerFlagged{Host: fmt.Sprint("h", rng.IntN(8)), Age: rng.Int64N(1e9)})
+			case rng.IntN(3) == 0:
+				dispatcher.Post(RankChanged{Rank: rng.IntN(3), Routers: 3})
 			default:
-				dispatcher.Post(GossipReceived{Peer: draw.IntN(3), Message: []byte{byte(draw.IntN(4)), byte(n)}})
+				dispatcher.Post(GossipReceived{Peer: rng.IntN(3), Message: []byte{byte(rng.IntN(4)), byte(n)}})
 			}
-			for draw.IntN(3) > 0 {
+			for rng.IntN(3) > 0 {
 				if !dispatcher.Step() {
 					break
 				}
--- a/internal/pacing/calls.go
+++ b/internal/pacing/calls.go
@@ -30,22 +30,22 @@
 
 // FirstDelay returns the wait before a call whose cause all routers have seen, in nanoseconds; chance is a random number from 0 up
 // to 1.
-func (c Calls) FirstDelay(chance float64) int64 { return int64(chance * float64(c.Spread())) }
+func (c Calls) FirstDelay(jitter float64) int64 { return int64(jitter * float64(c.Spread())) }
 
 // minRetryFraction is the interval over the least mean wait after a failure: a service that refuses calls needs more time than the
 // spread of few.
-const minRetryFraction = 10
+const minRetryDivisor = 10
 
 // RetryDelay returns the wait after so many failures in a row, in nanoseconds: half to one and a half of a mean that doubles, from
 // the spread or a tenth of the interval up to the interval. Calls that fail cost the service as much as others, and while more come
 // than it can answer, all of its answers come too late: the fleet's calls must become fewer than that by themselves.
-func (c Calls) RetryDelay(failures int, chance float64) int64 {
-	mean := max(c.Spread(), c.interval()/minRetryFraction)
+func (c Calls) RetryDelay(failures int, jitter float64) int64 {
+	mean := max(c.Spread(), c.interval()/minRetryDivisor)
 	for ; failures > 1 && mean < c.interval(); failures-- {
 		mean *= 2
 	}
 	if c.Callers*10 < callsPerInterval { // too few to overload a service: it was down, and may be back at any moment
-		mean = min(mean, c.interval()/minRetryFraction)
+		mean = min(mean, c.interval()/minRetryDivisor)
 	}
-	return int64((0.5 + chance) * float64(min(mean, c.interval())))
+	return int64((0.5 + jitter) * float64(min(mean, c.interval())))
 }
--- a/internal/pacing/calls_test.go
+++ b/internal/pacing/calls_test.go
@@ -12,15 +12,15 @@
 
 // lastAnswer plays a fleet whose routers all lost their subscriptions at the same moment, and returns when the last one had its
 // answer.
-func lastAnswer(c Calls, service *standin.CallQueue) (last int64) {
+func lastAnswerTime(c Calls, service *standin.CallQueue) (last int64) {
 	type caller struct {
 		at       int64
 		failures int
 	}
-	draw := random.Source{Seed: 7}
+	rng := random.Source{Seed: 7}
 	var waiting []caller
 	for range c.Callers {
-		waiting = append(waiting, caller{at: c.FirstDelay(draw.Float64())})
+		waiting = append(waiting, caller{at: c.FirstDelay(rng.Float64())})
 	}
 	for len(waiting) > 0 && last < 300*second {
 		slices.SortFunc(waiting, func(a, b caller) int { return int(a.at - b.at) })
@@ -32,7 +32,7 @@
 			continue
 		}
 		first.failures++
-		first.at = answeredAt + c.RetryDelay(first.failures, draw.Float64())
+		first.at = answeredAt + c.RetryDelay(first.failures, rng.Float64())
 	}
 	return last
 }
@@ -44,14 +44,14 @@
 	for _, routers := range []int{3, 80, 300, 1000} {
 		c := Calls{Interval: 10 * second, Callers: routers}
 		service := &standin.CallQueue{ServiceNanos: min(second, 8*second/int64(routers)), MaxQueueNanos: 6 * second, CallerTimeout: 2 * second}
-		if last := lastAnswer(c, service); last > 25*second || service.Calls > 3*routers+5 {
+		if last := lastAnswerTime(c, service); last > 25*second || service.Calls > 3*routers+5 {
 			t.Errorf("%d routers: the last after %.1f s, %d calls, %d late, %d refused", routers, float64(last)/1e9, service.Calls, service.Late, service.Rejected)
 		}
 	}
 }
 
 // Few routers wait hardly longer than one.
-func TestFewRoutersNeedNotWait(t *testing.T) {
+func TestSmallFleetDelays(t *testing.T) {
 	c := Calls{Interval: 10 * second, Callers: 3}
 	if (Calls{Callers: 3}).RetryDelay(1, 0) < second/10 {
 		t.Error("calls again at once without an interval in the settings")
--- a/internal/pacing/preconnect.go
+++ b/internal/pacing/preconnect.go
@@ -3,15 +3,15 @@
 // SubsetStride returns the n for which a router that needs so many hosts uses every n-th of them. It is a power of two, so that some
 // hosts stay the same when it changes.
 func SubsetStride(hosts int, need float64) int {
-	n := 1
-	for float64(hosts) >= need*2*float64(n) && hosts >= 2*n {
-		n *= 2
+	stride := 1
+	for float64(hosts) >= need*2*float64(stride) && hosts >= 2*stride {
+		stride *= 2
 	}
-	return n
+	return stride
 }
 
 // SubsetOffset returns the first host that a router of some rank uses, if it uses every n-th.
-func SubsetOffset(n, rank int) int { return n - 1 - rank%n }
+func SubsetOffset(stride, rank int) int { return stride - 1 - rank%stride }
 
 // PreconnectOrder returns which of so many hosts a router opens connections to before its first request, and in which order: those of
 // its subset, beginning at another one than the next router with the same subset, as it may not reach all.
@@ -31,7 +31,7 @@
 const MinHosts = 12
 
 // imbalance is a busy router's traffic over the mean: where connections are balanced over routers, some get several busy ones.
-const imbalance = 4
+const busyRouterFactor = 4
 
 // PreconnectCount returns how many connections a router opens before its first request: as many as it has in use at once if it is a
 // busy one of a fleet that receives so many requests a second, each of which takes so many seconds. One that is opened in vain
@@ -40,6 +40,6 @@
 	if perSecond <= 0 {
 		return 0
 	}
-	inUse := imbalance * perSecond * latency / float64(max(1, routers)) // by Little's law
+	inUse := busyRouterFactor * perSecond * latency / float64(max(1, routers)) // by Little's law
 	return max(MinHosts, int(inUse+0.5))
 }
--- a/internal/pacing/preconnect_test.go
+++ b/internal/pacing/preconnect_test.go
@@ -5,21 +5,21 @@
 // All routers of a fleet that starts at once open no more connections to any host than it has requests in flight at a busy time, and
 // some to every host. Three to each host by each router were 14,400 for 60 hosts, which have some 2,000 requests at once
 // with all that wait.
-func TestPreconnectCountOfAFleet(t *testing.T) {
-	for _, test := range []struct{ routers, hosts, most int }{{80, 60, 40}, {300, 150, 40}} {
+func TestPreconnectCountLargeFleet(t *testing.T) {
+	for _, test := range []struct{ routers, hosts, maxPerHost int }{{80, 60, 40}, {300, 150, 40}} {
 		opened := make([]int, test.hosts)
 		perSecond := 20.0 * float64(test.hosts)
 		for rank := range test.routers {
-			left := PreconnectCount(perSecond, 0.2, test.routers)
+			remaining := PreconnectCount(perSecond, 0.2, test.routers)
 			for _, i := range PreconnectOrder(test.hosts, rank) {
-				if left > 0 {
+				if remaining > 0 {
 					opened[i]++
-					left--
+					remaining--
 				}
 			}
 		}
 		for i, n := range opened {
-			if n == 0 || n > test.most {
+			if n == 0 || n > test.maxPerHost {
 				t.Errorf("%d routers, %d hosts: %d at host %d", test.routers, test.hosts, n, i)
 			}
 		}
@@ -27,7 +27,7 @@
 }
 
 // Few routers open about three connections to each of their hosts.
-func TestPreconnectCountOfFew(t *testing.T) {
+func TestPreconnectCountSmallFleet(t *testing.T) {
 	if n := PreconnectCount(140, 0.22, 3); n < 30 || SubsetStride(10, MinHosts) != 1 {
 		t.Error(n, SubsetStride(10, MinHosts))
 	}
--- a/internal/timerqueue/trace_test.go
+++ b/internal/timerqueue/trace_test.go
@@ -10,20 +10,20 @@
 // What is due in a queue under random additions, removals and times is unchanged.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 50, []string{"00cbf86622887a52", "72263111d35126aa"}, func(seed uint64, d *digest.Digest) {
-		draw := rand.New(rand.NewPCG(seed, 1))
+		rng := rand.New(rand.NewPCG(seed, 1))
 		var q Queue[int]
 		var items []*Item[int]
 		now := int64(0)
 		for n := range 300 {
-			switch draw.IntN(4) {
+			switch rng.IntN(4) {
 			case 0, 1:
-				items = append(items, q.Add(now+draw.Int64N(20), n))
+				items = append(items, q.Add(now+rng.Int64N(20), n))
 			case 2:
 				if len(items) > 0 {
-					q.Remove(items[draw.IntN(len(items))])
+					q.Remove(items[rng.IntN(len(items))])
 				}
 			default:
-				now += draw.Int64N(6)
+				now += rng.Int64N(6)
 				value, ok := q.PopDue(now)
 				d.Add(value, ok)
 			}
