--- a/internal/dispatch/apply.go
+++ b/internal/dispatch/apply.go
@@ -10,7 +10,7 @@
 func (e RequestReceived) apply(d *Dispatcher) {
 	call := e.Call
 	now := d.clock()
-	if call.done { // its client has gone already
+	if call.done { // the client has already disconnected
 		return
 	}
 	if !d.admit(now, call) {
@@ -31,7 +31,7 @@
 	d.removeIfDone(call)
 }
 
-// admit asks the guard, if there is one. A call that it rejects is answered at once, and the engine never has it.
+// admit reports whether the guard, if any, admits the call. A rejected call is answered at once and never reaches the engine.
 func (d *Dispatcher) admit(now int64, call *Call) bool {
 	if d.guard == nil {
 		return true
@@ -50,7 +50,7 @@
 	return admitted
 }
 
-// hostFilter asks the call's maker about hosts, if it has a filter.
+// hostFilter returns the filter for call.Allowed, nil if the call may go to any host.
 func (d *Dispatcher) hostFilter(call *Call) decision.HostFilter {
 	if call.Allowed == nil {
 		return nil
@@ -82,7 +82,7 @@
 	d.removeIfDone(call)
 }
 
-// apply makes the call one that owes no answer: the client has what there is of it.
+// apply ends the call without an Answer, since the client is already receiving the response as a stream.
 func (e StreamStarted) apply(d *Dispatcher) {
 	call := e.Call
 	if call.done {
@@ -110,7 +110,7 @@
 	d.removeIfDone(call)
 }
 
-// hostSignals are what attempts' results say of their hosts.
+// hostSignals maps the result of an attempt to the guard's signal about its host.
 var hostSignals = [...]retryguard.Signal{
 	decision.Succeeded:       retryguard.Answered,
 	decision.Failed:          retryguard.Answered,
@@ -123,7 +123,7 @@
 	decision.Unsent:          retryguard.NotSent,
 }
 
-// removeIfDone forgets a call once it owes no answer and none of its attempts is in flight.
+// removeIfDone removes a call that needs no answer anymore and has no attempt in flight.
 func (d *Dispatcher) removeIfDone(call *Call) {
 	if call.done && call.inFlight == 0 {
 		delete(d.calls, call.id)
--- a/internal/dispatch/body.go
+++ b/internal/dispatch/body.go
@@ -5,14 +5,15 @@
 	"io"
 )
 
-// maxBodyBytes bounds the body of a request or of an answer.
+// maxBodyBytes is the maximum size of a request or response body.
 const maxBodyBytes = 64 << 10
 
-// ErrTooLarge says that a body is longer than the protocol allows.
-var ErrTooLarge = errors.New("body of more than 64 KiB")
+// ErrTooLarge is returned for a body of more than 64 KiB, the limit of the protocol.
+var ErrTooLarge = errors.New("body exceeds the limit of 64 KiB")
 
-// ReadBody reads a complete body into memory. A length of -1 says that the length is not stated; otherwise the body is
-// read at once into a buffer of that size. A body of more than 64 KiB is ErrTooLarge, a short one io.ErrUnexpectedEOF.
+// ReadBody reads a complete body into memory. A length of -1 means that the length is unknown. ReadBody returns ErrTooLarge
+// for a body of more than 64 KiB. For one that ends before length bytes it returns io.ErrUnexpectedEOF, or io.EOF if r is
+// empty.
 func ReadBody(r io.Reader, length int64) ([]byte, error) {
 	if length > maxBodyBytes {
 		return nil, ErrTooLarge
@@ -28,7 +29,7 @@
 	if _, err := io.ReadFull(r, body); err != nil {
 		return nil, err
 	}
-	// Reading up to the end of the body is what frees its connection for the next request.
+	// The connection can be reused only after the body has been read up to io.EOF.
 	_, err := r.Read(make([]byte, 1))
 	if errors.Is(err, io.EOF) {
 		err = nil
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -7,37 +7,37 @@
 	"portflow/internal/retryguard"
 )
 
-// Request is a client's request as it is forwarded to hosts.
+// Request is a client request in the form in which it is forwarded to hosts.
 type Request struct {
-	Method, Target          string // the target is the path with its query, as it came
-	TraceID, IdempotencyKey string // the id of this request, and the key of one that is idempotent by key
+	Method, Target          string // Target is the path with the query, as received
+	TraceID, IdempotencyKey string // IdempotencyKey is set for requests that are idempotent by key
 	Body                    []byte
-	Class, Customer         int // by position, for what counts traffic
-	Payload                 any // what upstream protocols need besides
+	Class, Customer         int // indexes into the settings, for traffic counters
+	Payload                 any // additional data for the upstream protocol
 }
 
 // Answer is the final answer to a request.
 type Answer struct {
 	Kind       AnswerKind
-	Body       []byte        // of a request that succeeded
-	RetryAfter time.Duration // when a rejected request may be sent again
-	Reply      any           // what the last attempt brought besides, nil for nothing
+	Body       []byte        // the response body, if Kind is Succeeded
+	RetryAfter time.Duration // if Kind is Rejected, the delay before the client may retry
+	Reply      any           // Outcome.Reply of the attempt that succeeded or else of the last one that ended; may be nil
 }
 
-// AnswerKind tells the three final answers apart.
+// AnswerKind is the kind of a final answer.
 type AnswerKind uint8
 
-// The final answers.
+// The kinds of final answers.
 const (
 	Succeeded AnswerKind = iota // a host answered
-	Rejected                    // shed: the client may send it again
-	Failed                      // it was attempted, and no good answer came
+	Rejected                    // shed; the client may send the request again
+	Failed                      // attempted, without a successful answer
 )
 
-// Responder takes the final answer to a request. Respond must not block.
+// Responder receives the final answer to a request. Respond must not block.
 type Responder interface{ Respond(Answer) }
 
-// AnswerChan is a Responder. It needs room for one answer.
+// AnswerChan is a Responder that sends the answer to a channel. The channel must have a buffer for one answer.
 type AnswerChan chan Answer
 
 var _ Responder = AnswerChan(nil)
@@ -45,22 +45,22 @@
 // Respond implements Responder.
 func (c AnswerChan) Respond(a Answer) { c <- a }
 
-// Call is a request with all that the dispatcher knows of it until it is answered and its attempts have ended. Its maker
+// Call is a request and its state in the dispatcher, which keeps it until it is done and its attempts have ended. The creator
 // sets the exported fields; the others belong to the dispatcher's goroutine.
 type Call struct {
 	Class, Customer int
 	Key             uint64
-	Deadline        int64 // on the Clock
-	Retried         bool  // the client says that it has sent the request before
+	Deadline        int64 // on the dispatcher's Clock
+	Retried         bool  // the client marked the request as a retry
 	Request         *Request
-	Responder       Responder       // is given one answer, or none if the client has gone
-	MaxAttempts     int             // 0 for as many as the settings allow
-	Allowed         func(Host) bool // whether it may go to a host now, nil for any
+	Responder       Responder       // receives one answer, or none after ClientGone or StreamStarted
+	MaxAttempts     int             // 0 for the limit of the settings
+	Allowed         func(Host) bool // reports whether the call may go to a host now; nil allows every host
 
 	lastReply    any
 	guardRequest retryguard.Request
-	id           uint32 // 0 until the decision engine has it
-	done         bool   // it was answered, or needs no answer any more
+	id           uint32 // 0 until the call is passed to the decision engine
+	done         bool   // answered, or needs no answer anymore
 	attempts     []callAttempt
 	inFlight     int
 }
@@ -71,21 +71,21 @@
 	host      uint32
 }
 
-// Outcome is how an attempt ended.
+// Outcome is the outcome of an attempt.
 type Outcome struct {
 	Result     decision.Result
-	Body       []byte    // the complete body of a host's good answer
-	LoadReport []float64 // a load report that came with the answer
-	Reply      any       // what else the upstream protocol has for the call's maker
+	Body       []byte    // the complete body of a successful response
+	LoadReport []float64 // the load report in the response, if any
+	Reply      any       // additional data of the upstream protocol for the creator of the call
 }
 
-// respond gives the final answer. An attempt of which nothing has been written by then never is.
+// respond sends the final answer and cancels the attempts that have not been written yet.
 func (c *Call) respond(a Answer) {
 	c.finish()
 	c.Responder.Respond(a)
 }
 
-// finish marks that no answer is owed any more.
+// finish marks the call as done and cancels the attempts that have not been written yet.
 func (c *Call) finish() {
 	c.done = true
 	for _, attempt := range c.attempts {
--- a/internal/dispatch/clock.go
+++ b/internal/dispatch/clock.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Clock returns the present time in nanoseconds. It is monotonic and anchored once at the Unix time of its start, so that
-// it can be compared with the Unix times in lists of hosts.
+// Clock returns the current time in nanoseconds. It is monotonic, and set to the Unix time once, when it is created, so that
+// it can be compared with the Unix times in host lists.
 type Clock func() int64
 
-// NewClock returns a clock that is anchored at the present time.
+// NewClock returns a Clock that starts at the current Unix time.
 func NewClock() Clock {
 	start := time.Now()
 	unix := start.UnixNano()
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,8 +1,8 @@
-// Package dispatch runs the decision engine of a router on sockets. One goroutine owns the engine, the ids of hosts and
-// requests, and the open calls; events come in by Post, and the effects that the engine asks for are carried out by the
-// Outputs, which never block it. The package decides nothing and does no I/O.
+// Package dispatch connects the decision engine of a router or proxy to the network. One goroutine owns the engine, the IDs of
+// hosts and requests, and the open calls. It receives events through Post and passes the effects that the engine requests to
+// the Outputs, which must not block. The package itself makes no decisions and does no I/O.
 //
-// Begin reading at Dispatcher.Run; apply.go has what each event does, effects.go what each effect does.
+// The main loop is Dispatcher.Run; apply.go handles the events, effects.go the effects.
 package dispatch
 
 import (
@@ -14,32 +14,32 @@
 	"portflow/internal/decision"
 )
 
-// queueCapacity bounds the events that wait: more than a router's open connections can bring at once.
+// queueCapacity is the capacity of each event queue, above the number of events that a router's open connections can cause at once.
 const queueCapacity = 4096
 
-// Dispatcher turns events into calls of the decision engine, and its effects into calls of the Outputs. All of its state
-// belongs to the goroutine that calls Run or Step, except the two queues.
+// Dispatcher passes events to the decision engine, and the engine's effects to the Outputs. Its state belongs to the goroutine
+// that calls Run or Step, except for the channels.
 type Dispatcher struct {
 	log     zerolog.Logger
 	clock   Clock
 	outputs Outputs
 	engine  *decision.Engine
-	guard   Guard // nil for none
+	guard   Guard // may be nil
 
-	calls      map[uint32]*Call // that are open or have attempts in flight
+	calls      map[uint32]*Call // by ID; not done, or with attempts in flight
 	lastCallID uint32
-	hosts      map[uint32]Host // as they are listed now
-	hostIDs    map[string]uint32
+	hosts      map[uint32]Host   // the currently listed hosts, by ID
+	hostIDs    map[string]uint32 // by host name
 	lastHostID uint32
 
 	ordinary chan Event
-	urgent   chan Event // applied before the ordinary ones
-	timerAt  int64      // when the timer is due, 0 for none
+	urgent   chan Event // applied before ordinary events
+	timerAt  int64      // time at which the timer is due, 0 for none
 	timerID  uint64
-	stopped  chan struct{} // closed when Run ends
+	stopped  chan struct{} // closed when Run returns
 }
 
-// New makes a dispatcher that waits for Run; what is posted before then is kept.
+// New returns a dispatcher. Events that are posted before Run or Step are queued.
 func New(clock Clock, log zerolog.Logger) *Dispatcher {
 	return &Dispatcher{
 		log:      log,
@@ -53,9 +53,9 @@
 	}
 }
 
-// Post queues an event; it blocks while the queue is full. Changes of hosts, of the rollout and of the rank, reports of
-// wrong answers and gossip do not queue behind requests. A new class does: its requests, which are posted after it, must
-// not overtake it, and an event that waits on another queue may be overtaken.
+// Post queues an event. It blocks while the queue is full, unless Run has returned. Changes of hosts, of the rollout and of the
+// rank, flagged answers and gossip use the urgent queue, so that they do not wait behind requests. ClassAdded uses the ordinary
+// queue: requests of the new class are posted after it and must not overtake it, which is not ensured between queues.
 func (d *Dispatcher) Post(e Event) {
 	queue := d.ordinary
 	switch e.(type) {
@@ -68,16 +68,17 @@
 	}
 }
 
-// Config is what a dispatcher needs to know before its first event.
+// Config is the initial configuration of a Dispatcher.
 type Config struct {
 	Settings decision.Settings
 	Seed     uint64
 	Hosts    HostsChanged
 	Rollout  RolloutChanged
-	Guard    Guard // nil for none
+	Guard    Guard // may be nil
 }
 
-// Start starts the engine. Run calls it; a caller that steps the dispatcher by hand does so once, before the first Step.
+// Start creates the engine and applies the initial hosts and rollout. Run calls it; a caller of Step calls it once, before the
+// first Step.
 func (d *Dispatcher) Start(config Config, outputs Outputs) {
 	d.outputs = outputs
 	d.guard = config.Guard
@@ -86,7 +87,7 @@
 	config.Rollout.apply(d)
 }
 
-// Run starts the engine and applies events until the context ends.
+// Run calls Start and then handles events and the timer until ctx is done.
 func (d *Dispatcher) Run(ctx context.Context, config Config, outputs Outputs) {
 	defer close(d.stopped)
 	d.Start(config, outputs)
@@ -110,7 +111,8 @@
 	}
 }
 
-// Step fires the timer if it is due, or else applies one event that waits; it returns false if there is neither.
+// Step fires the timer if it is due, or else applies one queued event, urgent events first. It returns false if there was
+// nothing to do.
 func (d *Dispatcher) Step() bool {
 	if now := d.clock(); d.timerAt != 0 && now >= d.timerAt {
 		d.timerAt = 0
@@ -134,9 +136,9 @@
 	return true
 }
 
-// NextTimer returns when the dispatcher must be stepped even if no event comes, 0 for never.
+// NextTimer returns the time, on the Clock, at which Step must be called even if no event is posted, 0 for none.
 func (d *Dispatcher) NextTimer() int64 { return d.timerAt }
 
-// TrialStatistics returns the statistics by which the engine judges the newest build. While Run runs it may be called only
-// by an Output in the midst of an effect.
+// TrialStatistics returns the statistics by which the engine evaluates the newest build. While Run is running, only Outputs may
+// call it, from within an effect.
 func (d *Dispatcher) TrialStatistics() decision.TrialStatistics { return d.engine.TrialStatistics() }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -18,7 +18,8 @@
 
 // testOutputs records the effects of a dispatcher.
 type testOutputs struct {
-	mu        sync.Mutex // guards attempts: synctest.Wait orders the dispatcher's writes before the test's reads, not the reverse
+	// mu guards attempts. synctest.Wait orders the dispatcher's writes before the test's reads, but not the reverse.
+	mu        sync.Mutex
 	attempts  []*testAttempt
 	forgotten []string
 	votes     int
@@ -32,12 +33,12 @@
 	completed      bool // done was called
 }
 
-// outputs are the same recorder for everything.
+// outputs returns Outputs that all record to o.
 func (o *testOutputs) outputs() Outputs {
 	return Outputs{Upstream: o, Platform: o, Peers: o, HostWatcher: o}
 }
 
-// all are the attempts so far.
+// startedAttempts returns a copy of the attempts started so far.
 func (o *testOutputs) startedAttempts() []*testAttempt {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -60,7 +61,7 @@
 func (o *testOutputs) SendGossip(int, []byte)          {}
 func (o *testOutputs) Watch(bool)                      {}
 
-// testConfig has two ready hosts and a released build.
+// testConfig returns a configuration with two ready hosts and a released build.
 func testConfig() Config {
 	second := int64(time.Second)
 	return Config{
@@ -87,10 +88,10 @@
 	}
 }
 
-// runDispatcher runs a dispatcher beside the test, in virtual time.
+// runDispatcher calls run while a dispatcher runs in another goroutine, in virtual time.
 func runDispatcher(t *testing.T, run func(d *Dispatcher, out *testOutputs)) { runGuarded(t, nil, run) }
 
-// runGuarded is runDispatcher with a guard.
+// runGuarded is like runDispatcher, with a guard.
 func runGuarded(t *testing.T, g Guard, run func(d *Dispatcher, out *testOutputs)) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &testOutputs{}
@@ -106,7 +107,7 @@
 	})
 }
 
-// receive posts a request and waits until it has been applied.
+// receive posts a request with a timeout and waits until it has been handled.
 func (d *Dispatcher) receive(timeout time.Duration) *Call {
 	c := &Call{Deadline: d.clock() + int64(timeout), Request: &Request{}, Responder: make(AnswerChan, 1)}
 	d.Post(RequestReceived{c})
@@ -126,19 +127,19 @@
 		}
 		synctest.Wait()
 		if len(d.calls) != 0 {
-			t.Error("not forgotten")
+			t.Error("answered call was not removed")
 		}
 	})
 }
 
-// An attempt that waits for a connection when its request is answered or its client leaves must not be sent any more.
+// An attempt that waits for a connection must not be sent once its request has been answered or its client has disconnected.
 func TestUnsentAttemptsCanceledWithTheirCall(t *testing.T) {
 	runDispatcher(t, func(d *Dispatcher, out *testOutputs) {
 		c := d.receive(time.Second)
 		d.Post(ClientGone{c})
 		synctest.Wait()
 		if !out.startedAttempts()[0].canceledUnsent || !out.startedAttempts()[0].canceled {
-			t.Error("still on its way")
+			t.Error("attempt was not canceled when its client disconnected")
 		}
 		out.startedAttempts()[0].done(Outcome{Result: decision.Canceled})
 		timedOut := d.receive(time.Second)
@@ -150,7 +151,7 @@
 	})
 }
 
-// Changes of hosts and of the rollout, and gossip, must not queue behind requests.
+// Changes of hosts must not queue behind requests.
 func TestUrgentEventsFirst(t *testing.T) {
 	d := New(NewClock(), zerolog.Nop())
 	out := &testOutputs{}
@@ -173,8 +174,8 @@
 	}
 }
 
-// A request whose class is posted just before it must not overtake the class, also where both come between the dispatcher's
-// look at its queues and its wait: the clock, which is read there too, posts them at every seventh reading.
+// A request must not overtake its class, which is posted just before it, even if both are posted between the dispatcher's check
+// of its queues and its wait. The dispatcher reads the clock there, so the clock posts them, on every seventh reading.
 func TestClassAddedBeforeItsCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &testOutputs{}
@@ -198,18 +199,18 @@
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		if cancel(); remaining > 0 {
-			t.Error(remaining, "not posted")
+			t.Error(remaining, "requests were not posted")
 		}
 		synctest.Wait()
 		for _, c := range calls {
 			if len(c.attempts) == 0 {
-				t.Error("class", c.Class, "overtaken: its request was forwarded to no host")
+				t.Error("class", c.Class, "was overtaken by its request, which was not forwarded to any host")
 			}
 		}
 	})
 }
 
-// A request of an unknown class is answered, and not kept.
+// A request of an unknown class is rejected at once and not kept.
 func TestUnknownClass(t *testing.T) {
 	runDispatcher(t, func(d *Dispatcher, out *testOutputs) {
 		c := &Call{Class: 1, Deadline: d.clock() + int64(time.Second), Request: &Request{}, Responder: make(AnswerChan, 1)}
@@ -221,8 +222,8 @@
 	})
 }
 
-// Builds follow one another, and names and addresses come back under other builds: what the dispatcher remembers levels
-// off, and a host that returns is a new one that shares nothing with the old one.
+// The dispatcher must keep no state of removed hosts while builds replace one another, and must give a new ID to a host whose name
+// or address was in use under another build.
 func TestRemovedHostsForgotten(t *testing.T) {
 	runDispatcher(t, func(d *Dispatcher, out *testOutputs) {
 		for build := range 1000 {
@@ -247,15 +248,15 @@
 	})
 }
 
-// recordingGuard rejects retries, and records its calls.
+// recordingGuard is a Guard that rejects retries and records the calls of its methods.
 type recordingGuard struct{ calls []string }
 
 func (g *recordingGuard) Admit(_ int64, r *retryguard.Request) (bool, int64) {
-	g.calls = append(g.calls, fmt.Sprint("take ", r.Retry, r.Fingerprint != 0, r.Remaining > 0))
+	g.calls = append(g.calls, fmt.Sprint("admit ", r.Retry, r.Fingerprint != 0, r.Remaining > 0))
 	return !r.Retry, 3e8
 }
 func (g *recordingGuard) AttemptStarted(_ int64, _ *retryguard.Request, number int) {
-	g.calls = append(g.calls, fmt.Sprint("off ", number))
+	g.calls = append(g.calls, fmt.Sprint("started ", number))
 }
 func (g *recordingGuard) Rejected(int64, *retryguard.Request, int64) int64 {
 	g.calls = append(g.calls, "dismissed")
@@ -266,11 +267,11 @@
 	g.calls = append(g.calls, fmt.Sprint("ended ", host > 0, s, succeeded))
 }
 func (g *recordingGuard) HostsChanged(_ int64, complete bool, hosts []retryguard.Host) {
-	g.calls = append(g.calls, fmt.Sprint("list ", complete, len(hosts)))
+	g.calls = append(g.calls, fmt.Sprint("hosts ", complete, len(hosts)))
 }
 
-// A guard is asked first: what it rejects is answered at once, and neither forwarded nor known to the engine. It is called
-// with all that becomes of the rest.
+// A request that the guard rejects is answered at once and reaches neither the engine nor a host. The guard is notified of the
+// further course of the others.
 func TestGuard(t *testing.T) {
 	g := &recordingGuard{}
 	runGuarded(t, g, func(d *Dispatcher, out *testOutputs) {
@@ -293,13 +294,13 @@
 		}
 		synctest.Wait()
 		if len(d.calls) != 0 {
-			t.Error(len(d.calls), "not forgotten")
+			t.Error(len(d.calls), "calls were not removed")
 		}
 	})
-	want := "[list false 2 take true true true take false false true off 0 ended true 0 true take false false true off 0 unserved" +
-		" ended true 4 false list true 3 take false false true dismissed]"
+	want := "[hosts false 2 admit true true true admit false false true started 0 ended true 0 true admit false false true started 0 unserved" +
+		" ended true 4 false hosts true 3 admit false false true dismissed]"
 	if got := fmt.Sprint(g.calls); got != want {
-		t.Errorf("called with\n%s, want\n%s", got, want)
+		t.Errorf("calls of the guard:\n%s, want\n%s", got, want)
 	}
 }
 
@@ -336,7 +337,7 @@
 			synctest.Wait()
 			for _, c := range open {
 				if !c.done || len(c.Responder.(AnswerChan)) > 1 {
-					t.Fatal("no answer, or more than one")
+					t.Fatal("call is not done, or has more than one answer")
 				}
 			}
 			for i := 0; i < len(out.startedAttempts()); i++ {
@@ -346,7 +347,7 @@
 				}
 			}
 			if len(d.calls) != 0 {
-				t.Fatal(len(d.calls), "not forgotten")
+				t.Fatal(len(d.calls), "calls were not removed")
 			}
 		})
 	})
@@ -386,11 +387,11 @@
 	return g
 }
 
-// With the guard on, a request of calm traffic costs no further allocation.
+// Without a retry storm, the guard must not add allocations to a request.
 func TestGuardAddsNoAllocations(t *testing.T) {
 	off, on := testing.AllocsPerRun(3000, newCallRunner(nil)), testing.AllocsPerRun(3000, newCallRunner(newRetryGuard(t)))
 	if on > off {
-		t.Error(on, "allocations a request,", off, "without the guard")
+		t.Error(on, "allocations per request, want at most", off, "without the guard")
 	}
 }
 
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -6,7 +6,7 @@
 	"portflow/internal/decision"
 )
 
-// effects carries out the decision engine's effects, on the dispatcher's goroutine.
+// effects implements decision.Effects. The engine calls it on the dispatcher's goroutine.
 type effects struct{ *Dispatcher }
 
 var _ decision.Effects = effects{}
@@ -41,7 +41,8 @@
 	e.sendAnswer(callID, Answer{Kind: Failed, Reply: e.calls[callID].lastReply})
 }
 
-// sendAnswer answers a call. The engine may ask for that in the course of any event, not only of the call's own.
+// sendAnswer answers a call and removes it if it has no attempt in flight. The engine may request this during any event, not
+// only during events of this call.
 func (e effects) sendAnswer(callID uint32, a Answer) {
 	call := e.calls[callID]
 	call.respond(a)
@@ -65,7 +66,7 @@
 	e.timerID = id
 }
 
-// CloseIdle implements decision.Effects. A host that is gone has no address, and so no connections.
+// CloseIdle implements decision.Effects. For a removed host the address is empty, which matches no connections.
 func (e effects) CloseIdle(host uint32) { e.outputs.Upstream.CloseIdle(e.hosts[host].Address) }
 
 // WatchHosts implements decision.Effects.
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -2,48 +2,48 @@
 
 import "portflow/internal/decision"
 
-// Event is something that happened outside the dispatcher. Post brings it in.
+// Event is an input of the dispatcher, passed to Post.
 type Event interface{ apply(*Dispatcher) }
 
 type (
-	// RequestReceived brings a request that was completely read.
+	// RequestReceived passes in a request that has been read completely.
 	RequestReceived struct{ *Call }
-	// ClientGone says that a call's client has disconnected.
+	// ClientGone reports that the client of a call has disconnected.
 	ClientGone struct{ *Call }
-	// StreamStarted says that the latest attempt's answer has begun to go to the client: no other answer can be given any
-	// more.
+	// StreamStarted reports that the response to the latest attempt is being streamed to the client, so that the call can
+	// get no other answer.
 	StreamStarted struct{ *Call }
-	// AttemptEnded brings an attempt's outcome.
+	// AttemptEnded reports the outcome of an attempt; Number counts the attempts of the call from 0.
 	AttemptEnded struct {
 		Call    *Call
 		Number  int
 		Outcome Outcome
 	}
-	// HostsChanged brings the list of hosts or its changes.
+	// HostsChanged passes in a host list or changes to it, depending on Kind.
 	HostsChanged struct {
 		Kind  decision.ListKind
 		Hosts []Host
 	}
-	// RolloutChanged brings the platform's present state of the rollout, pushed or in reply to a vote.
+	// RolloutChanged reports the platform's current state of the rollout, pushed or in reply to a vote.
 	RolloutChanged struct{ decision.Rollout }
-	// ClassAdded adds a request class; its number is the next one.
+	// ClassAdded adds a request class, with the next free class index.
 	ClassAdded struct{ decision.RequestClass }
-	// RankChanged brings this router's position among so many routers.
+	// RankChanged reports this router's rank, from 0, and the number of routers.
 	RankChanged struct{ Rank, Routers int }
-	// AnswerFlagged says that a host's answer was found wrong.
+	// AnswerFlagged reports that an answer of a host was wrong.
 	AnswerFlagged struct {
 		Host  string
 		Class int
 		Age   int64 // nanoseconds since the attempt was sent
 	}
-	// GossipReceived brings a peer's message.
+	// GossipReceived passes in a gossip message of a peer.
 	GossipReceived struct {
 		Peer    int
 		Message []byte
 	}
 )
 
-// ReadyAddresses returns the addresses of the hosts that take requests.
+// ReadyAddresses returns the addresses of the hosts that are ready for requests, in list order.
 func (e HostsChanged) ReadyAddresses() (addresses []string) {
 	for _, host := range e.Hosts {
 		if host.Health == decision.Ready {
--- a/internal/dispatch/hosts.go
+++ b/internal/dispatch/hosts.go
@@ -5,23 +5,24 @@
 	"portflow/internal/retryguard"
 )
 
-// Host is a host as the list has it.
+// Host is an entry of a host list.
 type Host struct {
 	Name, Address    string
 	Zone, Kind, Cell int
 	Health           decision.Health
 	Build            int
 	Capacity         float64
-	StartedAt        int64 // Unix nanoseconds, 0 for long ago
-	Distance         int   // from this router, 0 for near
+	StartedAt        int64 // Unix nanoseconds, 0 if it started long ago
+	Distance         int   // from this router, 0 for the nearest hosts
 }
 
-// isSameProcess says whether two entries of one name are of the same process: it has kept its address, start and build.
+// isSameProcess reports whether two entries with the same name are for the same process, with the same address, build and
+// start time.
 func (h Host) isSameProcess(other Host) bool {
 	return h.Address == other.Address && h.Build == other.Build && h.StartedAt == other.StartedAt
 }
 
-// entry is the host under the id by which the engine knows it.
+// entry returns the decision engine's form of the host.
 func (h Host) entry(id uint32, health decision.Health, distance int) decision.Host {
 	return decision.Host{
 		ID:        id,
@@ -36,8 +37,8 @@
 	}
 }
 
-// apply gives each host that appears an id. A name that returns with another address, start or build is a new host, and
-// the previous one is gone.
+// apply assigns an ID to each new host. A known name with a different address, build or start time is a new host, which replaces
+// the previous one.
 func (e HostsChanged) apply(d *Dispatcher) {
 	entries := make([]decision.Host, 0, len(e.Hosts))
 	listed := make(map[string]bool, len(e.Hosts))
@@ -55,7 +56,7 @@
 	d.engine.HostsChanged(now, e.Kind, entries)
 }
 
-// updateHost appends the engine's entries for one host of the list.
+// updateHost updates one host and appends its entries for the engine.
 func (d *Dispatcher) updateHost(entries []decision.Host, host Host) []decision.Host {
 	id, known := d.hostIDs[host.Name]
 	if known && (host.Health == decision.Gone || !host.isSameProcess(d.hosts[id])) {
@@ -74,8 +75,8 @@
 	return append(entries, host.entry(id, host.Health, host.Distance))
 }
 
-// removeUnlisted appends an entry for each known host that a complete list does not name. The engine applies entries of
-// different hosts in any order alike.
+// removeUnlisted removes the known hosts that are missing from a complete list, and appends their entries for the engine. These
+// are in map order; the engine does not depend on the order of entries of different hosts.
 func (d *Dispatcher) removeUnlisted(entries []decision.Host, listed map[string]bool) []decision.Host {
 	for name := range d.hostIDs {
 		if !listed[name] {
@@ -85,7 +86,7 @@
 	return entries
 }
 
-// removeHost forgets a host and returns the entry that says that it is gone.
+// removeHost removes a host and returns the entry that reports its removal to the engine.
 func (d *Dispatcher) removeHost(name string) decision.Host {
 	id := d.hostIDs[name]
 	host := d.hosts[id]
--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -12,7 +12,7 @@
 	"portflow/internal/testing/digest"
 )
 
-// Which effect follows in the digest.
+// Tags that precede the recorded effects in the digest.
 const (
 	traceStartAttempt = iota
 	traceCancel
@@ -25,7 +25,7 @@
 	traceRespond
 )
 
-// recorder is all outputs of a dispatcher, and records what it is called with.
+// recorder implements all Outputs of a dispatcher and records their calls in a digest.
 type recorder struct {
 	effects *digest.Digest
 	count   int
@@ -66,15 +66,15 @@
 	a.recorder.effects.Add(traceRespond, a.number, answer.Kind, answer.Body, int64(answer.RetryAfter))
 }
 
-// drawnHost is a host of one of eight names.
+// randomHost returns a host with one of eight names.
 func randomHost(rng *rand.Rand, now int64) Host {
 	n := rng.IntN(8)
 	return Host{Name: fmt.Sprint("h", n), Address: fmt.Sprintf("h%d:%d", n, rng.IntN(2)), Cell: n % 2,
 		Health: decision.Health(rng.IntN(3)), Build: 4 + rng.IntN(2), Capacity: 1, StartedAt: now - rng.Int64N(4e9), Distance: n % 3}
 }
 
-// The effects of a dispatcher that is stepped by hand through random events are unchanged. The order of the fields of Host
-// and the numbers of constants are part of the digest; names are not.
+// TestTrace pins the effects of a dispatcher that handles random events. The digest depends on the order of the fields of Host and on
+// the values of constants, but not on names.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 25, []string{"c664daf94c73f5b5", "62cd6e7880f351f6", "0a15de61f244dc1b", "f28412759ef51019"}, func(seed uint64, d *digest.Digest) {
 		rng := rand.New(rand.NewPCG(seed, 1))
