--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -7,8 +7,8 @@
 	"portflow/internal/random"
 )
 
-// Three hundred routers that lost a peer at the same moment once called it again all at once, time after time. Their calls are
-// spread: in no tenth of the time that they take are more than three times as many as if they were even.
+// Guards against simultaneous retries by routers that lost a peer at the same moment: no tenth of the time from the first retry to the
+// last may have more than three times its even share of the retries.
 func TestDelaysSpreadCallsOfFleet(t *testing.T) {
 	const routers = 300
 	var callTimes [routers]time.Duration
@@ -28,16 +28,16 @@
 		}
 		for i, n := range tenths {
 			if n > routers/10*3 {
-				t.Errorf("after %d failures %d of %d in the tenth %d from %v to %v", failures, n, routers, i, first, last)
+				t.Errorf("after %d failures: %d of %d calls in tenth %d of the time from %v to %v", failures, n, routers, i, first, last)
 			}
 		}
 		if last-first < initialDelay/2 {
-			t.Errorf("after %d failures all within %v", failures, last-first)
+			t.Errorf("after %d failures: all calls within %v", failures, last-first)
 		}
 	}
 }
 
-// Delays stay within their bounds after any number of failures.
+// Delays must stay within their bounds after any number of failures.
 func TestDelayBounds(t *testing.T) {
 	var b Backoff
 	for failures := range 100 {
--- a/internal/decay/sum.go
+++ b/internal/decay/sum.go
@@ -1,17 +1,16 @@
-// Package decay counts recent events: each is forgotten exponentially with time. It is pure, and has no clock: its users pass the
-// time in. Begin reading at Sum.
+// Package decay provides exponentially decaying counts of events. It has no clock; callers pass the time in.
 package decay
 
 import "math"
 
-// Sum is the decayed number of events and the decayed sum of their values. Times are in nanoseconds; memory is the time constant,
-// after which 1/e is left. The zero Sum is empty. It is not safe for concurrent use.
+// Sum is an exponentially decayed count of events, and the decayed total of their values. Times are in nanoseconds; timeConstant is
+// the time in which both decay to 1/e. The zero Sum is empty. It is not safe for concurrent use.
 type Sum struct {
 	Count, Total float64
-	updatedAt    int64 // up to which it is decayed
+	updatedAt    int64 // time to which Count and Total have been decayed
 }
 
-// Decay decays the sum up to now. A time before the last one changes nothing.
+// Decay decays the sum to now. It has no effect if now is before the time of the last call.
 func (s *Sum) Decay(now, timeConstant int64) {
 	if now <= s.updatedAt {
 		return
@@ -22,7 +21,7 @@
 	s.updatedAt = now
 }
 
-// Add counts one event with its value.
+// Add decays the sum to now, and then adds an event with the given value.
 func (s *Sum) Add(now, timeConstant int64, value float64) {
 	s.Decay(now, timeConstant)
 	s.Count++
--- a/internal/decay/sum_test.go
+++ b/internal/decay/sum_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Decay depends on the time that has passed, not on how often it is called, and an earlier time changes nothing.
+// Decay must depend on the elapsed time, not on the number of calls, and must ignore an earlier time.
 func TestSum(t *testing.T) {
 	c := qt.New(t)
 	var once, often Sum
--- a/internal/decay/trace_test.go
+++ b/internal/decay/trace_test.go
@@ -7,7 +7,7 @@
 	"portflow/internal/testing/digest"
 )
 
-// Sums of random events are unchanged, to the last bit.
+// TestTrace pins the sums of random events, to the last bit.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 50, []string{"808ed13ba0c9a05f", "704f8e3f834634d2"}, func(seed uint64, d *digest.Digest) {
 		rng := rand.New(rand.NewPCG(seed, 1))
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -29,7 +29,7 @@
 
 // The kinds of final answers.
 const (
-	Succeeded AnswerKind = iota // a host answered
+	Succeeded AnswerKind = iota // a host answered successfully
 	Rejected                    // shed; the client may send the request again
 	Failed                      // attempted, without a successful answer
 )
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -304,7 +304,8 @@
 	}
 }
 
-// FuzzReducer plays random events: each request whose client stays gets one answer in time, and no attempt follows it.
+// FuzzEvents posts random events. Each call must be done by its deadline, with at most one answer, and be removed once its
+// attempts have ended.
 func FuzzEvents(f *testing.F) {
 	for seed := range uint64(8) {
 		f.Add(seed)
@@ -353,7 +354,7 @@
 	})
 }
 
-// stepper returns a function that plays one request through a dispatcher that is stepped by hand.
+// newCallRunner returns a function that passes one request through a dispatcher, by calling Step until it has been answered.
 func newCallRunner(g Guard) func() {
 	out := &testOutputs{}
 	now := int64(1e18)
@@ -391,7 +392,7 @@
 func TestGuardAddsNoAllocations(t *testing.T) {
 	off, on := testing.AllocsPerRun(3000, newCallRunner(nil)), testing.AllocsPerRun(3000, newCallRunner(newRetryGuard(t)))
 	if on > off {
-		t.Error(on, "allocations per request, want at most", off, "without the guard")
+		t.Error(on, "allocations per request, want no more than the", off, "without the guard")
 	}
 }
 
--- a/internal/dispatch/hosts.go
+++ b/internal/dispatch/hosts.go
@@ -16,13 +16,13 @@
 	Distance         int   // from this router, 0 for the nearest hosts
 }
 
-// isSameProcess reports whether two entries with the same name are for the same process, with the same address, build and
-// start time.
+// isSameProcess reports whether two entries with the same name describe the same process, that is, have the same address, build
+// and start time.
 func (h Host) isSameProcess(other Host) bool {
 	return h.Address == other.Address && h.Build == other.Build && h.StartedAt == other.StartedAt
 }
 
-// entry returns the decision engine's form of the host.
+// entry returns the decision engine's entry for the host.
 func (h Host) entry(id uint32, health decision.Health, distance int) decision.Host {
 	return decision.Host{
 		ID:        id,
--- a/internal/dispatch/outputs.go
+++ b/internal/dispatch/outputs.go
@@ -39,11 +39,11 @@
 // Guard admits or rejects each request before the decision engine sees it, and is notified of the further course of requests.
 // It is implemented by *retryguard.Guard. Times are on the dispatcher's Clock, durations in nanoseconds.
 type Guard interface {
-	// Admit reports whether a request is passed to the engine. If not, the client may retry after retryAfter.
+	// Admit reports whether a request is passed to the engine. If not, the client is asked to wait for retryAfter, if positive.
 	Admit(now int64, r *retryguard.Request) (admitted bool, retryAfter int64)
 	// AttemptStarted is called for each attempt; number counts the attempts of a request from 0.
 	AttemptStarted(now int64, r *retryguard.Request, number int)
-	// Rejected is called when the engine rejects a request, with the engine's retryAfter, and returns the one for the client.
+	// Rejected is called when the engine rejects a request. It gets the engine's retryAfter and returns the one to send to the client.
 	Rejected(now int64, r *retryguard.Request, retryAfter int64) int64
 	// Abandoned is called when a request fails, when its client disconnects, and when its response starts to be streamed.
 	Abandoned(now int64, r *retryguard.Request)
--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -38,7 +38,7 @@
 	done     func(Outcome)
 }
 
-// recordedAnswers is the client of a request.
+// recordingResponder records the answer to a request.
 type recordingResponder struct {
 	recorder *recorder
 	number   int
--- a/internal/pacing/calls.go
+++ b/internal/pacing/calls.go
@@ -1,19 +1,19 @@
-// Package pacing decides when and how often a router does what every router of its fleet may want to do at the same moment, and
-// which hosts it uses: what does no harm in one router does in hundreds. It is pure: random numbers are passed in. calls.go is
-// about calls to one service, preconnect.go about connections to hosts.
+// Package pacing limits the load that a fleet of routers causes when all of them act at the same moment. calls.go spreads calls to a
+// shared service over time; preconnect.go chooses the subset of hosts that a router uses, and how many connections it opens in
+// advance. The package has no state and no random source; random numbers are passed in.
 package pacing
 
-// Calls paces the calls of a fleet to one service.
+// Calls computes the delays of calls to a service that all routers of a fleet use.
 type Calls struct {
-	Interval int64 // nanoseconds in which the service expects one call of each router, 0 for a default
-	Callers  int   // routers of the fleet, with this one
+	Interval int64 // nanoseconds in which the service expects one call from each router, 0 for the default of 10 s
+	Callers  int   // number of routers in the fleet, including this one
 }
 
-// callsPerInterval is how many calls a service is taken to answer, one after another, in an interval: a few routers need hardly wait
-// for each other, and many spread their calls over half of it.
+// callsPerInterval is the number of calls that a service is assumed to answer sequentially in one interval. A small fleet therefore
+// hardly delays its calls, and one of at least half this number spreads them over half the interval.
 const callsPerInterval = 100
 
-// defaultInterval is the interval if the settings have none, in nanoseconds.
+// defaultInterval is the interval in nanoseconds if Calls.Interval is not set.
 const defaultInterval = int64(10e9)
 
 func (c Calls) interval() int64 {
@@ -23,28 +23,30 @@
 	return defaultInterval
 }
 
-// Spread returns the time over which calls with the same cause are spread, in nanoseconds.
+// Spread returns the time in nanoseconds over which the fleet spreads calls that have the same cause.
 func (c Calls) Spread() int64 {
 	return min(c.interval()/2, int64(c.Callers)*c.interval()/callsPerInterval)
 }
 
-// FirstDelay returns the wait before a call whose cause all routers have seen, in nanoseconds; chance is a random number from 0 up
-// to 1.
+// FirstDelay returns the delay in nanoseconds before a call that all routers make for the same cause; jitter is a random number in
+// [0, 1).
 func (c Calls) FirstDelay(jitter float64) int64 { return int64(jitter * float64(c.Spread())) }
 
-// minRetryFraction is the interval over the least mean wait after a failure: a service that refuses calls needs more time than the
-// spread of few.
+// minRetryDivisor is the interval divided by the smallest mean delay after a failure. A service that rejects calls needs more time
+// than the spread of a small fleet.
 const minRetryDivisor = 10
 
-// RetryDelay returns the wait after so many failures in a row, in nanoseconds: half to one and a half of a mean that doubles, from
-// the spread or a tenth of the interval up to the interval. Calls that fail cost the service as much as others, and while more come
-// than it can answer, all of its answers come too late: the fleet's calls must become fewer than that by themselves.
+// RetryDelay returns the delay in nanoseconds after the given number of consecutive failures; jitter is a random number in [0, 1). The
+// delay is 0.5 to 1.5 times a mean that starts at the spread or a tenth of the interval, whichever is longer, and doubles with each
+// failure up to the interval; in a fleet of fewer than ten routers, the mean stays at a tenth of the interval. Failed calls cost the
+// service as much as others, and an overloaded service answers every call too late, so the fleet must reduce its rate of calls on
+// its own.
 func (c Calls) RetryDelay(failures int, jitter float64) int64 {
 	mean := max(c.Spread(), c.interval()/minRetryDivisor)
 	for ; failures > 1 && mean < c.interval(); failures-- {
 		mean *= 2
 	}
-	if c.Callers*10 < callsPerInterval { // too few to overload a service: it was down, and may be back at any moment
+	if c.Callers*10 < callsPerInterval { // too few to overload a service; it was down and may recover at any moment
 		mean = min(mean, c.interval()/minRetryDivisor)
 	}
 	return int64((0.5 + jitter) * float64(min(mean, c.interval())))
--- a/internal/pacing/calls_test.go
+++ b/internal/pacing/calls_test.go
@@ -10,8 +10,8 @@
 
 const second = int64(1e9)
 
-// lastAnswer plays a fleet whose routers all lost their subscriptions at the same moment, and returns when the last one had its
-// answer.
+// lastAnswerTime simulates a fleet whose routers all lose their subscriptions at time 0, and returns when the last one was answered.
+// It stops after 300 s.
 func lastAnswerTime(c Calls, service *standin.CallQueue) (last int64) {
 	type caller struct {
 		at       int64
@@ -37,24 +37,23 @@
 	return last
 }
 
-// A service that can just answer one call of each router in the interval has answered all soon, however many routers there are,
-// and though it accepts more calls than it can answer in time. Routers that called again after a second on average never
-// succeeded: calls kept coming faster than any was answered in time.
+// Guards against retries that keep a service overloaded: one that can barely answer one call from each router per interval must
+// soon have answered the whole fleet, whatever its size, even though it queues more calls than it can answer in time.
 func TestOverloadedService(t *testing.T) {
 	for _, routers := range []int{3, 80, 300, 1000} {
 		c := Calls{Interval: 10 * second, Callers: routers}
 		service := &standin.CallQueue{ServiceNanos: min(second, 8*second/int64(routers)), MaxQueueNanos: 6 * second, CallerTimeout: 2 * second}
 		if last := lastAnswerTime(c, service); last > 25*second || service.Calls > 3*routers+5 {
-			t.Errorf("%d routers: the last after %.1f s, %d calls, %d late, %d refused", routers, float64(last)/1e9, service.Calls, service.Late, service.Rejected)
+			t.Errorf("%d routers: last one answered after %.1f s; %d calls, %d late, %d rejected", routers, float64(last)/1e9, service.Calls, service.Late, service.Rejected)
 		}
 	}
 }
 
-// Few routers wait hardly longer than one.
+// A small fleet needs only short delays, but must not retry at once, even if no interval is set.
 func TestSmallFleetDelays(t *testing.T) {
 	c := Calls{Interval: 10 * second, Callers: 3}
 	if (Calls{Callers: 3}).RetryDelay(1, 0) < second/10 {
-		t.Error("calls again at once without an interval in the settings")
+		t.Error("first retry is not delayed if no interval is set")
 	}
 	if c.FirstDelay(1) > second/2 || c.RetryDelay(9, 1) > 2*second {
 		t.Error(c.FirstDelay(1), c.RetryDelay(9, 1))
--- a/internal/pacing/preconnect.go
+++ b/internal/pacing/preconnect.go
@@ -1,7 +1,7 @@
 package pacing
 
-// SubsetStride returns the n for which a router that needs so many hosts uses every n-th of them. It is a power of two, so that some
-// hosts stay the same when it changes.
+// SubsetStride returns the stride with which a router selects its subset of the hosts: the largest power of two that still selects
+// need hosts and at least one, or 1 if there are too few hosts. Powers of two keep part of the subset when the stride changes.
 func SubsetStride(hosts int, need float64) int {
 	stride := 1
 	for float64(hosts) >= need*2*float64(stride) && hosts >= 2*stride {
@@ -10,11 +10,12 @@
 	return stride
 }
 
-// SubsetOffset returns the first host that a router of some rank uses, if it uses every n-th.
+// SubsetOffset returns the index of the first host in the subset of the router with the given rank.
 func SubsetOffset(stride, rank int) int { return stride - 1 - rank%stride }
 
-// PreconnectOrder returns which of so many hosts a router opens connections to before its first request, and in which order: those of
-// its subset, beginning at another one than the next router with the same subset, as it may not reach all.
+// PreconnectOrder returns the indexes of the hosts to which a router opens connections before its first request, in this order. These
+// are the hosts of its subset, rotated so that routers with the same subset begin at different hosts, because a router may not open
+// enough connections for all of them.
 func PreconnectOrder(hosts, rank int) (order []int) {
 	stride := SubsetStride(hosts, MinHosts)
 	for i := SubsetOffset(stride, rank); i < hosts; i += stride {
@@ -27,15 +28,17 @@
 	return order
 }
 
-// MinHosts is how many hosts a router with little traffic uses: enough to choose between two that are up.
+// MinHosts is the number of hosts that a router with little traffic uses, enough that it can choose between two healthy ones.
 const MinHosts = 12
 
-// imbalance is a busy router's traffic over the mean: where connections are balanced over routers, some get several busy ones.
+// busyRouterFactor is the traffic of a busy router relative to the mean. Where connections, not requests, are balanced over routers,
+// some routers get several busy ones.
 const busyRouterFactor = 4
 
-// PreconnectCount returns how many connections a router opens before its first request: as many as it has in use at once if it is a
-// busy one of a fleet that receives so many requests a second, each of which takes so many seconds. One that is opened in vain
-// costs a host a handshake and a connection, for every router that starts at the same moment. It is 0 for an unknown rate.
+// PreconnectCount returns the number of connections that a router opens before its first request: the number that a busy router of
+// the fleet uses concurrently, and at least MinHosts. perSecond is the rate of requests of the whole fleet, 0 if unknown, and latency
+// their mean duration in seconds. For an unknown rate the result is 0. Unused connections are not free: each costs its host a
+// handshake and a connection, for every router that starts at the same moment.
 func PreconnectCount(perSecond, latency float64, routers int) int {
 	if perSecond <= 0 {
 		return 0
--- a/internal/pacing/preconnect_test.go
+++ b/internal/pacing/preconnect_test.go
@@ -2,9 +2,8 @@
 
 import "testing"
 
-// All routers of a fleet that starts at once open no more connections to any host than it has requests in flight at a busy time, and
-// some to every host. Three to each host by each router were 14,400 for 60 hosts, which have some 2,000 requests at once
-// with all that wait.
+// Guards against a flood of connections when all routers of a fleet start at once: each host must get at least one connection, and not
+// many more than it has requests in flight under peak load.
 func TestPreconnectCountLargeFleet(t *testing.T) {
 	for _, test := range []struct{ routers, hosts, maxPerHost int }{{80, 60, 40}, {300, 150, 40}} {
 		opened := make([]int, test.hosts)
@@ -20,18 +19,18 @@
 		}
 		for i, n := range opened {
 			if n == 0 || n > test.maxPerHost {
-				t.Errorf("%d routers, %d hosts: %d at host %d", test.routers, test.hosts, n, i)
+				t.Errorf("%d routers, %d hosts: %d connections to host %d", test.routers, test.hosts, n, i)
 			}
 		}
 	}
 }
 
-// Few routers open about three connections to each of their hosts.
+// A router of a small fleet opens about three connections to each host.
 func TestPreconnectCountSmallFleet(t *testing.T) {
 	if n := PreconnectCount(140, 0.22, 3); n < 30 || SubsetStride(10, MinHosts) != 1 {
 		t.Error(n, SubsetStride(10, MinHosts))
 	}
 	if PreconnectCount(0, 1, 3) != 0 {
-		t.Error("connections for an unknown rate")
+		t.Error("connections are opened although the request rate is unknown")
 	}
 }
--- a/internal/pacing/trace_test.go
+++ b/internal/pacing/trace_test.go
@@ -7,7 +7,7 @@
 	"portflow/internal/testing/digest"
 )
 
-// What is decided for random fleets is unchanged.
+// TestTrace pins the delays, connection counts and subsets of random fleets.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 200, []string{"f4764bfba2b1f742", "6aaae0744ab2f4c4"}, func(seed uint64, d *digest.Digest) {
 		rng := rand.New(rand.NewPCG(seed, 1))
--- a/internal/timerqueue/queue.go
+++ b/internal/timerqueue/queue.go
@@ -1,15 +1,14 @@
-// Package timerqueue keeps values in the order of the times at which they are due. It has no clock: its users pass the time in,
-// as any number that grows. Begin reading at Queue.
+// Package timerqueue provides a priority queue of values ordered by due time. It has no clock; callers pass the time in, in any unit.
 package timerqueue
 
 import "container/heap"
 
-// Item is one entry of a Queue. Who added it keeps it to remove it again.
+// Item is an entry of a Queue. Add returns it, so that it can be removed.
 type Item[T any] struct {
 	Value    T
 	at       int64
-	sequence uint64 // of Add, to order items of the same time
-	index    int    // in the heap, -1 once the item was removed
+	sequence uint64 // number of the Add call, orders items with the same time
+	index    int    // position in the heap, -1 after removal
 }
 
 // itemHeap implements heap.Interface.
@@ -40,20 +39,20 @@
 func (h *itemHeap[T]) Pop() any {
 	last := len(*h) - 1
 	item := (*h)[last]
-	(*h)[last] = nil // so that the array does not keep the item
+	(*h)[last] = nil // lets the garbage collector free the item
 	*h = (*h)[:last]
 	item.index = -1
 	return item
 }
 
-// Queue holds items by time, and those of the same time in the order in which they were added. The zero Queue is empty. It is not
-// safe for concurrent use.
+// Queue orders items by time, and items with the same time by the order in which they were added. The zero Queue is empty. It is
+// not safe for concurrent use.
 type Queue[T any] struct {
 	items    itemHeap[T]
 	sequence uint64
 }
 
-// Add adds a value that is due at a time.
+// Add adds a value that is due at the given time, and returns its item.
 func (q *Queue[T]) Add(at int64, v T) *Item[T] {
 	q.sequence++
 	item := &Item[T]{Value: v, at: at, sequence: q.sequence}
@@ -61,7 +60,7 @@
 	return item
 }
 
-// Remove removes an item; one that is nil or no longer in the queue is ignored.
+// Remove removes an item. It ignores nil, and items that are no longer in the queue.
 func (q *Queue[T]) Remove(item *Item[T]) {
 	if item != nil && item.index >= 0 {
 		heap.Remove(&q.items, item.index)
@@ -76,7 +75,7 @@
 	return q.items[0].at, true
 }
 
-// PopDue removes and returns the earliest value if it is due at now.
+// PopDue removes and returns the earliest value if it is due at or before now; ok is false if none is.
 func (q *Queue[T]) PopDue(now int64) (v T, ok bool) {
 	at, ok := q.Next()
 	if !ok || at > now {
--- a/internal/timerqueue/queue_test.go
+++ b/internal/timerqueue/queue_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Values come in the order of their times and of their addition, never before their time; Remove may be called again.
+// Values must be returned in the order of their times, then of their addition, and never early. Removing an item twice, or after it
+// was popped, must have no effect.
 func TestOrder(t *testing.T) {
 	var q Queue[string]
 	late, early := q.Add(9, "late"), q.Add(3, "early")
@@ -10,7 +11,7 @@
 	q.Remove(late)
 	q.Remove(late)
 	if _, ok := q.PopDue(2); ok {
-		t.Fatal("popped before its time")
+		t.Fatal("value was popped before its time")
 	}
 	for _, want := range []string{"early", "second"} {
 		if got, ok := q.PopDue(5); !ok || got != want {
--- a/internal/timerqueue/trace_test.go
+++ b/internal/timerqueue/trace_test.go
@@ -7,7 +7,7 @@
 	"portflow/internal/testing/digest"
 )
 
-// What is due in a queue under random additions, removals and times is unchanged.
+// TestTrace pins which values are due, and when, for random additions, removals and times.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 50, []string{"00cbf86622887a52", "72263111d35126aa"}, func(seed uint64, d *digest.Digest) {
 		rng := rand.New(rand.NewPCG(seed, 1))
