--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -6,7 +6,7 @@
 	"portflow/internal/decision"
 )
 
-// effects carries out the decision engine's effects, on the dispatcher's goroutine.
+// effects implements decision.Effects. The engine calls it on the dispatcher's goroutine.
 type effects struct{ *Dispatcher }
 
 var _ decision.Effects = effects{}
@@ -17,7 +17,7 @@
 	now := e.clock()
 	number := len(call.attempts)
 	if e.guard != nil {
-		e.guard.AttemptStarted(now, &call.guarded, number)
+		e.guard.AttemptStarted(now, &call.guardRequest, number)
 	}
 	call.inFlight++
 	call.attempts = append(call.attempts, callAttempt{startedAt: now, host: host})
@@ -28,21 +28,22 @@
 // Reject implements decision.Effects.
 func (e effects) Reject(callID uint32, retryAfter int64) {
 	if e.guard != nil {
-		retryAfter = e.guard.Rejected(e.clock(), &e.calls[callID].guarded, retryAfter)
+		retryAfter = e.guard.Rejected(e.clock(), &e.calls[callID].guardRequest, retryAfter)
 	}
-	e.finish(callID, Answer{Kind: Rejected, RetryAfter: time.Duration(retryAfter)})
+	e.sendAnswer(callID, Answer{Kind: Rejected, RetryAfter: time.Duration(retryAfter)})
 }
 
 // Fail implements decision.Effects.
 func (e effects) Fail(callID uint32) {
 	if e.guard != nil {
-		e.guard.Abandoned(e.clock(), &e.calls[callID].guarded)
+		e.guard.Abandoned(e.clock(), &e.calls[callID].guardRequest)
 	}
-	e.finish(callID, Answer{Kind: Failed, Reply: e.calls[callID].lastReply})
+	e.sendAnswer(callID, Answer{Kind: Failed, Reply: e.calls[callID].lastReply})
 }
 
-// finish answers a call. The engine may ask for that in the course of any event, not only of the call's own.
-func (e effects) finish(callID uint32, a Answer) {
+// sendAnswer answers a call and removes it if it has no attempt in flight. The engine may request this during any event, not
+// only during events of this call.
+func (e effects) sendAnswer(callID uint32, a Answer) {
 	call := e.calls[callID]
 	call.respond(a)
 	e.removeIfDone(call)
@@ -65,7 +66,7 @@
 	e.timerID = id
 }
 
-// CloseIdle implements decision.Effects. A host that is gone has no address, and so no connections.
+// CloseIdle implements decision.Effects. For a removed host the address is empty, which matches no connections.
 func (e effects) CloseIdle(host uint32) { e.outputs.Upstream.CloseIdle(e.hosts[host].Address) }
 
 // WatchHosts implements decision.Effects.
