--- a/internal/decision/binding.go
+++ b/internal/decision/binding.go
@@ -21,53 +21,53 @@
 type keyBindings map[uint64][]*binding
 
 // latest is the latest build that a key is bound to, 0 for none.
-func (t keyBindings) latest(key uint64) int {
-	if all := t[key]; len(all) > 0 {
+func (k keyBindings) latest(key uint64) int {
+	if all := k[key]; len(all) > 0 {
 		return all[len(all)-1].build
 	}
 	return 0
 }
 
 // bind counts an answer of a build.
-func (t keyBindings) bind(key uint64, build int) *binding {
-	i, ok := slices.BinarySearchFunc(t[key], build, func(b *binding, build int) int { return b.build - build })
+func (k keyBindings) bind(key uint64, build int) *binding {
+	i, ok := slices.BinarySearchFunc(k[key], build, func(b *binding, build int) int { return b.build - build })
 	if !ok {
-		t[key] = slices.Insert(t[key], i, &binding{build: build})
+		k[key] = slices.Insert(k[key], i, &binding{build: build})
 	}
-	b := t[key][i]
+	b := k[key][i]
 	b.answers++
 	return b
 }
 
 // unbind takes back what one call of bind counted.
-func (t keyBindings) unbind(key uint64, b *binding) {
+func (k keyBindings) unbind(key uint64, b *binding) {
 	if b == nil {
 		return
 	}
 	b.answers--
 	if b.answers == 0 {
-		t.keep(key, func(other *binding) bool { return other != b })
+		k.keep(key, func(other *binding) bool { return other != b })
 	}
 }
 
 // dropFrom drops the bindings to a build and later ones.
-func (t keyBindings) dropFrom(build int) {
-	for key := range t {
-		t.keep(key, func(b *binding) bool { return b.build < build })
+func (k keyBindings) dropFrom(build int) {
+	for key := range k {
+		k.keep(key, func(b *binding) bool { return b.build < build })
 	}
 }
 
 // dropUpTo drops the bindings to a build and earlier ones.
-func (t keyBindings) dropUpTo(build int) {
-	for key := range t {
-		t.keep(key, func(b *binding) bool { return b.build > build })
+func (k keyBindings) dropUpTo(build int) {
+	for key := range k {
+		k.keep(key, func(b *binding) bool { return b.build > build })
 	}
 }
 
-func (t keyBindings) keep(key uint64, which func(*binding) bool) {
-	t[key] = slices.DeleteFunc(t[key], func(b *binding) bool { return !which(b) })
-	if len(t[key]) == 0 {
-		delete(t, key)
+func (k keyBindings) keep(key uint64, which func(*binding) bool) {
+	k[key] = slices.DeleteFunc(k[key], func(b *binding) bool { return !which(b) })
+	if len(k[key]) == 0 {
+		delete(k, key)
 	}
 }
 
--- a/internal/decision/binding_test.go
+++ b/internal/decision/binding_test.go
@@ -26,7 +26,7 @@
 }
 
 // An attempt that is canceled, times out or breaks may have answered its key: the key must not go to an earlier build.
-func TestKeyIsBoundFromTheAttempt(t *testing.T) {
+func TestKeyIsBoundWhenAttemptStarts(t *testing.T) {
 	for _, result := range []Result{Canceled, TimedOut, ConnectionReset, Succeeded, Failed, ConnectFailed} {
 		d := newDecider(Settings{Routers: 1, TimerResolution: ms, MaxAttempts: 3, KeyAffinity: true, Classes: []RequestClass{{LatencyTarget: 1000 * ms}}}, 1, nil)
 		d.hasRollout, d.rollout = true, Rollout{Build: 5}
--- a/internal/decision/decision_test.go
+++ b/internal/decision/decision_test.go
@@ -8,16 +8,16 @@
 	"portflow/internal/testing/digest"
 )
 
-// FuzzRules plays random days with every kind of event, lost, late, repeated and out of order, and different settings.
-func FuzzRules(f *testing.F) {
+// FuzzEngine plays random days with every kind of event, lost, late, repeated and out of order, and different settings.
+func FuzzEngine(f *testing.F) {
 	for seed := range uint64(40) {
 		f.Add(seed)
 	}
-	f.Fuzz(func(t *testing.T, seed uint64) { playDay(t, seed, 1500, nil) })
+	f.Fuzz(func(t *testing.T, seed uint64) { playScenario(t, seed, 1500, nil) })
 }
 
-// playDay plays one random day of so many steps, and records the effects if there is a digest.
-func playDay(t *testing.T, seed uint64, steps int, effects *digest.Digest) {
+// playScenario plays one random day of so many steps, and records the effects if there is a digest.
+func playScenario(t *testing.T, seed uint64, steps int, effects *digest.Digest) {
 	set := testSettings()
 	set.Hedging, set.KeyAffinity, set.CapPerClass = seed%2 == 0, seed%3 == 0, seed%5 == 0
 	set.GuardedStages, set.Subscribe, set.Rank = int(seed%3), seed%4 == 0, int(seed%3)
@@ -35,7 +35,7 @@
 	w.newestBuild = 4
 	id := uint32(100)
 	for w.step = range steps {
-		w.random(&id)
+		w.playRandomEvent(&id)
 		w.advance(w.rnd.Int64N(15) * ms)
 		for _, value := range w.engine.gossipedValues() { // a division by zero once spoiled them, and no peer took the messages any more
 			w.failIf(math.IsNaN(*value) || math.IsInf(*value, 0), "gossiped values %v %v", w.engine.state, w.engine.fleetLoad)
@@ -45,7 +45,7 @@
 }
 
 // random plays one random event; id is that of the last request.
-func (w *world) random(id *uint32) {
+func (w *world) playRandomEvent(id *uint32) {
 	switch p := w.rnd.IntN(100); {
 	case p < 45:
 		for range 1 + w.rnd.IntN(3) {
--- a/internal/decision/effects.go
+++ b/internal/decision/effects.go
@@ -46,10 +46,10 @@
 
 // emitAnswer gives the wanted answer.
 func (d *decider) emitAnswer(req *request) {
-	if req.wantedAnswer == noAnswer || req.done {
+	if req.decidedAnswer == noAnswer || req.done {
 		return
 	}
-	if req.wantedAnswer == fail {
+	if req.decidedAnswer == fail {
 		d.effects.Fail(req.id)
 	} else {
 		d.effects.Reject(req.id, d.retryAfter())
--- a/internal/decision/gossip.go
+++ b/internal/decision/gossip.go
@@ -30,17 +30,17 @@
 func (d *decider) gossipedValues() []*float64 {
 	all := []*float64{
 		&d.state[failures],
-		&d.state[lag],
-		&d.baselineMean[lag].sum,
-		&d.trialLag.sum,
+		&d.state[excessLatency],
+		&d.baselineMean[excessLatency].sum,
+		&d.trialExcessLatency.sum,
 
-		&d.trialLag.weight,
+		&d.trialExcessLatency.weight,
 		&d.meanSquare[failures],
-		&d.meanSquare[lag],
+		&d.meanSquare[excessLatency],
 		&d.count[failures],
-		&d.count[lag],
+		&d.count[excessLatency],
 		&d.baselineMean[failures].weight,
-		&d.baselineMean[lag].weight,
+		&d.baselineMean[excessLatency].weight,
 		&d.baselineMean[failures].sum,
 		&d.interference,
 	}
@@ -67,8 +67,8 @@
 // must not count its few outcomes as many.
 func (d *decider) updateReachable() {
 	d.gossipRate -= gossipRateGain * d.gossipRate
-	heardShare := min(1, 1.3*d.gossipRate) // with room for the chance that few messages come
-	d.reachableRouters = 1 + float64(d.settings.Routers-1)*heardShare
+	reachableShare := min(1, 1.3*d.gossipRate) // with room for the chance that few messages come
+	d.reachableRouters = 1 + float64(d.settings.Routers-1)*reachableShare
 }
 
 // encodeGossip encodes a message: the build on trial, the figures, and for how many seconds the trial has been paused,
--- a/internal/decision/host.go
+++ b/internal/decision/host.go
@@ -130,10 +130,10 @@
 
 func (d *decider) updateHost(h *host) {
 	d.hasDistantHosts = d.hasDistantHosts || h.distance > 0
-	warmth := d.warmth(h)
+	warmUpFactor := d.warmUpFactor(h)
 	if h.build == d.rollout.Build {
 		d.lastTrialStart = max(d.lastTrialStart, h.startedAt)
-		if warmth == 1 && h.health == Ready {
+		if warmUpFactor == 1 && h.health == Ready {
 			d.warmTrialHosts++
 		}
 	}
@@ -142,13 +142,13 @@
 	if h.health != Ready {
 		return
 	}
-	d.totalCapacity += h.capacity * warmth
+	d.totalCapacity += h.capacity * warmUpFactor
 	if h.ejectedUntil > d.now {
 		return
 	}
 	d.healthyHosts++
 	if d.hasBudget(h) { // otherwise the warm hosts of its side would be given its share too
-		d.sideCapacity[h.side()] += h.capacity * warmth
+		d.sideCapacity[h.side()] += h.capacity * warmUpFactor
 	}
 }
 
@@ -181,14 +181,14 @@
 	pending := d.pending
 	d.pending = nil
 	for _, req := range pending {
-		if !req.done && req.wantedAnswer == noAnswer && req.inFlight == 0 {
+		if !req.done && req.decidedAnswer == noAnswer && req.inFlight == 0 {
 			d.placeRequest(req)
 		}
 	}
 }
 
-// warmth is the share of its capacity that a host surely has by now.
-func (d *decider) warmth(h *host) float64 {
+// warmUpFactor is the share of its capacity that a host surely has by now.
+func (d *decider) warmUpFactor(h *host) float64 {
 	age := d.now - h.startedAt
 	if h.startedAt == 0 || age >= d.settings.WarmUpTime {
 		return 1
@@ -198,10 +198,10 @@
 
 // hasBudget says whether a host is warm, or may have another attempt.
 func (d *decider) hasBudget(h *host) bool {
-	warmth := d.warmth(h)
-	h.budget.add((d.coldCredit - h.creditTaken) * h.capacity * warmth)
+	warmUpFactor := d.warmUpFactor(h)
+	h.budget.add((d.coldCredit - h.creditTaken) * h.capacity * warmUpFactor)
 	h.creditTaken = d.coldCredit
-	return warmth == 1 || h.budget.tokens >= 1
+	return warmUpFactor == 1 || h.budget.tokens >= 1
 }
 
 // slownessMemory is the time constant by which a host's latency is forgotten.
--- a/internal/decision/interference.go
+++ b/internal/decision/interference.go
@@ -55,7 +55,7 @@
 
 // shouldPause says whether this router begins a test. If the trial is much faster, the earlier hosts are slow by themselves.
 func (d *decider) shouldPause() bool {
-	return d.slowTicks > mixingTicks && d.rollout.Stage > 0 && d.settings.SideBySide &&
+	return d.slowTicks > confirmationTicks && d.rollout.Stage > 0 && d.settings.SideBySide &&
 		d.trialSpeedUp() < slowdownThreshold && d.settings.Rank < pausingRouters
 }
 
--- a/internal/decision/load.go
+++ b/internal/decision/load.go
@@ -19,10 +19,10 @@
 	ownLoad   []float64 // mean a tick of this router, over some ticks
 	fleetLoad []float64 // gossiped: the same of the mean router
 
-	throughput  decayingMean // gauges what the fleet carries: answers by its capacity
-	usualSpeed  decayingMean // speed of the earlier build over some seconds
-	meanLatency float64      // mean latency of answers, in nanoseconds
-	pressure    float64      // share of the requests to shed
+	throughput   decayingMean // gauges what the fleet carries: answers by its capacity
+	usualSpeed   decayingMean // speed of the earlier build over some seconds
+	meanLatency  float64      // mean latency of answers, in nanoseconds
+	shedFraction float64      // share of the requests to shed
 }
 
 const (
--- a/internal/decision/request.go
+++ b/internal/decision/request.go
@@ -62,7 +62,7 @@
 	// What is wanted and emitEffects has not emitted yet.
 	next            *host // of the next attempt, nil for none
 	attemptDeadline int64 // of the next attempt
-	wantedAnswer    finalAnswer
+	decidedAnswer   finalAnswer
 }
 
 // finalAnswer is an answer that this router gives itself.
--- a/internal/decision/retry.go
+++ b/internal/decision/retry.go
@@ -23,7 +23,7 @@
 		return
 	}
 	if d.now >= d.finalCheckAt(req) {
-		req.wantedAnswer = fail
+		req.decidedAnswer = fail
 		d.changed = append(d.changed, req)
 		return
 	}
@@ -35,7 +35,7 @@
 
 // mayHedge says whether a second attempt beside the first may run and is of use.
 func (d *decider) mayHedge(req *request) bool {
-	return req.inFlight == 1 && d.settings.Hedging && d.pressure < 0.5 && d.mayRetry(req, false) && d.now < req.target
+	return req.inFlight == 1 && d.settings.Hedging && d.shedFraction < 0.5 && d.mayRetry(req, false) && d.now < req.target
 }
 
 // hedge wants a second attempt at another host.
@@ -81,9 +81,9 @@
 
 // giveUp ends a request at once. It is rejected if the client may send it again, and fails otherwise.
 func (d *decider) giveUp(req *request) {
-	req.wantedAnswer = fail
+	req.decidedAnswer = fail
 	if d.maySendAgain(req) {
-		req.wantedAnswer = reject
+		req.decidedAnswer = reject
 	}
 	d.changed = append(d.changed, req)
 }
--- a/internal/decision/retry_test.go
+++ b/internal/decision/retry_test.go
@@ -5,7 +5,7 @@
 )
 
 // A request that is not idempotent has another attempt only if the first never ran.
-func TestNonIdempotentIsNotRetriedAfterDoubt(t *testing.T) {
+func TestNonIdempotentIsNotRetriedIfItMayHaveRun(t *testing.T) {
 	w := newQuietWorld(t, testSettings(), false)
 	a := w.receive(Request{ID: 1, Class: 2, Remaining: 4000 * ms})
 	w.endAttempt(a.attempts[0], ConnectFailed)
--- a/internal/decision/rollout.go
+++ b/internal/decision/rollout.go
@@ -86,7 +86,7 @@
 
 // firstBaseBuild is the newest build that needs no judging when the first rollout is seen.
 func (d *decider) firstBaseBuild(rollout Rollout) int {
-	isSettled := rollout.Age > settledAge || !d.startsKnown(rollout.Build)
+	isSettled := rollout.Age > settledAge || !d.hasKnownStartTimes(rollout.Build)
 	if rollout.State == Released && isSettled {
 		return rollout.Build
 	}
@@ -94,7 +94,7 @@
 }
 
 // startsKnown says whether the starts of a build's hosts are known, as those of the first build are not.
-func (d *decider) startsKnown(build int) bool {
+func (d *decider) hasKnownStartTimes(build int) bool {
 	return slices.ContainsFunc(d.hosts, func(h *host) bool { return h.build == build && h.startedAt > 0 })
 }
 
--- a/internal/decision/rollout_test.go
+++ b/internal/decision/rollout_test.go
@@ -12,8 +12,8 @@
 func TestStateAndGossip(t *testing.T) {
 	w := newQuietWorld(t, testSettings(), true)
 	d := w.engine.decider
-	d.trial = sample{count: [statisticCount]float64{4}, badness: [statisticCount]float64{2}}
-	d.baseline = sample{count: [statisticCount]float64{10}, badness: [statisticCount]float64{1}}
+	d.trial = sample{count: [statisticCount]float64{4}, penalty: [statisticCount]float64{2}}
+	d.baseline = sample{count: [statisticCount]float64{10}, penalty: [statisticCount]float64{1}}
 	d.tick()
 	w.failIf(!almostEqual(d.state[failures], (1-forgettingFactor)*4*(0.5-0.1)) || !almostEqual(d.count[failures], 4), "state %v, count %v", d.state, d.count)
 	before := d.state[failures]
@@ -29,13 +29,13 @@
 	}
 	state = d.state[failures]
 	bad := [][]byte{nil, make([]byte, len(peer.encodeGossip())+2)}
-	for _, spoil := range []func(){
+	for _, corrupt := range []func(){
 		func() { peer.state[failures] = math.NaN() },
 		func() { peer.state[failures], peer.count[failures] = 9, -1 },
-		func() { peer.count[failures], peer.state[lag] = 1, 1e30 },
-		func() { peer.state[lag], peer.rollout.Build = 0, 4 },
+		func() { peer.count[failures], peer.state[excessLatency] = 1, 1e30 },
+		func() { peer.state[excessLatency], peer.rollout.Build = 0, 4 },
 	} {
-		spoil()
+		corrupt()
 		bad = append(bad, peer.encodeGossip())
 	}
 	for _, raw := range bad {
@@ -49,7 +49,7 @@
 }
 
 // One voter among hundreds once voted a good build back for a few slow answers that it alone had just seen.
-func TestOwnOutcomesAmongMany(t *testing.T) {
+func TestTransientExcessIsIgnored(t *testing.T) {
 	for _, persists := range []bool{false, true} {
 		set := testSettings()
 		set.Routers = 385
@@ -60,12 +60,12 @@
 			d.baselineSentAt = d.now
 			d.reachableRouters = 385
 			d.warmTrialHosts = 10
-			d.baselineCount[lag] = 10
-			d.count[lag] = 1.9
-			d.state[lag] = (1 - forgettingFactor) * 1.9 * 0.8
-			d.meanSquare[lag] = 0.002
+			d.baselineCount[excessLatency] = 10
+			d.count[excessLatency] = 1.9
+			d.state[excessLatency] = (1 - forgettingFactor) * 1.9 * 0.8
+			d.meanSquare[excessLatency] = 0.002
 			if !persists {
-				d.state[lag] *= math.Pow(0.84, float64(i)) // as gossip averages it
+				d.state[excessLatency] *= math.Pow(0.84, float64(i)) // as gossip averages it
 			}
 			d.decide()
 			rejected = rejected || d.buildRejected
@@ -85,11 +85,11 @@
 type scriptedBuild func(w *world, i, build int) scriptedAnswer
 
 // votesBackAlone plays a trial at one router, and returns whether the router votes the build back.
-func votesBackAlone(t *testing.T, play scriptedBuild) bool {
+func singleRouterRollsBack(t *testing.T, play scriptedBuild) bool {
 	set := testSettings()
 	set.KeyAffinity, set.Hedging, set.SideBySide = false, false, true
 	w := newQuietWorld(t, set, false)
-	w.trialShare = []int{0}
+	w.sentToTrial = []int{0}
 	var due []func() bool
 	for i := range 1600 {
 		if i == 300 {
@@ -98,7 +98,7 @@
 		}
 		a := w.receive(Request{ID: uint32(10 + i), Class: 1, Remaining: 5000 * ms})
 		for _, s := range a.attempts {
-			w.trialShare = append(w.trialShare, s.build-4)
+			w.sentToTrial = append(w.sentToTrial, s.build-4)
 			o := play(w, i, s.build)
 			at := w.now + o.took
 			due = append(due, func() bool {
@@ -119,8 +119,8 @@
 func TestTrialDecisions(t *testing.T) {
 	usual := func(i int) int64 { return int64(60+i*37%80) * ms }
 	for name, c := range map[string]struct {
-		back bool
-		play scriptedBuild
+		rollsBack bool
+		play      scriptedBuild
 	}{
 		"a good build": {false, func(w *world, i, build int) scriptedAnswer { return scriptedAnswer{usual(i), Succeeded, false} }},
 		// one report, which counts as many failures, once rolled good builds back before gossip had spread it
@@ -174,13 +174,13 @@
 		// no comparison of the builds shows this one
 		"slows all with its traffic": {true, func(w *world, i, build int) scriptedAnswer {
 			sum := 0
-			for _, x := range w.trialShare[max(0, len(w.trialShare)-60):] {
+			for _, x := range w.sentToTrial[max(0, len(w.sentToTrial)-60):] {
 				sum += x
 			}
 			return scriptedAnswer{usual(i) * int64(60+6*sum) / 60, Succeeded, false}
 		}},
 	} {
-		if got := votesBackAlone(t, c.play); got != c.back {
+		if got := singleRouterRollsBack(t, c.play); got != c.rollsBack {
 			t.Errorf("%s: voted back %v", name, got)
 		}
 	}
@@ -188,10 +188,10 @@
 
 // Hosts of the earlier build that became slow by themselves once kept two thirds of the requests, and pauses of the trial left
 // its good hosts idle for six seconds at a time.
-func TestEarlierHostsTurnSlow(t *testing.T) {
+func TestSlowBaselineHostsLoseTraffic(t *testing.T) {
 	var played *world
 	pauses := 0
-	votesBackAlone(t, func(w *world, i, build int) scriptedAnswer {
+	singleRouterRollsBack(t, func(w *world, i, build int) scriptedAnswer {
 		played = w
 		if w.engine.pausedAt > 0 {
 			pauses++
@@ -202,7 +202,7 @@
 		}
 		return scriptedAnswer{took, Succeeded, false}
 	})
-	sum, last := 0, played.trialShare[len(played.trialShare)-300:]
+	sum, last := 0, played.sentToTrial[len(played.sentToTrial)-300:]
 	for _, x := range last {
 		sum += x
 	}
@@ -223,34 +223,34 @@
 	w.failIf(last() != vote{Advance, 5, 0}, "withdrawn: %v", last())
 	w.engine.castVote = vote{RollBack, 5, 0} // one to roll back may count in any stage
 	w.engine.voteCastAt = w.now
-	w.engine.wantedVote = vote{}
+	w.engine.desiredVote = vote{}
 	w.engine.updateVote()
 	w.failIf(last().choice != NoVote, "not withdrawn: %v", last())
 }
 
-// discardEffects keeps the votes alone.
-type discardEffects struct{ votes *[]Verdict }
+// voteRecorder keeps the votes alone.
+type voteRecorder struct{ votes *[]Verdict }
 
-var _ Effects = discardEffects{}
+var _ Effects = voteRecorder{}
 
-func (discardEffects) StartAttempt(uint32, uint32, int64) {}
-func (discardEffects) Reject(uint32, int64)               {}
-func (discardEffects) Fail(uint32)                        {}
-func (discardEffects) CancelAttempt(uint32, int)          {}
-func (e discardEffects) Vote(v Verdict, _, _ int)         { *e.votes = append(*e.votes, v) }
-func (discardEffects) SendGossip(int, []byte)             {}
-func (discardEffects) SetTimer(int64, uint64)             {}
-func (discardEffects) CloseIdle(uint32)                   {}
-func (discardEffects) WatchHosts(bool)                    {}
-func (discardEffects) Log(string)                         {}
+func (voteRecorder) StartAttempt(uint32, uint32, int64) {}
+func (voteRecorder) Reject(uint32, int64)               {}
+func (voteRecorder) Fail(uint32)                        {}
+func (voteRecorder) CancelAttempt(uint32, int)          {}
+func (e voteRecorder) Vote(v Verdict, _, _ int)         { *e.votes = append(*e.votes, v) }
+func (voteRecorder) SendGossip(int, []byte)             {}
+func (voteRecorder) SetTimer(int64, uint64)             {}
+func (voteRecorder) CloseIdle(uint32)                   {}
+func (voteRecorder) WatchHosts(bool)                    {}
+func (voteRecorder) Log(string)                         {}
 
 // A router that restarted once took a build that had just been released for a settled one, and never voted it back: some begin
 // to fail 11 s after their hosts' start.
-func TestStartsAfterTheRelease(t *testing.T) {
+func TestRouterRestartAfterRelease(t *testing.T) {
 	for _, test := range []struct {
-		age    int64
-		result Result
-		back   bool
+		age       int64
+		result    Result
+		rollsBack bool
 	}{
 		{second, Failed, true},
 		{60 * second, Failed, false},
@@ -259,7 +259,7 @@
 		{0, Failed, false},
 	} {
 		now, votes := int64(1e12), []Verdict{}
-		e := New(testSettings(), 1, now, discardEffects{&votes})
+		e := New(testSettings(), 1, now, voteRecorder{&votes})
 		var all []Host
 		for n := range 4 {
 			all = append(all, Host{ID: uint32(n), Build: 7, Capacity: 1, StartedAt: min(test.age, 1) * (now - 10*second)})
@@ -278,16 +278,16 @@
 				e.AttemptEnded(now, id, 0, result, true, ms, nil)
 			}
 		}
-		if slices.Contains(votes, RollBack) != test.back {
+		if slices.Contains(votes, RollBack) != test.rollsBack {
 			t.Error(test, votes)
 		}
 	}
 }
 
 // However many keys, hosts and builds come and go, the engine keeps what belongs to the build on trial and the last seconds.
-func TestMemoryLevelsOff(t *testing.T) {
+func TestMemoryIsBounded(t *testing.T) {
 	now, id := int64(1e12), uint32(0)
-	e := New(testSettings(), 1, now, discardEffects{new([]Verdict)})
+	e := New(testSettings(), 1, now, voteRecorder{new([]Verdict)})
 	for build := 1; build <= 40; build++ {
 		list := func(health Health, build int) (all []Host) {
 			for n := range 4 {
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -27,7 +27,7 @@
 
 // recordChoice takes what the attempt uses of budgets.
 func (d *decider) recordChoice(req *request, h *host, onlyTrial bool) {
-	if d.warmth(h) < 1 {
+	if d.warmUpFactor(h) < 1 {
 		h.budget.take()
 	}
 	d.tickLoad[sentAttempts]++
@@ -160,7 +160,7 @@
 	reportWeight := math.Exp(-float64(d.now-h.reportedAt) / float64(second)) // an older report says less
 	queued := 1 + float64(h.inFlight) + h.queueLength*reportWeight
 	silentFor := float64(min(h.inFlight, 1)) * float64(d.now-h.silentSince) // it may be paused, stalled or down
-	return queued / (h.capacity * d.warmth(h)) * d.slowness(h) * (1 + silentFor/d.meanLatency)
+	return queued / (h.capacity * d.warmUpFactor(h)) * d.slowness(h) * (1 + silentFor/d.meanLatency)
 }
 
 // expectedLatency is the latency that the earlier build has for such a request, by its class and cost, in nanoseconds.
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -5,7 +5,7 @@
 )
 
 // Hundreds of routers with little traffic once each sent a request to hosts that had all just started, and they collapsed.
-func TestManyRoutersSpareColdHosts(t *testing.T) {
+func TestManyRoutersDoNotOverloadColdHosts(t *testing.T) {
 	sent, set := 0, testSettings()
 	set.Routers = 300
 	for seed := range uint64(300) {
@@ -26,7 +26,7 @@
 }
 
 // Hosts that take few connections once refused half of all routers, as idle connections of the others took them.
-func TestIdleConnectionsAreClosedWhenFewAreTaken(t *testing.T) {
+func TestIdleConnectionsAreClosedAfterConnectFailure(t *testing.T) {
 	w := newQuietWorld(t, testSettings(), false)
 	for id := range uint32(50) {
 		a := w.receive(Request{ID: id, Class: 1, Remaining: 5000 * ms})
@@ -52,7 +52,7 @@
 
 // Requests that waited are placed in one call, as when all hosts of a service come back cold: the filter is asked again as each
 // is sent, as those before it may have used up what it allows.
-func TestFilterIsAskedAgainWhenManyAreSentAtOnce(t *testing.T) {
+func TestFilterIsCheckedForEachAttempt(t *testing.T) {
 	for _, limit := range []int{0, 1, 2, 5} {
 		w := newWorld(t, testSettings(), 7)
 		w.changeRollout(Rollout{Build: 4, State: Released, ExposureCap: 1})
--- a/internal/decision/shedding.go
+++ b/internal/decision/shedding.go
@@ -15,7 +15,7 @@
 const arrivalsDecay = 0.999
 
 // maxPressure bounds the share of the requests that is shed.
-const maxPressure = 0.9
+const maxShedFraction = 0.9
 
 // arrivalMix is the requests of late, compared with one of them.
 type arrivalMix struct {
@@ -32,9 +32,9 @@
 		quota = overQuota
 	}
 	req.class.arrivals[quota]++
-	mix := d.mixArrivals(req.class, quota)
-	d.updatePressure(mix.target(d.settings.MixedTargets))
-	return d.pressure > 0 && d.random() < (d.pressure*mix.total-mix.lessValuable)/req.class.arrivals[quota]
+	mix := d.summarizeArrivals(req.class, quota)
+	d.updateShedFraction(mix.target(d.settings.MixedTargets))
+	return d.shedFraction > 0 && d.random() < (d.shedFraction*mix.total-mix.lessValuable)/req.class.arrivals[quota]
 }
 
 // exceedsQuota says whether a request is beyond its customer's quota, by what all routers receive of that customer.
@@ -53,9 +53,9 @@
 }
 
 // mixArrivals sums the decayed arrivals of all classes, and compares them with those of one.
-func (d *decider) mixArrivals(of *class, quota int) arrivalMix {
+func (d *decider) summarizeArrivals(current *class, quota int) arrivalMix {
 	mix := arrivalMix{shortestTarget: math.Inf(1)}
-	value := d.valueForWork(of, quota)
+	value := d.valueForWork(current, quota)
 	for _, class := range d.classes {
 		mix.shortestTarget = min(mix.shortestTarget, float64(class.LatencyTarget))
 		for i := range class.arrivals {
@@ -80,7 +80,7 @@
 
 // updatePressure sets the share of the requests to shed: none up to a mean latency of 0.7 of the target, most from 1.15, and
 // all but a few while more than half of the room for open requests is taken.
-func (d *decider) updatePressure(target float64) {
+func (d *decider) updateShedFraction(target float64) {
 	perTick, routers, waiting := d.fleetLoad, d.reachableRouters, d.fleetLoad[openRequests]
 	if d.tickLoad[openRequests] >= 5 { // enough for its own figures, which are newer
 		perTick, routers, waiting = d.ownLoad, 1, d.tickLoad[openRequests]
@@ -88,10 +88,10 @@
 	// Requests at hosts that hang stay open, so they count for no more than what the answers took explains.
 	openTime := min(waiting*float64(tickInterval), 2.5*perTick[answerSeconds]*float64(second))
 	latency := openTime / max(perTick[answerCount], 0.1/routers)
-	d.pressure = 2*latency/target - 1.4
+	d.shedFraction = 2*latency/target - 1.4
 	if waiting*routers < 5 || d.now-d.startedAt < 2*second { // too few to say, or averages that are not filled yet
-		d.pressure = 0
+		d.shedFraction = 0
 	}
-	roomTaken := d.tickLoad[openRequests] / float64(d.settings.MaxOpen)
-	d.pressure = min(maxPressure, max(d.pressure, 2*roomTaken-1))
+	openFraction := d.tickLoad[openRequests] / float64(d.settings.MaxOpen)
+	d.shedFraction = min(maxShedFraction, max(d.shedFraction, 2*openFraction-1))
 }
--- a/internal/decision/statistics.go
+++ b/internal/decision/statistics.go
@@ -28,8 +28,8 @@
 
 // The quantities of which there is a state: indices of the arrays below.
 const (
-	failures = iota // failed attempts
-	lag             // latency over the expected, for builds that are slow but answer in time
+	failures      = iota // failed attempts
+	excessLatency        // latency over the expected, for builds that are slow but answer in time
 	statisticCount
 )
 
@@ -44,13 +44,13 @@
 
 func (m decayingMean) value() float64 { return m.sum / max(m.weight, 1e-3) }
 
-// sample is the outcomes of one side in one tick: their number, the sum of their badness and that of its squares.
-type sample struct{ count, badness, squares [statisticCount]float64 }
+// sample is the outcomes of one side in one tick: their number, the sum of their penalty and that of its squares.
+type sample struct{ count, penalty, squares [statisticCount]float64 }
 
-func (s *sample) add(kind int, n, badness float64) {
+func (s *sample) add(kind int, n, penalty float64) {
 	s.count[kind] += n
-	s.badness[kind] += badness
-	s.squares[kind] += badness * badness
+	s.penalty[kind] += penalty
+	s.squares[kind] += penalty * penalty
 }
 
 // statistics are the readings and states.
@@ -58,12 +58,12 @@
 	trial    sample // of this tick
 	baseline sample // the same of the earlier build
 
-	count      [statisticCount]float64 // gossiped: decayed number of the trial's outcomes
-	state      [statisticCount]float64 // gossiped: s_i
-	meanSquare [statisticCount]float64 // gossiped: mean square of the trial's badness
-	trialLag   decayingMean            // gossiped: the trial's badness by latency, of the last second
+	count              [statisticCount]float64 // gossiped: decayed number of the trial's outcomes
+	state              [statisticCount]float64 // gossiped: s_i
+	meanSquare         [statisticCount]float64 // gossiped: mean square of the trial's penalty
+	trialExcessLatency decayingMean            // gossiped: the trial's penalty by latency, of the last second
 
-	baselineMean   [statisticCount]decayingMean // gossiped: badness of the earlier build's outcomes
+	baselineMean   [statisticCount]decayingMean // gossiped: penalty of the earlier build's outcomes
 	baselineCount  [statisticCount]float64      // decayed number of them
 	baselineSentAt int64                        // when the latest attempt at it that has ended was sent
 
@@ -77,7 +77,7 @@
 const maxOutcomes = 130
 
 // baselineForgetting is the earlier build's α: a memory of some seconds, which follows an overload.
-var baselineForgetting = [statisticCount]float64{failures: 0.95, lag: 0.9}
+var baselineForgetting = [statisticCount]float64{failures: 0.95, excessLatency: 0.9}
 
 // listingGrace is how long after its listing a trial host's outcomes are not counted.
 const listingGrace = second
@@ -91,7 +91,7 @@
 	d.state = [statisticCount]float64{}
 	d.meanSquare = [statisticCount]float64{}
 	d.smoothed = [statisticCount]decayingMean{}
-	d.trialLag = decayingMean{}
+	d.trialExcessLatency = decayingMean{}
 }
 
 // recordOutcome counts an attempt's outcome in this tick's sample.
@@ -110,8 +110,8 @@
 	case result == Succeeded, isFailure(result, true):
 		outcomes.add(failures, 1, 0)
 	}
-	if isComparable && (result == Succeeded || result == TimedOut) && d.measuresLag(attempt.host) {
-		outcomes.add(lag, 1, d.lagOf(req, attempt.host, took))
+	if isComparable && (result == Succeeded || result == TimedOut) && d.comparesLatency(attempt.host) {
+		outcomes.add(excessLatency, 1, d.latencyPenalty(req, attempt.host, took))
 	}
 }
 
@@ -128,18 +128,18 @@
 }
 
 // measuresLag says whether latencies of a host are compared: on trial, and at hosts that are warm.
-func (d *decider) measuresLag(h *host) bool {
-	return d.rollout.State == OnTrial && d.warmth(h) == 1 && h.health == Ready
+func (d *decider) comparesLatency(h *host) bool {
+	return d.rollout.State == OnTrial && d.warmUpFactor(h) == 1 && h.health == Ready
 }
 
-// lagOf is an attempt's badness by latency: 0 for the expected one of its class and kind of machine, 0.75 for four times it
+// latencyPenalty is an attempt's penalty by latency: 0 for the expected one of its class and kind of machine, 0.75 for four times it
 // or more.
-func (d *decider) lagOf(req *request, h *host, took int64) float64 {
+func (d *decider) latencyPenalty(req *request, h *host, took int64) float64 {
 	expected := d.expectedLatency(req) * (1 + d.slownessByKind[h.kind])
 	return min(4, float64(took)/expected)/4 - 0.25
 }
 
-// relativeLatency is the latency over the expected that a mean of lagOf stands for.
+// relativeLatency is the latency over the expected that a mean of latencyPenalty stands for.
 func relativeLatency(mean decayingMean) float64 { return 1 + 4*mean.value() }
 
 // answerFlagged counts a wrong answer for as many as reports stand for.
@@ -158,7 +158,7 @@
 // hasFreshBaseline says whether there are outcomes of the earlier build to compare with. A router with little traffic has
 // few of its own, and goes by those of all routers in the last second.
 func (d *decider) hasFreshBaseline() bool {
-	return d.baselineMean[lag].weight > max(d.fleetLoad[answerCount], 5/d.reachableRouters)
+	return d.baselineMean[excessLatency].weight > max(d.fleetLoad[answerCount], 5/d.reachableRouters)
 }
 
 // statisticsTick takes this tick's samples into the states.
@@ -169,7 +169,7 @@
 	for k := range d.state {
 		d.updateState(k)
 	}
-	d.trialLag.add(0.9, d.trial.count[lag], d.trial.badness[lag])
+	d.trialExcessLatency.add(0.9, d.trial.count[excessLatency], d.trial.penalty[excessLatency])
 	d.trial = sample{}
 	d.baseline = sample{}
 }
@@ -178,10 +178,10 @@
 // square. The reading x_i is how much worse the tick's outcomes were than as many of the earlier build; it is a sum, as a
 // tick of one outcome must not weigh as much as one of ten.
 func (d *decider) updateState(k int) {
-	d.baselineMean[k].add(baselineForgetting[k], d.baseline.count[k], d.baseline.badness[k])
+	d.baselineMean[k].add(baselineForgetting[k], d.baseline.count[k], d.baseline.penalty[k])
 	forgetting := forgettingFactor / max(1, d.count[k]/maxOutcomes)
 	baselineWeight := max(d.baselineMean[k].weight, min(1, 0.4*d.fleetLoad[answerCount]), 1e-3)
-	reading := d.trial.badness[k] - d.trial.count[k]*d.baselineMean[k].sum/baselineWeight
+	reading := d.trial.penalty[k] - d.trial.count[k]*d.baselineMean[k].sum/baselineWeight
 	d.count[k] = forgetting*d.count[k] + d.trial.count[k]
 	d.baselineCount[k] = forgettingFactor*d.baselineCount[k] + d.baseline.count[k]
 	d.state[k] = forgetting*d.state[k] + (1-forgettingFactor)*reading
@@ -206,10 +206,10 @@
 }
 
 // hostVariance is the variance of the mean between hosts of one build: they differ in speed by a quarter (of four times).
-var hostVariance = [statisticCount]float64{lag: 0.0036}
+var hostVariance = [statisticCount]float64{excessLatency: 0.0036}
 
 // comparedWithBaseline says whether a state's error includes that of the earlier build, which has few failures.
-var comparedWithBaseline = [statisticCount]float64{lag: 1}
+var comparedWithBaseline = [statisticCount]float64{excessLatency: 1}
 
 // varianceFactor is the variance of a state's mean over that of one outcome. However many routers there are, what one holds
 // of the last ticks is that of some hundred and fifty.
@@ -221,7 +221,7 @@
 // trialSpeedUp is how much faster the trial's hosts surely are than the earlier ones, by what all routers have measured, and
 // 1 if they are not. Earlier hosts may fail or become slow too, and the good ones would stand idle.
 func (d *decider) trialSpeedUp() float64 {
-	n := max(0.1, d.trialLag.weight*d.reachableRouters) // outcomes of the last second; each varies by about its mean
-	atMost := max(0.1, relativeLatency(d.trialLag)*(1+1.5/math.Sqrt(n)))
-	return min(4, max(1, relativeLatency(d.baselineMean[lag])/atMost))
+	n := max(0.1, d.trialExcessLatency.weight*d.reachableRouters) // outcomes of the last second; each varies by about its mean
+	atMost := max(0.1, relativeLatency(d.trialExcessLatency)*(1+1.5/math.Sqrt(n)))
+	return min(4, max(1, relativeLatency(d.baselineMean[excessLatency])/atMost))
 }
--- a/internal/decision/vote.go
+++ b/internal/decision/vote.go
@@ -28,7 +28,7 @@
 type voting struct {
 	ticksAbove    int  // ticks in a row in which the build was above the threshold
 	buildRejected bool // it was for long enough, on enough outcomes
-	wantedVote    vote
+	desiredVote   vote
 	castVote      vote
 	loggedVote    vote
 	voteCastAt    int64
@@ -37,17 +37,17 @@
 }
 
 // threshold is the common threshold d_c of each state over its outcomes.
-var threshold = [statisticCount]float64{failures: 0.015, lag: 0.12}
+var threshold = [statisticCount]float64{failures: 0.015, excessLatency: 0.12}
 
 // requiredErrors is by how many standard errors it must be exceeded: three reports of wrong answers do, two don't.
-var requiredErrors = [statisticCount]float64{failures: 1.4, lag: 1.7}
+var requiredErrors = [statisticCount]float64{failures: 1.4, excessLatency: 1.7}
 
 const (
-	minOutcomes    = 20         // pooled, that a decision needs
-	minLagHosts    = 2          // a build of no more warm hosts is not judged by its latency: one slow host is no slow build
-	mixingTicks    = 16         // ticks for which a build must be above the threshold: a host that fails alone is ejected by then
-	voteRetryDelay = second / 4 // short beside a stage, and voters' calls stay far below what platforms allow
-	loggingRouters = 2          // routers that log their votes
+	minOutcomes       = 20         // pooled, that a decision needs
+	minLatencyHosts   = 2          // a build of no more warm hosts is not judged by its latency: one slow host is no slow build
+	confirmationTicks = 16         // ticks for which a build must be above the threshold: a host that fails alone is ejected by then
+	voteRetryDelay    = second / 4 // short beside a stage, and voters' calls stay far below what platforms allow
+	loggingRouters    = 2          // routers that log their votes
 )
 
 // The least age of a stage for a vote to advance it.
@@ -67,7 +67,7 @@
 
 // decide sets the vote that this router wants to stand.
 func (d *decider) decide() {
-	d.wantedVote = vote{}
+	d.desiredVote = vote{}
 	if !d.isOnTrial(d.rollout.Build) {
 		d.ticksAbove = 0
 		d.buildRejected = false
@@ -78,7 +78,7 @@
 	spreading := d.spreadingTicks()
 	found := d.weighEvidence(spreading)
 	d.updateRejection(found, spreading)
-	d.wantedVote = vote{choice: d.choice(found), build: d.rollout.Build, stage: d.rollout.Stage}
+	d.desiredVote = vote{choice: d.choice(found), build: d.rollout.Build, stage: d.rollout.Stage}
 }
 
 // spreadingTicks is how many ticks gossip needs, so that what one router has measured does not count as what many have.
@@ -106,7 +106,7 @@
 	if !d.buildRejected && d.pooledCount(k) < minOutcomes {
 		return false
 	}
-	return k == failures || d.warmTrialHosts > minLagHosts
+	return k == failures || d.warmTrialHosts > minLatencyHosts
 }
 
 // pooledCount is the number of the trial's outcomes at all reachable routers.
@@ -120,7 +120,7 @@
 		d.ticksAbove = 0
 	}
 	hasBaseline := d.baselineSentAt > 0 || d.rollout.State == Released
-	d.buildRejected = hasBaseline && float64(d.ticksAbove) > mixingTicks+spreading-1
+	d.buildRejected = hasBaseline && float64(d.ticksAbove) > confirmationTicks+spreading-1
 }
 
 // choice is what this router votes: only the first ones do.
@@ -169,8 +169,8 @@
 	d.voteInFlight = true
 	d.voteCallAt = d.now
 	d.voteCastAt = d.now
-	d.castVote = d.wantedVote
-	d.effects.Vote(d.wantedVote.choice, d.wantedVote.build, d.wantedVote.stage)
+	d.castVote = d.desiredVote
+	d.effects.Vote(d.desiredVote.choice, d.desiredVote.build, d.desiredVote.stage)
 	d.logVote()
 }
 
@@ -185,20 +185,20 @@
 		return false
 	}
 	sinceCast := d.now - d.voteCastAt
-	if d.wantedVote == d.castVote && sinceCast < d.settings.VoteLifetime/2 {
+	if d.desiredVote == d.castVote && sinceCast < d.settings.VoteLifetime/2 {
 		return false
 	}
 	isOutdated := d.castVote.build != d.rollout.Build ||
 		d.castVote.stage != d.rollout.Stage && d.castVote.choice == Advance
 	stands := d.castVote.choice != NoVote && sinceCast < d.settings.VoteLifetime && !isOutdated
-	return d.wantedVote.choice != NoVote || stands
+	return d.desiredVote.choice != NoVote || stands
 }
 
 // logVote logs a vote that is new, with what it goes by.
 func (d *decider) logVote() {
-	if d.wantedVote == d.loggedVote || d.settings.Rank >= loggingRouters {
+	if d.desiredVote == d.loggedVote || d.settings.Rank >= loggingRouters {
 		return
 	}
-	d.loggedVote = d.wantedVote
-	d.effects.Log(fmt.Sprint("vote ", d.wantedVote.choice, d.wantedVote, d.state, d.meanSquare, d.count, d.interference, d.reachableRouters))
+	d.loggedVote = d.desiredVote
+	d.effects.Log(fmt.Sprint("vote ", d.desiredVote.choice, d.desiredVote, d.state, d.meanSquare, d.count, d.interference, d.reachableRouters))
 }
--- a/internal/decision/world_test.go
+++ b/internal/decision/world_test.go
@@ -47,7 +47,7 @@
 	capSince    int64 // when the cap was lowered last
 	newestBuild int   // the newest build
 	keyBuilds   map[uint64]int
-	trialShare  []int          // for each attempt, 1 for the trial
+	sentToTrial []int          // for each attempt, 1 for the trial
 	effects     *digest.Digest // of the router, nil if they are not recorded
 }
 
@@ -193,7 +193,7 @@
 	w.failIf(float64(sent) > w.settings.TrialBurst+exposureCap*float64(received)+1e-6, "rule 5: %d sent of %d received, cap %v", sent, received, exposureCap)
 }
 
-func (w *world) warmth(h *testHost) float64 {
+func (w *world) warmUpFactor(h *testHost) float64 {
 	age := float64(w.now-h.StartedAt) / float64(w.settings.WarmUpTime)
 	if h.StartedAt == 0 || age >= 1 {
 		return 1
@@ -211,9 +211,9 @@
 		}
 	}
 	for _, x := range w.answers {
-		allowed += 2 * h.Capacity * w.warmth(h) / x.capacity
+		allowed += 2 * h.Capacity * w.warmUpFactor(h) / x.capacity
 	}
-	w.failIf(w.warmth(h) < 1 && sent > allowed, "rule 4: %v sent to a cold host that can do %v", sent, allowed)
+	w.failIf(w.warmUpFactor(h) < 1 && sent > allowed, "rule 4: %v sent to a cold host that can do %v", sent, allowed)
 }
 
 // sampledAnswer is a request that succeeded, with the capacity of the fleet at that time.
@@ -331,7 +331,7 @@
 		capacity := 0.0
 		for _, h := range w.hosts {
 			if h.Health == Ready {
-				capacity += h.Capacity * w.warmth(h)
+				capacity += h.Capacity * w.warmUpFactor(h)
 			}
 		}
 		w.answers = append(w.answers, sampledAnswer{float64(w.now), capacity})
