--- a/internal/decision/binding.go
+++ b/internal/decision/binding.go
@@ -5,22 +5,23 @@
 	"slices"
 )
 
-// Key affinity: a key that a build has answered, or may have, must not go back to an earlier build.
+// Key affinity: once a build has answered a request with a key, or may have answered it, further requests with that key must
+// not go to an earlier build.
 
-// affinity is what a router knows of keys.
+// affinity holds the bindings of keys to builds.
 type affinity struct {
-	bindings  keyBindings      // to builds that are not released
-	minBuild  int              // no key may go to a build before this one
-	keySeenAt map[uint64]int64 // when a key's last request came; entries of some seconds ago are dropped
+	bindings  keyBindings      // bindings to builds after minBuild
+	minBuild  int              // requests with any key go to this build or a later one
+	keySeenAt map[uint64]int64 // when the last request of a key was received; kept for keyMemory
 }
 
-// binding is a build, with the number of its answers to a key that were given or may be.
+// binding binds a key to a build. answers counts the attempts for the key that this build has answered or may still answer.
 type binding struct{ build, answers int }
 
-// keyBindings are the bindings of each key, in the order of their builds. The last one counts.
+// keyBindings holds the bindings of each key, sorted by build. The last one of a key applies.
 type keyBindings map[uint64][]*binding
 
-// latest is the latest build that a key is bound to, 0 for none.
+// latest returns the latest build that a key is bound to, or 0 if there is none.
 func (k keyBindings) latest(key uint64) int {
 	if all := k[key]; len(all) > 0 {
 		return all[len(all)-1].build
@@ -28,7 +29,7 @@
 	return 0
 }
 
-// bind counts an answer of a build.
+// bind counts an answer of a build to a key, and binds the key to the build if it was not bound before.
 func (k keyBindings) bind(key uint64, build int) *binding {
 	i, ok := slices.BinarySearchFunc(k[key], build, func(b *binding, build int) int { return b.build - build })
 	if !ok {
@@ -39,7 +40,7 @@
 	return b
 }
 
-// unbind takes back what one call of bind counted.
+// unbind reverts one call of bind that returned b. It does nothing if b is nil.
 func (k keyBindings) unbind(key uint64, b *binding) {
 	if b == nil {
 		return
@@ -50,14 +51,14 @@
 	}
 }
 
-// dropFrom drops the bindings to a build and later ones.
+// dropFrom removes the bindings to a build and to later ones.
 func (k keyBindings) dropFrom(build int) {
 	for key := range k {
 		k.keep(key, func(b *binding) bool { return b.build < build })
 	}
 }
 
-// dropUpTo drops the bindings to a build and earlier ones.
+// dropUpTo removes the bindings to a build and to earlier ones.
 func (k keyBindings) dropUpTo(build int) {
 	for key := range k {
 		k.keep(key, func(b *binding) bool { return b.build > build })
@@ -71,7 +72,8 @@
 	}
 }
 
-// bindKey binds a key to a build from an attempt on: an answer also counts if it never comes or is not read.
+// bindKey binds a request's key to a build when an attempt starts, as the build may run the request even if its answer never
+// arrives. It returns nil if the key needs no binding.
 func (d *decider) bindKey(req *request, build int) *binding {
 	if build < d.rollout.Build || build <= d.minBuild || !d.settings.KeyAffinity || req.key == 0 {
 		return nil
@@ -79,7 +81,7 @@
 	return d.bindings.bind(req.key, build)
 }
 
-// minBuildFor is the earliest build that a key may still go to.
+// minBuildFor returns the earliest build that requests with a key may go to.
 func (d *decider) minBuildFor(key uint64) int {
 	if key == 0 {
 		return 0
@@ -87,8 +89,9 @@
 	return max(d.minBuild, d.bindings.latest(key))
 }
 
-// raiseMinBuild replaces the keys' bindings by one bound for all keys, once a build is released and no host of an earlier
-// one is left.
+// raiseMinBuild raises minBuild, which applies to all keys, to the oldest build that still has hosts once the newest build is
+// released, and drops the bindings that minBuild makes redundant. During and after a rollback it lowers minBuild below the
+// build that is rolled back.
 func (d *decider) raiseMinBuild() {
 	if d.rollout.State == RollingBack || d.rollout.State == RolledBack {
 		d.minBuild = min(d.minBuild, d.rollout.Build-1)
@@ -98,11 +101,11 @@
 	}
 	oldest := slices.MinFunc(d.hosts, func(a, b *host) int { return cmp.Compare(a.build, b.build) }).build
 	minBuild := max(d.minBuild, min(oldest, d.rollout.Build))
-	if d.rollout.Build < minBuild { // builds are numbered anew
+	if d.rollout.Build < minBuild { // the numbering of builds has restarted
 		minBuild = 0
 	}
 	if minBuild != d.minBuild {
 		d.minBuild = minBuild
-		d.bindings.dropUpTo(minBuild) // bindKey adds none up to it
+		d.bindings.dropUpTo(minBuild) // bindKey adds no bindings up to minBuild
 	}
 }
--- a/internal/decision/decider.go
+++ b/internal/decision/decider.go
@@ -11,14 +11,14 @@
 // second is a second in nanoseconds, the unit of all times here.
 const second = int64(1e9)
 
-// tickInterval is the time between two ticks: t to t+1 in the paper's equations.
+// tickInterval is the time between two ticks, from t to t+1 in the equations of the paper cited in statistics.go.
 const tickInterval = second / 10
 
-// keyMemory is how long a key's last request is remembered.
+// keyMemory is how long the time of a key's last request is kept.
 const keyMemory = 3 * second
 
-// decider is the state of all decisions. Engine's methods set now, change it, and call emitEffects at their end. The embedded
-// parts are each described in the file of their concern.
+// decider holds the state of the decision engine. The methods of Engine set now, update the state and then call emitEffects.
+// Each embedded struct is declared in the file of its concern.
 type decider struct {
 	settings  Settings
 	effects   Effects
@@ -27,15 +27,15 @@
 	source    random.Source
 	classes   []*class
 
-	queue    timerqueue.Queue[*request] // when requests must be checked again
-	pending  []*request                 // that no host takes at present
-	changed  []*request                 // for emitEffects: what is wanted of them may not be emitted yet
-	finished []*request                 // ended outside their own events
+	queue    timerqueue.Queue[*request] // requests by the time of their next check
+	pending  []*request                 // requests that wait for a usable host
+	changed  []*request                 // requests that may have effects for emitEffects to emit; duplicates are allowed
+	finished []*request                 // requests answered by emitEffects, for TimerFired to remove
 	timerAt  int64                      // when the latest timer is due, 0 for none
-	timerID  uint64                     // its id, which is the number of timers so far
+	timerID  uint64                     // ID of the latest timer, also the number of timers set so far
 	nextTick int64
 
-	retryBudget bucket // attempts beyond a request's first
+	retryBudget bucket // charged for retries and hedged requests
 
 	discovery
 	hostPool
@@ -50,7 +50,7 @@
 
 func newDecider(s Settings, seed uint64, effects Effects) *decider {
 	d := emptyDecider(s, seed, effects)
-	d.retryBudget = bucket{tokens: 5, limit: 10} // some at once, for a host that fails
+	d.retryBudget = bucket{tokens: 5, limit: 10} // initial tokens, so that the failure of a host at startup can be retried
 	d.acceptedSlowdown = 1
 	d.sharedExposure = &bucket{s.TrialBurst, s.TrialBurst}
 	for _, c := range s.Classes {
@@ -61,7 +61,7 @@
 	return d
 }
 
-// emptyDecider has no classes and no budgets yet.
+// emptyDecider returns a decider without classes and budgets.
 func emptyDecider(s Settings, seed uint64, effects Effects) *decider {
 	if s.MaxOpen == 0 {
 		s.MaxOpen = math.MaxInt
@@ -93,11 +93,11 @@
 	d.fetchAt = d.now + d.fetchPacing().FirstDelay(d.fetchSource.Float64())
 }
 
-// random is a random number from 0 up to 1.
+// random returns a random number in [0, 1).
 func (d *decider) random() float64 { return d.source.Float64() }
 
-// timerFired checks the requests that are due, and does a tick if it is time. It takes the latest timer as fired whatever
-// the clock says: one that fires early must not end the chain of timers.
+// timerFired checks the requests that are due, and runs a tick if one is due. It clears timerAt even if the latest timer
+// fired before its time, as emitTimer would set no further timer otherwise.
 func (d *decider) timerFired(id uint64) {
 	if id == d.timerID {
 		d.timerAt = 0
@@ -115,7 +115,7 @@
 	maps.DeleteFunc(d.keySeenAt, func(_ uint64, at int64) bool { return d.now-at > keyMemory })
 }
 
-// tick does what is done once every tickInterval.
+// tick runs the periodic work, once every tickInterval. Missed ticks are not made up for.
 func (d *decider) tick() {
 	d.statisticsTick()
 	d.throughputTick()
--- a/internal/decision/effects.go
+++ b/internal/decision/effects.go
@@ -1,23 +1,23 @@
 package decision
 
-// Effects carries out what an Engine decides. An Engine calls it only during its own calls; the methods must not call the
-// Engine. Times are in nanoseconds.
+// Effects carries out the decisions of an Engine. The Engine calls it only from within New and its own methods, and the
+// methods of Effects must not call the Engine. Times are in nanoseconds.
 type Effects interface {
 	StartAttempt(request, host uint32, deadline int64)
-	Reject(request uint32, retryAfter int64) // the client may send it again
+	Reject(request uint32, retryAfter int64) // the client may retry after retryAfter
 	Fail(request uint32)
 	CancelAttempt(request uint32, number int)
 	Vote(v Verdict, build, stage int)
 	SendGossip(peer int, message []byte)
-	SetTimer(after int64, id uint64) // replaces the timer before; TimerFired must follow
+	SetTimer(after int64, id uint64) // replaces the previous timer; TimerFired(id) must follow
 	CloseIdle(host uint32)           // closes the idle connections to a host
-	WatchHosts(on bool)              // asks for the list of hosts and its changes
+	WatchHosts(on bool)              // requests the host list and its updates
 	Log(text string)
 }
 
-// emitEffects emits what is wanted and was not emitted yet. Each call of the Engine ends with it.
+// emitEffects emits the effects that are decided but not emitted yet. Engine calls it at the end of an event.
 func (d *decider) emitEffects() {
-	for i := 0; i < len(d.changed); i++ { // the steps may append requests, also the same one
+	for i := 0; i < len(d.changed); i++ { // emitForRequest may append requests, even the same one
 		d.emitForRequest(d.changed[i])
 	}
 	for _, h := range d.idleToClose {
@@ -34,7 +34,7 @@
 	d.emitAnswer(req)
 	next := req.next
 	req.next = nil
-	if next != nil && !req.allows(next) { // another request of this call was given the host's room
+	if next != nil && !req.allows(next) { // the host's capacity went to another request in the same call
 		d.placeRequest(req)
 		return
 	}
@@ -44,7 +44,7 @@
 	d.emitCancellations(req)
 }
 
-// emitAnswer gives the wanted answer.
+// emitAnswer answers a request with the decided rejection or failure, if there is one.
 func (d *decider) emitAnswer(req *request) {
 	if req.decidedAnswer == noAnswer || req.done {
 		return
@@ -58,7 +58,6 @@
 	d.finished = append(d.finished, req)
 }
 
-// emitAttempt starts an attempt.
 func (d *decider) emitAttempt(req *request, h *host) {
 	req.attempts = append(req.attempts, &attempt{
 		host:      h,
@@ -78,7 +77,7 @@
 	req.check = d.queue.Add(d.nextCheckAt(req), req)
 }
 
-// emitCancellations cancels the attempts in flight of a request that needs none any more.
+// emitCancellations cancels the attempts in flight of a request that is done, unless its answer is being streamed.
 func (d *decider) emitCancellations(req *request) {
 	if !req.done || !d.settings.Cancellation || req.streaming {
 		return
@@ -91,7 +90,7 @@
 	}
 }
 
-// emitTimer sets the timer to the next tick or check, unless it fires before.
+// emitTimer sets a timer for the next tick or request check, unless the current timer fires by then.
 func (d *decider) emitTimer() {
 	next := d.nextTick
 	if at, ok := d.queue.Next(); ok {
--- a/internal/decision/engine.go
+++ b/internal/decision/engine.go
@@ -1,10 +1,11 @@
-// Package decision decides where a router sends its requests, which it retries or rejects, and how it votes on the rollout
-// of a new build. It is pure: no I/O, clock or goroutine; time, chance and all events come in by the methods of Engine, and
-// what is to be done goes out by Effects. The same calls lead to the same effects.
+// Package decision implements a router's decision engine: it selects the host of each attempt, decides which requests to
+// retry or reject, and votes on the rollout of a new build. The engine is deterministic and does no I/O: it reads no clock
+// and starts no goroutine. Events and the current time come in through the methods of Engine, random numbers are derived
+// from a seed, and actions go out through Effects. The same sequence of calls produces the same effects.
 //
-// Whether the new build fails more than the earlier one is decided by distributed change detection, see statistics.go; host
-// selection is in selection.go, retries are in retry.go, shedding is in shedding.go. Begin reading at Engine, whose methods
-// are the events.
+// Distributed change detection decides whether the new build is worse than the earlier one, see statistics.go. Host
+// selection is in selection.go, retries are in retry.go, load shedding is in shedding.go. Start reading at Engine, which has
+// one method for each kind of event.
 package decision
 
 import (
@@ -19,7 +20,7 @@
 	hostsByID    map[uint32]*host
 }
 
-// New makes an engine. It emits effects already: its first timer, and the call for the list of hosts.
+// New returns an engine. It calls effects before it returns: it sets the first timer, and may request the host list.
 func New(s Settings, seed uint64, now int64, effects Effects) *Engine {
 	e := &Engine{
 		decider:      newDecider(s, seed, effects),
@@ -32,7 +33,8 @@
 	return e
 }
 
-// RequestReceived brings a request. One of an unknown class is rejected: without a contract nothing would end it.
+// RequestReceived handles a new request. It ignores a request whose ID is already in use, and rejects one of an unknown
+// class, whose latency target and idempotency are unknown too.
 func (e *Engine) RequestReceived(now int64, in Request) {
 	if _, known := e.requestsByID[in.ID]; known {
 		return
@@ -61,7 +63,9 @@
 	e.removeIfDone(req)
 }
 
-// AttemptEnded says how an attempt ended and how long it took; done says that the request needs no answer any more.
+// AttemptEnded handles the end of an attempt that took so many nanoseconds. done means that the request needs no further
+// answer; report holds the values of the host's load report in the order of Settings.LoadFields. Unknown attempts and those
+// that have already ended are ignored.
 func (e *Engine) AttemptEnded(now int64, id uint32, number int, result Result, done bool, took int64, report []float64) {
 	req := e.requestsByID[id]
 	if req == nil || number < 0 || number >= len(req.attempts) || req.attempts[number].ended {
@@ -75,7 +79,8 @@
 	e.removeIfDone(req)
 }
 
-// StreamStarted says that an attempt's answer has begun to go to the client: the request has no deadline any more.
+// StreamStarted handles the start of streaming an attempt's answer to the client. From then on the request's deadline is no
+// longer enforced.
 func (e *Engine) StreamStarted(now int64, id uint32, number int) {
 	req := e.requestsByID[id]
 	if req == nil || number < 0 || number >= len(req.attempts) {
@@ -87,7 +92,8 @@
 	req.attempts[number].host.silentSince = now
 }
 
-// ClientGone says that a request's client has disconnected.
+// ClientGone handles the disconnection of a request's client: the request needs no answer, and its attempts in flight
+// are canceled if Settings.Cancellation is set, unless the answer is already being streamed.
 func (e *Engine) ClientGone(now int64, id uint32) {
 	req := e.requestsByID[id]
 	if req == nil {
@@ -99,14 +105,14 @@
 	e.removeIfDone(req)
 }
 
-// removeIfDone forgets a request once no answer is owed and no attempt is in flight.
+// removeIfDone deletes a request that needs no answer and has no attempt in flight.
 func (e *Engine) removeIfDone(req *request) {
 	if req.done && req.inFlight == 0 {
 		delete(e.requestsByID, req.id)
 	}
 }
 
-// HostsChanged brings the list of hosts, its changes, or the failure of a call for it.
+// HostsChanged applies a host list or an update of it, or handles a failed fetch, for which entries is ignored.
 func (e *Engine) HostsChanged(now int64, kind ListKind, entries []Host) {
 	e.now = now
 	if kind == FetchFailed {
@@ -127,9 +133,9 @@
 	e.emitEffects()
 }
 
-// addUnlisted adds to a complete list the hosts that it does not name, as gone.
+// addUnlisted returns a complete list with an entry of health Gone appended for each known host that is missing from it.
 func (e *Engine) addUnlisted(entries []Host) []Host {
-	entries = slices.Clip(entries) // the caller's array stays as it is
+	entries = slices.Clip(entries) // so that append does not write to the caller's array
 	for _, h := range e.hosts {
 		isListed := slices.ContainsFunc(entries, func(entry Host) bool { return entry.ID == h.id })
 		if isListed {
@@ -140,7 +146,6 @@
 	return entries
 }
 
-// applyEntry takes one entry of the list over.
 func (e *Engine) applyEntry(entry Host) {
 	h := e.hostsByID[entry.ID]
 	if h == nil {
@@ -162,7 +167,7 @@
 	}
 }
 
-// dropGoneHosts forgets the hosts that are gone; their attempts keep them as long as they are in flight.
+// dropGoneHosts removes the hosts with health Gone. Their attempts in flight keep a reference to them.
 func (e *Engine) dropGoneHosts() {
 	e.hosts = e.hosts[:0]
 	for id, h := range e.hostsByID {
@@ -175,7 +180,8 @@
 	slices.SortFunc(e.hosts, func(a, b *host) int { return cmp.Compare(a.id, b.id) })
 }
 
-// RankChanged says how many routers there are now and which of them this one is: 0 <= rank < routers.
+// RankChanged sets the number of routers and the rank of this router among them. It ignores ranks outside of
+// 0 <= rank < routers.
 func (e *Engine) RankChanged(now int64, rank, routers int) {
 	if rank < 0 || rank >= routers {
 		return
@@ -191,16 +197,16 @@
 	}
 }
 
-// AddClass adds a request class while the router runs, and returns its number.
+// AddClass adds a request class to a running engine and returns its index for Request.Class.
 func (e *Engine) AddClass(c RequestClass) int {
 	e.classes = append(e.classes, e.newClass(c))
-	if e.meanLatency == 0 { // there was no class before
+	if e.meanLatency == 0 { // this is the first class
 		e.meanLatency = c.InitialLatency()
 	}
 	return len(e.classes) - 1
 }
 
-// RolloutChanged brings the present state of the rollout.
+// RolloutChanged applies the current state of the rollout, or the reply to a vote.
 func (e *Engine) RolloutChanged(now int64, rollout Rollout) {
 	e.now = now
 	e.rolloutChanged(rollout)
@@ -208,7 +214,8 @@
 	e.emitEffects()
 }
 
-// AnswerFlagged says that a client found an answer of this host wrong, and how long ago the attempt was sent.
+// AnswerFlagged handles a client's report of a wrong answer from host id. age is the time since the attempt was sent, in
+// nanoseconds.
 func (e *Engine) AnswerFlagged(now int64, id uint32, class int, age int64) {
 	h := e.hostsByID[id]
 	if h == nil || class < 0 || class >= len(e.classes) {
@@ -219,7 +226,7 @@
 	e.emitEffects()
 }
 
-// TimerFired says that the timer with this id has fired. It may come late, early or more than once.
+// TimerFired handles the firing of the timer with this id, which may be late, early or repeated.
 func (e *Engine) TimerFired(now int64, id uint64) {
 	e.now = now
 	e.timerFired(id)
@@ -230,7 +237,8 @@
 	e.finished = e.finished[:0]
 }
 
-// GossipReceived brings a peer's message. One of a wrong length or with impossible figures is ignored.
+// GossipReceived handles a gossip message from the router with rank peer. It ignores messages with a wrong length or with
+// values out of range.
 func (e *Engine) GossipReceived(now int64, peer int, raw []byte) {
 	build, values, ok := e.decodeGossip(raw)
 	if !ok || peer < 0 || peer >= e.settings.Routers || peer == e.settings.Rank {
@@ -241,7 +249,7 @@
 	e.emitEffects()
 }
 
-// TrialStatistics returns the statistics that this router goes by now.
+// TrialStatistics returns the statistics by which this router currently judges the build on trial.
 func (e *Engine) TrialStatistics() (s TrialStatistics) {
 	for k := range e.state {
 		s.Outcomes[k] = e.count[k] * e.reachableRouters
--- a/internal/decision/gossip.go
+++ b/internal/decision/gossip.go
@@ -5,28 +5,29 @@
 	"math"
 )
 
-// Gossip averaging: each tick a router sends its figures to one random peer, and what it receives it mixes into its own by
-// equation (5)'s second line. So what one router measures spreads to all.
+// Gossip averaging: on each tick, a router sends its values to one random peer. A router that receives a message averages the
+// values into its own by the second line of equation (5), so that the measurements of each router spread to all.
 
-// consensusGain is the gain γ with which a peer's figures are mixed in: c_ij in equation (5).
+// consensusGain is the gain γ with which a peer's values are averaged in: c_ij in equation (5).
 const consensusGain = 0.5
 
-// gossipRateGain is the gain of the mean number of messages a tick: a memory of some three seconds.
+// gossipRateGain is the gain of the mean number of messages received per tick: a time constant of about three seconds.
 const gossipRateGain = 0.03
 
-// gossip is which peers can be heard.
+// gossip estimates how many peers are reachable.
 type gossip struct {
-	gossipRate       float64 // mean number of messages received a tick
-	reachableRouters float64 // estimated number of routers whose figures come, with this one
+	gossipRate       float64 // mean number of messages received per tick
+	reachableRouters float64 // estimated number of routers that gossip reaches, including this one
 }
 
-// trialValues is how many of gossipedValues are of one build's trial.
+// trialValues is the number of leading gossipedValues that belong to the trial of one build.
 const trialValues = 5*statisticCount + 3
 
-// signedValues is how many of them, at the beginning, may be below zero.
+// signedValues is the number of leading gossipedValues that may be negative.
 const signedValues = 4
 
-// gossipedValues are the figures that gossip averages, in the order of a message: first the trial's, then the load.
+// gossipedValues returns pointers to the values that gossip averages, in the order of a message: those of the trial, then the
+// load.
 func (d *decider) gossipedValues() []*float64 {
 	all := []*float64{
 		&d.state[failures],
@@ -50,7 +51,7 @@
 	return all
 }
 
-// gossipTick sends this tick's message.
+// gossipTick sends one message and updates the number of reachable routers.
 func (d *decider) gossipTick() {
 	if d.settings.Gossip && d.settings.Routers > 1 {
 		d.effects.SendGossip(d.randomPeer(), d.encodeGossip())
@@ -58,21 +59,21 @@
 	d.updateReachable()
 }
 
-// randomPeer is a random other router.
+// randomPeer returns the rank of a random other router.
 func (d *decider) randomPeer() int {
 	return (d.settings.Rank + 1 + int(d.random()*float64(d.settings.Routers-1))) % d.settings.Routers
 }
 
-// updateReachable estimates how many routers can be heard. Each sends one message a tick, so that a router that is cut off
-// must not count its few outcomes as many.
+// updateReachable estimates how many routers are reachable. Each router sends one message per tick and thus receives one on
+// average. A partitioned router must not scale its own few outcomes to the whole fleet.
 func (d *decider) updateReachable() {
 	d.gossipRate -= gossipRateGain * d.gossipRate
-	reachableShare := min(1, 1.3*d.gossipRate) // with room for the chance that few messages come
+	reachableShare := min(1, 1.3*d.gossipRate) // with a margin for the random number of messages received
 	d.reachableRouters = 1 + float64(d.settings.Routers-1)*reachableShare
 }
 
-// encodeGossip encodes a message: the build on trial, the figures, and for how many seconds the trial has been paused,
-// each figure as the upper half of a float32, as every byte of a message is paid for.
+// encodeGossip encodes a message: the newest build, the values of gossipedValues, and the time since the trial was paused,
+// in seconds. The build takes two bytes, and each value is a float32 rounded to its upper two bytes, to keep messages small.
 func (d *decider) encodeGossip() []byte {
 	raw := binary.BigEndian.AppendUint16(nil, uint16(d.rollout.Build))
 	pausedFor := min(1e3, float64(d.now-d.pausedAt)/float64(second))
@@ -82,9 +83,9 @@
 	return raw
 }
 
-// decodeGossip decodes a message; ok is false if its length is wrong or a figure is impossible.
+// decodeGossip decodes a message; ok is false if its length is wrong or a value is out of range.
 func (d *decider) decodeGossip(raw []byte) (build int, values []float64, ok bool) {
-	const size = 2 // bytes of the build and of each figure
+	const size = 2 // bytes of the build and of each value
 	if len(raw) != size*(1+trialValues+len(d.fleetLoad)+1) {
 		return 0, nil, false
 	}
@@ -99,8 +100,8 @@
 	return int(binary.BigEndian.Uint16(raw)), values, true
 }
 
-// gossipReceived mixes a peer's figures in, those of the trial only if it is of the same build: equation (5), second line,
-// s_i ← s̄_i + γ(s̄_j − s̄_i).
+// gossipReceived averages a peer's values into those of this router by the second line of equation (5),
+// s_i ← s̄_i + γ(s̄_j − s̄_i). The values of the trial are used only if the peer has the same newest build.
 func (d *decider) gossipReceived(build int, values []float64) {
 	d.gossipRate += gossipRateGain
 	sameBuild := build == d.rollout.Build
--- a/internal/decision/host.go
+++ b/internal/decision/host.go
@@ -6,28 +6,28 @@
 	"portflow/internal/pacing"
 )
 
-// Health is a host's state on the list.
+// Health is the state of a host in the host list.
 type Health uint8
 
 // The states of a host.
 const (
 	Ready    Health = iota
-	Draining        // takes no further requests
-	Gone
+	Draining        // accepts no further requests
+	Gone            // removed from the list
 )
 
-// ListKind is how a list of hosts is to be read.
+// ListKind is the kind of host list passed to Engine.HostsChanged.
 type ListKind uint8
 
-// The kinds of lists.
+// The kinds of host lists.
 const (
-	Delta          ListKind = iota // changes
-	Snapshot                       // complete
-	CachedSnapshot                 // complete, but from before this router's start
-	FetchFailed                    // none: the call or the subscription failed
+	Delta          ListKind = iota // changed hosts only
+	Snapshot                       // all hosts
+	CachedSnapshot                 // all hosts, as stored before this router started
+	FetchFailed                    // no list: the fetch or the subscription failed
 )
 
-// Host is a host as the list has it.
+// Host is an entry of the host list.
 type Host struct {
 	ID        uint32
 	Zone      int
@@ -36,17 +36,17 @@
 	Health    Health
 	Build     int
 	Capacity  float64
-	StartedAt int64 // Unix nanoseconds, 0 for long ago
-	Distance  int   // from this router: nearer hosts that have room go first
+	StartedAt int64 // Unix nanoseconds; 0 if unknown, which counts as long ago
+	Distance  int   // distance from this router; the nearest usable hosts are chosen
 }
 
-// Capacities outside of these bounds are taken as 1.
+// A capacity that is not within these bounds is replaced by 1.
 const (
 	minCapacity = 1e-3
 	maxCapacity = 1e6
 )
 
-// Hosts are on one of two sides: of an earlier build, or on trial.
+// The sides of a host: running an earlier build, or counted as on trial.
 const (
 	baselineSide = iota
 	trialSide
@@ -63,21 +63,21 @@
 	capacity  float64
 	startedAt int64
 	distance  int
-	listedAt  int64 // when this start of the host was listed first, 1 for before this router's start
-	onTrial   bool  // it counts as on trial, in this stage
-	stage     int
+	listedAt  int64 // when this incarnation of the host was first listed, 1 if startedAt is 0
+	onTrial   bool  // counts as on trial
+	stage     int   // stage of the rollout that applies to it
 
-	inFlight        int     // attempts of this router
-	silentSince     int64   // when attempts were last sent or answered
-	relativeLatency float64 // mean latency over the expected, at latencyAt
+	inFlight        int     // attempts in flight from this router
+	silentSince     int64   // when an attempt last ended, began to stream, or was sent while no other was in flight
+	relativeLatency float64 // mean of latency / expected latency, as of latencyAt
 	latencyAt       int64
-	failures        int   // in a row
-	ejectedUntil    int64 // it is avoided until then
-	queueLength     float64
-	reportedAt      int64 // when queueLength was reported
+	failures        int     // consecutive connection failures and timeouts
+	ejectedUntil    int64   // avoided until then
+	queueLength     float64 // queued or running requests, from the latest load report
+	reportedAt      int64   // when queueLength was reported
 
-	budget      bucket  // attempts that it may have while it warms up
-	creditTaken float64 // how much of coldCredit went into the budget
+	budget      bucket  // attempts that the host may be sent while it warms up
+	creditTaken float64 // value of coldCredit up to which the budget was credited
 }
 
 func (h *host) side() int {
@@ -87,28 +87,29 @@
 	return baselineSide
 }
 
-// hostPool is the hosts, and what is known of all of them.
+// hostPool holds the listed hosts and the values derived from all of them.
 type hostPool struct {
-	hosts              []*host            // that are listed and not gone, by id
-	subset             [sideCount][]*host // those that this router chooses from
-	healthyHosts       int                // that are ready and not ejected
-	hasDistantHosts    bool               // not all are near
-	sideCapacity       [sideCount]float64 // what the healthy hosts that have a budget can do now
-	totalCapacity      float64            // what all ready hosts can do now
-	coldCredit         float64            // attempts that cold hosts were given so far, for each unit of capacity
-	warmTrialHosts     float64            // number of warm hosts of the build on trial, and a little
-	lastTrialStart     int64              // of a host of the build on trial, or of its stage
-	slownessByKind     map[int]float64    // by kind of machine: how much longer it takes than the mean
-	connectionShortage int                // number of answers after which connections are not in short supply any more
-	idleToClose        []*host            // for emitEffects: their idle connections are to be closed
+	hosts              []*host            // listed hosts, sorted by ID
+	subset             [sideCount][]*host // hosts that this router chooses from
+	healthyHosts       int                // number of hosts that are ready and not ejected
+	hasDistantHosts    bool               // some host has a positive distance
+	sideCapacity       [sideCount]float64 // current capacity of the healthy hosts that are warm or have budget
+	totalCapacity      float64            // current capacity of all ready hosts
+	coldCredit         float64            // cumulative attempts granted to cold hosts, per unit of capacity
+	warmTrialHosts     float64            // 0.1 + number of warm, ready hosts of the newest build; nonzero as a divisor
+	lastTrialStart     int64              // latest start of a host of the newest build, or of its stage
+	slownessByKind     map[int]float64    // by kind of machine: mean relative latency - 1
+	connectionShortage int                // attempt results until connections no longer count as scarce
+	idleToClose        []*host            // hosts whose idle connections emitEffects closes
 }
 
-// coldBudgetRate is what each host's budget gains whenever hosts are updated, over the number of routers: two attempts a
-// second, and more with changes, so that a fleet whose hosts are all cold starts.
+// coldBudgetRate, divided by the number of routers, is added to the budget of each host whenever hosts are updated. At one
+// update per tick, all routers together may send two attempts per second to a host, so that a fleet with only cold hosts can
+// start.
 const coldBudgetRate = 0.2
 
-// updateHosts derives what all hosts together can do, and which of them count as on trial; it is called with each tick and
-// each change of the hosts or of the rollout.
+// updateHosts recomputes the capacities of the pool and which hosts count as on trial, and places pending requests. It runs
+// on each tick and each change of the hosts or of the rollout.
 func (d *decider) updateHosts() {
 	d.exposureCap = d.rolloutCap()
 	d.totalCapacity = 0
@@ -116,7 +117,7 @@
 	d.healthyHosts = 0
 	d.hasDistantHosts = false
 	d.lastTrialStart = d.stageSince
-	d.warmTrialHosts = 0.1 // it is divided by
+	d.warmTrialHosts = 0.1 // a divisor, must not be 0
 	var ready [sideCount][]*host
 	for _, h := range d.hosts {
 		d.updateHost(h)
@@ -147,13 +148,13 @@
 		return
 	}
 	d.healthyHosts++
-	if d.hasBudget(h) { // otherwise the warm hosts of its side would be given its share too
+	if d.hasBudget(h) { // otherwise the warm hosts of its side would be sent its share too
 		d.sideCapacity[h.side()] += h.capacity * warmUpFactor
 	}
 }
 
-// updateStage marks a host that counts as on trial: one of the build that is not released, and one of a build that the
-// rollout does not name yet, to which the cap of the first stage applies.
+// updateStage sets whether a host counts as on trial, and its stage. Hosts of the newest build are on trial until it is
+// released. Hosts of a build that the rollout does not know yet are on trial in stage 0, with the cap of the first stage.
 func (d *decider) updateStage(h *host) {
 	h.stage = d.rollout.Stage
 	h.onTrial = h.build == d.rollout.Build && d.rollout.State != Released
@@ -164,7 +165,7 @@
 	}
 }
 
-// chooseSubsets chooses the hosts that this router uses: one that needs few hosts uses a part of them.
+// chooseSubsets selects the hosts that this router uses: a router with little traffic uses only some of them.
 func (d *decider) chooseSubsets(ready [sideCount][]*host) {
 	need := max(pacing.MinHosts, d.ownLoad[answerCount]*float64(second/tickInterval))
 	for side, hosts := range ready {
@@ -176,7 +177,7 @@
 	}
 }
 
-// placePending places the requests that no host took before.
+// placePending retries the placement of the requests that found no usable host before.
 func (d *decider) placePending() {
 	pending := d.pending
 	d.pending = nil
@@ -187,7 +188,8 @@
 	}
 }
 
-// warmUpFactor is the share of its capacity that a host surely has by now.
+// warmUpFactor returns the fraction of its capacity that a host is assumed to have: it rises linearly from ColdCapacity to 1
+// over WarmUpTime.
 func (d *decider) warmUpFactor(h *host) float64 {
 	age := d.now - h.startedAt
 	if h.startedAt == 0 || age >= d.settings.WarmUpTime {
@@ -196,7 +198,7 @@
 	return d.settings.ColdCapacity + (1-d.settings.ColdCapacity)*max(0, float64(age)/float64(d.settings.WarmUpTime))
 }
 
-// hasBudget says whether a host is warm, or may have another attempt.
+// hasBudget credits a host's budget, and reports whether the host is warm or has budget for an attempt.
 func (d *decider) hasBudget(h *host) bool {
 	warmUpFactor := d.warmUpFactor(h)
 	h.budget.add((d.coldCredit - h.creditTaken) * h.capacity * warmUpFactor)
@@ -204,23 +206,24 @@
 	return warmUpFactor == 1 || h.budget.tokens >= 1
 }
 
-// slownessMemory is the time constant by which a host's latency is forgotten.
+// slownessMemory is the time constant with which a host's relative latency decays to 1.
 const slownessMemory = 5 * second
 
-// slowness is a host's mean latency over the expected.
+// slowness returns the mean relative latency of a host, decayed to the current time.
 func (d *decider) slowness(h *host) float64 {
 	return 1 + (h.relativeLatency-1)*math.Exp(-float64(d.now-h.latencyAt)/float64(slownessMemory))
 }
 
-// Ejections. One slow answer is no sign of a dead host.
+// The durations of ejections, and the number of consecutive failures up to which timeouts do not eject a host.
 const (
-	overloadEjection    = second / 5 // a full queue needs a moment
-	baseEjection        = second / 2 // doubled with each failure
+	overloadEjection    = second / 5 // time for a full queue to drain
+	baseEjection        = second / 2 // doubled with each consecutive failure
 	maxEjectionDoubling = 4
 	toleratedTimeouts   = 2
 )
 
-// updateHealth ejects a host after signs that it is down, for longer each time, and ends the ejection after an answer.
+// updateHealth ejects a host after a result that suggests that it is down or overloaded, and ends the ejection when the host
+// answers. Consecutive failures lengthen the ejection exponentially.
 func (d *decider) updateHealth(h *host, result Result) {
 	switch result {
 	case Succeeded, Failed, InvalidAnswer:
@@ -236,10 +239,11 @@
 	}
 }
 
-// answersAfterConnectFailure is for how many answers connections are taken to be in short supply after one was refused.
+// answersAfterConnectFailure is the number of attempt results for which connections count as scarce after one has failed.
 const answersAfterConnectFailure = 30
 
-// updateConnectionShortage closes idle connections while hosts take few: after one was refused, those of the next answers.
+// updateConnectionShortage closes idle connections for a while after a connection attempt has failed, as hosts may limit the
+// number of connections: it closes those of a host whose last attempt in flight has ended.
 func (d *decider) updateConnectionShortage(h *host, result Result) {
 	if result == ConnectFailed {
 		d.connectionShortage = answersAfterConnectFailure
@@ -251,7 +255,7 @@
 	}
 }
 
-// applyLoadReport takes over how many requests a host has.
+// applyLoadReport updates queueLength from a host's load report. Values out of range are ignored.
 func (d *decider) applyLoadReport(h *host, values []float64) {
 	known := min(len(values), len(d.settings.LoadFields))
 	for i, value := range values[:known] {
@@ -263,16 +267,16 @@
 	}
 }
 
-// resetIfRestarted forgets what is known of a host that is listed for the first time, or with another start or build.
+// resetIfRestarted resets the measurements of a host that is listed for the first time, or with another start time or build.
 func (d *decider) resetIfRestarted(h *host, entry Host) {
 	if entry.StartedAt == h.startedAt && entry.Build == h.build && h.listedAt != 0 {
 		return
 	}
 	h.listedAt = d.now
-	if entry.StartedAt == 0 { // it has run for long
+	if entry.StartedAt == 0 { // it has been running for a long time
 		h.listedAt = 1
 	}
-	h.budget = bucket{tokens: d.random(), limit: 1} // however many routers there are, each begins at its own time
+	h.budget = bucket{tokens: d.random(), limit: 1} // random, so that routers do not all send their first attempt at once
 	h.creditTaken = d.coldCredit
 	h.relativeLatency = 1
 	h.failures = 0
--- a/internal/decision/lifecycle.go
+++ b/internal/decision/lifecycle.go
@@ -2,10 +2,10 @@
 
 import "cmp"
 
-// The life of a request: it comes in, waits for a host or is sent to one, its attempts end, and it is answered.
+// The lifecycle of a request: it is received, waits for a host or is sent to one, its attempts end, and it is answered.
 
-// retryBudgetRate is how many retries each request adds to the budget: one for ten requests bounds what failures add to an
-// overload.
+// retryBudgetRate is the number of retries that each request adds to the retry budget. It bounds the load that retries add
+// during an overload.
 const retryBudgetRate = 0.1
 
 func (d *decider) requestReceived(req *request) {
@@ -21,7 +21,7 @@
 	d.keySeenAt[req.key] = d.now
 }
 
-// placeRequest wants an attempt at the best host, or lets the request wait for one for a short time.
+// placeRequest schedules an attempt at the host that pickHost returns. If there is none, the request waits for a short time.
 func (d *decider) placeRequest(req *request) {
 	h := d.pickHost(req)
 	d.changed = append(d.changed, req)
@@ -30,7 +30,7 @@
 		req.attemptDeadline = d.nextAttemptDeadline(req)
 		return
 	}
-	maxWait := req.class.LatencyTarget / 4 // after it there is little hope, and the client should know
+	maxWait := req.class.LatencyTarget / 4 // a longer wait is unlikely to help, so the client is answered early
 	if d.now-req.receivedAt > maxWait {
 		d.giveUp(req)
 	} else {
@@ -38,8 +38,8 @@
 	}
 }
 
-// nextAttemptDeadline is when the next attempt is to end. Where attempts must not overlap, it leaves time for a retry
-// within the latency target, if that may and is likely to help.
+// nextAttemptDeadline returns the deadline of the next attempt. Without hedging, it leaves time for a retry within the latency
+// target, if a retry is allowed and likely to succeed in time.
 func (d *decider) nextAttemptDeadline(req *request) int64 {
 	if d.settings.Hedging || d.settings.NoEarlyRetry || !d.mayRetry(req, true) || d.retryBudget.tokens < 1 {
 		return req.deadline
@@ -56,7 +56,7 @@
 	h.inFlight--
 	h.silentSince = d.now
 	attempt.notRun = result.neverRan()
-	if attempt.notRun || result == Failed { // it surely gave the key no answer
+	if attempt.notRun || result == Failed { // the host certainly gave no valid answer for the key
 		d.bindings.unbind(req.key, attempt.binding)
 	}
 	d.applyLoadReport(h, report)
@@ -76,11 +76,11 @@
 	}
 }
 
-// maxSlowness bounds how slow an attempt counts as; it is also that of one that failed, as a host that fails fast is not
-// an idle one.
+// maxSlowness is the upper bound of an attempt's slowness. Failed attempts count with it, so that a host that fails fast does
+// not look lightly loaded.
 const maxSlowness = 8
 
-// attemptSlowness is an attempt's latency over the expected.
+// attemptSlowness returns the ratio of an attempt's latency to the expected latency, at most maxSlowness.
 func (d *decider) attemptSlowness(req *request, result Result, took int64) float64 {
 	switch result {
 	case Failed, ConnectionReset, TimedOut, ConnectFailed, InvalidAnswer:
@@ -89,7 +89,7 @@
 	return min(maxSlowness, float64(took)/d.expectedLatency(req))
 }
 
-// updateSlowness averages a host's slowness over about the last five outcomes.
+// updateSlowness averages a host's slowness over about the last five successes and failures.
 func (d *decider) updateSlowness(h *host, result Result, slowness float64) {
 	if result != Succeeded && slowness != maxSlowness {
 		return
@@ -98,13 +98,14 @@
 	h.latencyAt = d.now
 }
 
-// learningGain is the gain of the averages over about a hundred answers.
+// learningGain is the gain of moving averages over about a hundred answers.
 const learningGain = 0.01
 
-// recordAnswer learns from an answer what to expect of its class and kind of machine. Only the earlier build counts.
+// recordAnswer counts an answer in the load, binds its key, and updates the expected latency and cost of the request's class
+// and the slowness of the host's kind of machine. The expectations only follow answers of the earlier build.
 func (d *decider) recordAnswer(req *request, attempt *attempt, slowness float64, took int64) {
 	d.recordAnswerLoad(took)
-	d.bindKey(req, attempt.build) // also if the build was being rolled back meanwhile
+	d.bindKey(req, attempt.build) // again, as a rollback may have dropped the binding of the attempt
 	if d.isOnTrial(attempt.build) {
 		return
 	}
@@ -118,7 +119,7 @@
 	d.recordBaselineSpeed(req, took)
 }
 
-// finish marks that no answer is owed any more.
+// finish marks a request as done: it needs no further answer, check or attempt.
 func (d *decider) finish(req *request) {
 	if !req.done {
 		d.tickLoad[openRequests]--
@@ -126,5 +127,5 @@
 	req.done = true
 	req.next = nil
 	d.queue.Remove(req.check)
-	d.changed = append(d.changed, req) // for its attempts that are in flight
+	d.changed = append(d.changed, req) // so that its attempts in flight are canceled
 }
--- a/internal/decision/load.go
+++ b/internal/decision/load.go
@@ -1,33 +1,33 @@
 package decision
 
-// The load figures, of this router and of the mean router: openRequests and so on are indices of tickLoad, ownLoad and
-// fleetLoad. The numbers of requests of each customer follow, from customerLoad.
+// The load metrics: indices of tickLoad, ownLoad and fleetLoad. From customerLoad on, there is one entry per customer with the
+// number of its requests.
 const (
-	openRequests    = iota // requests that wait or are in flight; not reset each tick
-	answerCount            // answers a tick
-	answerSeconds          // sum of their latencies, in seconds
+	openRequests    = iota // requests that wait or are in flight; a gauge, not reset on each tick
+	answerCount            // successful answers
+	answerSeconds          // sum of the latencies of these answers, in seconds
 	sentAttempts           // attempts
-	trialAttempts          // those at the trial that count in its share
+	trialAttempts          // attempts sent to the trial that count toward its share
 	baselineAnswers        // answers of the earlier build
-	baselineSpeeds         // sum of their speeds: target latency over latency
+	baselineSpeeds         // sum of the speeds of these answers, see recordBaselineSpeed
 	customerLoad           // requests of customer 0
 )
 
-// load is how much the routers carry. The three slices have the same indices.
+// load holds the load of the routers. The three slices have the same indices.
 type load struct {
-	tickLoad  []float64 // of this tick
-	ownLoad   []float64 // mean a tick of this router, over some ticks
-	fleetLoad []float64 // gossiped: the same of the mean router
+	tickLoad  []float64 // counts of the current tick
+	ownLoad   []float64 // moving average per tick of this router
+	fleetLoad []float64 // gossiped: moving average per tick, averaged over the routers
 
-	throughput   decayingMean // gauges what the fleet carries: answers by its capacity
-	usualSpeed   decayingMean // speed of the earlier build over some seconds
+	throughput   decayingMean // answers of this router per tick and unit of fleet capacity
+	usualSpeed   decayingMean // mean speed of the earlier build over the last 10 s
 	meanLatency  float64      // mean latency of answers, in nanoseconds
-	shedFraction float64      // share of the requests to shed
+	shedFraction float64      // fraction of the requests to shed
 }
 
 const (
-	loadGain     = 0.1  // of a tick's load: a memory of one second
-	slowLoadGain = 0.03 // the same of three seconds
+	loadGain     = 0.1  // a time constant of one second
+	slowLoadGain = 0.03 // a time constant of about three seconds
 )
 
 func newLoad(customers int) load {
@@ -39,7 +39,8 @@
 	}
 }
 
-// loadTick closes a tick's load: the averages follow the same recursion as the statistics' state, equation (1).
+// loadTick adds the load of the tick to the averages, by the recursion of equation (1) that the statistics use too, and resets
+// the counts.
 func (d *decider) loadTick() {
 	for i := range d.fleetLoad {
 		gain := loadGain
@@ -56,27 +57,26 @@
 	d.usualSpeed.add(forgettingFactor, d.fleetLoad[baselineAnswers], d.fleetLoad[baselineSpeeds])
 }
 
-// throughputTick gives cold hosts credit. What the answers of the last 10 s, or of 1 s, show a fleet of this capacity to
-// carry, cold hosts may have in proportion to theirs: the sum of all routers stays well below the collapse factor.
+// throughputTick grants credit to cold hosts, in proportion to the throughput per unit of capacity over the last 10 s or the
+// last second, whichever is higher. The attempts of all routers together stay well below the collapse factor.
 func (d *decider) throughputTick() {
 	d.throughput.add(forgettingFactor, d.totalCapacity, d.tickLoad[answerCount])
 	throughput := max(d.throughput.value(), d.ownLoad[answerCount]/max(d.totalCapacity, 1e-3))
 	d.coldCredit += max(1.2, 0.8*d.settings.CollapseFactor) * throughput
 }
 
-// baselineSpeed is the mean speed of the earlier build's answers of late.
+// baselineSpeed returns the mean speed of the earlier build's recent answers.
 func (d *decider) baselineSpeed() float64 {
 	return decayingMean{d.fleetLoad[baselineAnswers], d.fleetLoad[baselineSpeeds]}.value()
 }
 
-// recordAnswerLoad counts an answer in this tick's load.
 func (d *decider) recordAnswerLoad(took int64) {
 	d.tickLoad[answerCount]++
 	d.tickLoad[answerSeconds] += float64(took) / float64(second)
 }
 
-// recordBaselineSpeed counts how quick an answer of the earlier build was. The mean of speeds goes by the quick answers,
-// which did not wait: load changes it little.
+// recordBaselineSpeed counts the speed of an answer of the earlier build: its latency target over its latency, corrected for
+// the request's cost. The mean of speeds is dominated by fast answers, which did not wait, so it depends little on the load.
 func (d *decider) recordBaselineSpeed(req *request, took int64) {
 	speed := min(5, float64(req.class.LatencyTarget)/float64(took)*d.expectedLatency(req)/req.class.latency/10)
 	d.tickLoad[baselineAnswers]++
--- a/internal/decision/retry.go
+++ b/internal/decision/retry.go
@@ -2,12 +2,13 @@
 
 // Retries and hedged requests: whether a request may have another attempt, and when.
 
-// finalCheckAt is when a request must be answered whatever happens.
+// finalCheckAt returns when a request that is still open fails: early enough that the client is answered by its deadline.
 func (d *decider) finalCheckAt(req *request) int64 {
 	return req.deadline - 2*d.settings.TimerResolution
 }
 
-// nextCheckAt is when a request must be checked: for a hedged attempt, later than most answers come, or for its answer.
+// nextCheckAt returns when to check a request next: for a hedged attempt, after the time that most answers take, or for the
+// final check.
 func (d *decider) nextCheckAt(req *request) int64 {
 	final := d.finalCheckAt(req)
 	if !d.settings.Hedging || req.class.Idempotency == NonIdempotent || len(req.attempts) != 1 {
@@ -17,7 +18,7 @@
 	return min(final, d.now+hedgeAfter)
 }
 
-// check gives a request its hedged attempt, or its last answer.
+// check schedules a hedged attempt of a request, or fails the request at its final check.
 func (d *decider) check(req *request) {
 	if req.done {
 		return
@@ -33,12 +34,12 @@
 	}
 }
 
-// mayHedge says whether a second attempt beside the first may run and is of use.
+// mayHedge reports whether a second attempt may run beside the first and can still meet the latency target.
 func (d *decider) mayHedge(req *request) bool {
 	return req.inFlight == 1 && d.settings.Hedging && d.shedFraction < 0.5 && d.mayRetry(req, false) && d.now < req.target
 }
 
-// hedge wants a second attempt at another host.
+// hedge schedules a second attempt at another host, if there is one.
 func (d *decider) hedge(req *request) {
 	h := d.pickHost(req)
 	if h == nil || req.triedOn(h) {
@@ -49,7 +50,8 @@
 	d.changed = append(d.changed, req)
 }
 
-// mayRetry says whether the class allows another attempt; mayHaveRun counts the present one as one that may have run.
+// mayRetry reports whether the class and the attempts so far allow another attempt. mayHaveRun reports
+// whether one more attempt, which is not in req.attempts yet, counts as one that may have run.
 func (d *decider) mayRetry(req *request, mayHaveRun bool) bool {
 	if len(req.attempts) >= req.maxAttempts {
 		return false
@@ -64,8 +66,8 @@
 	return true
 }
 
-// retryOrGiveUp is for a request of which no attempt is in flight any more. A refused connection costs no budget, as the
-// host has had no work by it.
+// retryOrGiveUp retries or answers a request without an attempt in flight. A retry after a failed connection is not charged to
+// the retry budget, as the host had no work from it.
 func (d *decider) retryOrGiveUp(req *request, result Result) {
 	usefulUntil := req.target
 	if req.class.LateValue > 0 {
@@ -79,7 +81,7 @@
 	}
 }
 
-// giveUp ends a request at once. It is rejected if the client may send it again, and fails otherwise.
+// giveUp ends a request: it is rejected if the client may safely retry it, and fails otherwise.
 func (d *decider) giveUp(req *request) {
 	req.decidedAnswer = fail
 	if d.maySendAgain(req) {
@@ -88,7 +90,8 @@
 	d.changed = append(d.changed, req)
 }
 
-// maySendAgain says whether the client may send a request again, at any router, without its running twice.
+// maySendAgain reports whether the client may retry a request through any router without violating the idempotency of its
+// class.
 func (d *decider) maySendAgain(req *request) bool {
 	if req.firstPossibleRun() == nil || req.class.Idempotency == Idempotent {
 		return true
@@ -96,5 +99,5 @@
 	return req.class.Idempotency == IdempotentByKey && req.class.DedupScope == AllHosts && d.mayRetry(req, true)
 }
 
-// retryAfter is after how long a rejected request may come again: about as long as a queue takes to drain.
+// retryAfter returns the delay after which a client may retry a rejected request: about the time that a queue takes to drain.
 func (d *decider) retryAfter() int64 { return min(d.settings.MaxRetryAfter, second/4) }
--- a/internal/decision/rollout.go
+++ b/internal/decision/rollout.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// RolloutState is where the rollout of a build is.
+// RolloutState is the state of a build's rollout.
 type RolloutState uint8
 
 // The states of a rollout.
@@ -13,57 +13,58 @@
 	RolledBack
 )
 
-// Rollout is what the platform says about the rollout of the newest build.
+// Rollout is the state of the newest build's rollout, as reported by the platform.
 type Rollout struct {
 	Build       int
 	Stage       int
 	State       RolloutState
-	VoteReply   bool // it answers a vote
+	VoteReply   bool // the reply to a vote; if VoteResult is not VoteCounted, the other fields are ignored
 	VoteResult  VoteResult
-	ExposureCap float64 // share of the requests that may go to the trial
-	Age         int64   // nanoseconds since the state or the stage began
+	ExposureCap float64 // fraction of the requests that may go to the trial
+	Age         int64   // nanoseconds since the last change of the state or the stage
 }
 
-// VoteResult is how a vote's call ended.
+// VoteResult is the result of a call to the platform that casts a vote.
 type VoteResult uint8
 
-// The results of votes.
+// The results of casting a vote.
 const (
 	VoteCounted VoteResult = iota
 	VoteConflict
 	VoteThrottled
 	VoteFailed
-	VoteUnanswered // it may have been counted
+	VoteUnanswered // no reply; the vote may have been counted
 )
 
-// TrialStatistics is what a router goes by when it judges the newest build. The first of each pair is of failures, the
-// second of latency; all are pooled over the routers as far as gossip has brought them.
+// TrialStatistics holds the statistics by which a router judges the newest build. Index 0 of each array is for failures and
+// index 1 for latency. Gossip averages the values over the reachable routers.
 type TrialStatistics struct {
-	Outcomes       [2]float64 // number of outcomes of the last seconds
-	Excess         [2]float64 // how much worse an outcome is in the mean than one of the earlier build
-	StandardError  [2]float64 // of Excess
-	Threshold      [2]float64 // a build that exceeds it by more than some standard errors is rolled back
-	RemainingBurst float64    // attempts that this router may still send to the trial at once
+	Outcomes       [2]float64 // estimated number of recent outcomes of the build at all reachable routers
+	Excess         [2]float64 // mean penalty of an outcome above that of the earlier build
+	StandardError  [2]float64 // standard error of Excess
+	Threshold      [2]float64 // Excess, minus some standard errors, above which the build is rolled back
+	RemainingBurst float64    // attempts that this router may send to the trial now, shared by all classes
 }
 
-// rolloutTracker is what is known of the rollout.
+// rolloutTracker holds the state of the rollout.
 type rolloutTracker struct {
 	rollout        Rollout
 	hasRollout     bool    // rollout is set
-	baseBuild      int     // the newest build that was released before the one on trial
-	stageSince     int64   // when the state or the stage changed
-	exposureCap    float64 // share of the requests that may go to hosts that count as on trial
-	sharedExposure *bucket // attempts that the trial may have, where classes share them
+	baseBuild      int     // newest build that needs no judging: the last one released before the current rollout
+	stageSince     int64   // when the state or the stage last changed
+	exposureCap    float64 // fraction of the requests that may go to hosts on trial
+	sharedExposure *bucket // attempts that may be sent to the trial, shared by the classes unless Settings.CapPerClass is set
 }
 
-// settledAge is the age from which a release that was found at the start needs no judging; some builds fail after 11 s.
+// settledAge is the age beyond which a release that is found at startup needs no judging. A build may begin to fail many seconds
+// after its hosts start.
 const settledAge = 15 * second
 
 func (d *decider) rolloutChanged(rollout Rollout) {
 	if rollout.VoteReply {
 		d.voteInFlight = false
 		if rollout.VoteResult != VoteCounted {
-			d.castVote = vote{} // it may not stand: cast it again
+			d.castVote = vote{} // the vote may not be in effect, so it is cast again
 			return
 		}
 	}
@@ -84,7 +85,7 @@
 	d.updateHosts()
 }
 
-// firstBaseBuild is the newest build that needs no judging when the first rollout is seen.
+// firstBaseBuild returns the newest build that needs no judging when the engine receives its first rollout.
 func (d *decider) firstBaseBuild(rollout Rollout) int {
 	isSettled := rollout.Age > settledAge || !d.hasKnownStartTimes(rollout.Build)
 	if rollout.State == Released && isSettled {
@@ -93,12 +94,12 @@
 	return rollout.Build - 1
 }
 
-// startsKnown says whether the starts of a build's hosts are known, as those of the first build are not.
+// hasKnownStartTimes reports whether a host of a build has a known start time. The hosts of the first build have none.
 func (d *decider) hasKnownStartTimes(build int) bool {
 	return slices.ContainsFunc(d.hosts, func(h *host) bool { return h.build == build && h.startedAt > 0 })
 }
 
-// beginTrial forgets the statistics of the build that was judged before.
+// beginTrial resets the statistics for a new build, and makes the previous one the base build if it was released.
 func (d *decider) beginTrial() {
 	if d.rollout.State == Released {
 		d.baseBuild = d.rollout.Build
@@ -107,12 +108,12 @@
 	d.resetTrial()
 }
 
-// isOnTrial says whether a build is the one that is judged.
+// isOnTrial reports whether a build is the one being judged. A build is judged after its release too, until the next rollout.
 func (d *decider) isOnTrial(build int) bool {
 	return d.hasRollout && build == d.rollout.Build && build > d.baseBuild && d.rollout.State != RolledBack
 }
 
-// rolloutCap is the share of the requests that the rollout's state allows its build.
+// rolloutCap returns the fraction of the requests that may go to the newest build in the current state of its rollout.
 func (d *decider) rolloutCap() float64 {
 	return [...]float64{
 		OnTrial:     d.rollout.ExposureCap,
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -4,13 +4,14 @@
 	"math"
 )
 
-// Host selection: the side (earlier build or trial) by its share, then the less loaded of two random hosts of the side.
+// Host selection: power of two choices on each side (earlier build and trial), then a random choice between the two sides by
+// the trial's share.
 
-// randomPicks is how many random hosts of a side are looked at for two that a request may use.
+// randomPicks is the maximum number of random hosts examined to find two that a request may use.
 const randomPicks = 8
 
-// pickHost chooses the host of a request's next attempt, nil if none may be used: it is better to wait for a host than to
-// try one that is down.
+// pickHost chooses the host of a request's next attempt, and charges the attempt to the budgets. It returns nil if no host may
+// be used, as waiting for a host is better than trying one that is down.
 func (d *decider) pickHost(req *request) *host {
 	minBuild := d.minBuildFor(req.key)
 	best := d.pickOfTwo(req, baselineSide, minBuild)
@@ -25,7 +26,7 @@
 	return best
 }
 
-// recordChoice takes what the attempt uses of budgets.
+// recordChoice charges an attempt to the warm-up budget of its host and to the exposure of its class, and counts it.
 func (d *decider) recordChoice(req *request, h *host, onlyTrial bool) {
 	if d.warmUpFactor(h) < 1 {
 		h.budget.take()
@@ -40,34 +41,36 @@
 	}
 }
 
-// trialShare is the share of the attempts that the trial is to be given now: that of its hosts' capacity, corrected by
-// what it was given. The correction goes by all routers, as one with little traffic sends the trial too little.
+// trialShare returns the fraction of the attempts to send to the trial now: its hosts' share of the capacity, corrected by the
+// share that the trial has recently received. The correction uses the load of all routers, as a router with little traffic
+// sends the trial too little.
 func (d *decider) trialShare(req *request, minBuild int) float64 {
 	trialCapacity := d.sideCapacity[trialSide] * d.trialSpeedUp()
 	share := trialCapacity / max(d.sideCapacity[baselineSide]+trialCapacity, 1e-3)
 	sentShare := d.fleetLoad[trialAttempts] / max(d.fleetLoad[sentAttempts], 1e-3)
-	if d.settings.KeyAffinity { // requests of bound keys can go nowhere else
+	if d.settings.KeyAffinity { // requests with bound keys can only go to the trial
 		share = (share - sentShare) / max(1-sentShare, 0.01)
-	} else { // makes up for requests that must not go there
+	} else { // compensates for requests that must not go to the trial
 		share += 4 * (share - sentShare)
 	}
 	switch {
 	case d.isPaused():
 		return 0
-	case d.buildRejected: // just enough to go on judging it
+	case d.buildRejected: // just enough to keep judging it
 		return share / 10
-	case d.isFrequentKey(req, minBuild): // it would bind more requests to the trial than the cap allows
+	case d.isFrequentKey(req, minBuild): // binding it would send more requests to the trial than the cap allows
 		return 0
 	}
 	return share
 }
 
-// isFrequentKey says whether a key that is not bound to the trial comes often.
+// isFrequentKey reports whether a request's key is not bound to the trial and was seen within keyMemory.
 func (d *decider) isFrequentKey(req *request, minBuild int) bool {
 	return req.key != 0 && d.settings.KeyAffinity && minBuild < d.rollout.Build && d.now-d.keySeenAt[req.key] < keyMemory
 }
 
-// pickOfTwo is the less loaded of two random hosts of a side, or the first to be found if few may be used.
+// pickOfTwo returns the less loaded of two random candidates of a side, or nil if there is no candidate. If random picks find
+// none, it scans all hosts from a random position.
 func (d *decider) pickOfTwo(req *request, side, minBuild int) (best *host) {
 	from := int(d.random() * float64(len(d.hosts)))
 	pool := d.subset[side]
@@ -97,7 +100,7 @@
 	return nil
 }
 
-// nearest is the hosts of a side that the request may go to, of the least distance that has any.
+// nearest returns the candidates of a side at the smallest distance that has any.
 func (d *decider) nearest(req *request, side, minBuild int) (all []*host) {
 	distance := math.MaxInt
 	for _, h := range d.hosts {
@@ -113,24 +116,26 @@
 	return all
 }
 
-// isCandidate says whether a request may go to a host of this side.
+// isCandidate reports whether a host belongs to a side and a request may be sent to it.
 func (d *decider) isCandidate(req *request, h *host, side, minBuild int) bool {
 	return h.side() == side && d.isHealthyFor(req, h) && d.mayUse(req, h, minBuild)
 }
 
-// isHealthyFor says whether a host shows no sign of being down and has not had the request yet, as far as there are others.
+// isHealthyFor reports whether a host is not ejected and was not tried for the request before. Ejections are ignored if no host
+// is healthy, and earlier tries once there were as many attempts as there are hosts.
 func (d *decider) isHealthyFor(req *request, h *host) bool {
 	isHealthy := h.ejectedUntil <= d.now || d.healthyHosts == 0
 	return isHealthy && (!req.triedOn(h) || len(req.attempts) >= len(d.hosts))
 }
 
-// mayUse says whether the rules allow an attempt of the request at a host.
+// mayUse reports whether a request may be sent to a host, whatever the host's health: by its state, build, budget and zone, and
+// by the request's filter.
 func (d *decider) mayUse(req *request, h *host, minBuild int) bool {
 	return h.health == Ready && h.build >= minBuild && d.hasBudget(h) && req.allows(h) &&
 		(!h.onTrial || d.mayUseTrial(req, h)) && isInDedupScope(req, h)
 }
 
-// mayUseTrial says whether the exposure cap and the guarded stages allow an attempt at the trial.
+// mayUseTrial reports whether the exposure cap and the guarded stages allow an attempt at a host on trial.
 func (d *decider) mayUseTrial(req *request, h *host) bool {
 	if req.class.exposure.tokens < 1 || d.exposureCap <= 0 {
 		return false
@@ -138,7 +143,8 @@
 	return h.stage >= d.settings.GuardedStages || req.class.Idempotency == Idempotent
 }
 
-// isInDedupScope says whether a host recognizes a repeat of the request, if it may have run already.
+// isInDedupScope reports whether a host would recognize a repeat of the request. It returns true if the request cannot have run
+// yet, or does not depend on deduplication.
 func isInDedupScope(req *request, h *host) bool {
 	first := req.firstPossibleRun()
 	if first == nil || req.class.Idempotency != IdempotentByKey {
@@ -154,16 +160,16 @@
 	}
 }
 
-// estimatedLoad is how long a request would take at a host, in any unit: what it has, over what it can do, times how slow
-// it has been.
+// estimatedLoad estimates the time that a request would take at a host, in an arbitrary unit: its open requests over its current
+// capacity, times its slowness.
 func (d *decider) estimatedLoad(h *host) float64 {
-	reportWeight := math.Exp(-float64(d.now-h.reportedAt) / float64(second)) // an older report says less
+	reportWeight := math.Exp(-float64(d.now-h.reportedAt) / float64(second)) // the weight of a report decays with its age
 	queued := 1 + float64(h.inFlight) + h.queueLength*reportWeight
-	silentFor := float64(min(h.inFlight, 1)) * float64(d.now-h.silentSince) // it may be paused, stalled or down
+	silentFor := float64(min(h.inFlight, 1)) * float64(d.now-h.silentSince) // a silent host may be paused, stalled or down
 	return queued / (h.capacity * d.warmUpFactor(h)) * d.slowness(h) * (1 + silentFor/d.meanLatency)
 }
 
-// expectedLatency is the latency that the earlier build has for such a request, by its class and cost, in nanoseconds.
+// expectedLatency returns the expected latency of a request at the earlier build, by its class and cost, in nanoseconds.
 func (d *decider) expectedLatency(req *request) float64 {
 	if req.cost <= 0 || req.class.cost <= 0 {
 		return req.class.latency
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -1,80 +1,80 @@
 package decision
 
-// Idempotency says whether the requests of a class may run more than once.
+// Idempotency is whether the requests of a class may run more than once.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // may run again
-	IdempotentByKey                    // hosts recognize a repeat by its key and drop it
+	Idempotent      Idempotency = iota // may run any number of times
+	IdempotentByKey                    // hosts recognize a repeat by its key and do not run it again
 	NonIdempotent                      // must never run twice
 )
 
-// DedupScope is the set of hosts that recognize a repeat of a request that one of them has had.
+// DedupScope is the set of hosts that recognize a repeat of a request that one of them has received.
 type DedupScope uint8
 
-// The sets of hosts.
+// The scopes of deduplication, around the host that received the request first.
 const (
 	AllHosts DedupScope = iota
 	SameZone
-	SameCell
+	SameCell // the same cell of the same zone
 )
 
-// Gate is how votes move a rollout.
+// Gate is the way in which votes control a rollout.
 type Gate uint8
 
 // The kinds of gates.
 const (
 	SingleVote   Gate = iota // one vote is enough
-	MajorityVote             // a share of the routers must vote for it
-	Timed                    // stages advance by themselves unless held
+	MajorityVote             // a fraction of the routers must vote for a change
+	Timed                    // stages advance by themselves unless a vote holds them
 )
 
-// RequestClass is a class of requests with the same contract. Times are in nanoseconds.
+// RequestClass holds the properties that the requests of a class share. Times are in nanoseconds.
 type RequestClass struct {
-	LatencyTarget, Timeout int64 // both from the client's first attempt
+	LatencyTarget, Timeout int64 // from the client's first attempt
 	Idempotency            Idempotency
 	DedupScope             DedupScope
-	DedupWindow            int64 // how long repeats are dropped, from the first attempt
-	Value, LateValue       float64
+	DedupWindow            int64   // time from the first attempt during which repeats are recognized
+	Value, LateValue       float64 // value of an answer within the latency target and of a later one, in any unit
 }
 
 // InitialLatency is the mean latency assumed before the first answer, in nanoseconds.
 func (c RequestClass) InitialLatency() float64 { return float64(c.LatencyTarget) / 5 }
 
-// Customer is a customer with the rate that it may use, in requests a second.
+// Customer is a customer with its quota, in requests per second over all routers.
 type Customer struct{ PerSecond float64 }
 
 // LoadField is the meaning of one value of a host's load report.
 type LoadField uint8
 
-// The meanings of values.
+// The fields of a load report.
 const (
 	UnknownField    LoadField = iota
-	InFlight                  // requests in work
+	InFlight                  // requests being processed
 	QueueLength               // requests that wait
-	Utilization               // share of the cores in use
-	MeanServiceTime           // of late, in milliseconds
+	Utilization               // fraction of the cores in use
+	MeanServiceTime           // mean of recent requests, in milliseconds
 )
 
-// Settings are what a router is given when it starts. Times are in nanoseconds, shares between 0 and 1.
+// Settings is the configuration of an Engine. Times are in nanoseconds, fractions between 0 and 1.
 type Settings struct {
-	Rank, Routers    int // this router is number Rank, from 0, of so many
+	Rank, Routers    int // index of this router, from 0, and number of routers
 	Classes          []RequestClass
 	Customers        []Customer
-	OverQuotaValue   float64 // factor of the value of a request beyond its customer's quota
-	TimerResolution  int64   // the shortest time between two calls of TimerFired
-	Subscribe        bool    // the list of hosts must be asked for
-	FetchInterval    int64   // the discovery service expects one call of each router in this time
-	MaxOpen          int     // requests open at once, 0 for any number
-	MaxAttempts      int
-	Hedging          bool // two attempts at once are allowed
-	Cancellation     bool
-	Gossip           bool
-	MixedTargets     bool    // latency targets differ widely: shedding goes by their mean over the requests
-	RequireCertainty bool    // waiting is cheap: a rollout advances only once its states are surely below the threshold
-	NoEarlyRetry     bool    // a host that works on a request is left to it until the deadline
-	FleetRetryBurst  float64 // retries that all routers may send at once, 0 for a default at each router
+	OverQuotaValue   float64 // factor for the value of a request beyond its customer's quota
+	TimerResolution  int64   // shortest time between two calls of TimerFired
+	Subscribe        bool    // request the host list through Effects.WatchHosts
+	FetchInterval    int64   // time in which the discovery service expects one call from each router, 0 for a default
+	MaxOpen          int     // maximum number of open requests, 0 for no limit
+	MaxAttempts      int     // maximum number of attempts per request
+	Hedging          bool    // allow two attempts in flight for a request
+	Cancellation     bool    // cancel attempts whose request needs no answer
+	Gossip           bool    // exchange statistics and load with the other routers
+	MixedTargets     bool    // latency targets differ widely: shed by their mean over the requests, not by the shortest
+	RequireCertainty bool    // advance a rollout only once its statistics are clearly below the thresholds
+	NoEarlyRetry     bool    // let each attempt run until the request's deadline
+	FleetRetryBurst  float64 // retries that all routers together may send at once, 0 for a default per router
 	MaxRetryAfter    int64
 	Gate             Gate
 	AdvanceVotes     int
@@ -82,16 +82,16 @@
 	HoldVotes        int
 	VoteLifetime     int64
 	VoteTimeout      int64
-	TrialBurst       float64 // attempts at the trial beyond the exposure cap, of this router
-	FleetTrialBurst  float64 // the same of all routers together, 0 if TrialBurst is to be used
-	FirstStageCap    float64
-	CapPerClass      bool        // the exposure cap holds for each class by itself
+	TrialBurst       float64     // attempts that this router may send to the trial beyond the exposure cap
+	FleetTrialBurst  float64     // the same for all routers together, 0 to use TrialBurst
+	FirstStageCap    float64     // exposure cap of builds that the rollout does not know yet
+	CapPerClass      bool        // apply the exposure cap to each class separately
 	SideBySide       bool        // hosts of the earlier build stay until the release
-	GuardedStages    int         // this number of first stages takes idempotent requests only
-	KeyAffinity      bool        // a key must not go back to an earlier build than one that has answered it
-	ReportedShare    float64     // share of the wrong answers that is reported
-	ColdCapacity     float64     // share of its capacity that a host has at its start
-	WarmUpTime       int64       // after which it has all of it
-	CollapseFactor   float64     // the load at which a cold host collapses, over what it can carry
-	LoadFields       []LoadField // the values of a load report
+	GuardedStages    int         // number of first stages in which the trial gets idempotent requests only
+	KeyAffinity      bool        // a key must not go back to a build earlier than one that has answered it
+	ReportedShare    float64     // fraction of the wrong answers that clients report
+	ColdCapacity     float64     // fraction of its capacity that a host has when it starts
+	WarmUpTime       int64       // time from its start until a host has its full capacity
+	CollapseFactor   float64     // ratio of the load at which a cold host collapses to its capacity
+	LoadFields       []LoadField // meaning of each value of a load report, in order
 }
--- a/internal/decision/shedding.go
+++ b/internal/decision/shedding.go
@@ -2,33 +2,34 @@
 
 import "math"
 
-// Admission: which requests a router rejects at once. Requests wait at hosts, so the load is the mean latency by Little's law;
-// while it comes close to the latency target, the requests of least value for their work are shed.
+// Load shedding: which requests a router rejects on arrival. As requests queue at the hosts, the load is measured by the mean
+// latency, derived from the number of open requests by Little's law. As the mean latency approaches the latency target, the
+// requests with the lowest value per unit of work are shed.
 
-// withinQuota and overQuota are indices of class.arrivals.
+// Indices of class.arrivals.
 const (
 	withinQuota = iota
 	overQuota
 )
 
-// arrivalsDecay keeps a memory of a thousand requests.
+// arrivalsDecay is the factor by which arrivals decay with each request: an average over about a thousand requests.
 const arrivalsDecay = 0.999
 
 // maxPressure bounds the share of the requests that is shed.
 const maxShedFraction = 0.9
 
-// arrivalMix is the requests of late, compared with one of them.
+// arrivalMix summarizes the decayed arrivals, compared with one request.
 type arrivalMix struct {
-	total           float64
-	lessValuable    float64 // those of less value for their work
-	shortestTarget  float64 // latency target, nanoseconds
-	weightedTargets float64 // sum of all latency targets
+	total           float64 // number of arrivals
+	lessValuable    float64 // arrivals with a lower value per unit of work than the request
+	shortestTarget  float64 // shortest latency target of any class, in nanoseconds
+	weightedTargets float64 // sum of the latency targets of the arrivals, in nanoseconds
 }
 
-// shouldShed says whether a request is to be rejected.
+// shouldShed records the arrival of a request and reports whether to reject it.
 func (d *decider) shouldShed(req *request) bool {
 	quota := withinQuota
-	if d.exceedsQuota(req) || req.deadline < req.target { // a client that gives up early has its work done for nothing
+	if d.exceedsQuota(req) || req.deadline < req.target { // work for a client that gives up early is wasted
 		quota = overQuota
 	}
 	req.class.arrivals[quota]++
@@ -37,7 +38,8 @@
 	return d.shedFraction > 0 && d.random() < (d.shedFraction*mix.total-mix.lessValuable)/req.class.arrivals[quota]
 }
 
-// exceedsQuota says whether a request is beyond its customer's quota, by what all routers receive of that customer.
+// exceedsQuota counts a request of its customer, and reports whether it is beyond the customer's quota. If the rate over all
+// routers exceeds the quota, requests are chosen at random so that the quota remains.
 func (d *decider) exceedsQuota(req *request) bool {
 	if req.customer >= len(d.settings.Customers) {
 		return false
@@ -47,12 +49,12 @@
 	return d.random()*d.fleetLoad[customerLoad+req.customer]*d.reachableRouters > quota
 }
 
-// valueForWork is what a request of a class is worth, over the time that it takes.
+// valueForWork returns the value of a request of a class per nanosecond of its mean latency.
 func (d *decider) valueForWork(class *class, quota int) float64 {
 	return class.Value / class.latency * [...]float64{withinQuota: 1, overQuota: d.settings.OverQuotaValue}[quota]
 }
 
-// mixArrivals sums the decayed arrivals of all classes, and compares them with those of one.
+// summarizeArrivals decays the arrivals of all classes and compares them with a request of class current.
 func (d *decider) summarizeArrivals(current *class, quota int) arrivalMix {
 	mix := arrivalMix{shortestTarget: math.Inf(1)}
 	value := d.valueForWork(current, quota)
@@ -70,7 +72,8 @@
 	return mix
 }
 
-// target is the latency target that the load is compared with: the shortest, or the mean where they differ widely.
+// target returns the latency target to compare the mean latency with: the mean over the arrivals if mixed is set, the shortest
+// otherwise.
 func (m arrivalMix) target(mixed bool) float64 {
 	if mixed && m.total > 0 {
 		return m.weightedTargets / m.total
@@ -78,18 +81,19 @@
 	return m.shortestTarget
 }
 
-// updatePressure sets the share of the requests to shed: none up to a mean latency of 0.7 of the target, most from 1.15, and
-// all but a few while more than half of the room for open requests is taken.
+// updateShedFraction sets the fraction of the requests to shed. By latency, it is 0 up to a mean latency of 0.7 of the target
+// and reaches maxShedFraction at 1.15 of it. By open requests, it is 0 up to half of MaxOpen and reaches maxShedFraction at
+// 95% of it. The larger one applies.
 func (d *decider) updateShedFraction(target float64) {
 	perTick, routers, waiting := d.fleetLoad, d.reachableRouters, d.fleetLoad[openRequests]
-	if d.tickLoad[openRequests] >= 5 { // enough for its own figures, which are newer
+	if d.tickLoad[openRequests] >= 5 { // enough to use this router's own load, which is more recent
 		perTick, routers, waiting = d.ownLoad, 1, d.tickLoad[openRequests]
 	}
-	// Requests at hosts that hang stay open, so they count for no more than what the answers took explains.
+	// Requests at hosts that hang stay open without adding load, so the open time is capped by the latency of the answers.
 	openTime := min(waiting*float64(tickInterval), 2.5*perTick[answerSeconds]*float64(second))
 	latency := openTime / max(perTick[answerCount], 0.1/routers)
 	d.shedFraction = 2*latency/target - 1.4
-	if waiting*routers < 5 || d.now-d.startedAt < 2*second { // too few to say, or averages that are not filled yet
+	if waiting*routers < 5 || d.now-d.startedAt < 2*second { // too few requests to judge, or the averages are not filled yet
 		d.shedFraction = 0
 	}
 	openFraction := d.tickLoad[openRequests] / float64(d.settings.MaxOpen)
--- a/internal/decision/statistics.go
+++ b/internal/decision/statistics.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// Rollout statistics: whether the build on trial is worse than the earlier one, by distributed change detection. Each router
-// keeps a geometric moving average of its readings, which gossip averages over the routers (see gossip.go); voters compare
-// it with one common threshold (see vote.go).
+// Rollout statistics: distributed change detection of whether the build on trial is worse than the earlier one. Each router
+// keeps a geometric moving average of its readings, gossip averages it over the routers (see gossip.go), and voters compare it
+// with a common threshold (see vote.go).
 //
-// The symbols of "Distributed Change Detection Based on a Consensus Algorithm" and their names here:
+// The symbols of "Distributed Change Detection Based on a Consensus Algorithm" and their names in this package:
 //
 //	symbol      equation   name
 //	t           (1), (5)   the number of ticks, one every tickInterval
@@ -23,20 +23,20 @@
 //	s_c(t)      (2)        approximated by state, as equation (7)'s error stays small
 //	d_c         Sect. II   threshold
 //
-// Ours are the reading, which is weighed by its outcomes, the decayed count of outcomes beside each state, the standard
-// errors, and a second state of the same kind for latencies.
+// Not from the paper are the weighting of a reading by its number of outcomes, the decayed count of outcomes kept with each
+// state, the standard errors, and a second state of the same kind for latencies.
 
-// The quantities of which there is a state: indices of the arrays below.
+// The kinds of statistics, which index the arrays below.
 const (
 	failures      = iota // failed attempts
-	excessLatency        // latency over the expected, for builds that are slow but answer in time
+	excessLatency        // latency above the expected, for builds that are slow but answer in time
 	statisticCount
 )
 
-// decayingMean is a sum with its weight, both forgotten from tick to tick.
+// decayingMean is an exponentially decaying mean, stored as the weighted sum and its weight.
 type decayingMean struct{ weight, sum float64 }
 
-// add keeps a part of the past and adds to it.
+// add multiplies the past by keep and adds new values.
 func (m *decayingMean) add(keep, weight, sum float64) {
 	m.weight = keep*m.weight + weight
 	m.sum = keep*m.sum + sum
@@ -44,7 +44,8 @@
 
 func (m decayingMean) value() float64 { return m.sum / max(m.weight, 1e-3) }
 
-// sample is the outcomes of one side in one tick: their number, the sum of their penalty and that of its squares.
+// sample holds the outcomes of one side in one tick: their number, and the sums of their penalties and squared penalties. The
+// penalty of an outcome is 1 for a failure and 0 for a success, or the result of latencyPenalty.
 type sample struct{ count, penalty, squares [statisticCount]float64 }
 
 func (s *sample) add(kind int, n, penalty float64) {
@@ -53,39 +54,41 @@
 	s.squares[kind] += penalty * penalty
 }
 
-// statistics are the readings and states.
+// statistics holds the readings and states.
 type statistics struct {
-	trial    sample // of this tick
-	baseline sample // the same of the earlier build
+	trial    sample // outcomes of the build on trial in this tick
+	baseline sample // outcomes of the earlier build in this tick
 
 	count              [statisticCount]float64 // gossiped: decayed number of the trial's outcomes
 	state              [statisticCount]float64 // gossiped: s_i
-	meanSquare         [statisticCount]float64 // gossiped: mean square of the trial's penalty
-	trialExcessLatency decayingMean            // gossiped: the trial's penalty by latency, of the last second
+	meanSquare         [statisticCount]float64 // gossiped: moving average of the trial's squared penalties, scaled like state
+	trialExcessLatency decayingMean            // gossiped: the trial's latency penalty over the last second
 
 	baselineMean   [statisticCount]decayingMean // gossiped: penalty of the earlier build's outcomes
-	baselineCount  [statisticCount]float64      // decayed number of them
-	baselineSentAt int64                        // when the latest attempt at it that has ended was sent
+	baselineCount  [statisticCount]float64      // decayed number of the earlier build's outcomes
+	baselineSentAt int64                        // when the latest of the earlier build's ended attempts was sent
 
-	smoothed [statisticCount]decayingMean // state by count, averaged over spreadingTicks
+	smoothed [statisticCount]decayingMean // state and count, averaged over spreadingTicks
 }
 
-// forgettingFactor is α: a memory of 10 s, so that the few requests of the first stage add up.
+// forgettingFactor is α: a time constant of 10 s, so that the few requests of the first stage add up.
 const forgettingFactor = 0.99
 
-// maxOutcomes bounds the outcomes that a router remembers: with so many, three routers detect failures of 5% in some 3 s.
+// maxOutcomes bounds the decayed count of outcomes by forgetting faster beyond it, so that a build that begins to fail is
+// detected soon: three routers detect a failure rate of 5% in about 3 s.
 const maxOutcomes = 130
 
-// baselineForgetting is the earlier build's α: a memory of some seconds, which follows an overload.
+// baselineForgetting is α for the earlier build: a time constant of one or two seconds, which follows an overload.
 var baselineForgetting = [statisticCount]float64{failures: 0.95, excessLatency: 0.9}
 
-// listingGrace is how long after its listing a trial host's outcomes are not counted.
+// listingGrace is the time after a trial host was listed during which attempts sent to it are not counted.
 const listingGrace = second
 
-// comparableWithin is the most between two attempts that are compared: a later overload is no fault of the build.
+// comparableWithin is the maximum time between the earlier build's latest attempt and an attempt compared with it. Otherwise a
+// later overload would be attributed to the build.
 const comparableWithin = second
 
-// resetTrial forgets what was measured of a build on trial.
+// resetTrial resets the measurements of the build on trial.
 func (d *decider) resetTrial() {
 	d.count = [statisticCount]float64{}
 	d.state = [statisticCount]float64{}
@@ -115,8 +118,8 @@
 	}
 }
 
-// isFailure says whether a result that may have a cause outside of the host counts as a failure. A time-out does if the
-// attempt had as much time as the client gave.
+// isFailure reports whether a result that may have a cause outside of the host counts as a failure. A timeout does if the
+// attempt was given all the time until the client's deadline.
 func isFailure(result Result, wasGivenTime bool) bool {
 	switch result {
 	case ConnectionReset, InvalidAnswer:
@@ -127,27 +130,27 @@
 	return false
 }
 
-// measuresLag says whether latencies of a host are compared: on trial, and at hosts that are warm.
+// comparesLatency reports whether latencies of a host are compared: only during a trial, for hosts that are warm and ready.
 func (d *decider) comparesLatency(h *host) bool {
 	return d.rollout.State == OnTrial && d.warmUpFactor(h) == 1 && h.health == Ready
 }
 
-// latencyPenalty is an attempt's penalty by latency: 0 for the expected one of its class and kind of machine, 0.75 for four times it
-// or more.
+// latencyPenalty returns the penalty of an attempt's latency: 0 at the expected latency for its class and kind of machine, 0.75
+// at four times that or more, and negative below it.
 func (d *decider) latencyPenalty(req *request, h *host, took int64) float64 {
 	expected := d.expectedLatency(req) * (1 + d.slownessByKind[h.kind])
 	return min(4, float64(took)/expected)/4 - 0.25
 }
 
-// relativeLatency is the latency over the expected that a mean of latencyPenalty stands for.
+// relativeLatency converts a mean of latencyPenalty to a ratio of latency to expected latency.
 func relativeLatency(mean decayingMean) float64 { return 1 + 4*mean.value() }
 
-// answerFlagged counts a wrong answer for as many as reports stand for.
+// answerFlagged counts a reported wrong answer as 1 / ReportedShare failures, as not all wrong answers are reported.
 func (d *decider) answerFlagged(h *host) {
 	d.sampleFor(h.build).add(failures, 0, 1/max(d.settings.ReportedShare, 0.05))
 }
 
-// sampleFor is where a build's outcomes of this tick are counted.
+// sampleFor returns the sample that counts a build's outcomes in this tick.
 func (d *decider) sampleFor(build int) *sample {
 	if d.isOnTrial(build) {
 		return &d.trial
@@ -155,15 +158,15 @@
 	return &d.baseline
 }
 
-// hasFreshBaseline says whether there are outcomes of the earlier build to compare with. A router with little traffic has
-// few of its own, and goes by those of all routers in the last second.
+// hasFreshBaseline reports whether there are enough recent outcomes of the earlier build to compare with. The counts are
+// averaged over all routers, as a router with little traffic has few outcomes of its own.
 func (d *decider) hasFreshBaseline() bool {
 	return d.baselineMean[excessLatency].weight > max(d.fleetLoad[answerCount], 5/d.reachableRouters)
 }
 
-// statisticsTick takes this tick's samples into the states.
+// statisticsTick adds this tick's samples to the states and resets them.
 func (d *decider) statisticsTick() {
-	if !d.hasFreshBaseline() { // what broke the earlier build's last hosts excuses no later failures
+	if !d.hasFreshBaseline() { // failures of the earlier build's last hosts must not excuse later ones of the trial
 		d.baselineMean[failures].sum *= 0.9
 	}
 	for k := range d.state {
@@ -174,9 +177,9 @@
 	d.baseline = sample{}
 }
 
-// updateState is equation (5), first line, s̄_i = α·s_i + (1 − α)·x_i, with the same recursion for the count and the mean
-// square. The reading x_i is how much worse the tick's outcomes were than as many of the earlier build; it is a sum, as a
-// tick of one outcome must not weigh as much as one of ten.
+// updateState computes the first line of equation (5), s̄_i = α·s_i + (1 − α)·x_i, with the same recursion for the count and
+// the mean square. The reading x_i is the penalty of the tick's outcomes minus that expected of as many outcomes of the earlier
+// build. It is a sum and not a mean, so that a tick weighs in proportion to its outcomes.
 func (d *decider) updateState(k int) {
 	d.baselineMean[k].add(baselineForgetting[k], d.baseline.count[k], d.baseline.penalty[k])
 	forgetting := forgettingFactor / max(1, d.count[k]/maxOutcomes)
@@ -188,14 +191,14 @@
 	d.meanSquare[k] = forgetting*d.meanSquare[k] + (1-forgettingFactor)*d.trial.squares[k]
 }
 
-// smooth averages a state and its count over some ticks more, as gossip takes longer to spread them among many routers.
+// smooth averages a state and its count over further ticks, as gossip takes longer to spread them among many routers.
 func (d *decider) smooth(k int, ticks float64) {
 	m := &d.smoothed[k]
 	m.weight += (d.count[k]*(1-forgettingFactor) - m.weight) / ticks
 	m.sum += (d.state[k] - m.sum) / ticks
 }
 
-// excess is a state over the outcomes that it stands for, and its standard error.
+// excess returns the mean penalty per outcome above that of the earlier build, and its standard error.
 func (d *decider) excess(k int) (mean, stdErr float64) {
 	n := d.count[k] * (1 - forgettingFactor)
 	if n < 1e-6 || d.smoothed[k].weight < 1e-6 {
@@ -205,23 +208,25 @@
 	return mean, math.Sqrt(d.meanSquare[k]/n*d.varianceFactor(k) + hostVariance[k]/d.warmTrialHosts)
 }
 
-// hostVariance is the variance of the mean between hosts of one build: they differ in speed by a quarter (of four times).
+// hostVariance is the variance of the mean penalty between hosts of one build, which differ in latency by about a quarter: a
+// latencyPenalty of about 1/16.
 var hostVariance = [statisticCount]float64{excessLatency: 0.0036}
 
-// comparedWithBaseline says whether a state's error includes that of the earlier build, which has few failures.
+// comparedWithBaseline is 1 for the statistics whose variance includes that of the earlier build. Failures of the earlier build
+// are rare, so their variance is left out.
 var comparedWithBaseline = [statisticCount]float64{excessLatency: 1}
 
-// varianceFactor is the variance of a state's mean over that of one outcome. However many routers there are, what one holds
-// of the last ticks is that of some hundred and fifty.
+// varianceFactor returns the ratio of the variance of a state's mean to that of one outcome. In a large fleet, gossip has not
+// spread the latest ticks to all routers, so outcomes count like those of at most about 160 routers.
 func (d *decider) varianceFactor(k int) float64 {
 	perOutcome := 1/max(d.count[k], 0.1) + comparedWithBaseline[k]/max(d.baselineCount[k], 0.1)
 	return perOutcome * max(1, 0.5+0.006*d.reachableRouters) / d.reachableRouters
 }
 
-// trialSpeedUp is how much faster the trial's hosts surely are than the earlier ones, by what all routers have measured, and
-// 1 if they are not. Earlier hosts may fail or become slow too, and the good ones would stand idle.
+// trialSpeedUp returns a lower confidence bound, from 1 to 4, of how many times faster the trial's hosts are than the earlier
+// ones, as measured by all routers. If earlier hosts become slow, the trial's fast hosts get more traffic instead of idling.
 func (d *decider) trialSpeedUp() float64 {
-	n := max(0.1, d.trialExcessLatency.weight*d.reachableRouters) // outcomes of the last second; each varies by about its mean
+	n := max(0.1, d.trialExcessLatency.weight*d.reachableRouters) // outcomes of the last second; the standard deviation of each is about its mean
 	atMost := max(0.1, relativeLatency(d.trialExcessLatency)*(1+1.5/math.Sqrt(n)))
 	return min(4, max(1, relativeLatency(d.baselineMean[excessLatency])/atMost))
 }
--- a/internal/decision/vote.go
+++ b/internal/decision/vote.go
@@ -5,67 +5,68 @@
 	"math"
 )
 
-// Verdict is what a vote says.
+// Verdict is the choice of a vote.
 type Verdict uint8
 
-// What votes say.
+// The choices of a vote.
 const (
-	NoVote   Verdict = iota
-	Advance          // to the next stage, or to the release
-	Hold             // stay in the stage
-	RollBack         // end the rollout, and go back to the earlier build
+	NoVote   Verdict = iota // no vote, or its withdrawal
+	Advance                 // go on to the next stage, or release the build
+	Hold                    // stay in the current stage
+	RollBack                // end the rollout and return to the earlier build
 )
 
 func (v Verdict) String() string { return [...]string{"none", "on", "hold", "back"}[v] }
 
-// vote is what one says of a stage of a build.
+// vote is a vote on a stage of a build's rollout.
 type vote struct {
 	choice       Verdict
 	build, stage int
 }
 
-// voting is the votes of this router.
+// voting holds the state of this router's votes.
 type voting struct {
-	ticksAbove    int  // ticks in a row in which the build was above the threshold
-	buildRejected bool // it was for long enough, on enough outcomes
+	ticksAbove    int  // consecutive ticks in which the build was above the threshold
+	buildRejected bool // the build was above the threshold for long enough
 	desiredVote   vote
 	castVote      vote
 	loggedVote    vote
 	voteCastAt    int64
 	voteCallAt    int64
-	voteInFlight  bool // its call has no answer yet
+	voteInFlight  bool // the call that casts castVote has not been answered
 }
 
-// threshold is the common threshold d_c of each state over its outcomes.
+// threshold is the common threshold d_c of each state, divided by its number of outcomes.
 var threshold = [statisticCount]float64{failures: 0.015, excessLatency: 0.12}
 
-// requiredErrors is by how many standard errors it must be exceeded: three reports of wrong answers do, two don't.
+// requiredErrors is the number of standard errors by which the threshold must be exceeded. Three reports of wrong answers
+// suffice, two do not.
 var requiredErrors = [statisticCount]float64{failures: 1.4, excessLatency: 1.7}
 
 const (
-	minOutcomes       = 20         // pooled, that a decision needs
-	minLatencyHosts   = 2          // a build of no more warm hosts is not judged by its latency: one slow host is no slow build
-	confirmationTicks = 16         // ticks for which a build must be above the threshold: a host that fails alone is ejected by then
-	voteRetryDelay    = second / 4 // short beside a stage, and voters' calls stay far below what platforms allow
+	minOutcomes       = 20         // outcomes over all routers that a decision requires
+	minLatencyHosts   = 2          // warm hosts required to judge a build by latency, as a single host may be slow by itself
+	confirmationTicks = 16         // ticks that a build must be above the threshold; a single failing host is ejected by then
+	voteRetryDelay    = second / 4 // minimum time between two calls; short compared with a stage, but within platforms' rate limits
 	loggingRouters    = 2          // routers that log their votes
 )
 
-// The least age of a stage for a vote to advance it.
+// The minimum time before a vote to advance a stage, counted from the start of the stage or of the build's last host to start.
 const (
 	advanceAge          = 2 * second     // with enough outcomes
-	advanceAgeFew       = 7 * second / 2 // with few
-	advanceAgeUncertain = 6 * second     // whatever the outcomes say
-	advanceAgeCertain   = 3 * second     // where certainty is required
+	advanceAgeFew       = 7 * second / 2 // with fewer outcomes
+	advanceAgeUncertain = 6 * second     // even if the build may be above the threshold
+	advanceAgeCertain   = 3 * second     // with Settings.RequireCertainty
 )
 
-// evidence is how the states compare with the threshold.
+// evidence is the result of comparing the states with the thresholds.
 type evidence struct {
-	above      bool // by the required standard errors, on enough outcomes
-	maybeAbove bool // by one standard error
-	below      bool // all, by one standard error
+	above      bool // a state is above by requiredErrors on enough outcomes, or there is interference
+	maybeAbove bool // a state is above by one standard error
+	below      bool // all states are below by one standard error
 }
 
-// decide sets the vote that this router wants to stand.
+// decide evaluates the build on trial and sets desiredVote.
 func (d *decider) decide() {
 	d.desiredVote = vote{}
 	if !d.isOnTrial(d.rollout.Build) {
@@ -81,12 +82,13 @@
 	d.desiredVote = vote{choice: d.choice(found), build: d.rollout.Build, stage: d.rollout.Stage}
 }
 
-// spreadingTicks is how many ticks gossip needs, so that what one router has measured does not count as what many have.
+// spreadingTicks returns the number of ticks that gossip needs to spread a measurement, so that the outcomes of one router are
+// not mistaken for those of many.
 func (d *decider) spreadingTicks() float64 {
 	return max(1, 3*math.Log2(float64(d.settings.Routers))-8)
 }
 
-// weighEvidence compares the states with the threshold.
+// weighEvidence compares the states with the thresholds.
 func (d *decider) weighEvidence(spreading float64) evidence {
 	found := evidence{above: d.interference > interferenceThreshold, below: true}
 	for k := range d.state {
@@ -100,8 +102,8 @@
 	return found
 }
 
-// canJudge says whether there are enough outcomes and hosts. A rejected build gets few requests, and stays rejected on fewer
-// outcomes.
+// canJudge reports whether there are enough outcomes and hosts to judge the build. A rejected build gets few requests, so it may
+// stay rejected on fewer outcomes.
 func (d *decider) canJudge(k int) bool {
 	if !d.buildRejected && d.pooledCount(k) < minOutcomes {
 		return false
@@ -109,11 +111,11 @@
 	return k == failures || d.warmTrialHosts > minLatencyHosts
 }
 
-// pooledCount is the number of the trial's outcomes at all reachable routers.
+// pooledCount estimates the number of the trial's outcomes at all reachable routers.
 func (d *decider) pooledCount(k int) float64 { return d.count[k] * d.reachableRouters }
 
-// updateRejection rejects a build that has been above the threshold for long enough, and takes it back when it is not any
-// more.
+// updateRejection rejects a build that has been above the threshold for long enough, and ends the rejection as soon as it no
+// longer is.
 func (d *decider) updateRejection(found evidence, spreading float64) {
 	d.ticksAbove++
 	if !found.above {
@@ -123,7 +125,7 @@
 	d.buildRejected = hasBaseline && float64(d.ticksAbove) > confirmationTicks+spreading-1
 }
 
-// choice is what this router votes: only the first ones do.
+// choice returns the vote of this router. Only the routers of lowest rank vote.
 func (d *decider) choice(found evidence) Verdict {
 	switch {
 	case d.settings.Rank >= d.voters():
@@ -140,12 +142,13 @@
 	return NoVote
 }
 
-// voters is how many routers vote: one more than needed, as one may be cut off.
+// voters returns the number of routers that vote: one more than required, as one may be partitioned.
 func (d *decider) voters() int {
 	return max(1, d.settings.AdvanceVotes, d.settings.RollBackVotes, d.settings.HoldVotes) + 1
 }
 
-// mayAdvance says whether the stage may advance: nothing is suspected, and it has lasted long enough.
+// mayAdvance reports whether this router may vote to advance the stage: there is no sign of a fault, and the stage has lasted
+// long enough.
 func (d *decider) mayAdvance(found evidence) bool {
 	if d.ticksAbove > 0 || d.pausedAt != 0 {
 		return false
@@ -161,7 +164,7 @@
 	return !found.maybeAbove && (enough && age >= advanceAge || age >= advanceAgeFew)
 }
 
-// updateVote casts the wanted vote if another or none stands, and renews it before it lapses.
+// updateVote casts the desired vote if it differs from the cast one, and renews it before it expires.
 func (d *decider) updateVote() {
 	if !d.shouldCallVote() {
 		return
@@ -174,8 +177,8 @@
 	d.logVote()
 }
 
-// shouldCallVote says whether the platform is to be called now. A vote to advance an earlier stage moves nothing and need
-// not be withdrawn: the platform takes few calls of all routers, and the next votes need them.
+// shouldCallVote reports whether to call the platform now. A vote to advance an earlier stage has no effect and is not
+// withdrawn, as the platform limits the rate of calls of all routers and the next votes need it.
 func (d *decider) shouldCallVote() bool {
 	sinceCall := d.now - d.voteCallAt
 	if sinceCall < voteRetryDelay {
@@ -194,7 +197,7 @@
 	return d.desiredVote.choice != NoVote || stands
 }
 
-// logVote logs a vote that is new, with what it goes by.
+// logVote logs the desired vote and the statistics behind it if the vote has changed.
 func (d *decider) logVote() {
 	if d.desiredVote == d.loggedVote || d.settings.Rank >= loggingRouters {
 		return
