--- a/internal/decision/decision_test.go
+++ b/internal/decision/decision_test.go
@@ -8,7 +8,8 @@
 	"portflow/internal/testing/digest"
 )
 
-// FuzzEngine plays random days with every kind of event, lost, late, repeated and out of order, and different settings.
+// FuzzEngine plays random scenarios with all kinds of events, which may be lost, late, repeated or out of order, and with various
+// settings.
 func FuzzEngine(f *testing.F) {
 	for seed := range uint64(40) {
 		f.Add(seed)
@@ -16,14 +17,14 @@
 	f.Fuzz(func(t *testing.T, seed uint64) { playScenario(t, seed, 1500, nil) })
 }
 
-// playScenario plays one random day of so many steps, and records the effects if there is a digest.
+// playScenario plays a random scenario of so many steps, and adds the effects to a digest unless it is nil.
 func playScenario(t *testing.T, seed uint64, steps int, effects *digest.Digest) {
 	set := testSettings()
 	set.Hedging, set.KeyAffinity, set.CapPerClass = seed%2 == 0, seed%3 == 0, seed%5 == 0
 	set.GuardedStages, set.Subscribe, set.Rank = int(seed%3), seed%4 == 0, int(seed%3)
 	set.Gate, set.Classes[0].DedupScope = Gate(seed%3), DedupScope(seed%7%3)
 	hosts := uint32(8)
-	if seed%4 == 1 { // one of hundreds, among many hosts
+	if seed%4 == 1 { // one of hundreds of routers, with many hosts
 		set.Routers, hosts = 400, 100
 	}
 	w := newWorld(t, set, seed)
@@ -37,14 +38,14 @@
 	for w.step = range steps {
 		w.playRandomEvent(&id)
 		w.advance(w.rnd.Int64N(15) * ms)
-		for _, value := range w.engine.gossipedValues() { // a division by zero once spoiled them, and no peer took the messages any more
-			w.failIf(math.IsNaN(*value) || math.IsInf(*value, 0), "gossiped values %v %v", w.engine.state, w.engine.fleetLoad)
+		for _, value := range w.engine.gossipedValues() { // peers ignore messages with such values
+			w.failIf(math.IsNaN(*value) || math.IsInf(*value, 0), "gossiped values are not finite: state %v, load %v", w.engine.state, w.engine.fleetLoad)
 		}
 	}
-	w.advance(6000 * ms) // attempts in flight never end: all requests must be answered in time nevertheless
+	w.advance(6000 * ms) // requests must be answered in time even if their attempts never end
 }
 
-// random plays one random event; id is that of the last request.
+// playRandomEvent plays one random event. id is the ID of the last request.
 func (w *world) playRandomEvent(id *uint32) {
 	switch p := w.rnd.IntN(100); {
 	case p < 45:
@@ -104,7 +105,7 @@
 	}
 }
 
-// newQuietWorld has four ready hosts and a released build, and a host of a build on trial if asked for.
+// newQuietWorld returns a world with a released build on four ready hosts and, if trial is set, a host with a build on trial.
 func newQuietWorld(t *testing.T, set Settings, trial bool) *world {
 	w := newWorld(t, set, 7)
 	w.changeRollout(Rollout{Build: 4, State: Released, ExposureCap: 1})
--- a/internal/decision/retry_test.go
+++ b/internal/decision/retry_test.go
@@ -4,17 +4,17 @@
 	"testing"
 )
 
-// A request that is not idempotent has another attempt only if the first never ran.
+// A non-idempotent request is retried only if the first attempt did not run.
 func TestNonIdempotentIsNotRetriedIfItMayHaveRun(t *testing.T) {
 	w := newQuietWorld(t, testSettings(), false)
 	a := w.receive(Request{ID: 1, Class: 2, Remaining: 4000 * ms})
 	w.endAttempt(a.attempts[0], ConnectFailed)
-	w.failIf(len(a.attempts) != 2, "not retried though it never ran")
+	w.failIf(len(a.attempts) != 2, "not retried although the first attempt did not run")
 	w.endAttempt(a.attempts[1], ConnectionReset)
-	w.failIf(len(a.attempts) != 2 || !a.done, "%d attempts, done %v: it may have run", len(a.attempts), a.done)
+	w.failIf(len(a.attempts) != 2 || !a.done, "%d attempts, done %v after an attempt that may have run; want 2, true", len(a.attempts), a.done)
 }
 
-// No retry goes out after the dedup window, and no request to a host that drains.
+// No retry is sent after the dedup window, and no request to a draining host.
 func TestDedupWindowAndDrain(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LatencyTarget, set.Classes[0].Timeout = 4000*ms, 5000*ms
@@ -28,12 +28,12 @@
 	w.failIf(len(a.attempts) != sent || !a.done, "retried after the dedup window")
 	w.listFourHosts(Draining)
 	b := w.receive(Request{ID: 2, Class: 1, Remaining: 5000 * ms})
-	w.failIf(len(b.attempts) != 0, "sent to a host that drains")
+	w.failIf(len(b.attempts) != 0, "sent to a draining host")
 	w.advance(1000 * ms)
-	w.failIf(!w.requests[2].done, "a request that is given up must be answered at once")
+	w.failIf(!w.requests[2].done, "a request without a usable host was not answered after one second")
 }
 
-// A host that fails fast has no requests in flight, and once looked the less loaded of any two.
+// Guards against a host that fails fast attracting requests because it has few in flight.
 func TestFastFailuresAttractNoRequests(t *testing.T) {
 	w, sent := newQuietWorld(t, testSettings(), false), [4]int{}
 	for i := range uint32(400) {
--- a/internal/decision/rollout_test.go
+++ b/internal/decision/rollout_test.go
@@ -8,7 +8,7 @@
 
 func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-6 }
 
-// The state follows equation (5): the forgetting factor each tick, the consensus gain with each message.
+// The state follows equation (5): each tick applies the forgetting factor, each message the consensus gain.
 func TestStateAndGossip(t *testing.T) {
 	w := newQuietWorld(t, testSettings(), true)
 	d := w.engine.decider
@@ -17,7 +17,7 @@
 	d.tick()
 	w.failIf(!almostEqual(d.state[failures], (1-forgettingFactor)*4*(0.5-0.1)) || !almostEqual(d.count[failures], 4), "state %v, count %v", d.state, d.count)
 	before := d.state[failures]
-	d.tick() // no outcome: the reading of a missing measurement is 0
+	d.tick() // a tick without outcomes has reading 0
 	w.failIf(!almostEqual(d.state[failures], forgettingFactor*before) || !almostEqual(d.count[failures], 4*forgettingFactor), "empty tick: state %v, count %v", d.state, d.count)
 	state, count := d.state[failures], d.count[failures]
 	peer := newQuietWorld(t, testSettings(), true).engine.decider
@@ -42,13 +42,13 @@
 		w.engine.GossipReceived(w.now, 1, raw)
 		w.failIf(d.state[failures] != state, "the message %x changed the state", raw)
 	}
-	for range 60 { // a router that is cut off finds out within some seconds
+	for range 60 { // a partitioned router notices within some seconds
 		d.tick()
 	}
-	w.failIf(d.reachableRouters > 1.2, "%v routers though none is heard", d.reachableRouters)
+	w.failIf(d.reachableRouters > 1.2, "%v reachable routers although no message was received, want about 1", d.reachableRouters)
 }
 
-// One voter among hundreds once voted a good build back for a few slow answers that it alone had just seen.
+// Guards against one voter among hundreds rejecting a good build for a few slow answers that only it has measured.
 func TestTransientExcessIsIgnored(t *testing.T) {
 	for _, persists := range []bool{false, true} {
 		set := testSettings()
@@ -65,26 +65,26 @@
 			d.state[excessLatency] = (1 - forgettingFactor) * 1.9 * 0.8
 			d.meanSquare[excessLatency] = 0.002
 			if !persists {
-				d.state[excessLatency] *= math.Pow(0.84, float64(i)) // as gossip averages it
+				d.state[excessLatency] *= math.Pow(0.84, float64(i)) // decays as gossip averages it
 			}
 			d.decide()
 			rejected = rejected || d.buildRejected
 		}
-		w.failIf(rejected != persists, "rejected %v, though it persists: %v", rejected, persists)
+		w.failIf(rejected != persists, "rejected: got %v, want %v", rejected, persists)
 	}
 }
 
-// scriptedAnswer is how an attempt ends, and whether its answer is reported as wrong.
+// scriptedAnswer is the end of an attempt; wrong means that the client reports the answer as wrong.
 type scriptedAnswer struct {
 	took   int64
 	result Result
 	wrong  bool
 }
 
-// scriptedBuild is the answer of a build to the i-th request.
+// scriptedBuild returns the answer of a build to the i-th request.
 type scriptedBuild func(w *world, i, build int) scriptedAnswer
 
-// votesBackAlone plays a trial at one router, and returns whether the router votes the build back.
+// singleRouterRollsBack plays a trial with one router, and reports whether the router votes to roll back the build.
 func singleRouterRollsBack(t *testing.T, play scriptedBuild) bool {
 	set := testSettings()
 	set.KeyAffinity, set.Hedging, set.SideBySide = false, false, true
@@ -123,7 +123,7 @@
 		play      scriptedBuild
 	}{
 		"a good build": {false, func(w *world, i, build int) scriptedAnswer { return scriptedAnswer{usual(i), Succeeded, false} }},
-		// one report, which counts as many failures, once rolled good builds back before gossip had spread it
+		// one report counts as several failures, which must not suffice before gossip has spread it
 		"one report": {false, func(w *world, i, build int) scriptedAnswer {
 			return scriptedAnswer{usual(i), Succeeded, build == 5 && i/5 == 80}
 		}},
@@ -136,7 +136,7 @@
 		"slow answers": {true, func(w *world, i, build int) scriptedAnswer {
 			return scriptedAnswer{usual(i) * int64(1+2*(build-4)), Succeeded, false}
 		}},
-		// the good outcomes that are remembered must not hide that a build has become bad
+		// earlier good outcomes must not hide that a build has begun to fail
 		"failures that begin late": {true, func(w *world, i, build int) scriptedAnswer {
 			if i == 700 {
 				w.changeRollout(Rollout{Build: 5, State: Released, ExposureCap: 1})
@@ -144,7 +144,7 @@
 			}
 			return scriptedAnswer{usual(i), Result(min(1, i/1300) * (1 - min(1, i%14))), false}
 		}},
-		// nor may resets of both builds during the trial excuse failures after the release
+		// resets of both builds during the trial must not excuse failures after the release
 		"failures after resets": {true, func(w *world, i, build int) scriptedAnswer {
 			if i == 900 {
 				w.changeRollout(Rollout{Build: 5, State: Released, ExposureCap: 1})
@@ -156,7 +156,7 @@
 			}
 			return scriptedAnswer{usual(i), e, false}
 		}},
-		// a shared slowdown with its time-outs was once taken for the build's fault
+		// a slowdown of all hosts and its timeouts must not be attributed to the build
 		"all slow after the release": {false, func(w *world, i, build int) scriptedAnswer {
 			if i == 700 {
 				w.changeRollout(Rollout{Build: 5, State: Released, ExposureCap: 1})
@@ -167,11 +167,11 @@
 		"all slow at once": {false, func(w *world, i, build int) scriptedAnswer {
 			return scriptedAnswer{usual(i) * int64(1+min(1, i/800)), Succeeded, false}
 		}},
-		// resets at all hosts were once taken for the build's, as the earlier build's share was that of a minute
+		// the failure rate of the earlier build must follow fast enough to excuse resets at all hosts
 		"resets of both builds": {false, func(w *world, i, build int) scriptedAnswer {
 			return scriptedAnswer{usual(i), ConnectionReset * Result(min(1, i/800)*max(0, 1-i%8)), false}
 		}},
-		// no comparison of the builds shows this one
+		// a comparison of the two builds does not show this fault, only an interference test does
 		"slows all with its traffic": {true, func(w *world, i, build int) scriptedAnswer {
 			sum := 0
 			for _, x := range w.sentToTrial[max(0, len(w.sentToTrial)-60):] {
@@ -181,13 +181,13 @@
 		}},
 	} {
 		if got := singleRouterRollsBack(t, c.play); got != c.rollsBack {
-			t.Errorf("%s: voted back %v", name, got)
+			t.Errorf("%s: voted to roll back: %v", name, got)
 		}
 	}
 }
 
-// Hosts of the earlier build that became slow by themselves once kept two thirds of the requests, and pauses of the trial left
-// its good hosts idle for six seconds at a time.
+// Guards against hosts of the earlier build that become slow keeping most of the requests, and against interference tests that
+// leave the good hosts of the trial idle.
 func TestSlowBaselineHostsLoseTraffic(t *testing.T) {
 	var played *world
 	pauses := 0
@@ -207,11 +207,11 @@
 		sum += x
 	}
 	if pauses > 0 || sum < 150 {
-		t.Errorf("paused at %d requests; %d of the last %d went to the fast third of the hosts", pauses, sum, len(last))
+		t.Errorf("paused during %d requests, want 0; %d of the last %d requests were sent to the fast hosts, want at least half", pauses, sum, len(last))
 	}
 }
 
-// All voters once withdrew their votes on a stage that had passed, and the platform rejected those on the next one.
+// Guards against withdrawing votes to advance a stage that has passed: the calls would use up the platform's rate limit.
 func TestOutdatedVotes(t *testing.T) {
 	w := newQuietWorld(t, testSettings(), true)
 	w.advance(8000 * ms)
@@ -220,15 +220,15 @@
 	w.changeRollout(Rollout{Build: 5, VoteReply: true, Stage: 0, ExposureCap: 1})
 	w.changeRollout(Rollout{Build: 5, Stage: 1, ExposureCap: 1})
 	w.advance(1000 * ms)
-	w.failIf(last() != vote{Advance, 5, 0}, "withdrawn: %v", last())
-	w.engine.castVote = vote{RollBack, 5, 0} // one to roll back may count in any stage
+	w.failIf(last() != vote{Advance, 5, 0}, "a vote on a passed stage was withdrawn: %v", last())
+	w.engine.castVote = vote{RollBack, 5, 0} // a vote to roll back counts in any stage
 	w.engine.voteCastAt = w.now
 	w.engine.desiredVote = vote{}
 	w.engine.updateVote()
-	w.failIf(last().choice != NoVote, "not withdrawn: %v", last())
+	w.failIf(last().choice != NoVote, "a vote to roll back was not withdrawn: %v", last())
 }
 
-// voteRecorder keeps the votes alone.
+// voteRecorder records the choices of votes and ignores all other effects.
 type voteRecorder struct{ votes *[]Verdict }
 
 var _ Effects = voteRecorder{}
@@ -244,8 +244,7 @@
 func (voteRecorder) WatchHosts(bool)                    {}
 func (voteRecorder) Log(string)                         {}
 
-// A router that restarted once took a build that had just been released for a settled one, and never voted it back: some begin
-// to fail 11 s after their hosts' start.
+// Guards against a restarted router that takes a build released a moment ago for settled and never votes to roll it back.
 func TestRouterRestartAfterRelease(t *testing.T) {
 	for _, test := range []struct {
 		age       int64
@@ -284,7 +283,7 @@
 	}
 }
 
-// However many keys, hosts and builds come and go, the engine keeps what belongs to the build on trial and the last seconds.
+// Guards against memory growing with the number of keys, hosts and builds seen.
 func TestMemoryIsBounded(t *testing.T) {
 	now, id := int64(1e12), uint32(0)
 	e := New(testSettings(), 1, now, voteRecorder{new([]Verdict)})
@@ -311,7 +310,7 @@
 				}
 			}
 		}
-		if build == 20 { // rolled back after its release: its keys go to the earlier build again
+		if build == 20 { // after a rollback of the release, its keys may go to the earlier build again
 			e.RolloutChanged(now, Rollout{Build: build, State: RollingBack})
 			e.HostsChanged(now, Delta, append(list(Ready, build-1), list(Gone, build)...))
 			id++
@@ -320,7 +319,7 @@
 			}
 			e.RequestReceived(now, Request{ID: id, Class: 1, Key: uint64(id - 1), Remaining: 1000 * ms})
 			if len(e.requestsByID[id].attempts) != 1 {
-				t.Error("no host for a key that was answered by a build that was rolled back")
+				t.Error("no host for a key bound to a build that was rolled back")
 			}
 			e.RolloutChanged(now, Rollout{Build: build, State: RolledBack})
 			e.HostsChanged(now, Delta, list(Gone, build-1))
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Hundreds of routers with little traffic once each sent a request to hosts that had all just started, and they collapsed.
+// Guards against hundreds of routers with little traffic overloading hosts that have all just started.
 func TestManyRoutersDoNotOverloadColdHosts(t *testing.T) {
 	sent, set := 0, testSettings()
 	set.Routers = 300
@@ -21,11 +21,11 @@
 		}
 	}
 	if sent > 40 || sent < 8 {
-		t.Fatalf("%d sent to four cold hosts in two seconds", sent)
+		t.Fatalf("%d attempts sent to four cold hosts in two seconds, want 8 to 40", sent)
 	}
 }
 
-// Hosts that take few connections once refused half of all routers, as idle connections of the others took them.
+// Guards against idle connections of some routers using up the connections of hosts that accept few.
 func TestIdleConnectionsAreClosedAfterConnectFailure(t *testing.T) {
 	w := newQuietWorld(t, testSettings(), false)
 	for id := range uint32(50) {
@@ -35,12 +35,12 @@
 		}
 		if before := w.closedIdle; len(a.attempts) > 0 {
 			w.endAttempt(a.attempts[len(a.attempts)-1], Succeeded)
-			w.failIf(w.closedIdle > before != (id >= 10 && id < 39), "request %d, a connection failed with the tenth", id)
+			w.failIf(w.closedIdle > before != (id >= 10 && id < 39), "request %d: closing of idle connections does not match the failed connection of request 10", id)
 		}
 	}
 }
 
-// attemptLimit is a filter that allows so many attempts of all requests.
+// attemptLimit is a HostFilter that allows at most max attempts over all requests.
 type attemptLimit struct {
 	w   *world
 	max int
@@ -50,8 +50,8 @@
 
 func (l attemptLimit) Allowed(uint32) bool { return len(l.w.sent) < l.max }
 
-// Requests that waited are placed in one call, as when all hosts of a service come back cold: the filter is asked again as each
-// is sent, as those before it may have used up what it allows.
+// Guards against exceeding the filter's limit when pending requests are placed in one call: the filter must be checked again
+// before each attempt.
 func TestFilterIsCheckedForEachAttempt(t *testing.T) {
 	for _, limit := range []int{0, 1, 2, 5} {
 		w := newWorld(t, testSettings(), 7)
@@ -59,9 +59,9 @@
 		for id := range uint32(6) {
 			w.receive(Request{ID: id, Class: 1, Remaining: 5000 * ms, Filter: attemptLimit{w, limit}})
 		}
-		w.failIf(len(w.sent) > 0, "%d sent with no host", len(w.sent))
+		w.failIf(len(w.sent) > 0, "%d attempts sent without a host", len(w.sent))
 		w.listFourHosts(Ready)
 		w.advance(20 * ms)
-		w.failIf(len(w.sent) != limit, "%d sent, %d were allowed", len(w.sent), limit)
+		w.failIf(len(w.sent) != limit, "%d attempts sent, want %d", len(w.sent), limit)
 	}
 }
--- a/internal/decision/shedding_test.go
+++ b/internal/decision/shedding_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// Answers once came after the latency target of the most valuable class long before any request was shed, and hosts worked
-// for clients that give up early and send again.
+// Guards against shedding too late to meet the latency target of the most valuable class, and against preferring requests of
+// clients that give up early.
 func TestOverloadShedsTheLeastValuable(t *testing.T) {
 	w := newQuietWorld(t, testSettings(), false)
 	rejected := [3]int{}
@@ -15,7 +15,7 @@
 		if a.done && len(a.attempts) == 0 {
 			rejected[a.Class]++
 		}
-		if i%4 == 0 && len(w.inFlight) > 0 { // hosts can do a quarter
+		if i%4 == 0 && len(w.inFlight) > 0 { // the hosts' throughput is a quarter of the load
 			w.endAttempt(w.inFlight[0], Succeeded)
 			w.inFlight = w.inFlight[1:]
 		}
@@ -24,7 +24,7 @@
 	d, shed := w.engine.decider, [2]int{}
 	d.tickLoad[openRequests] = 100
 	d.ownLoad[answerCount] = 14.8
-	d.ownLoad[answerSeconds] = 1e3 // nine tenths of the shortest latency target
+	d.ownLoad[answerSeconds] = 1e3 // a mean latency of nine tenths of the shortest latency target
 	for i := range 1200 {
 		class := d.classes[i%3]
 		req := &request{
@@ -37,10 +37,10 @@
 			shed[i%2]++
 		}
 	}
-	w.failIf(shed[0] < 2*shed[1], "%d of those that give up early shed, and %d others", shed[0], shed[1])
+	w.failIf(shed[0] < 2*shed[1], "shed %d requests of clients that give up early and %d others, want at least twice as many", shed[0], shed[1])
 }
 
-// A router once let open requests take its last file descriptor before it shed any, as answers came soon enough.
+// Guards against a router that runs out of file descriptors because it sheds by latency only.
 func TestShedsByOpenRequests(t *testing.T) {
 	rejected := 0
 	for _, open := range []float64{10, 90} {
@@ -52,7 +52,7 @@
 			}
 		}
 		if open == 10 && rejected > 0 || open == 90 && rejected < 50 {
-			t.Errorf("%d shed with %v of 100 open", rejected, open)
+			t.Errorf("%d requests shed with %v of 100 open", rejected, open)
 		}
 	}
 }
--- a/internal/decision/world_test.go
+++ b/internal/decision/world_test.go
@@ -11,7 +11,7 @@
 
 const ms = int64(1e6)
 
-// The kinds of effects in the digest.
+// The kinds of effects, as recorded in the digest.
 const (
 	effectStartAttempt = iota
 	effectReject
@@ -25,7 +25,14 @@
 	effectLog
 )
 
-// world simulates everything around one router, and checks the five rules of the design at each effect and after each step.
+// world simulates the environment of one router: clients, hosts, the platform and timers. It checks five rules at each effect and
+// after each step:
+//
+//  1. Each request gets exactly one answer, by its deadline.
+//  2. A request runs again only as far as the idempotency of its class allows.
+//  3. No attempt is sent to a host that is draining or gone.
+//  4. Cold hosts get no more attempts than they can serve.
+//  5. A build on trial gets no more attempts than the exposure cap allows, and keys never return to an earlier build.
 type world struct {
 	t           *testing.T
 	engine      *Engine
@@ -35,20 +42,20 @@
 	step        int
 	requests    map[uint32]*testRequest
 	hosts       map[uint32]*testHost
-	sent        []*testAttempt // of the last window
-	inFlight    []*testAttempt // that may not have ended
-	unanswered  []*testRequest // that may still need an answer
+	sent        []*testAttempt // sent within the last window
+	inFlight    []*testAttempt // attempts that may not have ended
+	unanswered  []*testRequest // requests that may still need an answer
 	arrivals    []arrival
-	answers     []sampledAnswer // of the last window
+	answers     []sampledAnswer // received within the last window
 	timers      map[uint64]int64
 	votes       []vote
 	closedIdle  int
 	rollout     Rollout
-	capSince    int64 // when the cap was lowered last
-	newestBuild int   // the newest build
+	capSince    int64 // when the exposure cap was last lowered or applied to a new build
+	newestBuild int
 	keyBuilds   map[uint64]int
-	sentToTrial []int          // for each attempt, 1 for the trial
-	effects     *digest.Digest // of the router, nil if they are not recorded
+	sentToTrial []int          // 1 for each attempt sent to the trial, 0 for others
+	effects     *digest.Digest // digest of the effects, nil if they are not recorded
 }
 
 type testRequest struct {
@@ -68,15 +75,15 @@
 
 type testHost struct {
 	Host
-	changedAt int64 // when it was listed last as ready, or as not ready any more
+	changedAt int64 // when it was last listed as ready, or first as no longer ready
 }
 
 type arrival struct{ at, class int64 }
 
 const (
-	grace       = 500 * ms  // for an attempt after a change that forbids it
-	window      = 3000 * ms // in which rates are checked
-	answerGrace = 20 * ms   // for an answer after its deadline
+	grace       = 500 * ms  // time after a change during which attempts that it forbids are tolerated
+	window      = 3000 * ms // interval over which rates are checked
+	answerGrace = 20 * ms   // time after the deadline during which an answer is tolerated
 )
 
 func newWorld(t *testing.T, set Settings, seed uint64) *world {
@@ -94,7 +101,7 @@
 	return w
 }
 
-// testSettings has one class of each kind of idempotency.
+// testSettings returns settings with one class of each kind of idempotency.
 func testSettings() Settings {
 	return Settings{
 		Routers:         3,
@@ -148,18 +155,18 @@
 func (w *world) StartAttempt(id, hostID uint32, until int64) {
 	w.effects.Add(effectStartAttempt, w.now, id, hostID, until)
 	req, h := w.requests[id], w.hosts[hostID]
-	w.failIf(req == nil || req.done || h == nil, "attempt of %d at %d: ended, or a host that was not listed", id, hostID)
-	w.failIf(h.Health != Ready && w.now-h.changedAt > grace, "rule 3: attempt at a host that drains")
+	w.failIf(req == nil || req.done || h == nil, "attempt of request %d at host %d: request is done or unknown, or the host was never listed", id, hostID)
+	w.failIf(h.Health != Ready && w.now-h.changedAt > grace, "rule 3: attempt at a host that is not ready")
 	class := w.settings.Classes[req.Class]
 	for _, attempt := range req.attempts {
 		switch {
 		case attempt.inFlight && !w.settings.Hedging:
-			w.fail("two attempts at once")
+			w.fail("two attempts in flight without hedging")
 		case attempt.notRun:
 		case class.Idempotency == NonIdempotent:
-			w.fail("rule 2: a request that is not idempotent again")
+			w.fail("rule 2: retry of a non-idempotent request that may have run")
 		case class.Idempotency == IdempotentByKey && (w.now > attempt.startedAt+class.DedupWindow || class.DedupScope == SameCell && attempt.host.Cell != h.Cell):
-			w.fail("rule 2: a request that is idempotent by key outside its window or scope")
+			w.fail("rule 2: retry of a request that is idempotent by key outside its dedup window or scope")
 		}
 	}
 	w.failIf(len(req.attempts) >= w.settings.MaxAttempts, "too many attempts")
@@ -172,13 +179,13 @@
 }
 
 func (w *world) checkExposure(attempt *testAttempt, class RequestClass) {
-	w.failIf(attempt.request.Key != 0 && w.settings.KeyAffinity && attempt.build < w.keyBuilds[attempt.request.Key], "rule 5: a key goes back to an earlier build")
+	w.failIf(attempt.request.Key != 0 && w.settings.KeyAffinity && attempt.build < w.keyBuilds[attempt.request.Key], "rule 5: a key was sent back to an earlier build")
 	stage, exposureCap, isTrial := w.trialState(attempt.build)
 	if !isTrial {
 		return
 	}
 	w.failIf(exposureCap == 0 && w.now-w.capSince > grace || stage < w.settings.GuardedStages && class.Idempotency != Idempotent,
-		"rule 5: cap %v stage %d class %d", exposureCap, stage, attempt.request.Class)
+		"rule 5: attempt at the trial with exposure cap %v, stage %d, class %d", exposureCap, stage, attempt.request.Class)
 	from, sent, received := max(w.now-window, w.capSince), 0, 0
 	for _, x := range w.sent {
 		if x.startedAt > from && x.build == attempt.build && (!w.settings.CapPerClass || x.request.Class == attempt.request.Class) {
@@ -190,7 +197,7 @@
 			received++
 		}
 	}
-	w.failIf(float64(sent) > w.settings.TrialBurst+exposureCap*float64(received)+1e-6, "rule 5: %d sent of %d received, cap %v", sent, received, exposureCap)
+	w.failIf(float64(sent) > w.settings.TrialBurst+exposureCap*float64(received)+1e-6, "rule 5: %d attempts at the trial for %d requests received, exposure cap %v", sent, received, exposureCap)
 }
 
 func (w *world) warmUpFactor(h *testHost) float64 {
@@ -201,8 +208,8 @@
 	return w.settings.ColdCapacity + (1-w.settings.ColdCapacity)*age
 }
 
-// checkColdHost is rule 4: if this router is all the traffic, the attempts at a cold host must stay within twice its share of
-// what the fleet was seen to carry, but for a few at the start.
+// checkColdHost checks rule 4: if all traffic comes from this router, the attempts at a cold host must stay within twice the
+// host's share of the fleet's recent throughput, plus a few at the start.
 func (w *world) checkColdHost(h *testHost) {
 	sent, allowed := 0.0, 5.0
 	for _, x := range w.sent {
@@ -213,15 +220,15 @@
 	for _, x := range w.answers {
 		allowed += 2 * h.Capacity * w.warmUpFactor(h) / x.capacity
 	}
-	w.failIf(w.warmUpFactor(h) < 1 && sent > allowed, "rule 4: %v sent to a cold host that can do %v", sent, allowed)
+	w.failIf(w.warmUpFactor(h) < 1 && sent > allowed, "rule 4: %v attempts sent to a cold host, at most %v allowed", sent, allowed)
 }
 
-// sampledAnswer is a request that succeeded, with the capacity of the fleet at that time.
+// sampledAnswer is the time of a successful answer, with the capacity of the fleet at that time.
 type sampledAnswer struct{ at, capacity float64 }
 
 func (w *world) finish(id uint32) *testRequest {
 	c := w.requests[id]
-	w.failIf(c == nil || c.done, "rule 1: a second answer to %d", id)
+	w.failIf(c == nil || c.done, "rule 1: second answer to request %d, or the request is unknown", id)
 	c.done = true
 	return c
 }
@@ -232,7 +239,7 @@
 	class := w.settings.Classes[req.Class]
 	for _, s := range req.attempts {
 		w.failIf(!s.notRun && (class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != AllHosts),
-			"rule 2: rejected though it may have run")
+			"rule 2: rejected a request that may have run and must not be retried")
 	}
 }
 func (w *world) Fail(id uint32) {
@@ -241,7 +248,7 @@
 }
 func (w *world) CancelAttempt(id uint32, number int) {
 	w.effects.Add(effectCancelAttempt, w.now, id, number)
-	w.failIf(w.requests[id] == nil || number >= len(w.requests[id].attempts), "cancellation of no attempt")
+	w.failIf(w.requests[id] == nil || number >= len(w.requests[id].attempts), "cancellation of an unknown attempt")
 }
 func (w *world) Vote(v Verdict, build, stage int) {
 	w.effects.Add(effectVote, w.now, v, build, stage)
@@ -259,10 +266,10 @@
 	w.closedIdle++
 }
 func (w *world) WatchHosts(on bool) { w.effects.Add(effectWatchHosts, w.now, on) }
-func (w *world) Log(text string)    { w.effects.Add(effectLog, w.now) } // the text is for people
+func (w *world) Log(text string)    { w.effects.Add(effectLog, w.now) } // without the text, so that rewording it does not change the digest
 
-// advance lets time pass, and fires the timers that are due: late, sometimes twice, and a little early, as the clock of a
-// timer may be coarser, which once ended all time-outs.
+// advance lets time pass and fires the timers that are due: late, sometimes twice, and sometimes slightly early, as the clock
+// of a timer may be coarser. An early timer must not stop later ones.
 func (w *world) advance(by int64) {
 	for end := w.now + by; w.now < end; {
 		w.now = min(end, w.now+w.settings.TimerResolution)
@@ -275,7 +282,7 @@
 			}
 		}
 		for _, c := range w.unanswered {
-			w.failIf(!c.done && w.now > c.deadline+answerGrace, "rule 1: no answer to %d", c.ID)
+			w.failIf(!c.done && w.now > c.deadline+answerGrace, "rule 1: no answer to request %d by its deadline", c.ID)
 		}
 	}
 	w.unanswered = slices.DeleteFunc(w.unanswered, func(c *testRequest) bool { return c.done })
