--- a/internal/decision/engine.go
+++ b/internal/decision/engine.go
@@ -63,9 +63,9 @@
 	e.removeIfDone(req)
 }
 
-// AttemptEnded handles the end of an attempt that took so many nanoseconds. done means that the request needs no further
-// answer; report holds the values of the host's load report in the order of Settings.LoadFields. Unknown attempts and those
-// that have already ended are ignored.
+// AttemptEnded handles the end of an attempt. done means that the request needs no further answer, took is the attempt's
+// duration in nanoseconds, and report holds the values of the host's load report in the order of Settings.LoadFields. Unknown
+// attempts and those that have already ended are ignored.
 func (e *Engine) AttemptEnded(now int64, id uint32, number int, result Result, done bool, took int64, report []float64) {
 	req := e.requestsByID[id]
 	if req == nil || number < 0 || number >= len(req.attempts) || req.attempts[number].ended {
@@ -214,8 +214,8 @@
 	e.emitEffects()
 }
 
-// AnswerFlagged handles a client's report of a wrong answer from host id. age is the time since the attempt was sent, in
-// nanoseconds.
+// AnswerFlagged handles a client's report of a wrong answer from host id. It ignores unknown hosts and classes. age is the time
+// since the attempt was sent, in nanoseconds; it is not used.
 func (e *Engine) AnswerFlagged(now int64, id uint32, class int, age int64) {
 	h := e.hostsByID[id]
 	if h == nil || class < 0 || class >= len(e.classes) {
--- a/internal/decision/host.go
+++ b/internal/decision/host.go
@@ -31,8 +31,8 @@
 type Host struct {
 	ID        uint32
 	Zone      int
-	Kind      int
-	Cell      int
+	Kind      int // kind of machine
+	Cell      int // cell within its zone
 	Health    Health
 	Build     int
 	Capacity  float64
--- a/internal/decision/interference.go
+++ b/internal/decision/interference.go
@@ -10,7 +10,7 @@
 const (
 	slowdownThreshold     = 1.35       // slowdown that starts a test
 	pauseDuration         = 3 * second // one second for the backlog to drain, two to measure
-	interferenceThreshold = 0.36       // of the gossiped mean: exceeded if most routers detect interference, but not if one of three does
+	interferenceThreshold = 0.36       // of the gossiped mean: exceeded if most routers detect interference, not if one of three does
 	confirmedSlowdown     = 1.3        // minimum ratio of the slowdown after the pause to that during it
 	pausingRouters        = 8          // routers that may start a test; with hundreds, false alarms would be frequent
 	maxPauseAge           = 1.5        // seconds after the start of a peer's pause during which other routers join it
--- a/internal/decision/load.go
+++ b/internal/decision/load.go
@@ -6,7 +6,7 @@
 	openRequests    = iota // requests that wait or are in flight; a gauge, not reset on each tick
 	answerCount            // successful answers
 	answerSeconds          // sum of the latencies of these answers, in seconds
-	sentAttempts           // attempts
+	sentAttempts           // attempts sent
 	trialAttempts          // attempts sent to the trial that count toward its share
 	baselineAnswers        // answers of the earlier build
 	baselineSpeeds         // sum of the speeds of these answers, see recordBaselineSpeed
--- a/internal/decision/rollout_test.go
+++ b/internal/decision/rollout_test.go
@@ -48,7 +48,8 @@
 	w.failIf(d.reachableRouters > 1.2, "%v reachable routers although no message was received, want about 1", d.reachableRouters)
 }
 
-// Guards against one voter among hundreds rejecting a good build for a few slow answers that only it has measured.
+// Guards against one voter among hundreds rejecting a good build for a few slow answers that only it has measured. An excess that
+// persists must be rejected.
 func TestTransientExcessIsIgnored(t *testing.T) {
 	for _, persists := range []bool{false, true} {
 		set := testSettings()
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -128,8 +128,8 @@
 	return isHealthy && (!req.triedOn(h) || len(req.attempts) >= len(d.hosts))
 }
 
-// mayUse reports whether a request may be sent to a host, whatever the host's health: by its state, build, budget and zone, and
-// by the request's filter.
+// mayUse reports whether a request may be sent to a host, apart from ejections and earlier tries. The host must be ready and have
+// budget, and the request's key, filter, class and earlier attempts must allow it.
 func (d *decider) mayUse(req *request, h *host, minBuild int) bool {
 	return h.health == Ready && h.build >= minBuild && d.hasBudget(h) && req.allows(h) &&
 		(!h.onTrial || d.mayUseTrial(req, h)) && isInDedupScope(req, h)
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -74,16 +74,16 @@
 	MixedTargets     bool    // latency targets differ widely: shed by their mean over the requests, not by the shortest
 	RequireCertainty bool    // advance a rollout only once its statistics are clearly below the thresholds
 	NoEarlyRetry     bool    // let each attempt run until the request's deadline
-	FleetRetryBurst  float64 // retries that all routers together may send at once, 0 for a default per router
-	MaxRetryAfter    int64
+	FleetRetryBurst  float64 // retries that all routers together may send at once, split by RankChanged; 0 for a default per router
+	MaxRetryAfter    int64   // upper bound of the delay passed to Effects.Reject
 	Gate             Gate
-	AdvanceVotes     int
-	RollBackVotes    int
-	HoldVotes        int
-	VoteLifetime     int64
-	VoteTimeout      int64
+	AdvanceVotes     int         // votes required to advance a stage
+	RollBackVotes    int         // votes required to roll back
+	HoldVotes        int         // votes required to hold a stage
+	VoteLifetime     int64       // time after which the platform discards a vote that is not renewed
+	VoteTimeout      int64       // timeout of a call that casts a vote
 	TrialBurst       float64     // attempts that this router may send to the trial beyond the exposure cap
-	FleetTrialBurst  float64     // the same for all routers together, 0 to use TrialBurst
+	FleetTrialBurst  float64     // the same for all routers together, split by RankChanged; 0 to use TrialBurst
 	FirstStageCap    float64     // exposure cap of builds that the rollout does not know yet
 	CapPerClass      bool        // apply the exposure cap to each class separately
 	SideBySide       bool        // hosts of the earlier build stay until the release
--- a/internal/decision/shedding.go
+++ b/internal/decision/shedding.go
@@ -15,7 +15,7 @@
 // arrivalsDecay is the factor by which arrivals decay with each request: an average over about a thousand requests.
 const arrivalsDecay = 0.999
 
-// maxPressure bounds the share of the requests that is shed.
+// maxShedFraction is the upper bound of shedFraction.
 const maxShedFraction = 0.9
 
 // arrivalMix summarizes the decayed arrivals, compared with one request.
--- a/internal/decision/statistics.go
+++ b/internal/decision/statistics.go
@@ -226,7 +226,8 @@
 // trialSpeedUp returns a lower confidence bound, from 1 to 4, of how many times faster the trial's hosts are than the earlier
 // ones, as measured by all routers. If earlier hosts become slow, the trial's fast hosts get more traffic instead of idling.
 func (d *decider) trialSpeedUp() float64 {
-	n := max(0.1, d.trialExcessLatency.weight*d.reachableRouters) // outcomes of the last second; the standard deviation of each is about its mean
+	// n is the number of outcomes of the last second. The standard deviation of each is about its mean.
+	n := max(0.1, d.trialExcessLatency.weight*d.reachableRouters)
 	atMost := max(0.1, relativeLatency(d.trialExcessLatency)*(1+1.5/math.Sqrt(n)))
 	return min(4, max(1, relativeLatency(d.baselineMean[excessLatency])/atMost))
 }
--- a/internal/decision/vote.go
+++ b/internal/decision/vote.go
@@ -36,7 +36,7 @@
 	voteInFlight  bool // the call that casts castVote has not been answered
 }
 
-// threshold is the common threshold d_c of each state, divided by its number of outcomes.
+// threshold is the common threshold d_c of each state, as a mean excess per outcome.
 var threshold = [statisticCount]float64{failures: 0.015, excessLatency: 0.12}
 
 // requiredErrors is the number of standard errors by which the threshold must be exceeded. Three reports of wrong answers
@@ -47,7 +47,7 @@
 	minOutcomes       = 20         // outcomes over all routers that a decision requires
 	minLatencyHosts   = 2          // warm hosts required to judge a build by latency, as a single host may be slow by itself
 	confirmationTicks = 16         // ticks that a build must be above the threshold; a single failing host is ejected by then
-	voteRetryDelay    = second / 4 // minimum time between two calls; short compared with a stage, but within platforms' rate limits
+	voteRetryDelay    = second / 4 // minimum time between two calls: short beside a stage, and within platforms' rate limits
 	loggingRouters    = 2          // routers that log their votes
 )
 
--- a/internal/decision/world_test.go
+++ b/internal/decision/world_test.go
@@ -266,7 +266,7 @@
 	w.closedIdle++
 }
 func (w *world) WatchHosts(on bool) { w.effects.Add(effectWatchHosts, w.now, on) }
-func (w *world) Log(text string)    { w.effects.Add(effectLog, w.now) } // without the text, so that rewording it does not change the digest
+func (w *world) Log(text string)    { w.effects.Add(effectLog, w.now) } // texts are not part of the digest
 
 // advance lets time pass and fires the timers that are due: late, sometimes twice, and sometimes slightly early, as the clock
 // of a timer may be coarser. An early timer must not stop later ones.
