--- a/internal/control/consensus/acceptor.go
+++ b/internal/control/consensus/acceptor.go
@@ -10,11 +10,11 @@
 
 // acceptorState is the state of the acceptor beside HardState.
 type acceptorState struct {
-	startReplies   map[string]Message // replies of the members since this incarnation began, by IP address; nil once this process may vote
-	startQueriedAt int64              // when the members were last asked for them
-	persistedVote  persistedVote      // the vote that is on disk
-	muted          bool               // the disk lacks some of HardState: nothing that depends on it is sent
-	votedAt        int64              // when this process last voted
+	startupReplies   map[string]Message // replies of the members since this incarnation began, by IP address; nil once this process may vote
+	startupQueriedAt int64              // when the members were last asked for them
+	persistedVote    persistedVote      // the vote that is on disk
+	muted            bool               // the disk lacks some of HardState: nothing that depends on it is sent
+	votedAt          int64              // when this process last voted
 }
 
 // persistedVote identifies a vote that is on disk.
@@ -89,14 +89,14 @@
 func (n *Node) hasUndecidedVote() bool { return n.hardState.AcceptedIndex == n.nextIndex() }
 
 // mayVote reports whether this process may promise and vote; see tryResumeVoting.
-func (n *Node) mayVote() bool { return n.acceptor.startReplies == nil || n.hardState.Applied == 0 }
+func (n *Node) mayVote() bool { return n.acceptor.startupReplies == nil || n.hardState.Applied == 0 }
 
 // tryResumeVoting lets this process promise and vote once it has asked the other members since it started, and lacks nothing that
 // one of them has applied. A disk may have been restored from an old image, and have forgotten promises and votes; with a bare
 // majority such a disk and one that is behind might decide again what is decided. So for a while all members are waited for,
 // and the highest vote that any of them reports becomes this process's own, as if its Accept had arrived just now.
 func (n *Node) tryResumeVoting(now int64) {
-	if n.acceptor.startReplies == nil || n.hardState.Applied == 0 || n.acceptor.muted {
+	if n.acceptor.startupReplies == nil || n.hardState.Applied == 0 || n.acceptor.muted {
 		return
 	}
 	acks := map[string]string{}
@@ -104,8 +104,8 @@
 	if n.hasUndecidedVote() {
 		highest.Accepted = n.hardState.Accepted
 	}
-	for _, ip := range slices.Sorted(maps.Keys(n.acceptor.startReplies)) {
-		reply := n.acceptor.startReplies[ip]
+	for _, ip := range slices.Sorted(maps.Keys(n.acceptor.startupReplies)) {
+		reply := n.acceptor.startupReplies[ip]
 		if reply.Applied > n.hardState.Applied {
 			return
 		}
@@ -118,7 +118,7 @@
 	if !n.membership.HasQuorum(acks) || missing && now-n.startedAt < startupWait {
 		return
 	}
-	n.acceptor.startReplies = nil
+	n.acceptor.startupReplies = nil
 	n.adoptVote(now, highest)
 }
 
@@ -130,15 +130,15 @@
 	n.recordBallot(now, Message{Kind: Accept, Index: n.nextIndex(), Ballot: vote.Accepted, Value: vote.Value})
 }
 
-// queryStartReplies asks the members that have not replied since this process started; they may be others since the last time.
-func (n *Node) queryStartReplies(now int64) {
-	waiting := n.acceptor.startReplies != nil && n.caughtUp && n.hardState.Applied > 0
-	if !waiting || now-n.acceptor.startQueriedAt <= resendAfter {
+// queryStartupReplies asks the members that have not replied since this process started; they may be others since the last time.
+func (n *Node) queryStartupReplies(now int64) {
+	waiting := n.acceptor.startupReplies != nil && n.caughtUp && n.hardState.Applied > 0
+	if !waiting || now-n.acceptor.startupQueriedAt <= resendAfter {
 		return
 	}
-	n.acceptor.startQueriedAt = now
+	n.acceptor.startupQueriedAt = now
 	for _, member := range n.membership.Members {
-		if n.acceptor.startReplies[member.IP].DiskID != member.ID {
+		if n.acceptor.startupReplies[member.IP].DiskID != member.ID {
 			n.send(member.IP, Message{Kind: ReadIndex})
 		}
 	}
--- a/internal/control/consensus/acceptor_test.go
+++ b/internal/control/consensus/acceptor_test.go
@@ -19,7 +19,7 @@
 	set := config.NewSet()
 	set.Merge(l.Item())
 	n := New(l.Members[1], "incarnation", 1, HardState{DiskID: "b", Applied: 1}, set, now)
-	n.caughtUp, n.acceptor.startReplies = true, nil
+	n.caughtUp, n.acceptor.startupReplies = true, nil
 	return n, l
 }
 
--- a/internal/control/consensus/batch.go
+++ b/internal/control/consensus/batch.go
@@ -94,7 +94,7 @@
 	}
 	if op.operation.Kind == operation.ChangeMembers {
 		if !n.proposer.confirmedLatest {
-			return n.awaitPromises()
+			return n.requirePrepare()
 		}
 		if !n.mayChangeMembership(op.operation) {
 			n.finish(op, Result{Kind: apierror.Unavailable, Reason: "the new members can't be sure to take over"})
@@ -106,7 +106,7 @@
 	case undecided:
 		return false
 	case err != nil:
-		return n.refuse(op, err)
+		return n.finishWithError(op, err)
 	case len(items) == 0:
 		return n.finishWithoutVote(op)
 	}
@@ -114,8 +114,8 @@
 	return false
 }
 
-// awaitPromises leaves an operation pending until a majority has promised anew: what this process has applied may not be the latest.
-func (n *Node) awaitPromises() (finished bool) {
+// requirePrepare leaves an operation pending until a majority has promised anew: what this process has applied may not be the latest.
+func (n *Node) requirePrepare() (finished bool) {
 	n.proposer.prepared = false
 	return false
 }
@@ -139,9 +139,9 @@
 	return items, err == nil && len(items) > 0, err
 }
 
-// refuse ends an operation with an error, if the error is final. Only a conflict is always final; anything else may be wrong here just
+// finishWithError ends an operation with an error, if the error is final. Only a conflict is always final; anything else may be wrong here just
 // because this process does not know the latest state.
-func (n *Node) refuse(op *pendingOperation, err error) (finished bool) {
+func (n *Node) finishWithError(op *pendingOperation, err error) (finished bool) {
 	kind := apierror.KindOf(err)
 	final := Result{Kind: kind, Reason: err.Error(), Index: n.hardState.Applied, NotProposed: op.proposedIndex == 0}
 	switch {
@@ -150,7 +150,7 @@
 	case op.proposedIndex == n.nextIndex(): // a vote on it may still be decided at that index
 		return false
 	case !n.proposer.confirmedLatest:
-		return n.awaitPromises()
+		return n.requirePrepare()
 	case op.forwards > 0: // a copy of it elsewhere may still succeed
 		n.finish(op, Result{Kind: apierror.Unavailable, Reason: "not clear yet: " + err.Error()})
 	default:
@@ -163,7 +163,7 @@
 // latest.
 func (n *Node) finishWithoutVote(op *pendingOperation) (finished bool) {
 	if op.operation.DependsOnState() && !n.proposer.confirmedLatest {
-		return n.awaitPromises()
+		return n.requirePrepare()
 	}
 	n.finish(op, Result{Index: n.hardState.Applied})
 	return true
--- a/internal/control/consensus/catchup.go
+++ b/internal/control/consensus/catchup.go
@@ -10,25 +10,25 @@
 
 // catchUpState is the state of fetching what this process lacks: the changes since the last that it applied, or a snapshot.
 type catchUpState struct {
-	from        string // the peer that was asked, empty for none
-	requestedAt int64  // when it was asked, or last sent a chunk
-	appliedThen uint64 // what was applied here when it was asked
-	parts       []int  // the partitions of the set that the snapshot replaces
-	items       []config.Item
-	behindSince int64 // since when a peer has applied more than this process, 0 for none
+	from             string // the peer that was asked, empty for none
+	requestedAt      int64  // when it was asked, or last sent a chunk
+	appliedAtRequest uint64 // what was applied here when it was asked
+	partitions       []int  // the partitions of the set that the snapshot replaces
+	items            []config.Item
+	behindSince      int64 // since when a peer has applied more than this process, 0 for none
 }
 
 // reset forgets a fetch.
 func (s *catchUpState) reset() {
 	s.from = ""
-	s.parts = nil
+	s.partitions = nil
 	s.items = nil
 }
 
 // checkLag requests changes from the peer that has applied the most, once one has been ahead for a while.
 func (n *Node) checkLag(now int64) {
-	furthest := n.furthestPeer()
-	if furthest == "" {
+	peer := n.mostAdvancedPeer()
+	if peer == "" {
 		n.catchUp.behindSince = 0
 		return
 	}
@@ -36,19 +36,19 @@
 		n.catchUp.behindSince = now
 	}
 	if !n.caughtUp || now-n.catchUp.behindSince >= fetchDelay {
-		n.requestChanges(now, furthest)
+		n.requestChanges(now, peer)
 	}
 }
 
-// furthestPeer returns the IP address of the peer that has applied the most, empty if none has applied more than this process.
-func (n *Node) furthestPeer() string {
-	furthest, most := "", n.hardState.Applied
+// mostAdvancedPeer returns the IP address of the peer that has applied the most, empty if none has applied more than this process.
+func (n *Node) mostAdvancedPeer() string {
+	peer, highest := "", n.hardState.Applied
 	for _, ip := range slices.Sorted(maps.Keys(n.peers)) {
-		if applied := n.peers[ip].Applied; applied > most {
-			furthest, most = ip, applied
+		if applied := n.peers[ip].Applied; applied > highest {
+			peer, highest = ip, applied
 		}
 	}
-	return furthest
+	return peer
 }
 
 // requestChanges asks a peer for what was decided since, unless another was asked just now.
@@ -58,12 +58,12 @@
 		return
 	}
 	n.Counts.Fetches++
-	sums := n.Set.PartitionSums()
+	checksums := n.Set.PartitionSums()
 	n.catchUp.reset()
 	n.catchUp.from = ip
 	n.catchUp.requestedAt = now
-	n.catchUp.appliedThen = n.hardState.Applied
-	n.send(ip, Message{Kind: FetchChanges, Checksums: sums[:]})
+	n.catchUp.appliedAtRequest = n.hardState.Applied
+	n.send(ip, Message{Kind: FetchChanges, Checksums: checksums[:]})
 }
 
 // serveChanges sends a peer what was decided since: the changes as long as they are kept, or else a snapshot. The present proposal
@@ -72,7 +72,7 @@
 	if m.Applied >= n.hardState.Applied || n.hardState.Applied == 0 {
 		return
 	}
-	if kept := n.history.changes; len(kept) > 0 && kept[0].index <= m.Applied+1 {
+	if recent := n.history.changes; len(recent) > 0 && recent[0].index <= m.Applied+1 {
 		n.send(to, Message{Kind: Changes, Index: m.Applied, Batches: n.history.after(m.Applied)})
 	} else {
 		n.sendSnapshot(to, m.Checksums)
@@ -100,10 +100,10 @@
 // sendSnapshot sends the partitions of the set that differ from a peer's checksums, in chunks.
 func (n *Node) sendSnapshot(to string, checksums []uint64) {
 	n.Counts.Cuts++
-	parts := n.Set.DifferingPartitions(checksums)
-	chunk := Message{Kind: SnapshotChunk, Index: n.hardState.Applied, Parts: parts, Tag: n.Set.Checksum()}
+	partitions := n.Set.DifferingPartitions(checksums)
+	chunk := Message{Kind: SnapshotChunk, Index: n.hardState.Applied, Parts: partitions, Tag: n.Set.Checksum()}
 	size := 0
-	for _, item := range n.Set.InPartitions(parts) {
+	for _, item := range n.Set.InPartitions(partitions) {
 		chunk.Value = append(chunk.Value, item)
 		size += len(item.Body) + itemOverhead
 		if size < chunkBytes {
@@ -138,38 +138,38 @@
 // takes the place of one that was not finished.
 func (n *Node) handleSnapshotChunk(e Event, m Message) {
 	fetch := &n.catchUp
-	if fetch.from != e.From || fetch.appliedThen != n.hardState.Applied {
+	if fetch.from != e.From || fetch.appliedAtRequest != n.hardState.Applied {
 		return
 	}
 	fetch.requestedAt = e.Now
 	if m.Parts != nil {
-		fetch.parts = m.Parts
+		fetch.partitions = m.Parts
 		fetch.items = nil
 	}
 	fetch.items = append(fetch.items, m.Value...)
 	if !m.Final {
 		return
 	}
-	parts, items := fetch.parts, fetch.items
+	partitions, items := fetch.partitions, fetch.items
 	fetch.reset()
-	if m.Index > n.hardState.Applied && n.isIntact(parts, items, m.Tag) {
-		n.installSnapshot(e, m.Index, parts, items)
+	if m.Index > n.hardState.Applied && n.verifySnapshot(partitions, items, m.Tag) {
+		n.installSnapshot(e, m.Index, partitions, items)
 	}
 }
 
-// isIntact reports whether the set with a snapshot installed has the sender's checksum. If not, it is requested again by checkLag.
-func (n *Node) isIntact(parts []int, items []config.Item, checksum uint64) bool {
+// verifySnapshot reports whether the set with a snapshot installed has the sender's checksum. If not, it is requested again by checkLag.
+func (n *Node) verifySnapshot(partitions []int, items []config.Item, checksum uint64) bool {
 	next := n.Set.Clone()
-	next.ReplacePartitions(parts, items)
+	next.ReplacePartitions(partitions, items)
 	return next.Checksum() == checksum
 }
 
 // installSnapshot replaces partitions of the set by those of a snapshot as of an index.
-func (n *Node) installSnapshot(e Event, index uint64, parts []int, items []config.Item) {
+func (n *Node) installSnapshot(e Event, index uint64, partitions []int, items []config.Item) {
 	n.abandonProposal(e, false)
-	updated, removed := n.Set.ReplacePartitions(parts, items)
+	updated, removed := n.Set.ReplacePartitions(partitions, items)
 	n.stageChanges(updated, removed)
 	n.effects.Replaced = len(removed) > 0
-	n.forgetChanges()
+	n.clearHistory()
 	n.afterApply(e.Now, index)
 }
--- a/internal/control/consensus/exhaustive_search_test.go
+++ b/internal/control/consensus/exhaustive_search_test.go
@@ -252,7 +252,7 @@
 	p.node = New(member, incarnation, 1, p.hardState, newSet(p.items), p.now)
 	p.node.caughtUp = p.hardState.Applied > 0
 	if p.node.caughtUp {
-		p.node.acceptor.startReplies = nil
+		p.node.acceptor.startupReplies = nil
 	}
 	for _, other := range worldPeers[at] {
 		peer := allMembers()[other]
--- a/internal/control/consensus/forward.go
+++ b/internal/control/consensus/forward.go
@@ -11,8 +11,8 @@
 // probeTag is the tag of a ReadIndex that no read waits for: it only asks whether a member answers.
 const probeTag = ^uint64(0)
 
-// ownTags is where the tags begin that a node chooses itself; those of its clients are below.
-const ownTags = uint64(1) << 32
+// internalTagBase is where the tags begin that a node chooses itself; those of its clients are below.
+const internalTagBase = uint64(1) << 32
 
 // forwarderState holds the pending operations, and what is known of the members that they may be forwarded to.
 type forwarderState struct {
@@ -49,8 +49,8 @@
 	}
 }
 
-// recall lets an operation be forwarded anew.
-func (op *pendingOperation) recall() {
+// resetForward lets an operation be forwarded anew.
+func (op *pendingOperation) resetForward() {
 	op.forwardedAt = 0
 	op.forwardedTo = ""
 }
@@ -137,8 +137,8 @@
 // hasOrphanedVote reports whether this process has voted for something that its proposer has not committed for long. The members
 // take turns in finishing it.
 func (n *Node) hasOrphanedVote(now int64) bool {
-	patience := orphanedVoteTimeout + int64(n.precedingPeers())*turnDelay
-	return n.hasUndecidedVote() && now-n.acceptor.votedAt > patience
+	timeout := orphanedVoteTimeout + int64(n.precedingPeers())*staggerDelay
+	return n.hasUndecidedVote() && now-n.acceptor.votedAt > timeout
 }
 
 // proposeWithoutPrepare proposes the pending operations in the ballot that a majority promised before: the promise holds for all
@@ -196,9 +196,9 @@
 	switch {
 	case silentFor > forwardSilenceTimeout, stalledFor > forwardProgressTimeout:
 		f.skipped[member] = silentFor <= forwardSilenceTimeout
-		n.recallForwarded(member)
+		n.resetForwardsTo(member)
 	case now-op.forwardedAt > forwardProgressTimeout:
-		op.recall()
+		op.resetForward()
 	case silentFor > probeInterval && !probed[member] && now-f.lastProbeAt > probeInterval:
 		probed[member] = true
 		n.send(member, Message{Kind: ReadIndex, Tag: probeTag})
@@ -230,11 +230,11 @@
 	n.send(to, Message{Kind: Forward, Tag: op.tag, Operation: &forwarded})
 }
 
-// recallForwarded lets all operations that were forwarded to a member be forwarded anew.
-func (n *Node) recallForwarded(ip string) {
+// resetForwardsTo lets all operations that were forwarded to a member be forwarded anew.
+func (n *Node) resetForwardsTo(ip string) {
 	for _, op := range n.forwarder.pending {
 		if op.forwardedTo == ip {
-			op.recall()
+			op.resetForward()
 		}
 	}
 }
@@ -264,17 +264,17 @@
 // retryForward has an operation forwarded again after a while. If there is no copy of it and no vote on it, it need not hold to the
 // condition of the first time.
 func (n *Node) retryForward(now int64, op *pendingOperation, r Result) {
-	op.recall()
-	op.forwardNotBefore = now + turnDelay
+	op.resetForward()
+	op.forwardNotBefore = now + staggerDelay
 	if r.NotProposed && op.forwards == 1 && op.proposedIndex == 0 {
 		op.forwards = 0
 		op.operation.Conditional = false
 	}
 }
 
-// noteProgress notes what a message shows of its sender: that it receives from this process, or that it makes progress. Messages that are
+// recordProgress notes what a message shows of its sender: that it receives from this process, or that it makes progress. Messages that are
 // repeated without cause show neither.
-func (n *Node) noteProgress(now int64, from string, m Message) {
+func (n *Node) recordProgress(now int64, from string, m Message) {
 	f := &n.forwarder
 	replied := m.Kind == ReadIndexReply || m.Kind == ForwardResult
 	progressed := m.Kind == Commit || m.Kind == ForwardResult && m.Result != nil && m.Result.Kind != apierror.Unavailable
--- a/internal/control/consensus/learner.go
+++ b/internal/control/consensus/learner.go
@@ -39,8 +39,8 @@
 	return len(h.changes) > maxRecentChanges || (h.items > maxRecentItems || h.bytes > maxRecentBytes) && len(h.changes) > 0
 }
 
-// forgetChanges forgets all changes: the set is no longer what they made it.
-func (n *Node) forgetChanges() { n.history = changeHistory{} }
+// clearHistory forgets all changes: the set is no longer what they made it.
+func (n *Node) clearHistory() { n.history = changeHistory{} }
 
 // nextIndex returns the index after the last applied one, the only one that this process promises, votes and proposes for.
 func (n *Node) nextIndex() uint64 { return n.hardState.Applied + 1 }
@@ -91,7 +91,7 @@
 	if operation.ReplacesAll(items) {
 		n.stageChanges(n.Set.ReplaceAll(items[1:]))
 		n.effects.Replaced = true
-		n.forgetChanges() // a peer that is behind gets a snapshot
+		n.clearHistory() // a peer that is behind gets a snapshot
 	} else {
 		n.mergeItems(items)
 	}
--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -12,7 +12,7 @@
 // whose zone can do without them are removed. A change is a value like any other; mayChangeMembership checks it again before it
 // is voted on.
 func (n *Node) maintainMembership(e Event) {
-	n.noteSilentMembers(e.Now)
+	n.trackSilentMembers(e.Now)
 	if !n.caughtUp || n.preferredProposer() != n.self.IP || n.hasPendingMembershipChange() {
 		return
 	}
@@ -37,8 +37,8 @@
 	}})
 }
 
-// noteSilentMembers notes since when members that were never connected are silent.
-func (n *Node) noteSilentMembers(now int64) {
+// trackSilentMembers notes since when members that were never connected are silent.
+func (n *Node) trackSilentMembers(now int64) {
 	for _, member := range n.membership.Members {
 		_, connected := n.peers[member.IP]
 		if member.IP != n.self.IP && !connected && n.silentSince[member.IP] == 0 {
@@ -62,8 +62,8 @@
 		if !n.mayJoin(ip, peer) {
 			continue
 		}
-		replacesItself := slices.Contains(n.Unreachable(), ip)
-		if replacesItself || n.liveInZone(peer.Member.Zone, joining) < n.minPerZone {
+		returnsWithNewDisk := slices.Contains(n.Unreachable(), ip)
+		if returnsWithNewDisk || n.liveInZone(peer.Member.Zone, joining) < n.minPerZone {
 			joining = append(joining, peer.Member)
 		}
 	}
@@ -84,7 +84,7 @@
 // longSilentMembers returns the IP addresses of the members that have been silent for so long that they may be removed.
 func (n *Node) longSilentMembers(now int64) (silent []string) {
 	for _, member := range n.membership.Members {
-		if since := n.silentSince[member.IP]; since != 0 && now-since > removalSilence {
+		if since := n.silentSince[member.IP]; since != 0 && now-since > removalTimeout {
 			silent = append(silent, member.IP)
 		}
 	}
--- a/internal/control/consensus/node.go
+++ b/internal/control/consensus/node.go
@@ -78,12 +78,12 @@
 		hardState:   hardState,
 		membership:  membership.FromSet(set),
 		acceptor: acceptorState{
-			startReplies:  map[string]Message{},
-			persistedVote: persistedVote{index: hardState.AcceptedIndex, ballot: hardState.Accepted},
+			startupReplies: map[string]Message{},
+			persistedVote:  persistedVote{index: hardState.AcceptedIndex, ballot: hardState.Accepted},
 		},
 		proposer: proposerState{highestBallot: hardState.Promised.Number},
 		forwarder: forwarderState{
-			lastTag:        ownTags,
+			lastTag:        internalTagBase,
 			lastReplyAt:    map[string]int64{},
 			lastProgressAt: map[string]int64{},
 			skipped:        map[string]bool{},
@@ -151,7 +151,7 @@
 
 // Busy reports whether something is under way that needs a Tick soon.
 func (n *Node) Busy() bool {
-	starting := !n.caughtUp || n.acceptor.startReplies != nil
+	starting := !n.caughtUp || n.acceptor.startupReplies != nil
 	waiting := len(n.forwarder.pending) > 0 || len(n.reads) > 0
 	return starting || waiting || n.proposer.phase != Idle || n.hasUndecidedVote() || n.catchUp.from != ""
 }
@@ -184,13 +184,13 @@
 func (n *Node) handleEvent(e Event) {
 	switch {
 	case e.Message != nil:
-		n.noteProgress(e.Now, e.From, *e.Message)
-		n.noteApplied(e.From, *e.Message)
+		n.recordProgress(e.Now, e.From, *e.Message)
+		n.updatePeerApplied(e.From, *e.Message)
 		n.receive(e, *e.Message)
 	case e.Peer != nil:
 		n.updatePeer(e)
 	case e.PeerLost:
-		n.losePeer(e)
+		n.removePeer(e)
 	case e.Operation != nil:
 		n.submit(e.Now, &pendingOperation{tag: e.Tag, operation: *e.Operation})
 	case e.Read:
@@ -240,7 +240,7 @@
 	n.tryAccept(e)
 	n.checkLag(e.Now)
 	n.tryResumeVoting(e.Now)
-	n.queryStartReplies(e.Now)
+	n.queryStartupReplies(e.Now)
 	n.expireReads(e.Now)
 	if n.hardState.Applied == 0 {
 		n.bootstrap(e)
@@ -251,8 +251,8 @@
 	n.maintainMembership(e)
 }
 
-// noteApplied notes what a peer has applied by its messages: its status comes at intervals only.
-func (n *Node) noteApplied(from string, m Message) {
+// updatePeerApplied notes what a peer has applied by its messages: its status comes at intervals only.
+func (n *Node) updatePeerApplied(from string, m Message) {
 	peer, connected := n.peers[from]
 	if connected && peer.Applied < m.Applied && peer.Member.ID == m.DiskID {
 		peer.Applied = m.Applied
@@ -266,26 +266,26 @@
 	n.peers[e.From] = *e.Peer
 	delete(n.silentSince, e.From)
 	if !connected {
-		n.peerAppeared(e)
+		n.sendPendingTo(e)
 	}
 	n.checkLag(e.Now)
 }
 
-// losePeer forgets a peer whose connection is lost.
-func (n *Node) losePeer(e Event) {
+// removePeer forgets a peer whose connection is lost.
+func (n *Node) removePeer(e Event) {
 	delete(n.peers, e.From)
 	delete(n.forwarder.lastReplyAt, e.From)
 	delete(n.forwarder.lastProgressAt, e.From)
 	delete(n.forwarder.skipped, e.From)
 	n.silentSince[e.From] = e.Now
-	n.recallForwarded(e.From)
+	n.resetForwardsTo(e.From)
 	if n.catchUp.from == e.From {
 		n.catchUp.reset()
 	}
 }
 
-// peerAppeared sends a peer that has just connected what it has to answer, ahead of the next repetition.
-func (n *Node) peerAppeared(e Event) {
+// sendPendingTo sends a peer that has just connected what it has to answer, ahead of the next repetition.
+func (n *Node) sendPendingTo(e Event) {
 	n.resendProposal(e.From)
 	_, member := n.membership.ByIP(e.From)
 	for _, tag := range n.pendingReadTags() {
@@ -296,7 +296,7 @@
 	if n.hardState.Applied == 0 {
 		return
 	}
-	if _, replied := n.acceptor.startReplies[e.From]; n.caughtUp && n.acceptor.startReplies != nil && !replied {
+	if _, replied := n.acceptor.startupReplies[e.From]; n.caughtUp && n.acceptor.startupReplies != nil && !replied {
 		n.send(e.From, Message{Kind: ReadIndex})
 	}
 	n.ensureStartupRead(e.Now)
@@ -340,7 +340,7 @@
 
 // answer ends an operation or a read of a client; the startup read has none.
 func (n *Node) answer(tag uint64, r Result) {
-	if tag != startupRead {
+	if tag != startupReadTag {
 		n.effects.Answers = append(n.effects.Answers, Answer{tag, r})
 	}
 }
--- a/internal/control/consensus/proposer.go
+++ b/internal/control/consensus/proposer.go
@@ -86,7 +86,7 @@
 		value = n.foundingValue()
 	default:
 		n.proposer.confirmedLatest = true
-		n.settleUndecidedReads(e)
+		n.resolveUndecidedReads(e)
 		value, tags = n.buildValue()
 	}
 	if len(value) > 0 {
@@ -166,18 +166,18 @@
 	case Rejected:
 		n.handleRejected(e, m)
 	case Promise:
-		if n.proposer.phase == Preparing && n.countsNow(e.From, m) {
+		if n.proposer.phase == Preparing && n.isCurrentReply(e.From, m) {
 			n.handlePromise(e, m)
 		}
 	case Accepted:
-		if n.proposer.phase == Accepting && n.countsNow(e.From, m) {
+		if n.proposer.phase == Accepting && n.isCurrentReply(e.From, m) {
 			n.handleAccepted(e, m)
 		}
 	}
 }
 
-// countsNow reports whether a reply is about the present proposal and comes from a voter.
-func (n *Node) countsNow(from string, m Message) bool {
+// isCurrentReply reports whether a reply is about the present proposal and comes from a voter.
+func (n *Node) isCurrentReply(from string, m Message) bool {
 	return n.proposer.isCurrent(m.Index, m.Ballot) && n.isVoter(from, m.DiskID, n.proposer.value)
 }
 
@@ -298,13 +298,13 @@
 // retryTime returns when a proposal may follow on one that was rejected. Rival proposers would go on rejecting each other, so the
 // preferred one goes on at once, and the others leave it time.
 func (n *Node) retryTime(e Event) int64 {
-	delay := int64(e.Random * float64(turnDelay) * float64(1+n.proposer.retries))
+	delay := int64(e.Random * float64(staggerDelay) * float64(1+n.proposer.retries))
 	preferred := n.preferredProposer() == n.self.IP
 	switch {
 	case preferred && n.proposer.retries == 0: // its ballot may only have been too low
 		return e.Now
 	case !preferred && n.hardState.Applied > 0:
-		return e.Now + delay + 2*turnDelay
+		return e.Now + delay + 2*staggerDelay
 	}
 	return e.Now + delay
 }
@@ -362,7 +362,7 @@
 	if position < 0 || n.proposer.phase != Idle || e.Now < n.proposer.retryAt {
 		return
 	}
-	if e.Now-n.startedAt < int64(position)*2*turnDelay {
+	if e.Now-n.startedAt < int64(position)*2*staggerDelay {
 		return
 	}
 	reachable := 1
--- a/internal/control/consensus/read.go
+++ b/internal/control/consensus/read.go
@@ -7,8 +7,8 @@
 	"portflow/internal/cluster/apierror"
 )
 
-// startupRead is the tag of the read by which a process that started finds out whether it has caught up.
-const startupRead = uint64(0)
+// startupReadTag is the tag of the read by which a process that started finds out whether it has caught up.
+const startupReadTag = uint64(0)
 
 // pendingRead is a linearizable read. It asks a majority for the highest index with a vote: whatever was decided before the read
 // began has a vote at a member of that majority, as quorums intersect. Once that index is applied here, the read is done.
@@ -22,7 +22,7 @@
 	targetKnown bool               // a majority has replied
 }
 
-// startRead begins a read for a client, or startupRead.
+// startRead begins a read for a client, or for startupReadTag.
 func (n *Node) startRead(now int64, tag uint64) {
 	if len(n.reads) >= maxPending {
 		n.answer(tag, Result{Kind: apierror.Unavailable, Reason: "too many reads wait"})
@@ -36,8 +36,8 @@
 
 // ensureStartupRead begins the read by which this process finds out whether it has caught up, if it has not and none is pending.
 func (n *Node) ensureStartupRead(now int64) {
-	if !n.caughtUp && n.reads[startupRead] == nil {
-		n.startRead(now, startupRead)
+	if !n.caughtUp && n.reads[startupReadTag] == nil {
+		n.startRead(now, startupReadTag)
 	}
 }
 
@@ -59,7 +59,7 @@
 
 // handleReadIndex replies to a reader. A process that starts is answered by all, other readers only by those that may vote.
 func (n *Node) handleReadIndex(from string, m Message) {
-	if m.Tag == startupRead || n.mayVote() {
+	if m.Tag == startupReadTag || n.mayVote() {
 		n.send(from, n.readIndexReply(m.Tag, m.Incarnation))
 	}
 }
@@ -78,7 +78,7 @@
 		return reply
 	}
 	reply.Accepted = n.hardState.Accepted
-	if tag == startupRead {
+	if tag == startupReadTag {
 		reply.Value = n.hardState.AcceptedValue
 	}
 	return reply
@@ -89,8 +89,8 @@
 	if m.Incarnation != n.incarnation {
 		return
 	}
-	if m.Tag == startupRead && n.acceptor.startReplies != nil {
-		n.acceptor.startReplies[e.From] = m
+	if m.Tag == startupReadTag && n.acceptor.startupReplies != nil {
+		n.acceptor.startupReplies[e.From] = m
 		n.tryResumeVoting(e.Now)
 	}
 	read := n.reads[m.Tag]
@@ -101,7 +101,7 @@
 	if !read.targetKnown && n.membership.Contains(e.From, m.DiskID) { // one that is only about to join may have voted, but does not count yet
 		read.acks[e.From] = m.DiskID
 		read.target = max(read.target, m.Index)
-		allowed := m.Tag == startupRead || n.mayVote()
+		allowed := m.Tag == startupReadTag || n.mayVote()
 		read.targetKnown = n.membership.HasQuorum(read.acks) && read.epoch == n.membership.Epoch && allowed
 	}
 	n.commitPersistedVote(e, read)
@@ -121,7 +121,7 @@
 		}
 	case read.targetKnown && read.target <= n.hardState.Applied:
 		delete(n.reads, tag)
-		if tag == startupRead {
+		if tag == startupReadTag {
 			n.caughtUp = true
 			n.effects.Changed = true
 		}
@@ -136,9 +136,9 @@
 	}
 }
 
-// settleUndecidedReads ends reads that wait for a vote at the next index, if a majority that promised after the read began does not
+// resolveUndecidedReads ends reads that wait for a vote at the next index, if a majority that promised after the read began does not
 // have that vote: the value was not decided before, and by the promises never will be in its ballot.
-func (n *Node) settleUndecidedReads(e Event) {
+func (n *Node) resolveUndecidedReads(e Event) {
 	for _, tag := range n.pendingReadTags() {
 		read := n.reads[tag]
 		awaitsVote := read.targetKnown && read.epoch == n.membership.Epoch && read.target == n.nextIndex()
@@ -178,6 +178,6 @@
 	if !read.targetKnown || read.target != n.nextIndex() || n.proposer.phase != Idle || !n.IsMember() {
 		return false
 	}
-	patience := resendAfter + int64(n.precedingPeers())*turnDelay
-	return now-read.queriedAt > patience && now >= n.proposer.retryAt
+	timeout := resendAfter + int64(n.precedingPeers())*staggerDelay
+	return now-read.queriedAt > timeout && now >= n.proposer.retryAt
 }
--- a/internal/control/consensus/timing.go
+++ b/internal/control/consensus/timing.go
@@ -8,14 +8,14 @@
 	forwardSilenceTimeout  = int64(250e6)  // after which such a member that answers nothing is skipped
 	forwardProgressTimeout = int64(700e6)  // after which such a member that answers, but decides nothing, is skipped
 	orphanedVoteTimeout    = int64(500e6)  // after which another member finishes a proposal that was voted on and not committed
-	turnDelay              = int64(150e6)  // by which each member waits longer than the one before it
+	staggerDelay           = int64(150e6)  // by which each member waits longer than the one before it
 	fetchRetryAfter        = int64(500e6)  // before missing changes are requested again
 	fetchDelay             = int64(250e6)  // for which a peer must have been ahead before changes are requested from it
 	foundersWait           = int64(400e6)  // for promises of all reachable founders, before those that have promised form the first epoch
 	startupWait            = int64(400e6)  // since the start, for the members that have not replied yet, before a majority is enough
 	membershipWait         = int64(200e6)  // for promises of all reachable members, before a change of members is checked against those that came
 	membershipInterval     = int64(400e6)  // between proposed changes of members
-	removalSilence         = int64(3e9)    // after which a silent member that its zone can do without is removed
+	removalTimeout         = int64(3e9)    // after which a silent member that its zone can do without is removed
 	requestTimeout         = int64(2500e6) // after which an operation or a read is answered as unavailable
 )
 
