--- a/internal/control/consensus/acceptor.go
+++ b/internal/control/consensus/acceptor.go
@@ -8,23 +8,26 @@
 	"portflow/internal/control/membership"
 )
 
-// acceptorState is the state of the acceptor beside HardState.
+// acceptorState is the volatile state of the acceptor. HardState is the part that is kept on disk.
 type acceptorState struct {
-	startupReplies   map[string]Message // replies of the members since this incarnation began, by IP address; nil once this process may vote
-	startupQueriedAt int64              // when the members were last asked for them
-	persistedVote    persistedVote      // the vote that is on disk
-	muted            bool               // the disk lacks some of HardState: nothing that depends on it is sent
-	votedAt          int64              // when this process last voted
+	// startupReplies holds the replies of the members to this incarnation's startup queries, by IP address. It is nil once this
+	// process may vote; see tryResumeVoting.
+	startupReplies   map[string]Message
+	startupQueriedAt int64         // when the members were last queried for startupReplies
+	persistedVote    persistedVote // the latest vote that is known to be on disk
+	muted            bool          // the disk lacks some of HardState; no message that depends on it may be sent
+	votedAt          int64         // when this process last voted
 }
 
-// persistedVote identifies a vote that is on disk.
+// persistedVote identifies a vote that has been synced to disk.
 type persistedVote struct {
 	index  uint64
 	ballot Ballot
 }
 
-// handleProposal handles Prepare and Accept (phases 1 and 2 of Paxos). The acceptor votes only at the index after the last that it
-// has applied, so a process that is behind, or lost its disk, never counts. It refuses ballots below the one that it promised.
+// handleProposal handles Prepare and Accept (phases 1 and 2 of Paxos). The acceptor promises and votes only at the index after
+// the last one it has applied, so a process that is behind or lost its disk never counts towards a quorum. It rejects ballots
+// lower than the one it has promised.
 func (n *Node) handleProposal(e Event, m Message) {
 	next := n.nextIndex()
 	switch {
@@ -51,8 +54,9 @@
 	n.sendAfterSync(e.From, n.promise(m))
 }
 
-// promise returns the reply to a Prepare. It carries the vote that this process has at the index, which the proposer must propose if
-// it is the highest. At the first index it also says who this process is and which items it holds.
+// promise returns the reply to a Prepare. It reports the vote that this process has cast at that index, if any; the proposer
+// must propose the value with the highest ballot among the reported votes. At index 1 the reply also carries this process's
+// identity and items.
 func (n *Node) promise(m Message) Message {
 	reply := Message{Kind: Promise, Index: m.Index, Ballot: m.Ballot}
 	if n.hardState.AcceptedIndex == m.Index {
@@ -70,8 +74,8 @@
 	return reply
 }
 
-// recordBallot records the promise or the vote that a Prepare or an Accept asks for. Nothing else changes HardState's ballots to
-// higher ones. A vote is a promise too: no lower ballot is voted in afterwards.
+// recordBallot records the promise or vote requested by a Prepare or an Accept. It is the only place where the ballots in
+// HardState increase. A vote is also a promise: this process will not vote in a lower ballot afterwards.
 func (n *Node) recordBallot(now int64, m Message) {
 	n.hardState.Promised = m.Ballot
 	n.proposer.highestBallot = max(n.proposer.highestBallot, m.Ballot.Number)
@@ -85,16 +89,18 @@
 	n.sendAfterSync(n.self.IP, Message{Kind: VotePersisted, Index: m.Index, Ballot: m.Ballot})
 }
 
-// hasUndecidedVote reports whether this process has voted at the next index; that value may be decided or not.
+// hasUndecidedVote reports whether this process has voted at the next index. The value may have been decided without this
+// process knowing it yet.
 func (n *Node) hasUndecidedVote() bool { return n.hardState.AcceptedIndex == n.nextIndex() }
 
 // mayVote reports whether this process may promise and vote; see tryResumeVoting.
 func (n *Node) mayVote() bool { return n.acceptor.startupReplies == nil || n.hardState.Applied == 0 }
 
-// tryResumeVoting lets this process promise and vote once it has asked the other members since it started, and lacks nothing that
-// one of them has applied. A disk may have been restored from an old image, and have forgotten promises and votes; with a bare
-// majority such a disk and one that is behind might decide again what is decided. So for a while all members are waited for,
-// and the highest vote that any of them reports becomes this process's own, as if its Accept had arrived just now.
+// tryResumeVoting allows this process to promise and vote again after a restart. Its disk may have been restored from an old
+// image and lack promises and votes that it has since made. If it voted at once, it could form a majority with a member that is
+// behind, and an index could be decided twice. It therefore waits for replies from all members, or after startupWait from a
+// majority, and until it has applied everything that any of them has applied. Then it adopts the vote with the highest ballot
+// that they report, as if that Accept had just arrived.
 func (n *Node) tryResumeVoting(now int64) {
 	if n.acceptor.startupReplies == nil || n.hardState.Applied == 0 || n.acceptor.muted {
 		return
@@ -122,7 +128,7 @@
 	n.adoptVote(now, highest)
 }
 
-// adoptVote takes over a vote that another member reports, unless a higher ballot is promised.
+// adoptVote records a vote reported by another member as this process's own, unless it has promised a higher ballot.
 func (n *Node) adoptVote(now int64, vote Message) {
 	if len(vote.Value) == 0 || vote.Accepted.Less(n.hardState.Promised) || !n.isVoter(n.self.IP, n.self.ID, vote.Value) {
 		return
@@ -130,7 +136,8 @@
 	n.recordBallot(now, Message{Kind: Accept, Index: n.nextIndex(), Ballot: vote.Accepted, Value: vote.Value})
 }
 
-// queryStartupReplies asks the members that have not replied since this process started; they may be others since the last time.
+// queryStartupReplies queries the members that have not replied since this process started. The membership may have changed
+// since the last query.
 func (n *Node) queryStartupReplies(now int64) {
 	waiting := n.acceptor.startupReplies != nil && n.caughtUp && n.hardState.Applied > 0
 	if !waiting || now-n.acceptor.startupQueriedAt <= resendAfter {
--- a/internal/control/consensus/batch.go
+++ b/internal/control/consensus/batch.go
@@ -8,18 +8,18 @@
 	"portflow/internal/control/operation"
 )
 
-// batch is a value in the making, of several operations.
+// batch collects the changes of several operations into one value to propose.
 type batch struct {
 	value    []config.Item
-	tags     []uint64           // of the operations in it
-	position map[config.Key]int // where an item is in value
-	preview  *config.Set        // the set with the first merged items of value; nil until a second operation needs it
-	merged   int
-	size     int // of value, a bound on its encoding in bytes
+	tags     []uint64           // tags of the operations in value
+	position map[config.Key]int // index in value, by item key
+	preview  *config.Set        // the set with the first merged items of value applied; nil until a second operation is evaluated
+	merged   int                // number of items of value that are applied to preview
+	size     int                // upper bound on the encoded size of value, in bytes
 }
 
-// admits reports whether an operation may go into the value beside what is in it: a value replaces the set alone, and changes
-// the members once.
+// admits reports whether an operation may be added to the value: a value that replaces the whole set contains nothing else, and
+// a value changes the membership at most once.
 func (b *batch) admits(op operation.Operation) bool {
 	switch {
 	case operation.ReplacesAll(b.value), len(b.value) >= maxBatchItems:
@@ -32,7 +32,7 @@
 	return true
 }
 
-// state returns the set with all of the value applied; preview must be set.
+// state returns the set with the whole value applied. preview must not be nil.
 func (b *batch) state() *config.Set {
 	for _, item := range b.value[b.merged:] {
 		b.preview.Merge(item)
@@ -41,7 +41,7 @@
 	return b.preview
 }
 
-// add adds what an operation changes, unless the value would get too large for a message.
+// add adds the items changed by an operation, unless the value would become too large for a message.
 func (b *batch) add(tag uint64, items []config.Item) {
 	if operation.ReplacesAll(items) {
 		b.value = items
@@ -59,7 +59,7 @@
 	b.tags = append(b.tags, tag)
 }
 
-// put adds an item, or replaces the older version of it that is in the value.
+// put adds an item, replacing an older version of it in the value.
 func (b *batch) put(item config.Item) {
 	at, exists := b.position[item.Key()]
 	if !exists {
@@ -73,8 +73,8 @@
 	}
 }
 
-// buildValue returns a value of the pending operations that are proposed here, with the tags of those in it. It ends those that need
-// no vote, because they are done already or can't be.
+// buildValue builds a value from the pending operations that this process proposes, and returns it with the tags of the
+// operations in it. It finishes operations that need no vote, because they change nothing or fail.
 func (n *Node) buildValue() (value []config.Item, tags []uint64) {
 	b := &batch{position: map[config.Key]int{}}
 	var remaining []*pendingOperation
@@ -87,7 +87,8 @@
 	return b.value, b.tags
 }
 
-// addToBatch adds an operation to the value, or ends it and reports so. An operation that is neither added nor ended stays pending.
+// addToBatch adds an operation to the batch, or finishes it and returns true. An operation that is neither added nor finished
+// stays pending.
 func (n *Node) addToBatch(b *batch, op *pendingOperation) (finished bool) {
 	if !op.proposeHere || !b.admits(op.operation) {
 		return false
@@ -97,7 +98,7 @@
 			return n.requirePrepare()
 		}
 		if !n.mayChangeMembership(op.operation) {
-			n.finish(op, Result{Kind: apierror.Unavailable, Reason: "the new members can't be sure to take over"})
+			n.finish(op, Result{Kind: apierror.Unavailable, Reason: "membership change might leave the new members without a quorum"})
 			return true
 		}
 	}
@@ -114,14 +115,16 @@
 	return false
 }
 
-// requirePrepare leaves an operation pending until a majority has promised anew: what this process has applied may not be the latest.
+// requirePrepare leaves an operation pending until a majority has promised a new ballot, because this process may not have
+// applied the latest state.
 func (n *Node) requirePrepare() (finished bool) {
 	n.proposer.prepared = false
 	return false
 }
 
-// evaluate returns what an operation changes after those in the value. Where it fails or changes nothing by them, while without them
-// it would change something, that is undecided until they are.
+// evaluate returns the items that an operation changes when it is applied after the operations in the batch. The result is
+// undecided if the operation fails or changes nothing there but would change something on the applied set: it then depends on
+// whether the batch is decided.
 func (n *Node) evaluate(b *batch, op operation.Operation) (items []config.Item, undecided bool, err error) {
 	if len(b.value) == 0 {
 		items, err = operation.Apply(n.Set, op)
@@ -139,19 +142,19 @@
 	return items, err == nil && len(items) > 0, err
 }
 
-// finishWithError ends an operation with an error, if the error is final. Only a conflict is always final; anything else may be wrong here just
-// because this process does not know the latest state.
+// finishWithError finishes an operation with an error if the error is final, and reports whether it did. Only a conflict is
+// always final; any other error may be due to this process not having applied the latest state.
 func (n *Node) finishWithError(op *pendingOperation, err error) (finished bool) {
 	kind := apierror.KindOf(err)
 	final := Result{Kind: kind, Reason: err.Error(), Index: n.hardState.Applied, NotProposed: op.proposedIndex == 0}
 	switch {
 	case kind == apierror.Conflict:
 		n.finish(op, final)
-	case op.proposedIndex == n.nextIndex(): // a vote on it may still be decided at that index
+	case op.proposedIndex == n.nextIndex(): // an earlier proposal of it may still be decided at this index
 		return false
 	case !n.proposer.confirmedLatest:
 		return n.requirePrepare()
-	case op.forwards > 0: // a copy of it elsewhere may still succeed
+	case op.forwards > 0: // a copy at another member may still succeed
 		n.finish(op, Result{Kind: apierror.Unavailable, Reason: "not clear yet: " + err.Error()})
 	default:
 		n.finish(op, final)
@@ -159,8 +162,8 @@
 	return true
 }
 
-// finishWithoutVote ends an operation that changes nothing. If that depends on the state, this process must know that it has the
-// latest.
+// finishWithoutVote finishes an operation that changes nothing. If its outcome depends on the state, this process must first
+// confirm that it has applied the latest state.
 func (n *Node) finishWithoutVote(op *pendingOperation) (finished bool) {
 	if op.operation.DependsOnState() && !n.proposer.confirmedLatest {
 		return n.requirePrepare()
@@ -169,9 +172,9 @@
 	return true
 }
 
-// finishSatisfied ends changes that another proposer has brought to a decision, and reports whether operations are left that are
-// proposed here: a ballot that nothing needs would only get in the way of the others. That a change of the configuration is done
-// stays true, by its versions; of other operations only one with the latest state knows.
+// finishSatisfied finishes configuration changes that are already decided through another proposer, and reports whether
+// operations to propose remain: a needless ballot would only preempt other proposers. Item versions ensure that a decided
+// configuration change stays decided. For other operations, only a process with the latest state can tell.
 func (n *Node) finishSatisfied() (remaining bool) {
 	n.forwarder.pending = slices.DeleteFunc(n.forwarder.pending, func(op *pendingOperation) bool {
 		if !op.proposeHere {
@@ -187,7 +190,7 @@
 	return remaining
 }
 
-// isSatisfied reports whether a change of the configuration is decided.
+// isSatisfied reports whether an operation is a configuration change that the applied set already contains.
 func (n *Node) isSatisfied(op operation.Operation) bool {
 	if op.Kind != operation.ModifyConfig {
 		return false
--- a/internal/control/consensus/catchup.go
+++ b/internal/control/consensus/catchup.go
@@ -8,24 +8,25 @@
 	"portflow/internal/control/operation"
 )
 
-// catchUpState is the state of fetching what this process lacks: the changes since the last that it applied, or a snapshot.
+// catchUpState is the state of fetching missing changes or a snapshot from a peer.
 type catchUpState struct {
 	from             string // the peer that was asked, empty for none
-	requestedAt      int64  // when it was asked, or last sent a chunk
-	appliedAtRequest uint64 // what was applied here when it was asked
+	requestedAt      int64  // when the request was sent or the last chunk was received
+	appliedAtRequest uint64 // the last applied index when the request was sent
 	partitions       []int  // the partitions of the set that the snapshot replaces
 	items            []config.Item
-	behindSince      int64 // since when a peer has applied more than this process, 0 for none
+	behindSince      int64 // since when some peer has applied more than this process, 0 for none
 }
 
-// reset forgets a fetch.
+// reset cancels the fetch. It keeps behindSince.
 func (s *catchUpState) reset() {
 	s.from = ""
 	s.partitions = nil
 	s.items = nil
 }
 
-// checkLag requests changes from the peer that has applied the most, once one has been ahead for a while.
+// checkLag requests changes from the peer that has applied the most, once some peer has been ahead for fetchDelay. During
+// startup it requests them at once.
 func (n *Node) checkLag(now int64) {
 	peer := n.mostAdvancedPeer()
 	if peer == "" {
@@ -40,7 +41,8 @@
 	}
 }
 
-// mostAdvancedPeer returns the IP address of the peer that has applied the most, empty if none has applied more than this process.
+// mostAdvancedPeer returns the IP address of the peer that has applied the most, or "" if no peer has applied more than this
+// process.
 func (n *Node) mostAdvancedPeer() string {
 	peer, highest := "", n.hardState.Applied
 	for _, ip := range slices.Sorted(maps.Keys(n.peers)) {
@@ -51,7 +53,8 @@
 	return peer
 }
 
-// requestChanges asks a peer for what was decided since, unless another was asked just now.
+// requestChanges asks a peer for the changes decided after the last applied index, unless a recent request is still
+// outstanding.
 func (n *Node) requestChanges(now int64, ip string) {
 	pending := n.catchUp.from != "" && now-n.catchUp.requestedAt < fetchRetryAfter
 	if pending || ip == n.self.IP {
@@ -66,8 +69,8 @@
 	n.send(ip, Message{Kind: FetchChanges, Checksums: checksums[:]})
 }
 
-// serveChanges sends a peer what was decided since: the changes as long as they are kept, or else a snapshot. The present proposal
-// follows, which the peer could not vote on before.
+// serveChanges sends a peer the changes that it lacks, or a snapshot if the history no longer reaches back far enough. It then
+// resends the current proposal, which the peer could not vote on before.
 func (n *Node) serveChanges(to string, m Message) {
 	if m.Applied >= n.hardState.Applied || n.hardState.Applied == 0 {
 		return
@@ -80,7 +83,7 @@
 	n.resendProposal(to)
 }
 
-// after returns the values of the indexes after one, as many as a message may hold: the peer requests the rest.
+// after returns the values decided after an index, up to the size limit of a message. The peer requests the rest.
 func (h *changeHistory) after(index uint64) (batches [][]config.Item) {
 	items, bytes := 0, 0
 	for _, change := range h.changes {
@@ -110,13 +113,13 @@
 			continue
 		}
 		n.send(to, chunk)
-		chunk.Value, chunk.Parts, size = nil, nil, 0 // only the first chunk names the partitions
+		chunk.Value, chunk.Parts, size = nil, nil, 0 // only the first chunk lists the partitions
 	}
 	chunk.Final = true
 	n.send(to, chunk)
 }
 
-// handleChanges applies the requested changes that follow on what is applied here.
+// handleChanges applies the requested changes that follow the last applied index.
 func (n *Node) handleChanges(e Event, m Message) {
 	if n.catchUp.from != e.From || m.Index > n.hardState.Applied {
 		return
@@ -134,8 +137,8 @@
 	}
 }
 
-// handleSnapshotChunk collects the chunks of the requested snapshot, and installs it with the last one. A snapshot that begins anew
-// takes the place of one that was not finished.
+// handleSnapshotChunk collects the chunks of the requested snapshot and installs it when the last one has arrived. The first
+// chunk of another snapshot discards an incomplete one.
 func (n *Node) handleSnapshotChunk(e Event, m Message) {
 	fetch := &n.catchUp
 	if fetch.from != e.From || fetch.appliedAtRequest != n.hardState.Applied {
@@ -157,14 +160,15 @@
 	}
 }
 
-// verifySnapshot reports whether the set with a snapshot installed has the sender's checksum. If not, it is requested again by checkLag.
+// verifySnapshot reports whether the set with the snapshot installed has the sender's checksum. After a mismatch checkLag
+// requests the snapshot again.
 func (n *Node) verifySnapshot(partitions []int, items []config.Item, checksum uint64) bool {
 	next := n.Set.Clone()
 	next.ReplacePartitions(partitions, items)
 	return next.Checksum() == checksum
 }
 
-// installSnapshot replaces partitions of the set by those of a snapshot as of an index.
+// installSnapshot replaces partitions of the set by those of a snapshot taken at index.
 func (n *Node) installSnapshot(e Event, index uint64, partitions []int, items []config.Item) {
 	n.abandonProposal(e, false)
 	updated, removed := n.Set.ReplacePartitions(partitions, items)
--- a/internal/control/consensus/event.go
+++ b/internal/control/consensus/event.go
@@ -6,7 +6,7 @@
 	"portflow/internal/control/operation"
 )
 
-// Peer is the status of another control process, as it last reported it.
+// Peer is the last reported status of another control process.
 type Peer struct {
 	Member   membership.Member
 	Epoch    uint64
@@ -14,38 +14,38 @@
 	CaughtUp bool
 }
 
-// Event is the input of Node.Step. It is exactly one of: Tick; Message (with From); Peer (with From); PeerLost (with From);
-// Operation (with Tag); Read (with Tag); Recover.
+// Event is the input of Node.Step. Exactly one of these is set: Tick; Message (with From); Peer (with From); PeerLost (with
+// From); Operation (with Tag); Read (with Tag); Recover.
 type Event struct {
-	Now       int64                // of a monotonic clock, nanoseconds
-	Random    float64              // drawn from [0, 1)
-	Tick      bool                 // time has passed; due soon again while Node.Busy
-	From      string               // IP address of the sender of a message, or of the peer
-	Message   *Message             // a message has arrived
-	Peer      *Peer                // a peer is connected, and reports this status
-	PeerLost  bool                 // the connection to a peer is lost
-	Operation *operation.Operation // a client of this process submits an operation
-	Read      bool                 // a client of this process wants a linearizable read
-	Recover   bool                 // an operator makes this process the only member, because the others are lost for good
-	Tag       uint64               // identifies the operation or the read in its Answer; not 0, and below 1<<32
+	Now       int64                // monotonic time in nanoseconds
+	Random    float64              // a random number in [0, 1)
+	Tick      bool                 // time has passed; the next Tick is due soon while Node.Busy
+	From      string               // IP address of the sender of Message, or of the peer
+	Message   *Message             // a message was received
+	Peer      *Peer                // a connected peer reported its status
+	PeerLost  bool                 // the connection to a peer was lost
+	Operation *operation.Operation // a client of this process submitted an operation
+	Read      bool                 // a client of this process requested a linearizable read
+	Recover   bool                 // an operator makes this process the only member because the others are permanently lost
+	Tag       uint64               // identifies the operation or read in its Answer; greater than 0 and less than 1<<32
 }
 
-// Effects are the output of Node.Step. The caller carries them out in this order: it queues the write first, then sends Send at
-// once, and sends SendAfterSync only when that write is on disk.
+// Effects are the output of Node.Step. The caller must first queue the write, then send the messages in Send at once, and send
+// those in SendAfterSync only after the write has been synced.
 type Effects struct {
 	HardState     *HardState           // if not nil, to be written with SaveItems and DeleteKeys in one synced write
-	SaveItems     []config.Item        // that entered the set since the last write
-	DeleteKeys    []config.Key         // that left the set since the last write
-	Updated       []config.Item        // applied in this step, for subscribers
-	Removed       []config.Key         // that left the set in this step
-	Replaced      bool                 // items were removed or went back to older versions: subscribers need a snapshot, Updated is not enough
-	Changed       bool                 // the set, the members or this process's status has changed
-	Send          map[string][]Message // by IP address, to be sent at once
-	SendAfterSync map[string][]Message // by IP address, to be sent when the write is synced
+	SaveItems     []config.Item        // items added to the set or updated since the last write
+	DeleteKeys    []config.Key         // keys removed from the set since the last write
+	Updated       []config.Item        // items added or updated in this step, for subscribers
+	Removed       []config.Key         // keys removed from the set in this step
+	Replaced      bool                 // items were removed or reverted to older versions; subscribers need a snapshot instead of Updated
+	Changed       bool                 // the set, the membership or the status of this process has changed
+	Send          map[string][]Message // messages to send at once, by IP address
+	SendAfterSync map[string][]Message // messages to send after the write has been synced, by IP address
 	Answers       []Answer
 }
 
-// Answer ends an operation or a read of a client of this process.
+// Answer is the result of an operation or a read submitted by a client of this process.
 type Answer struct {
 	Tag    uint64
 	Result Result
--- a/internal/control/consensus/forward.go
+++ b/internal/control/consensus/forward.go
@@ -8,54 +8,58 @@
 	"portflow/internal/control/operation"
 )
 
-// probeTag is the tag of a ReadIndex that no read waits for: it only asks whether a member answers.
+// probeTag is the tag of a ReadIndex that only checks whether a member responds; no read waits for the reply.
 const probeTag = ^uint64(0)
 
-// internalTagBase is where the tags begin that a node chooses itself; those of its clients are below.
+// internalTagBase is the lower bound of the tags that a node assigns itself. Clients use lower tags.
 const internalTagBase = uint64(1) << 32
 
-// forwarderState holds the pending operations, and what is known of the members that they may be forwarded to.
+// forwarderState holds the pending operations and the state of the members that operations may be forwarded to.
 type forwarderState struct {
-	pending        []*pendingOperation // at most maxPending, in order of arrival
-	lastTag        uint64              // the last tag that this node chose
-	lastReplyAt    map[string]int64    // when a peer last answered this process, by IP address
-	lastProgressAt map[string]int64    // when a peer last decided something, or ended an operation of this process
-	skipped        map[string]bool     // members that are no preferred proposers for now: until they answer or, if true, decide something
-	lastProbeAt    int64               // when a member was last probed
+	pending        []*pendingOperation // in order of arrival, at most maxPending
+	lastTag        uint64              // the last tag assigned by this node
+	lastReplyAt    map[string]int64    // when a peer last replied to this process, by IP address
+	lastProgressAt map[string]int64    // when a peer last committed a value or finished an operation of this process, by IP address
+
+	// skipped holds the members that are currently not eligible as preferred proposer, by IP address: until they make progress if
+	// the value is true, otherwise until they reply.
+	skipped     map[string]bool
+	lastProbeAt int64 // when a member was last probed
 }
 
-// pendingOperation is an operation that is not decided yet.
+// pendingOperation is an operation that has not been decided yet.
 type pendingOperation struct {
 	tag               uint64
 	operation         operation.Operation
 	receivedAt        int64
-	forwardedAt       int64  // when it was forwarded, 0 if it is not, or is to be forwarded anew
-	forwards          int    // how often it was forwarded: there may be as many copies of it
-	forwardNotBefore  int64  // when it may be forwarded again
-	proposedIndex     uint64 // the index at which it was last voted on, 0 for never
-	forwardedTo       string // the IP address of the member that it was forwarded to
-	origin            string // the IP address of the process that forwarded it here, empty for this one
-	originTag         uint64 // its tag there
-	originIncarnation string // the incarnation of that process
+	forwardedAt       int64  // when it was last forwarded, 0 if it is not forwarded or is to be forwarded again
+	forwards          int    // number of times it was forwarded; each may have left a copy at another member
+	forwardNotBefore  int64  // the earliest time at which it may be forwarded again
+	proposedIndex     uint64 // the index at which this process last proposed it, 0 for never
+	forwardedTo       string // IP address of the member that it is forwarded to
+	origin            string // IP address of the process that forwarded it to this one, empty if submitted here
+	originTag         uint64 // its tag at origin
+	originIncarnation string // the incarnation of the process at origin
 	proposeHere       bool   // this process proposes it
-	internal          bool   // this node submitted it: no client waits for its end
+	internal          bool   // submitted by this node itself; no client waits for the result
 }
 
-// bind makes an operation conditional on the present state, unless it is already: there may be a copy of it, or a vote on it, and
-// all of them must have the same condition, so that only one is ever made.
+// bind makes an operation conditional on the current state of the item that it changes, unless it already is conditional. Once
+// a copy or a proposal of the operation may exist elsewhere, all of them must carry the same condition, so that the operation
+// takes effect at most once.
 func (op *pendingOperation) bind(set *config.Set) {
 	if !op.operation.Conditional {
 		op.operation = operation.Bind(set, op.operation)
 	}
 }
 
-// resetForward lets an operation be forwarded anew.
+// resetForward marks the operation as not forwarded, so that it is forwarded again.
 func (op *pendingOperation) resetForward() {
 	op.forwardedAt = 0
 	op.forwardedTo = ""
 }
 
-// submit queues an operation of a client, of another process or of this node itself.
+// submit queues an operation of a client, of another process or of this node.
 func (n *Node) submit(now int64, op *pendingOperation) {
 	op.receivedAt = now
 	op.internal = op.origin == "" && op.tag == 0
@@ -64,18 +68,18 @@
 		op.tag = n.forwarder.lastTag
 	}
 	if len(n.forwarder.pending) >= maxPending {
-		n.finish(op, Result{Kind: apierror.Unavailable, Reason: "too many orders wait", NotProposed: true})
+		n.finish(op, Result{Kind: apierror.Unavailable, Reason: "too many pending operations", NotProposed: true})
 		return
 	}
 	if op.origin != "" && !n.IsMember() {
-		n.finish(op, Result{Kind: apierror.Unavailable, Reason: "no member of the core", NotProposed: true})
+		n.finish(op, Result{Kind: apierror.Unavailable, Reason: "not a voting member", NotProposed: true})
 		return
 	}
 	op.proposeHere = op.origin != ""
 	n.forwarder.pending = append(n.forwarder.pending, op)
 }
 
-// handleForward queues an operation that another process forwarded.
+// handleForward queues an operation forwarded by another process.
 func (n *Node) handleForward(e Event, m Message) {
 	if m.Operation == nil {
 		return
@@ -88,7 +92,7 @@
 	})
 }
 
-// finish answers an operation, here or to the process that forwarded it.
+// finish sends the result of an operation to the client, or to the process that forwarded it.
 func (n *Node) finish(op *pendingOperation, r Result) {
 	if op.origin != "" {
 		n.send(op.origin, Message{Kind: ForwardResult, Tag: op.originTag, Incarnation: op.originIncarnation, Result: &r})
@@ -99,8 +103,8 @@
 	}
 }
 
-// advance goes on with the pending operations at the end of each step. A proposal begins if there is none, and this process has
-// operations to propose or must finish an orphaned vote.
+// advance processes the pending operations at the end of each step. It starts a proposal if none is running and this process
+// has operations to propose or an orphaned vote to finish.
 func (n *Node) advance(e Event) {
 	n.expirePending(e.Now)
 	if !n.caughtUp || n.hardState.Applied == 0 {
@@ -123,7 +127,7 @@
 	n.prepare(e)
 }
 
-// expirePending answers operations that have waited for too long; they may still be decided.
+// expirePending fails operations that have been pending for longer than requestTimeout. They may still be decided.
 func (n *Node) expirePending(now int64) {
 	n.forwarder.pending = slices.DeleteFunc(n.forwarder.pending, func(op *pendingOperation) bool {
 		if now-op.receivedAt <= requestTimeout {
@@ -134,15 +138,15 @@
 	})
 }
 
-// hasOrphanedVote reports whether this process has voted for something that its proposer has not committed for long. The members
-// take turns in finishing it.
+// hasOrphanedVote reports whether this process has voted for a value that has not been committed within a timeout. The timeout
+// is staggered by member, so that they do not all propose the value again at once.
 func (n *Node) hasOrphanedVote(now int64) bool {
 	timeout := orphanedVoteTimeout + int64(n.precedingPeers())*staggerDelay
 	return n.hasUndecidedVote() && now-n.acceptor.votedAt > timeout
 }
 
-// proposeWithoutPrepare proposes the pending operations in the ballot that a majority promised before: the promise holds for all
-// later indexes, so phase 1 can be left out (Multi-Paxos). It reports whether this is all there is to do now; if not, phase 1 is needed.
+// proposeWithoutPrepare proposes the pending operations in a ballot that a majority has already promised: the promise covers
+// all later indexes, so phase 1 can be skipped (Multi-Paxos). It returns false if phase 1 is needed.
 func (n *Node) proposeWithoutPrepare(e Event) (done bool) {
 	n.proposer.confirmedLatest = false
 	if value, tags := n.buildValue(); len(value) > 0 {
@@ -152,8 +156,8 @@
 	return n.proposer.prepared || !slices.ContainsFunc(n.forwarder.pending, func(op *pendingOperation) bool { return op.proposeHere })
 }
 
-// preferredProposer returns the IP address of the member that proposes for all others: the first that this process can reach, that
-// has caught up and is not skipped. Different members may see different ones; that costs time, never safety.
+// preferredProposer returns the IP address of the member that should propose for all others: the first one in the member list
+// that is reachable, has caught up and is not skipped. Members may disagree on it; that costs time but never safety.
 func (n *Node) preferredProposer() string {
 	for _, member := range n.membership.Members {
 		if member.IP == n.self.IP && n.IsMember() {
@@ -168,9 +172,9 @@
 	return ""
 }
 
-// forwardPending forwards operations to the preferred proposer, and reports whether some are to be proposed here: because this
-// process is the preferred proposer, or there is none. Several proposers at once would reject each other's ballots, so an
-// operation stays forwarded as long as the member that has it answers, and decides something now and then.
+// forwardPending forwards operations to the preferred proposer. It reports whether operations are to be proposed here, because
+// this process is the preferred proposer or there is none. Concurrent proposers would preempt each other, so an operation stays
+// forwarded as long as the member that has it replies and makes progress.
 func (n *Node) forwardPending(e Event) (proposeHere bool) {
 	probed := map[string]bool{}
 	for _, op := range n.forwarder.pending {
@@ -186,8 +190,9 @@
 	return proposeHere
 }
 
-// checkForwarded recalls an operation from a member that is silent or stalled, and then skips that member; or that has had it for so
-// long that it may have lost it. A member that has only just become silent is probed, once for all operations that it has.
+// checkForwarded checks the member that an operation was forwarded to. If the member is silent or stalled, it is skipped, and
+// all its operations are forwarded again. If it has had the operation for longer than forwardProgressTimeout, it may have lost
+// it, and this operation is forwarded again. A member that became silent only recently is probed, once for all its operations.
 func (n *Node) checkForwarded(now int64, op *pendingOperation, probed map[string]bool) {
 	f := &n.forwarder
 	member := op.forwardedTo
@@ -205,7 +210,7 @@
 	}
 }
 
-// assignProposer decides who proposes an operation that nobody has yet, and forwards it.
+// assignProposer assigns a pending operation to this process or forwards it, if neither has been done yet.
 func (n *Node) assignProposer(now int64, op *pendingOperation) {
 	preferred := n.preferredProposer()
 	switch {
@@ -219,7 +224,7 @@
 	}
 }
 
-// forward sends an operation to a member. From then on there may be a copy of it.
+// forward sends an operation to a member, which may keep a copy of it from then on.
 func (n *Node) forward(now int64, op *pendingOperation, to string) {
 	n.Counts.Handed++
 	op.forwardedAt = now
@@ -230,7 +235,7 @@
 	n.send(to, Message{Kind: Forward, Tag: op.tag, Operation: &forwarded})
 }
 
-// resetForwardsTo lets all operations that were forwarded to a member be forwarded anew.
+// resetForwardsTo resets all operations that were forwarded to a member.
 func (n *Node) resetForwardsTo(ip string) {
 	for _, op := range n.forwarder.pending {
 		if op.forwardedTo == ip {
@@ -239,7 +244,8 @@
 	}
 }
 
-// handleForwardResult handles how a forwarded operation ended, unless it was recalled since.
+// handleForwardResult handles the result of a forwarded operation. It ignores a result from a member that the operation is no
+// longer forwarded to.
 func (n *Node) handleForwardResult(e Event, m Message) {
 	if m.Result == nil {
 		return
@@ -249,7 +255,7 @@
 		return
 	}
 	op, result := n.forwarder.pending[at], *m.Result
-	if result.Kind == apierror.Unavailable { // its condition holds no longer, or that member can't propose
+	if result.Kind == apierror.Unavailable { // its condition no longer holds, or that member could not get it decided
 		n.retryForward(e.Now, op, result)
 		return
 	}
@@ -261,8 +267,8 @@
 	n.finish(op, result)
 }
 
-// retryForward has an operation forwarded again after a while. If there is no copy of it and no vote on it, it need not hold to the
-// condition of the first time.
+// retryForward has an operation forwarded again after staggerDelay. If no other copy and no proposal of it exists, its
+// condition is removed, so that it is bound to the current state when it is forwarded again.
 func (n *Node) retryForward(now int64, op *pendingOperation, r Result) {
 	op.resetForward()
 	op.forwardNotBefore = now + staggerDelay
@@ -272,8 +278,8 @@
 	}
 }
 
-// recordProgress notes what a message shows of its sender: that it receives from this process, or that it makes progress. Messages that are
-// repeated without cause show neither.
+// recordProgress records whether a message shows that its sender receives messages from this process, or that it makes
+// progress. Messages that are resent periodically show neither.
 func (n *Node) recordProgress(now int64, from string, m Message) {
 	f := &n.forwarder
 	replied := m.Kind == ReadIndexReply || m.Kind == ForwardResult
@@ -290,7 +296,7 @@
 	}
 }
 
-// precedingPeers returns how many connected members come before this one: each waits for those before it.
+// precedingPeers returns the number of connected members with a lower IP address. It staggers actions that any member may take.
 func (n *Node) precedingPeers() (count int) {
 	for _, member := range n.membership.Members {
 		if _, connected := n.peers[member.IP]; connected && member.IP < n.self.IP {
--- a/internal/control/consensus/learner.go
+++ b/internal/control/consensus/learner.go
@@ -6,22 +6,21 @@
 	"portflow/internal/control/operation"
 )
 
-// recentChange is a decided value.
+// recentChange is a value that was decided recently.
 type recentChange struct {
 	index uint64
 	items []config.Item
-	bytes int // a bound on the encoding of items
+	bytes int // upper bound on the encoded size of items
 }
 
-// changeHistory keeps the last decided values for peers that catch up. Older ones are needed by nobody: a peer that lacks them gets
-// a snapshot.
+// changeHistory keeps the most recent decided values for peers that catch up. A peer that lacks older ones gets a snapshot.
 type changeHistory struct {
-	changes []recentChange // of successive indexes, the oldest first
-	items   int            // in changes
-	bytes   int            // in changes
+	changes []recentChange // with consecutive indexes, oldest first
+	items   int            // total number of items in changes
+	bytes   int            // total of their bytes fields
 }
 
-// add appends a change, and forgets the oldest ones beyond the bounds.
+// add appends a change, and drops the oldest changes while the limits are exceeded.
 func (h *changeHistory) add(index uint64, items []config.Item) {
 	change := recentChange{index, items, config.EncodedSizeBound(items)}
 	h.changes = append(h.changes, change)
@@ -39,14 +38,15 @@
 	return len(h.changes) > maxRecentChanges || (h.items > maxRecentItems || h.bytes > maxRecentBytes) && len(h.changes) > 0
 }
 
-// clearHistory forgets all changes: the set is no longer what they made it.
+// clearHistory drops all recent changes. It is called when the set no longer results from them.
 func (n *Node) clearHistory() { n.history = changeHistory{} }
 
-// nextIndex returns the index after the last applied one, the only one that this process promises, votes and proposes for.
+// nextIndex returns the index after the last applied one. It is the only index at which this process promises, votes and
+// proposes.
 func (n *Node) nextIndex() uint64 { return n.hardState.Applied + 1 }
 
-// handleCommit learns a decision. The value is the one that this process voted for in the same ballot, as a ballot stands for one
-// value; without that vote the decided value is fetched.
+// handleCommit handles the announcement that a value was decided. If this process voted at that index in the same ballot, it
+// has the value, as a ballot proposes only one value per index. Otherwise it fetches the changes.
 func (n *Node) handleCommit(e Event, m Message) {
 	if m.Index <= n.hardState.Applied {
 		return
@@ -58,7 +58,7 @@
 	n.requestChanges(e.Now, e.From)
 }
 
-// applyVote applies the value that this process voted for at the next index, which is decided.
+// applyVote applies the value that this process voted for at the next index. The value must have been decided.
 func (n *Node) applyVote(e Event) {
 	index, value := n.hardState.AcceptedIndex, n.hardState.AcceptedValue
 	if n.proposer.phase != Idle {
@@ -68,8 +68,8 @@
 	n.apply(e.Now, index, value)
 }
 
-// commitPersistedVote applies the vote of this process at the next index if the replies to a read show that a quorum has the same vote
-// on disk: then it is decided. After all processes lost power at once, nobody needs to propose again.
+// commitPersistedVote applies the vote of this process at the next index if the replies to a read show that a quorum has the
+// same vote on disk: the value is then decided. This avoids a new proposal after all processes lost power at once.
 func (n *Node) commitPersistedVote(e Event, read *pendingRead) {
 	vote := n.hardState.Accepted
 	if !n.hasUndecidedVote() || vote == (Ballot{}) || n.hardState.Applied == 0 {
@@ -86,12 +86,12 @@
 	}
 }
 
-// apply applies a decided value to the set. Values are applied in the order of their indexes, each once.
+// apply applies a decided value to the set. Values are applied in index order, each once.
 func (n *Node) apply(now int64, index uint64, items []config.Item) {
 	if operation.ReplacesAll(items) {
 		n.stageChanges(n.Set.ReplaceAll(items[1:]))
 		n.effects.Replaced = true
-		n.clearHistory() // a peer that is behind gets a snapshot
+		n.clearHistory() // peers that are behind get a snapshot
 	} else {
 		n.mergeItems(items)
 	}
@@ -105,7 +105,7 @@
 	n.Counts.Decided++
 }
 
-// mergeItems merges the items of a decided value into the set.
+// mergeItems merges the items of a decided value into the set, and stages those that changed it.
 func (n *Node) mergeItems(items []config.Item) {
 	for _, item := range items {
 		if n.Set.Merge(item) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// afterApply brings all that depends on the set or on the index up to date.
+// afterApply updates everything that depends on the set or on the applied index.
 func (n *Node) afterApply(now int64, index uint64) {
 	voteOnDisk := n.hardState.AcceptedIndex == index && len(n.unsaved.items) <= maxBatchItems
 	n.hardState.Applied = index
--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -8,9 +8,9 @@
 	"portflow/internal/control/operation"
 )
 
-// maintainMembership has the preferred proposer propose changes of the members: processes that have come join, and silent members
-// whose zone can do without them are removed. A change is a value like any other; mayChangeMembership checks it again before it
-// is voted on.
+// maintainMembership proposes membership changes if this process is the preferred proposer: it adds processes that may join,
+// and removes silent members that their zones can do without. A membership change is a value like any other;
+// mayChangeMembership checks it again before the vote.
 func (n *Node) maintainMembership(e Event) {
 	n.trackSilentMembers(e.Now)
 	if !n.caughtUp || n.preferredProposer() != n.self.IP || n.hasPendingMembershipChange() {
@@ -37,7 +37,7 @@
 	}})
 }
 
-// trackSilentMembers notes since when members that were never connected are silent.
+// trackSilentMembers starts the silence timer of members that have not been connected since this process started.
 func (n *Node) trackSilentMembers(now int64) {
 	for _, member := range n.membership.Members {
 		_, connected := n.peers[member.IP]
@@ -47,15 +47,14 @@
 	}
 }
 
-// hasPendingMembershipChange reports whether a change of the members is pending.
 func (n *Node) hasPendingMembershipChange() bool {
 	return slices.ContainsFunc(n.forwarder.pending, func(op *pendingOperation) bool {
 		return op.operation.Kind == operation.ChangeMembers
 	})
 }
 
-// joiningMembers returns the peers that are to become members: in the place of the same host with its lost disk always, else where a
-// zone has fewer live members than it is to have. The others are learners that stand by.
+// joiningMembers returns the peers that should become members: a peer that replaces the member on the same host, which lost its
+// disk, or one in a zone with fewer than minPerZone live members. All other peers remain learners.
 func (n *Node) joiningMembers() (joining []membership.Member) {
 	for _, ip := range slices.Sorted(maps.Keys(n.peers)) {
 		peer := n.peers[ip]
@@ -70,7 +69,7 @@
 	return joining
 }
 
-// mayJoin reports whether a peer is no member, has caught up, and was not removed by an operator.
+// mayJoin reports whether a peer is not a member, has caught up, and was not excluded by an operator.
 func (n *Node) mayJoin(ip string, peer Peer) bool {
 	switch {
 	case !peer.CaughtUp, peer.Applied+maxJoinLag < n.hardState.Applied:
@@ -81,7 +80,7 @@
 	return !n.membership.Contains(ip, peer.Member.ID)
 }
 
-// longSilentMembers returns the IP addresses of the members that have been silent for so long that they may be removed.
+// longSilentMembers returns the IP addresses of the members that have been silent for longer than removalTimeout.
 func (n *Node) longSilentMembers(now int64) (silent []string) {
 	for _, member := range n.membership.Members {
 		if since := n.silentSince[member.IP]; since != 0 && now-since > removalTimeout {
@@ -91,14 +90,14 @@
 	return silent
 }
 
-// shouldAwaitRemoval reports whether members that join should wait until silent ones of their zones can be removed in the same change.
-// Counted beside its predecessor, a new member raises the majority, and the core tolerates no more losses than before.
+// shouldAwaitRemoval reports whether the members that join should wait until silent members of their zones can be removed in
+// the same change. Adding a new member while its predecessor still counts raises the majority without tolerating more losses.
 func (n *Node) shouldAwaitRemoval(joining []membership.Member) bool {
 	current := n.tolerance(n.membership)
 	return current >= 0 && n.tolerance(n.membership.Change(joining, nil)) <= current && n.zoneHasSilentMember(joining)
 }
 
-// zoneHasSilentMember reports whether a zone of those that join has a member on another host that is not connected.
+// zoneHasSilentMember reports whether some joining member's zone has an unconnected member on another host.
 func (n *Node) zoneHasSilentMember(joining []membership.Member) bool {
 	return slices.ContainsFunc(n.membership.Members, func(member membership.Member) bool {
 		_, connected := n.peers[member.IP]
@@ -111,8 +110,9 @@
 	})
 }
 
-// selectRemovals returns which of the removable members are removed: the first, or as many as are needed until the core tolerates a
-// loss. Of five members with two lost, a list of four would tolerate none, and one of three does.
+// selectRemovals returns the shortest prefix of the removable members whose removal leaves a membership that tolerates at least
+// one more loss, and no fewer than now; nil if there is none. For example, with two of five members lost, a list of four would
+// tolerate no further loss, but a list of three tolerates one.
 func (n *Node) selectRemovals(joining []membership.Member, removable []string) []string {
 	for i := range removable {
 		leaving := removable[:i+1]
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// liveInZone returns how many members of a zone are reachable, counting those that join.
+// liveInZone returns the number of reachable and joining members in a zone.
 func (n *Node) liveInZone(zone string, joining []membership.Member) (count int) {
 	for _, member := range n.membership.Members {
 		if member.Zone == zone && n.isReachableOrSelf(member) {
@@ -138,10 +138,10 @@
 	return count
 }
 
-// mayChangeMembership reports whether a change of the members may be voted on. Once it is, it may be decided, and can't be given up:
-// if the new members lack a majority, the core waits until enough of them are back. So those that have just promised must be a
-// majority of the new members, whatever becomes of those that join. Members that join may be counted only if the change raises
-// the margin over a majority, or if there is a single member.
+// mayChangeMembership reports whether a membership change may be put to the vote. After that it may be decided and cannot be
+// withdrawn: if the new members then lack a majority, the cluster blocks until enough of them return. The members that have
+// just promised must therefore be a majority of the new members by themselves. Joining members are counted as well only if the
+// change increases the margin over a majority, or if there is only one member.
 func (n *Node) mayChangeMembership(op operation.Operation) bool {
 	next := n.membership.Change(op.Add, op.Remove)
 	promised := n.proposer.acks
@@ -160,7 +160,8 @@
 	return next.QuorumMargin(reachable) > n.membership.QuorumMargin(promised) || len(n.membership.Members) == 1
 }
 
-// tolerance returns how many members of a list may be lost beside those that are unreachable now; below 0 there is no majority.
+// tolerance returns how many members of a list may be lost in addition to those that are unreachable now. It is negative if the
+// reachable ones are no majority.
 func (n *Node) tolerance(list membership.List) int {
 	var down []string
 	for _, member := range list.Members {
--- a/internal/control/consensus/message.go
+++ b/internal/control/consensus/message.go
@@ -7,31 +7,31 @@
 	"portflow/internal/control/operation"
 )
 
-// MessageKind says what a message means. The values are sent.
+// MessageKind is the type of a message. The values are part of the wire format.
 type MessageKind string
 
-// The kinds of messages: the two phases of Paxos with their replies, then reads, catch-up and forwarded operations.
+// The message kinds: the two phases of Paxos with their replies, then reads, catch-up and forwarded operations.
 const (
-	Prepare        MessageKind = "p" // phase 1a: a proposer asks for promises; Index is the log index that it wants to decide
-	Promise        MessageKind = "q" // phase 1b: with the vote that the acceptor has at that index; at index 1 also with its Member and items
+	Prepare        MessageKind = "p" // phase 1a: a proposer asks for promises to decide Index in Ballot
+	Promise        MessageKind = "q" // phase 1b: with the acceptor's vote at Index, if any; at index 1 also with its Member and items
 	Accept         MessageKind = "a" // phase 2a: a proposer asks for votes on Value
 	Accepted       MessageKind = "v" // phase 2b: the vote is on disk
-	Rejected       MessageKind = "b" // a higher ballot, Ballot, is promised; Accepted holds the ballot that was refused
-	Commit         MessageKind = "c" // Index is decided, with the value that was voted for in Ballot
-	Behind         MessageKind = "l" // the sender has applied too little (Applied) to vote at Index
-	Ahead          MessageKind = "h" // the sender has applied Index already
-	ReadIndex      MessageKind = "r" // a reader asks for the highest index at which there is a vote
-	ReadIndexReply MessageKind = "s" // with that index, and the ballot of the vote that is on disk at the index after Applied
+	Rejected       MessageKind = "b" // the acceptor has promised the higher ballot Ballot; Accepted is the rejected ballot
+	Commit         MessageKind = "c" // the value voted for in Ballot is decided at Index
+	Behind         MessageKind = "l" // the sender's Applied is too low to vote at Index
+	Ahead          MessageKind = "h" // the sender has already applied Index
+	ReadIndex      MessageKind = "r" // a reader asks for the highest index that was applied or voted at
+	ReadIndexReply MessageKind = "s" // the reply, with that Index, and in Accepted the ballot of a persisted vote at the index after Applied
 	VotePersisted  MessageKind = "y" // from a node to itself: its vote at Index in Ballot is on disk
-	FetchChanges   MessageKind = "f" // asks for what was decided after Applied; Checksums are of the set's partitions at the sender
-	Changes        MessageKind = "g" // Batches were decided at the indexes after Index
-	SnapshotChunk  MessageKind = "w" // a part of a snapshot as of Index, which replaces the partitions Parts
-	Forward        MessageKind = "o" // an operation for the preferred proposer
-	ForwardResult  MessageKind = "k" // how a forwarded operation ended
+	FetchChanges   MessageKind = "f" // requests the changes decided after Applied; Checksums are those of the sender's partitions
+	Changes        MessageKind = "g" // Batches are the values decided at the indexes following Index
+	SnapshotChunk  MessageKind = "w" // a chunk of a snapshot taken at Index, which replaces the partitions listed in Parts
+	Forward        MessageKind = "o" // an operation forwarded to the preferred proposer
+	ForwardResult  MessageKind = "k" // the result of a forwarded operation
 )
 
-// Message is what members send each other. Epoch, DiskID and Applied always describe the sender. The order of the fields is that
-// of the encoding.
+// Message is a message between control processes. Epoch, DiskID and Applied always describe the sender. The fields are encoded
+// in this order.
 type Message struct {
 	Kind        MessageKind          `json:"k"`
 	Epoch       uint64               `json:"e,omitempty"`
@@ -42,25 +42,25 @@
 	Accepted    Ballot               `json:"v,omitzero"`
 	Value       []config.Item        `json:"i,omitempty"`
 	Member      *membership.Member   `json:"m,omitempty"`
-	Tag         uint64               `json:"t,omitempty"` // of a read or a forwarded operation; of a snapshot, the set's checksum
-	Incarnation string               `json:"w,omitempty"` // of the process that chose Tag, echoed in the reply: tags begin anew with each incarnation
+	Tag         uint64               `json:"t,omitempty"` // identifies a read or a forwarded operation; in a snapshot, the checksum of the set
+	Incarnation string               `json:"w,omitempty"` // of the process that chose Tag, echoed in replies; tags restart with each incarnation
 	Operation   *operation.Operation `json:"o,omitempty"`
 	Result      *Result              `json:"r,omitempty"`
 	Batches     [][]config.Item      `json:"c,omitempty"`
 	Checksums   []uint64             `json:"s,omitempty"`
-	Parts       []int                `json:"p,omitempty"`
-	Final       bool                 `json:"z,omitempty"` // the last chunk of a snapshot
+	Parts       []int                `json:"p,omitempty"` // partition numbers
+	Final       bool                 `json:"z,omitempty"` // marks the last chunk of a snapshot
 }
 
-// Result is how an operation or a read ended.
+// Result is the outcome of an operation or a read.
 type Result struct {
-	Kind        apierror.Kind `json:"k,omitempty"` // None: the operation is decided, or the read is up to date
+	Kind        apierror.Kind `json:"k,omitempty"` // None if the operation was decided or the read is up to date
 	Reason      string        `json:"w,omitempty"`
-	Index       uint64        `json:"n,omitempty"` // the log index at which it holds
-	NotProposed bool          `json:"v,omitempty"` // of a forwarded operation: it was never voted on, and never will be
+	Index       uint64        `json:"n,omitempty"` // the log index as of which the result is valid
+	NotProposed bool          `json:"v,omitempty"` // the forwarded operation was not put to the vote by the replying process and will not be
 }
 
-// Err returns the result as an error, nil for success.
+// Err returns the result as an error, or nil if it is a success.
 func (r Result) Err() error {
 	if r.Kind == apierror.None {
 		return nil
--- a/internal/control/consensus/node.go
+++ b/internal/control/consensus/node.go
@@ -1,15 +1,18 @@
-// Package consensus replicates the set of configuration items over the control processes (the core) by Paxos. It owns the ballots,
-// the votes, the log index and the membership of the core. It never does I/O, reads no clock, draws no random numbers and starts
-// no goroutines: time, chance and messages come in with each Event, and what is to be sent, written and answered goes out as Effects.
+// Package consensus replicates the set of configuration items across the control processes using Paxos. It manages the ballots,
+// the votes, the log index and the membership. It performs no I/O, reads no clock, generates no random numbers and starts no
+// goroutines: time, randomness and messages are passed in with each Event, and messages to send, data to write and answers are
+// returned as Effects.
 //
-// Changes of the set are decided one log index after another, each by a quorum in the two phases of Paxos (Lamport, "Paxos Made
-// Simple", sections 2.2 and 3): Prepare and Promise, then Accept and Accepted. It differs from the usual in this: any member may
-// propose, there is no elected leader, only a preferred proposer to which the others forward their operations; a member takes
-// part at an index only once it has applied all before it, so there is one undecided index at a time and no log on disk, only the
-// set and the last vote; a change of the members is a value, decided by majorities of both the old and the new members.
+// Changes of the set are decided one log index at a time, each by a quorum in the two phases of Paxos (Lamport, "Paxos Made
+// Simple", sections 2.2 and 3): Prepare and Promise, then Accept and Accepted. It differs from common implementations as
+// follows. Any member may propose; there is no elected leader, only a preferred proposer to which the others forward their
+// operations. A member takes part at an index only after it has applied all previous ones, so only one index is undecided at a
+// time, and the disk holds the set and the last vote instead of a log. A membership change is a value, decided by majorities of
+// both the old and the new members.
 //
-// Begin reading at Node.Step. proposer.go, acceptor.go and learner.go are the roles of Paxos; batch.go makes values; forward.go, read.go,
-// catchup.go, membership.go and recovery.go are what stands beside it; quorum.go says who counts, and write.go what goes to disk.
+// Node.Step is the entry point. proposer.go, acceptor.go and learner.go implement the roles of Paxos, batch.go builds values,
+// and quorum.go defines quorums. forward.go, read.go, catchup.go, membership.go and recovery.go implement operation forwarding,
+// linearizable reads, catch-up, membership changes and forced recovery. write.go collects what is written to disk.
 package consensus
 
 import (
@@ -22,51 +25,52 @@
 	"portflow/internal/control/membership"
 )
 
-// Node is the consensus state machine of one control process. It is not safe for concurrent use. Only Step and SetMuted change it.
+// Node is the consensus state machine of one control process. It is not safe for concurrent use. Only Step and SetMuted modify
+// it.
 type Node struct {
-	Set    *config.Set // the replicated set, as of Applied; not to be changed by others
+	Set    *config.Set // the replicated set as of Applied; callers must not modify it
 	Counts Counts
 
 	self        membership.Member
-	incarnation string // of this process; no two incarnations share one
-	minPerZone  int    // members that a zone keeps at least when silent ones are removed
+	incarnation string // unique to this run of the process
+	minPerZone  int    // number of members that a zone keeps at least when silent members are removed
 	startedAt   int64
 
 	hardState  HardState
-	membership membership.List // as of what is applied
-	caughtUp   bool            // since this incarnation began, it has applied all that was decided when it asked
+	membership membership.List // as of Applied
+	caughtUp   bool            // the startup read has completed, or a recovery was forced
 
 	acceptor  acceptorState
 	proposer  proposerState
 	forwarder forwarderState
-	reads     map[uint64]*pendingRead // at most maxPending, by tag
+	reads     map[uint64]*pendingRead // by tag, at most maxPending
 	catchUp   catchUpState
 	history   changeHistory
 	unsaved   writeBuffer
 
 	peers                map[string]Peer  // connected peers, by IP address
-	silentSince          map[string]int64 // since when a process is not connected, by IP address
-	nextMembershipChange int64            // when the next change of the members may be proposed
+	silentSince          map[string]int64 // since when a process has not been connected, by IP address
+	nextMembershipChange int64            // the earliest time of the next proposed membership change
 
-	effects *Effects // of the step that runs
+	effects *Effects // the effects of the current step
 }
 
-// Counts count what a node has done. They are logged, with the names of the fields.
+// Counts are cumulative event counters. They are logged under their field names.
 type Counts struct {
 	Decided   int64 // values applied
-	Prepared  int64 // proposals begun with a new ballot
+	Prepared  int64 // proposals started with a new ballot
 	Proposed  int64 // values put to the vote
-	Beaten    int64 // refusals because of a higher ballot
+	Beaten    int64 // rejections due to a higher ballot
 	Handed    int64 // operations forwarded
 	Fetches   int64 // requests for missing changes
 	Cuts      int64 // snapshots sent
-	Reads     int64 // reads begun
-	TakenOver int64 // values of others that were proposed again
+	Reads     int64 // reads started
+	TakenOver int64 // values of other proposers that were proposed again
 	Copied    int64 // copies of the set made to evaluate operations
 }
 
-// New returns a node that starts with what its disk holds: hardState and the items in set. minPerZone is how many members a zone keeps
-// at least when silent ones are removed.
+// New returns a node that starts from the state on its disk: hardState and the items in set, which the node takes ownership of.
+// minPerZone is the number of members that a zone keeps at least when silent members are removed.
 func New(self membership.Member, incarnation string, minPerZone int, hardState HardState, set *config.Set, now int64) *Node {
 	self.ID = hardState.DiskID
 	return &Node{
@@ -95,23 +99,23 @@
 	}
 }
 
-// Membership returns the members as of what is applied here.
+// Membership returns the member list as of Applied.
 func (n *Node) Membership() membership.List { return n.membership }
 
 // Applied returns the last log index that this process has applied.
 func (n *Node) Applied() uint64 { return n.hardState.Applied }
 
-// HardState returns what must be on disk beside the items.
+// HardState returns the state that must be on disk in addition to the items.
 func (n *Node) HardState() HardState { return n.hardState }
 
-// CaughtUp reports whether this process, since it started, has applied all that was decided when it asked a majority.
+// CaughtUp reports whether this process has, since it started, applied everything that was decided when it queried a majority.
 func (n *Node) CaughtUp() bool { return n.caughtUp }
 
-// IsMember reports whether this process's vote counts.
+// IsMember reports whether this process is a voting member with its current disk.
 func (n *Node) IsMember() bool { return n.membership.Contains(n.self.IP, n.self.ID) }
 
-// HasQuorum reports whether a majority of the members is connected, this process among them if it is one. If this process has voted
-// for a change of the members, which may be decided already, a majority of the new members is needed too.
+// HasQuorum reports whether a majority of the members is connected, counting this process if it is a member. If this process
+// has voted for a membership change, which may already be decided, a majority of the new members is required as well.
 func (n *Node) HasQuorum() bool {
 	connected := map[string]string{n.self.IP: n.self.ID}
 	for ip, peer := range n.peers {
@@ -124,7 +128,7 @@
 	return n.membership.HasQuorum(connected) && (next.Epoch == 0 || next.HasQuorum(connected))
 }
 
-// Unreachable returns the IP addresses of the members that are not connected, or came back with another disk.
+// Unreachable returns the IP addresses of the members that are not connected or that returned with a different disk.
 func (n *Node) Unreachable() (ips []string) {
 	for _, member := range n.membership.Members {
 		reachable := n.isReachable(member)
@@ -138,7 +142,7 @@
 	return ips
 }
 
-// SilentFor returns for how long each unreachable member has been silent at now, in nanoseconds, by IP address.
+// SilentFor returns how long each unreachable member has been silent at time now, in nanoseconds, by IP address.
 func (n *Node) SilentFor(now int64) map[string]int64 {
 	silent := map[string]int64{}
 	for _, ip := range n.Unreachable() {
@@ -149,25 +153,26 @@
 	return silent
 }
 
-// Busy reports whether something is under way that needs a Tick soon.
+// Busy reports whether work is in progress that needs a Tick soon.
 func (n *Node) Busy() bool {
 	starting := !n.caughtUp || n.acceptor.startupReplies != nil
 	waiting := len(n.forwarder.pending) > 0 || len(n.reads) > 0
 	return starting || waiting || n.proposer.phase != Idle || n.hasUndecidedVote() || n.catchUp.from != ""
 }
 
-// Phase returns the phase of this process's own proposal.
+// Phase returns the phase of the proposal of this process, Idle if there is none.
 func (n *Node) Phase() Phase { return n.proposer.phase }
 
-// SetMuted has the node send nothing that depends on its disk, because the disk lacks some of HardState; or ends that.
+// SetMuted sets whether the node suppresses messages that depend on its disk. The caller mutes the node while the disk lacks
+// some of HardState.
 func (n *Node) SetMuted(muted bool) { n.acceptor.muted = muted }
 
-// String describes the node in a log.
+// String returns a short description of the state for logs.
 func (n *Node) String() string {
 	return fmt.Sprintf("number %d, epoch %d of %d, %v, whole %v", n.hardState.Applied, n.membership.Epoch, len(n.membership.Members), n.proposer.phase, n.caughtUp)
 }
 
-// Step handles one event, and returns what the caller has to do.
+// Step handles one event and returns the effects that the caller must carry out.
 func (n *Node) Step(e Event) Effects {
 	n.effects = &Effects{Send: map[string][]Message{}, SendAfterSync: map[string][]Message{}}
 	n.handleEvent(e)
@@ -180,7 +185,6 @@
 	return out
 }
 
-// handleEvent hands an event to what handles its kind.
 func (n *Node) handleEvent(e Event) {
 	switch {
 	case e.Message != nil:
@@ -202,7 +206,6 @@
 	}
 }
 
-// receive handles a message.
 func (n *Node) receive(e Event, m Message) {
 	switch m.Kind {
 	case Prepare, Accept:
@@ -228,13 +231,13 @@
 	case Forward:
 		n.handleForward(e, m)
 	case ForwardResult:
-		if m.Incarnation == n.incarnation { // else an earlier incarnation of this process forwarded it
+		if m.Incarnation == n.incarnation { // otherwise an earlier incarnation of this process forwarded it
 			n.handleForwardResult(e, m)
 		}
 	}
 }
 
-// tick handles all that waits for time to pass.
+// tick handles timeouts and periodic work.
 func (n *Node) tick(e Event) {
 	n.retryProposal(e)
 	n.tryAccept(e)
@@ -251,7 +254,7 @@
 	n.maintainMembership(e)
 }
 
-// updatePeerApplied notes what a peer has applied by its messages: its status comes at intervals only.
+// updatePeerApplied updates a peer's applied index from a message, as peers report their status only periodically.
 func (n *Node) updatePeerApplied(from string, m Message) {
 	peer, connected := n.peers[from]
 	if connected && peer.Applied < m.Applied && peer.Member.ID == m.DiskID {
@@ -260,7 +263,7 @@
 	}
 }
 
-// updatePeer takes the status of a peer.
+// updatePeer records the reported status of a peer.
 func (n *Node) updatePeer(e Event) {
 	_, connected := n.peers[e.From]
 	n.peers[e.From] = *e.Peer
@@ -271,7 +274,7 @@
 	n.checkLag(e.Now)
 }
 
-// removePeer forgets a peer whose connection is lost.
+// removePeer handles the loss of the connection to a peer.
 func (n *Node) removePeer(e Event) {
 	delete(n.peers, e.From)
 	delete(n.forwarder.lastReplyAt, e.From)
@@ -284,7 +287,8 @@
 	}
 }
 
-// sendPendingTo sends a peer that has just connected what it has to answer, ahead of the next repetition.
+// sendPendingTo sends a newly connected peer the pending requests that it has to answer, without waiting for the next resend.
+// It starts the startup read if that is still needed.
 func (n *Node) sendPendingTo(e Event) {
 	n.resendProposal(e.From)
 	_, member := n.membership.ByIP(e.From)
@@ -302,7 +306,7 @@
 	n.ensureStartupRead(e.Now)
 }
 
-// send sends a message at once. One to this process itself is handled at once.
+// send sends a message without waiting for the disk. A message to this process is handled immediately.
 func (n *Node) send(to string, m Message) {
 	m = n.stamp(m)
 	if m.Kind == ReadIndex || m.Kind == Forward {
@@ -315,14 +319,13 @@
 	n.effects.Send[to] = append(n.effects.Send[to], m)
 }
 
-// sendToPeers sends a message to all connected peers.
 func (n *Node) sendToPeers(m Message) {
 	for _, ip := range slices.Sorted(maps.Keys(n.peers)) {
 		n.send(ip, m)
 	}
 }
 
-// sendAfterSync sends a message once the present HardState is on disk, which the message depends on.
+// sendAfterSync sends a message that depends on the current HardState, once that is on disk.
 func (n *Node) sendAfterSync(to string, m Message) {
 	n.requestWrite()
 	if !n.acceptor.muted {
@@ -330,7 +333,7 @@
 	}
 }
 
-// stamp fills in what each message says of its sender.
+// stamp sets the fields that describe the sender.
 func (n *Node) stamp(m Message) Message {
 	m.Epoch = n.membership.Epoch
 	m.DiskID = n.self.ID
@@ -338,7 +341,7 @@
 	return m
 }
 
-// answer ends an operation or a read of a client; the startup read has none.
+// answer returns the result of an operation or a read to the client. The startup read has no client.
 func (n *Node) answer(tag uint64, r Result) {
 	if tag != startupReadTag {
 		n.effects.Answers = append(n.effects.Answers, Answer{tag, r})
--- a/internal/control/consensus/proposer.go
+++ b/internal/control/consensus/proposer.go
@@ -8,50 +8,50 @@
 	"portflow/internal/control/operation"
 )
 
-// Phase is the phase of this process's own proposal.
+// Phase is the phase of a proposal.
 type Phase uint8
 
-// The phases of a proposal.
+// The phases of a proposal, in order.
 const (
-	Idle      Phase = iota // there is no proposal
-	Preparing              // phase 1 of Paxos: promises are collected
-	Accepting              // phase 2: votes are collected
+	Idle      Phase = iota // no proposal
+	Preparing              // phase 1 of Paxos: collecting promises
+	Accepting              // phase 2 of Paxos: collecting votes
 )
 
-// String returns the phase's name for logs.
+// String returns the lower-case name of the phase, for logs.
 func (p Phase) String() string { return [...]string{"idle", "preparing", "accepting"}[p] }
 
-// proposerState is the state of this process's own proposal. It is not kept on disk: a new incarnation uses new ballots.
+// proposerState is the state of this process's proposal. It is not persisted: a new incarnation uses new ballots.
 type proposerState struct {
 	phase           Phase
-	index           uint64 // the log index that is proposed for
-	ballot          Ballot // the present ballot, or the last
-	highestBallot   uint64 // the highest number of a ballot that was seen
-	prepared        bool   // the ballot is the last that a majority promised, as far as is known: phase 1 can be left out
-	confirmedLatest bool   // a majority has promised for the next index, so nothing is decided beyond what is applied here
-
-	value     []config.Item // what is voted on
-	valueTags []uint64      // tags of the pending operations in it
-
-	acks                 map[string]string   // disk IDs of those that promised or voted, by IP address
-	rejections           map[string]bool     // IP addresses of those that refused the ballot
-	promisers            []membership.Member // those that promised for the first index
-	legacyItems          []config.Item       // the items that they hold
-	highestAccepted      Ballot              // the highest ballot of a vote that a promise reported, zero for none
+	index           uint64 // the log index of the proposal
+	ballot          Ballot // the ballot of the current or the last proposal
+	highestBallot   uint64 // the highest ballot number seen
+	prepared        bool   // a majority has promised ballot and no higher ballot is known, so phase 1 can be skipped
+	confirmedLatest bool   // a majority has promised at the next index, so nothing beyond Applied is decided
+
+	value     []config.Item // the value being voted on
+	valueTags []uint64      // tags of the pending operations in value
+
+	acks                 map[string]string   // disk IDs of the processes that promised or voted, by IP address
+	rejections           map[string]bool     // processes that rejected the ballot, by IP address
+	promisers            []membership.Member // processes that promised at index 1
+	legacyItems          []config.Item       // items reported by promisers
+	highestAccepted      Ballot              // the highest ballot of the votes reported in promises, zero for none
 	highestAcceptedValue []config.Item       // the value of that vote
 
 	phaseStartedAt int64
 	lastSentAt     int64
-	retryAt        int64 // no new proposal begins before
-	retries        int   // rejected proposals in a row
+	retryAt        int64 // the earliest time of the next proposal
+	retries        int   // number of consecutive rejected proposals, at most maxRetries
 }
 
-// isCurrent reports whether a reply is about the present index and ballot.
+// isCurrent reports whether a reply is for the current index and ballot.
 func (s *proposerState) isCurrent(index uint64, ballot Ballot) bool {
 	return index == s.index && ballot == s.ballot
 }
 
-// prepare begins a proposal with a new ballot (phase 1a).
+// prepare starts a proposal with a new ballot (phase 1a).
 func (n *Node) prepare(e Event) {
 	n.Counts.Prepared++
 	p := &n.proposer
@@ -73,8 +73,9 @@
 	n.sendProposal()
 }
 
-// accept begins phase 2, once a majority has promised. By the rule of Paxos it must propose the value of the highest ballot that a
-// promise reported, as that may be decided; only where there is none may it propose a value of its own.
+// accept starts phase 2 after a majority has promised. As Paxos requires, it proposes the value with the highest ballot among
+// the votes reported in the promises, because that value may have been decided. Only if no vote was reported may it propose its
+// own value.
 func (n *Node) accept(e Event) {
 	var value []config.Item
 	var tags []uint64
@@ -96,11 +97,11 @@
 	n.proposer.phase = Idle
 	n.proposer.prepared = true
 	n.proposer.retries = 0
-	n.acceptor.votedAt = e.Now // a vote that only this process has is looked at again after orphanedVoteTimeout
+	n.acceptor.votedAt = e.Now // check a vote that only this process has again after orphanedVoteTimeout
 }
 
-// proposeValue asks for votes on a value (phase 2a). With one ballot this happens at most once for an index, so that a ballot stands
-// for one value.
+// proposeValue asks for votes on a value (phase 2a). It is called at most once per ballot and index, so that a ballot
+// identifies one value per index.
 func (n *Node) proposeValue(e Event, value []config.Item, tags []uint64) {
 	n.Counts.Proposed++
 	p := &n.proposer
@@ -118,12 +119,12 @@
 			continue
 		}
 		op.proposedIndex = p.index
-		op.bind(n.Set) // another member may finish the vote: the operation must not be made again on a later state
+		op.bind(n.Set) // another member may complete the vote; the operation must not be applied again to a later state
 	}
 	n.sendProposal()
 }
 
-// currentProposal returns the message of the present phase.
+// currentProposal returns the Prepare or Accept message of the current phase.
 func (n *Node) currentProposal() Message {
 	p := &n.proposer
 	if p.phase == Accepting {
@@ -132,7 +133,7 @@
 	return Message{Kind: Prepare, Index: p.index, Ballot: p.ballot}
 }
 
-// sendProposal sends the message of the present phase to all voters that have not answered it, to this process last.
+// sendProposal sends the current proposal to all voters that have not acknowledged it, to this process last.
 func (n *Node) sendProposal() {
 	m := n.currentProposal()
 	for _, ip := range n.voters() {
@@ -145,20 +146,20 @@
 	}
 }
 
-// awaitsAnswer reports whether a process is a voter and has not answered the present phase.
+// awaitsAnswer reports whether a process is a voter that has not acknowledged the current phase.
 func (n *Node) awaitsAnswer(ip string) bool {
 	_, answered := n.proposer.acks[ip]
 	return !answered && slices.Contains(n.voters(), ip)
 }
 
-// resendProposal sends the present proposal to one that was behind, right after the changes that it lacked.
+// resendProposal resends the current proposal to a peer, if it has yet to acknowledge it.
 func (n *Node) resendProposal(to string) {
 	if n.proposer.phase != Idle && n.awaitsAnswer(to) {
 		n.send(to, n.currentProposal())
 	}
 }
 
-// handleAcceptorReply handles the replies of acceptors.
+// handleAcceptorReply handles the replies of acceptors to Prepare and Accept. Behind needs no action here.
 func (n *Node) handleAcceptorReply(e Event, m Message) {
 	switch m.Kind {
 	case Ahead:
@@ -176,25 +177,25 @@
 	}
 }
 
-// isCurrentReply reports whether a reply is about the present proposal and comes from a voter.
+// isCurrentReply reports whether a reply is for the current proposal and comes from a voter.
 func (n *Node) isCurrentReply(from string, m Message) bool {
 	return n.proposer.isCurrent(m.Index, m.Ballot) && n.isVoter(from, m.DiskID, n.proposer.value)
 }
 
-// handleAhead abandons a proposal for an index that is decided already, and fetches what is missing.
+// handleAhead abandons a proposal for an index that is already decided, and requests the missing changes.
 func (n *Node) handleAhead(e Event, m Message) {
 	if m.Applied <= n.hardState.Applied {
 		return
 	}
 	if n.proposer.phase != Idle && n.proposer.isCurrent(m.Index, m.Ballot) {
 		n.abandonProposal(e, false)
-		n.proposer.retryAt = e.Now + fetchDelay // or as soon as the changes have come
+		n.proposer.retryAt = e.Now + fetchDelay // afterApply resets it when the changes arrive
 	}
 	n.requestChanges(e.Now, e.From)
 }
 
-// handleRejected counts a refusal by an acceptor that promised a higher ballot. The proposal is abandoned once those that did not
-// refuse are no majority.
+// handleRejected counts a rejection by an acceptor that has promised a higher ballot. The proposal is abandoned when the voters
+// that have not rejected it are no longer a majority.
 func (n *Node) handleRejected(e Event, m Message) {
 	p := &n.proposer
 	p.highestBallot = max(p.highestBallot, m.Ballot.Number)
@@ -210,7 +211,7 @@
 	}
 }
 
-// handlePromise counts a promise, and keeps the vote of the highest ballot that any promise reports.
+// handlePromise counts a promise, and keeps the reported vote with the highest ballot.
 func (n *Node) handlePromise(e Event, m Message) {
 	p := &n.proposer
 	p.acks[e.From] = m.DiskID
@@ -227,7 +228,7 @@
 	n.tryAccept(e)
 }
 
-// handleAccepted counts a vote; the value is decided once a quorum has voted for it in one ballot.
+// handleAccepted counts a vote. The value is decided once a quorum has voted for it in the same ballot.
 func (n *Node) handleAccepted(e Event, m Message) {
 	n.proposer.acks[e.From] = m.DiskID
 	if n.reachesQuorum(n.proposer.acks, n.proposer.value) {
@@ -235,7 +236,8 @@
 	}
 }
 
-// tryAccept goes on to phase 2 once a quorum has promised, and nobody is worth waiting for.
+// tryAccept starts phase 2 once a quorum has promised. It first waits briefly for the founders or members that should promise
+// too; see awaitsFounder and awaitsMember.
 func (n *Node) tryAccept(e Event) {
 	if n.proposer.phase != Preparing || !n.reachesQuorum(n.proposer.acks, nil) {
 		return
@@ -247,8 +249,8 @@
 	n.accept(e)
 }
 
-// awaitsFounder reports whether a reachable founder has not promised yet for the first index. Those that have will be the first
-// members, and a bare majority of the founders would tolerate no loss.
+// awaitsFounder reports whether a reachable founder has not yet promised at index 1. The processes that promise become the
+// first members, and a membership of only a bare majority of the founders would tolerate fewer losses.
 func (n *Node) awaitsFounder() bool {
 	if n.hardState.Applied > 0 {
 		return false
@@ -259,8 +261,8 @@
 	})
 }
 
-// awaitsMember reports whether a change of members is to be proposed, and a reachable member has not promised yet: whether the
-// change is safe is judged by those that promised.
+// awaitsMember reports whether a membership change is to be proposed and a reachable member has not yet promised.
+// mayChangeMembership decides whether the change is safe from the promises received.
 func (n *Node) awaitsMember() bool {
 	if n.hardState.Applied == 0 || !slices.ContainsFunc(n.forwarder.pending, (*pendingOperation).isOwnMembershipChange) {
 		return false
@@ -273,13 +275,13 @@
 	})
 }
 
-// isOwnMembershipChange reports whether an operation changes the members and is proposed here.
+// isOwnMembershipChange reports whether an operation is a membership change that this process proposes.
 func (op *pendingOperation) isOwnMembershipChange() bool {
 	return op.proposeHere && op.operation.Kind == operation.ChangeMembers
 }
 
-// abandonProposal gives a proposal up, if there is one; its value may still be decided by another. After a rejection the next one
-// waits for a random time.
+// abandonProposal abandons the current proposal, if any. Its value may still be decided through another proposer. After a
+// rejection the next proposal is delayed; see retryTime.
 func (n *Node) abandonProposal(e Event, rejected bool) {
 	p := &n.proposer
 	if p.phase != Idle && rejected {
@@ -295,13 +297,14 @@
 	p.highestAcceptedValue = nil
 }
 
-// retryTime returns when a proposal may follow on one that was rejected. Rival proposers would go on rejecting each other, so the
-// preferred one goes on at once, and the others leave it time.
+// retryTime returns the earliest time of the next proposal after a rejected one. Competing proposers could preempt each other
+// forever, so the delay is random, and longer for processes that are not the preferred proposer, which itself retries its first
+// rejection at once.
 func (n *Node) retryTime(e Event) int64 {
 	delay := int64(e.Random * float64(staggerDelay) * float64(1+n.proposer.retries))
 	preferred := n.preferredProposer() == n.self.IP
 	switch {
-	case preferred && n.proposer.retries == 0: // its ballot may only have been too low
+	case preferred && n.proposer.retries == 0: // its ballot number may merely have been outdated
 		return e.Now
 	case !preferred && n.hardState.Applied > 0:
 		return e.Now + delay + 2*staggerDelay
@@ -309,7 +312,7 @@
 	return e.Now + delay
 }
 
-// retryProposal abandons a proposal without progress, or sends it again.
+// retryProposal abandons a proposal that has made no progress for proposalTimeout, or resends it.
 func (n *Node) retryProposal(e Event) {
 	p := &n.proposer
 	switch {
@@ -322,7 +325,7 @@
 	}
 }
 
-// decide applies the value that a quorum has voted for, announces it to all peers and ends the operations in it.
+// decide applies the value that a quorum has voted for, announces it to all peers and finishes the operations in it.
 func (n *Node) decide(e Event) {
 	p := &n.proposer
 	decided := *p
@@ -342,8 +345,8 @@
 	})
 }
 
-// foundingValue returns the value of the first index: those that promised are the first members. Disks from before there was
-// consensus may hold items; the newest version of each is kept.
+// foundingValue returns the value for index 1. The processes that promised become the first members. Disks written by versions
+// without consensus may hold items; the newest version of each is kept.
 func (n *Node) foundingValue() []config.Item {
 	set := config.NewSet()
 	for _, item := range n.proposer.legacyItems {
@@ -355,8 +358,8 @@
 	return append(set.All(), first.Item())
 }
 
-// bootstrap proposes the first epoch. The settings of the first start name the founders, the same ones at all of them, and a majority
-// of the founders decides the first index like any other. A process that lost its disk is no founder any more.
+// bootstrap proposes the first epoch. The settings at the first start name the founders, identically at all of them, and a
+// majority of the founders decides index 1 like any other. A process that lost its disk is no longer a founder.
 func (n *Node) bootstrap(e Event) {
 	position := slices.Index(n.hardState.Founders, n.self.IP)
 	if position < 0 || n.proposer.phase != Idle || e.Now < n.proposer.retryAt {
--- a/internal/control/consensus/quorum.go
+++ b/internal/control/consensus/quorum.go
@@ -7,8 +7,8 @@
 	"portflow/internal/control/membership"
 )
 
-// voters returns the IP addresses of those that are asked about the next index: the members, or before the first epoch the founders.
-// While a value is being voted on, those that become members by it are asked too.
+// voters returns the IP addresses of the processes that are asked about the next index: the members, or the founders before the
+// first epoch. While a membership change is being voted on, the joining members are asked as well.
 func (n *Node) voters() (ips []string) {
 	if n.hardState.Applied == 0 {
 		return n.hardState.Founders
@@ -27,7 +27,7 @@
 	return ips
 }
 
-// membershipIn returns the members that a value sets, the zero List if it sets none.
+// membershipIn returns the member list that a value sets, or the zero List if it sets none.
 func membershipIn(value []config.Item) membership.List {
 	for _, item := range value {
 		if item.Key() == membership.Key {
@@ -37,9 +37,9 @@
 	return membership.List{}
 }
 
-// reachesQuorum reports whether those that acknowledged a value (disk IDs by IP address) decide it: a majority of the members, or of
-// the founders, and if the value changes the members also a majority of the new ones. So the quorums of successive epochs
-// intersect, as the joint quorums of a reconfiguration must.
+// reachesQuorum reports whether the processes that acknowledged a value (disk IDs by IP address) are enough to decide it: a
+// majority of the members, or of the founders at index 1, and for a membership change also a majority of the new members. The
+// quorums of successive epochs thus intersect, as joint consensus requires.
 func (n *Node) reachesQuorum(acks map[string]string, value []config.Item) bool {
 	if !n.reachesCurrentQuorum(acks) {
 		return false
@@ -48,7 +48,8 @@
 	return next.Epoch == 0 || next.HasQuorum(acks)
 }
 
-// reachesCurrentQuorum reports whether those that acknowledged are a majority of the present members, or of the founders.
+// reachesCurrentQuorum reports whether the processes that acknowledged are a majority of the current members, or of the
+// founders at index 1.
 func (n *Node) reachesCurrentQuorum(acks map[string]string) bool {
 	if n.hardState.Applied > 0 {
 		return n.membership.HasQuorum(acks)
@@ -62,10 +63,9 @@
 	return count >= n.foundersQuorum()
 }
 
-// foundersQuorum returns how many founders are a majority.
 func (n *Node) foundersQuorum() int { return len(n.hardState.Founders)/2 + 1 }
 
-// isVoter reports whether the vote of a process counts at the next index, if value is voted on there.
+// isVoter reports whether the vote of a process counts at the next index when value is voted on there.
 func (n *Node) isVoter(ip, diskID string, value []config.Item) bool {
 	if n.hardState.Applied == 0 {
 		return slices.Contains(n.hardState.Founders, ip)
@@ -73,13 +73,12 @@
 	return n.membership.Contains(ip, diskID) || membershipIn(value).Contains(ip, diskID)
 }
 
-// isReachable reports whether another process is connected, and still has the disk that it is a member with.
+// isReachable reports whether another process is connected with the disk that it is a member with.
 func (n *Node) isReachable(member membership.Member) bool {
 	peer, connected := n.peers[member.IP]
 	return connected && peer.Member.ID == member.ID
 }
 
-// isReachableOrSelf is isReachable, and true for this process.
 func (n *Node) isReachableOrSelf(member membership.Member) bool {
 	return member.IP == n.self.IP || n.isReachable(member)
 }
--- a/internal/control/consensus/read.go
+++ b/internal/control/consensus/read.go
@@ -7,25 +7,26 @@
 	"portflow/internal/cluster/apierror"
 )
 
-// startupReadTag is the tag of the read by which a process that started finds out whether it has caught up.
+// startupReadTag is the tag of the read that determines whether a starting process has caught up.
 const startupReadTag = uint64(0)
 
-// pendingRead is a linearizable read. It asks a majority for the highest index with a vote: whatever was decided before the read
-// began has a vote at a member of that majority, as quorums intersect. Once that index is applied here, the read is done.
+// pendingRead is a linearizable read. It asks a majority for the highest index that they have applied or voted at. Quorums
+// intersect, so everything decided before the read began was voted for or applied by a member of that majority. The read
+// completes when that index has been applied here.
 type pendingRead struct {
-	epoch       uint64 // of the members that were asked
+	epoch       uint64 // the membership epoch at which the members were queried
 	receivedAt  int64
-	queriedAt   int64              // when the members were last asked
+	queriedAt   int64              // when the members were last queried
 	acks        map[string]string  // disk IDs of the members that replied, by IP address
 	replies     map[string]Message // all replies, by IP address
-	target      uint64             // the highest index in the replies, or what was applied when they were asked
-	targetKnown bool               // a majority has replied
+	target      uint64             // the read index: the maximum of the replies and of Applied at the time of the query
+	targetKnown bool               // a majority has replied, so target is final
 }
 
-// startRead begins a read for a client, or for startupReadTag.
+// startRead starts a read for a client, or the startup read.
 func (n *Node) startRead(now int64, tag uint64) {
 	if len(n.reads) >= maxPending {
-		n.answer(tag, Result{Kind: apierror.Unavailable, Reason: "too many reads wait"})
+		n.answer(tag, Result{Kind: apierror.Unavailable, Reason: "too many pending reads"})
 		return
 	}
 	read := &pendingRead{receivedAt: now}
@@ -34,14 +35,14 @@
 	n.queryMembers(now, tag, read)
 }
 
-// ensureStartupRead begins the read by which this process finds out whether it has caught up, if it has not and none is pending.
+// ensureStartupRead starts the startup read if this process has not caught up and none is pending.
 func (n *Node) ensureStartupRead(now int64) {
 	if !n.caughtUp && n.reads[startupReadTag] == nil {
 		n.startRead(now, startupReadTag)
 	}
 }
 
-// queryMembers asks all members anew.
+// queryMembers queries all members and discards earlier replies.
 func (n *Node) queryMembers(now int64, tag uint64, read *pendingRead) {
 	read.queriedAt = now
 	read.epoch = n.membership.Epoch
@@ -57,15 +58,16 @@
 	n.send(n.self.IP, n.readIndexReply(tag, n.incarnation))
 }
 
-// handleReadIndex replies to a reader. A process that starts is answered by all, other readers only by those that may vote.
+// handleReadIndex replies to a reader. Every process replies to a startup read, but only a process that may vote replies to
+// other reads.
 func (n *Node) handleReadIndex(from string, m Message) {
 	if m.Tag == startupReadTag || n.mayVote() {
 		n.send(from, n.readIndexReply(m.Tag, m.Incarnation))
 	}
 }
 
-// readIndexReply returns the reply to the read with a tag, which an incarnation of some process chose. A vote is reported only once
-// it is on disk; with its value only to a process that starts.
+// readIndexReply returns the reply to the read with a tag and the incarnation of its reader. It reports a vote only once that
+// is on disk, and includes the value only for a startup read.
 func (n *Node) readIndexReply(tag uint64, incarnation string) Message {
 	reply := Message{
 		Kind:        ReadIndexReply,
@@ -84,7 +86,7 @@
 	return reply
 }
 
-// handleReadIndexReply counts a reply to a read of this process, unless it was asked for by an earlier incarnation.
+// handleReadIndexReply counts a reply to a read of this process. It ignores replies to reads of earlier incarnations.
 func (n *Node) handleReadIndexReply(e Event, m Message) {
 	if m.Incarnation != n.incarnation {
 		return
@@ -98,7 +100,8 @@
 		return
 	}
 	read.replies[e.From] = m
-	if !read.targetKnown && n.membership.Contains(e.From, m.DiskID) { // one that is only about to join may have voted, but does not count yet
+	// A process that is about to join may have voted already, but does not count yet.
+	if !read.targetKnown && n.membership.Contains(e.From, m.DiskID) {
 		read.acks[e.From] = m.DiskID
 		read.target = max(read.target, m.Index)
 		allowed := m.Tag == startupReadTag || n.mayVote()
@@ -108,13 +111,13 @@
 	n.advanceRead(e.Now, m.Tag, read)
 }
 
-// pendingReadTags returns the tags of the pending reads in order.
+// pendingReadTags returns the tags of the pending reads in ascending order.
 func (n *Node) pendingReadTags() []uint64 { return slices.Sorted(maps.Keys(n.reads)) }
 
-// advanceRead ends a read if its target is applied, or begins it anew if the members have changed.
+// advanceRead completes a read whose target has been applied, or restarts it after a membership change.
 func (n *Node) advanceRead(now int64, tag uint64, read *pendingRead) {
 	switch {
-	case n.reads[tag] != read: // it has ended
+	case n.reads[tag] != read: // already completed
 	case read.epoch != n.membership.Epoch:
 		if read.targetKnown || read.target <= n.hardState.Applied {
 			n.queryMembers(now, tag, read)
@@ -129,15 +132,15 @@
 	}
 }
 
-// advanceReads calls advanceRead for all pending reads.
 func (n *Node) advanceReads(now int64) {
 	for _, tag := range n.pendingReadTags() {
 		n.advanceRead(now, tag, n.reads[tag])
 	}
 }
 
-// resolveUndecidedReads ends reads that wait for a vote at the next index, if a majority that promised after the read began does not
-// have that vote: the value was not decided before, and by the promises never will be in its ballot.
+// resolveUndecidedReads completes reads that wait for a vote at the next index, after a majority that promised since the read
+// began reported no vote there. The value was then not decided before the read, and because of the promises it never will be in
+// its ballot.
 func (n *Node) resolveUndecidedReads(e Event) {
 	for _, tag := range n.pendingReadTags() {
 		read := n.reads[tag]
@@ -149,7 +152,6 @@
 	}
 }
 
-// expireReads answers reads that have waited for too long.
 func (n *Node) expireReads(now int64) {
 	for _, tag := range n.pendingReadTags() {
 		if now-n.reads[tag].receivedAt > requestTimeout {
@@ -159,8 +161,8 @@
 	}
 }
 
-// retryReads asks again where too few members have replied, and proposes where a read waits for a vote that nobody brings to a
-// decision.
+// retryReads queries the members again where too few have replied, and starts a proposal where a read waits for a vote that no
+// other proposer gets decided.
 func (n *Node) retryReads(e Event) {
 	for _, tag := range n.pendingReadTags() {
 		read := n.reads[tag]
@@ -173,7 +175,8 @@
 	}
 }
 
-// mayProposeForRead reports whether this process is to decide the vote that a read waits for; the members take turns.
+// mayProposeForRead reports whether this process should propose to resolve the vote that a read waits for. The timeout is
+// staggered by member.
 func (n *Node) mayProposeForRead(now int64, read *pendingRead) bool {
 	if !read.targetKnown || read.target != n.nextIndex() || n.proposer.phase != Idle || !n.IsMember() {
 		return false
--- a/internal/control/consensus/recovery.go
+++ b/internal/control/consensus/recovery.go
@@ -8,22 +8,24 @@
 	"portflow/internal/control/operation"
 )
 
-// The high bits of a log index and of an epoch count forced recoveries. The bits below them are drawn at random: if two processes
-// are made the only member at once, one of them is later by both, and the other gives way as soon as they are connected.
+// The high bits of a log index and of an epoch count forced recoveries. The bits below them are random: if two processes are
+// each made the only member at the same time, one of them has both the higher index and the higher epoch, and the other adopts
+// its state once they are connected.
 const (
 	recoveryIndexShift  = 48
 	recoveryEpochShift  = 32
 	recoveryRandomRange = 1 << 31
-	recoveryRandomShift = 16 // of the random bits in an index: it leaves room for the changes of one core
+	recoveryRandomShift = 16 // position of the random bits in an index; the bits below count the changes after a recovery
 )
 
-// RecoveryIndexJump is by how much at least the index rises when a process gives way to a core that was made by a forced recovery.
+// RecoveryIndexJump is the minimum increase of the log index when a process adopts the state of a cluster that was created by a
+// forced recovery.
 const RecoveryIndexJump = 1 << recoveryRandomShift
 
-// forceRecovery makes this process the only member, with an index and an epoch above all that the lost members can have decided. It
-// is no part of Paxos, and loses what only the others had: an operator answers for it.
+// forceRecovery makes this process the only member, with an index and an epoch higher than any that the lost members can have
+// decided. It is not part of Paxos: changes known only to the lost members are lost, so it runs only at an operator's request.
 func (n *Node) forceRecovery(now int64, random float64) {
-	if n.hardState.Applied == 0 || n.membership.Epoch == 0 { // there is nothing to recover
+	if n.hardState.Applied == 0 || n.membership.Epoch == 0 { // nothing to recover
 		return
 	}
 	n.abandonProposal(Event{Now: now}, false)
@@ -36,8 +38,8 @@
 	n.apply(now, index, value)
 }
 
-// recoveryValue returns the value that a forced recovery applies. What this process voted for at the next index may have been decided
-// and confirmed, so it is kept, except for a change of members.
+// recoveryValue returns the value that a forced recovery applies. It includes the value that this process voted for at the next
+// index, which may have been decided and acknowledged to a client, except for a membership change.
 func (n *Node) recoveryValue(randomBits uint64) []config.Item {
 	next := membership.List{
 		Epoch:    (n.membership.Epoch>>recoveryEpochShift+1)<<recoveryEpochShift + randomBits,
@@ -48,7 +50,7 @@
 		return []config.Item{next.Item()}
 	}
 	position := 0
-	if operation.ReplacesAll(n.hardState.AcceptedValue) { // the mark stays first
+	if operation.ReplacesAll(n.hardState.AcceptedValue) { // the ReplaceAll marker must remain the first item
 		position = 1
 	}
 	vote := slices.Clone(n.hardState.AcceptedValue)
--- a/internal/control/consensus/timing.go
+++ b/internal/control/consensus/timing.go
@@ -1,34 +1,34 @@
 package consensus
 
-// The intervals and timeouts, in nanoseconds of a monotonic clock. Safety depends on none of them.
+// Intervals and timeouts, in nanoseconds. Safety does not depend on them.
 const (
-	resendAfter            = int64(250e6)  // before a proposal or a read is sent again to those that have not answered
-	proposalTimeout        = int64(2e9)    // after which a proposal without progress is abandoned; the next one has a higher ballot
+	resendAfter            = int64(250e6)  // until a proposal or read query is resent to the members that have not replied
+	proposalTimeout        = int64(2e9)    // until a proposal phase without result is abandoned
 	probeInterval          = int64(100e6)  // between probes of a member that an operation was forwarded to
-	forwardSilenceTimeout  = int64(250e6)  // after which such a member that answers nothing is skipped
-	forwardProgressTimeout = int64(700e6)  // after which such a member that answers, but decides nothing, is skipped
-	orphanedVoteTimeout    = int64(500e6)  // after which another member finishes a proposal that was voted on and not committed
-	staggerDelay           = int64(150e6)  // by which each member waits longer than the one before it
-	fetchRetryAfter        = int64(500e6)  // before missing changes are requested again
+	forwardSilenceTimeout  = int64(250e6)  // until a member that was forwarded an operation and does not reply is skipped
+	forwardProgressTimeout = int64(700e6)  // until a member that was forwarded an operation and makes no progress is skipped
+	orphanedVoteTimeout    = int64(500e6)  // until another member takes over a proposal that was voted on but not committed
+	staggerDelay           = int64(150e6)  // between members that act in turn, and between retries
+	fetchRetryAfter        = int64(500e6)  // until missing changes are requested again
 	fetchDelay             = int64(250e6)  // for which a peer must have been ahead before changes are requested from it
-	foundersWait           = int64(400e6)  // for promises of all reachable founders, before those that have promised form the first epoch
-	startupWait            = int64(400e6)  // since the start, for the members that have not replied yet, before a majority is enough
-	membershipWait         = int64(200e6)  // for promises of all reachable members, before a change of members is checked against those that came
-	membershipInterval     = int64(400e6)  // between proposed changes of members
-	removalTimeout         = int64(3e9)    // after which a silent member that its zone can do without is removed
-	requestTimeout         = int64(2500e6) // after which an operation or a read is answered as unavailable
+	foundersWait           = int64(400e6)  // for promises from all reachable founders, before a majority of them forms the first epoch
+	startupWait            = int64(400e6)  // since the start, for replies from all members, before a majority is enough
+	membershipWait         = int64(200e6)  // for promises from all reachable members, before a membership change is checked against those received
+	membershipInterval     = int64(400e6)  // between proposed membership changes
+	removalTimeout         = int64(3e9)    // until a silent member that its zone can do without is removed
+	requestTimeout         = int64(2500e6) // until an operation or a read fails as unavailable
 )
 
-// The bounds of queues and batches.
+// Limits of queues, batches and catch-up.
 const (
-	maxPending       = 512       // pending operations, and pending reads; more are refused at once
-	maxBatchItems    = 4096      // items in a value, beyond which no further operation is added to it
-	maxRecentChanges = 512       // recent changes that are kept for peers that catch up
-	maxRecentItems   = 16384     // items in them
-	maxRecentBytes   = 16 << 20  // bytes in them
+	maxPending       = 512       // pending operations, and separately pending reads; more are rejected
+	maxBatchItems    = 4096      // items in a value; no operation is added to a value that has reached it
+	maxRecentChanges = 512       // decided values kept for peers that catch up
+	maxRecentItems   = 16384     // total items in the values kept
+	maxRecentBytes   = 16 << 20  // total bytes in the values kept
 	chunkBytes       = 256 << 10 // bytes in a chunk of a snapshot
-	itemOverhead     = 96        // bytes that an item takes in a chunk beside its body, about
-	maxJoinLag       = 64        // log indexes by which a process may be behind to become a member
-	maxProposerLag   = 4         // log indexes by which the preferred proposer may seem behind: its status is older than what it decided since
-	maxRetries       = 4         // rejected proposals in a row, beyond which the random delay before the next grows no more
+	itemOverhead     = 96        // approximate encoded size of an item without its body, in bytes
+	maxJoinLag       = 64        // log indexes by which a joining member may be behind
+	maxProposerLag   = 4         // log indexes by which the preferred proposer may appear behind, as its reported status is not current
+	maxRetries       = 4         // consecutive rejected proposals up to which the retry delay increases
 )
--- a/internal/control/consensus/write.go
+++ b/internal/control/consensus/write.go
@@ -8,17 +8,18 @@
 	"portflow/internal/cluster/config"
 )
 
-// writeBuffer collects what is to be written with the next HardState.
+// writeBuffer collects the changes of the set for the next write of HardState.
 type writeBuffer struct {
-	requested bool                        // a write is due at the end of the step
-	items     map[config.Key]*config.Item // changed since the last write; nil for one that left the set
+	requested bool                        // a write is due at the end of the current step
+	items     map[config.Key]*config.Item // items changed since the last write; nil if removed from the set
 }
 
-// requestWrite has HardState written at the end of the step, with the changes of the set since the last write. A value whose vote is
-// on this disk need not be written again when it is applied: its items go along with the next vote, so an operation costs one sync.
+// requestWrite requests a write of HardState and of the unsaved changes of the set at the end of the step. A value whose vote
+// is already on this disk needs no write when it is applied: its items are written with the next vote, so an operation costs
+// one sync.
 func (n *Node) requestWrite() { n.unsaved.requested = true }
 
-// writeHardState puts the write of this step into its effects.
+// writeHardState adds the requested write to the effects of the step.
 func (n *Node) writeHardState() {
 	hardState := n.hardState
 	n.effects.HardState = &hardState
@@ -33,14 +34,13 @@
 	clear(n.unsaved.items)
 }
 
-// unsavedKeys returns the keys of the items that have changed since the last write, in order.
+// unsavedKeys returns the keys of the items changed since the last write, sorted.
 func (n *Node) unsavedKeys() []config.Key {
 	return slices.SortedFunc(maps.Keys(n.unsaved.items), func(a, b config.Key) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
 	})
 }
 
-// stageChanges notes items that entered the set, and keys that left it.
 func (n *Node) stageChanges(updated []config.Item, removed []config.Key) {
 	for _, item := range updated {
 		n.stageItem(item)
@@ -50,13 +50,13 @@
 	}
 }
 
-// stageItem notes an item that entered the set, for subscribers and for the next write.
+// stageItem records an item that was added or updated, for subscribers and for the next write.
 func (n *Node) stageItem(item config.Item) {
 	n.effects.Updated = append(n.effects.Updated, item)
 	n.unsaved.items[item.Key()] = &item
 }
 
-// stageRemoval notes a key that left the set, for subscribers and for the next write.
+// stageRemoval records a key that was removed from the set, for subscribers and for the next write.
 func (n *Node) stageRemoval(key config.Key) {
 	n.effects.Removed = append(n.effects.Removed, key)
 	n.unsaved.items[key] = nil
