--- a/internal/cluster/gossip/golden_test.go
+++ b/internal/cluster/gossip/golden_test.go
@@ -24,9 +24,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var read datagram
-		if err := json.Unmarshal(golden.Equal(t, name, raw), &read); err != nil || !reflect.DeepEqual(read, want) {
-			t.Errorf("%s: read as %+v, %v", name, read, err)
+		var got datagram
+		if err := json.Unmarshal(golden.Equal(t, name, raw), &got); err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: read as %+v, %v", name, got, err)
 		}
 	}
 	if fields := golden.Untagged(reflect.TypeFor[datagram]()); len(fields) > 0 {
@@ -36,21 +36,21 @@
 
 // A process takes the golden datagrams up: a shuffle's members come into its view, gossip is heard by its topic; and what it
 // answers and gossips itself are such datagrams.
-func TestGoldenDatagramsAreHeard(t *testing.T) {
-	m := &fakePacketConn{in: [][]byte{golden.Read(t, "shuffle.json"), golden.Read(t, "gossip.json")}, from: &net.UDPAddr{IP: net.IPv4(10, 0, 2, 1), Port: 7601}}
+func TestHandleGoldenDatagrams(t *testing.T) {
+	conn := &fakePacketConn{in: [][]byte{golden.Read(t, "shuffle.json"), golden.Read(t, "gossip.json")}, from: &net.UDPAddr{IP: net.IPv4(10, 0, 2, 1), Port: 7601}}
 	var topic string
 	var gossip []byte
-	c := Start(Member{IP: "10.0.0.1", Zone: "z1", Age: 3}, m, [2]int{7600, 7601}, 1, func(t string, raw []byte) { topic, gossip = t, raw })
-	c.listen()
-	if topic != "desk" || string(gossip) != "\x00\x01\xfe\xff" || c.Rejected.Load() > 0 {
-		t.Errorf("heard %q %x, %d foreign", topic, gossip, c.Rejected.Load())
+	gossiper := NewGossiper(Member{IP: "10.0.0.1", Zone: "z1", Age: 3}, conn, [2]int{7600, 7601}, 1, func(t string, raw []byte) { topic, gossip = t, raw })
+	gossiper.listen()
+	if topic != "desk" || string(gossip) != "\x00\x01\xfe\xff" || gossiper.Rejected.Load() > 0 {
+		t.Errorf("heard %q %x, %d foreign", topic, gossip, gossiper.Rejected.Load())
 	}
-	if all := c.Members(); len(all) != 1 || all[0] != (Member{IP: "10.0.2.1", Kind: Proxy, Zone: "z1"}) {
-		t.Errorf("the view is %+v", all)
+	if members := gossiper.Members(); len(members) != 1 || members[0] != (Member{IP: "10.0.2.1", Kind: Proxy, Zone: "z1"}) {
+		t.Errorf("the view is %+v", members)
 	}
-	c = Start(Member{IP: "10.0.2.1", Kind: Proxy, Zone: "z1"}, m, [2]int{7600, 7601}, 1, nil)
-	c.Add(Member{IP: "10.0.2.9", Kind: Proxy})
-	m.out = nil
-	c.Send("desk", []byte{0, 1, 0xfe, 0xff})
-	golden.Equal(t, "gossip.json", m.out[0])
+	gossiper = NewGossiper(Member{IP: "10.0.2.1", Kind: Proxy, Zone: "z1"}, conn, [2]int{7600, 7601}, 1, nil)
+	gossiper.Add(Member{IP: "10.0.2.9", Kind: Proxy})
+	conn.out = nil
+	gossiper.Send("desk", []byte{0, 1, 0xfe, 0xff})
+	golden.Equal(t, "gossip.json", conn.out[0])
 }
--- a/internal/cluster/gossip/gossiper.go
+++ b/internal/cluster/gossip/gossiper.go
@@ -41,7 +41,7 @@
 }
 
 // Start takes a socket up; hear gets what members gossip.
-func Start(self Member, conn net.PacketConn, ports [2]int, seed uint64, deliver func(topic string, raw []byte)) *Gossiper {
+func NewGossiper(self Member, conn net.PacketConn, ports [2]int, seed uint64, deliver func(topic string, raw []byte)) *Gossiper {
 	g := &Gossiper{self: self, conn: conn, ports: ports, deliver: deliver}
 	g.view = NewPartialView(self, &random.Source{Seed: seed})
 	return g
@@ -142,7 +142,7 @@
 }
 
 // sentFrom tells whether a datagram comes from where its member is.
-func (g *Gossiper) sentFrom(a net.Addr, m Member) bool {
-	host, port, err := net.SplitHostPort(a.String())
+func (g *Gossiper) sentFrom(addr net.Addr, m Member) bool {
+	host, port, err := net.SplitHostPort(addr.String())
 	return err == nil && host == m.IP && port == strconv.Itoa(g.ports[m.Kind])
 }
--- a/internal/cluster/gossip/gossiper_test.go
+++ b/internal/cluster/gossip/gossiper_test.go
@@ -14,17 +14,17 @@
 	to   []string
 }
 
-func (m *fakePacketConn) ReadFrom(b []byte) (int, net.Addr, error) {
-	if len(m.in) == 0 {
+func (c *fakePacketConn) ReadFrom(b []byte) (int, net.Addr, error) {
+	if len(c.in) == 0 {
 		return 0, nil, net.ErrClosed
 	}
-	n := copy(b, m.in[0])
-	m.in = m.in[1:]
-	return n, m.from, nil
+	n := copy(b, c.in[0])
+	c.in = c.in[1:]
+	return n, c.from, nil
 }
 
-func (m *fakePacketConn) WriteTo(b []byte, to net.Addr) (int, error) {
-	m.out, m.to = append(m.out, append([]byte{}, b...)), append(m.to, to.String())
+func (c *fakePacketConn) WriteTo(b []byte, to net.Addr) (int, error) {
+	c.out, c.to = append(c.out, append([]byte{}, b...)), append(c.to, to.String())
 	return len(b), nil
 }
 
@@ -41,32 +41,32 @@
 	f.Add([]byte(`{"f":{"i":"10.0.0.2","k":1,"z":"a"},"t":"desk","g":"AAAA"}`), []byte(`{"f":{"i":"10.0.0.2"},"p":[{"i":"x","a":-1},{"i":"10.0.0.9","k":9}]}`))
 	f.Add([]byte(`{"f":{"i":"10.0.0.9","k":1}}`), []byte("\x00\xff"))
 	f.Fuzz(func(t *testing.T, a, b []byte) {
-		m := &fakePacketConn{in: [][]byte{a, b}, from: &net.UDPAddr{IP: net.IPv4(10, 0, 0, 2), Port: 7601}}
+		conn := &fakePacketConn{in: [][]byte{a, b}, from: &net.UDPAddr{IP: net.IPv4(10, 0, 0, 2), Port: 7601}}
 		self := Member{IP: "10.0.0.1", Kind: Proxy, Zone: "a"}
-		heard := 0
-		c := Start(self, m, [2]int{7600, 7601}, 1, func(topic string, _ []byte) {
-			if heard++; topic == "" {
+		delivered := 0
+		gossiper := NewGossiper(self, conn, [2]int{7600, 7601}, 1, func(topic string, _ []byte) {
+			if delivered++; topic == "" {
 				t.Error("gossip of nothing")
 			}
 		})
-		c.Add(Member{IP: "10.0.0.2", Kind: Proxy})
-		c.view.BeginShuffle() // so that an answer may come
-		c.listen()
-		all := c.Members()
-		if len(all) > MaxViewSize {
-			t.Errorf("%d members", len(all))
+		gossiper.Add(Member{IP: "10.0.0.2", Kind: Proxy})
+		gossiper.view.BeginShuffle() // so that an answer may come
+		gossiper.listen()
+		members := gossiper.Members()
+		if len(members) > MaxViewSize {
+			t.Errorf("%d members", len(members))
 		}
-		for _, x := range all {
-			if sameMember(x, self) || x.IP == "" || x.Kind > Proxy || x.Age < 0 {
-				t.Errorf("%+v", x)
+		for _, m := range members {
+			if sameMember(m, self) || m.IP == "" || m.Kind > Proxy || m.Age < 0 {
+				t.Errorf("%+v", m)
 			}
 		}
-		if len(m.out)+heard+int(c.Rejected.Load()) > 2 {
-			t.Errorf("%d answers, %d heard, %d foreign, of two", len(m.out), heard, c.Rejected.Load())
+		if len(conn.out)+delivered+int(gossiper.Rejected.Load()) > 2 {
+			t.Errorf("%d answers, %d heard, %d foreign, of two", len(conn.out), delivered, gossiper.Rejected.Load())
 		}
-		for i, to := range m.to {
-			if to != "10.0.0.2:7601" || len(m.out[i]) > maxDatagramBytes {
-				t.Errorf("%d bytes to %s", len(m.out[i]), to)
+		for i, to := range conn.to {
+			if to != "10.0.0.2:7601" || len(conn.out[i]) > maxDatagramBytes {
+				t.Errorf("%d bytes to %s", len(conn.out[i]), to)
 			}
 		}
 	})
--- a/internal/cluster/gossip/view.go
+++ b/internal/cluster/gossip/view.go
@@ -65,13 +65,13 @@
 	if len(v.members) == 0 {
 		return Member{}, nil, false
 	}
-	eldest := 0
+	oldest := 0
 	for i, m := range v.members {
-		if m.Age > v.members[eldest].Age {
-			eldest = i
+		if m.Age > v.members[oldest].Age {
+			oldest = i
 		}
 	}
-	to = v.members[eldest]
+	to = v.members[oldest]
 	v.shufflePeer = &to
 	v.sentSample = v.pickSample(shuffleSize-1, to)
 	return to, append([]Member{v.self}, v.sentSample...), true
@@ -109,13 +109,13 @@
 	if n == 0 {
 		return Member{}, false
 	}
-	at := int(v.source.Float64() * float64(n))
+	skip := int(v.source.Float64() * float64(n))
 	for _, m := range v.members {
 		if m.Kind == k {
-			if at == 0 {
+			if skip == 0 {
 				return m, true
 			}
-			at--
+			skip--
 		}
 	}
 	return Member{}, false
@@ -126,12 +126,12 @@
 }
 
 // pickSample is so many members by chance, without one.
-func (v *PartialView) pickSample(n int, without Member) (sample []Member) {
-	all := slices.DeleteFunc(slices.Clone(v.members), func(m Member) bool { return sameMember(m, without) })
-	for picked := 0; picked < n && len(all) > 0; picked++ {
-		i := int(v.source.Float64() * float64(len(all)))
-		sample = append(sample, all[i])
-		all = slices.Delete(all, i, i+1)
+func (v *PartialView) pickSample(n int, exclude Member) (sample []Member) {
+	candidates := slices.DeleteFunc(slices.Clone(v.members), func(m Member) bool { return sameMember(m, exclude) })
+	for picked := 0; picked < n && len(candidates) > 0; picked++ {
+		i := int(v.source.Float64() * float64(len(candidates)))
+		sample = append(sample, candidates[i])
+		candidates = slices.Delete(candidates, i, i+1)
 	}
 	return sample
 }
--- a/internal/cluster/gossip/view_test.go
+++ b/internal/cluster/gossip/view_test.go
@@ -40,15 +40,15 @@
 		reached, queue := map[string]bool{ip(0): true}, []string{ip(0)}
 		known := map[string]int{}
 		for len(queue) > 0 {
-			at := queue[0]
+			addr := queue[0]
 			queue = queue[1:]
-			for _, m := range views[at].Members() {
+			for _, m := range views[addr].Members() {
 				if known[m.IP]++; !reached[m.IP] {
 					reached[m.IP] = true
 					queue = append(queue, m.IP)
 				}
 			}
-			c.Check(len(views[at].Members()) <= MaxViewSize, qt.IsTrue)
+			c.Check(len(views[addr].Members()) <= MaxViewSize, qt.IsTrue)
 		}
 		c.Check(reached, qt.HasLen, n)
 		for i := range n {
@@ -60,17 +60,17 @@
 		for range 60 {
 			round()
 		}
-		held, all := 0, 0
+		stale, total := 0, 0
 		for i := range n {
 			for _, m := range views[ip(i)].Members() {
 				if !dead[ip(i)] {
-					all++
+					total++
 					if dead[m.IP] {
-						held++
+						stale++
 					}
 				}
 			}
 		}
-		c.Check(held*20 < all, qt.IsTrue, qt.Commentf("%d of %d members ended long ago", held, all))
+		c.Check(stale*20 < total, qt.IsTrue, qt.Commentf("%d of %d members ended long ago", stale, total))
 	}
 }
--- a/internal/cluster/outlier/detector.go
+++ b/internal/cluster/outlier/detector.go
@@ -92,7 +92,7 @@
 	if host == nil {
 		return
 	}
-	position := slices.IndexFunc(host.pending, func(s pendingRequest) bool { return s.sentAt == sentAt })
+	position := slices.IndexFunc(host.pending, func(request pendingRequest) bool { return request.sentAt == sentAt })
 	if position < 0 {
 		return
 	}
@@ -169,7 +169,7 @@
 
 // hostReport is what a router told of one host.
 type hostReport struct {
-	at int64
+	receivedAt int64
 	Stats
 }
 
@@ -184,53 +184,53 @@
 }
 
 // AddReport takes what a router sees of a service's hosts.
-func (d *Detector) AddReport(now int64, router, service string, stats []Stats) {
-	if d.reports[router] == nil {
-		d.reports[router] = map[string]report{}
+func (d *Detector) AddReport(now int64, proxy, service string, stats []Stats) {
+	if d.reports[proxy] == nil {
+		d.reports[proxy] = map[string]report{}
 	}
-	d.reports[router][service] = report{now, stats}
+	d.reports[proxy][service] = report{now, stats}
 }
 
 // RemoveRouter forgets a router.
-func (d *Detector) RemoveRouter(router string) { delete(d.reports, router) }
+func (d *Detector) RemoveRouter(proxy string) { delete(d.reports, proxy) }
 
 // Idle tells whether no router has told anything of late.
 func (d *Detector) Idle() bool { return len(d.reports) == 0 }
 
 type pooledStats struct {
 	outcomes, failures float64
-	routers            int
+	proxies            int
 }
 
-func (s pooledStats) plus(c Stats) pooledStats {
-	return pooledStats{s.outcomes + c.Outcomes, s.failures + c.Failures, s.routers + 1}
+func (s pooledStats) plus(added Stats) pooledStats {
+	return pooledStats{s.outcomes + added.Outcomes, s.failures + added.Failures, s.proxies + 1}
 }
 
 // sinceReturn is the part of a router's report on a host that isn't left over from before the host was last set aside.
 // Until it is let back it is sent nothing, so whatever is reported by then is of earlier requests, though some of them
 // may have ended, or become overdue, only meanwhile. Later reports still hold the rest of these outcomes, which fades.
-func (d *Detector) sinceReturn(router string, r hostReport) Stats {
-	j, judged := d.ejections[r.ID]
-	if !judged {
+func (d *Detector) statsSinceReturn(proxy string, r hostReport) Stats {
+	ejection, ejected := d.ejections[r.ID]
+	if !ejected {
 		return r.Stats
 	}
-	if r.at < j.EjectedUntil {
+	if r.receivedAt < ejection.EjectedUntil {
 		if d.beforeReturn[r.ID] == nil {
 			d.beforeReturn[r.ID] = map[string]hostReport{}
 		}
-		d.beforeReturn[r.ID][router] = r
+		d.beforeReturn[r.ID][proxy] = r
 		return Stats{ID: r.ID}
 	}
-	old := d.beforeReturn[r.ID][router]
-	left := math.Exp(-float64(r.at-old.at) / float64(outcomeDecay))
-	return Stats{ID: r.ID, Outcomes: max(0, r.Outcomes-old.Outcomes*left), Failures: max(0, r.Failures-old.Failures*left)}
+	old := d.beforeReturn[r.ID][proxy]
+	remaining := math.Exp(-float64(r.receivedAt-old.receivedAt) / float64(outcomeDecay))
+	return Stats{ID: r.ID, Outcomes: max(0, r.Outcomes-old.Outcomes*remaining), Failures: max(0, r.Failures-old.Failures*remaining)}
 }
 
 // Detect looks at the hosts that this process answers for, and tells which are newly set aside. Of each service at most a fifth
 // is at once, or one of three; those that are worst go first.
 func (d *Detector) Detect(now int64, hosts []Candidate) (ejections []Ejection) {
-	byHost, recent, byService := map[string]pooledStats{}, map[string]pooledStats{}, map[string]pooledStats{}
-	for router, services := range d.reports {
+	byHost, byHostSinceReturn, byService := map[string]pooledStats{}, map[string]pooledStats{}, map[string]pooledStats{}
+	for proxy, services := range d.reports {
 		for service, observed := range services {
 			if now-observed.receivedAt > reportExpiry {
 				delete(services, service)
@@ -245,11 +245,11 @@
 					continue
 				}
 				byHost[stats.ID] = byHost[stats.ID].plus(stats)
-				recent[stats.ID] = recent[stats.ID].plus(d.sinceReturn(router, hostReport{observed.receivedAt, stats}))
+				byHostSinceReturn[stats.ID] = byHostSinceReturn[stats.ID].plus(d.statsSinceReturn(proxy, hostReport{observed.receivedAt, stats}))
 			}
 		}
 		if len(services) == 0 {
-			delete(d.reports, router)
+			delete(d.reports, proxy)
 		}
 	}
 	hostCount, ejected := map[string]int{}, map[string]int{}
@@ -261,25 +261,25 @@
 	}
 	type suspect struct {
 		Candidate
-		over float64
+		margin float64
 	}
 	var suspects []suspect
 	for _, host := range hosts {
-		sum, seen := recent[host.ID]
+		pooled, reported := byHostSinceReturn[host.ID]
 		ejection, ejectedBefore := d.ejections[host.ID]
 		onProbation := ejectedBefore && now >= ejection.EjectedUntil && now < ejection.ProbationUntil+baseEjection
-		if !seen || ejectedBefore && now < ejection.EjectedUntil || sum.failures < minFailures && !(onProbation && sum.failures >= minProbationFailures) {
+		if !reported || ejectedBefore && now < ejection.EjectedUntil || pooled.failures < minFailures && !(onProbation && pooled.failures >= minProbationFailures) {
 			continue
 		}
-		observed, all := byService[host.Service], byHost[host.ID]
-		othersRate := max(0, observed.failures-all.failures) / max(1, observed.outcomes-all.outcomes)
+		observed, hostTotals := byService[host.Service], byHost[host.ID]
+		othersRate := max(0, observed.failures-hostTotals.failures) / max(1, observed.outcomes-hostTotals.outcomes)
 		othersRate = min(1, max(0.01, othersRate))
 		// the error is that of a host that is as the others are: where all do badly, it takes much to stand out
-		if excess := sum.failures/max(sum.outcomes, 1e-9) - othersRate - minStandardErrors*math.Sqrt(othersRate*(1-othersRate)/max(sum.outcomes, 1)); excess > minExcessRate {
+		if excess := pooled.failures/max(pooled.outcomes, 1e-9) - othersRate - minStandardErrors*math.Sqrt(othersRate*(1-othersRate)/max(pooled.outcomes, 1)); excess > minExcessRate {
 			suspects = append(suspects, suspect{host, excess})
 		}
 	}
-	slices.SortFunc(suspects, func(a, b suspect) int { return cmp.Or(cmp.Compare(b.over, a.over), strings.Compare(a.ID, b.ID)) })
+	slices.SortFunc(suspects, func(a, b suspect) int { return cmp.Or(cmp.Compare(b.margin, a.margin), strings.Compare(a.ID, b.ID)) })
 	for _, host := range suspects {
 		previous := d.ejections[host.ID]
 		alreadyEjected := now < previous.ProbationUntil // it is counted already
--- a/internal/cluster/rollout/rollout_test.go
+++ b/internal/cluster/rollout/rollout_test.go
@@ -15,17 +15,17 @@
 // A rollout of 15 s, at some age, with votes of routers; only the counted ones vote, and a vote lapses.
 func TestDecide(t *testing.T) {
 	r := Rollout{Service: "desk", Number: 1, StartedAt: 100 * s, Duration: 15 * s, State: Running}
-	roster := []update.Proxy{{Name: "a"}, {Name: "b"}, {Name: "c"}}
-	vote := func(front string, v decision.Verdict, age int64) update.Vote {
-		return update.Vote{Proxy: front, Number: 1, Verdict: uint8(v), ReceivedAt: age}
+	proxies := []update.Proxy{{Name: "a"}, {Name: "b"}, {Name: "c"}}
+	vote := func(proxy string, v decision.Verdict, age int64) update.Vote {
+		return update.Vote{Proxy: proxy, Number: 1, Verdict: uint8(v), ReceivedAt: age}
 	}
-	for _, x := range []struct {
-		name   string
-		age    int64
-		before int
-		votes  []update.Vote // At is how old the vote is
-		want   State
-		term   int64
+	for _, test := range []struct {
+		name     string
+		age      int64
+		rank     int
+		votes    []update.Vote // At is how old the vote is
+		want     State
+		duration int64
 	}{
 		{"nobody has voted", 5 * s, 0, nil, Running, 0},
 		{"one for back", 5 * s, 0, []update.Vote{vote("a", decision.RollBack, 0)}, Running, 0},
@@ -42,18 +42,18 @@
 		{"undecided, a short term", 3 * s, 0, nil, Running, 5 * s},
 		{"undecided at the end of a short term", 4 * s, 0, nil, RolledBack, 5 * s},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			r := r
-			if x.term > 0 {
-				r.Duration = x.term
+			if test.duration > 0 {
+				r.Duration = test.duration
 			}
-			now := r.StartedAt + x.age
+			now := r.StartedAt + test.age
 			var votes []update.Vote
-			for _, p := range x.votes {
-				p.ReceivedAt = now - p.ReceivedAt
-				votes = append(votes, p)
+			for _, cast := range test.votes {
+				cast.ReceivedAt = now - cast.ReceivedAt
+				votes = append(votes, cast)
 			}
-			qt.Check(t, Decide(now, r, votes, roster, x.before), qt.Equals, x.want)
+			qt.Check(t, Decide(now, r, votes, proxies, test.rank), qt.Equals, test.want)
 		})
 	}
 }
@@ -62,35 +62,35 @@
 func TestItemsOrder(t *testing.T) {
 	c := qt.New(t)
 	first := Rollout{Service: "desk", Number: 1, From: "v1", Target: "v2", State: Running}
-	over := first
-	over.State = Completed
-	switching := over
+	completed := first
+	completed.State = Completed
+	switching := completed
 	switching.Switching = true
 	next := Rollout{Service: "desk", Number: 2, From: "v2", BaseNumber: 1, Target: "v3", State: Running}
-	all := []config.Item{first.Item(), switching.Item(), over.Item(), next.Item()}
-	for i := 1; i < len(all); i++ {
-		c.Check(all[i].Supersedes(all[i-1]), qt.IsTrue)
+	items := []config.Item{first.Item(), switching.Item(), completed.Item(), next.Item()}
+	for i := 1; i < len(items); i++ {
+		c.Check(items[i].Supersedes(items[i-1]), qt.IsTrue)
 	}
-	c.Check(FromItem(all[1]), qt.Equals, switching)
-	c.Check(FromItem(all[2]), qt.Equals, over)
-	for _, x := range []struct {
+	c.Check(FromItem(items[1]), qt.Equals, switching)
+	c.Check(FromItem(items[2]), qt.Equals, completed)
+	for _, test := range []struct {
 		r    Rollout
-		told State
-	}{{first, Running}, {switching, Running}, {over, Completed}, {Rollout{State: RolledBack}, RolledBack}, {Rollout{}, None}} {
-		c.Check(x.r.VisibleState(), qt.Equals, x.told)
+		want State
+	}{{first, Running}, {switching, Running}, {completed, Completed}, {Rollout{State: RolledBack}, RolledBack}, {Rollout{}, None}} {
+		c.Check(test.r.VisibleState(), qt.Equals, test.want)
 	}
-	settled := config.Item{Body: []byte(`{"version":"v1"}`)}
-	for _, x := range []struct {
+	initial := config.Item{Body: []byte(`{"version":"v1"}`)}
+	for _, test := range []struct {
 		r       Rollout
 		version string
 		build   uint64
-		stands  decision.RolloutState
+		state   decision.RolloutState
 	}{
-		{Rollout{}, "v1", 0, decision.Released}, {first, "v1", 0, decision.OnTrial}, {over, "v2", 1, decision.Released}, {next, "v2", 1, decision.OnTrial}, {switching, "v2", 1, decision.Released},
+		{Rollout{}, "v1", 0, decision.Released}, {first, "v1", 0, decision.OnTrial}, {completed, "v2", 1, decision.Released}, {next, "v2", 1, decision.OnTrial}, {switching, "v2", 1, decision.Released},
 		{Rollout{Number: 2, From: "v2", BaseNumber: 1, State: RolledBack}, "v2", 1, decision.RolledBack},
 	} {
-		c.Check(StableVersion(settled, x.r), qt.Equals, x.version)
-		c.Check(x.r.StableBuild(), qt.Equals, x.build)
-		c.Check(x.r.DecisionInput(0, 0.1).State, qt.Equals, x.stands)
+		c.Check(StableVersion(initial, test.r), qt.Equals, test.version)
+		c.Check(test.r.StableBuild(), qt.Equals, test.build)
+		c.Check(test.r.DecisionInput(0, 0.1).State, qt.Equals, test.state)
 	}
 }
--- a/internal/control/server/server.go
+++ b/internal/control/server/server.go
@@ -191,7 +191,7 @@
 	}
 	self := gossip.Member{IP: cfg.IP, Kind: gossip.Control, Zone: cfg.Zone}
 	ports := [2]int{cfg.InternalPorts[0], cfg.InternalPorts[1]}
-	s.gossip = gossip.Start(self, packets, ports, s.Seed, func(string, []byte) {})
+	s.gossip = gossip.NewGossiper(self, packets, ports, s.Seed, func(string, []byte) {})
 	s.gossip.Add(Seeds(cfg)...)
 	return listener, nil
 }
--- a/internal/lab/hollow/router.go
+++ b/internal/lab/hollow/router.go
@@ -174,7 +174,7 @@
 	if err != nil {
 		return err
 	}
-	r.gossiper = gossip.Start(gossip.Member{IP: r.ip, Kind: gossip.Proxy, Zone: zoneName(r.zone)}, partitionedPacketConn{p, &partitionedNetwork{}}, [2]int{firstInternalPort, lastInternalPort},
+	r.gossiper = gossip.NewGossiper(gossip.Member{IP: r.ip, Kind: gossip.Proxy, Zone: zoneName(r.zone)}, partitionedPacketConn{p, &partitionedNetwork{}}, [2]int{firstInternalPort, lastInternalPort},
 		r.run.Seed^uint64(r.index)<<20, func(string, []byte) {})
 	for _, z := range r.run.seeds() {
 		r.gossiper.Add(gossip.Member{IP: address(z, 0), Kind: gossip.Control})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -160,7 +160,7 @@
 	}
 	self := gossip.Member{IP: s.IP, Kind: gossip.Proxy, Zone: s.Zone}
 	ports := [2]int{s.InternalPorts[0], s.InternalPorts[1]}
-	p.gossiper = gossip.Start(self, packets, ports, p.Seed, p.receiveGossip)
+	p.gossiper = gossip.NewGossiper(self, packets, ports, p.Seed, p.receiveGossip)
 	for _, node := range s.SeedNodes {
 		if host, _, err := net.SplitHostPort(node); err == nil {
 			p.gossiper.Add(gossip.Member{IP: host, Kind: gossip.Control})
