--- a/internal/cluster/rollout/rollout.go
+++ b/internal/cluster/rollout/rollout.go
@@ -1,5 +1,5 @@
-// Package rollout is a rollout as the control processes see it: an order, the votes of designated routers, and an end that
-// is decided once. It is pure; the routers' own judgement is the rules'.
+// Package rollout implements the control side of a rollout: its stored form, how the votes of proxies decide its outcome, and how long
+// it has been running. The package does no input or output and reads no clock. How a proxy arrives at its vote is up to package decision.
 package rollout
 
 import (
@@ -12,9 +12,10 @@
 	"portflow/internal/decision"
 )
 
-// State is where a rollout stands.
+// State is the state of a rollout.
 type State uint8
 
+// The states of a rollout. None means that the service has never had one.
 const (
 	None State = iota
 	Running
@@ -26,7 +27,7 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// ParseState reads a state's name.
+// ParseState is the inverse of State.String. It returns None for an unknown name.
 func ParseState(name string) State {
 	for s, n := range stateNames {
 		if n == name {
@@ -36,37 +37,41 @@
 	return None
 }
 
-// Rollout is one order. Times are nanoseconds. Began and Ended are of the time of day, and for people to read: what goes by a
-// rollout's age asks Ages, which puts its own clock's time in the place of Began.
+// Rollout is a rollout of one service to a target version. Times are in nanoseconds. As stored, StartedAt and EndedAt are wall-clock
+// times for display only. Code that needs the age of a rollout calls StartTimes.Localize first, which sets StartedAt to a time of the
+// local clock.
 type Rollout struct {
 	Service      string `json:"-"`
-	Number       uint64 `json:"order"` // counts the service's orders, from 1
+	Number       uint64 `json:"order"` // number of this rollout within the service, from 1
 	From         string `json:"from"`
-	BaseNumber   uint64 `json:"base"` // the order that brought From in, 0 for none
+	BaseNumber   uint64 `json:"base"` // number of the rollout that introduced From, 0 if none did
 	Target       string `json:"target"`
-	StartedAt    int64  `json:"began"`           // Unix
-	ClocksAgreed bool   `json:"dated,omitempty"` // more than half of the members' clocks agreed on that
+	StartedAt    int64  `json:"began"`           // Unix nanoseconds, unless localized
+	ClocksAgreed bool   `json:"dated,omitempty"` // the clocks of a majority of the members agreed on StartedAt
 	Duration     int64  `json:"term"`
 	State        State  `json:"state"`
-	EndedAt      int64  `json:"ended,omitempty"` // Unix, when that was decided
-	// Switching is a rollout that is completed and not yet told to be: the routers leave the old hosts, which stop on the word.
+	EndedAt      int64  `json:"ended,omitempty"` // Unix nanoseconds when the outcome was decided
+	// Switching is set while a completed rollout is still reported as running, so that proxies can move off the old hosts, which stop
+	// as soon as completion is reported.
 	Switching bool `json:"switching,omitempty"`
-	// PastDigests is what the service's orders before this one asked for, as Asked has it, the newest first; 0 for none.
+	// PastDigests has the Digest of each of the service's previous rollouts, newest first, and 0 where there is none.
 	PastDigests [MaxPastDigests]uint64 `json:"past,omitzero"`
 }
 
-// MaxPastDigests is how many earlier orders of a service are known. More don't come to an end within the time in which an operator
-// sends one of them again.
+// MaxPastDigests is the number of previous rollouts of a service that late copies of a request are checked against. No more than that
+// end within the time for which a client retries a request.
 const MaxPastDigests = 8
 
-// Digest is what an order asks for, as a sum: two orders of one service that ask for the same have the same sum. It is never 0.
+// Digest returns a hash of what a rollout request asks for: requests with the same target and duration have the same digest. It is
+// never 0.
 func Digest(target string, duration int64) uint64 {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%d %s", duration, target)
 	return max(1, hash.Sum64())
 }
 
-// Next is the order that comes after this one, whatever it asks for: it knows what this one asked for, and those before it.
+// Next returns the rollout that follows r, with its number, base and past digests set. The caller fills in the request and the start
+// time.
 func (r Rollout) Next() Rollout {
 	next := Rollout{Service: r.Service, Number: r.Number + 1, BaseNumber: r.StableBuild(), State: Running, PastDigests: r.PastDigests}
 	if r.Number > 0 {
@@ -76,7 +81,7 @@
 	return next
 }
 
-// FromItem is a rollout's item.
+// FromItem decodes a rollout from its configuration item. For an invalid item it returns a Rollout with only the service set.
 func FromItem(item config.Item) (r Rollout) {
 	if json.Unmarshal(item.Body, &r) != nil || r.State > RolledBack {
 		return Rollout{Service: item.Name}
@@ -85,8 +90,8 @@
 	return r
 }
 
-// Item is the rollout as it is kept. The end holds against the order, whichever way it came, and the word that it is
-// completed against the end. Items of earlier releases have half of these versions.
+// Item encodes the rollout as a configuration item. Its version grows from running to switching to ended, and with each number, so that
+// a later state of the rollout supersedes an earlier one in whatever order they arrive. Earlier releases wrote half of these versions.
 func (r Rollout) Item() config.Item {
 	body, _ := json.Marshal(r)
 	version := r.Number * 4
@@ -99,15 +104,15 @@
 	return config.Item{Kind: config.KindRollouts, Name: r.Service, Version: version, Body: body}
 }
 
-// ID names one order of one service.
+// ID identifies the rollout among those of all services.
 func (r Rollout) ID() string { return fmt.Sprintf("%s#%d", r.Service, r.Number) }
 
-// switchingTime is how long the routers have to leave the old hosts before operators hear that a rollout is completed: those
-// hosts stop on the word, whatever they have in work.
+// switchingTime is the time that proxies have to move off the old hosts before a rollout is reported as completed. Old hosts then stop,
+// even with requests in flight. In nanoseconds.
 const switchingTime = int64(800e6)
 
-// VisibleState is the state as operators hear it. It goes by what the core has decided and by no clock, so that whoever reads after
-// another has heard that a rollout is completed hears the same.
+// VisibleState returns the state that is reported to operators. It depends only on replicated data, not on a clock: once one reader has
+// seen a rollout as completed, every later reader does.
 func (r Rollout) VisibleState() State {
 	if r.Switching {
 		return Running
@@ -115,13 +120,14 @@
 	return r.State
 }
 
-// SwitchComplete tells whether the routers have had their time to leave the old hosts of a rollout that this process has seen
-// switching since a time by its clock; before is how many processes propose it first.
+// SwitchComplete reports whether this process should propose the end of switching, for a rollout that it has seen switching since the
+// given local time. rank is the number of control processes that propose before this one.
 func SwitchComplete(now, since int64, rank int) bool {
 	return now-since >= switchingTime+int64(rank)*proposalDelay
 }
 
-// StableVersion is a service's version that is not on trial: where the newest rollout completed, its target.
+// StableVersion returns the version of a service that is not on trial, given its newest rollout. Before the first rollout that is the
+// version in the service's stable-version item, initial.
 func StableVersion(initial config.Item, r Rollout) string {
 	switch r.State {
 	case Completed:
@@ -136,8 +142,7 @@
 	return body.Version
 }
 
-// StableBuild is the number of the settled version's build, as the routers' rules count builds: that of the order that brought it
-// in.
+// StableBuild returns the build number of the stable version: the number of the rollout that introduced it, 0 if none did.
 func (r Rollout) StableBuild() uint64 {
 	if r.State == Completed {
 		return r.Number
@@ -145,7 +150,8 @@
 	return r.BaseNumber
 }
 
-// DecisionInput is what the rules are told of the rollout. Before the first order the settled build has run for long.
+// DecisionInput returns the rollout as input for package decision. maxShare caps the share of requests that go to a build on trial.
+// Before the first rollout the stable build counts as released an hour ago.
 func (r Rollout) DecisionInput(now int64, maxShare float64) decision.Rollout {
 	input := decision.Rollout{Build: int(r.Number), State: decision.Released, ExposureCap: 1, Age: now - r.StartedAt}
 	switch r.State {
@@ -160,21 +166,24 @@
 }
 
 const (
-	// RequiredVotes is how many votes it takes: two, so that no router alone can end a rollout; the rules have one voter more, as
-	// one may be cut off.
+	// RequiredVotes is the number of votes that end a rollout: two, so that no proxy alone can end one. Package decision has one more voter
+	// than that, as one may be disconnected.
 	RequiredVotes = 2
-	// VoteLifetime is for how long a vote stands; the rules renew it after half of that.
+	// VoteLifetime is the time for which a vote counts, in nanoseconds. Package decision renews a vote after half of it.
 	VoteLifetime = int64(2e9)
-	// proposalDelay is how long each control process waits for the one before it.
+	// proposalDelay is the delay, per preceding control process, before a process proposes an outcome itself. In nanoseconds.
 	proposalDelay = int64(400e6)
-	// earlyCompletionMargin is how long before the term a good version is let through, at the earliest: an earlier end gains nothing, and a
-	// build may turn bad late. Deciding takes two rounds through the core, and a turn more where a process is lost.
+	// earlyCompletionMargin is how long before the end of its duration a rollout may complete, in nanoseconds. Completing earlier gains
+	// nothing, and a build may still turn bad. The margin covers two consensus rounds, and one proposalDelay more if a process fails.
 	earlyCompletionMargin = int64(3200e6)
-	// timeoutMargin is what is left of the term when a rollout without clear votes is ended: operators look about once a second.
+	// timeoutMargin is how long before the end of its duration a rollout without a decisive vote is rolled back, in nanoseconds. It leaves
+	// time for operators, who poll about once a second, to see the outcome.
 	timeoutMargin = int64(1500e6)
 )
 
-// Decide tells how a rollout should end by the votes, or that it runs on. Only routers that control counts may vote.
+// Decide returns the outcome that this process should propose for a running rollout, or Running if it is to continue. r must be
+// localized. Only votes of the given proxies count, and only until they expire. rank is the number of control processes that propose
+// before this one.
 func Decide(now int64, r Rollout, votes []update.Vote, proxies []update.Proxy, rank int) State {
 	counted := make(map[string]bool, len(proxies))
 	for _, proxy := range proxies {
@@ -202,7 +211,7 @@
 		return RolledBack
 	case completeVotes >= required && rollbackVotes == 0 && age >= r.Duration-min(earlyCompletionMargin, r.Duration/2)+wait:
 		return Completed
-	case age >= r.Duration-min(timeoutMargin, r.Duration/5)+wait: // nobody found out: what is not known to be good doesn't replace what is
+	case age >= r.Duration-min(timeoutMargin, r.Duration/5)+wait: // undecided: a version not known to be good must not replace one that is
 		return RolledBack
 	}
 	return Running
--- a/internal/cluster/rollout/rollout_test.go
+++ b/internal/cluster/rollout/rollout_test.go
@@ -12,7 +12,7 @@
 
 const s = int64(1e9)
 
-// A rollout of 15 s, at some age, with votes of routers; only the counted ones vote, and a vote lapses.
+// Guards the outcome by votes, age and rank; votes that have expired or are from unknown proxies must not count.
 func TestDecide(t *testing.T) {
 	r := Rollout{Service: "desk", Number: 1, StartedAt: 100 * s, Duration: 15 * s, State: Running}
 	proxies := []update.Proxy{{Name: "a"}, {Name: "b"}, {Name: "c"}}
@@ -23,24 +23,24 @@
 		name     string
 		age      int64
 		rank     int
-		votes    []update.Vote // At is how old the vote is
+		votes    []update.Vote // with ReceivedAt as the age of the vote
 		want     State
 		duration int64
 	}{
-		{"nobody has voted", 5 * s, 0, nil, Running, 0},
-		{"one for back", 5 * s, 0, []update.Vote{vote("a", decision.RollBack, 0)}, Running, 0},
-		{"two for back", 5 * s, 0, []update.Vote{vote("a", decision.RollBack, 0), vote("b", decision.RollBack, 0)}, RolledBack, 0},
-		{"one of them has lapsed", 5 * s, 0, []update.Vote{vote("a", decision.RollBack, 3*s), vote("b", decision.RollBack, 0)}, Running, 0},
-		{"one of them isn't counted", 5 * s, 0, []update.Vote{vote("x", decision.RollBack, 0), vote("b", decision.RollBack, 0)}, Running, 0},
-		{"two for back, another proposes first", 5 * s, 1, []update.Vote{vote("a", decision.RollBack, 0), vote("b", decision.RollBack, 0)}, Running, 0},
-		{"two for on, early", 5 * s, 0, []update.Vote{vote("a", decision.Advance, 0), vote("b", decision.Advance, 0)}, Running, 0},
-		{"two for on, shortly before the term", 13 * s, 0, []update.Vote{vote("a", decision.Advance, 0), vote("b", decision.Advance, 0)}, Completed, 0},
-		{"one against", 13 * s, 0, []update.Vote{vote("a", decision.Advance, 0), vote("b", decision.Advance, 0), vote("c", decision.RollBack, 0)}, Running, 0},
-		{"undecided at the term", 14 * s, 0, nil, RolledBack, 0},
-		{"undecided at the term, another proposes first", 14 * s, 3, nil, Running, 0},
-		{"two for on, a short term", 3 * s, 0, []update.Vote{vote("a", decision.Advance, 0), vote("b", decision.Advance, 0)}, Completed, 5 * s},
-		{"undecided, a short term", 3 * s, 0, nil, Running, 5 * s},
-		{"undecided at the end of a short term", 4 * s, 0, nil, RolledBack, 5 * s},
+		{"no votes", 5 * s, 0, nil, Running, 0},
+		{"one vote to roll back", 5 * s, 0, []update.Vote{vote("a", decision.RollBack, 0)}, Running, 0},
+		{"two votes to roll back", 5 * s, 0, []update.Vote{vote("a", decision.RollBack, 0), vote("b", decision.RollBack, 0)}, RolledBack, 0},
+		{"one of two votes expired", 5 * s, 0, []update.Vote{vote("a", decision.RollBack, 3*s), vote("b", decision.RollBack, 0)}, Running, 0},
+		{"one of two votes by an unknown proxy", 5 * s, 0, []update.Vote{vote("x", decision.RollBack, 0), vote("b", decision.RollBack, 0)}, Running, 0},
+		{"two votes to roll back, another process proposes first", 5 * s, 1, []update.Vote{vote("a", decision.RollBack, 0), vote("b", decision.RollBack, 0)}, Running, 0},
+		{"two votes to advance, early", 5 * s, 0, []update.Vote{vote("a", decision.Advance, 0), vote("b", decision.Advance, 0)}, Running, 0},
+		{"two votes to advance, near the end", 13 * s, 0, []update.Vote{vote("a", decision.Advance, 0), vote("b", decision.Advance, 0)}, Completed, 0},
+		{"one vote of three to roll back", 13 * s, 0, []update.Vote{vote("a", decision.Advance, 0), vote("b", decision.Advance, 0), vote("c", decision.RollBack, 0)}, Running, 0},
+		{"undecided at the end", 14 * s, 0, nil, RolledBack, 0},
+		{"undecided at the end, others propose first", 14 * s, 3, nil, Running, 0},
+		{"two votes to advance, short duration", 3 * s, 0, []update.Vote{vote("a", decision.Advance, 0), vote("b", decision.Advance, 0)}, Completed, 5 * s},
+		{"undecided, short duration", 3 * s, 0, nil, Running, 5 * s},
+		{"undecided at the end of a short duration", 4 * s, 0, nil, RolledBack, 5 * s},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := r
@@ -58,7 +58,7 @@
 	}
 }
 
-// The order and its end are one item; the end holds, whichever comes first, and the next order holds against it.
+// Each later state of a rollout, and the next rollout, must supersede the item before it, so that the order of arrival does not matter.
 func TestItemsOrder(t *testing.T) {
 	c := qt.New(t)
 	first := Rollout{Service: "desk", Number: 1, From: "v1", Target: "v2", State: Running}
--- a/internal/cluster/rollout/start_times.go
+++ b/internal/cluster/rollout/start_times.go
@@ -7,21 +7,22 @@
 	"portflow/internal/cluster/update"
 )
 
-// timing is what is known of a service's newest rollout.
+// timing has the local times of a service's newest rollout.
 type timing struct {
 	number         uint64
-	startedAt      int64 // by this process's clock: then or earlier
-	switchingSince int64 // since when it is seen switching, 0 for not
-	observed       bool  // this process, or one that told it, has run since the rollout began
+	startedAt      int64 // not before the real start, except for clock drift
+	switchingSince int64 // when this process first saw it switching, 0 if it has not
+	observed       bool  // this process, or a peer that announced it, has run since the rollout began
 }
 
-// StartTimes knows for how long rollouts have run, by this process's own clock, which never steps. No time of day is needed for
-// that where one process that saw a rollout begin is heard: it tells those that start later. An age is never more than the
-// truth but by what clocks drift; a rollout that is taken for younger than it is ends late, and none ends early. There is one
-// entry a service. It is not safe for two goroutines.
+// StartTimes records, by service, when the newest rollout began on this process's own clock, which never steps. A process that started
+// later learns the time from the announcements of a peer that saw the rollout begin; only where no such peer is connected is the wall
+// clock needed. Apart from clock drift a rollout is never taken to be older than it is, so it may end late but never early. It is not
+// safe for concurrent use.
 type StartTimes map[string]timing
 
-// Observe notes a rollout as it stands now. seen tells that this process runs while it comes; else it was on its disk.
+// Observe records the current state of a rollout. observed reports whether the state was decided while this process has been running; it is
+// false for a rollout read from disk, which may have begun long before.
 func (t StartTimes) Observe(now int64, r Rollout, observed bool) {
 	entry, known := t[r.Service]
 	if !known || entry.number != r.Number {
@@ -33,7 +34,8 @@
 	t[r.Service] = entry
 }
 
-// Merge takes what another process knows, by this process's clock.
+// Merge applies the announcement of a peer, whose StartedAt must be converted to this process's clock. It is ignored unless it is for the
+// rollout that this process knows as the newest.
 func (t StartTimes) Merge(start update.RolloutStart) {
 	if entry := t[start.Service]; entry.number == start.Number && start.Number > 0 {
 		entry.startedAt, entry.observed = min(entry.startedAt, start.StartedAt), true
@@ -41,8 +43,8 @@
 	}
 }
 
-// AdjustToWallClock goes by the time of day where nobody has run since a rollout began: all were restarted. day is that time now, as more
-// than half of the members have it.
+// AdjustToWallClock derives the start time from the wall clock if no process is known to have run since the rollout began, as after a
+// restart of all of them. wallClock is the present time that a majority of the members agrees on.
 func (t StartTimes) AdjustToWallClock(now, wallClock int64, r Rollout) {
 	if entry := t[r.Service]; entry.number == r.Number && !entry.observed && r.ClocksAgreed && wallClock > r.StartedAt {
 		entry.startedAt = min(entry.startedAt, now-(wallClock-r.StartedAt))
@@ -50,7 +52,7 @@
 	}
 }
 
-// Localize is the rollout with the time of this process's clock in the place of Began. One that isn't known begins now.
+// Localize returns the rollout with StartedAt on this process's clock. An unknown rollout begins now.
 func (t StartTimes) Localize(now int64, r Rollout) Rollout {
 	r.StartedAt = now
 	if entry := t[r.Service]; entry.number == r.Number && r.Number > 0 {
@@ -59,7 +61,7 @@
 	return r
 }
 
-// SwitchingSince is since when this process has seen a rollout switching.
+// SwitchingSince returns when this process first saw the rollout switching, now if it has not.
 func (t StartTimes) SwitchingSince(now int64, r Rollout) int64 {
 	if entry := t[r.Service]; entry.number == r.Number && entry.switchingSince > 0 {
 		return entry.switchingSince
@@ -67,7 +69,8 @@
 	return now
 }
 
-// Announcements is what others are told: of rollouts that were seen from their beginning and began less than a time ago.
+// Announcements returns the start times to send to peers, sorted by service: those of rollouts that began less than within ago and that
+// this process, or a peer that announced them, has observed.
 func (t StartTimes) Announcements(now, within int64) (starts []update.RolloutStart) {
 	for service, entry := range t {
 		if entry.observed && now-entry.startedAt < within {
@@ -78,13 +81,13 @@
 	return starts
 }
 
-// clockTolerance is by how much clocks may differ, nanoseconds, that are taken for the same: they are compared over lines between
-// regions.
+// clockTolerance is the largest difference, in nanoseconds, between clocks that agree. It allows for the error of comparing clocks over
+// connections between regions.
 const clockTolerance = int64(500e6)
 
-// WallClock is the time of day by the clocks of those members that are heard, this process's among them: apart is by how much each
-// is ahead of this one's, members how many there are. Where more than half of the members agree it is the middle one of
-// those; else it can't be told, and it is the earlier of the middle two.
+// WallClock returns the wall-clock time, in Unix nanoseconds, by the clocks of the connected members. offsets has, for each of them and for
+// this process, by how much its clock is ahead of now; members is the number of all members. If more than half of the members agree,
+// the result is the median of their clocks; otherwise agreed is false and it is the lower median of all offsets.
 func WallClock(now int64, offsets []int64, members int) (wallClock int64, agreed bool) {
 	offsets = slices.Sorted(slices.Values(offsets))
 	required := members/2 + 1
--- a/internal/cluster/rollout/start_times_test.go
+++ b/internal/cluster/rollout/start_times_test.go
@@ -8,8 +8,8 @@
 	"portflow/internal/cluster/update"
 )
 
-// A rollout's age by one process, whatever the time of day is: as it is seen to begin, as others tell it, and by the time of
-// day only where nobody has run since. It is never more than the truth, which is 10 s at 100 s.
+// A rollout that began at 90 s must never be taken to be older than 10 s at 100 s, and the wall clock must count only if no process has
+// observed it from its start.
 func TestStartTimes(t *testing.T) {
 	start := int64(1e18)
 	r := Rollout{Service: "desk", Number: 2, StartedAt: start, Duration: 15 * s, State: Running, ClocksAgreed: true}
@@ -20,37 +20,37 @@
 		prepare func(a StartTimes)
 		want    int64 // age at 100 s
 	}{
-		{"not known", func(a StartTimes) {}, 0},
-		{"seen from its beginning", func(a StartTimes) { a.Observe(90*s, r, true) }, 10 * s},
-		{"seen once more", func(a StartTimes) { a.Observe(90*s, r, true); a.Observe(95*s, r, true) }, 10 * s},
-		{"seen late, as changes were taken over", func(a StartTimes) { a.Observe(97*s, r, true) }, 3 * s},
-		{"and told by another", func(a StartTimes) {
+		{"unknown rollout", func(a StartTimes) {}, 0},
+		{"observed from the start", func(a StartTimes) { a.Observe(90*s, r, true) }, 10 * s},
+		{"observed twice", func(a StartTimes) { a.Observe(90*s, r, true); a.Observe(95*s, r, true) }, 10 * s},
+		{"observed late, while catching up", func(a StartTimes) { a.Observe(97*s, r, true) }, 3 * s},
+		{"observed late, announced by a peer", func(a StartTimes) {
 			a.Observe(97*s, r, true)
 			a.Merge(update.RolloutStart{Service: "desk", Number: 2, StartedAt: 90 * s})
 		}, 10 * s},
-		{"a later beginning is told", func(a StartTimes) {
+		{"a later start is announced", func(a StartTimes) {
 			a.Observe(90*s, r, true)
 			a.Merge(update.RolloutStart{Service: "desk", Number: 2, StartedAt: 95 * s})
 		}, 10 * s},
-		{"one of another order is told", func(a StartTimes) {
+		{"the start of another rollout is announced", func(a StartTimes) {
 			a.Observe(90*s, r, true)
 			a.Merge(update.RolloutStart{Service: "desk", Number: 1, StartedAt: 5 * s})
 		}, 10 * s},
-		{"restarted, nothing is told", func(a StartTimes) { a.Observe(96*s, r, false) }, 4 * s},
-		{"restarted, by the time of day", func(a StartTimes) { a.Observe(96*s, r, false); a.AdjustToWallClock(100*s, start+10*s, r) }, 10 * s},
-		{"restarted, of a day that wasn't agreed on at the beginning", func(a StartTimes) { a.Observe(96*s, skewed, false); a.AdjustToWallClock(100*s, start+3600*s, skewed) }, 4 * s},
-		{"restarted, by a day before the beginning", func(a StartTimes) { a.Observe(96*s, r, false); a.AdjustToWallClock(100*s, start-3600*s, r) }, 4 * s},
-		{"restarted, told by another, and a wrong day", func(a StartTimes) {
+		{"restarted, nothing announced", func(a StartTimes) { a.Observe(96*s, r, false) }, 4 * s},
+		{"restarted, by the wall clock", func(a StartTimes) { a.Observe(96*s, r, false); a.AdjustToWallClock(100*s, start+10*s, r) }, 10 * s},
+		{"restarted, clocks disagreed at the start", func(a StartTimes) { a.Observe(96*s, skewed, false); a.AdjustToWallClock(100*s, start+3600*s, skewed) }, 4 * s},
+		{"restarted, wall clock before the start", func(a StartTimes) { a.Observe(96*s, r, false); a.AdjustToWallClock(100*s, start-3600*s, r) }, 4 * s},
+		{"restarted, announced by a peer, wrong wall clock", func(a StartTimes) {
 			a.Observe(96*s, r, false)
 			a.Merge(update.RolloutStart{Service: "desk", Number: 2, StartedAt: 90 * s})
 			a.AdjustToWallClock(100*s, start+3600*s, r)
 		}, 10 * s},
-		{"seen, and a wrong day", func(a StartTimes) { a.Observe(90*s, r, true); a.AdjustToWallClock(100*s, start+3600*s, r) }, 10 * s},
-		{"the next order", func(a StartTimes) {
+		{"observed from the start, wrong wall clock", func(a StartTimes) { a.Observe(90*s, r, true); a.AdjustToWallClock(100*s, start+3600*s, r) }, 10 * s},
+		{"after a previous rollout", func(a StartTimes) {
 			a.Observe(20*s, Rollout{Service: "desk", Number: 1, State: Completed}, true)
 			a.Observe(90*s, r, true)
 		}, 10 * s},
-		{"one from before a restore", func(a StartTimes) {
+		{"after one with a higher number, before a restore", func(a StartTimes) {
 			a.Observe(20*s, Rollout{Service: "desk", Number: 9, State: Completed}, true)
 			a.Observe(90*s, r, true)
 		}, 10 * s},
@@ -65,7 +65,7 @@
 	}
 }
 
-// What was seen from its beginning is told for a while; what was found on a disk is not, until another has told it.
+// Only recent rollouts are announced, and those read from disk only once a peer has announced their start.
 func TestAnnouncements(t *testing.T) {
 	c := qt.New(t)
 	starts := StartTimes{}
@@ -78,7 +78,7 @@
 	c.Check(starts.Announcements(30*s, 15*s), qt.DeepEquals, []update.RolloutStart{{Service: "b", Number: 2, StartedAt: 19 * s}, {Service: "c", Number: 3, StartedAt: 20 * s}})
 }
 
-// Routers have their time to leave the old hosts from when a process sees a rollout switching, a restarted one from its start.
+// switchingTime must count from when this process first saw the rollout switching, and the rank must delay the proposal.
 func TestSwitchingSince(t *testing.T) {
 	c := qt.New(t)
 	starts := StartTimes{}
@@ -100,7 +100,7 @@
 	}
 }
 
-// The time of day is what more than half of the members agree on. Fewer than that are believed nothing.
+// Clocks agree only if more than half of all members do, not just of the connected ones.
 func TestWallClock(t *testing.T) {
 	hour := int64(3600e9)
 	for _, test := range []struct {
@@ -110,17 +110,17 @@
 		want    int64
 		agreed  bool
 	}{
-		{"one alone", []int64{0}, 1, 0, true},
+		{"single member", []int64{0}, 1, 0, true},
 		{"all agree", []int64{0, s / 10, -s / 10}, 3, 0, true},
 		{"one is ahead", []int64{0, hour, -s / 10}, 3, -s / 10, true},
 		{"this one is wrong", []int64{0, hour, hour + s/10}, 3, hour, true},
-		{"two of three, one is wrong", []int64{0, -hour}, 3, -hour, false},
-		{"two of three agree", []int64{0, s / 10}, 3, 0, true},
+		{"two of three connected, one is wrong", []int64{0, -hour}, 3, -hour, false},
+		{"two of three connected, both agree", []int64{0, s / 10}, 3, 0, true},
 		{"three of six agree", []int64{0, 0, 0, hour, -hour}, 6, 0, false},
 		{"four of six agree", []int64{0, 0, 0, 0, hour, -hour}, 6, 0, true},
 		{"all differ", []int64{0, s, 2 * s}, 3, s, false},
 		{"nobody", nil, 3, 0, false},
-		{"no member", []int64{0}, 0, 0, true},
+		{"no members", []int64{0}, 0, 0, true},
 	} {
 		wallClock, agreed := WallClock(77*hour, test.offsets, test.members)
 		qt.Check(t, wallClock-77*hour, qt.Equals, test.want, qt.Commentf(test.name))
--- a/internal/cluster/rollout/trace_test.go
+++ b/internal/cluster/rollout/trace_test.go
@@ -10,8 +10,8 @@
 	"portflow/internal/testing/digest"
 )
 
-// Rollouts under drawn votes, ends and restarts of their watchers are judged and told as they were. The order of the fields of
-// Rollout and the numbers of states and verdicts count; names don't.
+// Pins the outcomes, start times and items of rollouts under random votes and restarts. The digests depend on the field order of Rollout
+// and on the numbers of states and verdicts, not on names.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 50, []string{"a0628c9af92d80cc", "1bce1d63f50d1d08", "918134cf7793d490"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
