--- a/internal/cluster/gossip/golden_test.go
+++ b/internal/cluster/gossip/golden_test.go
@@ -9,7 +9,7 @@
 	"portflow/internal/golden"
 )
 
-// Datagrams of each sort, and one with all fields, have the same bytes and are read as the same.
+// Each type of datagram, and one with all fields set, must be encoded as in the golden files and decoded back to the same value.
 func TestGoldenDatagrams(t *testing.T) {
 	a, b := Member{IP: "10.0.2.1", Kind: Proxy, Zone: "z1"}, Member{IP: "10.0.0.1", Zone: "z1", Age: 3}
 	var full datagram
@@ -26,16 +26,15 @@
 		}
 		var got datagram
 		if err := json.Unmarshal(golden.Equal(t, name, raw), &got); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: read as %+v, %v", name, got, err)
+			t.Errorf("%s: decoded as %+v, error %v", name, got, err)
 		}
 	}
 	if fields := golden.Untagged(reflect.TypeFor[datagram]()); len(fields) > 0 {
-		t.Errorf("without a json tag: %q", fields)
+		t.Errorf("fields without a json tag: %q", fields)
 	}
 }
 
-// A process takes the golden datagrams up: a shuffle's members come into its view, gossip is heard by its topic; and what it
-// answers and gossips itself are such datagrams.
+// A golden shuffle must add its members to the view, a golden payload must be delivered by topic, and Send must write the golden payload.
 func TestHandleGoldenDatagrams(t *testing.T) {
 	conn := &fakePacketConn{in: [][]byte{golden.Read(t, "shuffle.json"), golden.Read(t, "gossip.json")}, from: &net.UDPAddr{IP: net.IPv4(10, 0, 2, 1), Port: 7601}}
 	var topic string
@@ -43,10 +42,10 @@
 	gossiper := NewGossiper(Member{IP: "10.0.0.1", Zone: "z1", Age: 3}, conn, [2]int{7600, 7601}, 1, func(t string, raw []byte) { topic, gossip = t, raw })
 	gossiper.listen()
 	if topic != "desk" || string(gossip) != "\x00\x01\xfe\xff" || gossiper.Rejected.Load() > 0 {
-		t.Errorf("heard %q %x, %d foreign", topic, gossip, gossiper.Rejected.Load())
+		t.Errorf("delivered topic %q with payload %x, rejected %d datagrams", topic, gossip, gossiper.Rejected.Load())
 	}
 	if members := gossiper.Members(); len(members) != 1 || members[0] != (Member{IP: "10.0.2.1", Kind: Proxy, Zone: "z1"}) {
-		t.Errorf("the view is %+v", members)
+		t.Errorf("view contains %+v", members)
 	}
 	gossiper = NewGossiper(Member{IP: "10.0.2.1", Kind: Proxy, Zone: "z1"}, conn, [2]int{7600, 7601}, 1, nil)
 	gossiper.Add(Member{IP: "10.0.2.9", Kind: Proxy})
--- a/internal/cluster/gossip/gossiper.go
+++ b/internal/cluster/gossip/gossiper.go
@@ -12,42 +12,43 @@
 	"portflow/internal/random"
 )
 
-// datagram is what members send each other, in one datagram.
+// datagram is the content of one datagram: a shuffle, the reply to one, or a payload.
 type datagram struct {
 	From    Member   `json:"f"`
 	Sample  []Member `json:"p,omitempty"`
 	Reply   bool     `json:"r,omitempty"`
-	Topic   string   `json:"t,omitempty"` // gossip of this topic, and nothing else
+	Topic   string   `json:"t,omitempty"` // set only with a payload
 	Payload []byte   `json:"g,omitempty"`
 }
 
 const (
-	maxDatagramBytes       = 1400            // bytes of a datagram
-	initialShuffleInterval = time.Second / 4 // between shuffles while the view is young
-	shuffleInterval        = 4 * time.Second // and later
-	initialShuffles        = 12              // shuffles
+	maxDatagramBytes       = 1400
+	initialShuffleInterval = time.Second / 4 // for the first initialShuffles shuffles, while the view fills
+	shuffleInterval        = 4 * time.Second // after these
+	initialShuffles        = 12
 )
 
-// Gossiper carries a view over datagrams.
+// Gossiper maintains a PartialView over datagrams, and sends and receives payloads. It is safe for concurrent use.
 type Gossiper struct {
 	self      Member
 	conn      net.PacketConn
-	ports     [2]int // by kind
+	ports     [2]int // by Kind
 	deliver   func(topic string, raw []byte)
-	mu        sync.Mutex
+	mu        sync.Mutex // guards view
 	view      *PartialView
-	Rejected  atomic.Int64 // datagrams that were none of ours
-	BytesSent atomic.Int64 // bytes
+	Rejected  atomic.Int64 // number of datagrams that were invalid or not from their member's address
+	BytesSent atomic.Int64
 }
 
-// Start takes a socket up; hear gets what members gossip.
+// NewGossiper returns a Gossiper for conn. It sends no shuffles and receives nothing until Run is called. ports has the UDP port of the
+// members of each Kind. deliver is called with each payload that is received, one at a time.
 func NewGossiper(self Member, conn net.PacketConn, ports [2]int, seed uint64, deliver func(topic string, raw []byte)) *Gossiper {
 	g := &Gossiper{self: self, conn: conn, ports: ports, deliver: deliver}
 	g.view = NewPartialView(self, &random.Source{Seed: seed})
 	return g
 }
 
-// Add takes members in that were heard of otherwise: seeds, say.
+// Add adds members that were learned of by other means than a shuffle, such as seeds.
 func (g *Gossiper) Add(all ...Member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -56,14 +57,14 @@
 	}
 }
 
-// Members are those in the view.
+// Members returns a copy of the members in the view.
 func (g *Gossiper) Members() []Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.view.Members()
 }
 
-// Run shuffles and hears until the context ends.
+// Run sends shuffles and receives datagrams until ctx is done, and then closes the socket.
 func (g *Gossiper) Run(ctx context.Context) {
 	go g.listen()
 	defer g.conn.Close()
@@ -89,7 +90,8 @@
 	}
 }
 
-// Send gossips to one member by chance; false says that the view has none of the kind.
+// Send sends a payload to one random proxy. It returns false if the view has none. A payload may be lost, and one that does not fit into a
+// datagram is dropped.
 func (g *Gossiper) Send(topic string, raw []byte) bool {
 	g.mu.Lock()
 	to, ok := g.view.RandomMember(Proxy)
@@ -141,7 +143,7 @@
 	}
 }
 
-// sentFrom tells whether a datagram comes from where its member is.
+// sentFrom reports whether addr is the address and port of m.
 func (g *Gossiper) sentFrom(addr net.Addr, m Member) bool {
 	host, port, err := net.SplitHostPort(addr.String())
 	return err == nil && host == m.IP && port == strconv.Itoa(g.ports[m.Kind])
--- a/internal/cluster/gossip/gossiper_test.go
+++ b/internal/cluster/gossip/gossiper_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// fakePacketConn is a socket that brings datagrams from one place, and then ends.
+// fakePacketConn is a socket that receives the datagrams in, all from one address, and is then closed. It records what is sent.
 type fakePacketConn struct {
 	in   [][]byte
 	from *net.UDPAddr
@@ -34,8 +34,8 @@
 func (m *fakePacketConn) SetReadDeadline(time.Time) error  { return nil }
 func (m *fakePacketConn) SetWriteDeadline(time.Time) error { return nil }
 
-// FuzzDatagrams: whatever datagrams come, the view stays within its bounds and without its owner, answers go only where a
-// datagram came from, and stay within their size. Two in a row, as the second meets what the first left.
+// Whatever is received, the view must keep its size limit and must not contain its owner or invalid members, and replies must go only to
+// the sender and fit into a datagram. There are two datagrams, so that the second meets the state that the first left.
 func FuzzDatagrams(f *testing.F) {
 	f.Add([]byte(`{"f":{"i":"10.0.0.2","k":1,"z":"a"},"p":[{"i":"10.0.0.3","z":"b","a":3},{"i":"10.0.0.1","z":"c"}]}`), []byte(`{"f":{"i":"10.0.0.2","k":1,"z":"a"},"r":true,"p":[{"i":"10.0.0.4","z":""}]}`))
 	f.Add([]byte(`{"f":{"i":"10.0.0.2","k":1,"z":"a"},"t":"desk","g":"AAAA"}`), []byte(`{"f":{"i":"10.0.0.2"},"p":[{"i":"x","a":-1},{"i":"10.0.0.9","k":9}]}`))
@@ -46,15 +46,15 @@
 		delivered := 0
 		gossiper := NewGossiper(self, conn, [2]int{7600, 7601}, 1, func(topic string, _ []byte) {
 			if delivered++; topic == "" {
-				t.Error("gossip of nothing")
+				t.Error("payload delivered without a topic")
 			}
 		})
 		gossiper.Add(Member{IP: "10.0.0.2", Kind: Proxy})
-		gossiper.view.BeginShuffle() // so that an answer may come
+		gossiper.view.BeginShuffle() // so that a reply is accepted
 		gossiper.listen()
 		members := gossiper.Members()
 		if len(members) > MaxViewSize {
-			t.Errorf("%d members", len(members))
+			t.Errorf("%d members in the view, want at most MaxViewSize", len(members))
 		}
 		for _, m := range members {
 			if sameMember(m, self) || m.IP == "" || m.Kind > Proxy || m.Age < 0 {
@@ -62,11 +62,11 @@
 			}
 		}
 		if len(conn.out)+delivered+int(gossiper.Rejected.Load()) > 2 {
-			t.Errorf("%d answers, %d heard, %d foreign, of two", len(conn.out), delivered, gossiper.Rejected.Load())
+			t.Errorf("%d replies, %d payloads delivered and %d datagrams rejected, want at most two in total", len(conn.out), delivered, gossiper.Rejected.Load())
 		}
 		for i, to := range conn.to {
 			if to != "10.0.0.2:7601" || len(conn.out[i]) > maxDatagramBytes {
-				t.Errorf("%d bytes to %s", len(conn.out[i]), to)
+				t.Errorf("sent %d bytes to %s", len(conn.out[i]), to)
 			}
 		}
 	})
--- a/internal/cluster/gossip/view.go
+++ b/internal/cluster/gossip/view.go
@@ -1,5 +1,6 @@
-// Package gossip is how the system's processes know each other: each holds a partial view of bounded size, and shuffles a
-// part of it with its oldest neighbour. It is pure.
+// Package gossip maintains the membership of the cluster by gossip. Each process keeps a partial view of the others, of bounded size, and
+// periodically exchanges a random sample of it with the oldest member of the view. PartialView is the protocol's state machine, without
+// input, output or clock; Gossiper runs it over datagrams and also carries payloads by topic.
 package gossip
 
 import (
@@ -8,51 +9,54 @@
 	"portflow/internal/random"
 )
 
-// Kind is what a process does.
+// Kind is the role of a process. It is encoded as its number.
 type Kind uint8
 
+// The roles of processes.
 const (
 	Control Kind = iota
 	Proxy
 )
 
-// Member is one process as a neighbour knows it.
+// Member is a process as listed in a view.
 type Member struct {
 	IP   string `json:"i"`
 	Kind Kind   `json:"k,omitempty"`
 	Zone string `json:"z"`
-	Age  int    `json:"a,omitempty"` // shuffles since it spoke for itself
+	Age  int    `json:"a,omitempty"` // number of shuffles since it last took part in one itself
 }
 
 const (
-	MaxViewSize = 12 // members of a view
-	shuffleSize = 5  // of them in a shuffle, the sender among them
-	maxAge      = 40 // shuffles after which a member that nobody hears of is forgotten
+	// MaxViewSize is the maximum number of members in a view.
+	MaxViewSize = 12
+	shuffleSize = 5  // members in a shuffle's sample, including the sender
+	maxAge      = 40 // a member of a greater Age is removed
 )
 
 func sameMember(a, b Member) bool { return a.IP == b.IP && a.Kind == b.Kind }
 
-// PartialView is one process's. It is not safe for two goroutines.
+// PartialView is the view of one process, which is not in it itself. It is not safe for concurrent use.
 type PartialView struct {
 	self        Member
 	members     []Member
 	source      *random.Source
-	shufflePeer *Member // the neighbour that has not answered the present shuffle
+	shufflePeer *Member // member that has not answered the current shuffle yet, nil if none
 	sentSample  []Member
 }
 
-// NewPartialView makes an empty view.
+// NewPartialView returns an empty view of the process self. source is the randomness of its samples.
 func NewPartialView(self Member, source *random.Source) *PartialView {
 	return &PartialView{self: self, source: source}
 }
 
-// Members are those in the view.
+// Members returns a copy of the members in the view.
 func (v *PartialView) Members() []Member { return slices.Clone(v.members) }
 
-// Add takes in a member that was heard of otherwise.
+// Add adds a member that was learned of by other means than a shuffle. A full view may not take it.
 func (v *PartialView) Add(m Member) { v.merge([]Member{m}, nil) }
 
-// BeginShuffle is one shuffle: with whom, and the sample for it. A neighbour that did not answer the one before is dropped.
+// BeginShuffle begins a shuffle and returns the member to send it to, with the sample to send. ok is false if the view is empty. If the
+// previous shuffle was not answered, its member is removed from the view.
 func (v *PartialView) BeginShuffle() (to Member, sample []Member, ok bool) {
 	if v.shufflePeer != nil {
 		v.drop(*v.shufflePeer)
@@ -77,14 +81,14 @@
 	return to, append([]Member{v.self}, v.sentSample...), true
 }
 
-// AnswerShuffle is what a neighbour that began a shuffle is sent; its sample is taken in.
+// AnswerShuffle adds the sample of a shuffle that from began, and returns the sample to reply with.
 func (v *PartialView) AnswerShuffle(from Member, sample []Member) []Member {
 	reply := v.pickSample(shuffleSize, from)
 	v.merge(sample, reply)
 	return reply
 }
 
-// EndShuffle takes in the answer to the present shuffle.
+// EndShuffle adds the sample of the reply to the current shuffle. A reply from any other member is ignored.
 func (v *PartialView) EndShuffle(from Member, sample []Member) {
 	if v.shufflePeer == nil || !sameMember(*v.shufflePeer, from) {
 		return
@@ -98,7 +102,7 @@
 	v.merge(sample, v.sentSample)
 }
 
-// RandomMember is a member of a kind by chance.
+// RandomMember returns a random member of a kind, and false if the view has none.
 func (v *PartialView) RandomMember(k Kind) (Member, bool) {
 	n := 0
 	for _, m := range v.members {
@@ -125,7 +129,7 @@
 	v.members = slices.DeleteFunc(v.members, func(x Member) bool { return sameMember(x, m) })
 }
 
-// pickSample is so many members by chance, without one.
+// pickSample returns up to n random members other than exclude.
 func (v *PartialView) pickSample(n int, exclude Member) (sample []Member) {
 	candidates := slices.DeleteFunc(slices.Clone(v.members), func(m Member) bool { return sameMember(m, exclude) })
 	for picked := 0; picked < n && len(candidates) > 0; picked++ {
@@ -136,7 +140,8 @@
 	return sample
 }
 
-// merge takes members in; what was given away makes room first, then the oldest.
+// merge adds the valid members of sample. If the view is full, a new member replaces the next one of replaceable (the members that the other
+// side was sent) that is in the view, or else the oldest member, unless the new one is older than that.
 func (v *PartialView) merge(sample, replaceable []Member) {
 	for _, m := range sample {
 		if sameMember(m, v.self) || m.IP == "" || m.Age < 0 || m.Kind > Proxy {
--- a/internal/cluster/gossip/view_test.go
+++ b/internal/cluster/gossip/view_test.go
@@ -9,8 +9,8 @@
 	"portflow/internal/random"
 )
 
-// A fleet in which each knows the same three seeds comes to know each other through views of bounded size: all are connected, everyone
-// is in some views and nobody in far more than others, and members that ended are forgotten.
+// Processes that start from the same three seeds must end up in one connected graph of bounded views, with each process in at least one
+// view and in not too many, and terminated members must disappear from the views.
 func TestShuffles(t *testing.T) {
 	for _, n := range []int{19, 98, 300} {
 		c := qt.New(t)
@@ -71,6 +71,6 @@
 				}
 			}
 		}
-		c.Check(stale*20 < total, qt.IsTrue, qt.Commentf("%d of %d members ended long ago", stale, total))
+		c.Check(stale*20 < total, qt.IsTrue, qt.Commentf("%d of %d view entries are terminated members", stale, total))
 	}
 }
--- a/internal/cluster/outlier/detector.go
+++ b/internal/cluster/outlier/detector.go
@@ -1,6 +1,8 @@
-// Package outlier finds grey hosts: those that fail, or don't answer, a part of what they are sent, while their beats and their
-// health answers are good. A router sees little of each host, so what all routers of a zone see is pooled by its control
-// process, which sets a host aside for a while and lets it back gently. It is pure: times are handed in, Unix nanoseconds.
+// Package outlier detects gray failures: hosts that fail or do not answer some of their requests although their heartbeats and health
+// checks succeed. A single proxy sends each host few requests, so the control process of a zone pools the reports of the zone's proxies.
+// It ejects an outlier for a while, and then lets it return on probation.
+//
+// The package does no input or output, reads no clock and starts no goroutine. Callers pass the time, in nanoseconds.
 package outlier
 
 import (
@@ -16,34 +18,38 @@
 const second = int64(1e9)
 
 const (
-	// ReportInterval is the time between two reports of a router, nanoseconds.
+	// ReportInterval is the time between two reports of a proxy, in nanoseconds.
 	ReportInterval = second / 2
-	outcomeDecay   = 3 * second // of outcomes
-	overdueFactor  = 4.0        // times the mean, after which a request that is out counts as bad
-	minOverdue     = second * 2 / 5
-	// minFailures are the bad outcomes that it takes, and again those of a host that is on its way back.
+	outcomeDecay   = 3 * second // time constant of the decay of outcomes
+	// A pending request counts as failed after overdueFactor times the mean latency, but not before minOverdue.
+	overdueFactor = 4.0
+	minOverdue    = second * 2 / 5
+	// minFailures is the number of decayed failures required to eject a host, minProbationFailures that for a host which recently
+	// returned from an ejection.
 	minFailures, minProbationFailures = 4.0, 2.0
-	// minExcessRate is the part of a host's outcomes that are bad, over the others' part and so many standard errors.
+	// A host is an outlier if its failure rate exceeds that of the other hosts of its service by more than minExcessRate plus
+	// minStandardErrors standard errors.
 	minExcessRate, minStandardErrors = 0.2, 3
-	// baseEjection is how long a host is set aside at first; each time it doubles, up to longest. Coming back takes half as long.
+	// baseEjection is the duration of a host's first ejection. It doubles with each further one, up to maxEjection. Probation lasts half
+	// as long as the ejection before it.
 	baseEjection, maxEjection = 4 * second, 32 * second
-	reportExpiry              = 3 * ReportInterval // after which what a router told counts no more
+	reportExpiry              = 3 * ReportInterval // age at which a report no longer counts
 )
 
-// Stats is what a router saw of a host of late, or, without an ID, of all hosts of a service.
+// Stats has the decayed numbers of outcomes and failures that a proxy has seen of one host or, with an empty ID, of all hosts of a
+// service.
 type Stats struct {
 	ID       string  `json:"i,omitempty"`
 	Outcomes float64 `json:"n"`
 	Failures float64 `json:"b"`
 }
 
-// pendingRequest is a request that is out.
 type pendingRequest struct {
 	sentAt         int64
-	countedOverdue bool // as overdue
+	countedOverdue bool // already counted as a failure, as it is overdue
 }
 
-// hostStats is a host's outcomes, of them those that were bad, and its requests that are out.
+// hostStats has the decayed outcomes of a host, with a value of 1 for each failure, and its pending requests.
 type hostStats struct {
 	decay.Sum
 	pending []pendingRequest
@@ -57,17 +63,17 @@
 	s.Add(now, outcomeDecay, value)
 }
 
-// Recorder is what one router sees of one service's hosts. It is not safe for two goroutines.
+// Recorder collects the outcomes of one proxy's requests to the hosts of one service. It is not safe for concurrent use.
 type Recorder struct {
 	hosts       map[string]*hostStats
 	total       hostStats
-	meanLatency float64 // nanoseconds that good answers take
+	meanLatency float64 // moving average over successful requests, in nanoseconds
 }
 
-// NewRecorder makes an empty one.
+// NewRecorder returns an empty Recorder.
 func NewRecorder() *Recorder { return &Recorder{hosts: map[string]*hostStats{}} }
 
-// RequestSent notes a request that goes to a host now.
+// RequestSent records a request that is sent to a host now.
 func (r *Recorder) RequestSent(now int64, id string) {
 	host := r.hosts[id]
 	if host == nil {
@@ -77,16 +83,18 @@
 	host.pending = append(host.pending, pendingRequest{sentAt: now})
 }
 
-// Outcome is how a request ended, as far as it says anything of its host.
+// Outcome is what the end of a request says about its host.
 type Outcome uint8
 
+// The outcomes of requests.
 const (
 	Success Outcome = iota
 	Failure
-	Inconclusive // it never came there, was turned away, or its client left
+	Inconclusive // the request did not reach the host, was rejected, or was canceled by the client
 )
 
-// RequestEnded notes the end of the request that went to a host at began.
+// RequestEnded records the outcome of the request that was sent to a host at sentAt. Unknown requests are ignored, and one that has been
+// counted as overdue is not counted again.
 func (r *Recorder) RequestEnded(now int64, id string, sentAt int64, outcome Outcome) {
 	host := r.hosts[id]
 	if host == nil {
@@ -108,11 +116,11 @@
 	}
 }
 
-// RemoveHost forgets a host that has ended.
+// RemoveHost drops the statistics of a terminated host.
 func (r *Recorder) RemoveHost(id string) { delete(r.hosts, id) }
 
-// Report is for every LookEvery: it counts what is overdue, and tells of the hosts with bad outcomes of late, and of all
-// together; nothing where there are none.
+// Report counts overdue requests as failures and returns the statistics of the hosts with recent failures, sorted by ID, followed by the
+// totals of the service. It returns nil if no host has any. Call it once every ReportInterval.
 func (r *Recorder) Report(now int64) (stats []Stats) {
 	overdueAfter := max(float64(minOverdue), overdueFactor*r.meanLatency)
 	for id, host := range r.hosts {
@@ -137,37 +145,40 @@
 
 func roundHundredths(x float64) float64 { return math.Round(x*100) / 100 }
 
-// Ejection sets a host aside until Aside, and lets it back, with one request at a time a router, until Back. The one with
-// the later Aside holds; both are by the clock of who has it, so that it ends though its judge may be gone.
+// Ejection keeps requests from a host until EjectedUntil. From then until ProbationUntil the host gets one request at a time from each
+// proxy. Both times are on the clock of the process that has the Ejection, so that it ends even if the control process that decided it
+// has terminated.
 type Ejection struct {
 	ID             string `json:"i"`
 	Service        string `json:"s"`
 	EjectedUntil   int64  `json:"a"`
 	ProbationUntil int64  `json:"b"`
-	Count          int    `json:"t"` // how often it was judged so
+	Count          int    `json:"t"` // number of this ejection, from 1, among those in close succession
 }
 
-// sameEjectionTolerance is by how much times of one judgement may differ that came by two ways; the next one ends later by more than that.
+// sameEjectionTolerance is how far EjectedUntil may differ between copies of one ejection that were received over different paths, in
+// nanoseconds. A further ejection of the host ends later by more than that.
 const sameEjectionTolerance = second
 
-// Supersedes tells whether j holds against an older judgement of the host, which may be the same by another way.
+// Supersedes reports whether e replaces old, a known ejection of the same host or the zero Ejection. Another copy of the same
+// ejection does not.
 func (e Ejection) Supersedes(old Ejection) bool {
 	return old.ID == "" || e.EjectedUntil > old.EjectedUntil+sameEjectionTolerance
 }
 
-// Candidate is a host that may be judged.
+// Candidate is a host that may be ejected.
 type Candidate struct {
 	ID, Service string
 }
 
-// Detector is a control process's part. It is not safe for two goroutines.
+// Detector pools the reports of proxies and decides on ejections, on a control process. It is not safe for concurrent use.
 type Detector struct {
-	reports      map[string]map[string]report // by router and service
-	ejections    map[string]Ejection
-	beforeReturn map[string]map[string]hostReport // by host and router: its last report on the host before the host was let back
+	reports      map[string]map[string]report     // by proxy and service
+	ejections    map[string]Ejection              // by host ID
+	beforeReturn map[string]map[string]hostReport // by host ID and proxy: the last report before the ejection ended
 }
 
-// hostReport is what a router told of one host.
+// hostReport is the part of a proxy's report that is about one host.
 type hostReport struct {
 	receivedAt int64
 	Stats
@@ -178,12 +189,12 @@
 	stats      []Stats
 }
 
-// NewDetector makes one that knows of nothing.
+// NewDetector returns a Detector without reports or ejections.
 func NewDetector() *Detector {
 	return &Detector{reports: map[string]map[string]report{}, ejections: map[string]Ejection{}, beforeReturn: map[string]map[string]hostReport{}}
 }
 
-// AddReport takes what a router sees of a service's hosts.
+// AddReport replaces a proxy's report on the hosts of a service. It keeps stats.
 func (d *Detector) AddReport(now int64, proxy, service string, stats []Stats) {
 	if d.reports[proxy] == nil {
 		d.reports[proxy] = map[string]report{}
@@ -191,10 +202,10 @@
 	d.reports[proxy][service] = report{now, stats}
 }
 
-// RemoveRouter forgets a router.
+// RemoveRouter drops the reports of a proxy.
 func (d *Detector) RemoveRouter(proxy string) { delete(d.reports, proxy) }
 
-// Idle tells whether no router has told anything of late.
+// Idle reports whether there are no reports to evaluate.
 func (d *Detector) Idle() bool { return len(d.reports) == 0 }
 
 type pooledStats struct {
@@ -206,9 +217,9 @@
 	return pooledStats{s.outcomes + added.Outcomes, s.failures + added.Failures, s.proxies + 1}
 }
 
-// sinceReturn is the part of a router's report on a host that isn't left over from before the host was last set aside.
-// Until it is let back it is sent nothing, so whatever is reported by then is of earlier requests, though some of them
-// may have ended, or become overdue, only meanwhile. Later reports still hold the rest of these outcomes, which fades.
+// statsSinceReturn returns a proxy's statistics of a host without the outcomes of requests from before the host was last ejected. An ejected
+// host is sent nothing, so a report that arrives before EjectedUntil covers only earlier requests, some of which may have ended or
+// become overdue during the ejection. Later reports still include these outcomes, decayed, so that amount is subtracted.
 func (d *Detector) statsSinceReturn(proxy string, r hostReport) Stats {
 	ejection, ejected := d.ejections[r.ID]
 	if !ejected {
@@ -226,8 +237,8 @@
 	return Stats{ID: r.ID, Outcomes: max(0, r.Outcomes-old.Outcomes*remaining), Failures: max(0, r.Failures-old.Failures*remaining)}
 }
 
-// Detect looks at the hosts that this process answers for, and tells which are newly set aside. Of each service at most a fifth
-// is at once, or one of three; those that are worst go first.
+// Detect evaluates the reports and returns the new ejections among hosts, which are all the hosts that this process decides on. At most
+// MaxEjected hosts of a service are ejected or on probation at once; those that do worst compared with the others are ejected first.
 func (d *Detector) Detect(now int64, hosts []Candidate) (ejections []Ejection) {
 	byHost, byHostSinceReturn, byService := map[string]pooledStats{}, map[string]pooledStats{}, map[string]pooledStats{}
 	for proxy, services := range d.reports {
@@ -274,7 +285,7 @@
 		observed, hostTotals := byService[host.Service], byHost[host.ID]
 		othersRate := max(0, observed.failures-hostTotals.failures) / max(1, observed.outcomes-hostTotals.outcomes)
 		othersRate = min(1, max(0.01, othersRate))
-		// the error is that of a host that is as the others are: where all do badly, it takes much to stand out
+		// The standard error is that of a host with the failure rate of the others, so that it is large where all hosts fail often.
 		if excess := pooled.failures/max(pooled.outcomes, 1e-9) - othersRate - minStandardErrors*math.Sqrt(othersRate*(1-othersRate)/max(pooled.outcomes, 1)); excess > minExcessRate {
 			suspects = append(suspects, suspect{host, excess})
 		}
@@ -282,7 +293,7 @@
 	slices.SortFunc(suspects, func(a, b suspect) int { return cmp.Or(cmp.Compare(b.margin, a.margin), strings.Compare(a.ID, b.ID)) })
 	for _, host := range suspects {
 		previous := d.ejections[host.ID]
-		alreadyEjected := now < previous.ProbationUntil // it is counted already
+		alreadyEjected := now < previous.ProbationUntil // and counted in ejected
 		if !alreadyEjected && ejected[host.Service] >= MaxEjected(hostCount[host.Service]) {
 			continue
 		}
@@ -303,5 +314,5 @@
 	return ejections
 }
 
-// MaxEjected is how many of so many hosts of a service may be set aside at once.
+// MaxEjected returns how many of a service's hosts may be ejected at once: a fifth, but at least one of three or more.
 func MaxEjected(hosts int) int { return max(hosts/5, min(1, hosts/3)) }
--- a/internal/cluster/outlier/detector_test.go
+++ b/internal/cluster/outlier/detector_test.go
@@ -10,9 +10,10 @@
 	"portflow/internal/decay"
 )
 
-// simulate has routers send requests to hosts of one zone for a while. how tells what a host does with a request that is sent at
-// a time: how long it takes, and whether it fails; a time under 0 is never. Hosts that are set aside get nothing, those on
-// their way back one at a time from each router. It tells when each host was set aside, and how many requests went bad.
+// simulate runs proxies that send requests to the hosts of one zone. respond returns the latency of a request that is sent at now, or a
+// negative one if the host never answers, and whether the request fails. Ejected hosts get no requests, those on probation one at a time
+// from each proxy. It returns the times at which each host was ejected, the number of failed requests, and the largest number of hosts
+// that were ejected or on probation at once.
 func simulate(proxies, hosts int, perSecond float64, duration int64, respond func(draw *rand.Rand, host int, now int64) (latency int64, fails bool)) (ejectedAt map[int][]int64, failures int, maxEjected int) {
 	draw := rand.New(rand.NewPCG(7, 7))
 	recorders, detector := make([]*Recorder, proxies), NewDetector()
@@ -37,7 +38,7 @@
 		for _, sent := range pending {
 			if sent.endsAt <= now || sent.timesOutAt <= now {
 				outcome := sent.result
-				if sent.endsAt > now { // its time is over
+				if sent.endsAt > now { // timed out
 					outcome = Failure
 				}
 				if outcome == Failure {
@@ -98,14 +99,14 @@
 	return second/10 + int64(draw.ExpFloat64()*float64(second)/10)
 }
 
-// Of fifty hosts six hang, fail or slow a part of what they are sent: they are found within seconds and come back after that,
-// and no other is taken for one; where all are alike, whatever they do, none is.
+// Six of fifty hosts hang, fail or slow down: all six must be ejected within seconds, and at most one healthy host may be. Where
+// all hosts behave alike, at most a few may be ejected, however badly they do.
 func TestDetectOutliers(t *testing.T) {
 	degraded := func(h int, now int64) bool { return h < 6 && now > 5*second && now < 15*second }
 	for name, test := range map[string]struct {
 		respond  func(draw *rand.Rand, h int, now int64) (int64, bool)
-		detected int // of the six
-		false    int // at most
+		detected int // of the six degraded hosts
+		false    int // most false positives allowed
 	}{
 		"hang": {func(d *rand.Rand, h int, now int64) (int64, bool) {
 			if degraded(h, now) && d.Float64() < 0.44 {
@@ -145,7 +146,7 @@
 					falsePositives++
 				}
 			}
-			t.Logf("found %d, the last after %.1f s; %d taken for ill; %d bad; %d aside at once", detected, float64(slowest)/1e9, falsePositives, failures, maxEjected)
+			t.Logf("detected %d hosts, the last after %.1f s; %d false positives; %d failed requests; at most %d ejected at once", detected, float64(slowest)/1e9, falsePositives, failures, maxEjected)
 			c.Check(detected, qt.Equals, test.detected)
 			c.Check(falsePositives <= test.false, qt.IsTrue)
 			c.Check(maxEjected <= MaxEjected(50), qt.IsTrue)
@@ -154,7 +155,8 @@
 	}
 }
 
-// However many hosts are ill, at most a fifth is set aside at once; one that stays ill is aside for longer each time.
+// At most a fifth of the hosts may be ejected at once, however many fail, and a host that keeps failing must be ejected for longer each
+// time. Impossible statistics must be ignored.
 func TestEjectionLimits(t *testing.T) {
 	c := qt.New(t)
 	ejectedAt, _, maxEjected := simulate(15, 50, 22, 60*second, func(d *rand.Rand, h int, now int64) (int64, bool) {
@@ -174,20 +176,20 @@
 		c.Check(MaxEjected(hosts), qt.Equals, want)
 	}
 	detector := NewDetector()
-	detector.AddReport(1, "r", "desk", []Stats{{"h0", 1, 9}, {"h0", -1, -1}, {"h0", 9, 9}, {"", 9, 9}}) // impossible ones count for nothing
+	detector.AddReport(1, "r", "desk", []Stats{{"h0", 1, 9}, {"h0", -1, -1}, {"h0", 9, 9}, {"", 9, 9}}) // more failures than outcomes, and negative numbers, are ignored
 	c.Check(detector.Detect(2, []Candidate{{"h0", "desk"}, {"h1", "desk"}, {"h2", "desk"}}), qt.HasLen, 1)
 	c.Check(detector.Detect(2+2*reportExpiry, []Candidate{{"h0", "desk"}}), qt.HasLen, 0)
 	c.Check(detector.Idle(), qt.IsTrue)
 }
 
-// A host that comes back isn't judged by what its routers saw before it was set aside, nor by what they learned meanwhile
-// of requests that it had been sent before; two bad outcomes after that are enough.
+// A returning host must not be ejected for requests sent before its ejection, even if they failed or became overdue during it. Failures
+// after its return must eject it again.
 func TestOutcomesFromBeforeReturnDoNotCount(t *testing.T) {
 	c := qt.New(t)
 	detector := NewDetector()
 	hosts := []Candidate{{"h0", "desk"}, {"h1", "desk"}, {"h2", "desk"}}
 	proxies := []string{"r0", "r1"}
-	outcomes := map[string]*decay.Sum{"r0": {}, "r1": {}} // of h0
+	outcomes := map[string]*decay.Sum{"r0": {}, "r1": {}} // of h0, by proxy
 	total := 0
 	reportAndDetect := func(now int64) (ejections []Ejection) {
 		for _, proxy := range proxies {
@@ -209,12 +211,12 @@
 	first := reportAndDetect(1)
 	c.Assert(first, qt.HasLen, 1)
 	for now := 1 + ReportInterval; now < first[0].ProbationUntil+baseEjection; now += ReportInterval {
-		if now > 3*second && now <= 3*second+ReportInterval { // overdue, though sent before
+		if now > 3*second && now <= 3*second+ReportInterval { // sent before the ejection, overdue only now
 			for range 4 {
 				outcomes["r0"].Add(now, outcomeDecay, 1)
 			}
 		}
-		c.Check(reportAndDetect(now), qt.HasLen, 0, qt.Commentf("at %.1f s, set aside until %.1f s", float64(now)/1e9, float64(first[0].EjectedUntil)/1e9))
+		c.Check(reportAndDetect(now), qt.HasLen, 0, qt.Commentf("at %.1f s, ejected until %.1f s", float64(now)/1e9, float64(first[0].EjectedUntil)/1e9))
 	}
 	c.Check(total, qt.Equals, 1)
 
--- a/internal/cluster/outlier/trace_test.go
+++ b/internal/cluster/outlier/trace_test.go
@@ -8,8 +8,8 @@
 	"portflow/internal/testing/digest"
 )
 
-// What four routers count of drawn requests to ten hosts, two of which fail or keep silent now and then, and which hosts are set
-// aside for it, is what it was. The order of the fields of counts and judgements counts; names don't.
+// Pins the reports and ejections that follow from random requests of four proxies to ten hosts, two of which sometimes fail or do not answer.
+// The digests depend on the field order of Stats and Ejection, not on names.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 25, []string{"1e2b600797a64226", "cdf4eb8e121535a3", "fdf0e7db5c19a826", "026fd28f6ccaee35"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
