--- a/internal/cluster/rollout/rollout.go
+++ b/internal/cluster/rollout/rollout.go
@@ -38,8 +38,8 @@
 }
 
 // Rollout is a rollout of one service to a target version. Times are in nanoseconds. As stored, StartedAt and EndedAt are wall-clock
-// times for display only. Code that needs the age of a rollout calls StartTimes.Localize first, which sets StartedAt to a time of the
-// local clock.
+// times, for display. Code that needs the age of a rollout calls StartTimes.Localize first, which sets StartedAt to a time of the local
+// clock.
 type Rollout struct {
 	Service      string `json:"-"`
 	Number       uint64 `json:"order"` // number of this rollout within the service, from 1
@@ -107,8 +107,8 @@
 // ID identifies the rollout among those of all services.
 func (r Rollout) ID() string { return fmt.Sprintf("%s#%d", r.Service, r.Number) }
 
-// switchingTime is the time that proxies have to move off the old hosts before a rollout is reported as completed. Old hosts then stop,
-// even with requests in flight. In nanoseconds.
+// switchingTime is the time, in nanoseconds, that proxies have to move off the old hosts before a rollout is reported as completed. The
+// old hosts then stop, even with requests in flight.
 const switchingTime = int64(800e6)
 
 // VisibleState returns the state that is reported to operators. It depends only on replicated data, not on a clock: once one reader has
@@ -150,8 +150,8 @@
 	return r.BaseNumber
 }
 
-// DecisionInput returns the rollout as input for package decision. maxShare caps the share of requests that go to a build on trial.
-// Before the first rollout the stable build counts as released an hour ago.
+// DecisionInput returns the rollout as input for package decision. r must be localized, with now on the same clock. maxShare caps the
+// share of requests that go to a build on trial. Before the first rollout the stable build counts as released an hour ago.
 func (r Rollout) DecisionInput(now int64, maxShare float64) decision.Rollout {
 	input := decision.Rollout{Build: int(r.Number), State: decision.Released, ExposureCap: 1, Age: now - r.StartedAt}
 	switch r.State {
@@ -171,7 +171,7 @@
 	RequiredVotes = 2
 	// VoteLifetime is the time for which a vote counts, in nanoseconds. Package decision renews a vote after half of it.
 	VoteLifetime = int64(2e9)
-	// proposalDelay is the delay, per preceding control process, before a process proposes an outcome itself. In nanoseconds.
+	// proposalDelay is the time, in nanoseconds, that a control process waits per preceding one before it proposes an outcome itself.
 	proposalDelay = int64(400e6)
 	// earlyCompletionMargin is how long before the end of its duration a rollout may complete, in nanoseconds. Completing earlier gains
 	// nothing, and a build may still turn bad. The margin covers two consensus rounds, and one proposalDelay more if a process fails.
