--- a/internal/cluster/outlier/detector.go
+++ b/internal/cluster/outlier/detector.go
@@ -217,10 +217,10 @@
 	return pooledStats{s.outcomes + added.Outcomes, s.failures + added.Failures, s.proxies + 1}
 }
 
-// statsSinceReturn returns a proxy's statistics of a host without the outcomes of requests from before the host was last ejected. An ejected
+// sinceReturn returns a proxy's statistics of a host without the outcomes of requests from before the host was last ejected. An ejected
 // host is sent nothing, so a report that arrives before EjectedUntil covers only earlier requests, some of which may have ended or
 // become overdue during the ejection. Later reports still include these outcomes, decayed, so that amount is subtracted.
-func (d *Detector) statsSinceReturn(proxy string, r hostReport) Stats {
+func (d *Detector) sinceReturn(proxy string, r hostReport) Stats {
 	ejection, ejected := d.ejections[r.ID]
 	if !ejected {
 		return r.Stats
@@ -256,7 +256,7 @@
 					continue
 				}
 				byHost[stats.ID] = byHost[stats.ID].plus(stats)
-				byHostSinceReturn[stats.ID] = byHostSinceReturn[stats.ID].plus(d.statsSinceReturn(proxy, hostReport{observed.receivedAt, stats}))
+				byHostSinceReturn[stats.ID] = byHostSinceReturn[stats.ID].plus(d.sinceReturn(proxy, hostReport{observed.receivedAt, stats}))
 			}
 		}
 		if len(services) == 0 {
