--- a/internal/cluster/instance/table_test.go
+++ b/internal/cluster/instance/table_test.go
@@ -9,7 +9,7 @@
 const second = int64(1e9)
 
 // Each step is what one control process learns of an instance; the last three fields are how it is known then.
-func TestStates(t *testing.T) {
+func TestStateTransitions(t *testing.T) {
 	at := func(seq uint64, state State) Instance {
 		return Instance{ID: "i", Service: "desk", Address: "10.0.0.1:1", State: state, Sequence: seq}
 	}
@@ -17,14 +17,14 @@
 	type step func(r *Table)
 	heartbeat := func(now int64, h Instance) step { return func(r *Table) { r.Heartbeat(now, h) } }
 	merge := func(now int64, h Instance) step { return func(r *Table) { r.Merge(now, h) } }
-	tick := func(now int64) step { return func(r *Table) { r.CheckHeartbeats(now, true) } }
-	lists := func(now int64, owner string, ids ...string) step {
+	checkHeartbeats := func(now int64) step { return func(r *Table) { r.CheckHeartbeats(now, true) } }
+	reconcile := func(now int64, owner string, ids ...string) step {
 		return func(r *Table) {
-			named := map[string]bool{}
+			listed := map[string]bool{}
 			for _, id := range ids {
-				named[id] = true
+				listed[id] = true
 			}
-			r.Reconcile(now, owner, named)
+			r.Reconcile(now, owner, listed)
 		}
 	}
 	for _, x := range []struct {
@@ -41,29 +41,29 @@
 		{"left", []step{heartbeat(0, at(1, Ready)), func(r *Table) { r.Deregister(second, "i") }}, Gone, false, "a"},
 		{"a heartbeat after it left", []step{heartbeat(0, at(1, Ready)), func(r *Table) { r.Deregister(second, "i") }, heartbeat(2*second, at(9, Ready))}, Gone, false, "a"},
 		{"left, as another knows", []step{heartbeat(0, at(5, Ready)), merge(second, at(1, Gone))}, Gone, false, ""},
-		{"missed heartbeats", []step{heartbeat(0, at(1, Ready)), tick(4 * second)}, Ready, true, "a"},
-		{"missed fewer", []step{heartbeat(0, at(1, Ready)), tick(3 * second)}, Ready, false, "a"},
-		{"received again", []step{heartbeat(0, at(1, Ready)), tick(4 * second), heartbeat(5*second, at(2, Ready))}, Ready, false, "a"},
-		{"heartbeats elsewhere", []step{heartbeat(0, at(1, Ready)), merge(second, Instance{ID: "i", Sequence: 2, Owner: "b"}), tick(9 * second)}, Ready, false, "b"},
+		{"missed heartbeats", []step{heartbeat(0, at(1, Ready)), checkHeartbeats(4 * second)}, Ready, true, "a"},
+		{"missed fewer", []step{heartbeat(0, at(1, Ready)), checkHeartbeats(3 * second)}, Ready, false, "a"},
+		{"received again", []step{heartbeat(0, at(1, Ready)), checkHeartbeats(4 * second), heartbeat(5*second, at(2, Ready))}, Ready, false, "a"},
+		{"heartbeats elsewhere", []step{heartbeat(0, at(1, Ready)), merge(second, Instance{ID: "i", Sequence: 2, Owner: "b"}), checkHeartbeats(9 * second)}, Ready, false, "b"},
 		{"another took it for unresponsive that sends heartbeats here", []step{heartbeat(0, at(1, Ready)), heartbeat(second, at(2, Ready)),
 			merge(2*second, unresponsive(at(1, Ready)))}, Ready, false, "a"},
 		{"its owner is lost, and it sends heartbeats nowhere", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}),
-			func(r *Table) { r.Adopt(second, "b") }, tick(5 * second)}, Ready, true, "b"},
+			func(r *Table) { r.Adopt(second, "b") }, checkHeartbeats(5 * second)}, Ready, true, "b"},
 		{"its owner is lost and found", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}),
-			func(r *Table) { r.Adopt(second, "b"); r.Release("b") }, tick(9 * second)}, Ready, false, "b"},
+			func(r *Table) { r.Adopt(second, "b"); r.Release("b") }, checkHeartbeats(9 * second)}, Ready, false, "b"},
 		{"its owner starts again, and doesn't name it", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}),
-			func(r *Table) { r.Adopt(second, "b"); r.Release("b") }, lists(2*second, "b"), tick(5 * second), tick(6 * second)}, Ready, true, "b"},
+			func(r *Table) { r.Adopt(second, "b"); r.Release("b") }, reconcile(2*second, "b"), checkHeartbeats(5 * second), checkHeartbeats(6 * second)}, Ready, true, "b"},
 		{"it isn't missed yet", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}),
-			func(r *Table) { r.Adopt(second, "b"); r.Release("b") }, lists(2*second, "b"), tick(5 * second)}, Ready, false, "b"},
+			func(r *Table) { r.Adopt(second, "b"); r.Release("b") }, reconcile(2*second, "b"), checkHeartbeats(5 * second)}, Ready, false, "b"},
 		{"and heartbeats arrive there", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}),
-			func(r *Table) { r.Adopt(second, "b"); r.Release("b") }, lists(2*second, "b"), merge(3*second, Instance{ID: "i", Sequence: 4, Owner: "b"}), tick(9 * second)}, Ready, false, "b"},
-		{"and names it", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}), lists(2*second, "b", "i"), tick(9 * second)}, Ready, false, "b"},
-		{"another lists its own", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}), lists(2*second, "c"), tick(9 * second)}, Ready, false, "b"},
-		{"heartbeats here, and its former owner lists none", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}), heartbeat(second, at(2, Ready)), lists(2*second, "b"),
-			tick(3 * second)}, Ready, false, "a"},
-		{"gone, and not named", []step{merge(0, Instance{ID: "i", Sequence: 1, State: Gone, Owner: "b"}), lists(2*second, "b"), tick(9 * second)}, Gone, false, "b"},
+			func(r *Table) { r.Adopt(second, "b"); r.Release("b") }, reconcile(2*second, "b"), merge(3*second, Instance{ID: "i", Sequence: 4, Owner: "b"}), checkHeartbeats(9 * second)}, Ready, false, "b"},
+		{"and names it", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}), reconcile(2*second, "b", "i"), checkHeartbeats(9 * second)}, Ready, false, "b"},
+		{"another lists its own", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}), reconcile(2*second, "c"), checkHeartbeats(9 * second)}, Ready, false, "b"},
+		{"heartbeats here, and its former owner lists none", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}), heartbeat(second, at(2, Ready)), reconcile(2*second, "b"),
+			checkHeartbeats(3 * second)}, Ready, false, "a"},
+		{"gone, and not named", []step{merge(0, Instance{ID: "i", Sequence: 1, State: Gone, Owner: "b"}), reconcile(2*second, "b"), checkHeartbeats(9 * second)}, Gone, false, "b"},
 		{"a process with too few connections judges nobody", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}),
-			func(r *Table) { r.Adopt(second, "b"); r.CheckHeartbeats(9*second, false) }, tick(10 * second)}, Ready, false, "b"},
+			func(r *Table) { r.Adopt(second, "b"); r.CheckHeartbeats(9*second, false) }, checkHeartbeats(10 * second)}, Ready, false, "b"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -103,7 +103,7 @@
 }
 
 // An instance that another process has called unresponsive is known for ten minutes more, and one that recovers for as long as it exists.
-func TestForgottenWhenLongSilent(t *testing.T) {
+func TestUnresponsiveRetention(t *testing.T) {
 	c := qt.New(t)
 	r := NewTable("a", 1300e6)
 	for _, id := range []string{"back", "dead", "own", "well"} {
--- a/internal/cluster/instance/trace_test.go
+++ b/internal/cluster/instance/trace_test.go
@@ -56,7 +56,7 @@
 }
 
 // The results of parsing heartbeats are pinned by digests; the texts of errors count.
-func TestTraceOfHeartbeats(t *testing.T) {
+func TestParseHeartbeatTrace(t *testing.T) {
 	digest.Pin(t, 100, []string{"b1fc86ee760bbd9e"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
 		heartbeat := map[string]any{"service": "desk", "address": "10.0.0.1:80", "zone": "z", "version": "v1", "slots": 3.0, "state": "ready",
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -21,7 +21,7 @@
 	// renewInterval is after how long an allotment is told again though it hasn't changed.
 	renewInterval = second
 	// calmPeriod is for how long a caller must not ask for more than its share, nor press at one router, until that ends.
-	calmPeriod = 5 * second
+	contentionTimeout = 5 * second
 )
 
 // ZoneUsage is what a zone tells the others of a share.
@@ -64,8 +64,8 @@
 type usageTotal struct {
 	admitted uint64
 	samples  []struct {
-		at   int64
-		took uint64
+		at         int64
+		cumulative uint64
 	}
 }
 
@@ -73,12 +73,12 @@
 type Allocator struct {
 	quotas         map[string]config.Quota
 	services       []string // the services that have shares
-	routers        map[string]*participant
+	proxies        map[string]*participant
 	zones          map[string]*participant
 	usage          map[string]*ZoneUsage   // this zone's, by share
 	recentRates    map[string][]rateSample // this zone's, by share, of late
 	smoothedDemand map[string]float64      // by share: what all ask for, over some time
-	pressedAt      map[string]int64        // by share: when its caller was last seen to press
+	contendedAt    map[string]int64        // by share: when its caller was last seen to press
 	totals         map[string]*usageTotal
 	slots          map[string]int // by service, of hosts that may be used
 	callers        map[string]*MinuteHistory
@@ -86,8 +86,8 @@
 
 // NewAllocator makes one that knows of nothing.
 func NewAllocator() *Allocator {
-	return &Allocator{quotas: map[string]config.Quota{}, routers: map[string]*participant{}, zones: map[string]*participant{},
-		usage: map[string]*ZoneUsage{}, recentRates: map[string][]rateSample{}, pressedAt: map[string]int64{}, smoothedDemand: map[string]float64{}, totals: map[string]*usageTotal{}, slots: map[string]int{}, callers: map[string]*MinuteHistory{}}
+	return &Allocator{quotas: map[string]config.Quota{}, proxies: map[string]*participant{}, zones: map[string]*participant{},
+		usage: map[string]*ZoneUsage{}, recentRates: map[string][]rateSample{}, contendedAt: map[string]int64{}, smoothedDemand: map[string]float64{}, totals: map[string]*usageTotal{}, slots: map[string]int{}, callers: map[string]*MinuteHistory{}}
 }
 
 // SetQuotas takes up the shares that stand; what is known of others goes.
@@ -101,21 +101,21 @@
 			a.quotas[quota.Name] = quota
 		}
 	}
-	gone := func(name string) bool { _, there := a.quotas[name]; return !there }
-	maps.DeleteFunc(a.usage, func(name string, _ *ZoneUsage) bool { return gone(name) })
-	maps.DeleteFunc(a.recentRates, func(name string, _ []rateSample) bool { return gone(name) })
-	maps.DeleteFunc(a.pressedAt, func(name string, _ int64) bool { return gone(name) })
-	maps.DeleteFunc(a.smoothedDemand, func(name string, _ float64) bool { return gone(name) })
-	maps.DeleteFunc(a.totals, func(name string, _ *usageTotal) bool { return gone(name) })
+	removed := func(name string) bool { _, exists := a.quotas[name]; return !exists }
+	maps.DeleteFunc(a.usage, func(name string, _ *ZoneUsage) bool { return removed(name) })
+	maps.DeleteFunc(a.recentRates, func(name string, _ []rateSample) bool { return removed(name) })
+	maps.DeleteFunc(a.contendedAt, func(name string, _ int64) bool { return removed(name) })
+	maps.DeleteFunc(a.smoothedDemand, func(name string, _ float64) bool { return removed(name) })
+	maps.DeleteFunc(a.totals, func(name string, _ *usageTotal) bool { return removed(name) })
 	maps.DeleteFunc(a.callers, func(service string, _ *MinuteHistory) bool { return byService[service] == nil })
-	for _, party := range a.routers {
-		maps.DeleteFunc(party.reports, func(name string, _ Report) bool { return gone(name) })
-		maps.DeleteFunc(party.lastReports, func(name string, _ Report) bool { return gone(name) })
-		maps.DeleteFunc(party.sent, func(name string, _ Allocation) bool { return gone(name) })
+	for _, party := range a.proxies {
+		maps.DeleteFunc(party.reports, func(name string, _ Report) bool { return removed(name) })
+		maps.DeleteFunc(party.lastReports, func(name string, _ Report) bool { return removed(name) })
+		maps.DeleteFunc(party.sent, func(name string, _ Allocation) bool { return removed(name) })
 	}
 	for _, party := range a.zones {
-		maps.DeleteFunc(party.admitted, func(name string, _ uint64) bool { return gone(name) })
-		maps.DeleteFunc(party.usage, func(name string, _ ZoneUsage) bool { return gone(name) })
+		maps.DeleteFunc(party.admitted, func(name string, _ uint64) bool { return removed(name) })
+		maps.DeleteFunc(party.usage, func(name string, _ ZoneUsage) bool { return removed(name) })
 	}
 }
 
@@ -126,20 +126,20 @@
 func (a *Allocator) SetSlots(all map[string]int) { a.slots = all }
 
 // AddRouter takes a router of this zone up, which may have nothing to report.
-func (a *Allocator) AddRouter(router string) { a.router(router) }
+func (a *Allocator) AddRouter(proxy string) { a.proxy(proxy) }
 
-func (a *Allocator) router(router string) *participant {
-	p := a.routers[router]
+func (a *Allocator) proxy(proxy string) *participant {
+	p := a.proxies[proxy]
 	if p == nil {
 		p = &participant{reports: map[string]Report{}, lastReports: map[string]Report{}, sent: map[string]Allocation{}, sentAt: map[string]int64{}}
-		a.routers[router] = p
+		a.proxies[proxy] = p
 	}
 	return p
 }
 
 // AddReports takes what a router of this zone reports: all that it sees press, and its loads where it tells them.
-func (a *Allocator) AddReports(now int64, router string, reports []Report, loads []Load) {
-	party := a.router(router)
+func (a *Allocator) AddReports(now int64, proxy string, reports []Report, loads []Load) {
+	party := a.proxy(proxy)
 	if party.reports = make(map[string]Report, len(reports)); loads != nil { // else as they were
 		party.loads = loads
 	}
@@ -167,7 +167,7 @@
 }
 
 // RemoveRouter forgets a router of this zone.
-func (a *Allocator) RemoveRouter(router string) { delete(a.routers, router) }
+func (a *Allocator) RemoveRouter(proxy string) { delete(a.proxies, proxy) }
 
 // MergeZone takes another zone's sums.
 func (a *Allocator) MergeZone(now int64, zone string, zoneUsage []ZoneUsage, loads []Load) {
@@ -214,17 +214,17 @@
 		t.samples = t.samples[1:]
 	}
 	t.samples = append(t.samples, struct {
-		at   int64
-		took uint64
+		at         int64
+		cumulative uint64
 	}{now, t.admitted})
-	return float64(t.admitted - t.samples[0].took)
+	return float64(t.admitted - t.samples[0].cumulative)
 }
 
 // activeQuotas are the shares that anybody tells of or has told of, by name: the others, most of them where there are many, have
 // nothing to be dealt and cost nothing.
 func (a *Allocator) activeQuotas() []string {
 	names := map[string]bool{}
-	for _, p := range a.routers {
+	for _, p := range a.proxies {
 		for name := range p.reports {
 			names[name] = true
 		}
@@ -258,7 +258,7 @@
 		}
 		limit := a.limit(quota)
 		zoneDemand, totalDemand, shortage := 0.0, 0.0, false
-		for _, party := range a.routers {
+		for _, party := range a.proxies {
 			zoneDemand += party.reports[name].Demand
 			shortage = shortage || party.reports[name].Short
 		}
@@ -275,21 +275,21 @@
 		}
 		a.smoothedDemand[name] += (totalDemand - a.smoothedDemand[name]) * 0.1 // over some two seconds
 		if shortage || a.smoothedDemand[name] > limit {
-			a.pressedAt[name] = now
+			a.contendedAt[name] = now
 		}
-		lastPressed, pressing := a.pressedAt[name]
+		lastContended, contended := a.contendedAt[name]
 		used, rate := a.total(name).admittedInWindow(now), 0.0
-		if pressing = pressing && now-lastPressed < calmPeriod; !pressing { // where any router sees the caller often all are told what all took
+		if contended = contended && now-lastContended < contentionTimeout; !contended { // where any router sees the caller often all are told what all took
 			delete(a.recentRates, name)
-			delete(a.pressedAt, name)
-			for router, party := range a.routers {
+			delete(a.contendedAt, name)
+			for proxy, party := range a.proxies {
 				if totalDemand == 0 {
 					delete(party.sent, name)
 					delete(party.sentAt, name)
 				} else if now-party.sentAt[name] >= renewInterval || !party.sent[name].Calm {
 					allocation := Allocation{Quota: name, Used: math.Round(used), Calm: true}
 					party.sent[name], party.sentAt[name] = allocation, now
-					allocations[router] = append(allocations[router], allocation)
+					allocations[proxy] = append(allocations[proxy], allocation)
 				}
 			}
 			continue
@@ -301,7 +301,7 @@
 		if usage := a.usage[name]; usage != nil {
 			usage.Allocated = roundDown(zoneRate)
 		}
-		for router, party := range a.routers {
+		for proxy, party := range a.proxies {
 			allocation := Allocation{Quota: name, Used: math.Round(used)}
 			if report := party.reports[name]; zoneDemand > 0 {
 				allocation.Rate = roundDown(zoneRate * report.Demand / zoneDemand)
@@ -310,7 +310,7 @@
 			if since := now - party.sentAt[name]; !wasSent || previous.Calm || since >= renewInterval || allocation.Rate < previous.Rate*0.98 || allocation.Rate > previous.Rate*1.05 ||
 				math.Abs(allocation.Used-previous.Used) > 0.02*limit*float64(LimitWindow/second) {
 				party.sent[name], party.sentAt[name] = allocation, now
-				allocations[router] = append(allocations[router], allocation)
+				allocations[proxy] = append(allocations[proxy], allocation)
 			}
 		}
 	}
@@ -347,7 +347,7 @@
 // Usage is what the other zones are to know now.
 func (a *Allocator) Usage() (usage []ZoneUsage, loads []Load) {
 	for _, name := range slices.Sorted(maps.Keys(a.usage)) {
-		if _, pressing := a.pressedAt[name]; pressing || a.usage[name].Demand > 0 {
+		if _, contended := a.contendedAt[name]; contended || a.usage[name].Demand > 0 {
 			usage = append(usage, *a.usage[name])
 		}
 	}
@@ -357,7 +357,7 @@
 // loads are this zone's, by service.
 func (a *Allocator) loads() (loads []Load) {
 	byService := map[string]Load{}
-	for _, party := range a.routers {
+	for _, party := range a.proxies {
 		for _, load := range party.loads {
 			sum := byService[load.Service]
 			byService[load.Service] = Load{load.Service, sum.Completed + load.Completed, sum.Work + load.Work}
@@ -370,11 +370,11 @@
 }
 
 // limit is how many requests a second a share has at present.
-func (a *Allocator) limit(s config.Quota) float64 {
-	if s.Fraction == 0 {
-		return s.Rate
+func (a *Allocator) limit(quota config.Quota) float64 {
+	if quota.Fraction == 0 {
+		return quota.Rate
 	}
-	return max(s.Rate, s.Fraction*a.Capacity(s.Service))
+	return max(quota.Rate, quota.Fraction*a.Capacity(quota.Service))
 }
 
 // Capacity is how many requests a second the hosts of a service can answer at present, by their slots and by how long answers
@@ -401,8 +401,8 @@
 func (a *Allocator) Capacities() map[string]float64 {
 	all := map[string]float64{}
 	for _, service := range a.services {
-		if x := a.Capacity(service); x > 0 {
-			all[service] = x
+		if capacity := a.Capacity(service); capacity > 0 {
+			all[service] = capacity
 		}
 	}
 	return all
@@ -443,13 +443,13 @@
 		quota := a.quotas[name]
 		status := Status{Quota: name, Service: quota.Service, Caller: quota.Caller, Limit: a.limit(quota)}
 		if total := a.totals[name]; total != nil && len(total.samples) > 0 {
-			status.Used = float64(total.admitted-total.samples[0].took) / max(1, float64(now-total.samples[0].at)/float64(second))
+			status.Used = float64(total.admitted-total.samples[0].cumulative) / max(1, float64(now-total.samples[0].at)/float64(second))
 		}
 		if usage := a.usage[name]; usage != nil {
 			status.Zones = append(status.Zones, ZoneStatus{zone, usage.Demand, usage.Allocated, usage.Rejected, usage.OverQuota})
 		}
 		for otherZone, party := range a.zones {
-			if usage, there := party.usage[name]; there {
+			if usage, exists := party.usage[name]; exists {
 				status.Zones = append(status.Zones, ZoneStatus{otherZone, usage.Demand, usage.Allocated, usage.Rejected, usage.OverQuota})
 			}
 		}
--- a/internal/quota/callers.go
+++ b/internal/quota/callers.go
@@ -90,7 +90,7 @@
 	counts := h.minutes[h.newestMinute%60]
 	for _, c := range all {
 		name := c.Caller
-		if _, there := counts[name]; !there && len(counts) >= h.maxCallers {
+		if _, exists := counts[name]; !exists && len(counts) >= h.maxCallers {
 			name = ""
 		}
 		counts[name] += c.Requests
@@ -134,8 +134,8 @@
 // minutes, so that what a burst bears within one is left out.
 func (c CallerHistory) ExcessRequests(perSecond float64) (n uint64) {
 	for _, x := range c.Minutes {
-		if most := uint64(perSecond * 60); x > most {
-			n += x - most
+		if allowed := uint64(perSecond * 60); x > allowed {
+			n += x - allowed
 		}
 	}
 	return n
--- a/internal/quota/meter.go
+++ b/internal/quota/meter.go
@@ -77,7 +77,7 @@
 	recentRequests   float64 // and over ten
 	emptyAt          int64   // when a request last found no token
 	admitted         uint64  // within the share, since the meter began
-	nextTurn         int64   // when the last one that was sent away is to come back
+	nextRetryAt      int64   // when the last one that was sent away is to come back
 	reportedUsage    float64 // requests within the last Window over all routers, as control told
 	reportedAt       int64
 	admittedAtReport uint64 // of this router's, as of then
@@ -92,21 +92,21 @@
 	byCaller     map[string]*bucket // by caller
 	byQuota      map[string]*bucket // by share
 	active       map[*bucket]bool   // those that may have something to report
-	routers      int
+	proxies      int
 	capacity     float64 // requests a second that the service can carry, 0 where that is not known
 	callers      *CallerCounter
 }
 
 // NewMeter makes a meter; nothing is known of demand.
-func NewMeter(quotas []config.Quota, routers int, now int64) *Meter {
+func NewMeter(quotas []config.Quota, proxies int, now int64) *Meter {
 	m := &Meter{byCaller: map[string]*bucket{}, active: map[*bucket]bool{}, callers: NewCallerCounter(MaxCallers)}
-	m.SetQuotas(quotas, routers, now)
+	m.SetQuotas(quotas, proxies, now)
 	return m
 }
 
 // SetQuotas takes up other shares or another number of routers; accounts that go on keep what they had.
-func (m *Meter) SetQuotas(quotas []config.Quota, routers int, now int64) {
-	m.routers = max(1, routers)
+func (m *Meter) SetQuotas(quotas []config.Quota, proxies int, now int64) {
+	m.proxies = max(1, proxies)
 	old := m.byCaller
 	m.byCaller, m.byQuota = make(map[string]*bucket, len(quotas)), make(map[string]*bucket, len(quotas))
 	for _, quota := range quotas {
@@ -133,7 +133,7 @@
 
 func (m *Meter) updateRate(b *bucket) {
 	b.limit = max(b.Rate, b.Fraction*m.capacity)
-	b.evenRate = b.limit / float64(m.routers)
+	b.evenRate = b.limit / float64(m.proxies)
 }
 
 // CallerHeader is the one that names callers.
@@ -182,9 +182,9 @@
 	default:
 		b.rejected++
 		rate := max(b.rate(now), 0.01)
-		b.nextTurn = max(b.nextTurn, now) + int64(float64(second)/rate)
-		decision.RetryAfter = min(b.nextTurn-now, LimitWindow)
-		b.nextTurn = now + decision.RetryAfter
+		b.nextRetryAt = max(b.nextRetryAt, now) + int64(float64(second)/rate)
+		decision.RetryAfter = min(b.nextRetryAt-now, LimitWindow)
+		b.nextRetryAt = now + decision.RetryAfter
 	}
 	decision.Remaining = max(0, decision.Limit-b.windowUsage(now))
 	if b.limit > 0 {
@@ -214,11 +214,11 @@
 }
 
 // seenByAllRouters tells whether every router sees the caller now and then, if it comes evenly and has the most that it may.
-func (b *bucket) seenByAllRouters() bool { return b.evenRate*10 >= 1 && b.limit >= 10 }
+func (b *bucket) seenByAllProxies() bool { return b.evenRate*10 >= 1 && b.limit >= 10 }
 
 // reportThreshold is how many requests of late are worth a report.
 func (b *bucket) reportThreshold() float64 {
-	if b.seenByAllRouters() {
+	if b.seenByAllProxies() {
 		return 0.9
 	}
 	return 3
@@ -241,9 +241,9 @@
 // windowUsage is about how many requests all routers took within the last Window: what control told, fading out evenly, and what
 // this router took since.
 func (b *bucket) windowUsage(now int64) float64 {
-	left := 1 - float64(now-b.reportedAt)/float64(LimitWindow)
-	if b.reportedAt > 0 && left > 0 {
-		return b.reportedUsage*left + float64(b.admitted-b.admittedAtReport)
+	weight := 1 - float64(now-b.reportedAt)/float64(LimitWindow)
+	if b.reportedAt > 0 && weight > 0 {
+		return b.reportedUsage*weight + float64(b.admitted-b.admittedAtReport)
 	}
 	return b.recentRequests // the others' are not known: nobody told of a caller that no router saw often
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -12,66 +12,66 @@
 	"portflow/internal/cluster/config"
 )
 
-func testQuota(caller string, perS float64) config.Quota {
-	return config.Quota{Name: "s-" + caller, Service: "desk", CallerHeader: "X-Agency", Caller: caller, Rate: perS, Burst: max(1, perS)}
+func testQuota(caller string, perSecond float64) config.Quota {
+	return config.Quota{Name: "s-" + caller, Service: "desk", CallerHeader: "X-Agency", Caller: caller, Rate: perSecond, Burst: max(1, perSecond)}
 }
 
 // Who is who: callers without a name, unknown ones, and forged or huge names are others; others without a share have what is
 // left over.
-func TestWhoTheCallerIs(t *testing.T) {
+func TestCallerIdentification(t *testing.T) {
 	for _, x := range []struct {
-		caller string
-		others bool // they have a share
-		room   Headroom
-		share  string
-		in     bool
+		caller         string
+		hasOthersQuota bool // they have a share
+		headroom       Headroom
+		quota          string
+		admitted       bool
 	}{
 		{"a", false, NoHeadroom, "s-a", true}, {"", false, NoHeadroom, "", false}, {"", false, AmpleHeadroom, "", true}, {"b", false, NoHeadroom, "", false},
 		{"b", true, NoHeadroom, "s-*", true}, {"", true, NoHeadroom, "s-*", true}, {"*", true, NoHeadroom, "s-*", true},
 		{strings.Repeat("x", 1<<16), true, NoHeadroom, "s-*", true}, {strings.Repeat("x", 1<<16), false, NoHeadroom, "", false},
 	} {
 		c := qt.New(t)
-		shares := []config.Quota{testQuota("a", 5)}
-		if x.others {
-			shares = append(shares, testQuota(config.OtherCallers, 5))
+		quotas := []config.Quota{testQuota("a", 5)}
+		if x.hasOthersQuota {
+			quotas = append(quotas, testQuota(config.OtherCallers, 5))
 		}
-		v := NewMeter(shares, 1, 0).Admit(1, x.caller, false, x.room)
-		c.Check([2]any{v.Quota, v.Admitted}, qt.Equals, [2]any{x.share, x.in}, qt.Commentf("%.10q, others %v, room %v", x.caller, x.others, x.room))
+		decision := NewMeter(quotas, 1, 0).Admit(1, x.caller, false, x.headroom)
+		c.Check([2]any{decision.Quota, decision.Admitted}, qt.Equals, [2]any{x.quota, x.admitted}, qt.Commentf("%.10q, others %v, room %v", x.caller, x.hasOthersQuota, x.headroom))
 	}
 }
 
 // Over its share a caller may use what others leave, lookups first to lose it; within its share lookups leave the last of it
 // to what must not be repeated. Whoever is sent away gets a turn of its own.
-func TestOrder(t *testing.T) {
+func TestAdmissionPriority(t *testing.T) {
 	c := qt.New(t)
 	m := NewMeter([]config.Quota{testQuota("a", 10)}, 1, 0)
 	now := 10 * second
-	safe, unsafe := 0, 0
+	idempotent, nonIdempotent := 0, 0
 	for range 100 {
 		if m.Admit(now, "a", true, NoHeadroom).Admitted {
-			safe++
+			idempotent++
 		}
 	}
 	for range 100 {
 		if m.Admit(now, "a", false, NoHeadroom).Admitted {
-			unsafe++
+			nonIdempotent++
 		}
 	}
-	c.Check(safe > 0 && unsafe >= safe/5 && safe+unsafe <= 40, qt.IsTrue, qt.Commentf("%d and %d", safe, unsafe))
+	c.Check(idempotent > 0 && nonIdempotent >= idempotent/5 && idempotent+nonIdempotent <= 40, qt.IsTrue, qt.Commentf("%d and %d", idempotent, nonIdempotent))
 	for _, x := range []struct {
-		room Headroom
-		safe bool
-		in   bool
+		headroom   Headroom
+		idempotent bool
+		admitted   bool
 	}{{AmpleHeadroom, true, true}, {AmpleHeadroom, false, true}, {ScarceHeadroom, true, false}, {ScarceHeadroom, false, true}, {NoHeadroom, true, false}, {NoHeadroom, false, false}} {
-		v := m.Admit(now, "a", x.safe, x.room)
-		c.Check([2]bool{v.Admitted, v.OverQuota}, qt.Equals, [2]bool{x.in, x.in}, qt.Commentf("%+v", x))
+		decision := m.Admit(now, "a", x.idempotent, x.headroom)
+		c.Check([2]bool{decision.Admitted, decision.OverQuota}, qt.Equals, [2]bool{x.admitted, x.admitted}, qt.Commentf("%+v", x))
 	}
 	last := int64(0)
 	for range 10 {
-		v := m.Admit(now, "a", false, NoHeadroom)
-		c.Check(v.Admitted, qt.IsFalse)
-		c.Check(v.RetryAfter > last || v.RetryAfter == LimitWindow, qt.IsTrue)
-		last = v.RetryAfter
+		decision := m.Admit(now, "a", false, NoHeadroom)
+		c.Check(decision.Admitted, qt.IsFalse)
+		c.Check(decision.RetryAfter > last || decision.RetryAfter == LimitWindow, qt.IsTrue)
+		last = decision.RetryAfter
 	}
 	for used, want := range map[float64]Headroom{0: AmpleHeadroom, 0.69: AmpleHeadroom, 0.7: ScarceHeadroom, 0.85: NoHeadroom, 2: NoHeadroom} {
 		c.Check(HeadroomFor(used), qt.Equals, want)
@@ -81,7 +81,7 @@
 }
 
 // A lease ends by itself, and a caller of whom nothing is known any more has what it had at first.
-func TestLeaseEnds(t *testing.T) {
+func TestLeaseExpiry(t *testing.T) {
 	c := qt.New(t)
 	m := NewMeter([]config.Quota{testQuota("a", 100)}, 10, 0)
 	count := func(from, to int64) (n int) {
@@ -105,7 +105,7 @@
 
 // The parts that all zones deal never come to more than the share once demand has been the same for a moment, and a zone that
 // is lost keeps its part until its leases are over.
-func TestAllocatorsAddUp(t *testing.T) {
+func TestAllocatedRatesStayWithinQuota(t *testing.T) {
 	c := qt.New(t)
 	draw := rand.New(rand.NewPCG(5, 5))
 	quotas := map[string][]config.Quota{"desk": {testQuota("a", 90)}}
@@ -126,13 +126,13 @@
 		for zone, allocator := range allocators {
 			for _, other := range connected {
 				if other != zone {
-					sums, loads := allocators[other].Usage()
-					allocator.MergeZone(now, fmt.Sprint(other), sums, loads)
+					usage, loads := allocators[other].Usage()
+					allocator.MergeZone(now, fmt.Sprint(other), usage, loads)
 				}
 			}
-			for router, all := range allocator.Allocate(now) {
+			for proxy, all := range allocator.Allocate(now) {
 				for _, allocation := range all {
-					rates[router] = allocation.Rate
+					rates[proxy] = allocation.Rate
 				}
 			}
 		}
@@ -174,17 +174,17 @@
 // A part of what a service can carry follows the hosts and how long their answers take.
 func TestFractionOfCapacity(t *testing.T) {
 	c := qt.New(t)
-	d := NewAllocator()
-	s := testQuota("a", 0)
-	s.Rate, s.Fraction = 1, 0.5
-	d.SetQuotas(map[string][]config.Quota{"desk": {s}})
-	c.Check(d.Capacities(), qt.HasLen, 0)
-	d.SetSlots(map[string]int{"desk": 30})
-	d.AddReports(1, "r", nil, []Load{{"desk", 10, 1}}) // a tenth of a second each
-	d.MergeZone(1, "z", nil, []Load{{"desk", 10, 3}})
-	c.Check(d.Capacities()["desk"], qt.Equals, 150.0)
-	c.Check(d.Statuses(1, "self")[0].Limit, qt.Equals, 75.0)
-	m := NewMeter([]config.Quota{s}, 1, 0)
+	allocator := NewAllocator()
+	quota := testQuota("a", 0)
+	quota.Rate, quota.Fraction = 1, 0.5
+	allocator.SetQuotas(map[string][]config.Quota{"desk": {quota}})
+	c.Check(allocator.Capacities(), qt.HasLen, 0)
+	allocator.SetSlots(map[string]int{"desk": 30})
+	allocator.AddReports(1, "r", nil, []Load{{"desk", 10, 1}}) // a tenth of a second each
+	allocator.MergeZone(1, "z", nil, []Load{{"desk", 10, 3}})
+	c.Check(allocator.Capacities()["desk"], qt.Equals, 150.0)
+	c.Check(allocator.Statuses(1, "self")[0].Limit, qt.Equals, 75.0)
+	m := NewMeter([]config.Quota{quota}, 1, 0)
 	m.SetCapacity(150)
 	c.Check(m.Admit(1, "a", false, NoHeadroom).Limit, qt.Equals, 750.0)
 }
@@ -192,50 +192,50 @@
 // However many callers there are, a census names a bounded number, and loses none of the count; an hour forgets what is older.
 func TestCallerCounter(t *testing.T) {
 	c := qt.New(t)
-	s := NewCallerCounter(8)
+	counter := NewCallerCounter(8)
 	for i := range 10000 {
-		s.Add(fmt.Sprint("forged-", i))
+		counter.Add(fmt.Sprint("forged-", i))
 		if i%4 == 0 {
-			s.Add("often")
+			counter.Add("often")
 		}
 	}
-	all := s.Drain()
+	all := counter.Drain()
 	c.Check(len(all) <= 9, qt.IsTrue)
-	sum, often := uint64(0), uint64(0)
+	total, frequent := uint64(0), uint64(0)
 	for _, x := range all {
-		if sum += x.Requests; x.Caller == "often" {
-			often = x.Requests
+		if total += x.Requests; x.Caller == "often" {
+			frequent = x.Requests
 		}
 	}
-	c.Check(sum, qt.Equals, uint64(12500))
-	c.Check(often > 0, qt.IsTrue)
-	c.Check(s.Drain(), qt.HasLen, 0)
-	h := NewMinuteHistory(2)
+	c.Check(total, qt.Equals, uint64(12500))
+	c.Check(frequent > 0, qt.IsTrue)
+	c.Check(counter.Drain(), qt.HasLen, 0)
+	history := NewMinuteHistory(2)
 	for m := range int64(90) {
-		h.Add(m*minute+5, []CallerCount{{"a", 120}, {"b", 6}, {fmt.Sprint("c", m), 1}})
+		history.Add(m*minute+5, []CallerCount{{"a", 120}, {"b", 6}, {fmt.Sprint("c", m), 1}})
 	}
-	callers := h.All(90 * minute)
+	callers := history.All(90 * minute)
 	c.Assert(callers, qt.HasLen, 3)
 	c.Check([2]any{callers[0].Name, callers[1].Name}, qt.Equals, [2]any{"", "a"})
 	c.Check(callers[1].Minutes, qt.HasLen, 60)
 	c.Check(callers[1].ExcessRequests(1), qt.Equals, uint64(59*60))
 	c.Check(callers[1].ExcessRequests(2), qt.Equals, uint64(0))
-	c.Check(h.All(500*minute), qt.HasLen, 0)
+	c.Check(history.All(500*minute), qt.HasLen, 0)
 }
 
 // A request's check costs no allocation, also at ten thousand callers.
-func TestAdmitAllocates(t *testing.T) {
-	var shares []config.Quota
+func TestAdmitDoesNotAllocate(t *testing.T) {
+	var quotas []config.Quota
 	for i := range 10000 {
-		shares = append(shares, testQuota(fmt.Sprint("c", i), 1))
+		quotas = append(quotas, testQuota(fmt.Sprint("c", i), 1))
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	m, now := NewMeter(shares, 10, 0), int64(0)
+	m, now := NewMeter(quotas, 10, 0), int64(0)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	t.Logf("%d bytes a caller at a router", (after.HeapAlloc-before.HeapAlloc)/uint64(len(shares)))
+	t.Logf("%d bytes a caller at a router", (after.HeapAlloc-before.HeapAlloc)/uint64(len(quotas)))
 	n := testing.AllocsPerRun(1000, func() {
 		now += second / 1000
 		m.Admit(now, "c77", true, AmpleHeadroom)
@@ -257,19 +257,19 @@
 	c := qt.New(t)
 	costs := map[int][2]uint64{}
 	for _, quotas := range []int{220, 11000} {
-		d, all := NewAllocator(), map[string][]config.Quota{}
+		allocator, all := NewAllocator(), map[string][]config.Quota{}
 		for n := range quotas {
-			s := fmt.Sprint("service-", n%22)
-			all[s] = append(all[s], config.Quota{Name: fmt.Sprint("share-", n), Service: s, CallerHeader: "X-Agency", Caller: fmt.Sprint(n), Rate: 5, Burst: 5})
+			service := fmt.Sprint("service-", n%22)
+			all[service] = append(all[service], config.Quota{Name: fmt.Sprint("share-", n), Service: service, CallerHeader: "X-Agency", Caller: fmt.Sprint(n), Rate: 5, Burst: 5})
 		}
-		d.SetQuotas(all)
+		allocator.SetQuotas(all)
 		for n := range 20 {
-			router := fmt.Sprint("r", n)
-			d.AddRouter(router)
-			d.AddReports(1e9, router, []Report{{Quota: "share-7", Demand: 2, Admitted: 3}}, []Load{{Service: "service-3", Completed: 10, Work: 1}})
+			proxy := fmt.Sprint("r", n)
+			allocator.AddRouter(proxy)
+			allocator.AddReports(1e9, proxy, []Report{{Quota: "share-7", Demand: 2, Admitted: 3}}, []Load{{Service: "service-3", Completed: 10, Work: 1}})
 		}
-		d.SetSlots(map[string]int{"service-3": 40})
-		d.Allocate(1e9)
+		allocator.SetSlots(map[string]int{"service-3": 40})
+		allocator.Allocate(1e9)
 		bytes := func(call func()) uint64 {
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
@@ -279,9 +279,9 @@
 			runtime.ReadMemStats(&after)
 			return (after.TotalAlloc - before.TotalAlloc) / 20
 		}
-		costs[quotas] = [2]uint64{bytes(func() { d.Allocate(2e9) }), bytes(func() { d.Capacities() })}
-		c.Check(d.Capacities(), qt.HasLen, 1)
-		c.Check(d.Capacities()["service-3"] > 0, qt.IsTrue)
+		costs[quotas] = [2]uint64{bytes(func() { allocator.Allocate(2e9) }), bytes(func() { allocator.Capacities() })}
+		c.Check(allocator.Capacities(), qt.HasLen, 1)
+		c.Check(allocator.Capacities()["service-3"] > 0, qt.IsTrue)
 	}
 	t.Logf("bytes a deal and a look at what services carry, by shares: %v", costs)
 	for i := range 2 {
@@ -293,11 +293,11 @@
 // looking at each of them five times a second. Who comes is looked at until it is at rest again, and reported as before.
 func TestIdleCallers(t *testing.T) {
 	c := qt.New(t)
-	var shares []config.Quota
+	var quotas []config.Quota
 	for n := range 5000 {
-		shares = append(shares, testQuota(fmt.Sprint("c", n), 20))
+		quotas = append(quotas, testQuota(fmt.Sprint("c", n), 20))
 	}
-	m := NewMeter(shares, 4, 1)
+	m := NewMeter(quotas, 4, 1)
 	now := second
 	for range 30 {
 		m.Admit(now, "c7", false, AmpleHeadroom)
@@ -314,7 +314,7 @@
 	c.Check(m.Reports(now), qt.HasLen, 0)
 	c.Check(m.active, qt.HasLen, 0)
 	m.Admit(now, "c4999", false, AmpleHeadroom)
-	m.SetQuotas(shares[:10], 4, now) // a share that goes takes its caller along
+	m.SetQuotas(quotas[:10], 4, now) // a share that goes takes its caller along
 	c.Check(m.active, qt.HasLen, 0)
 	for range 60 {
 		m.Admit(now, "c9", false, AmpleHeadroom)
--- a/internal/quota/trace_test.go
+++ b/internal/quota/trace_test.go
@@ -13,18 +13,18 @@
 const traceZones = 3
 
 // drawnShares are shares of one service.
-func drawnShares(draw *rand.Rand) map[string][]config.Quota {
+func randomQuotas(draw *rand.Rand) map[string][]config.Quota {
 	var all []config.Quota
 	for _, caller := range []string{"a", "b", "c", config.OtherCallers} {
 		if draw.IntN(4) == 0 {
 			continue
 		}
-		s := testQuota(caller, float64(1+draw.IntN(100)))
-		s.WatchOnly = draw.IntN(8) == 0
+		quota := testQuota(caller, float64(1+draw.IntN(100)))
+		quota.WatchOnly = draw.IntN(8) == 0
 		if draw.IntN(3) == 0 {
-			s.Fraction = draw.Float64() / 2
+			quota.Fraction = draw.Float64() / 2
 		}
-		all = append(all, s)
+		all = append(all, quota)
 	}
 	return map[string][]config.Quota{"desk": all}
 }
@@ -35,16 +35,16 @@
 	digest.Pin(t, 25, []string{"111d12e9b36a00d3", "51ed69bbd4558565", "bb7253a18ced5dc8", "abb03a660caf11c0"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
 		now := 1000 * second
-		shares := drawnShares(draw)
-		var dealers [traceZones]*Allocator
+		quotas := randomQuotas(draw)
+		var allocators [traceZones]*Allocator
 		var meters [2 * traceZones]*Meter
-		for z := range dealers {
-			dealers[z] = NewAllocator()
-			dealers[z].SetQuotas(shares)
-			dealers[z].SetSlots(map[string]int{"desk": 30})
+		for z := range allocators {
+			allocators[z] = NewAllocator()
+			allocators[z].SetQuotas(quotas)
+			allocators[z].SetSlots(map[string]int{"desk": 30})
 		}
 		for n := range meters {
-			meters[n] = NewMeter(shares["desk"], len(meters), now)
+			meters[n] = NewMeter(quotas["desk"], len(meters), now)
 		}
 		rate := 40
 		for range 60 {
@@ -56,14 +56,14 @@
 				d.Add(m.Admit(now+draw.Int64N(AllocationInterval), caller, draw.IntN(2) == 0, HeadroomFor(draw.Float64())))
 			}
 			now += AllocationInterval
-			traceDeal(draw, d, now, dealers[:], meters[:])
+			traceRound(draw, d, now, allocators[:], meters[:])
 			if draw.IntN(25) == 0 {
-				shares = drawnShares(draw)
-				for _, dealer := range dealers {
-					dealer.SetQuotas(shares)
+				quotas = randomQuotas(draw)
+				for _, allocator := range allocators {
+					allocator.SetQuotas(quotas)
 				}
 				for _, m := range meters {
-					m.SetQuotas(shares["desk"], len(meters), now)
+					m.SetQuotas(quotas["desk"], len(meters), now)
 				}
 			}
 		}
@@ -75,7 +75,7 @@
 func exact(f float64) float64 { return math.Round(f*64) / 64 }
 
 // traceDeal is one round of reports, sums and dealing.
-func traceDeal(draw *rand.Rand, d *digest.Digest, now int64, dealers []*Allocator, meters []*Meter) {
+func traceRound(draw *rand.Rand, d *digest.Digest, now int64, allocators []*Allocator, meters []*Meter) {
 	for n, m := range meters {
 		if draw.IntN(30) == 0 { // the report is lost
 			continue
@@ -85,37 +85,37 @@
 		for i := range reports {
 			reports[i].Demand, reports[i].Recent = exact(reports[i].Demand), exact(reports[i].Recent)
 		}
-		dealers[n/2].AddReports(now, fmt.Sprint("router", n), reports, []Load{{"desk", 10 + exact(draw.Float64()), exact(draw.Float64())}})
+		allocators[n/2].AddReports(now, fmt.Sprint("router", n), reports, []Load{{"desk", 10 + exact(draw.Float64()), exact(draw.Float64())}})
 		if draw.IntN(20) == 0 {
-			census := m.DrainCallerCounts()
-			d.Add(census, m.CallerHeader())
-			dealers[n/2].AddCallerCounts(now, "desk", census)
+			counts := m.DrainCallerCounts()
+			d.Add(counts, m.CallerHeader())
+			allocators[n/2].AddCallerCounts(now, "desk", counts)
 		}
 	}
-	for z, dealer := range dealers {
-		for x, other := range dealers {
+	for z, allocator := range allocators {
+		for x, other := range allocators {
 			if z != x && draw.IntN(20) > 0 {
-				sums, loads := other.Usage()
-				d.Add(sums, loads)
-				dealer.MergeZone(now, fmt.Sprint("z", x), sums, loads)
+				usage, loads := other.Usage()
+				d.Add(usage, loads)
+				allocator.MergeZone(now, fmt.Sprint("z", x), usage, loads)
 			}
 		}
 		switch draw.IntN(60) {
 		case 0:
-			dealer.ZoneLost(now, fmt.Sprint("z", (z+1)%traceZones))
+			allocator.ZoneLost(now, fmt.Sprint("z", (z+1)%traceZones))
 		case 1:
-			dealer.RemoveRouter(fmt.Sprint("router", 2*z))
+			allocator.RemoveRouter(fmt.Sprint("router", 2*z))
 		case 2:
-			dealer.AddRouter(fmt.Sprint("router", 2*z+1))
+			allocator.AddRouter(fmt.Sprint("router", 2*z+1))
 		}
-		news := dealer.Allocate(now)
-		d.Add(news, dealer.Capacities(), dealer.Statuses(now, "self"), dealer.Empty())
+		allocations := allocator.Allocate(now)
+		d.Add(allocations, allocator.Capacities(), allocator.Statuses(now, "self"), allocator.Empty())
 		for n := 2 * z; n < 2*z+2; n++ {
-			meters[n].ApplyAllocations(now, news[fmt.Sprint("router", n)])
-			meters[n].SetCapacity(dealer.Capacity("desk"))
+			meters[n].ApplyAllocations(now, allocations[fmt.Sprint("router", n)])
+			meters[n].SetCapacity(allocator.Capacity("desk"))
 		}
 		if draw.IntN(20) == 0 {
-			d.Add(dealer.LastHour(now))
+			d.Add(allocator.LastHour(now))
 		}
 	}
 }
