--- a/internal/cluster/instance/heartbeat.go
+++ b/internal/cluster/instance/heartbeat.go
@@ -2,15 +2,15 @@
 
 import "portflow/internal/cluster/settings"
 
-// The bounds of the fields of a heartbeat.
+// Upper bounds of fields in a heartbeat.
 const (
 	maxSlots         = 1 << 20
-	maxSequence      = 1 << 53 // exact as a JSON number
+	maxSequence      = 1 << 53 // largest range in which a float64 is exact
 	maxWarmUpSeconds = 86400
 )
 
-// ParseHeartbeat parses and checks the body of a heartbeat of an instance; now is the time at which it was received. An error names
-// the fields.
+// ParseHeartbeat parses and validates the decoded body of a heartbeat of the instance with the given ID, received at now. The error
+// lists all invalid fields with their paths.
 func ParseHeartbeat(id string, tree any, now int64) (Instance, error) {
 	reader := settings.NewReader(tree)
 	information := reader.At("information")
@@ -29,7 +29,7 @@
 	case "draining":
 		i.State = Draining
 	default:
-		status.At("server-state").Errorf("%q is neither ready nor draining", state)
+		status.At("server-state").Errorf("got %q, must be ready or draining", state)
 	}
 	if warmUp := status.At("cold-remaining-s"); warmUp.Exists() {
 		if remaining := warmUp.Seconds(0, maxWarmUpSeconds); remaining > 0 {
--- a/internal/cluster/instance/instance.go
+++ b/internal/cluster/instance/instance.go
@@ -1,8 +1,8 @@
-// Package instance owns what a control process knows of the instances of services: their state by their heartbeats, and by what other
-// control processes announce of them.
+// Package instance keeps the state of the instances of services at a control process. It is derived from the heartbeats that the
+// process receives and from the updates that other control processes send.
 //
-// The package does no input or output and starts no goroutine; times are passed in, in nanoseconds of one clock. It never judges an
-// instance by its responses to requests: that is package outlier. Begin reading at Instance, Supersedes and Table.Heartbeat.
+// The package does no input or output and starts no goroutine; times are passed in as nanoseconds of one clock. Responses to requests
+// don't affect the state: outlier detection is in package outlier. Start reading at Instance, Supersedes and Table.Heartbeat.
 package instance
 
 import (
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// State is what an instance reports of itself, or that it has ended. It changes only in the order of the constants.
+// State is the lifecycle state of an instance. It only advances, in the order of the constants. The numbers are part of the encoding.
 type State uint8
 
-// The states of an instance.
+// The states of an instance. Gone is final: the instance has deregistered.
 const (
 	Ready State = iota
 	Draining
@@ -24,7 +24,7 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// Instance is one run of a server of a service: each start has an ID of its own.
+// Instance is one run of a server of a service. Each start of the server has a new ID.
 type Instance struct {
 	ID           string `json:"i"`
 	Service      string `json:"s,omitempty"`
@@ -33,14 +33,14 @@
 	Version      string `json:"v,omitempty"`
 	Slots        int    `json:"l,omitempty"`
 	State        State  `json:"t,omitempty"`
-	WarmUpUntil  int64  `json:"c,omitempty"` // nanoseconds, 0 if it isn't warming up
-	Sequence     uint64 `json:"q"`           // of the last heartbeat
-	Unresponsive bool   `json:"x,omitempty"` // its owner misses heartbeats
-	Owner        string `json:"o,omitempty"` // the control process that receives its heartbeats
+	WarmUpUntil  int64  `json:"c,omitempty"` // nanoseconds; 0 if no warm-up was reported
+	Sequence     uint64 `json:"q"`           // sequence number of the last heartbeat
+	Unresponsive bool   `json:"x,omitempty"` // heartbeats are overdue
+	Owner        string `json:"o,omitempty"` // name of the control process that receives the heartbeats
 }
 
-// Supersedes reports whether a is newer than b, an instance of the same ID. One that is gone stays so; then the later heartbeat
-// counts, then what the owner says of missed heartbeats.
+// Supersedes reports whether a is newer than b, both being states of the same instance. Gone supersedes all other states, then the
+// higher Sequence wins, then Unresponsive. Remaining ties are broken by State and Owner, so that all processes agree.
 func Supersedes(a, b Instance) bool {
 	if aGone, bGone := a.State >= Gone, b.State >= Gone; aGone != bGone {
 		return aGone
--- a/internal/cluster/instance/table.go
+++ b/internal/cluster/instance/table.go
@@ -7,23 +7,24 @@
 
 // Times, in nanoseconds.
 const (
-	warmUpTolerance       = int64(300e6) // heartbeats may differ by so much in when the warm-up ends
-	goneRetention         = int64(60e9)  // how long an instance that is gone stays known; late heartbeats have arrived by then
-	unresponsiveRetention = int64(600e9) // how long an instance that another process calls unresponsive stays known
+	warmUpTolerance       = int64(300e6) // smaller changes of the end of a warm-up are attributed to network delay
+	goneRetention         = int64(60e9)  // how long an instance is kept after it is gone; late heartbeats have arrived by then
+	unresponsiveRetention = int64(600e9) // how long an instance is kept that another process reports as unresponsive
 )
 
-// Table has the instances that one control process knows. It watches the heartbeats of those that it owns and of those that it
-// adopted. It is not safe for concurrent use.
+// Table holds the instances known to one control process. It watches for overdue heartbeats of the instances that the process owns and
+// of those that it adopted from other owners. It is not safe for concurrent use.
 type Table struct {
 	self              string
-	heartbeatTimeout  int64 // time without a heartbeat after which an instance is unresponsive
+	heartbeatTimeout  int64 // an instance without a heartbeat for longer is unresponsive
 	instances         map[string]Instance
-	lastHeartbeat     map[string]int64 // of the watched instances: the last heartbeat, or since when it is watched
+	lastHeartbeat     map[string]int64 // of watched instances: time of the last heartbeat, or of the start of watching
 	goneSince         map[string]int64
-	unresponsiveSince map[string]int64 // of instances that aren't watched and are unresponsive: since when that is known here
+	unresponsiveSince map[string]int64 // of unresponsive instances that are not watched: when EvictUnresponsive first saw that
 }
 
-// NewTable returns an empty table of the control process of a name. heartbeatInterval is in nanoseconds.
+// NewTable returns an empty table for the control process named self. heartbeatInterval is the time between two heartbeats of an
+// instance in nanoseconds; an instance is unresponsive after 2.75 intervals without one.
 func NewTable(self string, heartbeatInterval int64) *Table {
 	return &Table{
 		self:              self,
@@ -35,8 +36,9 @@
 	}
 }
 
-// Heartbeat notes a heartbeat that this process receives. It returns the instance as it is known now, and whether anything changed
-// that others must be sent.
+// Heartbeat applies a heartbeat received by this process, which thereby becomes the owner of the instance. It returns the updated
+// instance, and whether anything but Sequence changed, so that other processes must be sent it. Heartbeats that arrive late, or after the
+// instance is gone, don't change the instance.
 func (t *Table) Heartbeat(now int64, i Instance) (Instance, bool) {
 	old, known := t.instances[i.ID]
 	if _, gone := t.goneSince[i.ID]; gone && old.State == Gone {
@@ -45,7 +47,7 @@
 	if known && old.Owner == t.self {
 		t.lastHeartbeat[i.ID] = now
 	}
-	if known && i.Sequence <= old.Sequence { // it arrives late
+	if known && i.Sequence <= old.Sequence { // late or duplicate
 		return old, false
 	}
 	i.Owner = t.self
@@ -59,8 +61,8 @@
 	return i, !known || old != i
 }
 
-// mergeWarmUp returns the end of an instance's warm-up after a heartbeat. It keeps the one that is known where the heartbeat's differs
-// only by the delay of the message, or where the warm-up is over.
+// mergeWarmUp returns the end of an instance's warm-up after a heartbeat. It keeps the old value if the reported one differs only by the
+// network delay, or if the heartbeat reports no warm-up and the old one has ended.
 func mergeWarmUp(now, old, reported int64) int64 {
 	difference := reported - old
 	if reported > now && difference < warmUpTolerance && difference > -warmUpTolerance {
@@ -72,7 +74,8 @@
 	return reported
 }
 
-// Deregister notes that an instance has ended, by its own last message. It returns the instance, and whether others must be sent it.
+// Deregister marks an instance as gone, at its own request. It returns the instance, and whether other processes must be sent it. An
+// unknown instance is added as gone, so that a late heartbeat doesn't bring it back.
 func (t *Table) Deregister(now int64, id string) (Instance, bool) {
 	i, known := t.instances[id]
 	if known && i.State == Gone {
@@ -86,8 +89,9 @@
 	return i, true
 }
 
-// Merge merges what another control process knows of an instance. changed says that it was new. reannounce says that others must be
-// sent the instance as it is known here: another process takes it for unresponsive, and its heartbeats arrive here.
+// Merge applies the state of an instance received from another control process, if it supersedes the known one. changed reports whether
+// it did. reannounce reports that other processes must be sent the state known here, because the received one says unresponsive
+// while this process receives heartbeats.
 func (t *Table) Merge(now int64, i Instance) (changed, reannounce bool) {
 	old, known := t.instances[i.ID]
 	if known && !Supersedes(i, old) {
@@ -101,7 +105,7 @@
 	return true, false
 }
 
-// Lookup returns an instance as it is known; the zero Instance if it isn't.
+// Lookup returns the instance of an ID, or the zero Instance if it is unknown.
 func (t *Table) Lookup(id string) Instance { return t.instances[id] }
 
 func (t *Table) put(now int64, i Instance) {
@@ -112,13 +116,13 @@
 	}
 }
 
-// Adopt begins to watch the instances of an owner that is not connected any more: they send heartbeats elsewhere soon, or are
-// unresponsive.
+// Adopt starts watching the instances of an owner that has disconnected. Unless they send heartbeats to another process, they become
+// unresponsive after the heartbeat timeout.
 func (t *Table) Adopt(now int64, owner string) {
 	t.watch(now, owner, nil)
 }
 
-// Release ends what Adopt began: the owner is connected again and watches its instances by itself.
+// Release stops watching the instances of an owner that has reconnected and watches them itself again.
 func (t *Table) Release(owner string) {
 	for id, i := range t.instances {
 		if i.Owner == owner && owner != t.self {
@@ -127,13 +131,13 @@
 	}
 }
 
-// Reconcile begins to watch the instances of an owner that are not in its complete list: it has restarted, and has not received a
-// heartbeat of them since. They send heartbeats elsewhere soon, or are unresponsive.
+// Reconcile starts watching the instances of an owner that are missing from the complete list of instances that the owner sent. The
+// owner has restarted and received no heartbeat of them since. They are treated as those of Adopt.
 func (t *Table) Reconcile(now int64, owner string, listed map[string]bool) {
 	t.watch(now, owner, listed)
 }
 
-// watch begins to watch the instances of another owner that it doesn't watch yet, but for some.
+// watch starts watching the instances of another owner, apart from those gone, already watched or in except.
 func (t *Table) watch(now int64, owner string, except map[string]bool) {
 	if owner == t.self {
 		return
@@ -148,9 +152,9 @@
 	}
 }
 
-// CheckHeartbeats returns the watched instances that have become unresponsive, and evicts those that ended long ago. A process that is
-// connected to too few others can't judge instances that send heartbeats elsewhere: then canJudge is false, and their time begins
-// anew.
+// CheckHeartbeats marks and returns the watched instances that have become unresponsive, sorted by ID. It evicts instances that have been
+// gone, or watched without a heartbeat, for longer than goneRetention. canJudge is false if this process is connected to too few
+// others to know whether instances of other owners are alive; the timeouts of these instances are then restarted.
 func (t *Table) CheckHeartbeats(now int64, canJudge bool) (unresponsive []Instance) {
 	for id, last := range t.lastHeartbeat {
 		i := t.instances[id]
@@ -178,8 +182,9 @@
 	return unresponsive
 }
 
-// EvictUnresponsive evicts instances that other processes have called unresponsive for long. Such a process announces no end of them,
-// as a heartbeat may still come. It is to be called periodically.
+// EvictUnresponsive evicts unwatched instances that have been unresponsive for longer than unresponsiveRetention. The process that
+// reported them as unresponsive doesn't announce their eviction, because a heartbeat may still arrive. It is to be called
+// periodically.
 func (t *Table) EvictUnresponsive(now int64) {
 	for id, i := range t.instances {
 		_, watched := t.lastHeartbeat[id]
@@ -199,7 +204,7 @@
 	})
 }
 
-// All returns all instances by ID, those that are gone included.
+// All returns all instances, including those that are gone, sorted by ID.
 func (t *Table) All() []Instance {
 	all := make([]Instance, 0, len(t.instances))
 	for _, i := range t.instances {
@@ -209,7 +214,7 @@
 	return all
 }
 
-// Owned returns the instances that send their heartbeats to this process, by ID.
+// Owned returns the instances owned by this process, including those that are gone, sorted by ID.
 func (t *Table) Owned() (all []Instance) {
 	for _, i := range t.All() {
 		if i.Owner == t.self {
--- a/internal/cluster/instance/table_test.go
+++ b/internal/cluster/instance/table_test.go
@@ -8,7 +8,7 @@
 
 const second = int64(1e9)
 
-// Each step is what one control process learns of an instance; the last three fields are how it is known then.
+// Each case applies steps to the table of process "a" and checks the resulting state, responsiveness and owner of one instance.
 func TestStateTransitions(t *testing.T) {
 	at := func(seq uint64, state State) Instance {
 		return Instance{ID: "i", Service: "desk", Address: "10.0.0.1:1", State: state, Sequence: seq}
@@ -34,35 +34,35 @@
 		unresponsive bool
 		owner        string
 	}{
-		{"a heartbeat", []step{heartbeat(0, at(1, Ready))}, Ready, false, "a"},
+		{"first heartbeat", []step{heartbeat(0, at(1, Ready))}, Ready, false, "a"},
 		{"drains", []step{heartbeat(0, at(1, Ready)), heartbeat(second, at(2, Draining))}, Draining, false, "a"},
-		{"a late heartbeat takes nothing back", []step{heartbeat(0, at(2, Draining)), heartbeat(second, at(1, Ready))}, Draining, false, "a"},
-		{"a newer heartbeat doesn't make it ready again", []step{heartbeat(0, at(2, Draining)), heartbeat(second, at(3, Ready))}, Draining, false, "a"},
+		{"late heartbeat does not undo draining", []step{heartbeat(0, at(2, Draining)), heartbeat(second, at(1, Ready))}, Draining, false, "a"},
+		{"newer heartbeat does not undo draining", []step{heartbeat(0, at(2, Draining)), heartbeat(second, at(3, Ready))}, Draining, false, "a"},
 		{"left", []step{heartbeat(0, at(1, Ready)), func(r *Table) { r.Deregister(second, "i") }}, Gone, false, "a"},
-		{"a heartbeat after it left", []step{heartbeat(0, at(1, Ready)), func(r *Table) { r.Deregister(second, "i") }, heartbeat(2*second, at(9, Ready))}, Gone, false, "a"},
-		{"left, as another knows", []step{heartbeat(0, at(5, Ready)), merge(second, at(1, Gone))}, Gone, false, ""},
-		{"missed heartbeats", []step{heartbeat(0, at(1, Ready)), checkHeartbeats(4 * second)}, Ready, true, "a"},
-		{"missed fewer", []step{heartbeat(0, at(1, Ready)), checkHeartbeats(3 * second)}, Ready, false, "a"},
-		{"received again", []step{heartbeat(0, at(1, Ready)), checkHeartbeats(4 * second), heartbeat(5*second, at(2, Ready))}, Ready, false, "a"},
-		{"heartbeats elsewhere", []step{heartbeat(0, at(1, Ready)), merge(second, Instance{ID: "i", Sequence: 2, Owner: "b"}), checkHeartbeats(9 * second)}, Ready, false, "b"},
-		{"another took it for unresponsive that sends heartbeats here", []step{heartbeat(0, at(1, Ready)), heartbeat(second, at(2, Ready)),
+		{"heartbeat after it deregistered", []step{heartbeat(0, at(1, Ready)), func(r *Table) { r.Deregister(second, "i") }, heartbeat(2*second, at(9, Ready))}, Gone, false, "a"},
+		{"gone according to another process", []step{heartbeat(0, at(5, Ready)), merge(second, at(1, Gone))}, Gone, false, ""},
+		{"overdue beyond the timeout", []step{heartbeat(0, at(1, Ready)), checkHeartbeats(4 * second)}, Ready, true, "a"},
+		{"overdue by less than the timeout", []step{heartbeat(0, at(1, Ready)), checkHeartbeats(3 * second)}, Ready, false, "a"},
+		{"heartbeat after a timeout", []step{heartbeat(0, at(1, Ready)), checkHeartbeats(4 * second), heartbeat(5*second, at(2, Ready))}, Ready, false, "a"},
+		{"heartbeats go to another process", []step{heartbeat(0, at(1, Ready)), merge(second, Instance{ID: "i", Sequence: 2, Owner: "b"}), checkHeartbeats(9 * second)}, Ready, false, "b"},
+		{"unresponsive according to another process but sends heartbeats here", []step{heartbeat(0, at(1, Ready)), heartbeat(second, at(2, Ready)),
 			merge(2*second, unresponsive(at(1, Ready)))}, Ready, false, "a"},
-		{"its owner is lost, and it sends heartbeats nowhere", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}),
+		{"owner disconnects and heartbeats stop", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}),
 			func(r *Table) { r.Adopt(second, "b") }, checkHeartbeats(5 * second)}, Ready, true, "b"},
-		{"its owner is lost and found", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}),
+		{"owner disconnects and reconnects", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}),
 			func(r *Table) { r.Adopt(second, "b"); r.Release("b") }, checkHeartbeats(9 * second)}, Ready, false, "b"},
-		{"its owner starts again, and doesn't name it", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}),
+		{"owner restarts and does not list it", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}),
 			func(r *Table) { r.Adopt(second, "b"); r.Release("b") }, reconcile(2*second, "b"), checkHeartbeats(5 * second), checkHeartbeats(6 * second)}, Ready, true, "b"},
-		{"it isn't missed yet", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}),
+		{"owner restarts and does not list it, timeout not reached", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}),
 			func(r *Table) { r.Adopt(second, "b"); r.Release("b") }, reconcile(2*second, "b"), checkHeartbeats(5 * second)}, Ready, false, "b"},
-		{"and heartbeats arrive there", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}),
+		{"owner restarts and receives a heartbeat later", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}),
 			func(r *Table) { r.Adopt(second, "b"); r.Release("b") }, reconcile(2*second, "b"), merge(3*second, Instance{ID: "i", Sequence: 4, Owner: "b"}), checkHeartbeats(9 * second)}, Ready, false, "b"},
-		{"and names it", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}), reconcile(2*second, "b", "i"), checkHeartbeats(9 * second)}, Ready, false, "b"},
-		{"another lists its own", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}), reconcile(2*second, "c"), checkHeartbeats(9 * second)}, Ready, false, "b"},
-		{"heartbeats here, and its former owner lists none", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}), heartbeat(second, at(2, Ready)), reconcile(2*second, "b"),
+		{"owner restarts and lists it", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}), reconcile(2*second, "b", "i"), checkHeartbeats(9 * second)}, Ready, false, "b"},
+		{"process that is not the owner does not list it", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}), reconcile(2*second, "c"), checkHeartbeats(9 * second)}, Ready, false, "b"},
+		{"heartbeats arrive here and the former owner does not list it", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}), heartbeat(second, at(2, Ready)), reconcile(2*second, "b"),
 			checkHeartbeats(3 * second)}, Ready, false, "a"},
-		{"gone, and not named", []step{merge(0, Instance{ID: "i", Sequence: 1, State: Gone, Owner: "b"}), reconcile(2*second, "b"), checkHeartbeats(9 * second)}, Gone, false, "b"},
-		{"a process with too few connections judges nobody", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}),
+		{"gone and not listed by its owner", []step{merge(0, Instance{ID: "i", Sequence: 1, State: Gone, Owner: "b"}), reconcile(2*second, "b"), checkHeartbeats(9 * second)}, Gone, false, "b"},
+		{"process with too few connections marks nothing unresponsive", []step{merge(0, Instance{ID: "i", Sequence: 1, Owner: "b"}),
 			func(r *Table) { r.Adopt(second, "b"); r.CheckHeartbeats(9*second, false) }, checkHeartbeats(10 * second)}, Ready, false, "b"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -79,7 +79,7 @@
 	}
 }
 
-// Only changes are announced: a heartbeat that says what is known changes nothing.
+// Heartbeats that change nothing but the sequence number must not cause announcements.
 func TestOnlyChangesAnnounced(t *testing.T) {
 	c := qt.New(t)
 	r := NewTable("a", 1300e6)
@@ -90,8 +90,8 @@
 	}{
 		{func() {}, true},
 		{func() {}, false},
-		{func() { h.WarmUpUntil += second / 10 }, false}, // the way takes its time
-		{func() { h.WarmUpUntil += 5 * second }, true},   // cold again
+		{func() { h.WarmUpUntil += second / 10 }, false}, // within warmUpTolerance
+		{func() { h.WarmUpUntil += 5 * second }, true},   // a new warm-up
 		{func() { h.State = Draining }, true},
 		{func() {}, false},
 	} {
@@ -102,7 +102,7 @@
 	}
 }
 
-// An instance that another process has called unresponsive is known for ten minutes more, and one that recovers for as long as it exists.
+// An instance that another process reports as unresponsive is evicted after unresponsiveRetention, unless it recovers.
 func TestUnresponsiveRetention(t *testing.T) {
 	c := qt.New(t)
 	r := NewTable("a", 1300e6)
@@ -131,7 +131,7 @@
 	r.EvictUnresponsive(1261 * second)
 	c.Check(known(), qt.DeepEquals, []string{"own", "well"})
 	c.Check(r.unresponsiveSince, qt.HasLen, 0)
-	_, changed := r.Heartbeat(1300*second, Instance{ID: "dead", Service: "desk", Sequence: 9}) // it was cut off from all
+	_, changed := r.Heartbeat(1300*second, Instance{ID: "dead", Service: "desk", Sequence: 9}) // reconnects after its eviction
 	c.Check(changed, qt.IsTrue)
 	c.Check(known(), qt.DeepEquals, []string{"dead", "own", "well"})
 }
--- a/internal/cluster/instance/trace_test.go
+++ b/internal/cluster/instance/trace_test.go
@@ -8,8 +8,8 @@
 	"portflow/internal/testing/digest"
 )
 
-// The results of random heartbeats, deregistrations, merges and losses of other processes are pinned by digests. The order of the fields
-// of Instance and the numbers of states count; names don't.
+// Pins by digests the results of random heartbeats, deregistrations, merges and disconnections of other processes. The digests depend on
+// the order of fields in Instance and the numbers of states, but not on names.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 50, []string{"6bb4b85be9bc93bf", "a991e654f61b695d", "b86cf708dea4c4a2", "718e1dc17b36fd11"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
@@ -55,7 +55,7 @@
 	})
 }
 
-// The results of parsing heartbeats are pinned by digests; the texts of errors count.
+// Pins by digests the results of parsing heartbeats, including error texts.
 func TestParseHeartbeatTrace(t *testing.T) {
 	digest.Pin(t, 100, []string{"b1fc86ee760bbd9e"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -10,87 +10,91 @@
 )
 
 const (
-	// AllocationInterval is the time between two dealings, nanoseconds; routers report as often.
+	// AllocationInterval is the time in nanoseconds between two calls of Allocate. Proxies report their demand at the same interval.
 	AllocationInterval = second / 5
-	// GrowthDelay is for how long a part that has grown isn't used, nanoseconds: until all zones have heard of the demand that
-	// made it grow and deal by it.
+	// GrowthDelay is the time in nanoseconds by which an increase of a zone's rate is delayed. By then all zones have received the
+	// demand that caused the increase and allocate accordingly; earlier, the zones' rates could add up to more than the quota.
 	GrowthDelay = 3 * second / 4
-	// ZoneRetention is for how long a zone that isn't heard any more is dealt for, nanoseconds: longer than its control process needs
-	// to notice that it hears too few others, and its routers' leases after that.
+	// ZoneRetention is the time in nanoseconds for which the demand of an unreachable zone still counts. It exceeds the time that the
+	// zone's control process takes to notice that it lost its quorum, plus the LeaseDuration of its proxies.
 	ZoneRetention = 11 * second / 2
-	// renewInterval is after how long an allotment is told again though it hasn't changed.
+	// renewInterval is the time in nanoseconds after which an unchanged allocation is sent again; it is shorter than LeaseDuration.
 	renewInterval = second
-	// calmPeriod is for how long a caller must not ask for more than its share, nor press at one router, until that ends.
+	// contentionTimeout is the time in nanoseconds for which a quota stays contended after demand last exceeded it, or a proxy was
+	// last short of it.
 	contentionTimeout = 5 * second
 )
 
-// ZoneUsage is what a zone tells the others of a share.
+// ZoneUsage is the usage of one quota in one zone, as its control process sends it to the other zones. Admitted, Rejected and
+// OverQuota are cumulative numbers of requests.
 type ZoneUsage struct {
 	Quota     string  `json:"s"`
-	Demand    float64 `json:"w"`
+	Demand    float64 `json:"w"` // requests per second
 	Admitted  uint64  `json:"t"`
-	Allocated float64 `json:"d"` // to its routers now, for operators
+	Allocated float64 `json:"d"` // requests per second leased to the zone's proxies; only shown to operators
 	Rejected  uint64  `json:"a,omitempty"`
 	OverQuota uint64  `json:"o,omitempty"`
-	Short     bool    `json:"x,omitempty"` // some router needs more than it may give of itself
+	Short     bool    `json:"x,omitempty"` // at least one proxy of the zone is short, see Report.Short
 }
 
-// Load is how quickly a service answers: what a router tells of itself, and a zone of its routers.
+// Load is the recent throughput of a service and the host time spent on it, as seen by one proxy or by all proxies of a zone.
+// Work/Completed is the mean service time in seconds.
 type Load struct {
 	Service   string  `json:"s"`
-	Completed float64 `json:"n"` // a second, of late
-	Work      float64 `json:"w"` // seconds of hosts' work in them
+	Completed float64 `json:"n"` // requests completed per second
+	Work      float64 `json:"w"` // seconds of host time per second
 }
 
-// rateSample is a part as it was worked out once.
+// rateSample is a zone's rate for one quota as computed by one call of Allocate.
 type rateSample struct {
 	at   int64
 	rate float64
 }
 
-// participant is one router or one other zone that takes part in dealing.
+// participant is a proxy of this zone or another zone. All maps are by quota.
 type participant struct {
-	reports     map[string]Report
-	lastReports map[string]Report // of a router, the last one of each share
+	reports     map[string]Report // of a proxy: its current report
+	lastReports map[string]Report // of a proxy: the last report of each quota, also of those that the current report omits
 	loads       []Load
-	expiresAt   int64 // of a zone that isn't heard any more, 0 while it is
+	expiresAt   int64 // of a zone: when it is removed if it stays unreachable; 0 while it is reachable
 	usage       map[string]ZoneUsage
-	admitted    map[string]uint64 // of a zone, as of the last sum of each share
+	admitted    map[string]uint64 // of a zone: ZoneUsage.Admitted as last received
 	sent        map[string]Allocation
 	sentAt      map[string]int64
 }
 
-// usageTotal is what all zones took of one share, counted here.
+// usageTotal is the number of requests that all zones admitted within one quota, as counted by this process.
 type usageTotal struct {
 	admitted uint64
-	samples  []struct {
+	samples  []struct { // one for each call of admittedInWindow, the oldest first
 		at         int64
 		cumulative uint64
 	}
 }
 
-// Allocator is one control process's part in dealing shares out. It is not safe for two goroutines.
+// Allocator divides quotas among zones and proxies. There is one in each control process, which allocates to the proxies of its own
+// zone. It is not safe for concurrent use.
 type Allocator struct {
 	quotas         map[string]config.Quota
-	services       []string // the services that have shares
+	services       []string // services that have quotas
 	proxies        map[string]*participant
 	zones          map[string]*participant
-	usage          map[string]*ZoneUsage   // this zone's, by share
-	recentRates    map[string][]rateSample // this zone's, by share, of late
-	smoothedDemand map[string]float64      // by share: what all ask for, over some time
-	contendedAt    map[string]int64        // by share: when its caller was last seen to press
-	totals         map[string]*usageTotal
-	slots          map[string]int // by service, of hosts that may be used
-	callers        map[string]*MinuteHistory
+	usage          map[string]*ZoneUsage     // of this zone, by quota
+	recentRates    map[string][]rateSample   // of this zone, by quota, covering GrowthDelay
+	smoothedDemand map[string]float64        // by quota: moving average of the demand of all zones, in requests per second
+	contendedAt    map[string]int64          // by quota: when it was last contended; absent unless it is contended
+	totals         map[string]*usageTotal    // by quota
+	slots          map[string]int            // by service, see SetSlots
+	callers        map[string]*MinuteHistory // by service
 }
 
-// NewAllocator makes one that knows of nothing.
+// NewAllocator returns an allocator without quotas, proxies or zones.
 func NewAllocator() *Allocator {
 	return &Allocator{quotas: map[string]config.Quota{}, proxies: map[string]*participant{}, zones: map[string]*participant{},
 		usage: map[string]*ZoneUsage{}, recentRates: map[string][]rateSample{}, contendedAt: map[string]int64{}, smoothedDemand: map[string]float64{}, totals: map[string]*usageTotal{}, slots: map[string]int{}, callers: map[string]*MinuteHistory{}}
 }
 
-// SetQuotas takes up the shares that stand; what is known of others goes.
+// SetQuotas replaces the configured quotas and drops the state of those that were removed.
 func (a *Allocator) SetQuotas(byService map[string][]config.Quota) {
 	a.quotas, a.services = map[string]config.Quota{}, nil
 	for service, quotas := range byService {
@@ -119,13 +123,13 @@
 	}
 }
 
-// Empty tells whether there is nothing to deal.
+// Empty reports whether no quotas are configured.
 func (a *Allocator) Empty() bool { return len(a.quotas) == 0 }
 
-// SetSlots tells how many requests the hosts of each service may work on at once.
+// SetSlots sets, by service, the number of requests that its usable hosts together can process at once. The allocator keeps the map.
 func (a *Allocator) SetSlots(all map[string]int) { a.slots = all }
 
-// AddRouter takes a router of this zone up, which may have nothing to report.
+// AddRouter adds a proxy of this zone, unless it exists already. A proxy without demand receives allocations too.
 func (a *Allocator) AddRouter(proxy string) { a.proxy(proxy) }
 
 func (a *Allocator) proxy(proxy string) *participant {
@@ -137,10 +141,11 @@
 	return p
 }
 
-// AddReports takes what a router of this zone reports: all that it sees press, and its loads where it tells them.
+// AddReports applies a report of a proxy of this zone. reports replaces the proxy's previous reports; loads replaces its loads unless it
+// is nil.
 func (a *Allocator) AddReports(now int64, proxy string, reports []Report, loads []Load) {
 	party := a.proxy(proxy)
-	if party.reports = make(map[string]Report, len(reports)); loads != nil { // else as they were
+	if party.reports = make(map[string]Report, len(reports)); loads != nil {
 		party.loads = loads
 	}
 	for _, report := range reports {
@@ -153,12 +158,13 @@
 			usage = &ZoneUsage{Quota: report.Quota}
 			a.usage[report.Quota] = usage
 		}
-		last := party.lastReports[report.Quota] // it may have had nothing to report in between
-		if report.Admitted < last.Admitted {    // its meter has begun anew
+		last := party.lastReports[report.Quota] // not necessarily of the previous call
+		if report.Admitted < last.Admitted {    // the counters restarted at zero with a new meter
 			last = Report{}
 		}
 		party.lastReports[report.Quota] = report
-		admitted := min(report.Admitted-last.Admitted, uint64(report.Recent)+1) // what came while it had nothing to report is mostly long past
+		// After a gap between reports, most of the difference is older than the window that Recent covers, and doesn't count.
+		admitted := min(report.Admitted-last.Admitted, uint64(report.Recent)+1)
 		usage.Admitted += admitted
 		usage.Rejected += report.Rejected - last.Rejected
 		usage.OverQuota += report.OverQuota - last.OverQuota
@@ -166,10 +172,11 @@
 	}
 }
 
-// RemoveRouter forgets a router of this zone.
+// RemoveRouter removes a proxy of this zone, and with it the proxy's demand.
 func (a *Allocator) RemoveRouter(proxy string) { delete(a.proxies, proxy) }
 
-// MergeZone takes another zone's sums.
+// MergeZone applies the usage and loads received from another zone, which thereby counts as reachable. zoneUsage replaces the zone's
+// previous usage; loads replaces its loads unless it is nil.
 func (a *Allocator) MergeZone(now int64, zone string, zoneUsage []ZoneUsage, loads []Load) {
 	party := a.zones[zone]
 	if party == nil {
@@ -192,7 +199,7 @@
 	}
 }
 
-// ZoneLost notes that a zone's control process isn't heard any more: what it wanted last is kept for it for a while.
+// ZoneLost records that the control process of a zone is unreachable. The zone's last demand counts for another ZoneRetention.
 func (a *Allocator) ZoneLost(now int64, zone string) {
 	if p := a.zones[zone]; p != nil && p.expiresAt == 0 {
 		p.expiresAt = now + ZoneRetention
@@ -208,7 +215,7 @@
 	return total
 }
 
-// admittedInWindow is what all zones took of a share within the last Window.
+// admittedInWindow returns the number of requests that all zones admitted within the quota in the last LimitWindow. It adds a sample.
 func (t *usageTotal) admittedInWindow(now int64) float64 {
 	for len(t.samples) > 0 && now-t.samples[0].at > LimitWindow {
 		t.samples = t.samples[1:]
@@ -220,8 +227,8 @@
 	return float64(t.admitted - t.samples[0].cumulative)
 }
 
-// activeQuotas are the shares that anybody tells of or has told of, by name: the others, most of them where there are many, have
-// nothing to be dealt and cost nothing.
+// activeQuotas returns the names of the quotas that any proxy or zone reports or has reported, sorted. Allocate skips the others, so
+// that idle quotas cost nothing.
 func (a *Allocator) activeQuotas() []string {
 	names := map[string]bool{}
 	for _, p := range a.proxies {
@@ -246,8 +253,16 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// Allocate is for every DealEvery: it works out what each router of this zone has, and tells what is new to each. parties whose
-// time is over go.
+// Allocate computes the allocations of the proxies of this zone and returns, by proxy, those that are to be sent: new, notably changed
+// or due for renewal. It is to be called every AllocationInterval. It also removes unreachable zones after ZoneRetention.
+//
+// A quota is contended if a proxy is short of it or the demand of all zones exceeds it, and for contentionTimeout afterwards. Then
+//
+//	zone rate  = (1 - EvenFraction) * limit * zone demand / total demand
+//	proxy rate = zone rate * proxy demand / zone demand
+//
+// where an increase of the zone rate is delayed by GrowthDelay. EvenFraction * limit is not leased: the proxies divide it evenly.
+// While a quota is not contended, nothing is leased, and proxies are only sent the usage.
 func (a *Allocator) Allocate(now int64) (allocations map[string][]Allocation) {
 	maps.DeleteFunc(a.zones, func(_ string, party *participant) bool { return party.expiresAt != 0 && now >= party.expiresAt })
 	allocations = map[string][]Allocation{}
@@ -270,16 +285,16 @@
 			totalDemand += party.usage[name].Demand
 			shortage = shortage || party.usage[name].Short
 		}
-		if totalDemand == 0 && a.smoothedDemand[name] == 0 && a.totals[name] == nil { // nobody has reported it
+		if totalDemand == 0 && a.smoothedDemand[name] == 0 && a.totals[name] == nil { // never reported
 			continue
 		}
-		a.smoothedDemand[name] += (totalDemand - a.smoothedDemand[name]) * 0.1 // over some two seconds
+		a.smoothedDemand[name] += (totalDemand - a.smoothedDemand[name]) * 0.1 // time constant of 10 AllocationIntervals
 		if shortage || a.smoothedDemand[name] > limit {
 			a.contendedAt[name] = now
 		}
 		lastContended, contended := a.contendedAt[name]
 		used, rate := a.total(name).admittedInWindow(now), 0.0
-		if contended = contended && now-lastContended < contentionTimeout; !contended { // where any router sees the caller often all are told what all took
+		if contended = contended && now-lastContended < contentionTimeout; !contended { // send the usage to all proxies while there is demand
 			delete(a.recentRates, name)
 			delete(a.contendedAt, name)
 			for proxy, party := range a.proxies {
@@ -317,7 +332,7 @@
 	return allocations
 }
 
-// roundDown keeps three figures, downwards.
+// roundDown rounds down to three significant digits; it returns 0 unless x is positive.
 func roundDown(x float64) float64 {
 	if x <= 0 {
 		return 0
@@ -326,14 +341,16 @@
 	return math.Floor(x/unit) * unit
 }
 
-// minRecentRate is the least part that this zone has had of late; of a caller that has only begun to press it had none.
+// minRecentRate adds the zone's newly computed rate for a quota and returns the lowest one in effect within the last GrowthDelay. Before
+// the quota became contended, the rate was 0.
 func (a *Allocator) minRecentRate(quota string, now int64, rate float64) float64 {
 	samples := a.recentRates[quota]
 	if len(samples) == 0 {
 		samples = append(samples, rateSample{now, 0})
 	}
 	samples = append(samples, rateSample{now, rate})
-	for len(samples) > 1 && now-samples[1].at >= GrowthDelay { // the one before the window's first still held in it
+	// Keep the last sample from before the period: its rate was in effect when the period began.
+	for len(samples) > 1 && now-samples[1].at >= GrowthDelay {
 		samples = samples[1:]
 	}
 	a.recentRates[quota] = samples
@@ -344,7 +361,8 @@
 	return lowest
 }
 
-// Usage is what the other zones are to know now.
+// Usage returns what is to be sent to the other zones: the usage of this zone for quotas that are contended or have demand here, sorted
+// by quota, and the zone's loads.
 func (a *Allocator) Usage() (usage []ZoneUsage, loads []Load) {
 	for _, name := range slices.Sorted(maps.Keys(a.usage)) {
 		if _, contended := a.contendedAt[name]; contended || a.usage[name].Demand > 0 {
@@ -354,7 +372,7 @@
 	return usage, a.loads()
 }
 
-// loads are this zone's, by service.
+// loads returns the total loads of this zone's proxies, sorted by service.
 func (a *Allocator) loads() (loads []Load) {
 	byService := map[string]Load{}
 	for _, party := range a.proxies {
@@ -369,7 +387,7 @@
 	return loads
 }
 
-// limit is how many requests a second a share has at present.
+// limit returns the present limit of a quota over all zones, in requests per second.
 func (a *Allocator) limit(quota config.Quota) float64 {
 	if quota.Fraction == 0 {
 		return quota.Rate
@@ -377,8 +395,11 @@
 	return max(quota.Rate, quota.Fraction*a.Capacity(quota.Service))
 }
 
-// Capacity is how many requests a second the hosts of a service can answer at present, by their slots and by how long answers
-// took all routers of late; 0 where nothing is known.
+// Capacity returns the number of requests per second that the hosts of a service can complete at present, by Little's law:
+//
+//	capacity = slots / mean service time = slots * completed / work
+//
+// over the recent loads of all zones. It returns 0 where there are too few completed requests.
 func (a *Allocator) Capacity(service string) float64 {
 	all := a.loads()
 	for _, party := range a.zones {
@@ -397,7 +418,7 @@
 	return roundDown(float64(a.slots[service]) * completed / work)
 }
 
-// Capacities is that of all services that have shares, where it is known.
+// Capacities returns the capacities of the services that have quotas, by service. Services of unknown capacity are left out.
 func (a *Allocator) Capacities() map[string]float64 {
 	all := map[string]float64{}
 	for _, service := range a.services {
@@ -408,7 +429,7 @@
 	return all
 }
 
-// AddCallerCounts takes the callers that a router has counted.
+// AddCallerCounts adds the requests to a service, by caller, that a proxy has counted since its previous report.
 func (a *Allocator) AddCallerCounts(now int64, service string, all []CallerCount) {
 	history := a.callers[service]
 	if history == nil {
@@ -418,26 +439,26 @@
 	history.Add(now, all)
 }
 
-// Status is a share as operators see it at one control process.
+// Status is the state of a quota as one control process shows it to operators.
 type Status struct {
 	Quota   string       `json:"share"`
 	Service string       `json:"service"`
 	Caller  string       `json:"caller"`
-	Limit   float64      `json:"limit"` // requests a second
-	Used    float64      `json:"used"`  // of late, over all zones, requests a second
+	Limit   float64      `json:"limit"` // requests per second
+	Used    float64      `json:"used"`  // requests per second, recent mean over all zones
 	Zones   []ZoneStatus `json:"zones"`
 }
 
-// ZoneStatus is one zone's part of a share.
+// ZoneStatus is the state of a quota in one zone.
 type ZoneStatus struct {
 	Zone      string  `json:"zone"`
-	Demand    float64 `json:"want"`  // requests a second
-	Allocated float64 `json:"dealt"` // beside its even part
-	Rejected  uint64  `json:"away"`  // sent away since its control process began
-	OverQuota uint64  `json:"over"`  // taken though the caller was over its share
+	Demand    float64 `json:"want"`  // requests per second
+	Allocated float64 `json:"dealt"` // requests per second leased to the zone's proxies, in addition to their even shares
+	Rejected  uint64  `json:"away"`  // requests rejected since the zone's control process started
+	OverQuota uint64  `json:"over"`  // requests admitted over the quota since then
 }
 
-// Statuses are all shares, by name.
+// Statuses returns the state of all quotas, sorted by name. zone is the name of this control process's own zone.
 func (a *Allocator) Statuses(now int64, zone string) (all []Status) {
 	for _, name := range slices.Sorted(maps.Keys(a.quotas)) {
 		quota := a.quotas[name]
@@ -459,7 +480,7 @@
 	return all
 }
 
-// LastHour is a service's callers of the last hour, as the routers of this zone counted them.
+// LastHour returns, by service, the callers of the last hour as counted by the proxies of this zone.
 func (a *Allocator) LastHour(now int64) map[string][]CallerHistory {
 	all := map[string][]CallerHistory{}
 	for service, h := range a.callers {
--- a/internal/quota/callers.go
+++ b/internal/quota/callers.go
@@ -6,30 +6,31 @@
 	"strings"
 )
 
-// MaxCallers is how many callers a router counts by name at once: some 10 KB a service. The rest is counted together, as
-// Others are.
+// MaxCallers is the number of callers that a proxy counts by name for each service, in about 10 KB of memory. Requests of all other
+// callers are counted together.
 const MaxCallers = 256
 
-// CallerCount is how many requests a caller sent.
+// CallerCount is the number of requests that a caller sent.
 type CallerCount struct {
-	Caller   string `json:"c"` // empty for those without a name, and for all that were not counted by name
+	Caller   string `json:"c"` // empty for all requests without a caller or not counted by caller
 	Requests uint64 `json:"n"`
 }
 
-// CallerCounter counts requests by caller within a bound: callers that come often push out those that came once (space saving), and
-// what these had is counted together.
+// CallerCounter counts requests by caller in bounded memory, so that frequent callers displace rare ones. It is a variant of the
+// Misra-Gries algorithm that decrements only the smallest counter. Requests taken from a counter are added to a common count, so that
+// the total is exact and each caller's count is a lower bound. It is not safe for concurrent use.
 type CallerCounter struct {
 	capacity int
-	counts   map[string]uint64
-	rest     uint64
+	counts   map[string]uint64 // by caller
+	rest     uint64            // requests that are not in counts
 }
 
-// NewCallerCounter makes one that counts so many callers by name.
+// NewCallerCounter returns a counter that counts at most capacity callers by name.
 func NewCallerCounter(capacity int) *CallerCounter {
 	return &CallerCounter{capacity: capacity, counts: map[string]uint64{}}
 }
 
-// Add counts one request.
+// Add counts one request. An empty caller stands for a request that names none.
 func (c *CallerCounter) Add(caller string) {
 	if caller == "" {
 		c.rest++
@@ -39,13 +40,13 @@
 		c.counts[caller] = leastCount + 1
 		return
 	}
-	least, leastCount := "", ^uint64(0) // rare: there are more callers than places
+	least, leastCount := "", ^uint64(0) // the linear search is rare: only if there are more callers than capacity
 	for name, count := range c.counts {
 		if count < leastCount || count == leastCount && name < least {
 			least, leastCount = name, count
 		}
 	}
-	if leastCount > 1 { // not a newcomer's place yet
+	if leastCount > 1 { // the new caller is counted by name only once the smallest counter is down to 1
 		c.counts[least] = leastCount - 1
 		c.rest += 2
 		return
@@ -55,7 +56,7 @@
 	c.counts[caller] = 1
 }
 
-// Drain gives the counts, the greatest first, and begins anew.
+// Drain returns the counts, the greatest first, and resets the counter.
 func (c *CallerCounter) Drain() (all []CallerCount) {
 	for name, n := range c.counts {
 		all = append(all, CallerCount{name, n})
@@ -70,21 +71,21 @@
 	return all
 }
 
-// MinuteHistory keeps counts by minute for an hour, of so many callers at most.
+// MinuteHistory keeps the counts of callers for each minute of the last hour.
 type MinuteHistory struct {
-	maxCallers   int
-	minutes      [60]map[string]uint64
-	newestMinute int64 // the newest minute, counted from 1970
+	maxCallers   int                   // in each minute; further callers are counted together under the empty name
+	minutes      [60]map[string]uint64 // a ring: minute m of Unix time is at m % 60
+	newestMinute int64                 // in minutes of Unix time
 }
 
-// NewMinuteHistory makes an empty one.
+// NewMinuteHistory returns an empty history that counts at most maxCallers callers by name in each minute.
 func NewMinuteHistory(maxCallers int) *MinuteHistory {
 	return &MinuteHistory{maxCallers: maxCallers, newestMinute: -1}
 }
 
 const minute = 60 * second
 
-// Add counts what a router handed on.
+// Add adds counts to the minute of now.
 func (h *MinuteHistory) Add(now int64, all []CallerCount) {
 	h.advance(now)
 	counts := h.minutes[h.newestMinute%60]
@@ -104,13 +105,13 @@
 	}
 }
 
-// CallerHistory is one caller's counts, the oldest minute first.
+// CallerHistory is the number of requests of one caller in each of the last 60 minutes, the oldest first.
 type CallerHistory struct {
 	Name    string   `json:"caller"`
 	Minutes []uint64 `json:"minutes"`
 }
 
-// All are the callers' counts of the last hour, by name.
+// All returns the history of each caller with requests in the last hour, sorted by name.
 func (h *MinuteHistory) All(now int64) (all []CallerHistory) {
 	h.advance(now)
 	names := map[string]bool{}
@@ -130,8 +131,8 @@
 	return all
 }
 
-// ExcessRequests is how many of a caller's requests of the last hour would have been over a share of so many a second: by whole
-// minutes, so that what a burst bears within one is left out.
+// ExcessRequests returns how many of the caller's requests in the last hour would have exceeded a quota of perSecond. It compares whole
+// minutes, so bursts within a minute don't count.
 func (c CallerHistory) ExcessRequests(perSecond float64) (n uint64) {
 	for _, x := range c.Minutes {
 		if allowed := uint64(perSecond * 60); x > allowed {
--- a/internal/quota/meter.go
+++ b/internal/quota/meter.go
@@ -1,6 +1,8 @@
-// Package quota holds callers to their shares of services, over all routers, without a call between them a request. A
-// router's Meter says of each request whether it is within its caller's share; a control process's Dealer deals the shares
-// out to the routers by what they are asked for. Both are pure: times are handed in, Unix nanoseconds.
+// Package quota enforces callers' quotas of services over all proxies, without communication on the path of a request. A Meter at
+// each proxy admits or rejects requests by token buckets. An Allocator in each control process divides the quotas among zones and
+// proxies in proportion to their demand, and leases the resulting rates to the proxies.
+//
+// The package does no input or output and starts no goroutine. Times are passed in as Unix nanoseconds.
 package quota
 
 import (
@@ -15,34 +17,35 @@
 const second = int64(1e9)
 
 const (
-	// UnknownCallerFactor is how many times its even part of a share a router may give while nothing is known of the caller: most callers
-	// are small beside the number of routers, come evenly, and stay within their shares. Nobody hears of them.
+	// UnknownCallerFactor is the multiple of its even share of a quota that a proxy admits without a lease. Most callers send few
+	// requests in proportion to the number of proxies, spread them evenly and stay within their quotas; they need neither reports
+	// nor leases.
 	UnknownCallerFactor = 4
-	// minBurst is how many requests at once a router may give a caller of whom nothing is known: with one a tenth and more of
-	// those within their share would find none.
+	// minBurst is the least capacity of a token bucket, in requests. With a capacity of 1, at least a tenth of the requests of a
+	// caller within its quota would find no token.
 	minBurst = 2
-	// EvenFraction is the part of a share that is dealt out to all routers evenly, whoever asks, once the caller presses: with it the
-	// caller begins at a router that it was not seen at before, and a router that is cut off goes on. The rest is leased by
-	// demand.
+	// EvenFraction is the fraction of a contended quota that is divided evenly among all proxies regardless of demand. It lets a caller
+	// start at a proxy that it hasn't used before, and a proxy continue that has lost its connection to control. The rest is leased
+	// in proportion to demand.
 	EvenFraction = 0.1
-	// LeaseDuration is for how long what was dealt by demand is good without being dealt again, nanoseconds.
+	// LeaseDuration is the time in nanoseconds for which an allocation is valid unless it is renewed.
 	LeaseDuration = 3 * second
-	// LimitWindow is the time over which limits are told to callers, nanoseconds.
+	// LimitWindow is the time in nanoseconds that the limits and usage stated to callers refer to.
 	LimitWindow = 10 * second
-	// reservedBurstFraction is the part of a share's burst that only requests that must not be repeated may use.
+	// reservedBurstFraction is the fraction of the burst that is reserved for non-idempotent requests.
 	reservedBurstFraction = 0.2
 )
 
-// Headroom is how full a router finds a service, for callers that are over their share.
+// Headroom is the spare capacity of a service as seen by a proxy. It decides which requests over the quota are admitted.
 type Headroom uint8
 
 const (
-	AmpleHeadroom  Headroom = iota // over-share requests are taken
-	ScarceHeadroom                 // only those that must not be repeated
-	NoHeadroom
+	AmpleHeadroom  Headroom = iota // admit all requests over the quota
+	ScarceHeadroom                 // admit only non-idempotent ones
+	NoHeadroom                     // admit none
 )
 
-// HeadroomFor is the room by the part of its hosts' slots that a router uses.
+// HeadroomFor returns the headroom for the fraction of its share of the hosts' slots that a proxy uses; it may exceed 1.
 func HeadroomFor(used float64) Headroom {
 	switch {
 	case used < 0.7:
@@ -53,58 +56,58 @@
 	return NoHeadroom
 }
 
-// Decision is what becomes of a request.
+// Decision is the result of Meter.Admit for one request. Quota, Limit, Remaining and Reset are set only if an enforced quota applies.
 type Decision struct {
 	Admitted   bool
-	OverQuota  bool    // it is taken, though its caller is over its share
-	Quota      string  // the name of the share, empty where the caller has none
-	Limit      float64 // requests a Window
-	Remaining  float64 // of them, over all routers, as of the last news
-	Reset      int64   // until all of the Window's requests are there again, nanoseconds
-	RetryAfter int64   // where it isn't taken: until its turn comes, nanoseconds
+	OverQuota  bool    // admitted over the quota; also set, even on rejection, if no quota applies
+	Quota      string  // name of the quota
+	Limit      float64 // requests per LimitWindow, over all proxies
+	Remaining  float64 // estimate of what is left of Limit
+	Reset      int64   // nanoseconds until Remaining equals Limit again, if no requests come
+	RetryAfter int64   // of a rejected request: nanoseconds until a retry can expect a token
 }
 
-// bucket is one share at a router.
+// bucket is the token bucket of one quota at one proxy.
 type bucket struct {
 	config.Quota
-	limit            float64 // requests a second, of all routers
-	evenRate         float64 // this router's even part of it
-	leasedRate       float64 // what is leased to it
-	leaseEnd         int64   // the lease's end: until then the caller is known to press
+	limit            float64 // requests per second, over all proxies
+	evenRate         float64 // limit divided by the number of proxies
+	leasedRate       float64 // requests per second, until leaseEnd
+	leaseEnd         int64   // not after now if there is no lease
 	tokens           float64
 	updatedAt        int64
-	demand           float64 // requests that came, forgotten over a second
-	recentRequests   float64 // and over ten
+	demand           float64 // requests per second: count of arrivals that decays with a time constant of 1 s
+	recentRequests   float64 // count of arrivals that decays with a time constant of 10 s
 	emptyAt          int64   // when a request last found no token
-	admitted         uint64  // within the share, since the meter began
-	nextRetryAt      int64   // when the last one that was sent away is to come back
-	reportedUsage    float64 // requests within the last Window over all routers, as control told
-	reportedAt       int64
-	admittedAtReport uint64 // of this router's, as of then
-	rejected         uint64
-	overQuota        uint64
+	admitted         uint64  // requests within the quota, since the bucket was created
+	nextRetryAt      int64   // when the last rejected request was told to retry
+	reportedUsage    float64 // Allocation.Used as last received
+	reportedAt       int64   // when it was received
+	admittedAtReport uint64  // admitted at that time
+	rejected         uint64  // requests since the bucket was created
+	overQuota        uint64  // requests admitted over the quota since then
 }
 
-// Meter is one service's shares at one router. It is not safe for two goroutines.
+// Meter applies the quotas of one service at one proxy. It is not safe for concurrent use.
 type Meter struct {
 	header       string
-	otherCallers *bucket            // nil where others have no share of their own
+	otherCallers *bucket            // for callers without a quota of their own; nil if no such quota is configured
 	byCaller     map[string]*bucket // by caller
-	byQuota      map[string]*bucket // by share
-	active       map[*bucket]bool   // those that may have something to report
+	byQuota      map[string]*bucket // by name of the quota
+	active       map[*bucket]bool   // buckets that may have something to report
 	proxies      int
-	capacity     float64 // requests a second that the service can carry, 0 where that is not known
+	capacity     float64 // requests per second that the service can complete, 0 if unknown
 	callers      *CallerCounter
 }
 
-// NewMeter makes a meter; nothing is known of demand.
+// NewMeter returns a meter for the quotas of one service, which is served by a number of proxies. It has no leases.
 func NewMeter(quotas []config.Quota, proxies int, now int64) *Meter {
 	m := &Meter{byCaller: map[string]*bucket{}, active: map[*bucket]bool{}, callers: NewCallerCounter(MaxCallers)}
 	m.SetQuotas(quotas, proxies, now)
 	return m
 }
 
-// SetQuotas takes up other shares or another number of routers; accounts that go on keep what they had.
+// SetQuotas replaces the quotas and the number of proxies. Buckets of callers that still have a quota keep their state.
 func (m *Meter) SetQuotas(quotas []config.Quota, proxies int, now int64) {
 	m.proxies = max(1, proxies)
 	old := m.byCaller
@@ -123,7 +126,7 @@
 	maps.DeleteFunc(m.active, func(b *bucket, _ bool) bool { return m.byCaller[b.Caller] != b })
 }
 
-// SetCapacity tells how many requests a second the service can carry at present: of that some shares are a part.
+// SetCapacity sets the number of requests per second that the service can complete at present. Quotas with a Fraction depend on it.
 func (m *Meter) SetCapacity(perSecond float64) {
 	m.capacity = perSecond
 	for _, b := range m.byCaller {
@@ -136,10 +139,12 @@
 	b.evenRate = b.limit / float64(m.proxies)
 }
 
-// CallerHeader is the one that names callers.
+// CallerHeader returns the name of the request header that identifies the caller.
 func (m *Meter) CallerHeader() string { return m.header }
 
-// Admit says what becomes of a request that comes now. safe tells that it may be repeated.
+// Admit decides about a request that arrives at now. caller is the value of the CallerHeader. Requests without a caller, or whose
+// caller has no quota or an overlong name, are counted against the quota of config.OtherCallers, if there is one. headroom decides
+// about requests that find no token.
 func (m *Meter) Admit(now int64, caller string, idempotent bool, headroom Headroom) Decision {
 	if len(caller) > config.MaxCallerBytes || caller == config.OtherCallers {
 		caller = ""
@@ -149,7 +154,7 @@
 	if b == nil || caller == "" {
 		b = m.otherCallers
 	}
-	if b == nil { // no share at all: what others leave
+	if b == nil { // no quota applies: admit as if over quota
 		decision := Decision{Admitted: admitsOverQuota(headroom, idempotent), OverQuota: true}
 		if !decision.Admitted {
 			decision.RetryAfter = second
@@ -165,7 +170,7 @@
 	b.recentRequests++
 	decision := Decision{Quota: b.Name, Limit: b.limit * float64(LimitWindow/second)}
 	needed := 1.0
-	if idempotent && b.burst() > 1 { // what must not be repeated has the last of it to itself
+	if idempotent && b.burst() > 1 { // the last tokens are reserved for non-idempotent requests
 		needed += min(reservedBurstFraction*b.burst(), b.burst()-1)
 	}
 	if b.tokens < 1 {
@@ -197,7 +202,7 @@
 	return headroom == AmpleHeadroom || headroom == ScarceHeadroom && !idempotent
 }
 
-// rate is what this router may take a second now.
+// rate returns the requests per second that this proxy may admit at now.
 func (b *bucket) rate(now int64) float64 {
 	if now < b.leaseEnd {
 		return EvenFraction*b.evenRate + b.leasedRate
@@ -205,7 +210,7 @@
 	return UnknownCallerFactor * b.evenRate
 }
 
-// burst is this router's part of the share's.
+// burst returns the capacity of the bucket: the quota's burst in proportion to the rate of this proxy, but at least minBurst.
 func (b *bucket) burst() float64 {
 	if b.updatedAt >= b.leaseEnd {
 		return max(minBurst, UnknownCallerFactor*b.Burst*b.evenRate/max(b.limit, 1e-9))
@@ -213,10 +218,11 @@
 	return max(minBurst, b.Burst*b.rate(b.updatedAt)/max(b.limit, 1e-9))
 }
 
-// seenByAllRouters tells whether every router sees the caller now and then, if it comes evenly and has the most that it may.
+// seenByAllProxies reports whether a caller that uses its full limit evenly sends each proxy at least one request in 10 s. It is
+// false for limits below 10 requests per second.
 func (b *bucket) seenByAllProxies() bool { return b.evenRate*10 >= 1 && b.limit >= 10 }
 
-// reportThreshold is how many requests of late are worth a report.
+// reportThreshold returns the least recentRequests at which a quota without shortage or lease is reported.
 func (b *bucket) reportThreshold() float64 {
 	if b.seenByAllProxies() {
 		return 0.9
@@ -228,7 +234,7 @@
 	if now <= b.updatedAt {
 		return
 	}
-	if b.updatedAt < b.leaseEnd && b.leaseEnd < now { // the lease has ended in between
+	if b.updatedAt < b.leaseEnd && b.leaseEnd < now { // the lease ended in between: the rate changes there
 		b.refill(b.leaseEnd)
 	}
 	elapsed := float64(now-b.updatedAt) / float64(second)
@@ -238,34 +244,38 @@
 	b.updatedAt = now
 }
 
-// windowUsage is about how many requests all routers took within the last Window: what control told, fading out evenly, and what
-// this router took since.
+// windowUsage estimates the number of requests that all proxies admitted in the last LimitWindow:
+//
+//	reportedUsage * (1 - age/LimitWindow) + admitted - admittedAtReport
+//
+// where age is the time since the usage was reported.
 func (b *bucket) windowUsage(now int64) float64 {
 	weight := 1 - float64(now-b.reportedAt)/float64(LimitWindow)
 	if b.reportedAt > 0 && weight > 0 {
 		return b.reportedUsage*weight + float64(b.admitted-b.admittedAtReport)
 	}
-	return b.recentRequests // the others' are not known: nobody told of a caller that no router saw often
+	return b.recentRequests // no usage of other proxies is known
 }
 
-// Report is what a router tells control of a share: what it is asked for, and what it has taken in all.
+// Report is a proxy's report of one quota to control. Admitted, Rejected and OverQuota are cumulative numbers of requests.
 type Report struct {
 	Quota     string  `json:"s"`
-	Demand    float64 `json:"w"` // requests a second
+	Demand    float64 `json:"w"` // requests per second
 	Admitted  uint64  `json:"t"`
-	Recent    float64 `json:"l"` // requests of about the last ten seconds
+	Recent    float64 `json:"l"` // requests of about the last 10 s
 	Rejected  uint64  `json:"a,omitempty"`
 	OverQuota uint64  `json:"o,omitempty"`
-	Short     bool    `json:"x,omitempty"` // it needs more than a router may give of itself
+	Short     bool    `json:"x,omitempty"` // demand exceeds what a proxy may admit without a lease
 }
 
 const (
-	shortagePeriod = 2 * second // for so long after a request found no token its account is short
-	idleRequests   = 0.05       // requests of late under which an account without a lease has nothing to tell
+	shortagePeriod = 2 * second // how long a bucket without a lease counts as short after a request found no token
+	idleRequests   = 0.05       // recentRequests below which a bucket without a lease is inactive
 )
 
-// Reports tells of the accounts whose callers press here, or may press over all routers: the small ones at a large number of
-// routers hardly ever do. It is for every DealEvery.
+// Reports returns reports, sorted by quota, of the quotas that are short here, that are leased and in use, or whose callers may
+// exceed them over all proxies. With many proxies, callers with small quotas hardly ever qualify. It is to be called every
+// AllocationInterval.
 func (m *Meter) Reports(now int64) (reports []Report) {
 	for a := range m.active {
 		if a.WatchOnly {
@@ -273,7 +283,7 @@
 		}
 		a.refill(now)
 		shortage := a.emptyAt > 0 && now-a.emptyAt < shortagePeriod
-		if !shortage && now >= a.leaseEnd && a.recentRequests < idleRequests { // nothing to be told until a request or a lease comes
+		if !shortage && now >= a.leaseEnd && a.recentRequests < idleRequests { // inactive until the next request or allocation
 			delete(m.active, a)
 			continue
 		}
@@ -288,16 +298,17 @@
 	return reports
 }
 
-// Allocation is what control deals to a router of the share of a caller that presses, and how many requests of it all routers
-// took within the last Window.
+// Allocation is what control sends a proxy about one quota: the rate leased to the proxy if the quota is contended, and the quota's
+// usage over all proxies.
 type Allocation struct {
 	Quota string  `json:"s"`
-	Rate  float64 `json:"r"` // requests a second, beside its part of what is dealt out evenly
-	Used  float64 `json:"u"`
-	Calm  bool    `json:"c,omitempty"` // the caller doesn't press: nothing is leased, and only Used is told
+	Rate  float64 `json:"r"`           // requests per second, in addition to the proxy's even share
+	Used  float64 `json:"u"`           // requests admitted by all proxies in the last LimitWindow
+	Calm  bool    `json:"c,omitempty"` // the quota is not contended: nothing is leased, and Rate is unused
 }
 
-// ApplyAllocations takes allotments in; what is not among them ends with its lease.
+// ApplyAllocations applies allocations received at now. Each starts or renews a lease of LeaseDuration, or ends it if Calm is set. Leases
+// of other quotas run on. Allocations of unknown quotas are ignored.
 func (m *Meter) ApplyAllocations(now int64, allocations []Allocation) {
 	for _, allocation := range allocations {
 		if b := m.byQuota[allocation.Quota]; b != nil {
@@ -312,5 +323,5 @@
 	}
 }
 
-// DrainCallerCounts is the callers that a router has seen, for the hour's counts; it is handed on and begun anew.
+// DrainCallerCounts returns the requests by caller since the previous call, the greatest count first.
 func (m *Meter) DrainCallerCounts() []CallerCount { return m.callers.Drain() }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -16,12 +16,12 @@
 	return config.Quota{Name: "s-" + caller, Service: "desk", CallerHeader: "X-Agency", Caller: caller, Rate: perSecond, Burst: max(1, perSecond)}
 }
 
-// Who is who: callers without a name, unknown ones, and forged or huge names are others; others without a share have what is
-// left over.
+// Requests without a caller, with an unknown or overlong caller, or with the reserved name count against the quota of other callers.
+// Without such a quota they are admitted only as headroom allows.
 func TestCallerIdentification(t *testing.T) {
 	for _, x := range []struct {
 		caller         string
-		hasOthersQuota bool // they have a share
+		hasOthersQuota bool // config.OtherCallers has a quota
 		headroom       Headroom
 		quota          string
 		admitted       bool
@@ -36,12 +36,12 @@
 			quotas = append(quotas, testQuota(config.OtherCallers, 5))
 		}
 		decision := NewMeter(quotas, 1, 0).Admit(1, x.caller, false, x.headroom)
-		c.Check([2]any{decision.Quota, decision.Admitted}, qt.Equals, [2]any{x.quota, x.admitted}, qt.Commentf("%.10q, others %v, room %v", x.caller, x.hasOthersQuota, x.headroom))
+		c.Check([2]any{decision.Quota, decision.Admitted}, qt.Equals, [2]any{x.quota, x.admitted}, qt.Commentf("caller %.10q, quota for other callers %v, headroom %v", x.caller, x.hasOthersQuota, x.headroom))
 	}
 }
 
-// Over its share a caller may use what others leave, lookups first to lose it; within its share lookups leave the last of it
-// to what must not be repeated. Whoever is sent away gets a turn of its own.
+// The last tokens are reserved for non-idempotent requests. Requests over the quota are admitted as headroom allows, non-idempotent
+// ones longer. Rejected requests are told to retry one after the other.
 func TestAdmissionPriority(t *testing.T) {
 	c := qt.New(t)
 	m := NewMeter([]config.Quota{testQuota("a", 10)}, 1, 0)
@@ -57,7 +57,7 @@
 			nonIdempotent++
 		}
 	}
-	c.Check(idempotent > 0 && nonIdempotent >= idempotent/5 && idempotent+nonIdempotent <= 40, qt.IsTrue, qt.Commentf("%d and %d", idempotent, nonIdempotent))
+	c.Check(idempotent > 0 && nonIdempotent >= idempotent/5 && idempotent+nonIdempotent <= 40, qt.IsTrue, qt.Commentf("admitted %d idempotent and %d non-idempotent requests", idempotent, nonIdempotent))
 	for _, x := range []struct {
 		headroom   Headroom
 		idempotent bool
@@ -77,10 +77,10 @@
 		c.Check(HeadroomFor(used), qt.Equals, want)
 	}
 	m.SetQuotas([]config.Quota{{Name: "w", Caller: "a", CallerHeader: "X-Agency", WatchOnly: true}}, 1, now)
-	c.Check(m.Admit(now, "a", true, NoHeadroom).Admitted, qt.IsTrue) // it is only watched
+	c.Check(m.Admit(now, "a", true, NoHeadroom).Admitted, qt.IsTrue) // WatchOnly never rejects
 }
 
-// A lease ends by itself, and a caller of whom nothing is known any more has what it had at first.
+// A lease expires by itself; afterwards the proxy admits as much as before the lease.
 func TestLeaseExpiry(t *testing.T) {
 	c := qt.New(t)
 	m := NewMeter([]config.Quota{testQuota("a", 100)}, 10, 0)
@@ -92,19 +92,19 @@
 		}
 		return n
 	}
-	c.Check(count(0, 5*second) <= 5*40+40, qt.IsTrue) // four times its even part
+	c.Check(count(0, 5*second) <= 5*40+40, qt.IsTrue) // UnknownCallerFactor times the even share, and the burst
 	m.ApplyAllocations(5*second, []Allocation{{Quota: "s-a", Rate: 70, Used: 500}})
 	n := count(5*second, 8*second)
 	c.Check(n >= 200 && n <= 3*71+80, qt.IsTrue, qt.Commentf("%d", n))
 	n = count(9*second, 14*second)
-	c.Check(n <= 5*40+80, qt.IsTrue, qt.Commentf("%d after the lease", n))
+	c.Check(n <= 5*40+80, qt.IsTrue, qt.Commentf("admitted %d requests after the lease", n))
 	m.ApplyAllocations(14*second, []Allocation{{Quota: "s-a", Rate: 0, Used: 500}, {Quota: "unknown", Rate: 9}})
 	n = count(14*second, 17*second)
-	c.Check(n <= 3+40, qt.IsTrue, qt.Commentf("%d on the even part alone", n))
+	c.Check(n <= 3+40, qt.IsTrue, qt.Commentf("admitted %d requests with only the even share", n))
 }
 
-// The parts that all zones deal never come to more than the share once demand has been the same for a moment, and a zone that
-// is lost keeps its part until its leases are over.
+// The rates that all zones allocate never add up to more than the quota while demand changes, and use most of it once demand is
+// constant. An unreachable zone keeps its share until its leases have expired.
 func TestAllocatedRatesStayWithinQuota(t *testing.T) {
 	c := qt.New(t)
 	draw := rand.New(rand.NewPCG(5, 5))
@@ -148,7 +148,7 @@
 			demand[draw.IntN(3)] = float64(draw.IntN(5)) * 100
 		}
 		exchange(now, 0, 1, 2)
-		c.Assert(totalRate() <= 90*(1-EvenFraction)*1.06, qt.IsTrue, qt.Commentf("%v of 90 at %d, wanted %v", rates, now, demand))
+		c.Assert(totalRate() <= 90*(1-EvenFraction)*1.06, qt.IsTrue, qt.Commentf("rates %v exceed the quota of 90 at %d, demand %v", rates, now, demand))
 	}
 	demand = []float64{100, 100, 100}
 	for now := 40 * second; now < 45*second; now += AllocationInterval {
@@ -160,7 +160,7 @@
 	}
 	for now := 45 * second; now < 45*second+ZoneRetention; now += AllocationInterval {
 		exchange(now, 0, 1)
-		c.Assert(rates["0"] < 30, qt.IsTrue) // the lost one's routers may still use theirs
+		c.Assert(rates["0"] < 30, qt.IsTrue) // proxies of the lost zone may still use their leases
 	}
 	for now := 45*second + ZoneRetention; now < 55*second; now += AllocationInterval {
 		exchange(now, 0, 1)
@@ -171,7 +171,7 @@
 	c.Check(allocators[0].Allocate(56*second), qt.HasLen, 0)
 }
 
-// A part of what a service can carry follows the hosts and how long their answers take.
+// A quota with a Fraction follows the capacity of the service, that is the slots of its hosts and their mean service time.
 func TestFractionOfCapacity(t *testing.T) {
 	c := qt.New(t)
 	allocator := NewAllocator()
@@ -180,7 +180,7 @@
 	allocator.SetQuotas(map[string][]config.Quota{"desk": {quota}})
 	c.Check(allocator.Capacities(), qt.HasLen, 0)
 	allocator.SetSlots(map[string]int{"desk": 30})
-	allocator.AddReports(1, "r", nil, []Load{{"desk", 10, 1}}) // a tenth of a second each
+	allocator.AddReports(1, "r", nil, []Load{{"desk", 10, 1}}) // mean service time 0.1 s
 	allocator.MergeZone(1, "z", nil, []Load{{"desk", 10, 3}})
 	c.Check(allocator.Capacities()["desk"], qt.Equals, 150.0)
 	c.Check(allocator.Statuses(1, "self")[0].Limit, qt.Equals, 75.0)
@@ -189,7 +189,8 @@
 	c.Check(m.Admit(1, "a", false, NoHeadroom).Limit, qt.Equals, 750.0)
 }
 
-// However many callers there are, a census names a bounded number, and loses none of the count; an hour forgets what is older.
+// CallerCounter names a bounded number of callers and keeps the total exact, however many callers there are. MinuteHistory drops
+// counts older than an hour.
 func TestCallerCounter(t *testing.T) {
 	c := qt.New(t)
 	counter := NewCallerCounter(8)
@@ -223,7 +224,7 @@
 	c.Check(history.All(500*minute), qt.HasLen, 0)
 }
 
-// A request's check costs no allocation, also at ten thousand callers.
+// Admit allocates no memory, even with 10,000 quotas.
 func TestAdmitDoesNotAllocate(t *testing.T) {
 	var quotas []config.Quota
 	for i := range 10000 {
@@ -235,7 +236,7 @@
 	m, now := NewMeter(quotas, 10, 0), int64(0)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	t.Logf("%d bytes a caller at a router", (after.HeapAlloc-before.HeapAlloc)/uint64(len(quotas)))
+	t.Logf("%d bytes of memory per caller in a meter", (after.HeapAlloc-before.HeapAlloc)/uint64(len(quotas)))
 	n := testing.AllocsPerRun(1000, func() {
 		now += second / 1000
 		m.Admit(now, "c77", true, AmpleHeadroom)
@@ -251,8 +252,7 @@
 	}
 }
 
-// What nobody reports costs the dealer nothing, however many shares stand: with 33,000 each deal went through all of them, five
-// times a second, and worked out 33,000 times what 220 services carry.
+// Guards against costs of Allocate and Capacities that grow with the number of idle quotas. Memory allocated stands for the cost.
 func TestCostOfIdleQuotas(t *testing.T) {
 	c := qt.New(t)
 	costs := map[int][2]uint64{}
@@ -283,14 +283,14 @@
 		c.Check(allocator.Capacities(), qt.HasLen, 1)
 		c.Check(allocator.Capacities()["service-3"] > 0, qt.IsTrue)
 	}
-	t.Logf("bytes a deal and a look at what services carry, by shares: %v", costs)
+	t.Logf("bytes allocated by Allocate and by Capacities, by number of quotas: %v", costs)
 	for i := range 2 {
 		c.Check(costs[11000][i] < costs[220][i]*2+1024, qt.IsTrue)
 	}
 }
 
-// Callers at rest cost a router nothing, however many shares stand: with 33,000 a router without a request spent 3.5% of a core on
-// looking at each of them five times a second. Who comes is looked at until it is at rest again, and reported as before.
+// Guards against costs of Reports that grow with the number of idle quotas. A bucket is active from its first request or allocation
+// until it is idle again.
 func TestIdleCallers(t *testing.T) {
 	c := qt.New(t)
 	var quotas []config.Quota
@@ -308,13 +308,13 @@
 	c.Check(m.active, qt.HasLen, 2)
 	now += 20 * second
 	m.ApplyAllocations(now, []Allocation{{Quota: "s-c8", Rate: 3}, {Quota: "s-c9", Rate: 2}})
-	c.Check(m.Reports(now), qt.HasLen, 1) // c8 by its lease; c7 asked for too little of late, c9 has a lease and asked for nothing
+	c.Check(m.Reports(now), qt.HasLen, 1) // c8: it has a lease; c7 has too few recent requests, c9 has a lease but no requests
 	c.Check(m.active, qt.HasLen, 3)
 	now += 60 * second
 	c.Check(m.Reports(now), qt.HasLen, 0)
 	c.Check(m.active, qt.HasLen, 0)
 	m.Admit(now, "c4999", false, AmpleHeadroom)
-	m.SetQuotas(quotas[:10], 4, now) // a share that goes takes its caller along
+	m.SetQuotas(quotas[:10], 4, now) // removing a quota removes its active bucket
 	c.Check(m.active, qt.HasLen, 0)
 	for range 60 {
 		m.Admit(now, "c9", false, AmpleHeadroom)
--- a/internal/quota/trace_test.go
+++ b/internal/quota/trace_test.go
@@ -12,7 +12,7 @@
 
 const traceZones = 3
 
-// drawnShares are shares of one service.
+// randomQuotas returns random quotas of one service.
 func randomQuotas(draw *rand.Rand) map[string][]config.Quota {
 	var all []config.Quota
 	for _, caller := range []string{"a", "b", "c", config.OtherCallers} {
@@ -29,8 +29,8 @@
 	return map[string][]config.Quota{"desk": all}
 }
 
-// Dealers of three zones with two routers each, under drawn demand, losses of zones and routers and other shares, deal and say
-// what they did, and the routers' meters take what they took. The order of the fields of what is recorded counts; names don't.
+// Pins by digests what allocators of three zones and the meters of two proxies in each return under random demand, losses of zones and
+// proxies, and changes of quotas. The digests depend on the order of fields in the recorded structs, but not on names.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 25, []string{"111d12e9b36a00d3", "51ed69bbd4558565", "bb7253a18ced5dc8", "abb03a660caf11c0"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
@@ -70,11 +70,11 @@
 	})
 }
 
-// exact is a figure in sixty-fourths. A dealer sums figures in the order of a map: of these the sum is the same in any order, while
-// the last bit of others varies, and what is dealt is rounded down to three figures.
+// exact rounds to a multiple of 1/64. An allocator adds values in map order: sums of such multiples are exact in any order, while the
+// last bit of other sums varies, which could change the digits that remain after rounding down.
 func exact(f float64) float64 { return math.Round(f*64) / 64 }
 
-// traceDeal is one round of reports, sums and dealing.
+// traceRound plays one round of reports, exchange of usage between zones, and allocation.
 func traceRound(draw *rand.Rand, d *digest.Digest, now int64, allocators []*Allocator, meters []*Meter) {
 	for n, m := range meters {
 		if draw.IntN(30) == 0 { // the report is lost
