--- a/internal/cluster/instance/instance.go
+++ b/internal/cluster/instance/instance.go
@@ -10,7 +10,8 @@
 	"strings"
 )
 
-// State is the lifecycle state of an instance. It only advances, in the order of the constants. The numbers are part of the encoding.
+// State is the lifecycle state of an instance. Heartbeats can only advance it, in the order of the constants. The
+// numbers are part of the encoding.
 type State uint8
 
 // The states of an instance. Gone is final: the instance has deregistered.
--- a/internal/cluster/instance/table.go
+++ b/internal/cluster/instance/table.go
@@ -20,7 +20,7 @@
 	instances         map[string]Instance
 	lastHeartbeat     map[string]int64 // of watched instances: time of the last heartbeat, or of the start of watching
 	goneSince         map[string]int64
-	unresponsiveSince map[string]int64 // of unresponsive instances that are not watched: when EvictUnresponsive first saw that
+	unresponsiveSince map[string]int64 // of unresponsive, unwatched instances: when EvictUnresponsive first saw them
 }
 
 // NewTable returns an empty table for the control process named self. heartbeatInterval is the time between two heartbeats of an
@@ -132,12 +132,13 @@
 }
 
 // Reconcile starts watching the instances of an owner that are missing from the complete list of instances that the owner sent. The
-// owner has restarted and received no heartbeat of them since. They are treated as those of Adopt.
+// owner has restarted and received no heartbeat from them since. As after Adopt, they become unresponsive unless they send heartbeats
+// to another process.
 func (t *Table) Reconcile(now int64, owner string, listed map[string]bool) {
 	t.watch(now, owner, listed)
 }
 
-// watch starts watching the instances of another owner, apart from those gone, already watched or in except.
+// watch starts watching the instances of another owner that are not gone, not watched yet and not in except.
 func (t *Table) watch(now int64, owner string, except map[string]bool) {
 	if owner == t.self {
 		return
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -142,7 +142,7 @@
 }
 
 // AddReports applies a report of a proxy of this zone. reports replaces the proxy's previous reports; loads replaces its loads unless it
-// is nil.
+// is nil. Reports of unknown quotas or with implausible demand are ignored.
 func (a *Allocator) AddReports(now int64, proxy string, reports []Report, loads []Load) {
 	party := a.proxy(proxy)
 	if party.reports = make(map[string]Report, len(reports)); loads != nil {
--- a/internal/quota/meter.go
+++ b/internal/quota/meter.go
@@ -73,14 +73,14 @@
 	limit            float64 // requests per second, over all proxies
 	evenRate         float64 // limit divided by the number of proxies
 	leasedRate       float64 // requests per second, until leaseEnd
-	leaseEnd         int64   // not after now if there is no lease
+	leaseEnd         int64   // in the past if there is no lease
 	tokens           float64
 	updatedAt        int64
 	demand           float64 // requests per second: count of arrivals that decays with a time constant of 1 s
 	recentRequests   float64 // count of arrivals that decays with a time constant of 10 s
 	emptyAt          int64   // when a request last found no token
 	admitted         uint64  // requests within the quota, since the bucket was created
-	nextRetryAt      int64   // when the last rejected request was told to retry
+	nextRetryAt      int64   // when the last rejected request may retry
 	reportedUsage    float64 // Allocation.Used as last received
 	reportedAt       int64   // when it was received
 	admittedAtReport uint64  // admitted at that time
@@ -100,7 +100,7 @@
 	callers      *CallerCounter
 }
 
-// NewMeter returns a meter for the quotas of one service, which is served by a number of proxies. It has no leases.
+// NewMeter returns a meter, without leases, for the quotas of one service. proxies is the number of proxies that share the quotas.
 func NewMeter(quotas []config.Quota, proxies int, now int64) *Meter {
 	m := &Meter{byCaller: map[string]*bucket{}, active: map[*bucket]bool{}, callers: NewCallerCounter(MaxCallers)}
 	m.SetQuotas(quotas, proxies, now)
@@ -222,7 +222,7 @@
 // false for limits below 10 requests per second.
 func (b *bucket) seenByAllProxies() bool { return b.evenRate*10 >= 1 && b.limit >= 10 }
 
-// reportThreshold returns the least recentRequests at which a quota without shortage or lease is reported.
+// reportThreshold returns the least recentRequests at which a quota without shortage or lease may be reported.
 func (b *bucket) reportThreshold() float64 {
 	if b.seenByAllProxies() {
 		return 0.9
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -41,7 +41,7 @@
 }
 
 // The last tokens are reserved for non-idempotent requests. Requests over the quota are admitted as headroom allows, non-idempotent
-// ones longer. Rejected requests are told to retry one after the other.
+// ones longer. RetryAfter increases with each rejected request.
 func TestAdmissionPriority(t *testing.T) {
 	c := qt.New(t)
 	m := NewMeter([]config.Quota{testQuota("a", 10)}, 1, 0)
@@ -104,7 +104,7 @@
 }
 
 // The rates that all zones allocate never add up to more than the quota while demand changes, and use most of it once demand is
-// constant. An unreachable zone keeps its share until its leases have expired.
+// constant. An unreachable zone keeps its share for ZoneRetention.
 func TestAllocatedRatesStayWithinQuota(t *testing.T) {
 	c := qt.New(t)
 	draw := rand.New(rand.NewPCG(5, 5))
