--- a/internal/cluster/config/partitions_test.go
+++ b/internal/cluster/config/partitions_test.go
@@ -9,18 +9,18 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func routeItem(n int, version uint64, dropped bool) Item {
-	i := Item{Kind: KindRoutes, Name: fmt.Sprintf("r%d", n), Version: version, Deleted: dropped}
-	if !dropped {
+func routeItem(n int, version uint64, deleted bool) Item {
+	i := Item{Kind: KindRoutes, Name: fmt.Sprintf("r%d", n), Version: version, Deleted: deleted}
+	if !deleted {
 		i.Body = []byte(fmt.Sprintf(`{"name":"r%d","v":%d}`, n, version))
 	}
 	return i
 }
 
-func randomSet(draw *rand.Rand, most int) *Set {
+func randomSet(draw *rand.Rand, limit int) *Set {
 	s := NewSet()
-	for range draw.IntN(most) {
-		s.Merge(routeItem(draw.IntN(most), 1+draw.Uint64N(4), draw.IntN(4) == 0))
+	for range draw.IntN(limit) {
+		s.Merge(routeItem(draw.IntN(limit), 1+draw.Uint64N(4), draw.IntN(4) == 0))
 	}
 	return s
 }
@@ -33,8 +33,8 @@
 	a.Merge(routeItem(1, 1, false))
 	p := routeItem(1, 1, false).Key().partition()
 	c.Check(a.DifferingPartitions(sums(b)), qt.DeepEquals, []int{p})
-	c.Check(b.DifferingPartitions(sums(a)), qt.DeepEquals, []int{p}, qt.Commentf("a part that is empty here"))
-	c.Check(a.DifferingPartitions(nil), qt.HasLen, Partitions, qt.Commentf("sums that are missing"))
+	c.Check(b.DifferingPartitions(sums(a)), qt.DeepEquals, []int{p}, qt.Commentf("a partition that is empty in b"))
+	c.Check(a.DifferingPartitions(nil), qt.HasLen, Partitions, qt.Commentf("missing checksums"))
 	c.Check(a.DifferingPartitions(sums(a)[:p]), qt.Contains, p)
 	b.Merge(routeItem(1, 1, false))
 	c.Check(a.DifferingPartitions(sums(b)), qt.HasLen, 0)
@@ -54,7 +54,7 @@
 		in := s.InPartitions([]int{p})
 		for n, i := range in {
 			c.Check(i.Key().partition(), qt.Equals, p)
-			c.Check(n == 0 || in[n-1].Name < i.Name, qt.IsTrue, qt.Commentf("in the order of keys"))
+			c.Check(n == 0 || in[n-1].Name < i.Name, qt.IsTrue, qt.Commentf("items not sorted by key"))
 		}
 		all += len(in)
 	}
@@ -62,8 +62,8 @@
 	c.Check(s.InPartitions([]int{3, 3}), qt.DeepEquals, s.InPartitions([]int{3}))
 }
 
-// Replacing the differing partitions makes any set equal to another, also where versions go back and items disappear; the changes and
-// removals that are returned do the same for a copy on disk.
+// Replacing the differing partitions makes any set equal to another, even if versions decrease and items disappear. Applying the returned
+// changes and removals to a copy on disk has the same result.
 func TestReplacePartitions(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(400) {
@@ -74,17 +74,17 @@
 			disk[i.Key()] = i
 		}
 		sums := a.PartitionSums()
-		parts := b.DifferingPartitions(sums[:])
+		partitions := b.DifferingPartitions(sums[:])
 		before := b.Checksum()
-		items := b.InPartitions(parts)
+		items := b.InPartitions(partitions)
 		draw.Shuffle(len(items), func(i, j int) { items[i], items[j] = items[j], items[i] })
-		changed, removed := a.ReplacePartitions(parts, items)
+		changed, removed := a.ReplacePartitions(partitions, items)
 		for _, i := range changed {
 			disk[i.Key()] = i
 		}
 		for _, k := range removed {
-			_, there := disk[k]
-			c.Assert(there, qt.IsTrue, qt.Commentf("%v is gone, and was never there", k))
+			_, exists := disk[k]
+			c.Assert(exists, qt.IsTrue, qt.Commentf("%v is returned as removed, but never existed", k))
 			delete(disk, k)
 		}
 		c.Assert(b.Checksum(), qt.Equals, before)
@@ -96,30 +96,30 @@
 		for _, i := range b.All() {
 			c.Assert(disk[i.Key()].Equal(i), qt.IsTrue)
 		}
-		again, none := a.ReplacePartitions(parts, items)
-		c.Assert(len(again)+len(none), qt.Equals, 0, qt.Commentf("the same once more is no news"))
+		changedAgain, removedAgain := a.ReplacePartitions(partitions, items)
+		c.Assert(len(changedAgain)+len(removedAgain), qt.Equals, 0, qt.Commentf("replacing with the same items again changed something"))
 	}
 }
 
-// A partition that is replaced by nothing is empty afterwards; other partitions stay.
-func TestReplaceByNothing(t *testing.T) {
+// Replacing a partition with no items empties it and leaves other partitions unchanged.
+func TestReplacePartitionsWithNoItems(t *testing.T) {
 	c := qt.New(t)
 	s := NewSet()
 	for n := range 200 {
 		s.Merge(routeItem(n, 1, false))
 	}
 	p := routeItem(7, 1, false).Key().partition()
-	was := s.InPartitions([]int{p})
+	before := s.InPartitions([]int{p})
 	changed, removed := s.ReplacePartitions([]int{p}, nil)
 	c.Check(changed, qt.HasLen, 0)
-	c.Check(removed, qt.HasLen, len(was))
+	c.Check(removed, qt.HasLen, len(before))
 	c.Check(s.InPartitions([]int{p}), qt.HasLen, 0)
 	c.Check(s.PartitionSums()[p], qt.Equals, uint64(0))
-	c.Check(s.Len(), qt.Equals, 200-len(was))
+	c.Check(s.Len(), qt.Equals, 200-len(before))
 }
 
-// Removed keys are returned in order.
-func TestReplaceGoneInOrder(t *testing.T) {
+// Removed keys are returned sorted.
+func TestReplacePartitionsRemovedKeysSorted(t *testing.T) {
 	c := qt.New(t)
 	for range 20 {
 		s := NewSet()
@@ -142,8 +142,8 @@
 	}
 }
 
-// Beyond MaxDeleted all sets evict the same tombstones, and TakeEvicted returns each once.
-func TestForgotten(t *testing.T) {
+// Above MaxDeleted, all sets evict the same tombstones, and TakeEvicted returns each of them once.
+func TestTombstoneEviction(t *testing.T) {
 	c := qt.New(t)
 	a, b := NewSet(), NewSet()
 	disk := map[Key]bool{}
@@ -161,16 +161,16 @@
 	c.Check(len(disk), qt.Equals, a.Len())
 	c.Check(a.Checksum(), qt.Equals, b.Checksum())
 	c.Check(a.TakeEvicted(), qt.HasLen, 0)
-	again := NewSet() // as a disk is read
+	reloaded := NewSet() // as when reading the items back from disk
 	for _, i := range a.All() {
 		c.Assert(disk[i.Key()], qt.IsTrue)
-		again.Merge(i)
+		reloaded.Merge(i)
 	}
-	c.Check(again.Checksum(), qt.Equals, a.Checksum())
-	c.Check(again.TakeEvicted(), qt.HasLen, 0)
+	c.Check(reloaded.Checksum(), qt.Equals, a.Checksum())
+	c.Check(reloaded.TakeEvicted(), qt.HasLen, 0)
 }
 
-// An item remembers MaxHistory earlier versions.
+// The history of an item contains the last MaxHistory versions.
 func TestMatchesPast(t *testing.T) {
 	c := qt.New(t)
 	i := routeItem(1, 1, false)
--- a/internal/cluster/config/trace_test.go
+++ b/internal/cluster/config/trace_test.go
@@ -10,9 +10,9 @@
 	"portflow/internal/testing/digest"
 )
 
-// The effects of random changes that are checked, applied, merged and replaced, and the routing tables of the sets, are pinned by digests;
-// an encoded set parses again. The order of the fields of items and routing tables and the numbers of kinds of errors count, and so do
-// the texts of errors and reasons; names of fields don't.
+// Digests pin the results of checking, applying, merging and replacing random changes, the routing tables of the sets, and the encoding of
+// a set. They cover the order of the fields of items and routing tables, the numeric values of error kinds, and the texts of errors
+// and reasons, but not the names of fields.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 50, []string{"a12bc97676ba9bd3", "bd8d18260cdd18ba", "439e48f29ba51744", "7a7286a2a728bc2c"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
@@ -30,18 +30,18 @@
 				}
 			case 1:
 				theirs := other.PartitionSums()
-				parts := s.DifferingPartitions(theirs[:])
-				d.Add(parts, s.DifferingItems(theirs))
-				changed, removed := s.ReplacePartitions(parts, other.InPartitions(parts))
+				partitions := s.DifferingPartitions(theirs[:])
+				d.Add(partitions, s.DifferingItems(theirs))
+				changed, removed := s.ReplacePartitions(partitions, other.InPartitions(partitions))
 				d.Add(changed, removed)
 			case 2:
 				changed, removed := other.ReplaceAll(s.All())
 				d.Add(changed, removed)
 			case 3:
 				for _, i := range change {
-					old, there := s.Lookup(i.Key())
+					old, exists := s.Lookup(i.Key())
 					known, same := old.MatchesPast(i)
-					d.Add(there, i.Supersedes(old), old.PredatesHistory(i), known, same, i.WithHistory(old))
+					d.Add(exists, i.Supersedes(old), old.PredatesHistory(i), known, same, i.WithHistory(old))
 				}
 			default:
 				effective, err := s.CheckChange(change)
@@ -61,18 +61,18 @@
 	})
 }
 
-// traceTable records a routing table and some lookups in it.
-func traceTable(d *digest.Digest, c *RoutingTable) {
-	for _, r := range c.Routes {
+// traceTable adds a routing table and some lookups in it to the digest.
+func traceTable(d *digest.Digest, table *RoutingTable) {
+	for _, r := range table.Routes {
 		d.Add(r)
 	}
-	for _, name := range slices.Sorted(maps.Keys(c.Services)) {
-		d.Add(c.Services[name])
+	for _, name := range slices.Sorted(maps.Keys(table.Services)) {
+		d.Add(table.Services[name])
 	}
-	d.Add(c.Quotas, c.Limits, c.Inactive)
+	d.Add(table.Quotas, table.Limits, table.Inactive)
 	for _, host := range []string{"h0", "h1", "h9"} {
 		for _, path := range []string{"/", "/a/b/c", "/a/x", "/e/"} {
-			d.Add(c.Match(host, path))
+			d.Add(table.Match(host, path))
 		}
 	}
 }
