--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -65,7 +65,7 @@
 // without a length ends with its connection, also where that is cut.
 func (p *Proxy) passStream(w http.ResponseWriter, r *http.Request, stream *streamedReply) {
 	if stream.length < 0 && !r.ProtoAtLeast(1, 1) {
-		stream.done <- attempt.ErrNoStatedEnd
+		stream.done <- attempt.ErrUndelimitedBody
 		p.refuse(w, apierror.UpstreamBroken, 0)
 		return
 	}
--- a/internal/proxy/attempt/attempt.go
+++ b/internal/proxy/attempt/attempt.go
@@ -21,15 +21,15 @@
 	case e == Connected, e == WriteStarted, e == WrotePart, e == WroteAll:
 		return a.advance(e, sent)
 	case e == WroteNone:
-		return ended(a.Phase > WriteBegun)
+		return endedAttempt(a.Phase > WriteBegun)
 	case !sent && e.isResponse(): // what comes before its first byte answers another request: it gets another connection
 		return Attempt{}
-	case e == TurnedAway, e == Misdirected:
+	case e == RejectedByHost, e == Misdirected:
 		return Attempt{Ended, NotRun}
 	case e == Answered:
 		return Attempt{Ended, Ran}
 	}
-	return ended(sent) // no connection, no answer, or none to this request
+	return endedAttempt(sent) // no connection, no answer, or none to this request
 }
 
 // advance is the attempt after it has a connection or some of it is written.
@@ -47,8 +47,8 @@
 	return a
 }
 
-// ended is an attempt that has ended without a valid answer; it may have run where something of it was sent.
-func ended(sent bool) Attempt {
+// endedAttempt is an attempt that has ended without a valid answer; it may have run where something of it was sent.
+func endedAttempt(sent bool) Attempt {
 	if sent {
 		return Attempt{Ended, MayHaveRun}
 	}
--- a/internal/proxy/attempt/attempt_test.go
+++ b/internal/proxy/attempt/attempt_test.go
@@ -13,13 +13,13 @@
 	never, maybe, ran := Attempt{Ended, NotRun}, Attempt{Ended, MayHaveRun}, Attempt{Ended, Ran}
 	opening, open := Attempt{}, Attempt{Phase: Open}
 	type row map[Event]Attempt
-	before := row{ConnectFailed: never, Connected: open, WriteStarted: begun, WroteNone: never, TurnedAway: opening, Misdirected: opening, Answered: opening,
+	beforeWrite := row{ConnectFailed: never, Connected: open, WriteStarted: begun, WroteNone: never, RejectedByHost: opening, Misdirected: opening, Answered: opening,
 		WrongID: opening, Truncated: opening, UnexpectedBytes: opening, ConnectionReset: never, TimedOut: never, Canceled: never}
-	ends := row{ConnectFailed: maybe, WroteNone: maybe, TurnedAway: never, Misdirected: never, Answered: ran, WrongID: maybe, Truncated: maybe, UnexpectedBytes: maybe,
+	afterWrite := row{ConnectFailed: maybe, WroteNone: maybe, RejectedByHost: never, Misdirected: never, Answered: ran, WrongID: maybe, Truncated: maybe, UnexpectedBytes: maybe,
 		ConnectionReset: maybe, TimedOut: maybe, Canceled: maybe}
 	with := func(more row) row {
 		all := row{}
-		for _, r := range []row{ends, more} {
+		for _, r := range []row{afterWrite, more} {
 			for e, a := range r {
 				all[e] = a
 			}
@@ -27,11 +27,11 @@
 		return all
 	}
 	for from, want := range map[Attempt]row{
-		opening: before,
-		open:    before,
+		opening: beforeWrite,
+		open:    beforeWrite,
 		begun:   with(row{WrotePart: partly, WroteAll: written, WroteNone: never}),
 		partly:  with(row{WroteAll: written}),
-		written: ends,
+		written: afterWrite,
 		never:   {}, maybe: {}, ran: {},
 	} {
 		for _, e := range Events() {
@@ -48,7 +48,7 @@
 // its final answer.
 func TestRequest(t *testing.T) {
 	c := qt.New(t)
-	play := func(r Request, all ...Event) Request {
+	apply := func(r Request, all ...Event) Request {
 		for _, e := range all {
 			r, _ = r.Apply(e)
 		}
@@ -64,26 +64,26 @@
 			once, twice := begin(Request{}), begin(Request{Idempotent: true})
 			c.Check(once.MayAttempt(), qt.IsFalse)
 			if sent {
-				once, twice = play(once, Connected, WriteStarted, WroteAll, e), play(twice, Connected, WriteStarted, WroteAll, e)
+				once, twice = apply(once, Connected, WriteStarted, WroteAll, e), apply(twice, Connected, WriteStarted, WroteAll, e)
 			} else {
-				once, twice = play(once, e), play(twice, e)
+				once, twice = apply(once, e), apply(twice, e)
 			}
-			over := once.Current().Phase == Ended
-			c.Check(once.MayAttempt(), qt.Equals, over && once.Execution() == NotRun, qt.Commentf("%v, %v", e, sent))
+			finished := once.Current().Phase == Ended
+			c.Check(once.MayAttempt(), qt.Equals, finished && once.Execution() == NotRun, qt.Commentf("%v, %v", e, sent))
 			c.Check(once.Settle().MayRefuse(), qt.Equals, once.Execution() == NotRun)
-			c.Check(twice.MayAttempt(), qt.Equals, over, qt.Commentf("%v, %v", e, sent))
+			c.Check(twice.MayAttempt(), qt.Equals, finished, qt.Commentf("%v, %v", e, sent))
 			c.Check(twice.Settle().MayRefuse(), qt.IsTrue)
 			c.Check(once.MayRefuse() || once.Settle().MayAttempt(), qt.IsFalse)
 			_, ok := once.Settle().Apply(WriteStarted)
 			c.Check(ok, qt.IsFalse)
-			if over && once.MayAttempt() { // what a first attempt leaves open a second doesn't close
-				again := play(begin(once), Connected, WriteStarted, ConnectionReset)
+			if finished && once.MayAttempt() { // what a first attempt leaves open a second doesn't close
+				again := apply(begin(once), Connected, WriteStarted, ConnectionReset)
 				c.Check(again.Execution(), qt.Equals, MayHaveRun)
-				c.Check(play(again, TurnedAway).Execution(), qt.Equals, MayHaveRun)
+				c.Check(apply(again, RejectedByHost).Execution(), qt.Equals, MayHaveRun)
 			}
 		}
 	}
-	r := play(begin(Request{}), Connected, WriteStarted)
+	r := apply(begin(Request{}), Connected, WriteStarted)
 	_, ok := r.Apply(WriteStarted) // on a second connection
 	c.Check(ok, qt.IsFalse)
 	_, ok = Request{}.Apply(WriteStarted)
@@ -92,36 +92,36 @@
 
 func TestClassify(t *testing.T) {
 	c := qt.New(t)
-	fine := func(change func(*Answer)) Answer {
+	successWith := func(change func(*Answer)) Answer {
 		a := Answer{Status: 200, IDs: []string{"a"}, Sealed: true}
 		change(&a)
 		return a
 	}
 	for name, x := range map[string]struct {
-		id   string
-		is   Answer
-		want Event
-		err  error
+		id     string
+		answer Answer
+		want   Event
+		err    error
 	}{
-		"fine":                   {"a", fine(func(*Answer) {}), Answered, nil},
+		"fine":                   {"a", successWith(func(*Answer) {}), Answered, nil},
 		"an error":               {"a", Answer{Status: 500, IDs: []string{"a"}}, Answered, nil},
-		"rejected":               {"a", Answer{Status: 503, IDs: []string{"a"}, NotRun: true}, TurnedAway, nil},
+		"rejected":               {"a", Answer{Status: 503, IDs: []string{"a"}, NotRun: true}, RejectedByHost, nil},
 		"misdirected":            {"a", Answer{Status: 421, IDs: []string{"a"}}, Misdirected, nil},
-		"another's":              {"a", fine(func(a *Answer) { a.IDs = []string{"b"} }), WrongID, ErrWrongRequest},
+		"another's":              {"a", successWith(func(a *Answer) { a.IDs = []string{"b"} }), WrongID, ErrWrongRequest},
 		"another's not run":      {"a", Answer{Status: 503, IDs: []string{"b"}, NotRun: true}, WrongID, ErrWrongRequest},
 		"another's 421":          {"a", Answer{Status: 421, IDs: []string{"b"}}, WrongID, ErrWrongRequest},
-		"nobody's":               {"a", fine(func(a *Answer) { a.IDs = nil }), WrongID, ErrWrongRequest},
+		"nobody's":               {"a", successWith(func(a *Answer) { a.IDs = nil }), WrongID, ErrWrongRequest},
 		"nobody's error":         {"a", Answer{Status: 404}, WrongID, ErrWrongRequest},
-		"two requests'":          {"a", fine(func(a *Answer) { a.IDs = []string{"a", "b"} }), WrongID, ErrWrongRequest},
-		"one's twice":            {"a", fine(func(a *Answer) { a.IDs = []string{"a", "a"} }), Answered, nil},
-		"to one without an id":   {"", Answer{Status: 400, NotRun: true}, TurnedAway, nil},
-		"an id to one without":   {"", fine(func(*Answer) {}), WrongID, ErrWrongRequest},
-		"no seal":                {"a", fine(func(a *Answer) { a.Sealed = false }), UnexpectedBytes, ErrMissingSeal},
-		"encoded":                {"a", fine(func(a *Answer) { a.Encoded = true }), UnexpectedBytes, ErrUnexpectedEncoding},
-		"switched":               {"a", fine(func(a *Answer) { a.Status = 101 }), UnexpectedBytes, ErrProtocolSwitch},
-		"a success that is none": {"a", fine(func(a *Answer) { a.NotRun = true }), UnexpectedBytes, ErrContradictory},
+		"two requests'":          {"a", successWith(func(a *Answer) { a.IDs = []string{"a", "b"} }), WrongID, ErrWrongRequest},
+		"one's twice":            {"a", successWith(func(a *Answer) { a.IDs = []string{"a", "a"} }), Answered, nil},
+		"to one without an id":   {"", Answer{Status: 400, NotRun: true}, RejectedByHost, nil},
+		"an id to one without":   {"", successWith(func(*Answer) {}), WrongID, ErrWrongRequest},
+		"no seal":                {"a", successWith(func(a *Answer) { a.Sealed = false }), UnexpectedBytes, ErrMissingSeal},
+		"encoded":                {"a", successWith(func(a *Answer) { a.Encoded = true }), UnexpectedBytes, ErrUnexpectedEncoding},
+		"switched":               {"a", successWith(func(a *Answer) { a.Status = 101 }), UnexpectedBytes, ErrProtocolSwitch},
+		"a success that is none": {"a", successWith(func(a *Answer) { a.NotRun = true }), UnexpectedBytes, ErrContradictory},
 	} {
-		e, err := Classify(x.id, x.is)
+		e, err := Classify(x.id, x.answer)
 		c.Check(e, qt.Equals, x.want, qt.Commentf("%s", name))
 		c.Check(err, qt.Equals, x.err, qt.Commentf("%s", name))
 	}
--- a/internal/proxy/attempt/classify.go
+++ b/internal/proxy/attempt/classify.go
@@ -27,7 +27,7 @@
 	ErrWrongRequest       = errors.New("the answer is another request's")
 	ErrMissingSeal        = errors.New("a success without a seal")
 	ErrUnexpectedEncoding = errors.New("an encoding that nobody asked for")
-	ErrNoStatedEnd        = errors.New("an answer without a stated end, to one who can't be told of another")
+	ErrUndelimitedBody    = errors.New("an answer without a stated end, to one who can't be told of another")
 	ErrProtocolSwitch     = errors.New("another protocol that nobody asked for")
 	ErrContradictory      = errors.New("a success that says it did not run")
 )
@@ -47,7 +47,7 @@
 	case a.Status == statusMisdirectedRequest:
 		return Misdirected, nil
 	case a.NotRun:
-		return TurnedAway, nil
+		return RejectedByHost, nil
 	case a.Status < statusMultipleChoices && !a.Sealed:
 		return UnexpectedBytes, ErrMissingSeal
 	case a.Encoded:
--- a/internal/proxy/attempt/event.go
+++ b/internal/proxy/attempt/event.go
@@ -3,7 +3,7 @@
 // Event is what a connection tells of an attempt.
 type Event uint8
 
-// The events of an attempt. Next relies on the order of those from WrotePart to WroteAll, and from TurnedAway to UnexpectedBytes.
+// The events of an attempt. Next relies on the order of those from WrotePart to WroteAll, and from RejectedByHost to UnexpectedBytes.
 const (
 	ConnectFailed   Event = iota // no connection: refused, not in time, or no slot for one
 	Connected                    // a connection is there, nothing is written
@@ -11,7 +11,7 @@
 	WroteNone                    // the connection accepted none of them, and has ended
 	WrotePart                    // it accepted some
 	WroteAll                     // it accepted all
-	TurnedAway                   // an answer with the request's id and Request-Not-Run
+	RejectedByHost               // an answer with the request's id and Request-Not-Run
 	Misdirected                  // an answer with the request's id and 421
 	Answered                     // any other complete answer with the request's id
 	WrongID                      // an answer with another id, or with none
@@ -30,7 +30,7 @@
 	WroteNone:       "wrote none",
 	WrotePart:       "wrote part",
 	WroteAll:        "wrote all",
-	TurnedAway:      "Request-Not-Run",
+	RejectedByHost:  "Request-Not-Run",
 	Misdirected:     "421",
 	Answered:        "answered",
 	WrongID:         "wrong id",
@@ -52,4 +52,4 @@
 }
 
 // isResponse reports whether bytes came from the host.
-func (e Event) isResponse() bool { return e >= TurnedAway && e <= UnexpectedBytes }
+func (e Event) isResponse() bool { return e >= RejectedByHost && e <= UnexpectedBytes }
--- a/internal/proxy/client_request.go
+++ b/internal/proxy/client_request.go
@@ -133,7 +133,7 @@
 var resultEvents = [...]attempt.Event{
 	decision.Succeeded:       attempt.Answered,
 	decision.Failed:          attempt.Answered,
-	decision.Rejected:        attempt.TurnedAway,
+	decision.Rejected:        attempt.RejectedByHost,
 	decision.TimedOut:        attempt.TimedOut,
 	decision.ConnectFailed:   attempt.ConnectFailed,
 	decision.ConnectionReset: attempt.ConnectionReset,
--- a/internal/proxy/endpoint/apply.go
+++ b/internal/proxy/endpoint/apply.go
@@ -71,11 +71,11 @@
 		}
 	case outdated:
 	case snapshot:
-		changed, gone := t.Set.ReplaceAll(items)
+		changed, removed := t.Set.ReplaceAll(items)
 		for _, item := range changed {
 			c.addItem(t, item.Key())
 		}
-		for _, k := range gone {
+		for _, k := range removed {
 			c.addItem(t, k)
 		}
 		t.position = at
@@ -158,7 +158,7 @@
 
 // dropUnnamed marks the hosts that a snapshot doesn't name as missing, and removes the proxies that it doesn't name.
 func (t *Table) dropUnnamed(c *Changes, changes []update.Change) {
-	instances, proxies := named(changes)
+	instances, proxies := namedIn(changes)
 	for id, h := range t.Instances {
 		if !instances[id] && !t.missing[id] {
 			t.missing[id] = true
@@ -173,8 +173,8 @@
 	}
 }
 
-// named is the ids of hosts and the names of proxies that changes name.
-func named(changes []update.Change) (instances, proxies map[string]bool) {
+// namedIn is the ids of hosts and the names of proxies that changes name.
+func namedIn(changes []update.Change) (instances, proxies map[string]bool) {
 	instances, proxies = map[string]bool{}, map[string]bool{}
 	for _, change := range changes {
 		switch {
--- a/internal/proxy/endpoint/forecast_test.go
+++ b/internal/proxy/endpoint/forecast_test.go
@@ -7,23 +7,23 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// rushOfReturns plays a service that bears so many requests at once, for a fifth of a second each: what comes beyond is sent away and
+// simulateBurst plays a service that bears so many requests at once, for a fifth of a second each: what comes beyond is sent away and
 // comes back when it was to, three times at most. It returns how many were refused, and how many of these once more.
-func rushOfReturns(perSecond float64, wait func(now int64) int64, answered func(now int64)) (away, again int) {
+func simulateBurst(perSecond float64, wait func(now int64) int64, answered func(now int64)) (rejected, rejectedAgain int) {
 	const slots, work = 30, second / 5
 	draw := rand.New(rand.NewPCG(4, 4))
-	type caller struct {
+	type client struct {
 		at      int64
-		returns int
+		retries int
 	}
-	var all []caller
+	var clients []client
 	for at := int64(0); at < 6*second; {
 		rate := 100.0 // the service answers 150 a second
 		if at > second && at < 2*second {
 			rate = perSecond
 		}
 		at += int64(draw.ExpFloat64() / rate * float64(second))
-		all = append(all, caller{at: at})
+		clients = append(clients, client{at: at})
 	}
 	var ends []int64
 	for now := int64(0); now < 12*second; now += second / 500 {
@@ -31,8 +31,8 @@
 			ends = ends[1:]
 			answered(now)
 		}
-		for i := range all {
-			c := &all[i]
+		for i := range clients {
+			c := &clients[i]
 			if c.at < 0 || c.at > now {
 				continue
 			}
@@ -41,29 +41,29 @@
 				ends = append(ends, now+work)
 				continue
 			}
-			if away++; c.returns > 0 {
-				again++
+			if rejected++; c.retries > 0 {
+				rejectedAgain++
 			}
-			if c.returns++; c.returns > 3 {
+			if c.retries++; c.retries > 3 {
 				c.at = -1
 			} else {
 				c.at = now + wait(now)
 			}
 		}
 	}
-	return away, again
+	return rejected, rejectedAgain
 }
 
 // Of those who are sent away in a rush fewer are sent away once more than with one wait for all; in a small one nobody waits
 // longer than that.
 func TestForecast(t *testing.T) {
 	c := qt.New(t)
-	for rate, part := range map[float64]float64{250: 0.3, 400: 0.5, 800: 0.75} {
-		_, fixed := rushOfReturns(rate, func(int64) int64 { return second / 4 }, func(int64) {})
+	for rate, ratio := range map[float64]float64{250: 0.3, 400: 0.5, 800: 0.75} {
+		_, fixed := simulateBurst(rate, func(int64) int64 { return second / 4 }, func(int64) {})
 		var f Forecast
-		away, again := rushOfReturns(rate, func(now int64) int64 { return f.Wait(now, 2*second) }, f.Answered)
-		t.Logf("%.0f a second: %d sent away, %d once more (%d by a fixed wait)", rate, away, again, fixed)
-		c.Check(float64(again) < part*float64(fixed), qt.IsTrue)
+		rejected, rejectedAgain := simulateBurst(rate, func(now int64) int64 { return f.Wait(now, 2*second) }, f.Answered)
+		t.Logf("%.0f a second: %d sent away, %d once more (%d by a fixed wait)", rate, rejected, rejectedAgain, fixed)
+		c.Check(float64(rejectedAgain) < ratio*float64(fixed), qt.IsTrue)
 	}
 	var f Forecast
 	c.Check(f.Wait(0, second) <= second, qt.IsTrue) // nothing is known yet
--- a/internal/proxy/endpoint/hosts.go
+++ b/internal/proxy/endpoint/hosts.go
@@ -38,7 +38,7 @@
 			Capacity: float64(max(1, h.Slots)),
 			Build:    int(build),
 			Health:   health,
-			Distance: t.Ring(h.Zone),
+			Distance: t.ZoneDistance(h.Zone),
 		})
 	}
 	return hosts
@@ -93,28 +93,28 @@
 	return services
 }
 
-// silentHostLifetime is for how long a silent or missing host is known, nanoseconds: nobody announces its end, as it may be heard again.
-const silentHostLifetime = int64(600e9)
+// staleHostLifetime is for how long a silent or missing host is known, nanoseconds: nobody announces its end, as it may be heard again.
+const staleHostLifetime = int64(600e9)
 
-// RemoveStale takes hosts that have been silent or missing for silentHostLifetime for gone, and returns their services. A later change
+// RemoveStale takes hosts that have been silent or missing for staleHostLifetime for gone, and returns their services. A later change
 // of such a host makes it known again. It is to be called every so often.
 func (t *Table) RemoveStale(now int64) map[string]bool {
 	services := map[string]bool{}
 	for id, h := range t.Instances {
-		since, known := t.silentSince[id]
-		silent := h.State != instance.Gone && (h.Unresponsive || t.missing[id])
+		since, known := t.staleSince[id]
+		stale := h.State != instance.Gone && (h.Unresponsive || t.missing[id])
 		switch {
-		case !silent:
-			delete(t.silentSince, id)
+		case !stale:
+			delete(t.staleSince, id)
 		case !known:
-			t.silentSince[id] = now
-		case now-since > silentHostLifetime:
+			t.staleSince[id] = now
+		case now-since > staleHostLifetime:
 			h.State = instance.Gone
 			t.Instances[id] = h
 			services[h.Service] = true
 		}
 	}
-	maps.DeleteFunc(t.silentSince, func(id string, _ int64) bool { return t.Instances[id].ID == "" })
+	maps.DeleteFunc(t.staleSince, func(id string, _ int64) bool { return t.Instances[id].ID == "" })
 	return services
 }
 
--- a/internal/proxy/endpoint/missing_host_test.go
+++ b/internal/proxy/endpoint/missing_host_test.go
@@ -13,18 +13,18 @@
 // A proxy moves to a control process that hasn't heard yet of a host that the former one has announced, and applies its snapshot: the host
 // takes nothing. Once the process has heard of it and says so, it does again, also where it has had no later heartbeat; what its owner says
 // of it, that it is silent or gone, holds as before.
-func TestHostMissingInASnapshot(t *testing.T) {
+func TestHostMissingFromSnapshot(t *testing.T) {
 	host := func(sequence uint64, silent bool, state instance.State) update.Change {
 		return update.Change{Instance: &instance.Instance{ID: "h", Service: "desk", Address: "10.0.0.1:1", Zone: "z0", Slots: 3, Sequence: sequence, Unresponsive: silent, State: state, Owner: "a"}}
 	}
 	other := update.Change{Instance: &instance.Instance{ID: "x", Service: "desk", Zone: "z0", Slots: 3, Sequence: 9, Owner: "a"}}
-	type take struct {
-		notes    []update.Change
+	type step struct {
+		changes  []update.Change
 		snapshot bool
 		want     decision.Health
 		changed  bool // the service's hosts are to be looked at anew
 	}
-	for name, takes := range map[string][]take{
+	for name, steps := range map[string][]step{
 		"named a little later":       {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(1, false, instance.Ready)}, false, decision.Ready, true}},
 		"in the next snapshot":       {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{other, host(1, false, instance.Ready)}, true, decision.Ready, true}},
 		"named, a later heartbeat":   {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(4, false, instance.Ready)}, false, decision.Ready, true}},
@@ -37,12 +37,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			b := NewTable("front", Location{Zone: "z0", Region: "r0"}, map[string]string{"z0": "r0"})
-			b.Apply([]update.Change{other, host(1, false, instance.Ready)}, true)
-			for n, x := range takes {
-				got := b.Apply(x.notes, x.snapshot)
+			table := NewTable("front", Location{Zone: "z0", Region: "r0"}, map[string]string{"z0": "r0"})
+			table.Apply([]update.Change{other, host(1, false, instance.Ready)}, true)
+			for n, x := range steps {
+				got := table.Apply(x.changes, x.snapshot)
 				c.Check(got.Services["desk"], qt.Equals, x.changed, qt.Commentf("step %d", n))
-				for _, h := range b.Hosts("desk") {
+				for _, h := range table.Hosts("desk") {
 					if h.Name == "h" {
 						c.Check(h.Health, qt.Equals, x.want, qt.Commentf("step %d", n))
 					} else {
@@ -57,28 +57,28 @@
 // A host that is silent or missing for ten minutes is taken for gone, and known anew by a later word.
 func TestRemoveStale(t *testing.T) {
 	c := qt.New(t)
-	b := NewTable("front", Location{Zone: "z0", Region: "r0"}, map[string]string{"z0": "r0"})
-	note := func(id string, sequence uint64, silent bool) update.Change {
+	table := NewTable("front", Location{Zone: "z0", Region: "r0"}, map[string]string{"z0": "r0"})
+	hostChange := func(id string, sequence uint64, silent bool) update.Change {
 		return update.Change{Instance: &instance.Instance{ID: id, Service: "desk", Zone: "z0", Slots: 3, Sequence: sequence, Unresponsive: silent, Owner: "a"}}
 	}
-	b.Apply([]update.Change{note("back", 1, true), note("missing", 1, false), note("silent", 1, true), note("well", 1, false)}, true)
-	b.Apply([]update.Change{note("back", 1, true), note("silent", 1, true), note("well", 1, false)}, true)
+	table.Apply([]update.Change{hostChange("back", 1, true), hostChange("missing", 1, false), hostChange("silent", 1, true), hostChange("well", 1, false)}, true)
+	table.Apply([]update.Change{hostChange("back", 1, true), hostChange("silent", 1, true), hostChange("well", 1, false)}, true)
 	const minute = int64(60e9)
 	for n := range int64(11) {
 		if n == 5 {
-			b.Apply([]update.Change{note("back", 2, false)}, false)
+			table.Apply([]update.Change{hostChange("back", 2, false)}, false)
 		}
-		c.Check(b.RemoveStale(n*minute), qt.HasLen, 0, qt.Commentf("minute %d", n))
+		c.Check(table.RemoveStale(n*minute), qt.HasLen, 0, qt.Commentf("minute %d", n))
 	}
-	c.Check(b.RemoveStale(11*minute), qt.DeepEquals, map[string]bool{"desk": true})
+	c.Check(table.RemoveStale(11*minute), qt.DeepEquals, map[string]bool{"desk": true})
 	health := map[string]decision.Health{}
-	for _, h := range b.Hosts("desk") {
+	for _, h := range table.Hosts("desk") {
 		health[h.Name] = h.Health
 	}
 	c.Check(health, qt.DeepEquals, map[string]decision.Health{"back": decision.Ready, "missing": decision.Gone, "silent": decision.Gone, "well": decision.Ready})
-	b.ForgetGone("desk")
-	c.Check(b.RemoveStale(12*minute), qt.HasLen, 0)
-	c.Check(len(b.Instances)+len(b.silentSince)+len(b.missing), qt.Equals, 2)
-	c.Check(b.Apply([]update.Change{note("silent", 7, false)}, false).Services["desk"], qt.IsTrue)
-	c.Check(b.Hosts("desk"), qt.HasLen, 3)
+	table.ForgetGone("desk")
+	c.Check(table.RemoveStale(12*minute), qt.HasLen, 0)
+	c.Check(len(table.Instances)+len(table.staleSince)+len(table.missing), qt.Equals, 2)
+	c.Check(table.Apply([]update.Change{hostChange("silent", 7, false)}, false).Services["desk"], qt.IsTrue)
+	c.Check(table.Hosts("desk"), qt.HasLen, 3)
 }
--- a/internal/proxy/endpoint/position_test.go
+++ b/internal/proxy/endpoint/position_test.go
@@ -16,102 +16,102 @@
 	return config.Item{Kind: config.KindRoutes, Name: name, Version: version, Body: fmt.Appendf(nil, `{"v":%d}`, version)}
 }
 
-func changesOf(items ...config.Item) (notes []update.Change) {
+func changesOf(items ...config.Item) (changes []update.Change) {
 	for _, i := range items {
-		notes = append(notes, update.Change{Item: &i})
+		changes = append(changes, update.Change{Item: &i})
 	}
-	return notes
+	return changes
 }
 
 // A router that was cut off while a route was dropped, and so many others that the drop was forgotten, has it no longer after
 // the snapshot; without marks, as before, it kept it for good.
-func TestDroppedWhileAway(t *testing.T) {
-	for _, marked := range []bool{false, true} {
+func TestItemRemovedWhileDisconnected(t *testing.T) {
+	for _, withPosition := range []bool{false, true} {
 		c := qt.New(t)
-		b := newTestTable()
+		table := newTestTable()
 		at := func(number uint64) Position {
-			if !marked {
+			if !withPosition {
 				return Position{}
 			}
 			return Position{1, number}
 		}
-		b.ApplyAt(at(5), changesOf(testRoute("old", 1), testRoute("kept", 1)), true)
-		changes := b.ApplyAt(at(20000), changesOf(testRoute("kept", 1), config.Item{Kind: config.KindRoutes, Name: "d", Version: 9, Deleted: true}), true)
-		_, there := b.Set.Lookup(config.Key{Kind: config.KindRoutes, Name: "old"})
-		c.Check(there, qt.Equals, !marked)
+		table.ApplyAt(at(5), changesOf(testRoute("old", 1), testRoute("kept", 1)), true)
+		changes := table.ApplyAt(at(20000), changesOf(testRoute("kept", 1), config.Item{Kind: config.KindRoutes, Name: "d", Version: 9, Deleted: true}), true)
+		_, there := table.Set.Lookup(config.Key{Kind: config.KindRoutes, Name: "old"})
+		c.Check(there, qt.Equals, !withPosition)
 		c.Check(changes.Routing, qt.IsTrue)
-		c.Check(b.Set.Len() == 2, qt.Equals, marked)
+		c.Check(table.Set.Len() == 2, qt.Equals, withPosition)
 	}
 }
 
 // News of an earlier mark, from a control process that is a little behind, takes no item back, not by a snapshot nor by the
 // changes after it; hosts and routers are taken from it all the same. A higher epoch goes before any number.
-func TestNeverBack(t *testing.T) {
+func TestOutdatedUpdate(t *testing.T) {
 	c := qt.New(t)
-	b := newTestTable()
+	table := newTestTable()
 	version := func() uint64 {
-		i, _ := b.Set.Lookup(config.Key{Kind: config.KindRoutes, Name: "r"})
+		i, _ := table.Set.Lookup(config.Key{Kind: config.KindRoutes, Name: "r"})
 		return i.Version
 	}
-	b.ApplyAt(Position{2, 10}, changesOf(testRoute("r", 7), testRoute("s", 1)), true)
+	table.ApplyAt(Position{2, 10}, changesOf(testRoute("r", 7), testRoute("s", 1)), true)
 	host := update.Change{Instance: &instance.Instance{ID: "h", Service: "desk", Zone: "a", Sequence: 1}}
-	changes := b.ApplyAt(Position{2, 8}, append(changesOf(testRoute("r", 6)), host), true)
+	changes := table.ApplyAt(Position{2, 8}, append(changesOf(testRoute("r", 6)), host), true)
 	c.Check(changes.Routing, qt.IsFalse)
 	c.Check(changes.Services["desk"], qt.IsTrue)
 	c.Check(version(), qt.Equals, uint64(7))
-	c.Check(b.Set.Len(), qt.Equals, 2)
-	b.ApplyAt(Position{2, 9}, changesOf(testRoute("r", 6)), false)
+	c.Check(table.Set.Len(), qt.Equals, 2)
+	table.ApplyAt(Position{2, 9}, changesOf(testRoute("r", 6)), false)
 	c.Check(version(), qt.Equals, uint64(7))
-	b.ApplyAt(Position{2, 11}, changesOf(testRoute("r", 7), testRoute("r", 8)), false) // across what it had
+	table.ApplyAt(Position{2, 11}, changesOf(testRoute("r", 7), testRoute("r", 8)), false) // across what it had
 	c.Check(version(), qt.Equals, uint64(8))
-	b.ApplyAt(Position{1, 400}, changesOf(testRoute("r", 2)), true) // a disk from before
+	table.ApplyAt(Position{1, 400}, changesOf(testRoute("r", 2)), true) // a disk from before
 	c.Check(version(), qt.Equals, uint64(8))
-	c.Check(b.Position(), qt.Equals, Position{2, 11})
-	b.ApplyAt(Position{3, 1}, changesOf(testRoute("r", 5)), true) // what operators restored
+	c.Check(table.Position(), qt.Equals, Position{2, 11})
+	table.ApplyAt(Position{3, 1}, changesOf(testRoute("r", 5)), true) // what operators restored
 	c.Check(version(), qt.Equals, uint64(5))
-	c.Check(b.Set.Len(), qt.Equals, 1)
+	c.Check(table.Set.Len(), qt.Equals, 1)
 }
 
 // Drawn histories: a router goes from one control process to another, each of which has applied some of the changes, takes
 // snapshots and batches, some of them twice; it never goes back, and has at its mark just what the core had there.
-func TestFollowsTheOrder(t *testing.T) {
+func TestItemsMatchPosition(t *testing.T) {
 	c := qt.New(t)
-	passed := 0
+	checked := 0
 	for seed := range uint64(200) {
 		draw := rand.New(rand.NewPCG(seed, 3))
 		var changes [][]config.Item // by number, from 1
-		sums := []uint64{config.NewSet().Checksum()}
-		core := config.NewSet()
-		holds := []*config.Set{core.Clone()}
+		checksums := []uint64{config.NewSet().Checksum()}
+		decided := config.NewSet()
+		sets := []*config.Set{decided.Clone()}
 		for n := range 60 {
 			change := []config.Item{testRoute(fmt.Sprint("r", draw.IntN(6)), uint64(n+1))}
 			if draw.IntN(3) == 0 {
 				change[0].Deleted, change[0].Body = true, nil
 			}
-			core.Apply(change)
+			decided.Apply(change)
 			changes = append(changes, change)
-			sums = append(sums, core.Checksum())
-			holds = append(holds, core.Clone())
+			checksums = append(checksums, decided.Checksum())
+			sets = append(sets, decided.Clone())
 		}
-		b := newTestTable()
-		have := 0 // of the control process that it follows
+		table := newTestTable()
+		applied := 0 // of the control process that it follows
 		for range 80 {
-			before := b.Position()
-			if draw.IntN(8) == 0 || have == 0 { // another control process, which may be behind
-				have = max(1, min(60, int(b.Position().Number)+draw.IntN(9)-4))
-				b.ApplyAt(Position{1, uint64(have)}, changesOf(holds[have].All()...), true)
-			} else if to := min(60, have+draw.IntN(4)); to > have {
+			before := table.Position()
+			if draw.IntN(8) == 0 || applied == 0 { // another control process, which may be behind
+				applied = max(1, min(60, int(table.Position().Number)+draw.IntN(9)-4))
+				table.ApplyAt(Position{1, uint64(applied)}, changesOf(sets[applied].All()...), true)
+			} else if to := min(60, applied+draw.IntN(4)); to > applied {
 				var all []config.Item
-				for _, change := range changes[have:to] {
+				for _, change := range changes[applied:to] {
 					all = append(all, change...)
 				}
-				b.ApplyAt(Position{1, uint64(to)}, changesOf(all...), false)
-				have = to
+				table.ApplyAt(Position{1, uint64(to)}, changesOf(all...), false)
+				applied = to
 			}
-			c.Assert(b.Position().Before(before), qt.IsFalse)
-			c.Assert(b.Set.Checksum(), qt.Equals, sums[b.Position().Number], qt.Commentf("seed %d at %v", seed, b.Position()))
-			passed++
+			c.Assert(table.Position().Before(before), qt.IsFalse)
+			c.Assert(table.Set.Checksum(), qt.Equals, checksums[table.Position().Number], qt.Commentf("seed %d at %v", seed, table.Position()))
+			checked++
 		}
 	}
-	c.Check(passed, qt.Equals, 200*80)
+	c.Check(checked, qt.Equals, 200*80)
 }
--- a/internal/proxy/endpoint/share.go
+++ b/internal/proxy/endpoint/share.go
@@ -94,9 +94,9 @@
 		}
 		return p.Weight
 	}
-	sum, own := 0, 0
+	total, own := 0, 0
 	for _, p := range group {
-		sum += weight(p)
+		total += weight(p)
 		if p.Name == name {
 			own = weight(p)
 		}
@@ -104,32 +104,32 @@
 	if n <= 0 || own <= 0 {
 		return 0
 	}
-	share, left := n*own/sum, n
+	share, remaining := n*own/total, n
 	for _, p := range group {
-		left -= n * weight(p) / sum
+		remaining -= n * weight(p) / total
 	}
-	remainder := n * own % sum
-	if left == 0 || remainder == 0 {
+	remainder := n * own % total
+	if remaining == 0 || remainder == 0 {
 		return share
 	}
-	order, before := remainderOrder(host, name, remainder), 0
+	position, ahead := remainderPosition(host, name, remainder), 0
 	for _, p := range group {
-		other := n * weight(p) % sum
+		other := n * weight(p) % total
 		if other == 0 || p.Name == name {
 			continue
 		}
-		if x := remainderOrder(host, p.Name, other); x < order || x == order && p.Name < name {
-			before++
+		if x := remainderPosition(host, p.Name, other); x < position || x == position && p.Name < name {
+			ahead++
 		}
 	}
-	if before < left {
+	if ahead < remaining {
 		share++
 	}
 	return share
 }
 
-// remainderOrder is a proxy's place in the order of remainders at a host: by a hash, and the sooner the greater its remainder.
-func remainderOrder(host, name string, remainder int) uint64 {
+// remainderPosition is a proxy's place in the order of remainders at a host: by a hash, and the sooner the greater its remainder.
+func remainderPosition(host, name string, remainder int) uint64 {
 	return hashPair(host, name) >> 24 / uint64(remainder)
 }
 
--- a/internal/proxy/endpoint/share_test.go
+++ b/internal/proxy/endpoint/share_test.go
@@ -12,46 +12,46 @@
 
 // Over all routers the parts at a host never come to more than its bounds: at any number of routers, wherever they are, with
 // a zone's or a region's routers gone; and where routers are few, none of the bound is lost.
-func TestPartsAddUp(t *testing.T) {
+func TestSharesWithinBounds(t *testing.T) {
 	c := qt.New(t)
 	for _, n := range []int{6, 13, 92, 300} {
 		for _, lost := range []string{"", "z0", "r0"} {
-			regions, all := map[string]string{}, ProxyList{}
+			regions, proxies := map[string]string{}, ProxyList{}
 			for z := range 6 {
 				regions[fmt.Sprint("z", z)] = fmt.Sprint("r", z/2)
 			}
 			for i := range n {
 				z := fmt.Sprint("z", i%6)
 				if z != lost && regions[z] != lost {
-					all[z] = append(all[z], Proxy{fmt.Sprint("router-", i), 1})
+					proxies[z] = append(proxies[z], Proxy{fmt.Sprint("router-", i), 1})
 				}
 			}
-			terms := ColdBounds{Overrun: 1.5, Slack: 5, PerSecond: 5.4}
-			least := 1000
-			uses := map[string]int{}
+			bounds := ColdBounds{Overrun: 1.5, Slack: 5, PerSecond: 5.4}
+			minConcurrent := 1000
+			hostsUsed := map[string]int{}
 			for host := range 40 {
 				h := instance.Instance{ID: fmt.Sprint("host-", host), Zone: "z0", Slots: 3}
-				open, cold := 0, 0
-				for z, routers := range all {
-					for _, r := range routers {
+				concurrent, cold := 0, 0
+				for z, zoneProxies := range proxies {
+					for _, r := range zoneProxies {
 						name := r.Name
-						p := ShareOf(h, name, Location{z, regions[z]}, regions, all, terms)
-						open += p.Concurrent
+						p := ShareOf(h, name, Location{z, regions[z]}, regions, proxies, bounds)
+						concurrent += p.Concurrent
 						cold += p.ColdPerSecond
 						if p.Concurrent > 0 {
-							uses[name]++
+							hostsUsed[name]++
 						}
 					}
 				}
 				c.Check(cold, qt.Equals, 11, qt.Commentf("%d routers, lost %q: a second at a cold host", n, lost))
-				c.Check(open <= (ownZoneDepth+sameRegionDepth+otherRegionDepth)*h.Slots, qt.IsTrue, qt.Commentf("%d routers, lost %q: %d open", n, lost, open))
-				least = min(least, open)
+				c.Check(concurrent <= (ownZoneDepth+sameRegionDepth+otherRegionDepth)*h.Slots, qt.IsTrue, qt.Commentf("%d routers, lost %q: %d open", n, lost, concurrent))
+				minConcurrent = min(minConcurrent, concurrent)
 			}
-			c.Check(least >= otherRegionDepth*3, qt.IsTrue, qt.Commentf("%d routers, lost %q: only %d open", n, lost, least))
-			for z, routers := range all {
-				for _, r := range routers {
+			c.Check(minConcurrent >= otherRegionDepth*3, qt.IsTrue, qt.Commentf("%d routers, lost %q: only %d open", n, lost, minConcurrent))
+			for z, zoneProxies := range proxies {
+				for _, r := range zoneProxies {
 					if name := r.Name; n < 300 {
-						c.Check(uses[name] > 0, qt.IsTrue, qt.Commentf("%s of %s may use none of 40 hosts", name, z))
+						c.Check(hostsUsed[name] > 0, qt.IsTrue, qt.Commentf("%s of %s may use none of 40 hosts", name, z))
 					}
 				}
 			}
@@ -60,110 +60,110 @@
 }
 
 // When a router comes, few parts move: about its own.
-func TestFewPartsMove(t *testing.T) {
+func TestFewSharesMove(t *testing.T) {
 	c := qt.New(t)
 	regions := map[string]string{"z0": "r0"}
-	var routers []Proxy
+	var proxies []Proxy
 	for i := range 20 {
-		routers = append(routers, Proxy{fmt.Sprint("router-", i), 1})
+		proxies = append(proxies, Proxy{fmt.Sprint("router-", i), 1})
 	}
-	moved, held := 0, 0
+	moved, total := 0, 0
 	for host := range 200 {
 		h := instance.Instance{ID: fmt.Sprint("host-", host), Zone: "z0", Slots: 3}
-		for _, r := range routers {
+		for _, r := range proxies {
 			name := r.Name
-			part := func(n int) int {
-				return ShareOf(h, name, Location{"z0", "r0"}, regions, ProxyList{"z0": routers[:n]}, ColdBounds{}).Concurrent
+			share := func(n int) int {
+				return ShareOf(h, name, Location{"z0", "r0"}, regions, ProxyList{"z0": proxies[:n]}, ColdBounds{}).Concurrent
 			}
-			if a, b := part(19), part(20); name != "router-19" {
-				held += a
+			if a, b := share(19), share(20); name != "router-19" {
+				total += a
 				moved += max(a-b, b-a)
 			}
 		}
 	}
-	c.Check(moved*10 < held, qt.IsTrue, qt.Commentf("%d of %d moved", moved, held))
+	c.Check(moved*10 < total, qt.IsTrue, qt.Commentf("%d of %d moved", moved, total))
 }
 
 // What is lent adds up too: at no moment have all routers together more than a host's bounds, though each hears at another
 // time who is short and who isn't any more; and the one that is short gets more.
-func TestLentPartsAddUp(t *testing.T) {
+func TestBorrowedSharesWithinBounds(t *testing.T) {
 	c := qt.New(t)
 	for _, n := range []int{13, 92} {
 		draw := rand.New(rand.NewPCG(uint64(n), 3))
-		regions, usual := map[string]string{}, ProxyList{}
+		regions, evenList := map[string]string{}, ProxyList{}
 		for i := range n {
 			z := fmt.Sprint("z", i%6)
 			regions[z] = fmt.Sprint("r", i%6/2)
-			usual[z] = append(usual[z], Proxy{fmt.Sprint("router-", i), 1})
+			evenList[z] = append(evenList[z], Proxy{fmt.Sprint("router-", i), 1})
 		}
-		weigh := func(short map[string]bool) ProxyList {
-			all := usual.EvenWeights()
-			for _, routers := range all {
-				for i := range routers {
-					if short[routers[i].Name] {
-						routers[i].Weight = BorrowedWeight
+		weightedBy := func(short map[string]bool) ProxyList {
+			proxies := evenList.EvenWeights()
+			for _, zoneProxies := range proxies {
+				for i := range zoneProxies {
+					if short[zoneProxies[i].Name] {
+						zoneProxies[i].Weight = BorrowedWeight
 					}
 				}
 			}
-			return all
+			return proxies
 		}
-		type router struct {
-			name string
-			zone string
-			is   ProxyList
-			past History
-			next []FormerList // what it will hear, and when
+		type proxy struct {
+			name    string
+			zone    string
+			list    ProxyList
+			history History
+			pending []FormerList // what it will hear, and when
 		}
-		var all []*router
-		for z, routers := range usual {
-			for _, r := range routers {
-				all = append(all, &router{name: r.Name, zone: z, is: usual})
+		var proxies []*proxy
+		for z, zoneProxies := range evenList {
+			for _, r := range zoneProxies {
+				proxies = append(proxies, &proxy{name: r.Name, zone: z, list: evenList})
 			}
 		}
 		hosts := []instance.Instance{{ID: "host-1", Zone: "z0", Slots: 3}, {ID: "host-2", Zone: "z1", Slots: 3}, {ID: "host-3", Zone: "z5", Slots: 5}}
 		short := map[string]bool{}
 		for now := int64(0); now < 40*second; now += second / 10 {
 			if draw.IntN(20) == 0 {
-				name := all[draw.IntN(len(all))].name
+				name := proxies[draw.IntN(len(proxies))].name
 				short[name] = !short[name]
-				announced := weigh(short)
-				for _, r := range all { // within a second, and in order
+				announced := weightedBy(short)
+				for _, r := range proxies { // within a second, and in order
 					at := now + int64(draw.Float64()*0.95*float64(second))
-					if len(r.next) > 0 {
-						at = max(at, r.next[len(r.next)-1].Until)
+					if len(r.pending) > 0 {
+						at = max(at, r.pending[len(r.pending)-1].Until)
 					}
-					r.next = append(r.next, FormerList{Proxies: announced, Until: at})
+					r.pending = append(r.pending, FormerList{Proxies: announced, Until: at})
 				}
 			}
-			open := make([]int, len(hosts))
-			for _, r := range all {
-				for len(r.next) > 0 && r.next[0].Until <= now {
-					r.past = r.past.Append(now, r.is, true)
-					r.is, r.next = r.next[0].Proxies, r.next[1:]
+			concurrent := make([]int, len(hosts))
+			for _, r := range proxies {
+				for len(r.pending) > 0 && r.pending[0].Until <= now {
+					r.history = r.history.Append(now, r.list, true)
+					r.list, r.pending = r.pending[0].Proxies, r.pending[1:]
 				}
 				for i, h := range hosts {
-					part := func(x ProxyList) int {
+					share := func(x ProxyList) int {
 						return ShareOf(h, r.name, Location{r.zone, regions[r.zone]}, regions, x, ColdBounds{}).Concurrent
 					}
-					least, until := r.past.LeastConcurrent(now, r.is, part)
+					least, until := r.history.LeastConcurrent(now, r.list, share)
 					c.Assert(until > now, qt.IsTrue)
-					open[i] += least
+					concurrent[i] += least
 				}
 			}
 			for i, h := range hosts {
-				c.Assert(open[i] <= (ownZoneDepth+sameRegionDepth+otherRegionDepth)*h.Slots, qt.IsTrue, qt.Commentf("%d routers, %d at %s", n, open[i], h.ID))
+				c.Assert(concurrent[i] <= (ownZoneDepth+sameRegionDepth+otherRegionDepth)*h.Slots, qt.IsTrue, qt.Commentf("%d routers, %d at %s", n, concurrent[i], h.ID))
 			}
 		}
-		gains, usually := 0, 0
+		borrowedTotal, evenTotal := 0, 0
 		for host := range 40 {
 			h := instance.Instance{ID: fmt.Sprint("host-", host), Zone: "z0", Slots: 3}
-			part := func(x ProxyList) int {
+			share := func(x ProxyList) int {
 				return ShareOf(h, "router-0", Location{"z0", "r0"}, regions, x, ColdBounds{}).Concurrent
 			}
-			usually += part(usual)
-			gains += part(weigh(map[string]bool{"router-0": true}))
+			evenTotal += share(evenList)
+			borrowedTotal += share(weightedBy(map[string]bool{"router-0": true}))
 		}
-		c.Check(float64(gains) > 1.3*float64(usually), qt.IsTrue, qt.Commentf("%d routers: %d for %d", n, gains, usually))
+		c.Check(float64(borrowedTotal) > 1.3*float64(evenTotal), qt.IsTrue, qt.Commentf("%d routers: %d for %d", n, borrowedTotal, evenTotal))
 	}
 }
 
@@ -173,19 +173,19 @@
 	c := qt.New(t)
 	var s Shortage
 	for i, x := range []struct {
-		all, away, over int
-		want            bool
+		all, otherZone, overShare int
+		want                      bool
 	}{
 		{100, 3, 0, false}, {10, 3, 0, false}, {100, 20, 0, false}, {100, 21, 0, false}, {100, 21, 0, false}, {100, 9, 0, false},
 		{100, 21, 0, false}, {100, 21, 0, false}, {100, 21, 0, true}, {100, 0, 9, true},
 		{50, 0, 0, true}, {50, 0, 1, true},
 		{9, 0, 0, true}, {9, 0, 0, true}, {9, 0, 0, true}, {9, 0, 0, true}, {9, 0, 0, true}, {9, 0, 0, true}, {9, 0, 0, true}, {9, 0, 0, false},
 	} {
-		c.Check(s.Check(x.all, x.away, x.over), qt.Equals, x.want, qt.Commentf("look %d", i))
+		c.Check(s.Check(x.all, x.otherZone, x.overShare), qt.Equals, x.want, qt.Commentf("look %d", i))
 	}
 }
 
-func TestWindow(t *testing.T) {
+func TestSlidingWindow(t *testing.T) {
 	c := qt.New(t)
 	var w SlidingWindow
 	sent := []int64{}
--- a/internal/proxy/endpoint/shortage.go
+++ b/internal/proxy/endpoint/shortage.go
@@ -18,8 +18,8 @@
 
 // Check takes what was sent since the last check: in all, to other zones though the request might have stayed, and to hosts that had
 // more than the even share then. It reports whether the proxy is short now.
-func (s *Shortage) Check(all, otherZone, overShare int) bool {
-	if otherZone >= minSpill && otherZone*minSpillDivisor > all {
+func (s *Shortage) Check(total, otherZone, overShare int) bool {
+	if otherZone >= minSpill && otherZone*minSpillDivisor > total {
 		s.spillChecks++
 	} else {
 		s.spillChecks = 0
--- a/internal/proxy/endpoint/table.go
+++ b/internal/proxy/endpoint/table.go
@@ -33,7 +33,7 @@
 	onProbation   map[string]bool                // of Ejections, those that the decision engines know to be on probation
 	byService     map[string]map[string]bool     // ids of the known hosts, by service
 	missing       map[string]bool                // hosts that the last snapshot didn't name, and no change since
-	silentSince   map[string]int64               // hosts that are silent or missing, and since when that has been seen
+	staleSince    map[string]int64               // hosts that are silent or missing, and since when that has been seen
 	rolloutStarts map[string]update.RolloutStart // when a service's newest rollout began, by this process's clock
 }
 
@@ -50,13 +50,13 @@
 		onProbation:   map[string]bool{},
 		byService:     map[string]map[string]bool{},
 		missing:       map[string]bool{},
-		silentSince:   map[string]int64{},
+		staleSince:    map[string]int64{},
 		rolloutStarts: map[string]update.RolloutStart{},
 	}
 }
 
-// Ring is how far a zone is: 0 this one, 1 in this region, 2 beyond.
-func (t *Table) Ring(zone string) int {
+// ZoneDistance is how far a zone is: 0 this one, 1 in this region, 2 beyond.
+func (t *Table) ZoneDistance(zone string) int {
 	switch {
 	case zone == t.self.Zone:
 		return 0
--- a/internal/proxy/endpoint/table_test.go
+++ b/internal/proxy/endpoint/table_test.go
@@ -18,20 +18,20 @@
 }
 
 // Routers lend to those that are short, unless more than half of a zone's are: then nobody has anything to lend.
-func TestWhichProxiesLend(t *testing.T) {
+func TestBorrowedWeights(t *testing.T) {
 	for short, want := range map[int]int{0: 1, 1: BorrowedWeight, 2: BorrowedWeight, 3: 1, 4: 1} {
 		c := qt.New(t)
-		b := newTestTable()
+		table := newTestTable()
 		for i := range 4 {
 			for _, z := range []string{"a", "b"} {
-				b.Apply([]update.Change{{Proxy: &update.Proxy{Name: fmt.Sprint(z, i), Zone: z, Ready: true, RegisteredAt: 1, LacksCapacity: z == "a" && i < short}}}, false)
+				table.Apply([]update.Change{{Proxy: &update.Proxy{Name: fmt.Sprint(z, i), Zone: z, Ready: true, RegisteredAt: 1, LacksCapacity: z == "a" && i < short}}}, false)
 			}
 		}
-		_, _, all, counted := b.ProxyRank()
+		_, _, list, counted := table.ProxyRank()
 		c.Check(counted, qt.IsTrue)
-		c.Check(all["a"][0].Weight, qt.Equals, want, qt.Commentf("%d short", short))
-		c.Check(all["a"][3].Weight, qt.Equals, 1)
-		c.Check(all["b"][0].Weight, qt.Equals, 1)
+		c.Check(list["a"][0].Weight, qt.Equals, want, qt.Commentf("%d short", short))
+		c.Check(list["a"][3].Weight, qt.Equals, 1)
+		c.Check(list["b"][0].Weight, qt.Equals, 1)
 	}
 }
 
@@ -39,53 +39,53 @@
 // judgement changes nothing.
 func TestEjectedHosts(t *testing.T) {
 	c := qt.New(t)
-	b := newTestTable()
-	b.Apply([]update.Change{{Instance: &instance.Instance{ID: "h", Service: "desk", Zone: "a", Sequence: 1}}}, false)
-	health := func() decision.Health { return b.Hosts("desk")[0].Health }
+	table := newTestTable()
+	table.Apply([]update.Change{{Instance: &instance.Instance{ID: "h", Service: "desk", Zone: "a", Sequence: 1}}}, false)
+	health := func() decision.Health { return table.Hosts("desk")[0].Health }
 	c.Check(health(), qt.Equals, decision.Ready)
-	changes := b.Apply([]update.Change{{Ejection: &outlier.Ejection{ID: "h", Service: "desk", EjectedUntil: 100e9, ProbationUntil: 150e9}}}, false)
+	changes := table.Apply([]update.Change{{Ejection: &outlier.Ejection{ID: "h", Service: "desk", EjectedUntil: 100e9, ProbationUntil: 150e9}}}, false)
 	c.Check(changes.Services["desk"], qt.IsTrue)
 	c.Check(health(), qt.Equals, decision.Draining)
-	c.Check(b.EndEjections(99e9), qt.HasLen, 0)
-	b.Apply([]update.Change{{Ejection: &outlier.Ejection{ID: "h", Service: "desk", EjectedUntil: 90e9, ProbationUntil: 95e9}}}, false)
+	c.Check(table.EndEjections(99e9), qt.HasLen, 0)
+	table.Apply([]update.Change{{Ejection: &outlier.Ejection{ID: "h", Service: "desk", EjectedUntil: 90e9, ProbationUntil: 95e9}}}, false)
 	c.Check(health(), qt.Equals, decision.Draining)
-	changes = b.Apply([]update.Change{{Ejection: &outlier.Ejection{ID: "h", Service: "desk", EjectedUntil: 100.1e9, ProbationUntil: 150.1e9}}}, false) // the same by another way
+	changes = table.Apply([]update.Change{{Ejection: &outlier.Ejection{ID: "h", Service: "desk", EjectedUntil: 100.1e9, ProbationUntil: 150.1e9}}}, false) // the same by another way
 	c.Check(changes.Services, qt.HasLen, 0)
-	c.Check(b.EndEjections(100e9)["desk"], qt.IsTrue)
-	c.Check(b.EndEjections(101e9), qt.HasLen, 0)
+	c.Check(table.EndEjections(100e9)["desk"], qt.IsTrue)
+	c.Check(table.EndEjections(101e9), qt.HasLen, 0)
 	c.Check(health(), qt.Equals, decision.Ready)
-	b.Apply([]update.Change{{Ejection: &outlier.Ejection{ID: "h", Service: "desk", EjectedUntil: 300e9, ProbationUntil: 350e9}}}, false)
+	table.Apply([]update.Change{{Ejection: &outlier.Ejection{ID: "h", Service: "desk", EjectedUntil: 300e9, ProbationUntil: 350e9}}}, false)
 	c.Check(health(), qt.Equals, decision.Draining)
-	b.EndEjections(400e9)
+	table.EndEjections(400e9)
 	c.Check(health(), qt.Equals, decision.Ready)
-	c.Check(b.Ejections, qt.HasLen, 0)
+	c.Check(table.Ejections, qt.HasLen, 0)
 }
 
-// manyHosts is a board that knows so many hosts of a hundred services.
-func manyHosts(hosts int) *Table {
-	b := newTestTable()
+// tableWithHosts is a board that knows so many hosts of a hundred services.
+func tableWithHosts(hosts int) *Table {
+	table := newTestTable()
 	for n := range hosts {
-		b.Apply([]update.Change{{Instance: &instance.Instance{ID: fmt.Sprintf("h%05d", n), Service: fmt.Sprint("s", min(n/20, 99)), Zone: "a", Sequence: 1}}}, false)
+		table.Apply([]update.Change{{Instance: &instance.Instance{ID: fmt.Sprintf("h%05d", n), Service: fmt.Sprint("s", min(n/20, 99)), Zone: "a", Sequence: 1}}}, false)
 	}
-	return b
+	return table
 }
 
 // What a change of one host costs follows the hosts of its service, and not all hosts: a router that knew 4,200 sorted all of
 // them at each change, and 220 times after a snapshot.
-func TestCostOfHosts(t *testing.T) {
+func TestHostsCostIsPerService(t *testing.T) {
 	c := qt.New(t)
-	bytes := func(b *Table) uint64 {
+	bytes := func(table *Table) uint64 {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		for range 20 {
-			b.Hosts("s3")
-			b.InstancesOf("s3")
-			b.ForgetGone("s3")
+			table.Hosts("s3")
+			table.InstancesOf("s3")
+			table.ForgetGone("s3")
 		}
 		runtime.ReadMemStats(&after)
 		return (after.TotalAlloc - before.TotalAlloc) / 20
 	}
-	few, all := bytes(manyHosts(100)), bytes(manyHosts(2000))
+	few, all := bytes(tableWithHosts(100)), bytes(tableWithHosts(2000))
 	t.Logf("bytes: %d at 100 hosts, %d at 2,000", few, all)
 	c.Check(all < few*2, qt.IsTrue)
 }
@@ -94,47 +94,47 @@
 // that is announced under another service is that one's.
 func TestHostsOfService(t *testing.T) {
 	c := qt.New(t)
-	b := manyHosts(60)
-	c.Check(b.Hosts("s1"), qt.HasLen, 20)
-	b.Apply([]update.Change{{Instance: &instance.Instance{ID: "h00020", Sequence: 2, State: instance.Gone}}}, false) // as a leave tells it
-	c.Check(b.Hosts("s1"), qt.HasLen, 20)
-	c.Check(b.Hosts("s1")[0].Health, qt.Equals, decision.Gone)
-	b.ForgetGone("s1")
-	c.Check(b.Hosts("s1"), qt.HasLen, 19)
-	c.Check(b.InstancesOf("s1"), qt.HasLen, 19)
-	b.Apply([]update.Change{{Instance: &instance.Instance{ID: "h00021", Service: "s2", Zone: "a", Sequence: 2}}}, false)
-	c.Check(b.Hosts("s1"), qt.HasLen, 18)
-	c.Check(b.Hosts("s2"), qt.HasLen, 21)
-	b.Apply([]update.Change{{Instance: &instance.Instance{ID: "h00022", Service: "s1", Zone: "a", Sequence: 1}}}, true)
-	silent := 0
-	for _, h := range b.Hosts("s1") {
+	table := tableWithHosts(60)
+	c.Check(table.Hosts("s1"), qt.HasLen, 20)
+	table.Apply([]update.Change{{Instance: &instance.Instance{ID: "h00020", Sequence: 2, State: instance.Gone}}}, false) // as a leave tells it
+	c.Check(table.Hosts("s1"), qt.HasLen, 20)
+	c.Check(table.Hosts("s1")[0].Health, qt.Equals, decision.Gone)
+	table.ForgetGone("s1")
+	c.Check(table.Hosts("s1"), qt.HasLen, 19)
+	c.Check(table.InstancesOf("s1"), qt.HasLen, 19)
+	table.Apply([]update.Change{{Instance: &instance.Instance{ID: "h00021", Service: "s2", Zone: "a", Sequence: 2}}}, false)
+	c.Check(table.Hosts("s1"), qt.HasLen, 18)
+	c.Check(table.Hosts("s2"), qt.HasLen, 21)
+	table.Apply([]update.Change{{Instance: &instance.Instance{ID: "h00022", Service: "s1", Zone: "a", Sequence: 1}}}, true)
+	missing := 0
+	for _, h := range table.Hosts("s1") {
 		if h.Health == decision.Draining {
-			silent++
+			missing++
 		}
 	}
-	c.Check(silent, qt.Equals, 17) // all that the snapshot doesn't name
-	c.Check(b.Instances, qt.HasLen, 59)
+	c.Check(missing, qt.Equals, 17) // all that the snapshot doesn't name
+	c.Check(table.Instances, qt.HasLen, 59)
 }
 
 // A proxy that is announced anew, and as it was, changes no list; one that comes, goes, is ready, is short or moves does.
-func TestRouterAnnouncedAgain(t *testing.T) {
+func TestProxyAnnouncedAgain(t *testing.T) {
 	c := qt.New(t)
-	b := newTestTable()
-	f := update.Proxy{Name: "b1", Zone: "b", Ready: true, RegisteredAt: 5, Owner: "m1"}
-	take := func(change func()) bool {
+	table := newTestTable()
+	proxy := update.Proxy{Name: "b1", Zone: "b", Ready: true, RegisteredAt: 5, Owner: "m1"}
+	listChanged := func(change func()) bool {
 		change()
-		f.Revision++
-		x := f
-		return b.Apply([]update.Change{{Proxy: &x}}, false).Proxies
+		proxy.Revision++
+		x := proxy
+		return table.Apply([]update.Change{{Proxy: &x}}, false).Proxies
 	}
-	c.Check(take(func() {}), qt.IsTrue)
-	c.Check(take(func() {}), qt.IsFalse)
-	c.Check(take(func() { f.Owner = "m2" }), qt.IsFalse)
-	c.Check(take(func() { f.LacksCapacity = true }), qt.IsTrue)
-	c.Check(take(func() { f.Ready = false }), qt.IsTrue)
-	c.Check(take(func() { f.Ready, f.Zone = true, "a" }), qt.IsTrue)
-	c.Check(take(func() { f.Gone = true }), qt.IsTrue)
-	c.Check(take(func() { f.RegisteredAt, f.Revision, f.Gone = 9, 0, false }), qt.IsTrue)
-	rank, count, _, counted := b.ProxyRank()
+	c.Check(listChanged(func() {}), qt.IsTrue)
+	c.Check(listChanged(func() {}), qt.IsFalse)
+	c.Check(listChanged(func() { proxy.Owner = "m2" }), qt.IsFalse)
+	c.Check(listChanged(func() { proxy.LacksCapacity = true }), qt.IsTrue)
+	c.Check(listChanged(func() { proxy.Ready = false }), qt.IsTrue)
+	c.Check(listChanged(func() { proxy.Ready, proxy.Zone = true, "a" }), qt.IsTrue)
+	c.Check(listChanged(func() { proxy.Gone = true }), qt.IsTrue)
+	c.Check(listChanged(func() { proxy.RegisteredAt, proxy.Revision, proxy.Gone = 9, 0, false }), qt.IsTrue)
+	rank, count, _, counted := table.ProxyRank()
 	c.Check([]any{rank, count, counted}, qt.DeepEquals, []any{1, 2, false})
 }
--- a/internal/proxy/endpoint/tombstones_test.go
+++ b/internal/proxy/endpoint/tombstones_test.go
@@ -10,20 +10,20 @@
 )
 
 // What a router forgets of what was dropped is not noted for a disk that it doesn't have: nothing grows with drops.
-func TestForgottenIsNotKept(t *testing.T) {
+func TestEvictedTombstonesNotRecorded(t *testing.T) {
 	c := qt.New(t)
-	for _, marked := range []bool{false, true} {
-		b := NewTable("front", Location{Zone: "z0", Region: "r0"}, map[string]string{"z0": "r0"})
+	for _, withPosition := range []bool{false, true} {
+		table := NewTable("front", Location{Zone: "z0", Region: "r0"}, map[string]string{"z0": "r0"})
 		var all []config.Item
 		for n := range config.MaxDeleted + 2 {
 			all = append(all, config.Item{Kind: config.KindRoutes, Name: fmt.Sprint("r", n), Version: uint64(n + 1), Deleted: true})
 		}
 		at := Position{}
-		if marked {
+		if withPosition {
 			at = Position{1, 1}
 		}
-		b.ApplyAt(at, changesOf(all...), false)
-		c.Check(b.Set.Len() < len(all), qt.IsTrue)
-		c.Check(b.Set.TakeEvicted(), qt.HasLen, 0)
+		table.ApplyAt(at, changesOf(all...), false)
+		c.Check(table.Set.Len() < len(all), qt.IsTrue)
+		c.Check(table.Set.TakeEvicted(), qt.HasLen, 0)
 	}
 }
--- a/internal/proxy/endpoint/trace_test.go
+++ b/internal/proxy/endpoint/trace_test.go
@@ -13,8 +13,8 @@
 	"portflow/internal/testing/digest"
 )
 
-// drawnNote is one piece of news about few names, so that many are about the same.
-func drawnNote(draw *rand.Rand, now int64) update.Change {
+// randomChange is one piece of news about few names, so that many are about the same.
+func randomChange(draw *rand.Rand, now int64) update.Change {
 	zone := fmt.Sprint("z", draw.IntN(4))
 	service := fmt.Sprint("s", draw.IntN(3))
 	host := fmt.Sprint("h", draw.IntN(12))
@@ -52,35 +52,35 @@
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 50, []string{"289c23d85de978be", "75c24153f12b5473", "2e56f927fd06d87d", "97509e503b119f5c"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
-		b := NewTable("router1", Location{Zone: "z0", Region: "r0"}, map[string]string{"z0": "r0", "z1": "r0", "z2": "r1"})
+		table := NewTable("router1", Location{Zone: "z0", Region: "r0"}, map[string]string{"z0": "r0", "z1": "r0", "z2": "r1"})
 		now := 1000 * second
 		for range 60 {
 			now += draw.Int64N(second / 2)
-			var notes []update.Change
+			var changes []update.Change
 			for range draw.IntN(4) {
-				notes = append(notes, drawnNote(draw, now))
+				changes = append(changes, randomChange(draw, now))
 			}
 			switch draw.IntN(8) {
 			case 0:
-				d.Add(b.Apply(notes, true))
+				d.Add(table.Apply(changes, true))
 			case 1:
-				d.Add(b.Apply(notes, false))
+				d.Add(table.Apply(changes, false))
 			case 2:
-				d.Add(b.EndEjections(now))
+				d.Add(table.EndEjections(now))
 			case 3:
-				d.Add(b.RemoveStale(now))
+				d.Add(table.RemoveStale(now))
 			case 4:
-				b.ForgetGone("s1")
+				table.ForgetGone("s1")
 			default:
-				d.Add(b.ApplyAt(Position{1, uint64(draw.IntN(50))}, notes, draw.IntN(6) == 0))
+				d.Add(table.ApplyAt(Position{1, uint64(draw.IntN(50))}, changes, draw.IntN(6) == 0))
 			}
-			rank, count, list, counted := b.ProxyRank()
-			d.Add(b.Position(), rank, count, list, counted, len(b.Instances), b.Ejections, b.Set.Checksum())
+			rank, count, list, counted := table.ProxyRank()
+			d.Add(table.Position(), rank, count, list, counted, len(table.Instances), table.Ejections, table.Set.Checksum())
 			for n := range 3 {
 				service := fmt.Sprint("s", n)
-				d.Add(b.Hosts(service), b.InstancesOf(service), b.Rollout(service), b.Evacuated(fmt.Sprint("z", n)), b.Ring(fmt.Sprint("z", n)))
+				d.Add(table.Hosts(service), table.InstancesOf(service), table.Rollout(service), table.Evacuated(fmt.Sprint("z", n)), table.ZoneDistance(fmt.Sprint("z", n)))
 				for _, id := range []string{"h1", "h2"} {
-					if h, known := b.Instances[id]; known {
+					if h, known := table.Instances[id]; known {
 						d.Add(ShareOf(h, "router1", Location{"z0", "r0"}, map[string]string{"z0": "r0", "z1": "r0"}, list, ColdBounds{1.5, 5, 5.4}))
 					}
 				}
@@ -93,25 +93,25 @@
 func TestTraceOfParts(t *testing.T) {
 	digest.Pin(t, 50, []string{"d74a85972e05fc81", "cadcb8926acf65f0"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 2))
-		var past History
-		var short Shortage
+		var history History
+		var shortage Shortage
 		var forecast Forecast
 		var window SlidingWindow
 		now := 1000 * second
-		is := ProxyList{}
-		part := func(r ProxyList) int {
+		current := ProxyList{}
+		share := func(r ProxyList) int {
 			return ShareOf(instance.Instance{ID: "h", Zone: "z0", Slots: 3}, "a", Location{"z0", "r0"}, nil, r, ColdBounds{1.5, 5, 5.4}).Concurrent
 		}
 		for range 200 {
 			now += draw.Int64N(second / 10)
 			switch draw.IntN(5) {
 			case 0:
-				past = past.Append(now, is, draw.IntN(4) > 0)
-				is = ProxyList{"z0": {{"a", 1 + draw.IntN(BorrowedWeight)}, {"b", 1 + draw.IntN(BorrowedWeight)}}, "z1": {{"c", 1}}}
-				d.Add(is.EvenWeights())
+				history = history.Append(now, current, draw.IntN(4) > 0)
+				current = ProxyList{"z0": {{"a", 1 + draw.IntN(BorrowedWeight)}, {"b", 1 + draw.IntN(BorrowedWeight)}}, "z1": {{"c", 1}}}
+				d.Add(current.EvenWeights())
 			case 1:
 				all := draw.IntN(50)
-				d.Add(short.Check(all, draw.IntN(all+1), draw.IntN(all+1)))
+				d.Add(shortage.Check(all, draw.IntN(all+1), draw.IntN(all+1)))
 			case 2:
 				forecast.Answered(now)
 			case 3:
@@ -119,8 +119,8 @@
 			default:
 				window.Add(now)
 			}
-			least, until := past.LeastConcurrent(now, is, part)
-			d.Add(least, until, past.LeastCold(now, part), window.Allows(now, 1+draw.IntN(20)))
+			least, until := history.LeastConcurrent(now, current, share)
+			d.Add(least, until, history.LeastCold(now, share), window.Allows(now, 1+draw.IntN(20)))
 		}
 	})
 }
--- a/internal/proxy/quota_report.go
+++ b/internal/proxy/quota_report.go
@@ -80,7 +80,7 @@
 	}
 	var proxies [3]int // by distance
 	for zone, list := range snapshot.proxies {
-		proxies[p.endpoints.Ring(zone)] += len(list)
+		proxies[p.endpoints.ZoneDistance(zone)] += len(list)
 	}
 	sum, n := 0.0, 0
 	for distance := range slots {
