--- a/internal/proxy/attempt/attempt.go
+++ b/internal/proxy/attempt/attempt.go
@@ -1,20 +1,21 @@
-// Package attempt is what is known of a request's attempts at hosts: each attempt as a state machine over what its connection tells,
-// and the request, which may be retried or refused only while no attempt of it may have run. It does no I/O and reads no clock, and
-// it doesn't choose hosts or decide whether to retry: it says what is allowed.
+// Package attempt tracks the attempts to forward a request to hosts: how far each one got, and whether a host may have run the request.
+// A request that is not idempotent may be retried or rejected only while no attempt may have run. The package does no I/O and reads no
+// clock. It neither chooses hosts nor decides whether to retry; it only reports what is allowed.
 //
-// Attempt.Next is the state machine (execution.go, event.go and phase.go have its enums), Request (request.go) what all attempts of one
-// request amount to, and Classify (classify.go) which event an answer is.
+// Attempt.Next is the state machine of one attempt (its enums are in execution.go, event.go and phase.go). Request (request.go) combines
+// the attempts of one request. Classify (classify.go) maps a response to an event.
 package attempt
 
-// Attempt is one sending of a request to one host. The zero value is one that begins.
+// Attempt is the state of one attempt to forward a request to a host. The zero value is an attempt that has no connection yet.
 type Attempt struct {
 	Phase     Phase
 	Execution Execution
 }
 
-// Next is the attempt after an event: the one place where either field changes. What can't follow changes nothing.
+// Next returns the attempt after an event. An event that can't occur in the current phase changes nothing. Next is the only place
+// where either field changes.
 func (a Attempt) Next(e Event) Attempt {
-	sent := a.Phase >= WriteBegun // from here on a host may have all of it, as far as the host can tell
+	sent := a.Phase >= WriteBegun // from here on the host may have received what it takes to be a complete request
 	switch {
 	case a.Phase == Ended:
 		return a
@@ -22,17 +23,17 @@
 		return a.advance(e, sent)
 	case e == WroteNone:
 		return endedAttempt(a.Phase > WriteBegun)
-	case !sent && e.isResponse(): // what comes before its first byte answers another request: it gets another connection
+	case !sent && e.isResponse(): // belongs to an earlier request on this connection, so the attempt needs another connection
 		return Attempt{}
 	case e == RejectedByHost, e == Misdirected:
 		return Attempt{Ended, NotRun}
 	case e == Answered:
 		return Attempt{Ended, Ran}
 	}
-	return endedAttempt(sent) // no connection, no answer, or none to this request
+	return endedAttempt(sent) // no connection, no response, or no valid response to this request
 }
 
-// advance is the attempt after it has a connection or some of it is written.
+// advance returns the attempt after Connected or one of the write events other than WroteNone.
 func (a Attempt) advance(e Event, sent bool) Attempt {
 	switch {
 	case e == Connected && !sent:
@@ -47,7 +48,7 @@
 	return a
 }
 
-// endedAttempt is an attempt that has ended without a valid answer; it may have run where something of it was sent.
+// endedAttempt returns an attempt that ended without a valid response. It may have run if any of it may have been sent.
 func endedAttempt(sent bool) Attempt {
 	if sent {
 		return Attempt{Ended, MayHaveRun}
--- a/internal/proxy/attempt/attempt_test.go
+++ b/internal/proxy/attempt/attempt_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// What is known after each event in each phase, as a table: where a row has no entry the event changes nothing.
+// Covers every event in every phase. Events that a row doesn't list must leave the attempt unchanged.
 func TestNext(t *testing.T) {
 	c := qt.New(t)
 	begun, partly, written := Attempt{WriteBegun, MayHaveRun}, Attempt{PartlyWritten, MayHaveRun}, Attempt{Written, MayHaveRun}
@@ -44,8 +44,8 @@
 	}
 }
 
-// A request is sent again only while nothing of it may have run, or where it is idempotent; never two at a time, nor after
-// its final answer.
+// A request is retried only if it is idempotent or no attempt of it may have run. Attempts must not overlap, and none may begin after
+// the final response.
 func TestRequest(t *testing.T) {
 	c := qt.New(t)
 	apply := func(r Request, all ...Event) Request {
@@ -76,7 +76,7 @@
 			c.Check(once.MayRefuse() || once.Settle().MayAttempt(), qt.IsFalse)
 			_, ok := once.Settle().Apply(WriteStarted)
 			c.Check(ok, qt.IsFalse)
-			if finished && once.MayAttempt() { // what a first attempt leaves open a second doesn't close
+			if finished && once.MayAttempt() { // "may have run" of the second attempt must outlast later events
 				again := apply(begin(once), Connected, WriteStarted, ConnectionReset)
 				c.Check(again.Execution(), qt.Equals, MayHaveRun)
 				c.Check(apply(again, RejectedByHost).Execution(), qt.Equals, MayHaveRun)
@@ -104,22 +104,22 @@
 		err    error
 	}{
 		"fine":                   {"a", successWith(func(*Answer) {}), Answered, nil},
-		"an error":               {"a", Answer{Status: 500, IDs: []string{"a"}}, Answered, nil},
+		"error status":           {"a", Answer{Status: 500, IDs: []string{"a"}}, Answered, nil},
 		"rejected":               {"a", Answer{Status: 503, IDs: []string{"a"}, NotRun: true}, RejectedByHost, nil},
 		"misdirected":            {"a", Answer{Status: 421, IDs: []string{"a"}}, Misdirected, nil},
 		"another's":              {"a", successWith(func(a *Answer) { a.IDs = []string{"b"} }), WrongID, ErrWrongRequest},
-		"another's not run":      {"a", Answer{Status: 503, IDs: []string{"b"}, NotRun: true}, WrongID, ErrWrongRequest},
-		"another's 421":          {"a", Answer{Status: 421, IDs: []string{"b"}}, WrongID, ErrWrongRequest},
+		"another ID, not run":    {"a", Answer{Status: 503, IDs: []string{"b"}, NotRun: true}, WrongID, ErrWrongRequest},
+		"another ID, 421":        {"a", Answer{Status: 421, IDs: []string{"b"}}, WrongID, ErrWrongRequest},
 		"nobody's":               {"a", successWith(func(a *Answer) { a.IDs = nil }), WrongID, ErrWrongRequest},
-		"nobody's error":         {"a", Answer{Status: 404}, WrongID, ErrWrongRequest},
-		"two requests'":          {"a", successWith(func(a *Answer) { a.IDs = []string{"a", "b"} }), WrongID, ErrWrongRequest},
-		"one's twice":            {"a", successWith(func(a *Answer) { a.IDs = []string{"a", "a"} }), Answered, nil},
-		"to one without an id":   {"", Answer{Status: 400, NotRun: true}, RejectedByHost, nil},
-		"an id to one without":   {"", successWith(func(*Answer) {}), WrongID, ErrWrongRequest},
-		"no seal":                {"a", successWith(func(a *Answer) { a.Sealed = false }), UnexpectedBytes, ErrMissingSeal},
+		"error without an ID":    {"a", Answer{Status: 404}, WrongID, ErrWrongRequest},
+		"two different IDs":      {"a", successWith(func(a *Answer) { a.IDs = []string{"a", "b"} }), WrongID, ErrWrongRequest},
+		"the same ID twice":      {"a", successWith(func(a *Answer) { a.IDs = []string{"a", "a"} }), Answered, nil},
+		"request without ID":     {"", Answer{Status: 400, NotRun: true}, RejectedByHost, nil},
+		"ID for request without": {"", successWith(func(*Answer) {}), WrongID, ErrWrongRequest},
+		"missing seal":           {"a", successWith(func(a *Answer) { a.Sealed = false }), UnexpectedBytes, ErrMissingSeal},
 		"encoded":                {"a", successWith(func(a *Answer) { a.Encoded = true }), UnexpectedBytes, ErrUnexpectedEncoding},
 		"switched":               {"a", successWith(func(a *Answer) { a.Status = 101 }), UnexpectedBytes, ErrProtocolSwitch},
-		"a success that is none": {"a", successWith(func(a *Answer) { a.NotRun = true }), UnexpectedBytes, ErrContradictory},
+		"success not run":        {"a", successWith(func(a *Answer) { a.NotRun = true }), UnexpectedBytes, ErrContradictory},
 	} {
 		e, err := Classify(x.id, x.answer)
 		c.Check(e, qt.Equals, x.want, qt.Commentf("%s", name))
--- a/internal/proxy/attempt/classify.go
+++ b/internal/proxy/attempt/classify.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// HTTP status codes (RFC 9110, section 15) by their names in net/http, which a package without I/O doesn't import.
+// HTTP status codes (RFC 9110, section 15), named as in net/http. Importing net/http here would pull I/O into the package.
 const (
 	statusOK                 = 200
 	statusMultipleChoices    = 300
@@ -13,29 +13,29 @@
 	statusServiceUnavailable = 503
 )
 
-// Answer is what an answer's head says.
+// Answer has the fields of a response's status line and header that Classify needs.
 type Answer struct {
 	Status  int
-	IDs     []string // the values of its Attempt-Id fields
-	NotRun  bool     // it carries Request-Not-Run
-	Sealed  bool     // it carries a Server-Seal
-	Encoded bool     // it carries a Content-Encoding
+	IDs     []string // values of all Attempt-Id fields
+	NotRun  bool     // has a Request-Not-Run field
+	Sealed  bool     // has a Server-Seal field
+	Encoded bool     // has a Content-Encoding field
 }
 
-// Why an answer is none to the request that waits.
+// Reasons why a response is not accepted as the answer to the pending request. Classify returns all but ErrUndelimitedBody.
 var (
 	ErrWrongRequest       = errors.New("the answer is another request's")
 	ErrMissingSeal        = errors.New("a success without a seal")
 	ErrUnexpectedEncoding = errors.New("an encoding that nobody asked for")
-	ErrUndelimitedBody    = errors.New("an answer without a stated end, to one who can't be told of another")
-	ErrProtocolSwitch     = errors.New("another protocol that nobody asked for")
+	ErrUndelimitedBody    = errors.New("response has neither a length nor chunked encoding, and the HTTP/1.0 client could not detect truncation")
+	ErrProtocolSwitch     = errors.New("unrequested protocol switch (status below 200)")
 	ErrContradictory      = errors.New("a success that says it did not run")
 )
 
-// Classify is the event that an answer's head is to the request with this id that waits on its connection, with an error where it is no
-// answer to it. The id comes first: whatever else an answer says, it says of the request that it names. A request without an id has
-// answers without one. Whether the answer is complete shows as its body is read: one without a stated end ends with its
-// connection, in order or not at all.
+// Classify returns the event that a response header is for the pending request with this ID, and an error if the response is not a valid
+// answer to it. The ID is checked before the other fields, because they are about the request that the response names. A
+// request without an ID accepts only responses without one. Classify doesn't check that the response is complete: that shows only when its
+// body is read, and a body with neither a length nor chunked encoding ends when its connection is closed.
 func Classify(id string, a Answer) (Event, error) {
 	switch {
 	case a.Status < statusOK:
@@ -56,7 +56,7 @@
 	return Answered, nil
 }
 
-// matchesID reports whether an answer's ids name one request and no other.
+// matchesID reports whether a response with these Attempt-Id values answers the request with this ID, and no other request.
 func matchesID(id string, ids []string) bool {
 	for _, x := range ids {
 		if x != id {
--- a/internal/proxy/attempt/event.go
+++ b/internal/proxy/attempt/event.go
@@ -1,25 +1,25 @@
 package attempt
 
-// Event is what a connection tells of an attempt.
+// Event is something that happened to an attempt, as its connection or its caller reports it.
 type Event uint8
 
-// The events of an attempt. Next relies on the order of those from WrotePart to WroteAll, and from RejectedByHost to UnexpectedBytes.
+// The events of an attempt. Those from RejectedByHost to UnexpectedBytes must stay consecutive, as isResponse tests for this range.
 const (
-	ConnectFailed   Event = iota // no connection: refused, not in time, or no slot for one
-	Connected                    // a connection is there, nothing is written
-	WriteStarted                 // the first bytes are handed to the connection
-	WroteNone                    // the connection accepted none of them, and has ended
-	WrotePart                    // it accepted some
-	WroteAll                     // it accepted all
-	RejectedByHost               // an answer with the request's id and Request-Not-Run
-	Misdirected                  // an answer with the request's id and 421
-	Answered                     // any other complete answer with the request's id
-	WrongID                      // an answer with another id, or with none
-	Truncated                    // an answer that breaks off
-	UnexpectedBytes              // bytes that are no answer
+	ConnectFailed   Event = iota // no connection: refused, timed out, or no free connection slot
+	Connected                    // the attempt has a connection; nothing is written yet
+	WriteStarted                 // the first bytes are being passed to the connection
+	WroteNone                    // the connection failed before it accepted any byte
+	WrotePart                    // the connection accepted part of the request
+	WroteAll                     // the connection accepted the whole request
+	RejectedByHost               // response with the request's ID and Request-Not-Run
+	Misdirected                  // response with the request's ID and status 421
+	Answered                     // any other complete response with the request's ID
+	WrongID                      // response with a different ID, or with none
+	Truncated                    // response that ended early
+	UnexpectedBytes              // bytes that are not a valid response
 	ConnectionReset              // the connection broke
-	TimedOut                     // the request's time is up
-	Canceled                     // nobody wants it any more
+	TimedOut                     // the attempt timed out
+	Canceled                     // the attempt is no longer needed
 	eventCount
 )
 
@@ -43,7 +43,7 @@
 
 func (e Event) String() string { return eventNames[min(e, eventCount-1)] }
 
-// Events are all events, in their order.
+// Events returns all events in ascending order.
 func Events() (all []Event) {
 	for e := range eventCount {
 		all = append(all, e)
@@ -51,5 +51,5 @@
 	return all
 }
 
-// isResponse reports whether bytes came from the host.
+// isResponse reports whether the event means that the host sent bytes.
 func (e Event) isResponse() bool { return e >= RejectedByHost && e <= UnexpectedBytes }
--- a/internal/proxy/attempt/execution.go
+++ b/internal/proxy/attempt/execution.go
@@ -1,13 +1,13 @@
 package attempt
 
-// Execution is what is known of whether a host has run a request. A greater one outweighs a lesser one.
+// Execution is what is known about whether a host ran a request. Of several attempts the greatest value counts.
 type Execution uint8
 
-// What is known of a request's execution.
+// The values of Execution, in ascending order.
 const (
-	NotRun     Execution = iota // surely not, and it never will be
-	MayHaveRun                  // nobody can tell
-	Ran                         // a host has answered it
+	NotRun     Execution = iota // no host ran it, and none will
+	MayHaveRun                  // unknown
+	Ran                         // a host answered it
 	executionCount
 )
 
--- a/internal/proxy/attempt/model_test.go
+++ b/internal/proxy/attempt/model_test.go
@@ -14,26 +14,26 @@
 	maxAttempts = flag.Int("tries", 2, "attempts of one request in it")
 )
 
-// The model: two clients with a request each that may run once, a router with two connections, and a host, as small machines.
-// Every order of their steps is played, with so many harms at most. The router's decisions are the package's own.
+// The model checker explores every interleaving of two clients, each with one request that may run at most once, a proxy with two
+// connections, and a host, with a bounded number of faults. The proxy's decisions are those of this package.
 
 type message struct {
-	forRequest int8 // request; -1 for none
+	forRequest int8 // index of the request, -1 for none
 	kind       Event
 }
 
 var noMessage = message{forRequest: -1}
 
 type connection struct {
-	open         bool // for the router
+	open         bool // as the proxy sees it
 	request      int8
-	inTransit    int8 // the request on its way to the host
-	partial      bool // of which only the beginning was written
-	early        bool // the host has answered it all the same, and reads on
-	processing   int8 // the request that the host has
+	inTransit    int8 // the request on its way to the host, -1 for none
+	partial      bool // only the beginning of inTransit was written
+	early        bool // the host answered inTransit before it had all of it, and keeps reading
+	processing   int8 // the request that the host is processing, -1 for none
 	answers      [2]message
-	lastAnswer   message // that the host said
-	sentRequests uint8   // requests that were written on it, as the router remembers
+	lastAnswer   message // the last one that the host sent
+	sentRequests uint8   // bit set of the requests that the proxy wrote on it
 }
 
 type clientState uint8
@@ -53,9 +53,9 @@
 	connection     int8
 	attempts       uint8
 	runs           uint8
-	early          uint8 // of the runs, those for which a part of it was enough
-	streamed       bool  // its body went on as it came: the router doesn't have it any more
-	bodyIncomplete bool  // the router has read only a part of it
+	early          uint8 // runs of a request that the host had only in part
+	streamed       bool  // its body was streamed to a host, so the proxy can't send it again
+	bodyIncomplete bool  // the proxy has only part of the request to send
 }
 
 type modelState struct {
@@ -64,11 +64,13 @@
 	faultsLeft  uint8
 }
 
-// mutation takes a part of the machine out.
+// mutation disables checks of the proxy, to show that the model finds the resulting faults.
 type mutation struct {
 	noID, notRunFirst, noMayHaveRun, reuseConnection, writeAfterSettle, keepAfterPartialWrite, sendBeforeRead, keepAfterEarlyAnswer bool
-	streaming                                                                                                                       bool // no fault: bodies go on as they come
-	truncatedLooksComplete, resendStreamed                                                                                          bool // faults of that
+	// Bodies are forwarded while they are read; a mode, not a fault.
+	streaming bool
+	// Faults that need streaming.
+	truncatedLooksComplete, resendStreamed bool
 }
 
 type model struct {
@@ -78,12 +80,12 @@
 	queue      []modelState
 	steps      int
 	violations map[string]bool
-	outcomes   map[clientState]map[bool]int // by how a client's request ended, and whether it ran
+	outcomes   map[clientState]map[bool]int // number of states, by the state of a client and whether its request ran
 }
 
 func (m *model) fail(format string, args ...any) { m.violations[fmt.Sprintf(format, args...)] = true }
 
-// visit takes a state that a step leads to.
+// visit checks the invariants in a state and queues it if it is new.
 func (m *model) visit(w modelState) {
 	m.steps++
 	for i, a := range w.requests {
@@ -96,7 +98,7 @@
 			return
 		}
 		if a.runs > a.early && a.bodyIncomplete {
-			m.fail("UNASKED: request %d, of which a part was read", i)
+			m.fail("UNASKED: request %d ran, but was only partly read", i)
 			return
 		}
 	}
@@ -109,7 +111,7 @@
 	}
 }
 
-// applyEvent tells a request's attempt an event; where the attempt is over its line is free, or closed.
+// applyEvent applies an event to a request's attempt. When the attempt ends, its connection is released or closed.
 func (m *model) applyEvent(w *modelState, i int8, e Event) {
 	a := &w.requests[i]
 	complete := a.state.current.Phase == Written || m.keepAfterEarlyAnswer
@@ -147,7 +149,7 @@
 	if e, err := Classify(id, a); err != nil || x.kind != Truncated {
 		return e, err
 	}
-	return Truncated, io.ErrUnexpectedEOF // as its body is read
+	return Truncated, io.ErrUnexpectedEOF // found when the body is read
 }
 
 func (m *model) sendAnswer(w modelState, c int, x message) (modelState, bool) {
@@ -199,7 +201,7 @@
 			}
 		}
 		if a.client == clientWaiting || a.client == clientSending {
-			if a.connection < 0 { // a connection for the attempt that waits for one, or for another
+			if a.connection < 0 { // pick a connection for the waiting attempt, or for a new one
 				for c, l := range w.connections {
 					if l.request >= 0 || !l.open && (l.inTransit >= 0 || l.processing >= 0) || l.open && l.sentRequests&(1<<i) != 0 && !m.reuseConnection {
 						continue
@@ -224,7 +226,7 @@
 					})
 				}
 			}
-			normal(func(w *modelState) { // the final answer: what is under way is called off
+			normal(func(w *modelState) { // the proxy gives the final response and cancels the attempt in flight
 				a := &w.requests[i]
 				a.state = a.state.Settle()
 				if a.client = clientFailed; a.state.MayRefuse() {
@@ -245,7 +247,7 @@
 		if a.connection < 0 {
 			continue
 		}
-		if a.state.current.Phase == Open { // the connection's side of it doesn't know yet whether the answer is given
+		if a.state.current.Phase == Open { // the connection may not know yet that the final response was given
 			write := func(w *modelState) bool {
 				a, l := &w.requests[i], &w.connections[w.requests[i].connection]
 				was := a.state.Settled
@@ -257,13 +259,13 @@
 					return false
 				}
 				l.sentRequests |= 1 << i
-				a.bodyIncomplete = a.bodyIncomplete || a.streamed // only its end goes out
+				a.bodyIncomplete = a.bodyIncomplete || a.streamed // only the rest of a streamed body can be sent
 				return true
 			}
 			transmit := func(w *modelState, partial bool) {
 				l := &w.connections[w.requests[i].connection]
 				if l.inTransit >= 0 && l.partial {
-					m.fail("UNASKED: request %d goes on as the end of another", i)
+					m.fail("UNASKED: request %d is written as the rest of another request", i)
 				}
 				if l.inTransit < 0 {
 					l.inTransit, l.partial = i, partial
@@ -278,7 +280,7 @@
 					}
 				})
 			}
-			partialWrite := fault // a long body stands still, as its host doesn't read on
+			partialWrite := fault // the host stops reading a long body
 			if uploading {
 				partialWrite = normal
 			}
@@ -294,7 +296,7 @@
 					m.applyEvent(w, i, WroteNone)
 				}
 			})
-			for _, all := range []bool{false, true} { // some bytes are known to have gone; all may have
+			for _, all := range []bool{false, true} { // the host received part of the request, or all of it
 				if all && uploading {
 					break
 				}
@@ -311,7 +313,7 @@
 			}
 		}
 		if a.state.current.Phase == PartlyWritten && a.client != clientSending {
-			normal(func(w *modelState) { // the rest goes
+			normal(func(w *modelState) { // the rest of the request is written
 				l := &w.connections[w.requests[i].connection]
 				if l.partial = false; l.early {
 					l.inTransit, l.early = -1, false
@@ -322,7 +324,7 @@
 		if a.state.current.Phase >= WriteBegun {
 			fault(func(w *modelState) { m.applyEvent(w, i, TimedOut) })
 		}
-		fault(func(w *modelState) { // reset; what was on its way may be read all the same
+		fault(func(w *modelState) { // reset; the host may still read what is in transit
 			c := a.connection
 			w.connections[c].answers = [2]message{noMessage, noMessage}
 			m.applyEvent(w, i, ConnectionReset)
@@ -335,7 +337,7 @@
 				l := &w.connections[c]
 				x := l.answers[0]
 				l.answers = [2]message{l.answers[1], noMessage}
-				if l.request < 0 { // unasked
+				if l.request < 0 { // unsolicited answer
 					l.open = false
 					return
 				}
@@ -358,7 +360,7 @@
 			})
 		}
 		if l.inTransit >= 0 {
-			if l.partial && !l.early { // the host answers though the rest is still to come
+			if l.partial && !l.early { // the host answers before it has the whole request
 				for _, kind := range []Event{Answered, RejectedByHost} {
 					fault(func(w *modelState) {
 						if kind == Answered {
@@ -392,21 +394,21 @@
 					w.connections[c].processing = -1
 				})
 			}
-			fault(func(w *modelState) { // it runs and says nothing
+			fault(func(w *modelState) { // the host runs the request and doesn't answer
 				w.requests[l.processing].runs++
 				w.connections[c].processing = -1
 			})
 			if !l.open {
-				normal(func(w *modelState) { w.connections[c].processing = -1 }) // dropped
+				normal(func(w *modelState) { w.connections[c].processing = -1 }) // the host drops it
 			}
 		}
-		if l.lastAnswer != noMessage { // once more
+		if l.lastAnswer != noMessage { // the host sends its last answer again
 			fault(func(w *modelState) { *w, _ = m.sendAnswer(*w, c, l.lastAnswer) })
 		}
 	}
 }
 
-// explore plays all histories, or until enough says so.
+// explore visits all reachable states, or stops early when done returns true.
 func explore(m mutation, faults, attempts int, done func(*model) bool) *model {
 	x := &model{mutation: m, attempts: uint8(attempts), visited: map[modelState]bool{}, violations: map[string]bool{}, outcomes: map[clientState]map[bool]int{}}
 	for s := clientSending; s <= clientFailed; s++ {
@@ -428,48 +430,49 @@
 	return x
 }
 
-// Every history of the model keeps the rules; -args -harms 4 -tries 3 plays those with four harms and three attempts.
+// Checks the invariants in every reachable state: no request runs twice, runs after it was refused or runs when only partly read, and
+// no client gets another request's answer. Use -args -harms 4 -tries 3 for four faults and three attempts.
 func TestModel(t *testing.T) {
 	for _, streaming := range []bool{false, true} {
-		t.Run(map[bool]string{false: "read before they are sent", true: "passed on as they come"}[streaming], func(t *testing.T) { assertNoViolations(t, streaming) })
+		t.Run(map[bool]string{false: "buffered bodies", true: "streamed bodies"}[streaming], func(t *testing.T) { assertNoViolations(t, streaming) })
 	}
 }
 
 func assertNoViolations(t *testing.T, streaming bool) {
 	faults := *maxFaults
-	if streaming { // has more to go wrong
+	if streaming { // more states
 		faults--
 	}
 	m := explore(mutation{streaming: streaming}, faults, *maxAttempts, func(*model) bool { return false })
-	t.Logf("%d states, %d steps, %d harms, %d attempts; ended, by whether they ran: %v", len(m.visited), m.steps, faults, *maxAttempts, m.outcomes)
+	t.Logf("%d states, %d steps, %d faults, %d attempts; states by client state and whether the request ran: %v", len(m.visited), m.steps, faults, *maxAttempts, m.outcomes)
 	for x := range m.violations {
 		t.Error(x)
 	}
 	for s, want := range map[clientState][2]bool{clientDisconnected: {true, true}, clientSucceeded: {false, true}, clientRefused: {true, false}, clientFailed: {true, true}} {
-		if got := [2]bool{m.outcomes[s][false] > 0, m.outcomes[s][true] > 0}; got != want { // it is no model of a router that never sends, or never refuses
-			t.Errorf("ended %d, not run and run: %v", s, got)
+		if got := [2]bool{m.outcomes[s][false] > 0, m.outcomes[s][true] > 0}; got != want { // guards against a model that never sends or never refuses
+			t.Errorf("client state %d reached with the request not run and run: %v", s, got)
 		}
 	}
 }
 
-// With a part of the machine taken out the model finds what that part is for.
+// The model must find the violations that each mutation makes possible.
 func TestModelFindsFaults(t *testing.T) {
 	for name, x := range map[string]struct {
 		m     mutation
 		finds []string
 	}{
-		"no look at the id":                       {mutation{noID: true}, []string{"MIXED", "TWICE", "REFUSED"}},
-		"Request-Not-Run before the id":           {mutation{notRunFirst: true}, []string{"TWICE", "REFUSED"}},
-		"no 'may have run'":                       {mutation{noMayHaveRun: true}, []string{"TWICE", "REFUSED"}},
-		"a request twice on one connection":       {mutation{reuseConnection: true}, []string{"TWICE", "REFUSED"}},
-		"written after the final answer":          {mutation{writeAfterSettle: true}, []string{"REFUSED"}},
-		"a connection kept after half a request":  {mutation{keepAfterPartialWrite: true}, []string{"UNASKED"}},
-		"sent before it is read completely":       {mutation{sendBeforeRead: true}, []string{"UNASKED"}},
-		"a connection kept after an early answer": {mutation{keepAfterEarlyAnswer: true}, []string{"UNASKED"}},
-		"the same, and bodies are passed on":      {mutation{streaming: true, keepAfterEarlyAnswer: true}, []string{"UNASKED"}},
-		"a body that ends early looks complete":   {mutation{streaming: true, truncatedLooksComplete: true}, []string{"UNASKED"}},
-		"a body that is gone is sent again":       {mutation{streaming: true, resendStreamed: true}, []string{"UNASKED"}},
-		"passed on without 'may have run'":        {mutation{streaming: true, noMayHaveRun: true}, []string{"REFUSED"}},
+		"ID not checked":                       {mutation{noID: true}, []string{"MIXED", "TWICE", "REFUSED"}},
+		"Request-Not-Run before ID":            {mutation{notRunFirst: true}, []string{"TWICE", "REFUSED"}},
+		"may have run as not run":              {mutation{noMayHaveRun: true}, []string{"TWICE", "REFUSED"}},
+		"same request twice on one connection": {mutation{reuseConnection: true}, []string{"TWICE", "REFUSED"}},
+		"write after the final response":       {mutation{writeAfterSettle: true}, []string{"REFUSED"}},
+		"connection kept after partial write":  {mutation{keepAfterPartialWrite: true}, []string{"UNASKED"}},
+		"sent before completely read":          {mutation{sendBeforeRead: true}, []string{"UNASKED"}},
+		"connection kept after early answer":   {mutation{keepAfterEarlyAnswer: true}, []string{"UNASKED"}},
+		"the same with streaming":              {mutation{streaming: true, keepAfterEarlyAnswer: true}, []string{"UNASKED"}},
+		"truncated body looks complete":        {mutation{streaming: true, truncatedLooksComplete: true}, []string{"UNASKED"}},
+		"streamed body sent again":             {mutation{streaming: true, resendStreamed: true}, []string{"UNASKED"}},
+		"streaming, may have run as not run":   {mutation{streaming: true, noMayHaveRun: true}, []string{"REFUSED"}},
 	} {
 		found := func(m *model, rule string) bool {
 			for w := range m.violations {
@@ -484,7 +487,7 @@
 		})
 		for _, rule := range x.finds {
 			if !found(m, rule) {
-				t.Errorf("%s: no %s in %d states", name, rule, len(m.visited))
+				t.Errorf("%s: violation %s not found in %d states", name, rule, len(m.visited))
 			}
 		}
 		t.Logf("%s: %d states, %v", name, len(m.visited), m.violations)
--- a/internal/proxy/attempt/phase.go
+++ b/internal/proxy/attempt/phase.go
@@ -1,16 +1,16 @@
 package attempt
 
-// Phase is how far an attempt has come.
+// Phase is the progress of an attempt.
 type Phase uint8
 
-// The phases of an attempt, in their order.
+// The phases of an attempt, in the order in which it goes through them.
 const (
-	Connecting    Phase = iota // it has no connection
-	Open                       // it has one, and nothing is written
-	WriteBegun                 // its first bytes are being written
-	PartlyWritten              // some are
-	Written                    // all are
-	Ended                      // nothing changes what is known any more
+	Connecting    Phase = iota // no connection yet
+	Open                       // connected, nothing written
+	WriteBegun                 // the first write has begun
+	PartlyWritten              // the connection accepted part of the request
+	Written                    // the connection accepted the whole request
+	Ended                      // final; later events change nothing
 	phaseCount
 )
 
--- a/internal/proxy/attempt/request.go
+++ b/internal/proxy/attempt/request.go
@@ -1,20 +1,21 @@
 package attempt
 
-// Request is what is known of all attempts of one request. The zero value is one that has had none, and is not idempotent.
+// Request is the combined state of all attempts of one request. The zero value is a request that is not idempotent and has had no attempt.
 type Request struct {
-	Idempotent     bool      // it may run more than once
-	Settled        bool      // its final answer is given: nothing of it is written any more
+	Idempotent     bool      // may run more than once
+	Settled        bool      // the final response is decided; nothing more is written to hosts
 	inFlight       bool      // current is in flight
-	endedExecution Execution // the greatest of the attempts that have ended
+	endedExecution Execution // maximum over the attempts that have ended
 	current        Attempt
 }
 
-// MayAttempt reports whether another attempt may begin: one at a time, and where the request may run at most once only if none may have.
+// MayAttempt reports whether another attempt may begin. Attempts never overlap, and a request that is not idempotent gets another
+// one only if no earlier attempt may have run.
 func (r Request) MayAttempt() bool {
 	return !r.Settled && !r.inFlight && (r.Idempotent || r.endedExecution == NotRun)
 }
 
-// Begin begins an attempt, and reports whether that is allowed.
+// Begin returns the request with a new attempt in flight, or the request unchanged and false if MayAttempt forbids another one.
 func (r Request) Begin() (Request, bool) {
 	if !r.MayAttempt() {
 		return r, false
@@ -24,7 +25,8 @@
 	return r, true
 }
 
-// Apply is the request after an event of its present attempt. ok is false where bytes were to be written that must not be.
+// Apply returns the request after an event of its current attempt. ok is false if the event is a WriteStarted that is not allowed; the
+// caller must then not write.
 func (r Request) Apply(e Event) (after Request, ok bool) {
 	if e == WriteStarted && (!r.inFlight || r.Settled || r.current.Phase >= WriteBegun) {
 		return r, false
@@ -40,10 +42,10 @@
 	return r, true
 }
 
-// Current is the present attempt, or the one that ended last.
+// Current returns the attempt in flight or, if there is none, the last one that ended.
 func (r Request) Current() Attempt { return r.current }
 
-// Execution is what is known now.
+// Execution returns the maximum over all attempts, including the one in flight.
 func (r Request) Execution() Execution {
 	if r.inFlight {
 		return max(r.endedExecution, r.current.Execution)
@@ -51,19 +53,20 @@
 	return r.endedExecution
 }
 
-// Settle closes the request, as its final answer is given: what is known then is right for ever, as nothing of it is written
-// later.
+// Settle returns the request with its final response decided. If Execution is NotRun by then it stays so, because nothing is written
+// to a host after Settle.
 func (r Request) Settle() Request {
 	r.Settled = true
 	return r
 }
 
-// MayRefuse reports whether a final answer may promise that the request has not run and never will.
+// MayRefuse reports whether the final response may be one that promises that the request did not run and never will: the request is
+// settled and either surely did not run or is idempotent, so that running it again is safe.
 func (r Request) MayRefuse() bool {
 	return r.Settled && (r.Idempotent || r.Execution() == NotRun)
 }
 
-// PromisesNotRun reports whether a status promises that the request has not run and never will.
+// PromisesNotRun reports whether an HTTP status promises that the request did not run and never will.
 func PromisesNotRun(status int) bool {
 	switch status {
 	case statusTooManyRequests, statusServiceUnavailable, statusRequestTimeout, statusMisdirectedRequest:
--- a/internal/proxy/attempt/trace_test.go
+++ b/internal/proxy/attempt/trace_test.go
@@ -8,8 +8,8 @@
 	"portflow/internal/testing/digest"
 )
 
-// Requests under drawn events, and answers with drawn heads, are taken as they were. The numbers of events, phases and of what
-// is known count; names don't.
+// Pins the outcome of random events and random response headers. The digests depend on the numeric values of Event, Phase and
+// Execution and on error texts, not on names.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 100, []string{"a08f2ded2db8c31a", "db9ebe84086fe064", "64ba2b0625c33b56"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
