--- a/internal/proxy/endpoint/apply.go
+++ b/internal/proxy/endpoint/apply.go
@@ -8,13 +8,13 @@
 	"portflow/internal/cluster/update"
 )
 
-// Changes is what a batch of updates changed.
+// Changes reports which parts of the table a batch of updates changed.
 type Changes struct {
 	Routing, Proxies bool
-	Services         map[string]bool // those whose hosts, or the choice among them, changed
+	Services         map[string]bool // names of services whose hosts, or the rules for choosing among them, changed
 }
 
-// addItem adds what an item that changed, came or went changes.
+// addItem records what is affected by an item that was added, changed or removed.
 func (c *Changes) addItem(t *Table, k config.Key) {
 	switch k.Kind {
 	case config.KindRoutes, config.KindServices, config.KindQuotas, config.KindLimits:
@@ -28,14 +28,15 @@
 	}
 }
 
-// Apply applies changes without a position.
+// Apply applies changes that have no position, as ApplyAt does with the zero Position.
 func (t *Table) Apply(changes []update.Change, snapshot bool) Changes {
 	return t.ApplyAt(Position{}, changes, snapshot)
 }
 
-// ApplyAt applies changes, the last of which is at a position. After a snapshot, hosts and proxies that it doesn't name are missing or
-// gone: they ended while this proxy followed no control process. A host may also be one that this control process hasn't heard of
-// yet, as the former one had: it is missing until it is named, whatever its heartbeats are then.
+// ApplyAt applies changes and returns what they affect; at is the position of the last one. If they are a snapshot, proxies that it doesn't
+// name are removed, and hosts that it doesn't name are marked as missing: they may have terminated while this proxy was disconnected from
+// control, or the control process doesn't know them yet. A missing host is available again once a change names it, even with a
+// heartbeat that the table has already.
 func (t *Table) ApplyAt(at Position, changes []update.Change, snapshot bool) Changes {
 	c := Changes{Services: map[string]bool{}}
 	t.applyItems(&c, changes, snapshot, at)
@@ -55,13 +56,13 @@
 	return c
 }
 
-// applyItems applies the items of changes in their order. A snapshot replaces all items of the table, so that what was dropped and
-// forgotten while this proxy was away goes. Items of an earlier position than the table's are skipped: the table has them, or what
-// came after. Items without a position are merged one by one.
+// applyItems applies the items of changes in order. A snapshot replaces all items of the table, which also removes items whose tombstones
+// were evicted while this proxy was disconnected. Items from an earlier position than the table's are skipped, because the table has
+// them or later versions. Items without a position are merged one by one, by version.
 func (t *Table) applyItems(c *Changes, changes []update.Change, snapshot bool, at Position) {
 	outdated := at != Position{} && at.Before(t.position)
 	items := t.itemsOf(changes, outdated)
-	defer t.Set.TakeEvicted() // a proxy has no disk from which they would have to be removed
+	defer t.Set.TakeEvicted() // evicted keys are only needed to delete them from disk, and a proxy stores nothing
 	switch {
 	case at == Position{}:
 		for _, item := range items {
@@ -88,7 +89,7 @@
 	}
 }
 
-// itemsOf is the items of changes. Unless they are outdated it notes when the rollouts among them began.
+// itemsOf returns the items of changes. Unless the changes are outdated, it also records when the rollouts among them began.
 func (t *Table) itemsOf(changes []update.Change, outdated bool) (items []config.Item) {
 	for _, change := range changes {
 		if change.Item == nil {
@@ -102,7 +103,7 @@
 	return items
 }
 
-// noteRolloutStart notes when a rollout began, once for each.
+// noteRolloutStart records when a rollout began. Only the first start received for a rollout number is kept.
 func (t *Table) noteRolloutStart(item config.Item, startedAt int64) {
 	k := item.Key()
 	if k.Kind != config.KindRollouts {
@@ -114,7 +115,7 @@
 	}
 }
 
-// applyInstance applies a host's state, unless a newer one is known.
+// applyInstance applies a host's state unless the table has a newer one. A host that is named is not missing any more in either case.
 func (t *Table) applyInstance(c *Changes, h instance.Instance) {
 	old, known := t.Instances[h.ID]
 	if t.missing[h.ID] {
@@ -134,7 +135,7 @@
 	c.Services[h.Service] = true
 }
 
-// applyEjection applies a host's ejection, unless a newer one is known.
+// applyEjection applies a host's ejection unless the table has a newer one.
 func (t *Table) applyEjection(c *Changes, e outlier.Ejection) {
 	if !e.Supersedes(t.Ejections[e.ID]) {
 		return
@@ -144,7 +145,7 @@
 	c.Services[e.Service] = true
 }
 
-// applyProxy applies a proxy's state, unless a newer one is known.
+// applyProxy applies a proxy's state unless the table has a newer one.
 func (t *Table) applyProxy(c *Changes, p update.Proxy) {
 	old, known := t.proxies[p.Name]
 	if known && !p.Supersedes(old) {
@@ -173,7 +174,7 @@
 	}
 }
 
-// namedIn is the ids of hosts and the names of proxies that changes name.
+// namedIn returns the IDs of the hosts and the names of the proxies in changes. Ejections don't count.
 func namedIn(changes []update.Change) (instances, proxies map[string]bool) {
 	instances, proxies = map[string]bool{}, map[string]bool{}
 	for _, change := range changes {
--- a/internal/proxy/endpoint/forecast_test.go
+++ b/internal/proxy/endpoint/forecast_test.go
@@ -7,8 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// simulateBurst plays a service that bears so many requests at once, for a fifth of a second each: what comes beyond is sent away and
-// comes back when it was to, three times at most. It returns how many were refused, and how many of these once more.
+// simulateBurst simulates a service with 30 slots, in which each request takes 200 ms, and a burst of perSecond requests per second for one
+// second. Requests that find no free slot are rejected and retried after wait, at most three times. It returns the number of
+// rejections, and of those the number that hit retries.
 func simulateBurst(perSecond float64, wait func(now int64) int64, answered func(now int64)) (rejected, rejectedAgain int) {
 	const slots, work = 30, second / 5
 	draw := rand.New(rand.NewPCG(4, 4))
@@ -18,7 +19,7 @@
 	}
 	var clients []client
 	for at := int64(0); at < 6*second; {
-		rate := 100.0 // the service answers 150 a second
+		rate := 100.0 // the service can answer 150 per second
 		if at > second && at < 2*second {
 			rate = perSecond
 		}
@@ -54,19 +55,18 @@
 	return rejected, rejectedAgain
 }
 
-// Of those who are sent away in a rush fewer are sent away once more than with one wait for all; in a small one nobody waits
-// longer than that.
+// With a forecast fewer retries are rejected after a burst than with a fixed wait. Also checks the bounds of Wait.
 func TestForecast(t *testing.T) {
 	c := qt.New(t)
 	for rate, ratio := range map[float64]float64{250: 0.3, 400: 0.5, 800: 0.75} {
 		_, fixed := simulateBurst(rate, func(int64) int64 { return second / 4 }, func(int64) {})
 		var f Forecast
 		rejected, rejectedAgain := simulateBurst(rate, func(now int64) int64 { return f.Wait(now, 2*second) }, f.Answered)
-		t.Logf("%.0f a second: %d sent away, %d once more (%d by a fixed wait)", rate, rejected, rejectedAgain, fixed)
+		t.Logf("%.0f requests/s: %d rejections, %d of them of retries (%d with a fixed wait)", rate, rejected, rejectedAgain, fixed)
 		c.Check(float64(rejectedAgain) < ratio*float64(fixed), qt.IsTrue)
 	}
 	var f Forecast
-	c.Check(f.Wait(0, second) <= second, qt.IsTrue) // nothing is known yet
+	c.Check(f.Wait(0, second) <= second, qt.IsTrue) // no answers counted yet
 	for now := int64(0); now < 5*second; now += second / 100 {
 		f.Answered(now)
 	}
@@ -76,5 +76,5 @@
 	}
 	c.Check(f.Wait(5*second, 60*second), qt.Equals, maxWait)
 	c.Check(f.Wait(5*second, 0), qt.Equals, int64(0))
-	c.Check(f.Wait(60*second, second) <= second, qt.IsTrue) // turns that are past are nobody's
+	c.Check(f.Wait(60*second, second) <= second, qt.IsTrue) // past retry times don't delay new ones
 }
--- a/internal/proxy/endpoint/hosts.go
+++ b/internal/proxy/endpoint/hosts.go
@@ -11,13 +11,13 @@
 	"portflow/internal/dispatch"
 )
 
-// Hosts are a service's hosts as its decision engine is to have them, sorted by id. Hosts of versions that are neither stable nor on
-// trial, of evacuated zones, silent, missing and ejected ones get no more requests.
+// Hosts returns a service's hosts for its decision engine, sorted by ID. Hosts get no more requests (decision.Draining) if their version is
+// neither stable nor on trial, their zone is evacuated, or they are unresponsive, missing or ejected.
 func (t *Table) Hosts(service string) (hosts []dispatch.Host) {
 	r := t.Rollout(service)
-	first, _ := t.Set.Lookup(config.Key{Kind: config.KindStableVersions, Name: service}) // the zero item where there is none
+	first, _ := t.Set.Lookup(config.Key{Kind: config.KindStableVersions, Name: service}) // the zero item if there is none
 	stable := rollout.StableVersion(first, r)
-	evacuated := map[string]bool{} // by zone, once looked up
+	evacuated := map[string]bool{} // by zone; caches Evacuated
 	for _, id := range slices.Sorted(maps.Keys(t.byService[service])) {
 		h := t.Instances[id]
 		if _, known := evacuated[h.Zone]; !known {
@@ -44,7 +44,7 @@
 	return hosts
 }
 
-// healthOf is a host's health by its own state, whatever its zone and version.
+// healthOf returns a host's health without regard to its zone and version.
 func (t *Table) healthOf(h instance.Instance) decision.Health {
 	ejected := t.Ejections[h.ID].EjectedUntil > 0 && !t.onProbation[h.ID]
 	switch {
@@ -56,7 +56,7 @@
 	return decision.Ready
 }
 
-// InstancesOf are the known hosts of a service by id. It costs what the service has, not what all services have.
+// InstancesOf returns the known hosts of a service by ID. Its cost depends on the hosts of this service only.
 func (t *Table) InstancesOf(service string) map[string]instance.Instance {
 	instances := make(map[string]instance.Instance, len(t.byService[service]))
 	for id := range t.byService[service] {
@@ -65,7 +65,7 @@
 	return instances
 }
 
-// put stores a host, whose service may have changed since its old state.
+// put stores a host and updates byService, also when the host's service has changed since old.
 func (t *Table) put(old, h instance.Instance) {
 	if old.Service != h.Service {
 		delete(t.byService[old.Service], h.ID)
@@ -77,7 +77,7 @@
 	t.Instances[h.ID] = h
 }
 
-// EndEjections ends the ejections and probations that are over, and returns the services with hosts that are on probation from now on.
+// EndEjections ends the ejections and probations that have expired, and returns the services with hosts whose probation begins.
 func (t *Table) EndEjections(now int64) map[string]bool {
 	services := map[string]bool{}
 	for id, e := range t.Ejections {
@@ -93,11 +93,12 @@
 	return services
 }
 
-// staleHostLifetime is for how long a silent or missing host is known, nanoseconds: nobody announces its end, as it may be heard again.
+// staleHostLifetime is how long, in nanoseconds, an unresponsive or missing host stays in the table. Control doesn't announce its
+// removal, because it may send heartbeats again.
 const staleHostLifetime = int64(600e9)
 
-// RemoveStale takes hosts that have been silent or missing for staleHostLifetime for gone, and returns their services. A later change
-// of such a host makes it known again. It is to be called every so often.
+// RemoveStale marks hosts as gone that have been unresponsive or missing for longer than staleHostLifetime, and returns their services.
+// A later change can add such a host again. The caller has to call RemoveStale periodically, as it also detects when a host becomes stale.
 func (t *Table) RemoveStale(now int64) map[string]bool {
 	services := map[string]bool{}
 	for id, h := range t.Instances {
@@ -118,7 +119,7 @@
 	return services
 }
 
-// ForgetGone removes a service's hosts that are gone, once the decision engine has been notified of that.
+// ForgetGone removes a service's hosts that are gone. Call it once the decision engine has been notified of them.
 func (t *Table) ForgetGone(service string) {
 	for id := range t.byService[service] {
 		if t.Instances[id].State == instance.Gone {
--- a/internal/proxy/endpoint/missing_host_test.go
+++ b/internal/proxy/endpoint/missing_host_test.go
@@ -10,9 +10,8 @@
 	"portflow/internal/decision"
 )
 
-// A proxy moves to a control process that hasn't heard yet of a host that the former one has announced, and applies its snapshot: the host
-// takes nothing. Once the process has heard of it and says so, it does again, also where it has had no later heartbeat; what its owner says
-// of it, that it is silent or gone, holds as before.
+// A host that a snapshot doesn't name gets no requests until a change names it, even with the heartbeat that the table had before. If the host is
+// unresponsive, draining or gone according to its owner, this still takes precedence.
 func TestHostMissingFromSnapshot(t *testing.T) {
 	host := func(sequence uint64, silent bool, state instance.State) update.Change {
 		return update.Change{Instance: &instance.Instance{ID: "h", Service: "desk", Address: "10.0.0.1:1", Zone: "z0", Slots: 3, Sequence: sequence, Unresponsive: silent, State: state, Owner: "a"}}
@@ -22,18 +21,18 @@
 		changes  []update.Change
 		snapshot bool
 		want     decision.Health
-		changed  bool // the service's hosts are to be looked at anew
+		changed  bool // whether the service is reported as changed
 	}
 	for name, steps := range map[string][]step{
-		"named a little later":       {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(1, false, instance.Ready)}, false, decision.Ready, true}},
-		"in the next snapshot":       {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{other, host(1, false, instance.Ready)}, true, decision.Ready, true}},
-		"named, a later heartbeat":   {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(4, false, instance.Ready)}, false, decision.Ready, true}},
-		"missing twice":              {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{other}, true, decision.Draining, false}, {[]update.Change{host(1, false, instance.Ready)}, false, decision.Ready, true}},
-		"silent by its owner's word": {{[]update.Change{host(1, true, instance.Ready)}, false, decision.Draining, true}, {[]update.Change{host(1, false, instance.Ready)}, false, decision.Draining, false}, {[]update.Change{host(2, false, instance.Ready)}, false, decision.Ready, true}},
-		"missing, then silent":       {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(1, true, instance.Ready)}, false, decision.Draining, true}},
-		"missing, then it leaves":    {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(2, false, instance.Draining)}, false, decision.Draining, true}},
-		"gone":                       {{[]update.Change{host(2, false, instance.Gone)}, false, decision.Gone, true}, {[]update.Change{host(1, false, instance.Ready)}, false, decision.Gone, false}},
-		"named":                      {{[]update.Change{other, host(1, false, instance.Ready)}, true, decision.Ready, false}},
+		"named by a later change":      {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(1, false, instance.Ready)}, false, decision.Ready, true}},
+		"named by the next snapshot":   {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{other, host(1, false, instance.Ready)}, true, decision.Ready, true}},
+		"named with a later heartbeat": {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(4, false, instance.Ready)}, false, decision.Ready, true}},
+		"missing from two snapshots":   {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{other}, true, decision.Draining, false}, {[]update.Change{host(1, false, instance.Ready)}, false, decision.Ready, true}},
+		"unresponsive, then back":      {{[]update.Change{host(1, true, instance.Ready)}, false, decision.Draining, true}, {[]update.Change{host(1, false, instance.Ready)}, false, decision.Draining, false}, {[]update.Change{host(2, false, instance.Ready)}, false, decision.Ready, true}},
+		"missing, then unresponsive":   {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(1, true, instance.Ready)}, false, decision.Draining, true}},
+		"missing, then draining":       {{[]update.Change{other}, true, decision.Draining, true}, {[]update.Change{host(2, false, instance.Draining)}, false, decision.Draining, true}},
+		"gone":                         {{[]update.Change{host(2, false, instance.Gone)}, false, decision.Gone, true}, {[]update.Change{host(1, false, instance.Ready)}, false, decision.Gone, false}},
+		"named":                        {{[]update.Change{other, host(1, false, instance.Ready)}, true, decision.Ready, false}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -54,7 +53,7 @@
 	}
 }
 
-// A host that is silent or missing for ten minutes is taken for gone, and known anew by a later word.
+// A host that is unresponsive or missing for more than ten minutes must become gone, and a later change must add it again.
 func TestRemoveStale(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable("front", Location{Zone: "z0", Region: "r0"}, map[string]string{"z0": "r0"})
--- a/internal/proxy/endpoint/position.go
+++ b/internal/proxy/endpoint/position.go
@@ -1,13 +1,13 @@
 package endpoint
 
-// Position is a place in the order of the decided changes: the epoch of the voters, then the number of the change. The zero position
-// is that of control processes that number none.
+// Position is a position in the sequence of committed changes: the epoch of the voting members, then the number of the change. The zero
+// value means that the control process doesn't number changes.
 type Position struct{ Epoch, Number uint64 }
 
-// Before reports whether p comes before other.
+// Before reports whether p precedes other. A lower epoch precedes any number of a higher one.
 func (p Position) Before(other Position) bool {
 	return p.Epoch < other.Epoch || p.Epoch == other.Epoch && p.Number < other.Number
 }
 
-// Position is the position as of which the table's items are.
+// Position returns the position that the table's items reflect. It never decreases.
 func (t *Table) Position() Position { return t.position }
--- a/internal/proxy/endpoint/position_test.go
+++ b/internal/proxy/endpoint/position_test.go
@@ -23,8 +23,8 @@
 	return changes
 }
 
-// A router that was cut off while a route was dropped, and so many others that the drop was forgotten, has it no longer after
-// the snapshot; without marks, as before, it kept it for good.
+// A snapshot with a position must remove a route whose tombstone was evicted while the proxy was disconnected. Without positions items are
+// merged, and the route remains.
 func TestItemRemovedWhileDisconnected(t *testing.T) {
 	for _, withPosition := range []bool{false, true} {
 		c := qt.New(t)
@@ -44,8 +44,8 @@
 	}
 }
 
-// News of an earlier mark, from a control process that is a little behind, takes no item back, not by a snapshot nor by the
-// changes after it; hosts and routers are taken from it all the same. A higher epoch goes before any number.
+// Updates from an earlier position, as a lagging control process sends them, must not revert items, but their hosts and proxies
+// apply. A higher epoch takes precedence over any number.
 func TestOutdatedUpdate(t *testing.T) {
 	c := qt.New(t)
 	table := newTestTable()
@@ -62,24 +62,24 @@
 	c.Check(table.Set.Len(), qt.Equals, 2)
 	table.ApplyAt(Position{2, 9}, changesOf(testRoute("r", 6)), false)
 	c.Check(version(), qt.Equals, uint64(7))
-	table.ApplyAt(Position{2, 11}, changesOf(testRoute("r", 7), testRoute("r", 8)), false) // across what it had
+	table.ApplyAt(Position{2, 11}, changesOf(testRoute("r", 7), testRoute("r", 8)), false) // overlaps what the table has
 	c.Check(version(), qt.Equals, uint64(8))
-	table.ApplyAt(Position{1, 400}, changesOf(testRoute("r", 2)), true) // a disk from before
+	table.ApplyAt(Position{1, 400}, changesOf(testRoute("r", 2)), true) // a lower epoch, as from an outdated disk
 	c.Check(version(), qt.Equals, uint64(8))
 	c.Check(table.Position(), qt.Equals, Position{2, 11})
-	table.ApplyAt(Position{3, 1}, changesOf(testRoute("r", 5)), true) // what operators restored
+	table.ApplyAt(Position{3, 1}, changesOf(testRoute("r", 5)), true) // a higher epoch, as after a restore by an operator
 	c.Check(version(), qt.Equals, uint64(5))
 	c.Check(table.Set.Len(), qt.Equals, 1)
 }
 
-// Drawn histories: a router goes from one control process to another, each of which has applied some of the changes, takes
-// snapshots and batches, some of them twice; it never goes back, and has at its mark just what the core had there.
+// Random histories: a proxy switches between control processes that have applied different numbers of changes, and gets snapshots and batches
+// that may overlap. Its position must never decrease, and its items must equal the committed items at its position.
 func TestItemsMatchPosition(t *testing.T) {
 	c := qt.New(t)
 	checked := 0
 	for seed := range uint64(200) {
 		draw := rand.New(rand.NewPCG(seed, 3))
-		var changes [][]config.Item // by number, from 1
+		var changes [][]config.Item // number n is at index n-1
 		checksums := []uint64{config.NewSet().Checksum()}
 		decided := config.NewSet()
 		sets := []*config.Set{decided.Clone()}
@@ -94,10 +94,10 @@
 			sets = append(sets, decided.Clone())
 		}
 		table := newTestTable()
-		applied := 0 // of the control process that it follows
+		applied := 0 // number of changes that the current control process has sent
 		for range 80 {
 			before := table.Position()
-			if draw.IntN(8) == 0 || applied == 0 { // another control process, which may be behind
+			if draw.IntN(8) == 0 || applied == 0 { // switch to another control process, which may lag
 				applied = max(1, min(60, int(table.Position().Number)+draw.IntN(9)-4))
 				table.ApplyAt(Position{1, uint64(applied)}, changesOf(sets[applied].All()...), true)
 			} else if to := min(60, applied+draw.IntN(4)); to > applied {
--- a/internal/proxy/endpoint/proxy_list.go
+++ b/internal/proxy/endpoint/proxy_list.go
@@ -7,20 +7,20 @@
 	"portflow/internal/cluster/update"
 )
 
-// Proxy is a ready proxy, and how many shares it has for one of the others': more while it is short of capacity.
+// Proxy is a ready proxy with its weight in the division of hosts' capacity, which is greater than 1 while it is short of capacity.
 type Proxy struct {
 	Name   string
 	Weight int // 1 to BorrowedWeight
 }
 
-// BorrowedWeight is a proxy's weight while it is short of capacity in its zone and others' shares there are idle. The others keep enough
-// to begin with. It holds for the zone's own hosts alone, and not for cold ones: elsewhere each has its even share.
+// BorrowedWeight is the weight of a proxy that is short of capacity in its zone, so that it borrows idle shares of the zone's other
+// proxies; these keep enough for new requests. It applies only to hosts of the same zone, and not while they are cold.
 const BorrowedWeight = 4
 
-// ProxyList is the ready proxies by zone, in the order of their names. It is immutable once a proxy goes by it.
+// ProxyList has the ready proxies by zone, sorted by name. It is immutable once it is in use.
 type ProxyList map[string][]Proxy
 
-// EvenWeights is the same list while no proxy is short of capacity.
+// EvenWeights returns a copy of the list in which all weights are 1, as when no proxy is short of capacity.
 func (l ProxyList) EvenWeights() ProxyList {
 	even := make(ProxyList, len(l))
 	for zone, proxies := range l {
@@ -31,7 +31,7 @@
 	return even
 }
 
-// sameProxies reports whether two lists have the same proxies, whatever their weights.
+// sameProxies reports whether two lists have the same proxies, regardless of their weights.
 func (l ProxyList) sameProxies(other ProxyList) bool {
 	if len(l) != len(other) {
 		return false
@@ -44,13 +44,13 @@
 	return true
 }
 
-// listedFields is what of a proxy's state the list depends on: whether it is on it, where, and at what weight.
+// listedFields returns the part of a proxy's state that the proxy list depends on: whether the proxy is listed, its zone and its weight.
 func listedFields(p update.Proxy) update.Proxy {
 	return update.Proxy{Zone: p.Zone, Ready: p.Ready && !p.Gone, LacksCapacity: p.LacksCapacity}
 }
 
-// ProxyRank is the rank of this proxy among the ready ones, how many there are, and their list. A proxy that isn't counted yet takes
-// the rank behind the others, and adds itself to the list.
+// ProxyRank returns the rank of this proxy among the ready proxies, their number, and their list. If control doesn't announce this proxy as
+// ready yet, counted is false, and this proxy is added to count and list, with the last rank.
 func (t *Table) ProxyRank() (rank, count int, list ProxyList, counted bool) {
 	ready := update.ReadyProxies(t.proxies)
 	list = weightedList(ready)
@@ -64,11 +64,11 @@
 	return rank, count, list, counted
 }
 
-// weightedList is the list of ready proxies. Where more than half of a zone's are short of capacity the others can't help, and none
-// borrows.
+// weightedList returns the list of ready proxies. If more than half of a zone's proxies are short of capacity, the others can't help, so
+// all proxies of the zone have weight 1.
 func weightedList(ready []update.Proxy) ProxyList {
 	list := ProxyList{}
-	short := map[string]int{} // by zone
+	short := map[string]int{} // number of proxies short of capacity, by zone
 	for _, p := range ready {
 		weight := 1
 		if p.LacksCapacity {
--- a/internal/proxy/endpoint/recovery_test.go
+++ b/internal/proxy/endpoint/recovery_test.go
@@ -10,7 +10,7 @@
 	"portflow/internal/cluster/update"
 )
 
-// After a recovery of the core the items of its snapshot stand alone: higher versions and what it doesn't name go.
+// After a recovery of the voting members, which begins a new epoch, a snapshot must replace all items, also those with higher versions.
 func TestSnapshotAfterRecovery(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable("front", Location{Zone: "z0", Region: "r0"}, map[string]string{"z0": "r0"})
@@ -19,7 +19,7 @@
 	}
 	table.ApplyAt(Position{1, 900}, []update.Change{itemChange("a", 7), itemChange("b", 1), itemChange("c", 3), {Instance: &instance.Instance{ID: "h", Service: "desk", State: instance.Ready}}}, true)
 	snapshot := []update.Change{itemChange("a", 5), itemChange("c", 3)}
-	c.Check(table.ApplyAt(Position{1, 899}, snapshot, true).Routing, qt.IsFalse) // of a core that is behind
+	c.Check(table.ApplyAt(Position{1, 899}, snapshot, true).Routing, qt.IsFalse) // from an earlier position
 	got := table.ApplyAt(Position{2, 5}, append(snapshot, update.Change{Instance: &instance.Instance{ID: "h", Service: "desk", State: instance.Ready}}), true)
 	c.Check(got.Routing, qt.IsTrue)
 	versions := map[string]uint64{}
@@ -27,5 +27,5 @@
 		versions[i.Name] = i.Version
 	}
 	c.Check(versions, qt.DeepEquals, map[string]uint64{"a": 5, "c": 3})
-	c.Check(table.ApplyAt(Position{2, 5}, snapshot, true).Routing, qt.IsFalse) // it stands already
+	c.Check(table.ApplyAt(Position{2, 5}, snapshot, true).Routing, qt.IsFalse) // already applied
 }
--- a/internal/proxy/endpoint/share.go
+++ b/internal/proxy/endpoint/share.go
@@ -6,33 +6,33 @@
 	"portflow/internal/cluster/instance"
 )
 
-// This file has the bounds that all proxies keep together without a message between them. Each proxy computes its own share from the
-// list of ready proxies that control announces. The remainder of a division goes to some of them, by a hash of proxy and host, so
-// that other proxies have it at every host, and few shares move when a proxy comes or goes.
+// This file divides the bounds of each host among the proxies without any messages between them. Each proxy computes its own share from
+// the list of ready proxies that control announces. The remainder of a division is assigned by a hash of proxy and host, so that
+// different proxies get it at different hosts and few shares change when a proxy is added or removed.
 
-// Share is what one proxy may do at one host.
+// Share is one proxy's part of the bounds of one host.
 type Share struct {
-	Concurrent    int // requests at once
-	ColdPerSecond int // requests within any second while the host is cold
+	Concurrent    int // maximum number of concurrent requests
+	ColdPerSecond int // maximum number of requests in any second while the host is cold
 }
 
-// ColdBounds is the bound on a cold host, of which proxies have shares.
+// ColdBounds defines the bound on requests per second to a cold host, over all proxies: PerSecond*Overrun + Slack.
 type ColdBounds struct {
-	Overrun, Slack float64 // the bound is PerSecond times Overrun, and Slack
-	PerSecond      float64 // requests a second
+	Overrun, Slack float64
+	PerSecond      float64
 }
 
 const (
-	ownZoneDepth     = 2    // times its slots is what a host's own zone may have at it at once: what waits there is soon done
-	sameRegionDepth  = 1    // times its slots for proxies of its region's other zones
-	otherRegionDepth = 2    // times its slots for all beyond: home regions may leave them no other hosts
-	coldHeadroom     = 0.85 // of the cold bound is shared out: what is sent in one second may arrive in the next
+	ownZoneDepth     = 2    // concurrent requests per slot of a host for the proxies of its zone; the excess queues briefly
+	sameRegionDepth  = 1    // concurrent requests per slot for the proxies of other zones of its region
+	otherRegionDepth = 2    // concurrent requests per slot for the proxies of other regions, which may have no other hosts to use
+	coldHeadroom     = 0.85 // fraction of the cold bound that is divided: a request may arrive in the second after it was sent
 )
 
-// groups are the ready proxies by how far they are from a host.
+// groups has the ready proxies by their distance from a host: in its zone, in other zones of its region, and in other regions.
 type groups struct{ zone, region, beyond []Proxy }
 
-// groupsOf are the groups of a host in a zone. Their order is irrelevant: divide goes by hashes.
+// groupsOf returns the groups for a host in the given zone. The order within a group is random but irrelevant, as divide uses hashes.
 func groupsOf(zone string, regions map[string]string, list ProxyList) groups {
 	g := groups{zone: list[zone]}
 	for z, proxies := range list {
@@ -47,7 +47,7 @@
 	return g
 }
 
-// nearest is the nearest group that has proxies.
+// nearest returns the nearest group that has proxies.
 func (g groups) nearest() []Proxy {
 	switch {
 	case len(g.zone) > 0:
@@ -58,7 +58,8 @@
 	return g.beyond
 }
 
-// concurrent is the bound on concurrent requests of a host with so many slots that a proxy shares, and with which group.
+// concurrent returns the bound on concurrent requests to a host with this many slots, and the group of proxies that share it. The group
+// depends on whether the proxy is in the host's zone or region.
 func (g groups) concurrent(slots int, ownZone, ownRegion bool) (bound int, group []Proxy) {
 	switch {
 	case ownZone:
@@ -71,8 +72,8 @@
 	return otherRegionDepth * slots, g.beyond
 }
 
-// ShareOf is the share of a proxy at a host. While the host is cold only the nearest group may use it: the proxies of its zone, where
-// there are none those of its region, else all.
+// ShareOf returns the named proxy's share of a host; self is the proxy's location, and regions maps zones to regions. While the host is
+// cold only the nearest group that has proxies may use it: those of its zone, else those of its region, else all others.
 func ShareOf(h instance.Instance, name string, self Location, regions map[string]string, list ProxyList, cold ColdBounds) Share {
 	g := groupsOf(h.Zone, regions, list)
 	ownZone := self.Zone == h.Zone
@@ -84,9 +85,9 @@
 	}
 }
 
-// divide is one proxy's share of a number n that a group divides, evenly or by weight: the integer part of its quota n*weight/sum, and
-// one more for those first in the order of the remainders at this host, as by the largest remainder method. The shares sum up to
-// n whatever the weights. A proxy that isn't in the group has none.
+// divide returns one proxy's share of n, which a group divides evenly or by weight: the integer part of n*weight/total, plus one for the
+// proxies that come first by remainderPosition, similar to the largest remainder method. The shares add up to n for any
+// weights. A proxy that isn't in the group gets 0.
 func divide(n int, host, name string, group []Proxy, even bool) int {
 	weight := func(p Proxy) int {
 		if even {
@@ -128,18 +129,19 @@
 	return share
 }
 
-// remainderPosition is a proxy's place in the order of remainders at a host: by a hash, and the sooner the greater its remainder.
+// remainderPosition returns a proxy's position in the order in which remainders are assigned at a host, lowest first. It is a hash divided
+// by the remainder, so that proxies with greater remainders tend to come first.
 func remainderPosition(host, name string, remainder int) uint64 {
 	return hashPair(host, name) >> 24 / uint64(remainder)
 }
 
-// hashMultiplier is the 64-bit golden ratio of multiplicative hashing (Knuth, The Art of Computer Programming, 6.4).
+// hashMultiplier is 2^64 divided by the golden ratio, for multiplicative hashing (Knuth, The Art of Computer Programming, 6.4).
 const hashMultiplier = 0x9e3779b97f4a7c15
 
-// hashPair is the FNV-1a hash of host and name, with its bits mixed.
+// hashPair returns the 64-bit FNV-1a hash of host and name, with its bits mixed by a shift and a multiplication.
 func hashPair(host, name string) uint64 {
 	f := fnv.New64a()
-	_, _ = f.Write([]byte(host)) // a hash's Write never fails
+	_, _ = f.Write([]byte(host)) // Write of a hash.Hash never returns an error
 	_, _ = f.Write([]byte{0})
 	_, _ = f.Write([]byte(name))
 	x := f.Sum64()
--- a/internal/proxy/endpoint/share_test.go
+++ b/internal/proxy/endpoint/share_test.go
@@ -10,8 +10,8 @@
 	"portflow/internal/cluster/instance"
 )
 
-// Over all routers the parts at a host never come to more than its bounds: at any number of routers, wherever they are, with
-// a zone's or a region's routers gone; and where routers are few, none of the bound is lost.
+// The shares of all proxies together must stay within the bounds of each host, for various numbers of proxies, also without the proxies of
+// a zone or region. The cold bound must be used in full, and with fewer than 300 proxies each must have a share of some host.
 func TestSharesWithinBounds(t *testing.T) {
 	c := qt.New(t)
 	for _, n := range []int{6, 13, 92, 300} {
@@ -43,15 +43,15 @@
 						}
 					}
 				}
-				c.Check(cold, qt.Equals, 11, qt.Commentf("%d routers, lost %q: a second at a cold host", n, lost))
-				c.Check(concurrent <= (ownZoneDepth+sameRegionDepth+otherRegionDepth)*h.Slots, qt.IsTrue, qt.Commentf("%d routers, lost %q: %d open", n, lost, concurrent))
+				c.Check(cold, qt.Equals, 11, qt.Commentf("%d proxies, lost %q: requests/s to a cold host", n, lost))
+				c.Check(concurrent <= (ownZoneDepth+sameRegionDepth+otherRegionDepth)*h.Slots, qt.IsTrue, qt.Commentf("%d proxies, lost %q: %d concurrent requests", n, lost, concurrent))
 				minConcurrent = min(minConcurrent, concurrent)
 			}
-			c.Check(minConcurrent >= otherRegionDepth*3, qt.IsTrue, qt.Commentf("%d routers, lost %q: only %d open", n, lost, minConcurrent))
+			c.Check(minConcurrent >= otherRegionDepth*3, qt.IsTrue, qt.Commentf("%d proxies, lost %q: only %d concurrent requests", n, lost, minConcurrent))
 			for z, zoneProxies := range proxies {
 				for _, r := range zoneProxies {
 					if name := r.Name; n < 300 {
-						c.Check(hostsUsed[name] > 0, qt.IsTrue, qt.Commentf("%s of %s may use none of 40 hosts", name, z))
+						c.Check(hostsUsed[name] > 0, qt.IsTrue, qt.Commentf("%s of %s has no share of any of 40 hosts", name, z))
 					}
 				}
 			}
@@ -59,7 +59,7 @@
 	}
 }
 
-// When a router comes, few parts move: about its own.
+// A proxy that is added must change few shares of the others.
 func TestFewSharesMove(t *testing.T) {
 	c := qt.New(t)
 	regions := map[string]string{"z0": "r0"}
@@ -81,11 +81,11 @@
 			}
 		}
 	}
-	c.Check(moved*10 < total, qt.IsTrue, qt.Commentf("%d of %d moved", moved, total))
+	c.Check(moved*10 < total, qt.IsTrue, qt.Commentf("%d of %d share units moved", moved, total))
 }
 
-// What is lent adds up too: at no moment have all routers together more than a host's bounds, though each hears at another
-// time who is short and who isn't any more; and the one that is short gets more.
+// Borrowed shares must not exceed the bounds of a host at any time, although proxies are notified at different times of who is short of
+// capacity; and a proxy that is short must get more.
 func TestBorrowedSharesWithinBounds(t *testing.T) {
 	c := qt.New(t)
 	for _, n := range []int{13, 92} {
@@ -112,7 +112,7 @@
 			zone    string
 			list    ProxyList
 			history History
-			pending []FormerList // what it will hear, and when
+			pending []FormerList // lists to be received, each at its Until
 		}
 		var proxies []*proxy
 		for z, zoneProxies := range evenList {
@@ -127,7 +127,7 @@
 				name := proxies[draw.IntN(len(proxies))].name
 				short[name] = !short[name]
 				announced := weightedBy(short)
-				for _, r := range proxies { // within a second, and in order
+				for _, r := range proxies { // notified within a second, in order
 					at := now + int64(draw.Float64()*0.95*float64(second))
 					if len(r.pending) > 0 {
 						at = max(at, r.pending[len(r.pending)-1].Until)
@@ -151,7 +151,7 @@
 				}
 			}
 			for i, h := range hosts {
-				c.Assert(concurrent[i] <= (ownZoneDepth+sameRegionDepth+otherRegionDepth)*h.Slots, qt.IsTrue, qt.Commentf("%d routers, %d at %s", n, concurrent[i], h.ID))
+				c.Assert(concurrent[i] <= (ownZoneDepth+sameRegionDepth+otherRegionDepth)*h.Slots, qt.IsTrue, qt.Commentf("%d proxies, %d concurrent requests at %s", n, concurrent[i], h.ID))
 			}
 		}
 		borrowedTotal, evenTotal := 0, 0
@@ -163,12 +163,12 @@
 			evenTotal += share(evenList)
 			borrowedTotal += share(weightedBy(map[string]bool{"router-0": true}))
 		}
-		c.Check(float64(borrowedTotal) > 1.3*float64(evenTotal), qt.IsTrue, qt.Commentf("%d routers: %d for %d", n, borrowedTotal, evenTotal))
+		c.Check(float64(borrowedTotal) > 1.3*float64(evenTotal), qt.IsTrue, qt.Commentf("%d proxies: share %d, even share %d", n, borrowedTotal, evenTotal))
 	}
 }
 
-// A proxy is short once a fifth of what it forwards has gone to other zones for a second and a half, and gives back what was lent after four seconds in
-// which it needed none of it.
+// A proxy is short of capacity after three consecutive checks with more than a fifth of its requests sent to other zones, and stops
+// borrowing after eight consecutive checks without need.
 func TestShortage(t *testing.T) {
 	c := qt.New(t)
 	var s Shortage
@@ -181,7 +181,7 @@
 		{50, 0, 0, true}, {50, 0, 1, true},
 		{9, 0, 0, true}, {9, 0, 0, true}, {9, 0, 0, true}, {9, 0, 0, true}, {9, 0, 0, true}, {9, 0, 0, true}, {9, 0, 0, true}, {9, 0, 0, false},
 	} {
-		c.Check(s.Check(x.all, x.otherZone, x.overShare), qt.Equals, x.want, qt.Commentf("look %d", i))
+		c.Check(s.Check(x.all, x.otherZone, x.overShare), qt.Equals, x.want, qt.Commentf("check %d", i))
 	}
 }
 
--- a/internal/proxy/endpoint/shortage.go
+++ b/internal/proxy/endpoint/shortage.go
@@ -1,23 +1,24 @@
 package endpoint
 
 const (
-	// CheckInterval is the time between two checks of a Shortage, nanoseconds.
+	// CheckInterval is the time between two calls of Shortage.Check, in nanoseconds.
 	CheckInterval       = second / 2
-	minSpill            = 4 // requests to other zones between two checks, and a fifth of all, show that a proxy is short
-	minSpillDivisor     = 5 // a fifth
-	spillChecksToBorrow = 3 // such checks in a row: a rush to all proxies of a zone is over by then, and others couldn't help
-	quietChecksToReturn = 8 // quiet checks after which what was borrowed is returned
+	minSpill            = 4 // minimum number of requests to other zones in an interval for it to count as a spill
+	minSpillDivisor     = 5 // a spill also needs more than 1/minSpillDivisor of all requests
+	spillChecksToBorrow = 3 // consecutive; outlasts a burst to all proxies of a zone, during which the others couldn't help
+	quietChecksToReturn = 8 // consecutive
 )
 
-// Shortage is whether a proxy is short of capacity in its own zone. The zero value is one that is not. Only Check changes that.
+// Shortage detects whether a proxy is short of capacity in its own zone and should borrow other proxies' shares. The zero value is not
+// short of capacity.
 type Shortage struct {
 	short       bool
-	quietChecks int // in a row in which it used no more than its even shares
-	spillChecks int // in a row in which it sent much to other zones
+	quietChecks int // consecutive checks without a spill or use of more than the even shares
+	spillChecks int // consecutive checks with a spill to other zones
 }
 
-// Check takes what was sent since the last check: in all, to other zones though the request might have stayed, and to hosts that had
-// more than the even share then. It reports whether the proxy is short now.
+// Check reports whether the proxy is now short of capacity. Its arguments count the requests sent since the last check: all of them,
+// those sent to other zones without being bound to home regions, and those to hosts where the proxy was above its even share.
 func (s *Shortage) Check(total, otherZone, overShare int) bool {
 	if otherZone >= minSpill && otherZone*minSpillDivisor > total {
 		s.spillChecks++
--- a/internal/proxy/endpoint/table.go
+++ b/internal/proxy/endpoint/table.go
@@ -1,9 +1,9 @@
-// Package endpoint is what a proxy knows of the configuration, the hosts and the other proxies, and its share of the bounds that all
-// proxies keep together. It does no I/O, reads no clock and starts no goroutine; times are passed in as Unix nanoseconds.
+// Package endpoint keeps a proxy's view of the configuration, the hosts and the other proxies, and computes its share of the bounds that
+// all proxies observe together. It does no I/O, reads no clock and starts no goroutine; times are passed in as Unix nanoseconds.
 //
-// Table is where to begin reading: ApplyAt (apply.go) takes in what control sends, and Hosts (hosts.go) is what the decision
-// engines get. ShareOf (share.go) is this proxy's share of a host, from the list of ready proxies (proxy_list.go) and what that was of
-// late (history.go).
+// Start reading at Table: ApplyAt (apply.go) applies the updates from control, and Hosts (hosts.go) returns the hosts for the decision
+// engines. ShareOf (share.go) computes a proxy's share of a host from the list of ready proxies (proxy_list.go); History (history.go)
+// delays the use of shares that have grown.
 package endpoint
 
 import (
@@ -16,28 +16,28 @@
 	"portflow/internal/cluster/update"
 )
 
-// Location is where a process runs.
+// Location is the zone and region that a process runs in.
 type Location struct{ Zone, Region string }
 
-// Table is what a proxy knows by the updates of control. It is not safe for concurrent use.
+// Table is the endpoint table of a proxy, built from the updates of control. It is not safe for concurrent use.
 type Table struct {
 	Set       *config.Set
-	Instances map[string]instance.Instance // by id
-	Ejections map[string]outlier.Ejection  // of hosts that are ejected or on probation, by id
+	Instances map[string]instance.Instance // by ID
+	Ejections map[string]outlier.Ejection  // hosts that are ejected or on probation, by ID
 
-	name          string // of this proxy
+	name          string // name of this proxy
 	self          Location
-	regions       map[string]string // by zone
-	position      Position          // as of which the items of Set are
+	regions       map[string]string // region by zone
+	position      Position          // position that the items of Set reflect
 	proxies       map[string]update.Proxy
-	onProbation   map[string]bool                // of Ejections, those that the decision engines know to be on probation
-	byService     map[string]map[string]bool     // ids of the known hosts, by service
-	missing       map[string]bool                // hosts that the last snapshot didn't name, and no change since
-	staleSince    map[string]int64               // hosts that are silent or missing, and since when that has been seen
-	rolloutStarts map[string]update.RolloutStart // when a service's newest rollout began, by this process's clock
+	onProbation   map[string]bool                // ejected hosts for which EndEjections has reported that probation began
+	byService     map[string]map[string]bool     // IDs of the known hosts, by service
+	missing       map[string]bool                // hosts named neither in the last snapshot nor by a change since
+	staleSince    map[string]int64               // when RemoveStale first found a host unresponsive or missing, in Unix nanoseconds
+	rolloutStarts map[string]update.RolloutStart // start of each service's newest rollout, by this process's clock
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table for the named proxy; regions maps zones to regions.
 func NewTable(name string, self Location, regions map[string]string) *Table {
 	return &Table{
 		Set:           config.NewSet(),
@@ -55,7 +55,7 @@
 	}
 }
 
-// ZoneDistance is how far a zone is: 0 this one, 1 in this region, 2 beyond.
+// ZoneDistance returns the distance of a zone from this proxy: 0 for its own zone, 1 for others of its region, 2 for other regions.
 func (t *Table) ZoneDistance(zone string) int {
 	switch {
 	case zone == t.self.Zone:
@@ -78,7 +78,8 @@
 	return json.Unmarshal(item.Body, &evacuation) == nil && evacuation.Begun
 }
 
-// Rollout is a service's newest rollout, with the time that it began by this process's clock, where that is known.
+// Rollout returns a service's newest rollout, with its start time by this process's clock if that is known. Without any rollout only the
+// Service field is set.
 func (t *Table) Rollout(service string) rollout.Rollout {
 	item, ok := t.Set.Lookup(config.Key{Kind: config.KindRollouts, Name: service})
 	if !ok {
@@ -88,6 +89,6 @@
 	if start := t.rolloutStarts[service]; start.Number == r.Number && r.Number > 0 {
 		r.StartedAt = start.StartedAt
 	}
-	r.Switching = false // which only operators are to see
+	r.Switching = false // meant for operators only
 	return r
 }
--- a/internal/proxy/endpoint/table_test.go
+++ b/internal/proxy/endpoint/table_test.go
@@ -17,7 +17,7 @@
 	return NewTable("a1", Location{Zone: "a", Region: "r"}, map[string]string{"a": "r", "b": "r"})
 }
 
-// Routers lend to those that are short, unless more than half of a zone's are: then nobody has anything to lend.
+// Proxies that are short of capacity borrow, unless more than half of their zone's proxies are short.
 func TestBorrowedWeights(t *testing.T) {
 	for short, want := range map[int]int{0: 1, 1: BorrowedWeight, 2: BorrowedWeight, 3: 1, 4: 1} {
 		c := qt.New(t)
@@ -35,8 +35,8 @@
 	}
 }
 
-// An ejected host gets nothing until its time is over, then comes back, and is forgotten once it is back; an older
-// judgement changes nothing.
+// An ejected host must get no requests until its ejection ends, and its ejection is removed once probation ends. An older ejection must
+// change nothing.
 func TestEjectedHosts(t *testing.T) {
 	c := qt.New(t)
 	table := newTestTable()
@@ -49,7 +49,7 @@
 	c.Check(table.EndEjections(99e9), qt.HasLen, 0)
 	table.Apply([]update.Change{{Ejection: &outlier.Ejection{ID: "h", Service: "desk", EjectedUntil: 90e9, ProbationUntil: 95e9}}}, false)
 	c.Check(health(), qt.Equals, decision.Draining)
-	changes = table.Apply([]update.Change{{Ejection: &outlier.Ejection{ID: "h", Service: "desk", EjectedUntil: 100.1e9, ProbationUntil: 150.1e9}}}, false) // the same by another way
+	changes = table.Apply([]update.Change{{Ejection: &outlier.Ejection{ID: "h", Service: "desk", EjectedUntil: 100.1e9, ProbationUntil: 150.1e9}}}, false) // the same ejection, received from another control process
 	c.Check(changes.Services, qt.HasLen, 0)
 	c.Check(table.EndEjections(100e9)["desk"], qt.IsTrue)
 	c.Check(table.EndEjections(101e9), qt.HasLen, 0)
@@ -61,7 +61,7 @@
 	c.Check(table.Ejections, qt.HasLen, 0)
 }
 
-// tableWithHosts is a board that knows so many hosts of a hundred services.
+// tableWithHosts returns a table with this many hosts: 20 for each of up to 99 services, and the rest for one more.
 func tableWithHosts(hosts int) *Table {
 	table := newTestTable()
 	for n := range hosts {
@@ -70,8 +70,7 @@
 	return table
 }
 
-// What a change of one host costs follows the hosts of its service, and not all hosts: a router that knew 4,200 sorted all of
-// them at each change, and 220 times after a snapshot.
+// The cost of a change of one host must depend on the number of hosts of its service, not of all hosts.
 func TestHostsCostIsPerService(t *testing.T) {
 	c := qt.New(t)
 	bytes := func(table *Table) uint64 {
@@ -86,17 +85,17 @@
 		return (after.TotalAlloc - before.TotalAlloc) / 20
 	}
 	few, all := bytes(tableWithHosts(100)), bytes(tableWithHosts(2000))
-	t.Logf("bytes: %d at 100 hosts, %d at 2,000", few, all)
+	t.Logf("bytes allocated: %d with 100 hosts, %d with 2,000", few, all)
 	c.Check(all < few*2, qt.IsTrue)
 }
 
-// The hosts of a service are those that were announced last, whatever came between: one that ended goes once the decision engine knows, and one
-// that is announced under another service is that one's.
+// The hosts of a service must follow the announcements: a host that is gone is removed by ForgetGone, and one that is announced for another
+// service moves there.
 func TestHostsOfService(t *testing.T) {
 	c := qt.New(t)
 	table := tableWithHosts(60)
 	c.Check(table.Hosts("s1"), qt.HasLen, 20)
-	table.Apply([]update.Change{{Instance: &instance.Instance{ID: "h00020", Sequence: 2, State: instance.Gone}}}, false) // as a leave tells it
+	table.Apply([]update.Change{{Instance: &instance.Instance{ID: "h00020", Sequence: 2, State: instance.Gone}}}, false) // without a service, as when a host deregisters
 	c.Check(table.Hosts("s1"), qt.HasLen, 20)
 	c.Check(table.Hosts("s1")[0].Health, qt.Equals, decision.Gone)
 	table.ForgetGone("s1")
@@ -116,7 +115,7 @@
 	c.Check(table.Instances, qt.HasLen, 59)
 }
 
-// A proxy that is announced anew, and as it was, changes no list; one that comes, goes, is ready, is short or moves does.
+// A proxy that is announced again must change the proxy list only if it is added or removed, or its readiness, shortage or zone changes.
 func TestProxyAnnouncedAgain(t *testing.T) {
 	c := qt.New(t)
 	table := newTestTable()
--- a/internal/proxy/endpoint/tombstones_test.go
+++ b/internal/proxy/endpoint/tombstones_test.go
@@ -9,7 +9,7 @@
 	"portflow/internal/cluster/config"
 )
 
-// What a router forgets of what was dropped is not noted for a disk that it doesn't have: nothing grows with drops.
+// A proxy stores nothing on disk, so it must not accumulate the keys of evicted tombstones.
 func TestEvictedTombstonesNotRecorded(t *testing.T) {
 	c := qt.New(t)
 	for _, withPosition := range []bool{false, true} {
--- a/internal/proxy/endpoint/trace_test.go
+++ b/internal/proxy/endpoint/trace_test.go
@@ -13,7 +13,7 @@
 	"portflow/internal/testing/digest"
 )
 
-// randomChange is one piece of news about few names, so that many are about the same.
+// randomChange returns a random change. It uses few names, so that changes often concern the same object.
 func randomChange(draw *rand.Rand, now int64) update.Change {
 	zone := fmt.Sprint("z", draw.IntN(4))
 	service := fmt.Sprint("s", draw.IntN(3))
@@ -47,8 +47,8 @@
 	return update.Change{Item: &i}
 }
 
-// What the table says after drawn news, snapshots and times is what it was. The order of the fields of what it says and the
-// numbers of constants count; names don't.
+// Pins the results of Table after random changes, snapshots and times. The digests depend on the order of struct fields and the values of
+// constants, not on names.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 50, []string{"289c23d85de978be", "75c24153f12b5473", "2e56f927fd06d87d", "97509e503b119f5c"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
@@ -89,7 +89,7 @@
 	})
 }
 
-// Proxy lists of the past, a proxy's being short, forecasts and the count of the last second are what they were.
+// Pins the results of History, Shortage, Forecast and SlidingWindow for random inputs.
 func TestTraceOfParts(t *testing.T) {
 	digest.Pin(t, 50, []string{"d74a85972e05fc81", "cadcb8926acf65f0"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 2))
