--- a/internal/proxy/endpoint/apply.go
+++ b/internal/proxy/endpoint/apply.go
@@ -97,14 +97,14 @@
 		}
 		items = append(items, *change.Item)
 		if !outdated && change.RolloutStartedAt != 0 {
-			t.noteRolloutStart(*change.Item, change.RolloutStartedAt)
+			t.recordRolloutStart(*change.Item, change.RolloutStartedAt)
 		}
 	}
 	return items
 }
 
-// noteRolloutStart records when a rollout began. Only the first start received for a rollout number is kept.
-func (t *Table) noteRolloutStart(item config.Item, startedAt int64) {
+// recordRolloutStart records when a rollout began. Only the first start received for a rollout number is kept.
+func (t *Table) recordRolloutStart(item config.Item, startedAt int64) {
 	k := item.Key()
 	if k.Kind != config.KindRollouts {
 		return
--- a/internal/proxy/endpoint/missing_host_test.go
+++ b/internal/proxy/endpoint/missing_host_test.go
@@ -13,8 +13,8 @@
 // A host that a snapshot doesn't name gets no requests until a change names it, even with the heartbeat that the table had before. If the host is
 // unresponsive, draining or gone according to its owner, this still takes precedence.
 func TestHostMissingFromSnapshot(t *testing.T) {
-	host := func(sequence uint64, silent bool, state instance.State) update.Change {
-		return update.Change{Instance: &instance.Instance{ID: "h", Service: "desk", Address: "10.0.0.1:1", Zone: "z0", Slots: 3, Sequence: sequence, Unresponsive: silent, State: state, Owner: "a"}}
+	host := func(sequence uint64, unresponsive bool, state instance.State) update.Change {
+		return update.Change{Instance: &instance.Instance{ID: "h", Service: "desk", Address: "10.0.0.1:1", Zone: "z0", Slots: 3, Sequence: sequence, Unresponsive: unresponsive, State: state, Owner: "a"}}
 	}
 	other := update.Change{Instance: &instance.Instance{ID: "x", Service: "desk", Zone: "z0", Slots: 3, Sequence: 9, Owner: "a"}}
 	type step struct {
@@ -57,8 +57,8 @@
 func TestRemoveStale(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable("front", Location{Zone: "z0", Region: "r0"}, map[string]string{"z0": "r0"})
-	hostChange := func(id string, sequence uint64, silent bool) update.Change {
-		return update.Change{Instance: &instance.Instance{ID: id, Service: "desk", Zone: "z0", Slots: 3, Sequence: sequence, Unresponsive: silent, Owner: "a"}}
+	hostChange := func(id string, sequence uint64, unresponsive bool) update.Change {
+		return update.Change{Instance: &instance.Instance{ID: id, Service: "desk", Zone: "z0", Slots: 3, Sequence: sequence, Unresponsive: unresponsive, Owner: "a"}}
 	}
 	table.Apply([]update.Change{hostChange("back", 1, true), hostChange("missing", 1, false), hostChange("silent", 1, true), hostChange("well", 1, false)}, true)
 	table.Apply([]update.Change{hostChange("back", 1, true), hostChange("silent", 1, true), hostChange("well", 1, false)}, true)
--- a/internal/proxy/endpoint/position_test.go
+++ b/internal/proxy/endpoint/position_test.go
@@ -81,17 +81,17 @@
 		draw := rand.New(rand.NewPCG(seed, 3))
 		var changes [][]config.Item // number n is at index n-1
 		checksums := []uint64{config.NewSet().Checksum()}
-		decided := config.NewSet()
-		sets := []*config.Set{decided.Clone()}
+		committed := config.NewSet()
+		sets := []*config.Set{committed.Clone()}
 		for n := range 60 {
 			change := []config.Item{testRoute(fmt.Sprint("r", draw.IntN(6)), uint64(n+1))}
 			if draw.IntN(3) == 0 {
 				change[0].Deleted, change[0].Body = true, nil
 			}
-			decided.Apply(change)
+			committed.Apply(change)
 			changes = append(changes, change)
-			checksums = append(checksums, decided.Checksum())
-			sets = append(sets, decided.Clone())
+			checksums = append(checksums, committed.Checksum())
+			sets = append(sets, committed.Clone())
 		}
 		table := newTestTable()
 		applied := 0 // number of changes that the current control process has sent
