--- a/internal/proxy/attempt/attempt.go
+++ b/internal/proxy/attempt/attempt.go
@@ -12,10 +12,10 @@
 	Execution Execution
 }
 
-// Next returns the attempt after an event. An event that can't occur in the current phase changes nothing. Next is the only place
-// where either field changes.
+// Next returns the attempt after an event. No event changes an attempt that has ended, and Connected, WriteStarted, WrotePart and WroteAll
+// change nothing when they are out of order. Next is the only place where either field changes.
 func (a Attempt) Next(e Event) Attempt {
-	sent := a.Phase >= WriteBegun // from here on the host may have received what it takes to be a complete request
+	sent := a.Phase >= WriteBegun // from here on the host may have received a complete request, as far as it can tell
 	switch {
 	case a.Phase == Ended:
 		return a
--- a/internal/proxy/attempt/request.go
+++ b/internal/proxy/attempt/request.go
@@ -53,8 +53,8 @@
 	return r.endedExecution
 }
 
-// Settle returns the request with its final response decided. If Execution is NotRun by then it stays so, because nothing is written
-// to a host after Settle.
+// Settle returns the request with its final response decided. If Execution is NotRun at that time it stays so, because nothing is
+// written to a host after Settle.
 func (r Request) Settle() Request {
 	r.Settled = true
 	return r
--- a/internal/proxy/endpoint/apply.go
+++ b/internal/proxy/endpoint/apply.go
@@ -33,10 +33,10 @@
 	return t.ApplyAt(Position{}, changes, snapshot)
 }
 
-// ApplyAt applies changes and returns what they affect; at is the position of the last one. If they are a snapshot, proxies that it doesn't
-// name are removed, and hosts that it doesn't name are marked as missing: they may have terminated while this proxy was disconnected from
-// control, or the control process doesn't know them yet. A missing host is available again once a change names it, even with a
-// heartbeat that the table has already.
+// ApplyAt applies changes and returns what they affect; at is the position of the last one. A snapshot removes the proxies that it doesn't
+// name and marks such hosts as missing: they may have terminated while this proxy was disconnected from control, or the control
+// process may not know them yet. A missing host is available again once a change names it, even with a heartbeat that the table already
+// has.
 func (t *Table) ApplyAt(at Position, changes []update.Change, snapshot bool) Changes {
 	c := Changes{Services: map[string]bool{}}
 	t.applyItems(&c, changes, snapshot, at)
--- a/internal/proxy/endpoint/history.go
+++ b/internal/proxy/endpoint/history.go
@@ -6,8 +6,8 @@
 )
 
 // SettleTime is how long, in nanoseconds, a proxy waits before it uses a share that has grown. In this time the other proxies receive the
-// new list and shrink their shares, and the requests that they sent before arrive. Control notifies all proxies within a second,
-// or else their stream ends.
+// new list and shrink their shares, and the requests that they sent before arrive. Control notifies each proxy within a second;
+// otherwise the proxy's stream ends.
 const SettleTime = second + second/3
 
 // FormerList is a proxy list that has been replaced.
--- a/internal/proxy/endpoint/hosts.go
+++ b/internal/proxy/endpoint/hosts.go
@@ -93,8 +93,8 @@
 	return services
 }
 
-// staleHostLifetime is how long, in nanoseconds, an unresponsive or missing host stays in the table. Control doesn't announce its
-// removal, because it may send heartbeats again.
+// staleHostLifetime is how long, in nanoseconds, an unresponsive or missing host stays in the table. Control doesn't announce
+// the removal of such a host, as its heartbeats may resume.
 const staleHostLifetime = int64(600e9)
 
 // RemoveStale marks hosts as gone that have been unresponsive or missing for longer than staleHostLifetime, and returns their services.
--- a/internal/proxy/endpoint/missing_host_test.go
+++ b/internal/proxy/endpoint/missing_host_test.go
@@ -10,8 +10,8 @@
 	"portflow/internal/decision"
 )
 
-// A host that a snapshot doesn't name gets no requests until a change names it, even with the heartbeat that the table had before. If the host is
-// unresponsive, draining or gone according to its owner, this still takes precedence.
+// A host that a snapshot doesn't name must get no requests until a change names it, even with the heartbeat that the table had before.
+// If its owner reports it as unresponsive, draining or gone, it must still get none.
 func TestHostMissingFromSnapshot(t *testing.T) {
 	host := func(sequence uint64, unresponsive bool, state instance.State) update.Change {
 		return update.Change{Instance: &instance.Instance{ID: "h", Service: "desk", Address: "10.0.0.1:1", Zone: "z0", Slots: 3, Sequence: sequence, Unresponsive: unresponsive, State: state, Owner: "a"}}
--- a/internal/proxy/endpoint/position_test.go
+++ b/internal/proxy/endpoint/position_test.go
@@ -72,8 +72,8 @@
 	c.Check(table.Set.Len(), qt.Equals, 1)
 }
 
-// Random histories: a proxy switches between control processes that have applied different numbers of changes, and gets snapshots and batches
-// that may overlap. Its position must never decrease, and its items must equal the committed items at its position.
+// Random histories: a proxy switches between control processes that have applied different numbers of changes, and gets snapshots and
+// batches that may overlap. Its position must never decrease, and its items must equal the committed items at its position.
 func TestItemsMatchPosition(t *testing.T) {
 	c := qt.New(t)
 	checked := 0
--- a/internal/proxy/endpoint/share.go
+++ b/internal/proxy/endpoint/share.go
@@ -10,7 +10,7 @@
 // the list of ready proxies that control announces. The remainder of a division is assigned by a hash of proxy and host, so that
 // different proxies get it at different hosts and few shares change when a proxy is added or removed.
 
-// Share is one proxy's part of the bounds of one host.
+// Share is one proxy's portion of the bounds of one host.
 type Share struct {
 	Concurrent    int // maximum number of concurrent requests
 	ColdPerSecond int // maximum number of requests in any second while the host is cold
@@ -32,7 +32,7 @@
 // groups has the ready proxies by their distance from a host: in its zone, in other zones of its region, and in other regions.
 type groups struct{ zone, region, beyond []Proxy }
 
-// groupsOf returns the groups for a host in the given zone. The order within a group is random but irrelevant, as divide uses hashes.
+// groupsOf returns the groups for a host in the given zone. The order within a group is unspecified, and divide doesn't depend on it.
 func groupsOf(zone string, regions map[string]string, list ProxyList) groups {
 	g := groups{zone: list[zone]}
 	for z, proxies := range list {
@@ -58,8 +58,9 @@
 	return g.beyond
 }
 
-// concurrent returns the bound on concurrent requests to a host with this many slots, and the group of proxies that share it. The group
-// depends on whether the proxy is in the host's zone or region.
+// concurrent returns the bound on concurrent requests to a host with this many slots, and the group of proxies that share it. Both
+// depend on whether the proxy is in the host's zone or region. If the host's zone has no proxies, the rest of its region also gets
+// the zone's bound.
 func (g groups) concurrent(slots int, ownZone, ownRegion bool) (bound int, group []Proxy) {
 	switch {
 	case ownZone:
@@ -85,9 +86,9 @@
 	}
 }
 
-// divide returns one proxy's share of n, which a group divides evenly or by weight: the integer part of n*weight/total, plus one for the
-// proxies that come first by remainderPosition, similar to the largest remainder method. The shares add up to n for any
-// weights. A proxy that isn't in the group gets 0.
+// divide returns one proxy's share of n, which a group divides evenly or by weight: the integer part of n*weight/total, plus one for
+// those proxies with a remainder that come first by remainderPosition, similar to the largest remainder method. The shares add up to n
+// for any weights. A proxy that isn't in the group gets 0.
 func divide(n int, host, name string, group []Proxy, even bool) int {
 	weight := func(p Proxy) int {
 		if even {
--- a/internal/proxy/endpoint/shortage.go
+++ b/internal/proxy/endpoint/shortage.go
@@ -5,8 +5,8 @@
 	CheckInterval       = second / 2
 	minSpill            = 4 // minimum number of requests to other zones in an interval for it to count as a spill
 	minSpillDivisor     = 5 // a spill also needs more than 1/minSpillDivisor of all requests
-	spillChecksToBorrow = 3 // consecutive; outlasts a burst to all proxies of a zone, during which the others couldn't help
-	quietChecksToReturn = 8 // consecutive
+	spillChecksToBorrow = 3 // consecutive checks with a spill; longer than a burst to all proxies of a zone, when none could lend
+	quietChecksToReturn = 8 // consecutive checks without need, after which borrowing ends
 )
 
 // Shortage detects whether a proxy is short of capacity in its own zone and should borrow other proxies' shares. The zero value is not
