--- a/internal/control/consensus/acceptor_test.go
+++ b/internal/control/consensus/acceptor_test.go
@@ -10,8 +10,8 @@
 	"portflow/internal/control/membership"
 )
 
-// threeMembers returns the second of three members, which may vote, at index 1, and the list of the members.
-func threeMembers(now int64) (*Node, membership.List) {
+// newTestNode returns the second of three members, which may vote, at index 1, and the list of the members.
+func newTestNode(now int64) (*Node, membership.List) {
 	l := membership.List{Epoch: 1}
 	for i, ip := range []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"} {
 		l.Members = append(l.Members, membership.Member{IP: ip, ID: string(rune('a' + i)), Zone: ip})
@@ -24,16 +24,16 @@
 }
 
 // A vote is reported to readers only once it is on disk, also where the same ballot had a vote on disk at the index before.
-func TestVoteReportedOnceOnDisk(t *testing.T) {
+func TestVoteReportedAfterSync(t *testing.T) {
 	c := qt.New(t)
-	n, l := threeMembers(second)
+	n, l := newTestNode(second)
 	from, b := l.Members[0], Ballot{5, "other"}
-	say := func(m Message) Effects {
+	receive := func(m Message) Effects {
 		m.DiskID, m.Epoch = from.ID, 1
 		return n.Step(Event{Now: 2 * second, From: from.IP, Message: &m})
 	}
 	queryVote := func() Message {
-		out := say(Message{Kind: ReadIndex, Tag: 7})
+		out := receive(Message{Kind: ReadIndex, Tag: 7})
 		for _, m := range out.Send[from.IP] {
 			if m.Kind == ReadIndexReply {
 				return m
@@ -42,28 +42,28 @@
 		c.Fatal("no answer")
 		return Message{}
 	}
-	synced := func(out Effects) {
+	finishSync := func(out Effects) {
 		for _, m := range out.SendAfterSync[l.Members[1].IP] {
 			n.Step(Event{Now: 2 * second, From: l.Members[1].IP, Message: &m})
 		}
 	}
 	value := func(v uint64) []config.Item { return []config.Item{item(config.KindStableVersions, "desk", v, `{}`)} }
-	first := say(Message{Kind: Accept, Index: 2, Ballot: b, Value: value(1)})
+	first := receive(Message{Kind: Accept, Index: 2, Ballot: b, Value: value(1)})
 	c.Check(queryVote().Accepted, qt.Equals, Ballot{}, qt.Commentf("not on disk yet"))
-	synced(first)
+	finishSync(first)
 	c.Check(queryVote().Accepted, qt.Equals, b)
-	say(Message{Kind: Commit, Index: 2, Ballot: b})
+	receive(Message{Kind: Commit, Index: 2, Ballot: b})
 	c.Assert(n.Applied(), qt.Equals, uint64(2))
-	second := say(Message{Kind: Accept, Index: 3, Ballot: b, Value: value(2)})
+	second := receive(Message{Kind: Accept, Index: 3, Ballot: b, Value: value(2)})
 	c.Check(queryVote().Accepted, qt.Equals, Ballot{}, qt.Commentf("the vote at index 3 is not on disk yet"))
-	synced(second)
+	finishSync(second)
 	c.Check(queryVote().Accepted, qt.Equals, b)
 }
 
 // An item that is evicted and set again in one step is on disk afterwards, whichever was first.
-func TestForgottenAndSetAgain(t *testing.T) {
+func TestEvictedItemSetAgain(t *testing.T) {
 	c := qt.New(t)
-	node, l := threeMembers(second)
+	node, l := newTestNode(second)
 	disk := map[config.Key]config.Item{}
 	for n := range config.MaxDeleted {
 		i := config.Item{Kind: config.KindRoutes, Name: fmt.Sprintf("r%d", n), Version: uint64(n + 1), Deleted: true}
@@ -72,7 +72,7 @@
 	}
 	disk[membership.Key] = l.Item()
 	from := l.Members[0]
-	do := func(m Message) {
+	receive := func(m Message) {
 		m.DiskID, m.Epoch, m.Applied = from.ID, 1, 4
 		out := node.Step(Event{Now: 2 * second, From: from.IP, Message: &m})
 		for _, i := range out.SaveItems {
@@ -82,15 +82,15 @@
 			delete(disk, k)
 		}
 	}
-	do(Message{Kind: Prepare, Index: 5, Ballot: Ballot{1, "other"}}) // it is behind, and requests changes
-	do(Message{Kind: Changes, Index: 1, Batches: [][]config.Item{
+	receive(Message{Kind: Prepare, Index: 5, Ballot: Ballot{1, "other"}}) // it is behind, and requests changes
+	receive(Message{Kind: Changes, Index: 1, Batches: [][]config.Item{
 		{{Kind: config.KindRoutes, Name: "s", Version: 1 << 20, Deleted: true}}, // one too many: the oldest are evicted
 		{item(config.KindRoutes, "r0", 1<<20, `{}`)},
 		{item(config.KindRoutes, "t", 1<<20, `{}`)},
 	}})
 	c.Assert(node.Applied(), qt.Equals, uint64(4))
-	_, there := node.Set.Lookup(config.Key{Kind: config.KindRoutes, Name: "r1"})
-	c.Assert(there, qt.IsFalse)
+	_, exists := node.Set.Lookup(config.Key{Kind: config.KindRoutes, Name: "r1"})
+	c.Assert(exists, qt.IsFalse)
 	c.Check(len(disk), qt.Equals, node.Set.Len())
 	for _, i := range node.Set.All() {
 		c.Check(disk[i.Key()].Equal(i), qt.IsTrue, qt.Commentf("%s %s is not on disk", i.Kind, i.Name))
--- a/internal/control/consensus/determinism_test.go
+++ b/internal/control/consensus/determinism_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // A seed plays alike each time: what is decided depends on nothing but the events.
-func TestSameAgain(t *testing.T) {
+func TestSimulationIsDeterministic(t *testing.T) {
 	for seed := range uint64(defaultRepeats) {
 		a, first := simulate(seed, mutant{}, nil)
 		for range 2 {
--- a/internal/control/consensus/diskimage_test.go
+++ b/internal/control/consensus/diskimage_test.go
@@ -6,10 +6,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// restoreImage plays a core of three: the first and second decide index 2, of which the third learns nothing, and the first answers its
+// restartMember plays a core of three: the first and second decide index 2, of which the third learns nothing, and the first answers its
 // client. Then the first starts with an earlier image of its disk, or with the disk itself, and a rival operation is submitted to the third
 // at once. The second is up, or cut off; it has applied the index, or only voted on it. It returns what each has in the end.
-func restoreImage(c *qt.C, image, cut, applied bool) map[string]string {
+func restartMember(c *qt.C, fromImage, secondCut, secondApplied bool) map[string]string {
 	tc := newTestCluster(3, 0, 3)
 	for _, ip := range tc.ips {
 		tc.start(ip, "")
@@ -18,7 +18,7 @@
 	tc.run(2 * second)
 	disk, items := tc.members["1"].diskImage()
 	tc.deliverable = func(from, to string, m Message) bool {
-		return from != "3" && to != "3" && (applied || m.Kind != Commit)
+		return from != "3" && to != "3" && (secondApplied || m.Kind != Commit)
 	}
 	for _, ip := range []string{"1", "2"} {
 		tc.setConnected(ip, "3", false)
@@ -27,15 +27,15 @@
 	tag := tc.submit("1", serviceOperation("gate", 1, "one"))
 	tc.run(200 * ms)
 	c.Assert(tc.isConfirmed(tag), qt.IsTrue)
-	c.Assert(tc.members["2"].node.Applied(), qt.Equals, map[bool]uint64{true: 2, false: 1}[applied])
+	c.Assert(tc.members["2"].node.Applied(), qt.Equals, map[bool]uint64{true: 2, false: 1}[secondApplied])
 	tc.stop("1")
-	if image {
+	if fromImage {
 		tc.members["1"].hardState, tc.members["1"].items = disk, items
 	}
 	tc.setConnected("2", "1", false)
-	began := tc.now
+	restartedAt := tc.now
 	tc.deliverable = func(from, to string, m Message) bool {
-		return from != "2" && to != "2" || !cut && tc.now >= began+150*ms
+		return from != "2" && to != "2" || !secondCut && tc.now >= restartedAt+150*ms
 	}
 	tc.start("1", "")
 	tc.setConnected("1", "3", true) // the second is connected 150 ms later
@@ -47,17 +47,17 @@
 	tc.deliverable = nil
 	tc.connectAll()
 	tc.run(4 * second)
-	at := map[string]string{}
+	bodies := map[string]string{}
 	for _, ip := range tc.ips {
-		at[ip] = tc.serviceBody(ip, "gate")
+		bodies[ip] = tc.serviceBody(ip, "gate")
 	}
-	return at
+	return bodies
 }
 
 // A member that starts does not vote until it has asked the others, so that a restored image of its disk does no harm as long as one is
 // connected that knows better. Its own disk is no image: nothing is lost whoever is cut off.
-func TestImagePutBack(t *testing.T) {
-	for name, test := range map[string]struct{ image, cut, applied bool }{
+func TestRestoredDiskImage(t *testing.T) {
+	for name, test := range map[string]struct{ fromImage, secondCut, secondApplied bool }{
 		"its own disk":                        {false, false, true},
 		"its own disk, the second cut off":    {false, true, true},
 		"its own disk, the second only voted": {false, false, false},
@@ -65,8 +65,8 @@
 		"an image, the second has only voted": {true, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			at := restoreImage(qt.New(t), test.image, test.cut, test.applied)
-			for ip, body := range at {
+			bodies := restartMember(qt.New(t), test.fromImage, test.secondCut, test.secondApplied)
+			for ip, body := range bodies {
 				qt.Check(t, body, qt.Contains, "one", qt.Commentf("at %s", ip))
 			}
 		})
@@ -75,7 +75,7 @@
 
 // What can't be noticed: an image and a member that is behind are a majority, and the one that knows better is cut off. It is why operators
 // never restore an image (docs/operate/core.md).
-func TestImagePutBackUnseen(t *testing.T) {
-	at := restoreImage(qt.New(t), true, true, true)
-	qt.Check(t, at["1"], qt.Contains, "two")
+func TestRestoredDiskImageUndetected(t *testing.T) {
+	bodies := restartMember(qt.New(t), true, true, true)
+	qt.Check(t, bodies["1"], qt.Contains, "two")
 }
--- a/internal/control/consensus/exhaustive_search_test.go
+++ b/internal/control/consensus/exhaustive_search_test.go
@@ -15,9 +15,9 @@
 
 // Sums that tell the events of a search apart which are not messages.
 const (
-	tickSum         = 1
-	memberChangeSum = 2
-	rivalSum        = 3
+	tickDigest         = 1
+	memberChangeDigest = 2
+	rivalDigest        = 3
 )
 
 // tickStep is by how much a tick moves a process's clock: beyond all that a proposal waits for.
@@ -33,21 +33,21 @@
 
 // eventKey identifies an event at a process.
 type eventKey struct {
-	process    int
-	processSum uint64
-	eventSum   uint64
-	synced     bool
+	process       int
+	processDigest uint64
+	eventDigest   uint64
+	synced        bool
 }
 
 // transition is an event that may happen next in a state.
 type transition struct {
-	at       int // the index of the process
-	target   *process
-	event    Event
-	eventSum uint64
-	powered  bool // the process keeps its power until its write is synced
-	describe func() string
-	change   func(*searchState) // what else it changes; nil for nothing
+	at          int // the index of the process
+	target      *process
+	event       Event
+	eventDigest uint64
+	powered     bool // the process keeps its power until its write is synced
+	describe    func() string
+	change      func(*searchState) // what else it changes; nil for nothing
 }
 
 // searcher is one search, breadth first.
@@ -92,7 +92,7 @@
 
 // result returns the result of a transition's event at its process.
 func (sr *searcher) result(t transition) *stepResult {
-	key := eventKey{t.at, t.target.sum, t.eventSum, t.powered}
+	key := eventKey{t.at, t.target.digest, t.eventDigest, t.powered}
 	result := sr.results[key]
 	if result == nil {
 		result = sr.step(t.at, t.target, t.event, t.powered)
@@ -103,11 +103,11 @@
 
 // visit returns a state, nil if it was visited before.
 func (sr *searcher) visit(state *searchState) *searchState {
-	state.computeSum()
-	if sr.seen[state.sum] {
+	state.computeDigest()
+	if sr.seen[state.digest] {
 		return nil
 	}
-	sr.seen[state.sum] = true
+	sr.seen[state.digest] = true
 	return state
 }
 
@@ -119,7 +119,7 @@
 			packets = sr.mutation.message(sr, state, original)
 		}
 		for _, p := range packets {
-			at, exists := slices.BinarySearchFunc(next.packets, p, func(a, b *packet) int { return cmp.Compare(a.sum, b.sum) })
+			at, exists := slices.BinarySearchFunc(next.packets, p, func(a, b *packet) int { return cmp.Compare(a.digest, b.digest) })
 			if !exists {
 				next.packets = slices.Insert(slices.Clone(next.packets), at, p)
 			}
@@ -161,7 +161,7 @@
 	result := &stepResult{}
 	for queue := []Event{e}; len(queue) > 0; queue = queue[1:] {
 		effects := p.node.Step(queue[0])
-		result.note(p.node, effects.Answers)
+		result.record(p.node, effects.Answers)
 		if effects.HardState != nil && powered {
 			sr.write(&p, effects)
 		}
@@ -176,8 +176,8 @@
 	return result
 }
 
-// note adds the set that a process has now, and the rivals that were confirmed.
-func (r *stepResult) note(node *Node, answers []Answer) {
+// record adds the set that a process has now, and the rivals that were confirmed.
+func (r *stepResult) record(node *Node, answers []Answer) {
 	decided := decidedSet{node.Applied(), node.Set.Checksum()}
 	if decided.index > 0 && !slices.Contains(r.decided, decided) {
 		r.decided = append(r.decided, decided)
@@ -232,11 +232,11 @@
 
 // intern returns the one process that stands for all that are alike.
 func (sr *searcher) intern(p process) *process {
-	p.sum = digestOf(p.node, p.hardState, p.now, p.incarnation)
-	if known, exists := sr.processes[p.sum]; exists {
+	p.digest = digestOf(p.node, p.hardState, p.now, p.incarnation)
+	if known, exists := sr.processes[p.digest]; exists {
 		return known
 	}
-	sr.processes[p.sum] = &p
+	sr.processes[p.digest] = &p
 	return &p
 }
 
@@ -280,12 +280,12 @@
 	for n, p := range state.packets {
 		delivery := sr.delivery(state, n, p)
 		add(sr.successor(state, delivery))
-		if state.budget.powers > 0 {
+		if state.budget.powerLosses > 0 {
 			add(sr.successor(state, delivery.withoutPower()))
 		}
 	}
 	for at, target := range state.processes {
-		if state.budget.turns > 0 && at < 2 {
+		if state.budget.ticks > 0 && at < 2 {
 			add(sr.successor(state, sr.tick(at, target)))
 		}
 		if state.budget.wipes > 0 && at < 3 && !strings.HasSuffix(target.hardState.DiskID, wipedSuffix) {
@@ -298,11 +298,11 @@
 func (sr *searcher) delivery(state *searchState, n int, p *packet) transition {
 	m := p.message
 	return transition{
-		at:       p.to,
-		target:   state.processes[p.to],
-		event:    Event{From: fmt.Sprint(p.from + 1), Message: &m},
-		eventSum: p.sum,
-		powered:  true,
+		at:          p.to,
+		target:      state.processes[p.to],
+		event:       Event{From: fmt.Sprint(p.from + 1), Message: &m},
+		eventDigest: p.digest,
+		powered:     true,
 		describe: func() string {
 			return fmt.Sprintf("%s %d>%d number %d ballot %v", m.Kind, p.from+1, p.to+1, m.Index, m.Ballot)
 		},
@@ -317,7 +317,7 @@
 	t.describe = func() string { return powered.describe() + " without power" }
 	t.change = func(next *searchState) {
 		powered.change(next)
-		next.budget.powers--
+		next.budget.powerLosses--
 	}
 	return t
 }
@@ -327,13 +327,13 @@
 	later := *target
 	later.now += tickStep
 	return transition{
-		at:       at,
-		target:   sr.intern(later),
-		event:    Event{Tick: true},
-		eventSum: tickSum,
-		powered:  true,
-		describe: func() string { return fmt.Sprintf("time at %d", at+1) },
-		change:   func(next *searchState) { next.budget.turns-- },
+		at:          at,
+		target:      sr.intern(later),
+		event:       Event{Tick: true},
+		eventDigest: tickDigest,
+		powered:     true,
+		describe:    func() string { return fmt.Sprintf("time at %d", at+1) },
+		change:      func(next *searchState) { next.budget.ticks-- },
 	}
 }
 
@@ -362,7 +362,7 @@
 	sr.results = map[eventKey]*stepResult{}
 	sr.processes = map[uint64]*process{}
 	sr.decided = map[decidedSet]bool{}
-	level := []*searchState{sr.initialState(world.left, world.more)}
+	level := []*searchState{sr.initialState(world.limits, world.memberChanges)}
 	for sr.depth = 0; sr.depth < maxDepth && len(level) > 0; sr.depth++ {
 		var next []*searchState
 		for _, state := range level {
--- a/internal/control/consensus/exhaustive_state_test.go
+++ b/internal/control/consensus/exhaustive_state_test.go
@@ -23,14 +23,14 @@
 	items       []config.Item
 	now         int64
 	incarnation int
-	sum         uint64 // of all of it
+	digest      uint64 // of all of it
 }
 
 // packet is a message in flight.
 type packet struct {
 	from, to int
 	message  Message
-	sum      uint64
+	digest   uint64
 }
 
 // searchState is a state of the world. What it holds is shared with other states.
@@ -42,7 +42,7 @@
 	budget    budget
 	previous  *searchState // and what led from it to this one:
 	describe  func() string
-	sum       uint64 // of all but previous
+	digest    uint64 // of all but previous
 }
 
 // fork returns a state like this one that follows on it.
@@ -64,13 +64,13 @@
 }
 
 // decidedSet is the checksum of the set that a process has at an index.
-type decidedSet struct{ index, sum uint64 }
+type decidedSet struct{ index, digest uint64 }
 
 // budget is what may still happen.
 type budget struct {
-	turns  int // ticks
-	powers int // losses of power
-	wipes  int // losses of a disk
+	ticks       int // ticks
+	powerLosses int // losses of power
+	wipes       int // losses of a disk
 }
 
 // accessible returns a value that may be read and set, also where its field is not exported.
@@ -202,27 +202,27 @@
 	return h.Sum64()
 }
 
-// computeSum sets the sum, which identifies the state.
-func (st *searchState) computeSum() {
+// computeDigest sets the digest, which identifies the state.
+func (st *searchState) computeDigest() {
 	h := uint64(14695981039346656037)
 	mix := func(x uint64) { h = bits.RotateLeft64((h^x)*0x9E3779B97F4A7C15, 29) * 1099511628211 }
-	mix(uint64(st.budget.turns)<<16 | uint64(st.budget.powers)<<8 | uint64(st.budget.wipes))
+	mix(uint64(st.budget.ticks)<<16 | uint64(st.budget.powerLosses)<<8 | uint64(st.budget.wipes))
 	for n, confirmed := range st.confirmed {
 		if confirmed {
 			mix(uint64(n) + 77)
 		}
 	}
-	for _, s := range st.processes {
-		mix(s.sum)
+	for _, p := range st.processes {
+		mix(p.digest)
 	}
-	for _, f := range st.decided {
-		mix(f.index)
-		mix(f.sum)
+	for _, set := range st.decided {
+		mix(set.index)
+		mix(set.digest)
 	}
-	for _, l := range st.packets {
-		mix(l.sum)
+	for _, inFlight := range st.packets {
+		mix(inFlight.digest)
 	}
-	st.sum = h
+	st.digest = h
 }
 
 // trace returns the events that led to the state.
--- a/internal/control/consensus/exhaustive_worlds_test.go
+++ b/internal/control/consensus/exhaustive_worlds_test.go
@@ -32,51 +32,51 @@
 
 // initialState returns the state where a search begins: three members at index 1, a newcomer that has the same, and rival operations
 // submitted to the first and second.
-func (sr *searcher) initialState(left budget, more map[int]operation.Operation) *searchState {
-	state := &searchState{budget: left}
+func (sr *searcher) initialState(remaining budget, memberChanges map[int]operation.Operation) *searchState {
+	state := &searchState{budget: remaining}
 	items := []config.Item{firstMembership().Item(), item(config.KindServices, "desk", 1, `{"health-path":"/","name":"desk"}`)}
 	for n, member := range allMembers() {
 		state.processes[n] = sr.restart(n, process{hardState: HardState{DiskID: member.ID, Applied: 1}, items: items, now: 1000 * second})
 	}
 	for n := range 2 {
-		if change, exists := more[n]; exists {
-			state = sr.submit(state, n, change, 9, memberChangeSum)
+		if change, exists := memberChanges[n]; exists {
+			state = sr.submit(state, n, change, 9, memberChangeDigest)
 		}
 		body := fmt.Sprintf(`{"health-path":"/%d","name":"gate"}`, n)
 		rival := operation.Operation{Kind: operation.ModifyConfig, Items: []config.Item{item(config.KindServices, "gate", 1, body)}}
-		state = sr.submit(state, n, rival, uint64(n+1), rivalSum)
+		state = sr.submit(state, n, rival, uint64(n+1), rivalDigest)
 	}
 	state.previous = nil
 	return state
 }
 
 // submit returns the state after an operation is submitted to a process.
-func (sr *searcher) submit(state *searchState, at int, op operation.Operation, tag, eventSum uint64) *searchState {
+func (sr *searcher) submit(state *searchState, at int, op operation.Operation, tag, eventDigest uint64) *searchState {
 	return sr.successor(state, transition{
-		at:       at,
-		target:   state.processes[at],
-		event:    Event{Operation: &op, Tag: tag},
-		eventSum: eventSum,
-		powered:  true,
+		at:          at,
+		target:      state.processes[at],
+		event:       Event{Operation: &op, Tag: tag},
+		eventDigest: eventDigest,
+		powered:     true,
 	})
 }
 
-// swap returns a change of members.
-func swap(in membership.Member, out ...string) operation.Operation {
-	return operation.Operation{Kind: operation.ChangeMembers, Add: []membership.Member{in}, Remove: out}
+// membershipChange returns a change of members.
+func membershipChange(add membership.Member, remove ...string) operation.Operation {
+	return operation.Operation{Kind: operation.ChangeMembers, Add: []membership.Member{add}, Remove: remove}
 }
 
 // worlds are the worlds that are searched: what may happen in each, and which processes are asked to change the members.
 var worlds = map[string]struct {
-	left budget
-	more map[int]operation.Operation
+	limits        budget
+	memberChanges map[int]operation.Operation
 }{
-	"rivals":                          {budget{turns: 2}, nil},
-	"rivals and power":                {budget{turns: 1, powers: 2}, nil},
-	"rivals and a wipe":               {budget{turns: 1, wipes: 1}, nil},
-	"a member for another":            {budget{turns: 1}, map[int]operation.Operation{0: swap(newcomer, "3")}},
-	"a member for the other proposer": {budget{turns: 1}, map[int]operation.Operation{0: swap(newcomer, "2")}},
-	"a member more, and a wipe":       {budget{turns: 1, wipes: 1}, map[int]operation.Operation{0: swap(newcomer)}},
-	"two lists at once":               {budget{turns: 1}, map[int]operation.Operation{0: swap(newcomer, "3"), 1: swap(newcomer, "1")}},
-	"two lists, power and wipe":       {budget{turns: 1, powers: 1, wipes: 1}, map[int]operation.Operation{0: swap(newcomer, "3"), 1: swap(newcomer, "1")}},
+	"rivals":                          {budget{ticks: 2}, nil},
+	"rivals and power":                {budget{ticks: 1, powerLosses: 2}, nil},
+	"rivals and a wipe":               {budget{ticks: 1, wipes: 1}, nil},
+	"a member for another":            {budget{ticks: 1}, map[int]operation.Operation{0: membershipChange(newcomer, "3")}},
+	"a member for the other proposer": {budget{ticks: 1}, map[int]operation.Operation{0: membershipChange(newcomer, "2")}},
+	"a member more, and a wipe":       {budget{ticks: 1, wipes: 1}, map[int]operation.Operation{0: membershipChange(newcomer)}},
+	"two lists at once":               {budget{ticks: 1}, map[int]operation.Operation{0: membershipChange(newcomer, "3"), 1: membershipChange(newcomer, "1")}},
+	"two lists, power and wipe":       {budget{ticks: 1, powerLosses: 1, wipes: 1}, map[int]operation.Operation{0: membershipChange(newcomer, "3"), 1: membershipChange(newcomer, "1")}},
 }
--- a/internal/control/consensus/faults_test.go
+++ b/internal/control/consensus/faults_test.go
@@ -103,7 +103,7 @@
 	if sim.mutation.keepID {
 		id = m.hardState.DiskID
 	}
-	sim.noteLostDisk(m)
+	sim.recordLostDisk(m)
 	m.hardState = HardState{DiskID: id}
 	m.items = map[config.Key]config.Item{}
 	m.applied = 0
@@ -112,7 +112,7 @@
 	}
 }
 
-func (sim *simulation) noteLostDisk(m *machine) {
+func (sim *simulation) recordLostDisk(m *machine) {
 	sim.lostDisks = append(sim.lostDisks, lostDisk{membership.Member{IP: m.ip, ID: m.hardState.DiskID}, sim.now})
 }
 
@@ -124,7 +124,7 @@
 	sim.tally["replaced"]++
 	sim.stop(m, true)
 	m.removed = true
-	sim.noteLostDisk(m)
+	sim.recordLostDisk(m)
 	next := sim.addMachine(int(m.zone[1] - '0'))
 	sim.after(sim.between(0, 4*second), func() { sim.start(next) })
 	if sim.rand.IntN(2) == 0 {
--- a/internal/control/consensus/forward_test.go
+++ b/internal/control/consensus/forward_test.go
@@ -17,9 +17,9 @@
 // An operation is forwarded to the preferred proposer, which has it decided; the result does not come back. Then a later operation, which
 // is confirmed, undoes its effect. The process that forwarded it learns both changes from another member, and forwards it to the next: it
 // must not take effect again.
-func TestForwardedTakesEffectOnce(t *testing.T) {
-	evacuate := func(begun bool) operation.Operation {
-		return operation.Operation{Kind: operation.Evacuate, Name: "z", Active: begun}
+func TestForwardedOperationTakesEffectOnce(t *testing.T) {
+	evacuate := func(active bool) operation.Operation {
+		return operation.Operation{Kind: operation.Evacuate, Name: "z", Active: active}
 	}
 	begin := operation.Operation{Kind: operation.BeginRollout, Name: "desk", TargetVersion: "v2", Duration: 10 * second, RetryWindow: second, KnownRolloutAge: 100 * second}
 	for name, test := range map[string]struct {
@@ -42,17 +42,17 @@
 			if test.first.Kind == operation.BeginRollout { // submitted where the newest rollout is long known
 				test.first.KnownRollout = 1
 			}
-			made, there := tc.members["2"].node.Set.Lookup(test.key)
-			c.Assert(there, qt.IsTrue, qt.Commentf("it was decided"))
+			applied, exists := tc.members["2"].node.Set.Lookup(test.key)
+			c.Assert(exists, qt.IsTrue, qt.Commentf("it was decided"))
 			tc.run(100 * ms)
 			undo := tc.submit("2", test.later)
 			c.Assert(tc.isConfirmed(undo), qt.IsTrue, qt.Commentf("%v", tc.answers[undo]))
-			over, _ := tc.members["2"].node.Set.Lookup(test.key)
-			c.Assert(over.Version > made.Version, qt.IsTrue)
+			undone, _ := tc.members["2"].node.Set.Lookup(test.key)
+			c.Assert(undone.Version > applied.Version, qt.IsTrue)
 			tc.setConnected("3", "2", true) // by which it learns both
 			tc.run(4 * second)
 			now, _ := tc.members["2"].node.Set.Lookup(test.key)
-			c.Check(now.Equal(over), qt.IsTrue, qt.Commentf("%d: %s; before %d: %s", now.Version, now.Body, over.Version, over.Body))
+			c.Check(now.Equal(undone), qt.IsTrue, qt.Commentf("%d: %s; before %d: %s", now.Version, now.Body, undone.Version, undone.Body))
 			r, answered := tc.answers[tag]
 			c.Assert(answered, qt.IsTrue)
 			c.Check(r.Kind == apierror.None || r.Kind == apierror.Unavailable, qt.IsTrue, qt.Commentf("%v", r))
@@ -62,13 +62,13 @@
 
 // The condition of a forwarded operation may be dropped only where nothing of it is left: its one copy ended without a vote, and its own
 // process hasn't voted on it, as another may finish that vote.
-func TestBoundUntilNothingIsAbout(t *testing.T) {
+func TestConditionKeptWhileCopyMayExist(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		given  int
-		at     uint64
-		result Result
-		bound  bool
+		name        string
+		copies      int
+		proposedAt  uint64
+		result      Result
+		conditional bool
 	}{
 		{"its one copy was never voted on", 1, 0, Result{Kind: apierror.Unavailable, NotProposed: true}, false},
 		{"it may have been", 1, 0, Result{Kind: apierror.Unavailable}, true},
@@ -76,18 +76,18 @@
 		{"it was voted on here", 1, 2, Result{Kind: apierror.Unavailable, NotProposed: true}, true},
 	} {
 		c := qt.New(t)
-		n, l := threeMembers(second)
-		op := &pendingOperation{tag: 9, operation: operation.Bind(n.Set, operation.Operation{Kind: operation.Evacuate, Name: "z", Active: true}), forwards: test.given, proposedIndex: test.at, forwardedAt: 1, forwardedTo: l.Members[1].IP}
+		n, l := newTestNode(second)
+		op := &pendingOperation{tag: 9, operation: operation.Bind(n.Set, operation.Operation{Kind: operation.Evacuate, Name: "z", Active: true}), forwards: test.copies, proposedIndex: test.proposedAt, forwardedAt: 1, forwardedTo: l.Members[1].IP}
 		n.forwarder.pending = []*pendingOperation{op}
 		n.handleForwardResult(Event{Now: second, From: l.Members[1].IP}, Message{Kind: ForwardResult, Tag: 9, Result: &test.result})
-		c.Check(op.operation.Conditional, qt.Equals, test.bound, qt.Commentf(test.name))
+		c.Check(op.operation.Conditional, qt.Equals, test.conditional, qt.Commentf(test.name))
 		c.Check(op.forwardedTo, qt.Equals, "")
 	}
 }
 
 // A process forwards an operation, is killed, and in its next incarnation has another operation under the same tag: tags begin anew. The
 // result of the first is not the second's, which would else be confirmed though it lost; nor is a reply to a read of the incarnation before.
-func TestAnswersOfAnotherLife(t *testing.T) {
+func TestRepliesToEarlierIncarnation(t *testing.T) {
 	for _, read := range []bool{false, true} {
 		t.Run(fmt.Sprint("read ", read), func(t *testing.T) {
 			c := qt.New(t)
@@ -105,7 +105,7 @@
 				}
 				return true
 			}
-			ask := func(o operation.Operation) {
+			submitTo3 := func(o operation.Operation) {
 				if read {
 					tc.step("3", Event{Read: true, Tag: 7})
 				} else {
@@ -113,18 +113,18 @@
 				}
 				tc.deliver()
 			}
-			ask(serviceOperation("gate", 1, "one"))
+			submitTo3(serviceOperation("gate", 1, "one"))
 			c.Assert(len(late) > 0, qt.IsTrue)
 			tc.stop("3")
 			tc.start("3", "")
 			tc.connectAll()
 			tc.run(second)
-			made := tc.submit("1", serviceOperation("other", 1, "made")) // since then
-			c.Assert(tc.isConfirmed(made), qt.IsTrue)
+			other := tc.submit("1", serviceOperation("other", 1, "made")) // since then
+			c.Assert(tc.isConfirmed(other), qt.IsTrue)
 			tc.deliverable = func(from, to string, m Message) bool { // the requests of 3 go out, and no reply has come yet
 				return to != "3" || m.Kind != ForwardResult && m.Kind != ReadIndexReply
 			}
-			ask(serviceOperation("gate", 1, "two"))
+			submitTo3(serviceOperation("gate", 1, "two"))
 			tc.deliverable = nil
 			for _, m := range late {
 				tc.step("3", Event{From: m.from, Message: &m.message})
@@ -144,7 +144,7 @@
 // Four changes of 7 MB each are pending at once. In one value they would make a frame that ends every connection, and once it was voted
 // for somewhere each promise would be another: the core would never decide anything again. They go into as many values as it takes; no
 // message is larger than a frame.
-func TestNoValueIsOverAFrame(t *testing.T) {
+func TestMessagesFitFrame(t *testing.T) {
 	c := qt.New(t)
 	tc := newTestCluster(3, 0, 3)
 	for _, ip := range tc.ips {
@@ -152,7 +152,7 @@
 	}
 	tc.connectAll()
 	tc.run(second)
-	most, held := 0, true
+	largest, blocked := 0, true
 	tc.deliverable = func(_, _ string, m Message) bool {
 		size := config.EncodedSizeBound(m.Value) // nearly of all its JSON; TestValueFitsAFrame of operation compares the two
 		for _, items := range m.Batches {
@@ -161,8 +161,8 @@
 		if m.Operation != nil {
 			size += config.EncodedSizeBound(m.Operation.Items)
 		}
-		most = max(most, size)
-		return !held
+		largest = max(largest, size)
+		return !blocked
 	}
 	tags := []uint64{tc.submit("1", serviceOperation("first", 1, "x"))}
 	long := strings.Repeat("x", 7<<20)
@@ -170,12 +170,12 @@
 		tags = append(tags, tc.submit("1", serviceOperation(fmt.Sprint("gate-", n), 1, long)))
 	}
 	small := tc.submit("1", serviceOperation("small", 1, "x"))
-	held = false
+	blocked = false
 	tc.run(3 * second)
 	for _, tag := range append(tags, small) {
 		c.Check(tc.isConfirmed(tag), qt.IsTrue, qt.Commentf("%v", tc.answers[tag].Kind))
 	}
-	c.Check(most > 14<<20 && most < stream.MaxFrameBytes-64<<10, qt.IsTrue, qt.Commentf("%d bytes", most))
+	c.Check(largest > 14<<20 && largest < stream.MaxFrameBytes-64<<10, qt.IsTrue, qt.Commentf("%d bytes", largest))
 	c.Check(tc.members["1"].node.Counts.Decided, qt.Equals, int64(2))
 	tc.checkSame(c)
 
@@ -193,11 +193,11 @@
 			tc.run(500 * ms)
 			c.Assert(tc.isConfirmed(tag), qt.IsTrue, qt.Commentf("%v", tc.answers[tag]))
 		}
-		most = 0
+		largest = 0
 		tc.start("3", "")
 		tc.connectAll()
 		tc.run(4 * second)
-		c.Check(most < stream.MaxFrameBytes-64<<10, qt.IsTrue, qt.Commentf("%d bytes", most))
+		c.Check(largest < stream.MaxFrameBytes-64<<10, qt.IsTrue, qt.Commentf("%d bytes", largest))
 		tc.checkSame(c)
 		node := tc.members["1"].node
 		c.Check(node.history.bytes <= maxRecentBytes, qt.IsTrue, qt.Commentf("%d bytes of changes are kept", node.history.bytes))
--- a/internal/control/consensus/idempotence_test.go
+++ b/internal/control/consensus/idempotence_test.go
@@ -15,67 +15,67 @@
 // proposer the operation is still pending, as it has learned of no end: it must not take effect again.
 func TestOperationTakesEffectOnce(t *testing.T) {
 	running := rollout.Rollout{Service: "desk", Number: 1, Target: "v2", Duration: 10 * second, State: rollout.Running}
-	over := running
-	over.State = rollout.RolledBack
+	rolledBack := running
+	rolledBack.State = rollout.RolledBack
 	for name, test := range map[string]struct {
-		order       operation.Operation
-		made, later config.Item
+		op              operation.Operation
+		applied, undone config.Item
 	}{
 		"evacuation": {operation.Operation{Kind: operation.Evacuate, Name: "z", Active: true}, item(config.KindEvacuations, "z", 1, `{"begun":true}`),
 			item(config.KindEvacuations, "z", 2, `{"begun":false}`)},
-		"rollout": {operation.Operation{Kind: operation.BeginRollout, Name: "desk", TargetVersion: "v2", Duration: 10 * second, RetryWindow: second, KnownRolloutAge: 100 * second}, running.Item(), over.Item()},
+		"rollout": {operation.Operation{Kind: operation.BeginRollout, Name: "desk", TargetVersion: "v2", Duration: 10 * second, RetryWindow: second, KnownRolloutAge: 100 * second}, running.Item(), rolledBack.Item()},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			n, l := threeMembers(second)
+			n, l := newTestNode(second)
 			n.Set.Merge(item(config.KindServices, "desk", 1, `{"name":"desk","health-path":"/"}`))
 			n.caughtUp = true
 			now := 2 * second
 			var answers []Answer
 			proposed := 0 // how often the effect of the operation is proposed
 			var step func(e Event)
-			say := func(who int, m Message) {
-				m.DiskID, m.Epoch = l.Members[who].ID, 1
-				step(Event{From: l.Members[who].IP, Message: &m})
+			receive := func(member int, m Message) {
+				m.DiskID, m.Epoch = l.Members[member].ID, 1
+				step(Event{From: l.Members[member].IP, Message: &m})
 			}
-			helpful := true
+			cooperative := true
 			step = func(e Event) {
 				e.Now, e.Random = now, 0.9
-				out := n.Step(e)
-				answers = append(answers, out.Answers...)
-				for _, m := range out.SendAfterSync[l.Members[1].IP] {
+				effects := n.Step(e)
+				answers = append(answers, effects.Answers...)
+				for _, m := range effects.SendAfterSync[l.Members[1].IP] {
 					step(Event{From: l.Members[1].IP, Message: &m})
 				}
-				for _, m := range out.Send[l.Members[2].IP] {
+				for _, m := range effects.Send[l.Members[2].IP] {
 					switch {
-					case m.Kind == Prepare && helpful:
-						say(2, Message{Kind: Promise, Index: m.Index, Ballot: m.Ballot})
+					case m.Kind == Prepare && cooperative:
+						receive(2, Message{Kind: Promise, Index: m.Index, Ballot: m.Ballot})
 					case m.Kind == Accept:
 						for _, i := range m.Value {
-							if i.Key() == test.made.Key() {
+							if i.Key() == test.applied.Key() {
 								proposed++
-								c.Check(i.Version, qt.Equals, test.made.Version)
+								c.Check(i.Version, qt.Equals, test.applied.Version)
 							}
 						}
-						if helpful {
-							helpful = false
-							say(2, Message{Kind: Rejected, Index: m.Index, Ballot: Ballot{99, "other"}, Accepted: m.Ballot})
-							say(0, Message{Kind: Rejected, Index: m.Index, Ballot: Ballot{99, "other"}, Accepted: m.Ballot})
+						if cooperative {
+							cooperative = false
+							receive(2, Message{Kind: Rejected, Index: m.Index, Ballot: Ballot{99, "other"}, Accepted: m.Ballot})
+							receive(0, Message{Kind: Rejected, Index: m.Index, Ballot: Ballot{99, "other"}, Accepted: m.Ballot})
 						}
 					}
 				}
 			}
 			step(Event{From: l.Members[2].IP, Peer: &Peer{Member: l.Members[2], Epoch: 1, Applied: 1, CaughtUp: true}})
-			step(Event{Operation: &test.order, Tag: 1})
+			step(Event{Operation: &test.op, Tag: 1})
 			c.Assert(proposed, qt.Equals, 1)
-			decides := func(number uint64, value config.Item) { // by another proposer, which finished the vote
-				say(0, Message{Kind: Accept, Index: number, Ballot: Ballot{1000 * number, "other"}, Value: []config.Item{value}})
-				say(0, Message{Kind: Commit, Index: number, Ballot: Ballot{1000 * number, "other"}})
-				c.Assert(n.Applied(), qt.Equals, number)
+			decideElsewhere := func(index uint64, value config.Item) { // by another proposer, which finished the vote
+				receive(0, Message{Kind: Accept, Index: index, Ballot: Ballot{1000 * index, "other"}, Value: []config.Item{value}})
+				receive(0, Message{Kind: Commit, Index: index, Ballot: Ballot{1000 * index, "other"}})
+				c.Assert(n.Applied(), qt.Equals, index)
 			}
-			decides(2, test.made)
-			decides(3, test.later)
-			helpful, proposed = true, 0
+			decideElsewhere(2, test.applied)
+			decideElsewhere(3, test.undone)
+			cooperative, proposed = true, 0
 			for range 60 {
 				now += second / 20
 				step(Event{Tick: true})
--- a/internal/control/consensus/incarnation_test.go
+++ b/internal/control/consensus/incarnation_test.go
@@ -6,9 +6,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// twoIncarnations plays a proposer that loses its power before its own promise is synced, after another has voted for its value; its next
+// runTwoIncarnations plays a proposer that loses its power before its own promise is synced, after another has voted for its value; its next
 // incarnation proposes another value to the one that has not. It returns what each has in the end.
-func twoIncarnations(c *qt.C, first, next string) (at map[string]string) {
+func runTwoIncarnations(c *qt.C, first, next string) (bodies map[string]string) {
 	tc := newTestCluster(3, 0, 3)
 	tc.start("1", first)
 	tc.start("2", "")
@@ -36,24 +36,24 @@
 	tag := tc.submit("1", serviceOperation("gate", 1, "two"))
 	tc.run(second)
 	c.Assert(tc.isConfirmed(tag), qt.IsTrue)
-	at = map[string]string{}
+	bodies = map[string]string{}
 	tc.deliverable = nil
 	tc.run(5 * second)
 	for _, ip := range tc.ips {
 		c.Check(tc.members[ip].node.Applied() >= 2, qt.IsTrue)
-		at[ip] = tc.serviceBody(ip, "gate")
+		bodies[ip] = tc.serviceBody(ip, "gate")
 	}
-	return at
+	return bodies
 }
 
 // No two incarnations of a process ever use one ballot: else a commit of the second one's value is taken for the first one's, which has the
 // same ballot.
-func TestTwoIncarnationsOneBallot(t *testing.T) {
+func TestIncarnationsUseDistinctBallots(t *testing.T) {
 	c := qt.New(t)
-	at := twoIncarnations(c, "1.1", "1.2")
-	c.Check(at["1"], qt.Contains, "two")
-	c.Check(at["2"], qt.Equals, at["1"])
-	c.Check(at["3"], qt.Equals, at["1"])
-	at = twoIncarnations(c, "1", "1") // with the rule broken
-	c.Check(at["2"], qt.Not(qt.Equals), at["1"], qt.Commentf("one name for both incarnations isn't noticed"))
+	bodies := runTwoIncarnations(c, "1.1", "1.2")
+	c.Check(bodies["1"], qt.Contains, "two")
+	c.Check(bodies["2"], qt.Equals, bodies["1"])
+	c.Check(bodies["3"], qt.Equals, bodies["1"])
+	bodies = runTwoIncarnations(c, "1", "1") // with the rule broken
+	c.Check(bodies["2"], qt.Not(qt.Equals), bodies["1"], qt.Commentf("one name for both incarnations isn't noticed"))
 }
--- a/internal/control/consensus/invariants_test.go
+++ b/internal/control/consensus/invariants_test.go
@@ -15,7 +15,7 @@
 
 // decidedState is the set at an index.
 type decidedState struct {
-	sum       uint64
+	checksum  uint64
 	items     map[config.Key]config.Item
 	reachedAt int64
 }
@@ -46,29 +46,29 @@
 
 // checkState compares a process with all that was decided: each index has one set at all processes, and a process never goes back.
 func (sim *simulation) checkState(m *machine) {
-	index, sum := m.node.Applied(), m.node.Set.Checksum()
+	index, checksum := m.node.Applied(), m.node.Set.Checksum()
 	if index < m.applied {
 		sim.fail("%s went back from %d to %d", m.ip, m.applied, index)
 	}
 	m.applied = index
-	sim.trace = sim.trace*1099511628211 ^ index ^ sum ^ uint64(sim.now)
+	sim.trace = sim.trace*1099511628211 ^ index ^ checksum ^ uint64(sim.now)
 	switch {
 	case index == 0:
 		return
 	case index > uint64(len(sim.states)+1):
 		sim.fail("%s has number %d, and nobody has had %d", m.ip, index, index-1)
 	case index <= uint64(len(sim.states)):
-		if state := sim.states[index-1]; state.sum != sum {
+		if state := sim.states[index-1]; state.checksum != checksum {
 			sim.fail("%s has another set at number %d: %v, first was %v", m.ip, index, m.node.Set.All(), state.items)
 		}
 		return
 	}
-	sim.addState(m, index, sum)
+	sim.addState(m, index, checksum)
 }
 
 // addState adds the set of a process that is the first to apply an index.
-func (sim *simulation) addState(m *machine, index, sum uint64) {
-	state := decidedState{sum, map[config.Key]config.Item{}, sim.now}
+func (sim *simulation) addState(m *machine, index, checksum uint64) {
+	state := decidedState{checksum, map[config.Key]config.Item{}, sim.now}
 	for _, i := range m.node.Set.All() {
 		state.items[i.Key()] = i
 	}
@@ -124,7 +124,7 @@
 			continue
 		}
 		for _, other := range op.Items {
-			if !holds(after, other) {
+			if !includes(after, other) {
 				sim.fail("at number %d %s came into force, and %s of the same call did not", index, describeItem(item), describeItem(other))
 			}
 		}
@@ -183,10 +183,10 @@
 	return count
 }
 
-// holds reports whether a state has an item, or a later version of it.
-func holds(s decidedState, i config.Item) bool {
-	now, there := s.items[i.Key()]
-	return there && (now.Version > i.Version || now.Equal(i))
+// includes reports whether a state has an item, or a later version of it.
+func includes(state decidedState, i config.Item) bool {
+	current, exists := state.items[i.Key()]
+	return exists && (current.Version > i.Version || current.Equal(i))
 }
 
 // membership returns the newest members that were decided.
@@ -219,7 +219,7 @@
 	switch o := c.operation; o.Kind {
 	case operation.ModifyConfig:
 		for _, i := range o.Items {
-			if !holds(s, i) {
+			if !includes(s, i) {
 				sim.fail("call %d is confirmed at number %d, where %s stands and not %s", c.tag, c.result.Index, describeItem(s.items[i.Key()]), describeItem(i))
 			}
 		}
@@ -236,9 +236,9 @@
 // checkEvacuations checks that a zone stays as a client was answered, until another client wants it otherwise.
 func (sim *simulation) checkEvacuations() {
 	var all []*call
-	for _, g := range sim.operations {
-		if g.operation.Kind == operation.Evacuate {
-			all = append(all, g.calls...)
+	for _, copies := range sim.operations {
+		if copies.operation.Kind == operation.Evacuate {
+			all = append(all, copies.calls...)
 		}
 	}
 	for _, c := range all {
@@ -247,9 +247,9 @@
 		}
 		for n := c.result.Index; n <= uint64(len(sim.states)); n++ {
 			i := sim.states[n-1].items[config.Key{Kind: config.KindEvacuations, Name: c.operation.Name}]
-			begun := strings.Contains(string(i.Body), "true")
-			if begun != c.operation.Active && !slices.ContainsFunc(all, func(d *call) bool {
-				return d.operation.Name == c.operation.Name && d.operation.Active == begun && (!d.done || d.result.Kind == apierror.Unavailable || d.endedAt >= c.startedAt)
+			active := strings.Contains(string(i.Body), "true")
+			if active != c.operation.Active && !slices.ContainsFunc(all, func(other *call) bool {
+				return other.operation.Name == c.operation.Name && other.operation.Active == active && (!other.done || other.result.Kind == apierror.Unavailable || other.endedAt >= c.startedAt)
 			}) {
 				sim.fail("call %d, which began at %.3f s, had zone %s evacuated %v at number %d, and at number %d it is otherwise, though all who wanted that had ended", c.tag, float64(c.startedAt)/1e9, c.operation.Name, c.operation.Active, c.result.Index, n)
 			}
@@ -260,30 +260,30 @@
 // checkOutcomes checks all answers at the end of a run: nothing that was refused has taken effect.
 func (sim *simulation) checkOutcomes() {
 	sim.checkEvacuations()
-	for _, g := range sim.operations {
-		definite, no := len(g.calls) > 0, ""
-		for _, c := range g.calls {
+	for _, copies := range sim.operations {
+		allRejected, conflict := len(copies.calls) > 0, ""
+		for _, c := range copies.calls {
 			switch {
 			case !c.done || c.result.Kind == apierror.None || c.result.Kind == apierror.Unavailable:
-				definite = false
+				allRejected = false
 			case c.result.Kind == apierror.Conflict:
-				no = c.result.Reason
+				conflict = c.result.Reason
 			}
 		}
-		if !definite && no == "" {
+		if !allRejected && conflict == "" {
 			continue
 		}
 		for n, s := range sim.states {
-			switch g.operation.Kind {
+			switch copies.operation.Kind {
 			case operation.ModifyConfig:
-				for _, i := range g.operation.Items {
+				for _, i := range copies.operation.Items {
 					if !i.Deleted && s.items[i.Key()].Equal(i) {
-						sim.fail("call of order %d was refused (%s), and %s of it stands at number %d", g.number, no, describeItem(i), n+1)
+						sim.fail("call of order %d was refused (%s), and %s of it stands at number %d", copies.number, conflict, describeItem(i), n+1)
 					}
 				}
 			case operation.BeginRollout:
-				if strings.Contains(string(s.items[config.Key{Kind: config.KindRollouts, Name: g.operation.Name}].Body), `"target":"`+g.operation.TargetVersion+`"`) {
-					sim.fail("order %d, a begin to %s, was refused each time and stands at number %d", g.number, g.operation.TargetVersion, n+1)
+				if strings.Contains(string(s.items[config.Key{Kind: config.KindRollouts, Name: copies.operation.Name}].Body), `"target":"`+copies.operation.TargetVersion+`"`) {
+					sim.fail("order %d, a begin to %s, was refused each time and stands at number %d", copies.number, copies.operation.TargetVersion, n+1)
 				}
 			}
 		}
--- a/internal/control/consensus/mutant_test.go
+++ b/internal/control/consensus/mutant_test.go
@@ -17,8 +17,8 @@
 }
 
 // mutants each break a rule, in what carries the messages and keeps the disks. That two incarnations use the same ballots is found by none
-// of 4,000 seeds, but by TestTwoIncarnationsOneBallot; promises that aren't kept on disk are found by the exhaustive search, and votes that
-// are reported too early by TestVoteReportedOnceOnDisk, and rarely here.
+// of 4,000 seeds, but by TestIncarnationsUseDistinctBallots; promises that aren't kept on disk are found by the exhaustive search, and votes that
+// are reported too early by TestVoteReportedAfterSync, and rarely here.
 var mutants = map[string]mutant{
 	"a wiped disk is the same member still":              {keepID: true},
 	"a wiped disk is a founder still":                    {firstSeed: 530, keepFounders: true, keepID: true},
--- a/internal/control/consensus/norace_test.go
+++ b/internal/control/consensus/norace_test.go
@@ -6,7 +6,7 @@
 const (
 	defaultSeeds   = 200    // of TestRandomFaults
 	defaultOutages = 6      // of TestFirstFallsSilent
-	defaultRepeats = 6      // of TestSameAgain
+	defaultRepeats = 6      // of TestSimulationIsDeterministic
 	defaultStates  = 100000 // of each world of TestExhaustiveSearch
 )
 
--- a/internal/control/consensus/preferred_test.go
+++ b/internal/control/consensus/preferred_test.go
@@ -117,7 +117,7 @@
 // The preferred proposer decides many indexes between two reports of its status: by what it decides it is known to be as far as the others,
 // and stays the preferred one.
 func TestFirstIsNotBehind(t *testing.T) {
-	n, l := threeMembers(second)
+	n, l := newTestNode(second)
 	first := l.Members[0]
 	n.Step(Event{Now: second, From: first.IP, Peer: &Peer{Member: first, Epoch: 1, Applied: 1, CaughtUp: true}})
 	for index := uint64(2); index < 30; index++ {
--- a/internal/control/consensus/race_test.go
+++ b/internal/control/consensus/race_test.go
@@ -6,7 +6,7 @@
 const (
 	defaultSeeds   = 24 // of TestRandomFaults
 	defaultOutages = 2  // of TestFirstFallsSilent
-	defaultRepeats = 2  // of TestSameAgain
+	defaultRepeats = 2  // of TestSimulationIsDeterministic
 )
 
 // raceDetector reports whether the tests run under the race detector, where checksums over megabytes take seconds.
