--- a/internal/control/consensus/acceptor_test.go
+++ b/internal/control/consensus/acceptor_test.go
@@ -10,7 +10,7 @@
 	"portflow/internal/control/membership"
 )
 
-// newTestNode returns the second of three members, which may vote, at index 1, and the list of the members.
+// newTestNode returns the node of the second of three members, and the member list. The node is at index 1, has caught up and may vote.
 func newTestNode(now int64) (*Node, membership.List) {
 	l := membership.List{Epoch: 1}
 	for i, ip := range []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"} {
@@ -23,7 +23,7 @@
 	return n, l
 }
 
-// A vote is reported to readers only once it is on disk, also where the same ballot had a vote on disk at the index before.
+// A vote must not be reported to readers before it is on disk, even if a vote in the same ballot is on disk for the previous index.
 func TestVoteReportedAfterSync(t *testing.T) {
 	c := qt.New(t)
 	n, l := newTestNode(second)
@@ -39,7 +39,7 @@
 				return m
 			}
 		}
-		c.Fatal("no answer")
+		c.Fatal("no reply to the read")
 		return Message{}
 	}
 	finishSync := func(out Effects) {
@@ -49,7 +49,7 @@
 	}
 	value := func(v uint64) []config.Item { return []config.Item{item(config.KindStableVersions, "desk", v, `{}`)} }
 	first := receive(Message{Kind: Accept, Index: 2, Ballot: b, Value: value(1)})
-	c.Check(queryVote().Accepted, qt.Equals, Ballot{}, qt.Commentf("not on disk yet"))
+	c.Check(queryVote().Accepted, qt.Equals, Ballot{}, qt.Commentf("the vote at index 2 is not on disk yet"))
 	finishSync(first)
 	c.Check(queryVote().Accepted, qt.Equals, b)
 	receive(Message{Kind: Commit, Index: 2, Ballot: b})
@@ -60,7 +60,7 @@
 	c.Check(queryVote().Accepted, qt.Equals, b)
 }
 
-// An item that is evicted and set again in one step is on disk afterwards, whichever was first.
+// An item that is evicted and set again in one step must be on disk afterwards.
 func TestEvictedItemSetAgain(t *testing.T) {
 	c := qt.New(t)
 	node, l := newTestNode(second)
@@ -82,9 +82,9 @@
 			delete(disk, k)
 		}
 	}
-	receive(Message{Kind: Prepare, Index: 5, Ballot: Ballot{1, "other"}}) // it is behind, and requests changes
+	receive(Message{Kind: Prepare, Index: 5, Ballot: Ballot{1, "other"}}) // the node is behind and requests changes
 	receive(Message{Kind: Changes, Index: 1, Batches: [][]config.Item{
-		{{Kind: config.KindRoutes, Name: "s", Version: 1 << 20, Deleted: true}}, // one too many: the oldest are evicted
+		{{Kind: config.KindRoutes, Name: "s", Version: 1 << 20, Deleted: true}}, // exceeds MaxDeleted, so the oldest deleted items are evicted
 		{item(config.KindRoutes, "r0", 1<<20, `{}`)},
 		{item(config.KindRoutes, "t", 1<<20, `{}`)},
 	}})
@@ -93,6 +93,6 @@
 	c.Assert(exists, qt.IsFalse)
 	c.Check(len(disk), qt.Equals, node.Set.Len())
 	for _, i := range node.Set.All() {
-		c.Check(disk[i.Key()].Equal(i), qt.IsTrue, qt.Commentf("%s %s is not on disk", i.Kind, i.Name))
+		c.Check(disk[i.Key()].Equal(i), qt.IsTrue, qt.Commentf("%s %s is missing or outdated on disk", i.Kind, i.Name))
 	}
 }
--- a/internal/control/consensus/ballot_test.go
+++ b/internal/control/consensus/ballot_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Ballots are ordered by number, then by proposer: of two different ones exactly one is less.
+// Ballots are totally ordered, by number and then by proposer.
 func TestBallotOrder(t *testing.T) {
 	ordered := []Ballot{{}, {0, "a"}, {1, ""}, {1, "a"}, {1, "b"}, {2, "a"}, {10, "a"}}
 	for i, a := range ordered {
--- a/internal/control/consensus/batch_test.go
+++ b/internal/control/consensus/batch_test.go
@@ -10,7 +10,7 @@
 	"portflow/internal/control/operation"
 )
 
-// A value replaces the set alone, changes the members once, and is not extended beyond its bound.
+// A value that replaces the set contains nothing else, and a value has at most one membership change and a limited number of items.
 func TestBatchAdmits(t *testing.T) {
 	service := item(config.KindServices, "desk", 1, `{}`)
 	members := membership.List{Epoch: 2}.Item()
@@ -20,18 +20,18 @@
 		kind     operation.Kind
 		admitted bool
 	}{
-		"a change first":                    {nil, operation.ModifyConfig, true},
-		"a change after another":            {[]config.Item{service}, operation.ModifyConfig, true},
-		"a change after a restore":          {[]config.Item{marker, members}, operation.ModifyConfig, false},
-		"a restore first":                   {nil, operation.RestoreSnapshot, true},
-		"a restore after a change":          {[]config.Item{service}, operation.RestoreSnapshot, false},
-		"members after a change":            {[]config.Item{service}, operation.ChangeMembers, true},
-		"members after members":             {[]config.Item{service, members}, operation.ChangeMembers, false},
-		"a change after members":            {[]config.Item{members}, operation.ModifyConfig, true},
-		"a change beyond the bound":         {make([]config.Item, maxBatchItems), operation.ModifyConfig, false},
-		"a change just below the bound":     {make([]config.Item, maxBatchItems-1), operation.ModifyConfig, true},
-		"a restore after a restore":         {[]config.Item{marker, members}, operation.RestoreSnapshot, false},
-		"an evacuation beside other change": {[]config.Item{service}, operation.Evacuate, true},
+		"a change first":                     {nil, operation.ModifyConfig, true},
+		"a change after another":             {[]config.Item{service}, operation.ModifyConfig, true},
+		"a change after a restore":           {[]config.Item{marker, members}, operation.ModifyConfig, false},
+		"a restore first":                    {nil, operation.RestoreSnapshot, true},
+		"a restore after a change":           {[]config.Item{service}, operation.RestoreSnapshot, false},
+		"a membership change after a change": {[]config.Item{service}, operation.ChangeMembers, true},
+		"two membership changes":             {[]config.Item{service, members}, operation.ChangeMembers, false},
+		"a change after a membership change": {[]config.Item{members}, operation.ModifyConfig, true},
+		"a change at the item limit":         {make([]config.Item, maxBatchItems), operation.ModifyConfig, false},
+		"a change just below the item limit": {make([]config.Item, maxBatchItems-1), operation.ModifyConfig, true},
+		"a restore after a restore":          {[]config.Item{marker, members}, operation.RestoreSnapshot, false},
+		"an evacuation after a change":       {[]config.Item{service}, operation.Evacuate, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := &batch{value: test.value}
@@ -40,7 +40,7 @@
 	}
 }
 
-// A later version of an item takes the place of the earlier one in the value, and in the preview once it has that.
+// A later version of an item replaces the earlier one in the value, and in the preview if the earlier one is merged there.
 func TestBatchAdd(t *testing.T) {
 	c := qt.New(t)
 	b := &batch{position: map[config.Key]int{}, preview: config.NewSet()}
@@ -56,5 +56,5 @@
 	large := item(config.KindServices, "large", 1, "")
 	large.Body = make([]byte, operation.MaxValueBytes)
 	b.add(9, []config.Item{large})
-	c.Check(b.tags, qt.DeepEquals, []uint64{7, 8}, qt.Commentf("it goes into a later value"))
+	c.Check(b.tags, qt.DeepEquals, []uint64{7, 8}, qt.Commentf("the oversized operation is left for a later value"))
 }
--- a/internal/control/consensus/disk_test.go
+++ b/internal/control/consensus/disk_test.go
@@ -4,7 +4,7 @@
 	"portflow/internal/cluster/config"
 )
 
-// diskWrite is one write, and the messages that are sent once it is synced.
+// diskWrite is a write with the messages to send once it is synced.
 type diskWrite struct {
 	hardState     HardState
 	items         []config.Item
@@ -23,7 +23,7 @@
 	}
 }
 
-// startSync begins to sync all queued writes at once.
+// startSync starts a sync of all queued writes, unless a sync is in progress or the disk hangs.
 func (sim *simulation) startSync(m *machine) {
 	if m.syncing != nil || len(m.writes) == 0 || m.diskHangs {
 		return
@@ -33,7 +33,7 @@
 	sim.after(sim.between(ms/4, m.maxSync), func() { sim.finishSync(m, incarnation, batch) })
 }
 
-// finishSync ends a sync, and sends what waited for it.
+// finishSync completes a sync, sends the messages that waited for it, and starts the next sync. While the disk hangs, it is delayed.
 func (sim *simulation) finishSync(m *machine, incarnation int, batch []diskWrite) {
 	if !m.up || m.incarnation != incarnation {
 		return
--- a/internal/control/consensus/diskimage_test.go
+++ b/internal/control/consensus/diskimage_test.go
@@ -6,9 +6,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// restartMember plays a core of three: the first and second decide index 2, of which the third learns nothing, and the first answers its
-// client. Then the first starts with an earlier image of its disk, or with the disk itself, and a rival operation is submitted to the third
-// at once. The second is up, or cut off; it has applied the index, or only voted on it. It returns what each has in the end.
+// restartMember runs a cluster of three members. Members 1 and 2 decide index 2 without member 3, and member 1 confirms the operation to
+// its client. Member 1 then restarts, from an earlier image of its disk if fromImage is true, and a conflicting operation is submitted to
+// member 3. Member 2 has either applied index 2 (secondApplied) or only voted there; it reconnects after 150 ms, or after several seconds
+// if secondCut is true. restartMember returns the final content of the service at each member, by IP address.
 func restartMember(c *qt.C, fromImage, secondCut, secondApplied bool) map[string]string {
 	tc := newTestCluster(3, 0, 3)
 	for _, ip := range tc.ips {
@@ -38,7 +39,7 @@
 		return from != "2" && to != "2" || !secondCut && tc.now >= restartedAt+150*ms
 	}
 	tc.start("1", "")
-	tc.setConnected("1", "3", true) // the second is connected 150 ms later
+	tc.setConnected("1", "3", true) // member 2 reconnects later
 	tc.setConnected("3", "1", true)
 	tc.submit("3", serviceOperation("gate", 1, "two"))
 	tc.run(150 * ms)
@@ -54,27 +55,27 @@
 	return bodies
 }
 
-// A member that starts does not vote until it has asked the others, so that a restored image of its disk does no harm as long as one is
-// connected that knows better. Its own disk is no image: nothing is lost whoever is cut off.
+// A restarted member must not vote before it has queried the others: a member that runs on an old disk image could otherwise help to
+// decide an index twice. If it restarts from its current disk, nothing may be lost, whichever member is cut off.
 func TestRestoredDiskImage(t *testing.T) {
 	for name, test := range map[string]struct{ fromImage, secondCut, secondApplied bool }{
-		"its own disk":                        {false, false, true},
-		"its own disk, the second cut off":    {false, true, true},
-		"its own disk, the second only voted": {false, false, false},
-		"an image, the second has applied":    {true, false, true},
-		"an image, the second has only voted": {true, false, false},
+		"current disk":                       {false, false, true},
+		"current disk, member 2 cut off":     {false, true, true},
+		"current disk, member 2 only voted":  {false, false, false},
+		"old image, member 2 has applied":    {true, false, true},
+		"old image, member 2 has only voted": {true, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bodies := restartMember(qt.New(t), test.fromImage, test.secondCut, test.secondApplied)
 			for ip, body := range bodies {
-				qt.Check(t, body, qt.Contains, "one", qt.Commentf("at %s", ip))
+				qt.Check(t, body, qt.Contains, "one", qt.Commentf("at member %s", ip))
 			}
 		})
 	}
 }
 
-// What can't be noticed: an image and a member that is behind are a majority, and the one that knows better is cut off. It is why operators
-// never restore an image (docs/operate/core.md).
+// A known limitation: the loss of a decided value goes undetected if a member on an old disk image and a member that is behind form a
+// majority while the only up-to-date member is cut off. Operators must therefore never restore a disk image (docs/operate/core.md).
 func TestRestoredDiskImageUndetected(t *testing.T) {
 	bodies := restartMember(qt.New(t), true, true, true)
 	qt.Check(t, bodies["1"], qt.Contains, "two")
--- a/internal/control/consensus/exhaustive_search_test.go
+++ b/internal/control/consensus/exhaustive_search_test.go
@@ -13,17 +13,17 @@
 	"portflow/internal/cluster/config"
 )
 
-// Sums that tell the events of a search apart which are not messages.
+// Digests of the events that are not messages.
 const (
 	tickDigest         = 1
 	memberChangeDigest = 2
 	rivalDigest        = 3
 )
 
-// tickStep is by how much a tick moves a process's clock: beyond all that a proposal waits for.
+// tickStep is the time by which a tick advances a process's clock. It is longer than every timeout of a proposal.
 const tickStep = 2100 * ms
 
-// stepResult is the result of an event at a process: the same event at the same process always has the same.
+// stepResult is the result of an event at a process. It depends only on what eventKey identifies, so results are cached.
 type stepResult struct {
 	after     *process
 	packets   []*packet
@@ -31,7 +31,7 @@
 	confirmed [2]bool
 }
 
-// eventKey identifies an event at a process.
+// eventKey identifies an event at a process in a certain state, and whether the write of the step is synced.
 type eventKey struct {
 	process       int
 	processDigest uint64
@@ -39,45 +39,46 @@
 	synced        bool
 }
 
-// transition is an event that may happen next in a state.
+// transition is a possible next event in a state.
 type transition struct {
 	at          int // the index of the process
 	target      *process
 	event       Event
 	eventDigest uint64
-	powered     bool // the process keeps its power until its write is synced
+	powered     bool // the process keeps power until its write is synced
 	describe    func() string
-	change      func(*searchState) // what else it changes; nil for nothing
+	change      func(*searchState) // makes the other changes to the next state; nil for none
 }
 
-// searcher is one search, breadth first.
+// searcher is a breadth-first search.
 type searcher struct {
 	mutation  searchMutant
-	seen      map[uint64]bool // sums of the states visited
+	seen      map[uint64]bool // digests of the visited states
 	results   map[eventKey]*stepResult
-	processes map[uint64]*process // all processes visited, by their sums
+	processes map[uint64]*process // all distinct processes, by digest
 	decided   map[decidedSet]bool
-	violation string // the first that was found, with the events that lead to it
-	steps     int    // calls of Node.Step for different events
+	violation string // empty for none, otherwise a description with the events that led to it
+	steps     int    // number of distinct events handled, not counting cached results
 	depth     int
-	complete  bool // all states to the depth were visited
-	exhausted bool // nothing more can happen
+	complete  bool // all states up to the maximum depth were visited
+	exhausted bool // the last states have no unvisited successors
 }
 
 // searchMutant breaks one of the rules that safety depends on.
 type searchMutant struct {
 	sameIncarnation bool // all incarnations of a process use the same ballots
-	unsynced        bool // messages that depend on a write are sent without it
+	unsynced        bool // messages that depend on a write are sent even if the write is lost
 	keepID          bool // a wiped disk keeps its ID
-	hardState       func(*HardState)
-	message         func(sr *searcher, state *searchState, p *packet) []*packet
+
+	hardState func(*HardState)                                            // changes what is written
+	message   func(sr *searcher, state *searchState, p *packet) []*packet // returns the packets to send instead of p
 }
 
-// successor returns the state after a transition, nil if it was visited or is no other.
+// successor returns the state after a transition, or nil if that was visited before or does not differ from state.
 func (sr *searcher) successor(state *searchState, t transition) *searchState {
 	result := sr.result(t)
 	if result.after == t.target && len(result.packets) == 0 && t.powered && state.processes[t.at] == t.target {
-		return nil // nothing comes of the message: it is as if it were still in flight
+		return nil // the event has no effect; a message may as well remain in flight
 	}
 	next := state.fork(t.describe)
 	if t.change != nil {
@@ -90,7 +91,7 @@
 	return sr.visit(next)
 }
 
-// result returns the result of a transition's event at its process.
+// result returns the result of a transition's event at its process, from the cache if it is there.
 func (sr *searcher) result(t transition) *stepResult {
 	key := eventKey{t.at, t.target.digest, t.eventDigest, t.powered}
 	result := sr.results[key]
@@ -101,7 +102,7 @@
 	return result
 }
 
-// visit returns a state, nil if it was visited before.
+// visit marks a state as visited and returns it, or returns nil if it was visited before.
 func (sr *searcher) visit(state *searchState) *searchState {
 	state.computeDigest()
 	if sr.seen[state.digest] {
@@ -111,7 +112,7 @@
 	return state
 }
 
-// addPackets adds what was sent to the packets in flight. A second one alike would lead to nothing else.
+// addPackets adds sent packets to those in flight. It drops duplicates, as they would lead to no other states.
 func (sr *searcher) addPackets(state, next *searchState, sent []*packet) {
 	for _, original := range sent {
 		packets := []*packet{original}
@@ -127,7 +128,7 @@
 	}
 }
 
-// addDecided checks that each index has one set at all processes.
+// addDecided adds the sets that a process has applied, and checks that all processes have the same set at each index.
 func (sr *searcher) addDecided(next *searchState, process int, decided []decidedSet) {
 	for _, set := range decided {
 		at, exists := slices.BinarySearchFunc(next.decided, set, func(a, b decidedSet) int { return cmp.Compare(a.index, b.index) })
@@ -136,12 +137,12 @@
 			next.decided = slices.Insert(slices.Clone(next.decided), at, set)
 			sr.decided[set] = true
 		case next.decided[at] != set:
-			sr.violation = fmt.Sprintf("process %d has another value at number %d: %s", process+1, set.index, next.trace())
+			sr.violation = fmt.Sprintf("process %d has a different value at index %d: %s", process+1, set.index, next.trace())
 		}
 	}
 }
 
-// addConfirmed checks that only one of the rivals is confirmed.
+// addConfirmed adds the rivals that are confirmed, and checks that it is at most one.
 func (sr *searcher) addConfirmed(next *searchState, confirmed [2]bool) {
 	for rival := range confirmed {
 		next.confirmed[rival] = next.confirmed[rival] || confirmed[rival]
@@ -151,8 +152,8 @@
 	}
 }
 
-// step has a process handle one event, and all that it sends itself in consequence. Without power it restarts before its write is
-// synced.
+// step has a process handle an event, and then the messages that it sends to itself. If powered is false, the process restarts before its
+// write is synced.
 func (sr *searcher) step(at int, old *process, e Event, powered bool) *stepResult {
 	sr.steps++
 	p := *old
@@ -176,7 +177,7 @@
 	return result
 }
 
-// record adds the set that a process has now, and the rivals that were confirmed.
+// record adds the current set of a process, and the rivals that the answers confirm.
 func (r *stepResult) record(node *Node, answers []Answer) {
 	decided := decidedSet{node.Applied(), node.Set.Checksum()}
 	if decided.index > 0 && !slices.Contains(r.decided, decided) {
@@ -189,7 +190,7 @@
 	}
 }
 
-// write writes what a step asks for to the process's disk.
+// write applies the write of a step to the process's disk.
 func (sr *searcher) write(p *process, effects Effects) {
 	p.hardState = *effects.HardState
 	if sr.mutation.hardState != nil {
@@ -198,8 +199,8 @@
 	p.items = newSet(append(slices.Clone(p.items), effects.SaveItems...)).All()
 }
 
-// send adds the messages of a step to its result, and returns those to the process itself as events. Messages that nothing of what is
-// searched for depends on are left out.
+// send adds the messages of a step to its result, and returns those to the process itself as events. Messages of kinds that are not part
+// of the search are dropped.
 func (sr *searcher) send(from int, now int64, effects Effects, powered bool, result *stepResult) (own []Event) {
 	ip := fmt.Sprint(from + 1)
 	sends := []map[string][]Message{effects.Send}
@@ -221,7 +222,7 @@
 	return own
 }
 
-// isSearched reports whether messages of a kind are part of the search: those by which values are decided.
+// isSearched reports whether messages of a kind are part of the search. These are the messages by which values are decided.
 func isSearched(kind MessageKind) bool {
 	switch kind {
 	case Prepare, Promise, Accept, Accepted, Commit, VotePersisted:
@@ -230,7 +231,7 @@
 	return false
 }
 
-// intern returns the one process that stands for all that are alike.
+// intern returns the shared instance of a process: equal processes are represented by one.
 func (sr *searcher) intern(p process) *process {
 	p.digest = digestOf(p.node, p.hardState, p.now, p.incarnation)
 	if known, exists := sr.processes[p.digest]; exists {
@@ -240,8 +241,8 @@
 	return &p
 }
 
-// restart returns the next incarnation of a process, with what its disk holds. All that it lacks would come to it sooner or later, so
-// it may propose at once.
+// restart returns the next incarnation of a process, which starts from its disk. Unless the disk is empty, it may propose and vote at once,
+// as catching up is not part of the search.
 func (sr *searcher) restart(at int, p process) *process {
 	p.incarnation++
 	member := allMembers()[at]
@@ -261,7 +262,6 @@
 	return sr.intern(p)
 }
 
-// newSet returns a set of items.
 func newSet(items []config.Item) *config.Set {
 	set := config.NewSet()
 	for _, item := range items {
@@ -270,7 +270,7 @@
 	return set
 }
 
-// successors calls each with all states that may come next.
+// successors calls each for every unvisited successor of a state.
 func (sr *searcher) successors(state *searchState, each func(*searchState)) {
 	add := func(next *searchState) {
 		if next != nil {
@@ -294,7 +294,7 @@
 	}
 }
 
-// delivery returns the transition by which the n-th packet in flight arrives.
+// delivery returns the transition that delivers the n-th packet in flight.
 func (sr *searcher) delivery(state *searchState, n int, p *packet) transition {
 	m := p.message
 	return transition{
@@ -304,13 +304,13 @@
 		eventDigest: p.digest,
 		powered:     true,
 		describe: func() string {
-			return fmt.Sprintf("%s %d>%d number %d ballot %v", m.Kind, p.from+1, p.to+1, m.Index, m.Ballot)
+			return fmt.Sprintf("%s %d>%d index %d ballot %v", m.Kind, p.from+1, p.to+1, m.Index, m.Ballot)
 		},
 		change: func(next *searchState) { next.packets = slices.Delete(slices.Clone(next.packets), n, n+1) },
 	}
 }
 
-// withoutPower returns the transition where the process loses its power before its write is synced.
+// withoutPower returns the transition with a power loss at the process before its write is synced.
 func (t transition) withoutPower() transition {
 	powered := t
 	t.powered = false
@@ -322,7 +322,7 @@
 	return t
 }
 
-// tick returns the transition by which time passes at a process.
+// tick returns the transition that advances the clock of a process.
 func (sr *searcher) tick(at int, target *process) transition {
 	later := *target
 	later.now += tickStep
@@ -332,30 +332,30 @@
 		event:       Event{Tick: true},
 		eventDigest: tickDigest,
 		powered:     true,
-		describe:    func() string { return fmt.Sprintf("time at %d", at+1) },
+		describe:    func() string { return fmt.Sprintf("tick at %d", at+1) },
 		change:      func(next *searchState) { next.budget.ticks-- },
 	}
 }
 
-// wipedSuffix marks the ID of a disk that was wiped.
+// wipedSuffix marks the ID of a wiped disk.
 const wipedSuffix = "'"
 
-// wipe returns the state after a process has lost its disk and has restarted, nil if it was visited.
+// wipe returns the state after a process has restarted with a wiped disk, or nil if that was visited before.
 func (sr *searcher) wipe(state *searchState, at int, target *process) *searchState {
 	wiped := *target
 	wiped.hardState = HardState{DiskID: target.hardState.DiskID + wipedSuffix}
 	wiped.items = nil
-	if sr.mutation.keepID { // it has fetched again all but its votes
+	if sr.mutation.keepID { // the process has fetched everything again except its promises and votes
 		wiped.hardState = HardState{DiskID: target.hardState.DiskID, Applied: target.hardState.Applied}
 		wiped.items = target.items
 	}
-	next := state.fork(func() string { return fmt.Sprintf("wiped %d", at+1) })
+	next := state.fork(func() string { return fmt.Sprintf("wipe of %d", at+1) })
 	next.budget.wipes--
 	next.processes[at] = sr.restart(at, wiped)
 	return sr.visit(next)
 }
 
-// run visits the states of a world level by level, until a violation, the depth or the limit of states.
+// run visits the states of a world level by level, until it finds a violation or reaches maxDepth or stateLimit.
 func (sr *searcher) run(name string, maxDepth, stateLimit int) {
 	world := worlds[name]
 	sr.seen = map[uint64]bool{}
--- a/internal/control/consensus/exhaustive_state_test.go
+++ b/internal/control/consensus/exhaustive_state_test.go
@@ -16,14 +16,14 @@
 	"portflow/internal/cluster/config"
 )
 
-// process is one process of a searched world; it is never changed, only replaced.
+// process is the state of a process in a searched world. It is immutable.
 type process struct {
 	node        *Node
 	hardState   HardState
 	items       []config.Item
 	now         int64
 	incarnation int
-	digest      uint64 // of all of it
+	digest      uint64 // of node, hardState, now and incarnation
 }
 
 // packet is a message in flight.
@@ -33,19 +33,19 @@
 	digest   uint64
 }
 
-// searchState is a state of the world. What it holds is shared with other states.
+// searchState is a state of a world. States share their processes, packets and slices.
 type searchState struct {
 	processes [4]*process
-	packets   []*packet    // in flight, in the order of their sums
-	decided   []decidedSet // the set at each index that any process has applied, in order
-	confirmed [2]bool      // which of the rivals is confirmed
+	packets   []*packet    // in flight, sorted by digest
+	decided   []decidedSet // the set at each index that any process has applied, sorted by index
+	confirmed [2]bool      // which of the rivals are confirmed
 	budget    budget
-	previous  *searchState // and what led from it to this one:
-	describe  func() string
-	digest    uint64 // of all but previous
+	previous  *searchState
+	describe  func() string // describes the event that led from previous to this state
+	digest    uint64        // of all fields except previous and describe
 }
 
-// fork returns a state like this one that follows on it.
+// fork returns a copy of the state that has it as its previous state.
 func (st *searchState) fork(describe func() string) *searchState {
 	return &searchState{
 		processes: st.processes,
@@ -58,22 +58,21 @@
 	}
 }
 
-// newPacket returns a packet with its sum.
 func newPacket(from, to int, m Message) *packet {
 	return &packet{from, to, m, digestOf(from, to, m)}
 }
 
-// decidedSet is the checksum of the set that a process has at an index.
+// decidedSet identifies the set that a process has at an index by its checksum.
 type decidedSet struct{ index, digest uint64 }
 
-// budget is what may still happen.
+// budget is the number of events of each kind that may still happen.
 type budget struct {
-	ticks       int // ticks
-	powerLosses int // losses of power
-	wipes       int // losses of a disk
+	ticks       int
+	powerLosses int
+	wipes       int // restarts with a wiped disk
 }
 
-// accessible returns a value that may be read and set, also where its field is not exported.
+// accessible returns a value that can be read and set even if it is an unexported field.
 func accessible(v reflect.Value) reflect.Value {
 	if v.CanInterface() || !v.CanAddr() {
 		return v
@@ -81,7 +80,7 @@
 	return reflect.NewAt(v.Type(), unsafe.Pointer(v.UnsafeAddr())).Elem()
 }
 
-// deepCopy returns a copy that shares nothing with the value but bytes, which nobody changes.
+// deepCopy returns a copy that shares only byte slices with the value. They are never modified.
 func deepCopy(v reflect.Value) reflect.Value {
 	to := reflect.New(v.Type()).Elem()
 	switch v.Kind() {
@@ -130,7 +129,7 @@
 	return to
 }
 
-// digest adds a value to a hash, alike for equal values. Counts of a Node are left out: they have no influence on it.
+// digest adds a value to a hash. Equal values have equal digests. Node.Counts is skipped, as it does not affect the behavior of a node.
 func digest(h hash.Hash64, v reflect.Value) {
 	var b [8]byte
 	word := func(x uint64) {
@@ -193,7 +192,6 @@
 	}
 }
 
-// digestOf returns the digest of values.
 func digestOf(all ...any) uint64 {
 	h := fnv.New64a()
 	for _, x := range all {
@@ -225,7 +223,7 @@
 	st.digest = h
 }
 
-// trace returns the events that led to the state.
+// trace describes the events that led to the state.
 func (st *searchState) trace() string {
 	var all []string
 	for ; st.previous != nil; st = st.previous {
--- a/internal/control/consensus/exhaustive_worlds_test.go
+++ b/internal/control/consensus/exhaustive_worlds_test.go
@@ -11,10 +11,10 @@
 	"portflow/internal/control/operation"
 )
 
-// newcomer is the process that is no member at first.
+// newcomer is the process that is not a member initially.
 var newcomer = membership.Member{IP: "4", ID: "d", Name: "D", Zone: "4"}
 
-// firstMembership returns the members that a world begins with.
+// firstMembership returns the initial members of a world.
 func firstMembership() membership.List {
 	return membership.List{Epoch: 1, Members: allMembers()[:3]}
 }
@@ -27,11 +27,11 @@
 	return all
 }
 
-// worldPeers says which processes each is connected to: the second not to the first, so that both propose.
+// worldPeers lists the peers of each process, by index. The second process is not connected to the first, so both propose.
 var worldPeers = [][]int{{1, 2, 3}, {2, 3}, {0, 1}, {0, 1}}
 
-// initialState returns the state where a search begins: three members at index 1, a newcomer that has the same, and rival operations
-// submitted to the first and second.
+// initialState returns the state in which a search begins: three members and a newcomer at index 1, membership changes submitted by
+// process index, and two rival operations submitted to the first and second process.
 func (sr *searcher) initialState(remaining budget, memberChanges map[int]operation.Operation) *searchState {
 	state := &searchState{budget: remaining}
 	items := []config.Item{firstMembership().Item(), item(config.KindServices, "desk", 1, `{"health-path":"/","name":"desk"}`)}
@@ -61,22 +61,22 @@
 	})
 }
 
-// membershipChange returns a change of members.
+// membershipChange returns an operation that adds a member and removes others.
 func membershipChange(add membership.Member, remove ...string) operation.Operation {
 	return operation.Operation{Kind: operation.ChangeMembers, Add: []membership.Member{add}, Remove: remove}
 }
 
-// worlds are the worlds that are searched: what may happen in each, and which processes are asked to change the members.
+// worlds are the searched worlds, with the events that may happen in each and the membership changes submitted, by process index.
 var worlds = map[string]struct {
 	limits        budget
 	memberChanges map[int]operation.Operation
 }{
-	"rivals":                          {budget{ticks: 2}, nil},
-	"rivals and power":                {budget{ticks: 1, powerLosses: 2}, nil},
-	"rivals and a wipe":               {budget{ticks: 1, wipes: 1}, nil},
-	"a member for another":            {budget{ticks: 1}, map[int]operation.Operation{0: membershipChange(newcomer, "3")}},
-	"a member for the other proposer": {budget{ticks: 1}, map[int]operation.Operation{0: membershipChange(newcomer, "2")}},
-	"a member more, and a wipe":       {budget{ticks: 1, wipes: 1}, map[int]operation.Operation{0: membershipChange(newcomer)}},
-	"two lists at once":               {budget{ticks: 1}, map[int]operation.Operation{0: membershipChange(newcomer, "3"), 1: membershipChange(newcomer, "1")}},
-	"two lists, power and wipe":       {budget{ticks: 1, powerLosses: 1, wipes: 1}, map[int]operation.Operation{0: membershipChange(newcomer, "3"), 1: membershipChange(newcomer, "1")}},
+	"rivals":                                        {budget{ticks: 2}, nil},
+	"rivals and power loss":                         {budget{ticks: 1, powerLosses: 2}, nil},
+	"rivals and a wipe":                             {budget{ticks: 1, wipes: 1}, nil},
+	"replace a member":                              {budget{ticks: 1}, map[int]operation.Operation{0: membershipChange(newcomer, "3")}},
+	"replace the other proposer":                    {budget{ticks: 1}, map[int]operation.Operation{0: membershipChange(newcomer, "2")}},
+	"add a member, and a wipe":                      {budget{ticks: 1, wipes: 1}, map[int]operation.Operation{0: membershipChange(newcomer)}},
+	"two membership changes":                        {budget{ticks: 1}, map[int]operation.Operation{0: membershipChange(newcomer, "3"), 1: membershipChange(newcomer, "1")}},
+	"two membership changes, power loss and a wipe": {budget{ticks: 1, powerLosses: 1, wipes: 1}, map[int]operation.Operation{0: membershipChange(newcomer, "3"), 1: membershipChange(newcomer, "1")}},
 }
--- a/internal/control/consensus/faults_test.go
+++ b/internal/control/consensus/faults_test.go
@@ -8,10 +8,11 @@
 	"portflow/internal/control/membership"
 )
 
-// maxMachines is how many machines a simulation has beyond which none is replaced by a new one.
+// maxMachines is the number of machines in a simulation above which none is replaced by a new one.
 const maxMachines = 16
 
-// faults are what may be done to a machine, each equally likely; a span is how long a fault lasts.
+// faults are the faults that may be injected, each entry with equal probability. A fault at a single machine affects m. span is the
+// duration of a fault, in nanoseconds.
 var faults = [...]func(sim *simulation, m *machine, span int64){
 	(*simulation).kill,
 	(*simulation).kill,
@@ -32,7 +33,7 @@
 	(*simulation).cutPowerInTurn,
 }
 
-// injectFault injects a random fault, which ends by itself.
+// injectFault injects a random fault at a random machine. The fault ends by itself.
 func (sim *simulation) injectFault() {
 	m := sim.machines[sim.rand.IntN(len(sim.machines))]
 	span := sim.between(100*ms, 6*second)
@@ -41,7 +42,7 @@
 	faults[fault](sim, m, span)
 }
 
-// restartAfter starts a machine after a time, unless it was removed since.
+// restartAfter starts a machine after a delay, unless it is removed by then.
 func (sim *simulation) restartAfter(m *machine, delay int64) {
 	sim.after(delay, func() {
 		if !m.removed {
@@ -62,7 +63,7 @@
 	sim.restartAfter(m, span)
 }
 
-// cutPowerOfMany takes the power from many machines at once, sometimes from all.
+// cutPowerOfMany cuts the power of about half of the machines at once, sometimes of all.
 func (sim *simulation) cutPowerOfMany(_ *machine, _ int64) {
 	sim.tally["together"]++
 	all := sim.rand.IntN(3) == 0
@@ -74,7 +75,7 @@
 	}
 }
 
-// cutPowerInTurn takes the power from some machines for a moment, one after the other.
+// cutPowerInTurn briefly cuts the power of a few machines at random times within two seconds.
 func (sim *simulation) cutPowerInTurn(_ *machine, _ int64) {
 	sim.tally["blinks"]++
 	for range sim.between(2, 6) {
@@ -96,7 +97,7 @@
 	sim.restartAfter(m, span/2)
 }
 
-// wipeDisk gives a machine an empty disk.
+// wipeDisk replaces the disk of a machine by an empty one with a new ID.
 func (sim *simulation) wipeDisk(m *machine) {
 	sim.diskIDs++
 	id := fmt.Sprintf("d%d", sim.diskIDs)
@@ -116,7 +117,7 @@
 	sim.lostDisks = append(sim.lostDisks, lostDisk{membership.Member{IP: m.ip, ID: m.hardState.DiskID}, sim.now})
 }
 
-// replaceMachine starts a new machine in the place of one that may come back later.
+// replaceMachine removes a machine and starts a new one in its zone. The removed machine may come back later.
 func (sim *simulation) replaceMachine(m *machine, _ int64) {
 	if m.removed || !sim.survivesLoss(m) || len(sim.machines) > maxMachines {
 		return
@@ -135,7 +136,7 @@
 	}
 }
 
-// splitInTwo cuts the network into two random halves.
+// splitInTwo partitions the network into two random sets of machines.
 func (sim *simulation) splitInTwo(_ *machine, span int64) {
 	sim.tally["parted"]++
 	side := sim.rand.Uint64()
@@ -147,21 +148,21 @@
 	sim.partition(span, func(a, b *machine) bool { return a == m || b == m })
 }
 
-// splitOneWay cuts the network into two random halves, in one direction.
+// splitOneWay blocks all messages from one random set of machines to the others, but not in the other direction.
 func (sim *simulation) splitOneWay(_ *machine, span int64) {
 	sim.tally["oneWay"]++
 	side := sim.rand.Uint64()
 	sim.partition(span, func(a, b *machine) bool { return side>>a.id&1 != 0 && side>>b.id&1 == 0 })
 }
 
-// isolateOneWay holds all that a machine sends, or all that is sent to it.
+// isolateOneWay blocks all messages from a machine, or all messages to it.
 func (sim *simulation) isolateOneWay(m *machine, span int64) {
 	sim.tally["oneWay"]++
 	outgoing := sim.rand.IntN(2) == 0
 	sim.partition(span, func(a, b *machine) bool { return outgoing && a == m || !outgoing && b == m })
 }
 
-// partition cuts the links from one machine to another for which isCut is true.
+// partition cuts the links for which isCut is true, and heals them after span.
 func (sim *simulation) partition(span int64, isCut func(from, to *machine) bool) {
 	var cut [][2]*machine
 	for _, from := range sim.machines {
@@ -179,7 +180,7 @@
 	})
 }
 
-// delayMessages delays messages between a machine and some others.
+// delayMessages delays the messages between a machine and about half of the others.
 func (sim *simulation) delayMessages(m *machine, span int64) {
 	sim.tally["late"]++
 	for _, other := range sim.machines {
@@ -210,7 +211,7 @@
 	})
 }
 
-// hangAllDisks hangs all disks for a moment, while some machines lose their power.
+// hangAllDisks makes all disks hang briefly, and cuts the power of about half of the machines around that time.
 func (sim *simulation) hangAllDisks(_ *machine, _ int64) {
 	sim.tally["stalled"]++
 	span := sim.between(20*ms, 500*ms)
@@ -233,7 +234,8 @@
 	sim.freeze(m, span)
 }
 
-// freeze stops a process without its end: it handles nothing until it thaws, and then all that has come meanwhile. Its peers notice.
+// freeze suspends a process: it handles nothing until it thaws, and then everything that has arrived meanwhile. Its peers close their
+// connections to it after a while.
 func (sim *simulation) freeze(m *machine, span int64) {
 	m.frozen, m.frozenAt = true, sim.now
 	incarnation := m.incarnation
@@ -256,7 +258,7 @@
 	})
 }
 
-// thaw handles all that has come while a process was frozen.
+// thaw resumes a frozen process, which then handles everything that has arrived meanwhile.
 func (m *machine) thaw(now int64) {
 	m.frozen, m.frozenAt = false, now
 	for len(m.backlog) > 0 && m.up && !m.frozen {
--- a/internal/control/consensus/forward_test.go
+++ b/internal/control/consensus/forward_test.go
@@ -14,9 +14,8 @@
 	"portflow/internal/control/operation"
 )
 
-// An operation is forwarded to the preferred proposer, which has it decided; the result does not come back. Then a later operation, which
-// is confirmed, undoes its effect. The process that forwarded it learns both changes from another member, and forwards it to the next: it
-// must not take effect again.
+// A forwarded operation must not take effect twice. Here its result is lost after it was decided, a later operation undoes its effect, and
+// the process that forwarded it learns of both changes and forwards it again.
 func TestForwardedOperationTakesEffectOnce(t *testing.T) {
 	evacuate := func(active bool) operation.Operation {
 		return operation.Operation{Kind: operation.Evacuate, Name: "z", Active: active}
@@ -39,20 +38,20 @@
 			tc.run(second)
 			tc.deliverable = func(from, to string, _ Message) bool { return from != "1" || to != "3" }
 			tag := tc.submit("3", test.first)
-			if test.first.Kind == operation.BeginRollout { // submitted where the newest rollout is long known
+			if test.first.Kind == operation.BeginRollout { // changes nothing: the operation was submitted above, by value
 				test.first.KnownRollout = 1
 			}
 			applied, exists := tc.members["2"].node.Set.Lookup(test.key)
-			c.Assert(exists, qt.IsTrue, qt.Commentf("it was decided"))
+			c.Assert(exists, qt.IsTrue, qt.Commentf("the forwarded operation must be decided"))
 			tc.run(100 * ms)
 			undo := tc.submit("2", test.later)
 			c.Assert(tc.isConfirmed(undo), qt.IsTrue, qt.Commentf("%v", tc.answers[undo]))
 			undone, _ := tc.members["2"].node.Set.Lookup(test.key)
 			c.Assert(undone.Version > applied.Version, qt.IsTrue)
-			tc.setConnected("3", "2", true) // by which it learns both
+			tc.setConnected("3", "2", true) // member 3 learns of both changes from member 2
 			tc.run(4 * second)
 			now, _ := tc.members["2"].node.Set.Lookup(test.key)
-			c.Check(now.Equal(undone), qt.IsTrue, qt.Commentf("%d: %s; before %d: %s", now.Version, now.Body, undone.Version, undone.Body))
+			c.Check(now.Equal(undone), qt.IsTrue, qt.Commentf("got version %d: %s; want version %d: %s", now.Version, now.Body, undone.Version, undone.Body))
 			r, answered := tc.answers[tag]
 			c.Assert(answered, qt.IsTrue)
 			c.Check(r.Kind == apierror.None || r.Kind == apierror.Unavailable, qt.IsTrue, qt.Commentf("%v", r))
@@ -60,8 +59,8 @@
 	}
 }
 
-// The condition of a forwarded operation may be dropped only where nothing of it is left: its one copy ended without a vote, and its own
-// process hasn't voted on it, as another may finish that vote.
+// The condition of a forwarded operation may be dropped only if no copy or proposal of it remains: its only copy was not proposed by the
+// member that had it, and this process has not proposed it either.
 func TestConditionKeptWhileCopyMayExist(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -70,10 +69,10 @@
 		result      Result
 		conditional bool
 	}{
-		{"its one copy was never voted on", 1, 0, Result{Kind: apierror.Unavailable, NotProposed: true}, false},
-		{"it may have been", 1, 0, Result{Kind: apierror.Unavailable}, true},
-		{"another has one too", 2, 0, Result{Kind: apierror.Unavailable, NotProposed: true}, true},
-		{"it was voted on here", 1, 2, Result{Kind: apierror.Unavailable, NotProposed: true}, true},
+		{"the only copy was not proposed", 1, 0, Result{Kind: apierror.Unavailable, NotProposed: true}, false},
+		{"the only copy may have been proposed", 1, 0, Result{Kind: apierror.Unavailable}, true},
+		{"two members have a copy", 2, 0, Result{Kind: apierror.Unavailable, NotProposed: true}, true},
+		{"this process has proposed it", 1, 2, Result{Kind: apierror.Unavailable, NotProposed: true}, true},
 	} {
 		c := qt.New(t)
 		n, l := newTestNode(second)
@@ -85,8 +84,8 @@
 	}
 }
 
-// A process forwards an operation, is killed, and in its next incarnation has another operation under the same tag: tags begin anew. The
-// result of the first is not the second's, which would else be confirmed though it lost; nor is a reply to a read of the incarnation before.
+// Tags restart with each incarnation. A process must ignore replies to an earlier incarnation, or it would confirm an operation that was
+// rejected, or complete a read with an outdated index, because an earlier request had the same tag.
 func TestRepliesToEarlierIncarnation(t *testing.T) {
 	for _, read := range []bool{false, true} {
 		t.Run(fmt.Sprint("read ", read), func(t *testing.T) {
@@ -97,7 +96,7 @@
 			}
 			tc.connectAll()
 			tc.run(second)
-			var late []envelope // replies of 1 and 2 to the first incarnation
+			var late []envelope // replies to the first incarnation of member 3
 			tc.deliverable = func(from, to string, m Message) bool {
 				if to == "3" && (m.Kind == ForwardResult || m.Kind == ReadIndexReply && m.Tag == 7) && tc.members["3"].incarnations == 1 {
 					late = append(late, envelope{from, to, m})
@@ -119,9 +118,9 @@
 			tc.start("3", "")
 			tc.connectAll()
 			tc.run(second)
-			other := tc.submit("1", serviceOperation("other", 1, "made")) // since then
+			other := tc.submit("1", serviceOperation("other", 1, "made")) // makes the delayed read replies outdated
 			c.Assert(tc.isConfirmed(other), qt.IsTrue)
-			tc.deliverable = func(from, to string, m Message) bool { // the requests of 3 go out, and no reply has come yet
+			tc.deliverable = func(from, to string, m Message) bool { // blocks the replies to the second incarnation
 				return to != "3" || m.Kind != ForwardResult && m.Kind != ReadIndexReply
 			}
 			submitTo3(serviceOperation("gate", 1, "two"))
@@ -141,9 +140,8 @@
 	}
 }
 
-// Four changes of 7 MB each are pending at once. In one value they would make a frame that ends every connection, and once it was voted
-// for somewhere each promise would be another: the core would never decide anything again. They go into as many values as it takes; no
-// message is larger than a frame.
+// No message may exceed the maximum frame size, even if several operations of 7 MB are pending at once. A value that exceeds it would break
+// the connections, and once a member has voted for it, so would every promise that reports it: nothing could be decided anymore.
 func TestMessagesFitFrame(t *testing.T) {
 	c := qt.New(t)
 	tc := newTestCluster(3, 0, 3)
@@ -154,7 +152,7 @@
 	tc.run(second)
 	largest, blocked := 0, true
 	tc.deliverable = func(_, _ string, m Message) bool {
-		size := config.EncodedSizeBound(m.Value) // nearly of all its JSON; TestValueFitsAFrame of operation compares the two
+		size := config.EncodedSizeBound(m.Value) // close to the size of the encoded message; the tests of package operation compare the two
 		for _, items := range m.Batches {
 			size += config.EncodedSizeBound(items)
 		}
@@ -175,11 +173,11 @@
 	for _, tag := range append(tags, small) {
 		c.Check(tc.isConfirmed(tag), qt.IsTrue, qt.Commentf("%v", tc.answers[tag].Kind))
 	}
-	c.Check(largest > 14<<20 && largest < stream.MaxFrameBytes-64<<10, qt.IsTrue, qt.Commentf("%d bytes", largest))
+	c.Check(largest > 14<<20 && largest < stream.MaxFrameBytes-64<<10, qt.IsTrue, qt.Commentf("the largest message has %d bytes", largest))
 	c.Check(tc.members["1"].node.Counts.Decided, qt.Equals, int64(2))
 	tc.checkSame(c)
 
-	// one that was down catches up on as much, by changes as far as they are kept, else by a snapshot
+	// A restarted member catches up within the same limit, by changes if the history still has them, otherwise by a snapshot.
 	missedChanges := []int{6, 2}
 	if raceDetector {
 		missedChanges = missedChanges[1:]
@@ -197,9 +195,9 @@
 		tc.start("3", "")
 		tc.connectAll()
 		tc.run(4 * second)
-		c.Check(largest < stream.MaxFrameBytes-64<<10, qt.IsTrue, qt.Commentf("%d bytes", largest))
+		c.Check(largest < stream.MaxFrameBytes-64<<10, qt.IsTrue, qt.Commentf("the largest message has %d bytes", largest))
 		tc.checkSame(c)
 		node := tc.members["1"].node
-		c.Check(node.history.bytes <= maxRecentBytes, qt.IsTrue, qt.Commentf("%d bytes of changes are kept", node.history.bytes))
+		c.Check(node.history.bytes <= maxRecentBytes, qt.IsTrue, qt.Commentf("the history has %d bytes", node.history.bytes))
 	}
 }
--- a/internal/control/consensus/idempotence_test.go
+++ b/internal/control/consensus/idempotence_test.go
@@ -11,8 +11,8 @@
 	"portflow/internal/control/operation"
 )
 
-// An operation is voted on, its proposer is rejected, and another finishes that vote; then a later operation undoes its effect. At the
-// proposer the operation is still pending, as it has learned of no end: it must not take effect again.
+// An operation must not take effect twice. Here its proposer is rejected after a vote, another proposer gets that vote decided, and a later
+// operation undoes the effect, while the operation is still pending at its first proposer.
 func TestOperationTakesEffectOnce(t *testing.T) {
 	running := rollout.Rollout{Service: "desk", Number: 1, Target: "v2", Duration: 10 * second, State: rollout.Running}
 	rolledBack := running
@@ -32,7 +32,7 @@
 			n.caughtUp = true
 			now := 2 * second
 			var answers []Answer
-			proposed := 0 // how often the effect of the operation is proposed
+			proposed := 0 // number of times that the effect of the operation is proposed
 			var step func(e Event)
 			receive := func(member int, m Message) {
 				m.DiskID, m.Epoch = l.Members[member].ID, 1
@@ -68,7 +68,7 @@
 			step(Event{From: l.Members[2].IP, Peer: &Peer{Member: l.Members[2], Epoch: 1, Applied: 1, CaughtUp: true}})
 			step(Event{Operation: &test.op, Tag: 1})
 			c.Assert(proposed, qt.Equals, 1)
-			decideElsewhere := func(index uint64, value config.Item) { // by another proposer, which finished the vote
+			decideElsewhere := func(index uint64, value config.Item) { // decides a value through another proposer
 				receive(0, Message{Kind: Accept, Index: index, Ballot: Ballot{1000 * index, "other"}, Value: []config.Item{value}})
 				receive(0, Message{Kind: Commit, Index: index, Ballot: Ballot{1000 * index, "other"}})
 				c.Assert(n.Applied(), qt.Equals, index)
@@ -80,7 +80,7 @@
 				now += second / 20
 				step(Event{Tick: true})
 			}
-			c.Check(proposed, qt.Equals, 0, qt.Commentf("it takes effect again"))
+			c.Check(proposed, qt.Equals, 0, qt.Commentf("the operation is proposed again"))
 			c.Assert(answers, qt.HasLen, 1)
 			k := answers[0].Result.Kind
 			c.Check(k == apierror.None || k == apierror.Unavailable, qt.IsTrue, qt.Commentf("%v", k))
--- a/internal/control/consensus/incarnation_test.go
+++ b/internal/control/consensus/incarnation_test.go
@@ -6,8 +6,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// runTwoIncarnations plays a proposer that loses its power before its own promise is synced, after another has voted for its value; its next
-// incarnation proposes another value to the one that has not. It returns what each has in the end.
+// runTwoIncarnations runs a proposer that loses power before its own promise is synced, but after member 2 has voted for its value. Its next
+// incarnation proposes another value to member 3 only. runTwoIncarnations returns the final content of the service at each member, by IP
+// address.
 func runTwoIncarnations(c *qt.C, first, next string) (bodies map[string]string) {
 	tc := newTestCluster(3, 0, 3)
 	tc.start("1", first)
@@ -17,7 +18,7 @@
 	tc.run(2 * second)
 	before, items := tc.members["1"].diskImage()
 
-	// promised by 2 and 3, voted for by 2; the disk of 1 is still writing
+	// Members 2 and 3 promise, and member 2 votes. Member 1's write is undone below, as if it had not been synced.
 	tc.deliverable = func(from, to string, m Message) bool {
 		return m.Kind == Promise || m.Kind == Prepare && to != "1" || m.Kind == Accept && to == "2"
 	}
@@ -27,7 +28,7 @@
 	tc.stop("1")
 	tc.members["1"].hardState, tc.members["1"].items = before, items
 
-	// it starts again, receives from 3 only, and proposes another value; its commit reaches 2
+	// Member 1 restarts, receives messages only from member 3 and proposes another value. Its Commit reaches member 2.
 	tc.start("1", next)
 	tc.deliverable = func(from, to string, m Message) bool { return from != "2" && (to != "2" || m.Kind == Commit) }
 	tc.connectAll()
@@ -46,14 +47,14 @@
 	return bodies
 }
 
-// No two incarnations of a process ever use one ballot: else a commit of the second one's value is taken for the first one's, which has the
-// same ballot.
+// Two incarnations of a process must never use the same ballot. Otherwise a member that voted for the value of the first would apply that
+// value when it receives the Commit of the second.
 func TestIncarnationsUseDistinctBallots(t *testing.T) {
 	c := qt.New(t)
 	bodies := runTwoIncarnations(c, "1.1", "1.2")
 	c.Check(bodies["1"], qt.Contains, "two")
 	c.Check(bodies["2"], qt.Equals, bodies["1"])
 	c.Check(bodies["3"], qt.Equals, bodies["1"])
-	bodies = runTwoIncarnations(c, "1", "1") // with the rule broken
-	c.Check(bodies["2"], qt.Not(qt.Equals), bodies["1"], qt.Commentf("one name for both incarnations isn't noticed"))
+	bodies = runTwoIncarnations(c, "1", "1") // the same incarnation name twice, hence the same ballots
+	c.Check(bodies["2"], qt.Not(qt.Equals), bodies["1"], qt.Commentf("members must diverge if both incarnations have the same name"))
 }
