--- a/internal/control/consensus/batch.go
+++ b/internal/control/consensus/batch.go
@@ -18,7 +18,7 @@
 	size     int                // upper bound on the encoded size of value, in bytes
 }
 
-// admits reports whether an operation may be added to the value: a value that replaces the whole set contains nothing else, and
+// admits reports whether an operation may be added to the value. A value that replaces the entire set contains nothing else, and
 // a value changes the membership at most once.
 func (b *batch) admits(op operation.Operation) bool {
 	switch {
@@ -32,7 +32,7 @@
 	return true
 }
 
-// state returns the set with the whole value applied. preview must not be nil.
+// state returns the set with all items of the value applied. preview must not be nil.
 func (b *batch) state() *config.Set {
 	for _, item := range b.value[b.merged:] {
 		b.preview.Merge(item)
--- a/internal/control/operation/members.go
+++ b/internal/control/operation/members.go
@@ -8,7 +8,7 @@
 	"portflow/internal/control/membership"
 )
 
-// ReplaceAllKey is the key of the marker item. A value that starts with it replaces the whole set, regardless of the versions of its items.
+// ReplaceAllKey is the key of the marker item. A value that starts with it replaces the entire set, regardless of the versions of its items.
 var ReplaceAllKey = config.Key{Kind: config.KindCore, Name: "whole"}
 
 // ReplacesAll reports whether the value starts with the marker item of ReplaceAllKey.
--- a/internal/control/operation/modify.go
+++ b/internal/control/operation/modify.go
@@ -87,7 +87,7 @@
 // change had taken effect before, that item would be in the set.
 func forgottenVersionError(s *config.Set, forgotten, unseen config.Item) error {
 	old, _ := s.Lookup(forgotten.Key())
-	return apierror.New(apierror.Conflict, "%s %s: version %s is older than the last %d versions before the current version %s (%s), and %s %s of the same change was never applied: the whole change is rejected",
+	return apierror.New(apierror.Conflict, "%s %s: version %s is older than the last %d versions before the current version %s (%s), and %s %s of the same change was never applied: the entire change is rejected",
 		forgotten.Kind, forgotten.Name, config.FormatVersion(forgotten.Version), config.MaxHistory, config.FormatVersion(old.Version), describe(old), unseen.Kind, unseen.Name)
 }
 
--- a/internal/control/operation/operation_test.go
+++ b/internal/control/operation/operation_test.go
@@ -101,7 +101,7 @@
 			{modifyOp(tombstone(config.KindRoutes, "r1", 3)), 0, apierror.None, ""},
 			{modifyOp(route("r1", 3, "desk", "b")), 0, apierror.Conflict, "r1: dropped: version 00000003 stands as dropped"},
 		},
-		"one conflicting item rejects the whole change": {
+		"one conflicting item rejects the entire change": {
 			{modifyOp(r1), 1, apierror.None, ""},
 			{modifyOp(r2, route("r1", 2, "desk", "b")), 0, apierror.Conflict, "routes r1"},
 			{modifyOp(r2), 1, apierror.None, ""},
--- a/internal/decision/gossip.go
+++ b/internal/decision/gossip.go
@@ -65,7 +65,7 @@
 }
 
 // updateReachable estimates how many routers are reachable. Each router sends one message per tick and thus receives one on
-// average. A partitioned router must not scale its own few outcomes to the whole fleet.
+// average. A partitioned router must not extrapolate its own few outcomes to the entire fleet.
 func (d *decider) updateReachable() {
 	d.gossipRate -= gossipRateGain * d.gossipRate
 	reachableShare := min(1, 1.3*d.gossipRate) // with a margin for the random number of messages received
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -121,14 +121,14 @@
 	return h.side() == side && d.isHealthyFor(req, h) && d.mayUse(req, h, minBuild)
 }
 
-// isHealthyFor reports whether a host is not ejected and was not tried for the request before. Ejections are ignored if no host
-// is healthy, and earlier tries once there were as many attempts as there are hosts.
+// isHealthyFor reports whether a host is not ejected and has had no attempt of the request. Ejections are ignored if no host is
+// healthy, and earlier attempts once the request has had as many attempts as there are hosts.
 func (d *decider) isHealthyFor(req *request, h *host) bool {
 	isHealthy := h.ejectedUntil <= d.now || d.healthyHosts == 0
 	return isHealthy && (!req.triedOn(h) || len(req.attempts) >= len(d.hosts))
 }
 
-// mayUse reports whether a request may be sent to a host, apart from ejections and earlier tries. The host must be ready and have
+// mayUse reports whether a request may be sent to a host, regardless of what isHealthyFor checks. The host must be ready and have
 // budget, and the request's key, filter, class and earlier attempts must allow it.
 func (d *decider) mayUse(req *request, h *host, minBuild int) bool {
 	return h.health == Ready && h.build >= minBuild && d.hasBudget(h) && req.allows(h) &&
--- a/internal/pacing/calls_test.go
+++ b/internal/pacing/calls_test.go
@@ -37,8 +37,8 @@
 	return last
 }
 
-// Guards against retries that keep a service overloaded: one that can barely answer one call from each router per interval must
-// soon have answered the whole fleet, whatever its size, even though it queues more calls than it can answer in time.
+// Guards against retries that keep a service overloaded: a service that can barely answer one call from each router per interval
+// must soon have answered every router, whatever the size of the fleet, even though it queues more calls than it can answer in time.
 func TestOverloadedService(t *testing.T) {
 	for _, routers := range []int{3, 80, 300, 1000} {
 		c := Calls{Interval: 10 * second, Callers: routers}
--- a/internal/pacing/preconnect.go
+++ b/internal/pacing/preconnect.go
@@ -36,8 +36,8 @@
 const busyRouterFactor = 4
 
 // PreconnectCount returns the number of connections that a router opens before its first request: the number that a busy router of
-// the fleet uses concurrently, and at least MinHosts. perSecond is the rate of requests of the whole fleet, 0 if unknown, and latency
-// their mean duration in seconds. For an unknown rate the result is 0. Unused connections are not free: each costs its host a
+// the fleet uses concurrently, and at least MinHosts. perSecond is the total request rate of the fleet, 0 if unknown, and latency
+// the mean duration of a request in seconds. For an unknown rate the result is 0. Unused connections are not free: each costs its host a
 // handshake and a connection, for every router that starts at the same moment.
 func PreconnectCount(perSecond, latency float64, routers int) int {
 	if perSecond <= 0 {
--- a/internal/retryguard/capacity.go
+++ b/internal/retryguard/capacity.go
@@ -16,7 +16,7 @@
 // Signal is the evidence that the result of an attempt gives about the state of its host.
 type Signal uint8
 
-// Signals of an attempt's result.
+// Results of an attempt.
 const (
 	Answered         Signal = iota // the host answered, successfully or not
 	Overloaded                     // the host is up and rejected the request
--- a/internal/retryguard/detector.go
+++ b/internal/retryguard/detector.go
@@ -5,7 +5,7 @@
 // tickInterval is the period of Guard.tick, in nanoseconds.
 const tickInterval = second / 10
 
-// Change detection with a geometric moving average (EWMA chart) of the retries in excess of the baseline, as for trials in
+// Changes are detected with a geometric moving average (EWMA) of the retries in excess of the baseline, as for trials in
 // internal/decision. An alarm requires minExcess excess retries and a ratio of excess retries that is above the threshold by
 // requiredErrors standard errors. TestNoFalseAlarms checks the rate of false alarms.
 const (
@@ -67,7 +67,7 @@
 }
 
 // Tick ends a tick and reports whether a retry storm began in it. collapsed means that the hosts have lost so much capacity
-// that retries are certain to follow; it starts a storm, or keeps it active, whatever the ratio of retries.
+// that retries are certain to follow; it starts a retry storm, or keeps one active, whatever the ratio of retries.
 func (d *Detector) Tick(collapsed bool) (began bool) {
 	detected := d.updateSums() || collapsed
 	lastSecond := d.sums[0] // copied because the end of a retry storm clears the sums
@@ -100,8 +100,8 @@
 	return detected
 }
 
-// countQuietTick ends the retry storm after quietTicks quiet ticks in a row. It clears the sums, which still contain retries of
-// that storm.
+// countQuietTick ends the retry storm after quietTicks quiet ticks in a row. It also clears the sums, which still contain retries
+// of that retry storm.
 func (d *Detector) countQuietTick() {
 	d.consecutiveQuiet++
 	if d.Storm && d.consecutiveQuiet >= quietTicks {
--- a/internal/retryguard/guard.go
+++ b/internal/retryguard/guard.go
@@ -209,8 +209,8 @@
 	}
 }
 
-// AttemptStarted must be called for each attempt; number is the attempt's number within its request, from 0. During a retry
-// storm a retry by the decision engine is charged to the budget, although it never passes Admit.
+// AttemptStarted must be called for each attempt; number is the attempt's number within its request, from 0. During a retry storm,
+// a retry by the decision engine is charged to the budget, although it never passes Admit.
 func (g *Guard) AttemptStarted(now int64, req *Request, number int) {
 	g.advance(now)
 	if number > 0 && g.isKnownClass(req.Class) && g.StormActive(req.Customer) {
--- a/internal/retryguard/guard_test.go
+++ b/internal/retryguard/guard_test.go
@@ -159,7 +159,7 @@
 }
 
 // Regression tests: jitter of waits in normal traffic, a clock that is set back, budget for retries by the decision engine, limits
-// after a collapse of the hosts, and no storm below minExcess retries.
+// after a collapse of the hosts, and no retry storm below minExcess excess retries.
 func TestEdgeCases(t *testing.T) {
 	w := newWorkload(t, testSettings(), 10)
 	w.normalTraffic(20, 60, 0)
--- a/internal/retryguard/settings.go
+++ b/internal/retryguard/settings.go
@@ -1,6 +1,6 @@
 // Package retryguard protects recovering hosts from retry storms. It detects a ratio of retries well above that of normal
-// traffic. During such a storm, it limits admission to the capacity of the hosts and gives rejected requests an appointment: a
-// time at which capacity is reserved for the retry, sent to the client as Retry-After.
+// traffic. During a retry storm, it limits admission to the capacity of the hosts and gives each rejected request an appointment:
+// a time at which capacity is reserved for the retry, sent to the client as Retry-After.
 //
 // The package has no clock and does no I/O: the current time, in nanoseconds, is an argument of every call, and random
 // numbers depend only on a seed. docs/storms.md compares it with other approaches.
--- a/internal/retryguard/storm.go
+++ b/internal/retryguard/storm.go
@@ -36,8 +36,8 @@
 	return worst
 }
 
-// tickAllTraffic ends the tick of the detector of all traffic. A storm that it detects is ignored if it is due to the worst
-// customer alone, as that customer's own detector limits it, unless the hosts' capacity collapsed.
+// tickAllTraffic ends the tick of the detector of all traffic. Unless the hosts' capacity collapsed, it ignores a retry storm that
+// is due to the worst customer alone, as that customer's own detector covers it.
 func (g *Guard) tickAllTraffic(collapsed bool, worst int) {
 	others := g.sumOtherCustomers(worst)
 	began := g.detector.Tick(collapsed)
--- a/internal/retryguard/storm_test.go
+++ b/internal/retryguard/storm_test.go
@@ -77,7 +77,7 @@
 		}
 	}
 	if w.detector.Storm || !w.customers[1].Storm || rejected < 500 || others > 0 {
-		t.Errorf("storm in all traffic %v, of the customer %v; rejected %d of its requests and %d of others", w.detector.Storm, w.customers[1].Storm, rejected, others)
+		t.Errorf("retry storm in all traffic %v, of the customer %v; rejected %d of its requests and %d of others", w.detector.Storm, w.customers[1].Storm, rejected, others)
 	}
 }
 
@@ -91,6 +91,6 @@
 	}
 	d.Tick(false)
 	if d.Storm || d.baselineRatio >= initialBaselineRatio {
-		t.Errorf("storm %v, baseline ratio %v", d.Storm, d.baselineRatio)
+		t.Errorf("retry storm %v, baseline ratio %v", d.Storm, d.baselineRatio)
 	}
 }
