--- a/internal/cluster/config/quotas.go
+++ b/internal/cluster/config/quotas.go
@@ -55,7 +55,7 @@
 		quota.Fraction = fraction.Float(0, 1)
 	}
 	if quota.Rate == 0 && quota.Fraction == 0 && !quota.WatchOnly {
-		reader.At("per-s").Errorf("missing; a share needs per-s, a part above 0 or watch-only")
+		reader.At("per-s").Errorf("missing, and no part either")
 	}
 	quota.Burst = max(1, quota.Rate)
 	if burst := reader.At("burst"); burst.Exists() {
