--- a/internal/control/consensus/faults_test.go
+++ b/internal/control/consensus/faults_test.go
@@ -241,7 +241,7 @@
 		if other == m {
 			continue
 		}
-		sim.noticeLater(other, m, sim.between(second, 2*second), func() bool {
+		sim.breakLinkLater(other, m, sim.between(second, 2*second), func() bool {
 			if !m.frozen || m.incarnation != incarnation {
 				return false
 			}
--- a/internal/control/consensus/machine_test.go
+++ b/internal/control/consensus/machine_test.go
@@ -119,7 +119,7 @@
 			if powerLost {
 				in = sim.between(50*ms, 2000*ms)
 			}
-			sim.noticeLater(other, m, in, func() bool { return true })
+			sim.breakLinkLater(other, m, in, func() bool { return true })
 		}
 	}
 	for _, c := range m.calls {
--- a/internal/control/consensus/membership_test.go
+++ b/internal/control/consensus/membership_test.go
@@ -31,18 +31,18 @@
 
 // A change of members is voted on while some are lost, whoever they are, within its round trip: as many as the core tolerates, those that
 // join among them, and one that joins in any case. Those that are left go on by themselves.
-func TestLostWhileAListIsVotedOn(t *testing.T) {
-	played, voted := 0, 0
-	for _, test := range []struct{ members, silent, come, zones int }{
+func TestLossDuringMembershipChange(t *testing.T) {
+	runs, voted := 0, 0
+	for _, test := range []struct{ members, silent, newMembers, zones int }{
 		{3, 0, 1, 3}, {3, 1, 1, 3}, {3, 1, 1, 4}, {3, 1, 2, 4}, {4, 0, 1, 3}, {4, 1, 1, 3}, {4, 1, 1, 5}, {5, 0, 1, 3}, {5, 1, 1, 5}, {5, 1, 1, 6}, {5, 2, 1, 7},
 		{5, 2, 2, 7}, {5, 2, 2, 5}, {6, 0, 1, 3}, {6, 1, 1, 6}, {6, 1, 1, 7}, {6, 2, 2, 8},
 	} {
-		all := test.members + test.come
-		for some := range 1 << all {
+		all := test.members + test.newMembers
+		for lostSet := range 1 << all {
 			var lost []string
 			old, joining := 0, 0
 			for n := range all {
-				if some>>n&1 == 0 {
+				if lostSet>>n&1 == 0 {
 					continue
 				}
 				lost = append(lost, fmt.Sprint(n+1))
@@ -58,17 +58,17 @@
 			if tolerated := test.members - test.silent - (test.members/2 + 1); old+joining > max(tolerated, 0) && (old != 0 || joining != 1) {
 				continue
 			}
-			tc := newTestCluster(test.members, test.come, test.zones)
+			tc := newTestCluster(test.members, test.newMembers, test.zones)
 			tc.minPerZone = 3
 			for n, ip := range tc.ips {
 				if n < test.members-test.silent || n >= test.members {
 					tc.start(ip, "")
 				}
 			}
-			struck := false
+			crashed := false
 			tc.deliverable = func(_, _ string, m Message) bool {
-				if !struck && m.Kind == Accept && membershipIn(m.Value).Epoch == 2 {
-					struck = true
+				if !crashed && m.Kind == Accept && membershipIn(m.Value).Epoch == 2 {
+					crashed = true
 					for _, ip := range lost {
 						tc.stop(ip)
 					}
@@ -82,14 +82,14 @@
 			}
 			tc.run(6 * second)
 			for _, ip := range tc.ips {
-				for _, gone := range lost {
-					if struck {
-						tc.setConnected(ip, gone, false)
+				for _, lostIP := range lost {
+					if crashed {
+						tc.setConnected(ip, lostIP, false)
 					}
 				}
 			}
-			played++
-			if struck {
+			runs++
+			if crashed {
 				voted++
 			}
 			if !tc.makesProgress() {
@@ -99,14 +99,14 @@
 						left = append(left, fmt.Sprintf("%s: %v, votes for %v", ip, s.node, membershipIn(s.hardState.AcceptedValue).Members))
 					}
 				}
-				t.Errorf("%d members, %d of them silent, %d join, %d zones, lost %v: %q", test.members, test.silent, test.come, test.zones, lost, left)
+				t.Errorf("%d members, %d of them silent, %d join, %d zones, lost %v: %q", test.members, test.silent, test.newMembers, test.zones, lost, left)
 			}
 		}
 	}
-	if voted < played/2 {
-		t.Errorf("of %d runs a change was voted on in %d", played, voted)
+	if voted < runs/2 {
+		t.Errorf("of %d runs a change was voted on in %d", runs, voted)
 	}
-	t.Logf("%d runs, a change voted on in %d", played, voted)
+	t.Logf("%d runs, a change voted on in %d", runs, voted)
 }
 
 // undecidedMembership returns a core of three whose third is lost, and whose first two have voted for members that need one of the lost for
@@ -133,9 +133,9 @@
 // A change of members that was voted on may have been decided, and what is in the same value may have been confirmed. While those that are
 // left are no majority of the new members, nothing is confirmed or refused; the core goes on by itself once one of the lost is back,
 // with what was voted on.
-func TestListThatWaits(t *testing.T) {
-	for _, back := range []string{"3", "4"} {
-		t.Run(back+" comes back", func(t *testing.T) {
+func TestUndecidedMembershipBlocks(t *testing.T) {
+	for _, returning := range []string{"3", "4"} {
+		t.Run(returning+" comes back", func(t *testing.T) {
 			c := qt.New(t)
 			tc := undecidedMembership(false)
 			for n := range 20 {
@@ -145,7 +145,7 @@
 			}
 			c.Check(tc.members["1"].node.Applied(), qt.Equals, uint64(1))
 			c.Check(tc.members["1"].node.HasQuorum(), qt.IsFalse, qt.Commentf("operators see that there is no quorum, and may recover"))
-			tc.start(back, "")
+			tc.start(returning, "")
 			tc.run(5 * second)
 			c.Check(tc.serviceBody("1", "gate"), qt.Contains, "held")
 			c.Check(tc.serviceBody("2", "gate"), qt.Contains, "held")
@@ -156,7 +156,7 @@
 
 // The way out if they never come back: one process is made the only member. It keeps what it had voted for, as that may have been
 // confirmed, and those that are left join again.
-func TestListThatWaitsRecovered(t *testing.T) {
+func TestRecoverUndecidedMembership(t *testing.T) {
 	for _, restored := range []bool{false, true} {
 		t.Run(fmt.Sprint("restored ", restored), func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/control/consensus/mutant_test.go
+++ b/internal/control/consensus/mutant_test.go
@@ -37,20 +37,20 @@
 		}
 		return true
 	}},
-	"one that is behind promises and votes": {message: func(w *simulation, from, to *machine, x *Message) bool {
+	"one that is behind promises and votes": {message: func(sim *simulation, from, to *machine, x *Message) bool {
 		if (x.Kind == Prepare || x.Kind == Accept) && from != to && to.up && to.node.Applied()+1 < x.Index {
 			kind := map[MessageKind]MessageKind{Prepare: Promise, Accept: Accepted}[x.Kind]
-			w.forge(to, from, x.Epoch, Message{Kind: kind, Index: x.Index, Ballot: x.Ballot})
+			sim.forge(to, from, x.Epoch, Message{Kind: kind, Index: x.Index, Ballot: x.Ballot})
 			return false
 		}
 		return true
 	}},
-	"those who come in need not take the list over": {firstSeed: 450, message: func(w *simulation, from, to *machine, x *Message) bool {
+	"those who come in need not take the list over": {firstSeed: 450, message: func(sim *simulation, from, to *machine, x *Message) bool {
 		if x.Kind == Accept {
 			for _, m := range membershipIn(x.Value).Members {
-				if o := w.byIP[m.IP]; o != from && !from.node.Membership().Contains(m.IP, m.ID) {
+				if o := sim.byIP[m.IP]; o != from && !from.node.Membership().Contains(m.IP, m.ID) {
 					x := Message{Kind: Accepted, Index: x.Index, Ballot: x.Ballot, Epoch: x.Epoch, DiskID: m.ID}
-					w.deliver(o, from, func() { w.step(from, Event{From: o.ip, Message: &x}) })
+					sim.deliver(o, from, func() { sim.step(from, Event{From: o.ip, Message: &x}) })
 				}
 			}
 		}
@@ -62,7 +62,7 @@
 		}
 		return true
 	}},
-	"a ballot that was promised away is voted for": {message: func(w *simulation, from, to *machine, x *Message) bool {
+	"a ballot that was promised away is voted for": {message: func(sim *simulation, from, to *machine, x *Message) bool {
 		if x.Kind == Rejected {
 			x.Kind, x.Ballot, x.Accepted = Accepted, x.Accepted, Ballot{}
 		}
@@ -75,20 +75,20 @@
 func TestMutants(t *testing.T) {
 	for _, name := range slices.Sorted(maps.Keys(mutants)) {
 		t.Run(name, func(t *testing.T) {
-			played, at, what, stuck := 0, uint64(0), "", 0
-			simulateMany(cmp.Or(*firstSeed, mutants[name].firstSeed), max(*seeds, 400), mutants[name], func(seed uint64, w *simulation, found *violation) bool {
-				played++
+			runs, foundSeed, description, excluded := 0, uint64(0), "", 0
+			simulateMany(cmp.Or(*firstSeed, mutants[name].firstSeed), max(*seeds, 400), mutants[name], func(seed uint64, sim *simulation, found *violation) bool {
+				runs++
 				if found != nil && (found.livenessOnly || strings.Contains(found.message, "evacuated") || strings.Contains(found.message, "was refused")) {
-					stuck++
+					excluded++
 				} else if found != nil {
-					at, what = seed, found.message
+					foundSeed, description = seed, found.message
 				}
-				return what == ""
+				return description == ""
 			})
-			if what == "" {
-				t.Fatalf("%d seeds find nothing, %d violate liveness", played, stuck)
+			if description == "" {
+				t.Fatalf("%d seeds find nothing, %d violate liveness", runs, excluded)
 			}
-			t.Logf("found by seed %d, after %d seeds: %.150s", at, played, what)
+			t.Logf("found by seed %d, after %d seeds: %.150s", foundSeed, runs, description)
 		})
 	}
 }
--- a/internal/control/consensus/network_test.go
+++ b/internal/control/consensus/network_test.go
@@ -26,13 +26,13 @@
 	if !l.connected[end] {
 		return
 	}
-	incarnation, process, other := l.incarnation, to.incarnation, 1-end
+	incarnation, receiverIncarnation, other := l.incarnation, to.incarnation, 1-end
 	arrive := func() {
 		at := max(sim.now+l.latency+sim.between(0, l.latency/4+1+l.extraDelay), l.lastArrival[other]+1)
 		l.lastArrival[other] = at
 		sim.after(at-sim.now, func() {
 			if l.incarnation == incarnation && l.connected[other] {
-				sim.runOn(to, process, do)
+				sim.runOn(to, receiverIncarnation, do)
 			}
 		})
 	}
@@ -82,11 +82,11 @@
 }
 
 // noticeLater has one end of a link notice after a time that it is broken, if it still is.
-func (sim *simulation) noticeLater(m, other *machine, in int64, still func() bool) {
+func (sim *simulation) breakLinkLater(m, other *machine, delay int64, condition func() bool) {
 	l, _ := sim.link(m, other)
 	incarnation := l.incarnation
-	sim.after(in, func() {
-		if l.incarnation == incarnation && still() {
+	sim.after(delay, func() {
+		if l.incarnation == incarnation && condition() {
 			sim.breakLink(m, other)
 		}
 	})
@@ -104,9 +104,9 @@
 		}
 		sim.breakLink(to, from)
 		if l.cuts[1-end] == 0 {
-			sim.noticeLater(from, to, sim.between(ms, 100*ms), func() bool { return true })
+			sim.breakLinkLater(from, to, sim.between(ms, 100*ms), func() bool { return true })
 		} else {
-			sim.noticeLater(from, to, sim.between(0, 1200*ms), func() bool { return true })
+			sim.breakLinkLater(from, to, sim.between(0, 1200*ms), func() bool { return true })
 		}
 	})
 }
--- a/internal/control/consensus/norace_test.go
+++ b/internal/control/consensus/norace_test.go
@@ -5,7 +5,7 @@
 // What each run plays and searches.
 const (
 	defaultSeeds   = 200    // of TestRandomFaults
-	defaultOutages = 6      // of TestFirstFallsSilent
+	defaultOutages = 6      // of TestPreferredProposerOutage
 	defaultRepeats = 6      // of TestSameAgain
 	defaultStates  = 100000 // of each world of TestExhaustiveSearch
 )
--- a/internal/control/consensus/preferred_test.go
+++ b/internal/control/consensus/preferred_test.go
@@ -12,22 +12,22 @@
 // outageStats are the answers to operations while the preferred proposer falls silent for 20 s, and comes back.
 type outageStats struct {
 	latencies  []int64 // of confirmed operations, from the call to the answer
-	rejected   int
+	failed     int
 	sent       int // messages while it was silent
 	rejections int64
 	submitted  int
 }
 
 // simulateOutage plays 38 s of a core of six, with an outage of 20 s: an operation every 30 to 90 ms at any process but the preferred one.
-func simulateOutage(seed uint64, how string, mutation mutant, stats *outageStats) {
+func simulateOutage(seed uint64, fault string, mutation mutant, stats *outageStats) {
 	sim := newSimulation(seed, mutation)
 	for _, m := range sim.machines {
 		sim.after(sim.between(0, 500*ms), func() { sim.start(m) })
 	}
 	sim.after(3*second, func() { sim.call(sim.machines[1], &operationCopies{operation: deskOperation()}) })
 	sim.run(8 * second)
-	first := sim.byIP[sim.membership().Members[0].IP]
-	others := slices.DeleteFunc(slices.Clone(sim.machines), func(m *machine) bool { return m == first })
+	preferred := sim.byIP[sim.membership().Members[0].IP]
+	others := slices.DeleteFunc(slices.Clone(sim.machines), func(m *machine) bool { return m == preferred })
 	var all []*call
 	var submitNext func()
 	submitNext = func() {
@@ -48,15 +48,15 @@
 	}
 	sim.run(10 * second)
 	before := count()
-	switch how {
+	switch fault {
 	case "cut":
-		sim.partition(20*second, func(a, b *machine) bool { return a == first || b == first })
+		sim.partition(20*second, func(a, b *machine) bool { return a == preferred || b == preferred })
 	case "silent one way":
-		sim.partition(20*second, func(a, _ *machine) bool { return a == first })
+		sim.partition(20*second, func(a, _ *machine) bool { return a == preferred })
 	case "deaf":
-		sim.partition(20*second, func(_, b *machine) bool { return b == first })
+		sim.partition(20*second, func(_, b *machine) bool { return b == preferred })
 	case "frozen":
-		sim.freeze(first, 20*second)
+		sim.freeze(preferred, 20*second)
 	}
 	sim.run(34 * second)
 	stats.sent += count() - before
@@ -70,7 +70,7 @@
 		}
 		stats.submitted++
 		if c.result.Kind != apierror.None || !c.done {
-			stats.rejected++
+			stats.failed++
 			continue
 		}
 		stats.latencies = append(stats.latencies, c.endedAt-c.startedAt)
@@ -78,15 +78,15 @@
 	slices.Sort(stats.latencies)
 }
 
-func (s *outageStats) percentile(share float64) int64 {
-	return s.latencies[min(len(s.latencies)-1, int(share*float64(len(s.latencies))))]
+func (s *outageStats) percentile(fraction float64) int64 {
+	return s.latencies[min(len(s.latencies)-1, int(fraction*float64(len(s.latencies))))]
 }
 
 // Whatever silences the preferred proposer, no operation waits for nearly as long as the loss of its connections takes to notice (1 to 2 s):
 // it is skipped, and what was forwarded to it goes to the next. Without an outage nothing is sent and rejected needlessly.
-func TestFirstFallsSilent(t *testing.T) {
+func TestPreferredProposerOutage(t *testing.T) {
 	for _, test := range []struct {
-		how                  string
+		fault                string
 		p99, worst           int64   // milliseconds
 		messages, rejections float64 // an operation, a seed
 	}{
@@ -100,13 +100,13 @@
 		runs := 0
 		for seed := uint64(0); runs < max(*seeds, defaultOutages); seed++ {
 			if sim := newSimulation(seed, mutant{}); len(sim.machines) == 6 && sim.maxSync <= 40*ms {
-				simulateOutage(seed, test.how, mutant{}, &stats)
+				simulateOutage(seed, test.fault, mutant{}, &stats)
 				runs++
 			}
 		}
 		p99, worst, messages, rejections := stats.percentile(0.99)/ms, stats.percentile(1)/ms, float64(stats.sent)/float64(stats.submitted), float64(stats.rejections)/float64(runs)
-		summary := fmt.Sprintf("%s: %d operations in %d seeds, p50 %d ms, p99 %d ms, worst %d ms, refused %d, messages an operation %.1f, rejections a seed %.1f", test.how, stats.submitted, runs, stats.percentile(0.5)/ms, p99, worst, stats.rejected, messages, rejections)
-		if p99 > test.p99 || worst > test.worst || messages > test.messages || rejections > test.rejections || stats.rejected > 0 {
+		summary := fmt.Sprintf("%s: %d operations in %d seeds, p50 %d ms, p99 %d ms, worst %d ms, refused %d, messages an operation %.1f, rejections a seed %.1f", test.fault, stats.submitted, runs, stats.percentile(0.5)/ms, p99, worst, stats.failed, messages, rejections)
+		if p99 > test.p99 || worst > test.worst || messages > test.messages || rejections > test.rejections || stats.failed > 0 {
 			t.Errorf("%s: over p99 %d ms, worst %d ms, %.1f messages an operation, %.1f rejections a seed", summary, test.p99, test.worst, test.messages, test.rejections)
 			continue
 		}
@@ -116,18 +116,18 @@
 
 // The preferred proposer decides many indexes between two reports of its status: by what it decides it is known to be as far as the others,
 // and stays the preferred one.
-func TestFirstIsNotBehind(t *testing.T) {
+func TestPreferredProposerStaysEligible(t *testing.T) {
 	n, l := threeMembers(second)
-	first := l.Members[0]
-	n.Step(Event{Now: second, From: first.IP, Peer: &Peer{Member: first, Epoch: 1, Applied: 1, CaughtUp: true}})
+	preferred := l.Members[0]
+	n.Step(Event{Now: second, From: preferred.IP, Peer: &Peer{Member: preferred, Epoch: 1, Applied: 1, CaughtUp: true}})
 	for index := uint64(2); index < 30; index++ {
 		b := Ballot{7, "other"}
 		for _, m := range []Message{{Kind: Accept, Index: index, Ballot: b, Applied: index - 1, Value: []config.Item{item(config.KindStableVersions, "desk", index, `{}`)}},
 			{Kind: Commit, Index: index, Ballot: b, Applied: index}} {
-			m.DiskID, m.Epoch = first.ID, 1
-			n.Step(Event{Now: second + int64(index)*ms, From: first.IP, Message: &m})
+			m.DiskID, m.Epoch = preferred.ID, 1
+			n.Step(Event{Now: second + int64(index)*ms, From: preferred.IP, Message: &m})
 		}
-		if n.Applied() != index || n.preferredProposer() != first.IP {
+		if n.Applied() != index || n.preferredProposer() != preferred.IP {
 			t.Fatalf("at %d, applied %d: the first is %s", index, n.Applied(), n.preferredProposer())
 		}
 	}
--- a/internal/control/consensus/race_test.go
+++ b/internal/control/consensus/race_test.go
@@ -5,7 +5,7 @@
 // What each run plays: under the race detector little is enough, as the package starts no goroutines.
 const (
 	defaultSeeds   = 24 // of TestRandomFaults
-	defaultOutages = 2  // of TestFirstFallsSilent
+	defaultOutages = 2  // of TestPreferredProposerOutage
 	defaultRepeats = 2  // of TestSameAgain
 )
 
--- a/internal/control/consensus/randomfaults_test.go
+++ b/internal/control/consensus/randomfaults_test.go
@@ -51,17 +51,17 @@
 			panic(fmt.Sprintf("seed %d: %v", sim.seed, reason))
 		}
 	}()
-	const faultsEnd, calm = 40 * second, 18 * second
+	const faultsEnd, settleTime = 40 * second, 18 * second
 	sim.scheduleAll(faultsEnd)
 	sim.run(faultsEnd + 6500*ms) // all faults have ended by then
 	for _, m := range sim.machines {
 		m.maxSync = 4 * ms
 	}
 	sim.startAll()
-	sim.run(sim.now + calm)
-	if sim.foundingIsLost() {
-		sim.foundAnew()
-		sim.run(sim.now + calm)
+	sim.run(sim.now + settleTime)
+	if sim.bootstrapIsBlocked() {
+		sim.bootstrapAgain()
+		sim.run(sim.now + settleTime)
 	}
 	sim.checkLiveness()
 	sim.checkOutcomes()
@@ -81,7 +81,7 @@
 }
 
 // foundAnew does what operators do where the first epoch can't be decided any more: the founders start with empty disks. Nothing is lost.
-func (sim *simulation) foundAnew() {
+func (sim *simulation) bootstrapAgain() {
 	sim.tally["founded anew"]++
 	for _, m := range sim.machines {
 		sim.stop(m, false)
@@ -126,7 +126,7 @@
 // foundingIsLost reports whether the first members were voted on and lack a majority for good: a founder's disk was lost within the round
 // trip, while another founder was not connected. Anything else that prevents the first epoch is a violation, and so is an
 // operation that was confirmed by then.
-func (sim *simulation) foundingIsLost() bool {
+func (sim *simulation) bootstrapIsBlocked() bool {
 	if len(sim.states) > 0 || sim.confirmedIndex > 0 || sim.tally["confirmed"] > 0 {
 		return false
 	}
@@ -147,26 +147,26 @@
 // simulateMany plays many seeds, at most three at a time, until each returns false. It calls each for one at a time, and waits for all.
 func simulateMany(first uint64, n int, mutation mutant, each func(seed uint64, sim *simulation, found *violation) bool) {
 	var next atomic.Int64
-	var lock sync.Mutex
-	var all sync.WaitGroup
+	var mu sync.Mutex
+	var wg sync.WaitGroup
 	var stop atomic.Bool
 	for range min(3, runtime.GOMAXPROCS(0)) {
-		all.Go(func() {
+		wg.Go(func() {
 			for !stop.Load() {
 				at := next.Add(1) - 1
 				if at >= int64(n) {
 					return
 				}
 				sim, found := simulate(first+uint64(at), mutation, nil)
-				lock.Lock()
+				mu.Lock()
 				if !each(first+uint64(at), sim, found) {
 					stop.Store(true)
 				}
-				lock.Unlock()
+				mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // Whatever is killed, wiped, cut off, slow, late, frozen or replaced: an index has one value, nothing confirmed is lost, nothing refused
@@ -179,28 +179,28 @@
 		}
 		return
 	}
-	sum, soft := counters{}, counters{}
-	bad := map[uint64]string{}
+	total, nonfatal := counters{}, counters{}
+	violations := map[uint64]string{}
 	kinds := map[string]int{}
-	simulateMany(*firstSeed, n, mutant{}, func(seed uint64, w *simulation, found *violation) bool {
-		sum.add(w.tally)
-		soft.add(w.softFaults)
+	simulateMany(*firstSeed, n, mutant{}, func(seed uint64, sim *simulation, found *violation) bool {
+		total.add(sim.tally)
+		nonfatal.add(sim.nonfatalViolations)
 		if found != nil {
-			bad[seed] = found.message
+			violations[seed] = found.message
 			kinds[withoutNumbers(found.message)]++
 		}
 		return true
 	})
-	for _, seed := range slices.Sorted(maps.Keys(bad)) {
-		if len(bad) <= 12 || kinds[withoutNumbers(bad[seed])] >= 0 {
-			t.Errorf("seed %d: %s", seed, bad[seed])
-			kinds[withoutNumbers(bad[seed])] = -1
+	for _, seed := range slices.Sorted(maps.Keys(violations)) {
+		if len(violations) <= 12 || kinds[withoutNumbers(violations[seed])] >= 0 {
+			t.Errorf("seed %d: %s", seed, violations[seed])
+			kinds[withoutNumbers(violations[seed])] = -1
 		}
 	}
-	for what, n := range soft {
+	for what, n := range nonfatal {
 		t.Errorf("%s: %d times", what, n)
 	}
-	t.Logf("%d seeds, %d with faults: %v", n, len(bad), sum)
+	t.Logf("%d seeds, %d with faults: %v", n, len(violations), total)
 }
 
 // withoutNumbers returns the beginning of a violation's message without its numbers, by which violations are grouped.
--- a/internal/control/consensus/recovery_test.go
+++ b/internal/control/consensus/recovery_test.go
@@ -27,8 +27,8 @@
 
 // A member is frozen for 20 s in the middle of its own proposal, while the others go on, and thaws with what was in flight: the replies that
 // it waits for, or its proposal.
-func TestThawedInItsProposal(t *testing.T) {
-	for name, held := range map[string]MessageKind{"its promises are on the way": Promise, "nobody has its proposal yet": Accept, "its votes are on the way": Accepted} {
+func TestFrozenDuringProposal(t *testing.T) {
+	for name, delayedKind := range map[string]MessageKind{"its promises are on the way": Promise, "nobody has its proposal yet": Accept, "its votes are on the way": Accepted} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			tc := newTestCluster(3, 0, 3)
@@ -37,16 +37,16 @@
 			}
 			tc.connectAll()
 			tc.run(second)
-			var late []envelope
+			var delayed []envelope
 			frozen := true
 			tc.deliverable = func(from, to string, m Message) bool {
-				if frozen && (from == "1" || to == "1") && m.Kind == held {
-					late = append(late, envelope{from, to, m})
+				if frozen && (from == "1" || to == "1") && m.Kind == delayedKind {
+					delayed = append(delayed, envelope{from, to, m})
 				}
-				return !frozen || m.Kind != held && len(late) == 0
+				return !frozen || m.Kind != delayedKind && len(delayed) == 0
 			}
 			tag := tc.submit("1", serviceOperation("gate", 1, "frozen"))
-			c.Assert(len(late) > 0, qt.IsTrue)
+			c.Assert(len(delayed) > 0, qt.IsTrue)
 			tc.deliverable = func(from, to string, _ Message) bool { return from != "1" && to != "1" }
 			tc.members["1"].up = false // it does nothing, and receives nothing
 			for _, ip := range []string{"2", "3"} {
@@ -58,7 +58,7 @@
 				c.Assert(tc.isConfirmed(o), qt.IsTrue, qt.Commentf("order %d: %v", n, tc.answers[o]))
 			}
 			frozen, tc.deliverable, tc.members["1"].up = false, nil, true
-			tc.inFlight = append(tc.inFlight, late...)
+			tc.inFlight = append(tc.inFlight, delayed...)
 			tc.deliver()
 			tc.run(5 * second)
 			tc.checkSame(c)
@@ -113,7 +113,7 @@
 }
 
 // A learner restarts while it joins: before it has voted, or after, with its disk.
-func TestVotedInWhileItRestarts(t *testing.T) {
+func TestRestartWhileJoining(t *testing.T) {
 	for name, voted := range map[string]bool{"before it votes": false, "after its vote": true} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -121,10 +121,10 @@
 			for _, ip := range tc.ips {
 				tc.start(ip, "")
 			}
-			struck := false
+			crashed := false
 			tc.deliverable = func(from, to string, m Message) bool {
-				if m.Kind == Accept && to == "4" && !voted && !struck || m.Kind == Accepted && from == "4" && voted && !struck {
-					struck = true
+				if m.Kind == Accept && to == "4" && !voted && !crashed || m.Kind == Accepted && from == "4" && voted && !crashed {
+					crashed = true
 					tc.stop("4")
 					return false
 				}
@@ -132,7 +132,7 @@
 			}
 			tc.connectAll()
 			tc.run(2 * second)
-			c.Assert(struck, qt.IsTrue)
+			c.Assert(crashed, qt.IsTrue)
 			for _, ip := range tc.ips[:3] {
 				tc.setConnected(ip, "4", false)
 			}
@@ -156,7 +156,7 @@
 
 // A read at a member that hasn't learned of a change of members yet does not take those that left for a majority: who voted on the change
 // reports it.
-func TestReadAcrossMembers(t *testing.T) {
+func TestReadDuringMembershipChange(t *testing.T) {
 	for _, test := range []struct{ reader, other string }{{"2", "3"}, {"3", "2"}} {
 		t.Run(test.reader+" with "+test.other, func(t *testing.T) {
 			c := qt.New(t)
@@ -198,15 +198,15 @@
 			tc.deliver()
 			tc.run(2 * second)
 			c.Check(tc.answers[read], qt.DeepEquals, Result{Index: tc.members["1"].node.Applied()})
-			_, there := tc.members[test.reader].node.Set.Lookup(config.Key{Kind: config.KindServices, Name: "gate"})
-			c.Check(there, qt.IsTrue)
+			_, exists := tc.members[test.reader].node.Set.Lookup(config.Key{Kind: config.KindServices, Name: "gate"})
+			c.Check(exists, qt.IsTrue)
 		})
 	}
 }
 
 // An operation alone in its value costs no copy of the set, which may have tens of thousands of items; many that are pending together cost
 // one.
-func TestCopiesOfTheSet(t *testing.T) {
+func TestBatchCopiesSetOnce(t *testing.T) {
 	c := qt.New(t)
 	tc := newTestCluster(3, 0, 3)
 	for _, ip := range tc.ips {
--- a/internal/control/consensus/simulation_test.go
+++ b/internal/control/consensus/simulation_test.go
@@ -60,7 +60,7 @@
 	tally               counters
 	lostDisks           []lostDisk
 	maxSync             int64    // the longest sync of a disk without a fault
-	softFaults          counters // faults that do not end the run
+	nonfatalViolations  counters // faults that do not end the run
 	sent                map[MessageKind]int
 	trace               uint64
 	log                 func(string, ...any)
@@ -86,7 +86,7 @@
 		proposedMemberships: map[uint64][]membership.List{},
 		version:             1,
 		tally:               counters{},
-		softFaults:          counters{},
+		nonfatalViolations:  counters{},
 		sent:                map[MessageKind]int{},
 		log:                 func(string, ...any) {},
 	}
--- a/internal/control/consensus/workload_test.go
+++ b/internal/control/consensus/workload_test.go
@@ -36,12 +36,12 @@
 }
 
 // randomRoute returns a route whose content no other operation has.
-func (sim *simulation) randomRoute(g, n int, name string, version uint64) config.Item {
+func (sim *simulation) randomRoute(operationNumber, itemIndex int, name string, version uint64) config.Item {
 	service := "desk"
 	if sim.rand.IntN(40) == 0 {
 		service = "nowhere"
 	}
-	return item(config.KindRoutes, name, version, fmt.Sprintf(`{"home-regions":["g%d.%d"],"host-name":"%s.example","name":"%s","path-prefix":"/","route-kind":"safe_method","service":"%s","timeout-s":1}`, g, n, name, name, service))
+	return item(config.KindRoutes, name, version, fmt.Sprintf(`{"home-regions":["g%d.%d"],"host-name":"%s.example","name":"%s","path-prefix":"/","route-kind":"safe_method","service":"%s","timeout-s":1}`, operationNumber, itemIndex, name, name, service))
 }
 
 // deskOperation returns the operation that sets the service which all routes use.
@@ -118,7 +118,7 @@
 		return c
 	}
 	sim.runOn(m, incarnation, func() {
-		asked := sim.now
+		submittedAt := sim.now
 		if copies == nil {
 			sim.step(m, Event{Read: true, Tag: c.tag})
 		} else {
@@ -126,8 +126,8 @@
 			sim.step(m, Event{Operation: &o, Tag: c.tag})
 		}
 		sim.after(requestTimeout+600*ms, func() {
-			if !c.done && m.frozenAt < asked {
-				sim.failLiveness("%s has held call %d for %.1f s", m.ip, c.tag, float64(sim.now-asked)/1e9)
+			if !c.done && m.frozenAt < submittedAt {
+				sim.failLiveness("%s has held call %d for %.1f s", m.ip, c.tag, float64(sim.now-submittedAt)/1e9)
 			}
 		})
 	})
@@ -138,7 +138,7 @@
 func (sim *simulation) handleAnswer(m *machine, a Answer) {
 	c := m.calls[a.Tag]
 	if c == nil && a.Tag > 1<<32 {
-		sim.softFaults["a process answers a call of its own"]++
+		sim.nonfatalViolations["a process answers a call of its own"]++
 		return
 	}
 	if c == nil || c.done {
