--- a/internal/control/consensus/learner_test.go
+++ b/internal/control/consensus/learner_test.go
@@ -9,17 +9,17 @@
 	"portflow/internal/cluster/config"
 )
 
-// The history keeps the latest changes within its bounds, and its sums are those of what it keeps.
+// The history keeps the latest changes within its limits, and its totals match them.
 func TestChangeHistoryBounds(t *testing.T) {
 	for name, test := range map[string]struct {
-		changes, items int // so many changes of so many items each
+		changes, items int // number of changes, and of items in each
 		kept           int
 	}{
-		"within the bounds":   {10, 1, 10},
-		"too many changes":    {maxRecentChanges + 3, 1, maxRecentChanges},
-		"too many items":      {5, maxRecentItems / 4, 4},
-		"one is too large":    {1, maxRecentItems + 1, 0},
-		"changes of no items": {maxRecentChanges + 1, 0, maxRecentChanges},
+		"within the limits":  {10, 1, 10},
+		"too many changes":   {maxRecentChanges + 3, 1, maxRecentChanges},
+		"too many items":     {5, maxRecentItems / 4, 4},
+		"too large a change": {1, maxRecentItems + 1, 0},
+		"empty changes":      {maxRecentChanges + 1, 0, maxRecentChanges},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -44,7 +44,7 @@
 	}
 }
 
-// A peer gets the changes after what it has applied, as many as a message may hold.
+// A peer gets the changes after its applied index, up to the size limit of a message.
 func TestChangeHistoryAfter(t *testing.T) {
 	c := qt.New(t)
 	var history changeHistory
@@ -59,5 +59,5 @@
 	many := make([]config.Item, maxRecentItems/4)
 	history.add(6, many)
 	history.add(7, many[:1])
-	c.Check(history.after(5), qt.HasLen, 1, qt.Commentf("the rest is requested again"))
+	c.Check(history.after(5), qt.HasLen, 1, qt.Commentf("the peer requests the rest"))
 }
--- a/internal/control/consensus/machine_test.go
+++ b/internal/control/consensus/machine_test.go
@@ -9,7 +9,7 @@
 	"portflow/internal/control/membership"
 )
 
-// machine is a control process with its disk.
+// machine is a simulated host that runs a control process. Its disk outlives the process.
 type machine struct {
 	id                  int
 	ip, zone, name      string
@@ -19,21 +19,21 @@
 	items               map[config.Key]config.Item
 	node                *Node
 	incarnation         int
-	up, frozen, removed bool // removed: it stays off until it is started by a fault's end
-	backlog             []func()
-	writes, syncing     []diskWrite
-	maxSync             int64 // the longest time that a sync takes
+	up, frozen, removed bool        // a removed machine stays off unless replaceMachine brings it back
+	backlog             []func()    // deferred until the process thaws
+	writes, syncing     []diskWrite // queued writes, and those whose sync is running
+	maxSync             int64       // maximum duration of a sync, in nanoseconds
 	diskHangs           bool
-	applied             uint64
-	status              Peer
-	frozenAt            int64 // when it was last frozen
-	calls               map[uint64]*call
+	applied             uint64           // highest applied index seen by checkState
+	status              Peer             // the last broadcast status
+	frozenAt            int64            // time of the last freeze or thaw
+	calls               map[uint64]*call // pending calls, by tag
 }
 
-// clock returns the machine's monotonic clock at a time of the simulation.
+// clock converts simulation time to the machine's monotonic clock, which has its own offset and rate.
 func (m *machine) clock(now int64) int64 { return m.clockOffset + int64(float64(now)*m.clockRate) }
 
-// addMachine adds a machine that is off and has an empty disk.
+// addMachine adds a machine with an empty disk, powered off.
 func (sim *simulation) addMachine(zone int) *machine {
 	n := len(sim.machines)
 	sim.diskIDs++
@@ -60,7 +60,7 @@
 	return m
 }
 
-// start starts a new incarnation of a process with what its disk holds.
+// start starts a new incarnation of a process from the state on its disk.
 func (sim *simulation) start(m *machine) {
 	if m.up {
 		return
@@ -94,7 +94,8 @@
 	}
 }
 
-// stop ends a process. If its power is lost, its disk keeps what was synced, and perhaps some of what was being synced.
+// stop terminates a process. Without a power loss, the writes being synced all reach the disk; with one, a random prefix of them
+// does. Queued writes are lost in either case.
 func (sim *simulation) stop(m *machine, powerLost bool) {
 	if !m.up {
 		return
@@ -123,13 +124,13 @@
 		}
 	}
 	for _, c := range m.calls {
-		c.done, c.endedAt = true, sim.now // its client gets no answer
+		c.done, c.endedAt = true, sim.now // the client gets no answer
 		c.result = Result{Kind: apierror.Unavailable, Reason: "no answer"}
 	}
 	m.calls = nil
 }
 
-// runOn runs something at a process unless that incarnation has ended; at a frozen one when it thaws.
+// runOn calls do at a process, or once it thaws if it is frozen. It does nothing if that incarnation has ended.
 func (sim *simulation) runOn(m *machine, incarnation int, do func()) {
 	switch {
 	case !m.up || m.incarnation != incarnation:
@@ -140,7 +141,7 @@
 	}
 }
 
-// scheduleTicks sends a process ticks, more often while it is busy.
+// scheduleTicks sends ticks to a process, at shorter intervals while it is busy.
 func (sim *simulation) scheduleTicks(m *machine, incarnation int) {
 	sim.runOn(m, incarnation, func() {
 		sim.step(m, Event{Tick: true})
@@ -152,7 +153,7 @@
 	})
 }
 
-// scheduleStatus sends a process's status to all others at random intervals.
+// scheduleStatus broadcasts the status of a process at random intervals.
 func (sim *simulation) scheduleStatus(m *machine, incarnation int) {
 	sim.runOn(m, incarnation, func() {
 		sim.broadcastStatus(m)
@@ -160,7 +161,6 @@
 	})
 }
 
-// broadcastStatus sends a process's status to all others.
 func (sim *simulation) broadcastStatus(m *machine) {
 	m.status = sim.statusOf(m)
 	for _, other := range sim.machines {
@@ -170,12 +170,10 @@
 	}
 }
 
-// statusOf returns a process's status.
 func (sim *simulation) statusOf(m *machine) Peer {
 	return Peer{membership.Member{IP: m.ip, ID: m.node.HardState().DiskID, Name: m.name, Zone: m.zone}, m.node.Membership().Epoch, m.node.Applied(), m.node.CaughtUp()}
 }
 
-// sendStatus sends a process's status to another.
 func (sim *simulation) sendStatus(from, to *machine) {
 	p := sim.statusOf(from)
 	sim.deliver(from, to, func() { sim.step(to, Event{From: from.ip, Peer: &p}) })
--- a/internal/control/consensus/membership_test.go
+++ b/internal/control/consensus/membership_test.go
@@ -13,7 +13,7 @@
 	"portflow/internal/control/operation"
 )
 
-// makesProgress reports whether one of the members that are up confirms an operation within some seconds, submitted again and again.
+// makesProgress reports whether the first running member confirms one of 8 operations, each within a second.
 func (tc *testCluster) makesProgress() bool {
 	for range 8 {
 		for _, ip := range tc.ips {
@@ -29,8 +29,8 @@
 	return false
 }
 
-// A change of members is voted on while some are lost, whoever they are, within its round trip: as many as the core tolerates, those that
-// join among them, and one that joins in any case. Those that are left go on by themselves.
+// Processes are lost while a membership change is being voted on: any subset of old and joining members up to the tolerated
+// number, or a single joining member in any case. The others must make progress without an operator.
 func TestLossDuringMembershipChange(t *testing.T) {
 	runs, voted := 0, 0
 	for _, test := range []struct{ members, silent, newMembers, zones int }{
@@ -51,7 +51,7 @@
 				} else {
 					old++
 				}
-				if n >= test.members-test.silent && n < test.members { // it is silent already
+				if n >= test.members-test.silent && n < test.members { // never started; skip this subset
 					old = 99
 				}
 			}
@@ -75,7 +75,7 @@
 				}
 				return true
 			}
-			for _, ip := range tc.ips { // all are connected but the silent ones
+			for _, ip := range tc.ips { // connects all but the silent members
 				for _, other := range tc.ips {
 					tc.setConnected(ip, other, true)
 				}
@@ -96,21 +96,22 @@
 				var left []string
 				for _, ip := range tc.ips {
 					if s := tc.members[ip]; s.up {
-						left = append(left, fmt.Sprintf("%s: %v, votes for %v", ip, s.node, membershipIn(s.hardState.AcceptedValue).Members))
+						left = append(left, fmt.Sprintf("%s: %v, voted for %v", ip, s.node, membershipIn(s.hardState.AcceptedValue).Members))
 					}
 				}
-				t.Errorf("%d members, %d of them silent, %d join, %d zones, lost %v: %q", test.members, test.silent, test.newMembers, test.zones, lost, left)
+				t.Errorf("no progress with %d members, %d of them silent, %d joining, %d zones, lost %v: %q", test.members, test.silent, test.newMembers, test.zones, lost, left)
 			}
 		}
 	}
 	if voted < runs/2 {
-		t.Errorf("of %d runs a change was voted on in %d", runs, voted)
+		t.Errorf("of %d runs only %d put a membership change to the vote, want at least half", runs, voted)
 	}
-	t.Logf("%d runs, a change voted on in %d", runs, voted)
+	t.Logf("%d runs, of which %d put a membership change to the vote", runs, voted)
 }
 
-// undecidedMembership returns a core of three whose third is lost, and whose first two have voted for members that need one of the lost for
-// a majority: a fourth was to join, and perhaps voted too, which decided it. In the same value is a change, or a restored snapshot.
+// undecidedMembership returns a cluster of three members, of which 3 is lost. 1 and 2 have voted to add 4, so they need 3 or 4 for
+// a majority of the new members. The change is decided if 4 has voted as well. The same value also adds a service or, if restored,
+// replaces the whole configuration.
 func undecidedMembership(restored bool) *testCluster {
 	tc := newTestCluster(3, 1, 4)
 	tc.start("1", "")
@@ -130,12 +131,12 @@
 	return tc
 }
 
-// A change of members that was voted on may have been decided, and what is in the same value may have been confirmed. While those that are
-// left are no majority of the new members, nothing is confirmed or refused; the core goes on by itself once one of the lost is back,
-// with what was voted on.
+// A membership change that was voted on may have been decided, and operations in the same value may have been confirmed. While the
+// running members are no majority of the new members, operations are neither confirmed nor rejected. Once a lost member returns,
+// the value is decided and the cluster continues.
 func TestUndecidedMembershipBlocks(t *testing.T) {
 	for _, returning := range []string{"3", "4"} {
-		t.Run(returning+" comes back", func(t *testing.T) {
+		t.Run(returning+" returns", func(t *testing.T) {
 			c := qt.New(t)
 			tc := undecidedMembership(false)
 			for n := range 20 {
@@ -144,7 +145,7 @@
 				c.Assert(tc.answers[tag].Kind, qt.Equals, apierror.Unavailable)
 			}
 			c.Check(tc.members["1"].node.Applied(), qt.Equals, uint64(1))
-			c.Check(tc.members["1"].node.HasQuorum(), qt.IsFalse, qt.Commentf("operators see that there is no quorum, and may recover"))
+			c.Check(tc.members["1"].node.HasQuorum(), qt.IsFalse, qt.Commentf("operators must see that a forced recovery is needed"))
 			tc.start(returning, "")
 			tc.run(5 * second)
 			c.Check(tc.serviceBody("1", "gate"), qt.Contains, "held")
@@ -154,8 +155,8 @@
 	}
 }
 
-// The way out if they never come back: one process is made the only member. It keeps what it had voted for, as that may have been
-// confirmed, and those that are left join again.
+// If the lost members never return, a forced recovery makes one process the only member. It keeps the value that it voted for,
+// which may have been confirmed, and the other running member joins again.
 func TestRecoverUndecidedMembership(t *testing.T) {
 	for _, restored := range []bool{false, true} {
 		t.Run(fmt.Sprint("restored ", restored), func(t *testing.T) {
--- a/internal/control/consensus/mutant_test.go
+++ b/internal/control/consensus/mutant_test.go
@@ -10,34 +10,35 @@
 	"testing"
 )
 
-// forge sends a message in the name of a process that never sent it.
+// forge sends a message that appears to come from a process that never sent it.
 func (sim *simulation) forge(from, to *machine, epoch uint64, x Message) {
 	x.Epoch, x.DiskID, x.Applied = epoch, from.hardState.DiskID, from.applied
 	sim.deliver(from, to, func() { sim.step(to, Event{From: from.ip, Message: &x}) })
 }
 
-// mutants each break a rule, in what carries the messages and keeps the disks. That two incarnations use the same ballots is found by none
-// of 4,000 seeds, but by TestTwoIncarnationsOneBallot; promises that aren't kept on disk are found by the exhaustive search, and votes that
-// are reported too early by TestVoteReportedOnceOnDisk, and rarely here.
+// mutants each break one rule that safety depends on, in the messages, on the disks or in how the process is run. Rules that random
+// faults rarely or never show to be broken are covered elsewhere: ballots reused by another incarnation by
+// TestTwoIncarnationsOneBallot, promises lost from the disk by the exhaustive search, and votes reported before they are on disk by
+// TestVoteReportedOnceOnDisk.
 var mutants = map[string]mutant{
-	"a wiped disk is the same member still":              {keepID: true},
-	"a wiped disk is a founder still":                    {firstSeed: 530, keepFounders: true, keepID: true},
+	"a wiped disk keeps its ID":                          {keepID: true},
+	"a wiped disk keeps its ID and its founders":         {firstSeed: 530, keepFounders: true, keepID: true},
 	"promises and votes are sent before they are synced": {unsynced: true},
-	"reads ask nobody":                                   {localReads: true},
-	"votes aren't kept on disk":                          {hardState: func(d *HardState) { d.Accepted, d.AcceptedIndex, d.AcceptedValue = Ballot{}, 0, nil }},
-	"a promise tells of no vote": {message: func(_ *simulation, _, _ *machine, x *Message) bool {
+	"reads do not query a quorum":                        {localReads: true},
+	"votes are not written to disk":                      {hardState: func(d *HardState) { d.Accepted, d.AcceptedIndex, d.AcceptedValue = Ballot{}, 0, nil }},
+	"promises do not report the vote": {message: func(_ *simulation, _, _ *machine, x *Message) bool {
 		if x.Kind == Promise {
 			x.Accepted, x.Value = Ballot{}, nil
 		}
 		return true
 	}},
-	"a read is answered with what is applied, not what is voted on": {message: func(_ *simulation, _, _ *machine, x *Message) bool {
+	"replies to reads do not report the vote": {message: func(_ *simulation, _, _ *machine, x *Message) bool {
 		if x.Kind == ReadIndexReply {
 			x.Index, x.Accepted = x.Applied, Ballot{}
 		}
 		return true
 	}},
-	"one that is behind promises and votes": {message: func(sim *simulation, from, to *machine, x *Message) bool {
+	"an acceptor that is behind promises and votes": {message: func(sim *simulation, from, to *machine, x *Message) bool {
 		if (x.Kind == Prepare || x.Kind == Accept) && from != to && to.up && to.node.Applied()+1 < x.Index {
 			kind := map[MessageKind]MessageKind{Prepare: Promise, Accept: Accepted}[x.Kind]
 			sim.forge(to, from, x.Epoch, Message{Kind: kind, Index: x.Index, Ballot: x.Ballot})
@@ -45,7 +46,7 @@
 		}
 		return true
 	}},
-	"those who come in need not take the list over": {firstSeed: 450, message: func(sim *simulation, from, to *machine, x *Message) bool {
+	"joining members count as votes for their membership change": {firstSeed: 450, message: func(sim *simulation, from, to *machine, x *Message) bool {
 		if x.Kind == Accept {
 			for _, m := range membershipIn(x.Value).Members {
 				if o := sim.byIP[m.IP]; o != from && !from.node.Membership().Contains(m.IP, m.ID) {
@@ -56,13 +57,13 @@
 		}
 		return true
 	}},
-	"a commit is taken for whatever was voted for": {message: func(_ *simulation, _, to *machine, x *Message) bool {
+	"a commit applies the vote of any ballot": {message: func(_ *simulation, _, to *machine, x *Message) bool {
 		if x.Kind == Commit && to.up {
 			x.Ballot = to.node.HardState().Accepted
 		}
 		return true
 	}},
-	"a ballot that was promised away is voted for": {message: func(sim *simulation, from, to *machine, x *Message) bool {
+	"a rejection counts as a vote": {message: func(sim *simulation, from, to *machine, x *Message) bool {
 		if x.Kind == Rejected {
 			x.Kind, x.Ballot, x.Accepted = Accepted, x.Accepted, Ballot{}
 		}
@@ -70,8 +71,8 @@
 	}},
 }
 
-// Each rule is needed: with one broken, some seed finds that what was decided, confirmed or read does not hold. Violations of liveness
-// don't count here, nor those of the answers to operations that depend on none of the rules.
+// Each rule is necessary: with one broken, some seed violates safety. Violations of liveness do not count, nor do those in the results
+// of evacuations and of rejected operations, which depend on none of the rules.
 func TestMutants(t *testing.T) {
 	for _, name := range slices.Sorted(maps.Keys(mutants)) {
 		t.Run(name, func(t *testing.T) {
@@ -86,7 +87,7 @@
 				return description == ""
 			})
 			if description == "" {
-				t.Fatalf("%d seeds find nothing, %d violate liveness", runs, excluded)
+				t.Fatalf("no violation in %d seeds, apart from %d that do not count", runs, excluded)
 			}
 			t.Logf("found by seed %d, after %d seeds: %.150s", foundSeed, runs, description)
 		})
--- a/internal/control/consensus/network_test.go
+++ b/internal/control/consensus/network_test.go
@@ -1,18 +1,18 @@
 package consensus
 
-// link is the connection between two machines; index 0 is the end of the one with the lower id. Each end finds out by itself that the
-// connection is broken.
+// link is the connection between two machines. In its arrays, index 0 is the end at the machine with the lower ID. Each end detects
+// by itself that the connection is broken.
 type link struct {
 	connected   [2]bool
-	incarnation int
-	lastArrival [2]int64 // when the newest message arrives at each end
-	held        [2][]func()
-	cuts        [2]int // how many faults hold what is sent to each end
-	latency     int64  // one way
-	extraDelay  int64  // by which messages may be late at most
+	incarnation int         // incremented each time the machines connect
+	lastArrival [2]int64    // arrival time of the last message sent to each end, which keeps messages in order
+	held        [2][]func() // messages to each end that are held back by cuts
+	cuts        [2]int      // number of faults that hold back messages to each end
+	latency     int64       // minimum one-way delay, in nanoseconds
+	extraDelay  int64       // maximum additional delay, in nanoseconds
 }
 
-// link returns the link between two machines, and which end of it is a's.
+// link returns the link between two machines, and the index of a's end.
 func (sim *simulation) link(a, b *machine) (l *link, end int) {
 	if a.id < b.id {
 		return sim.links[[2]int{a.id, b.id}], 0
@@ -20,7 +20,8 @@
 	return sim.links[[2]int{b.id, a.id}], 1
 }
 
-// deliver runs something at the other end of a link, in the order of sending, unless the link breaks.
+// deliver calls do at the receiver of a message after the delay of the link, in the order of sending. The message is lost if the link
+// breaks first.
 func (sim *simulation) deliver(from, to *machine, do func()) {
 	l, end := sim.link(from, to)
 	if !l.connected[end] {
@@ -47,7 +48,7 @@
 	arrive()
 }
 
-// connect tries to connect two machines, until they are or one of them ends.
+// connect tries to connect two machines until it succeeds or one of the processes has ended.
 func (sim *simulation) connect(a, b *machine) {
 	incarnationA, incarnationB := a.incarnation, b.incarnation
 	l, end := sim.link(a, b)
@@ -68,7 +69,7 @@
 	})
 }
 
-// breakLink has one end of a link notice that it is broken.
+// breakLink notifies a machine that its end of a link is broken. Once both ends are, it starts to reconnect them.
 func (sim *simulation) breakLink(m, other *machine) {
 	l, end := sim.link(m, other)
 	if !l.connected[end] {
@@ -81,7 +82,7 @@
 	}
 }
 
-// noticeLater has one end of a link notice after a time that it is broken, if it still is.
+// breakLinkLater breaks a machine's end of a link after a delay, unless it was reconnected or condition is false by then.
 func (sim *simulation) breakLinkLater(m, other *machine, delay int64, condition func() bool) {
 	l, _ := sim.link(m, other)
 	incarnation := l.incarnation
@@ -92,8 +93,8 @@
 	})
 }
 
-// cutLink holds what one machine sends another. The receiver notices the silence and closes the link; the sender sees that at once, or if
-// it receives nothing either, notices the silence by itself.
+// cutLink holds back the messages from one machine to another. The receiver closes the link after a timeout. The sender notices
+// that shortly after, or after a timeout of its own if the other direction is cut as well.
 func (sim *simulation) cutLink(from, to *machine) {
 	l, end := sim.link(to, from)
 	l.cuts[end]++
@@ -111,7 +112,7 @@
 	})
 }
 
-// healLink ends a cut, and delivers what was held.
+// healLink ends a cut. After the last one it delivers the messages held back.
 func (sim *simulation) healLink(from, to *machine) {
 	l, end := sim.link(to, from)
 	if l.cuts[end]--; l.cuts[end] == 0 {
--- a/internal/control/consensus/norace_test.go
+++ b/internal/control/consensus/norace_test.go
@@ -2,13 +2,13 @@
 
 package consensus
 
-// What each run plays and searches.
+// Default sizes of the tests with random runs and of the exhaustive search.
 const (
-	defaultSeeds   = 200    // of TestRandomFaults
-	defaultOutages = 6      // of TestPreferredProposerOutage
-	defaultRepeats = 6      // of TestSameAgain
-	defaultStates  = 100000 // of each world of TestExhaustiveSearch
+	defaultSeeds   = 200    // seeds of TestRandomFaults
+	defaultOutages = 6      // seeds per fault of TestPreferredProposerOutage
+	defaultRepeats = 6      // seeds of TestSameAgain
+	defaultStates  = 100000 // states per world of TestExhaustiveSearch
 )
 
-// raceDetector reports whether the tests run under the race detector, where checksums over megabytes take seconds.
+// raceDetector is true under the race detector, where checksums of megabytes take seconds.
 const raceDetector = false
--- a/internal/control/consensus/preferred_test.go
+++ b/internal/control/consensus/preferred_test.go
@@ -9,16 +9,17 @@
 	"portflow/internal/cluster/config"
 )
 
-// outageStats are the answers to operations while the preferred proposer falls silent for 20 s, and comes back.
+// outageStats describes how operations fare from the start of an outage of the preferred proposer until after its end.
 type outageStats struct {
-	latencies  []int64 // of confirmed operations, from the call to the answer
-	failed     int
-	sent       int // messages while it was silent
-	rejections int64
-	submitted  int
+	latencies  []int64 // of confirmed operations, in nanoseconds, sorted
+	failed     int     // operations that were not confirmed
+	sent       int     // messages sent from the start of the outage until operations are no longer submitted
+	rejections int64   // rejected ballots in all runs, also before the outage
+	submitted  int     // operations
 }
 
-// simulateOutage plays 38 s of a core of six, with an outage of 20 s: an operation every 30 to 90 ms at any process but the preferred one.
+// simulateOutage simulates 38 s of a cluster and adds the results to stats. The fault affects the preferred proposer from 10 to 30 s.
+// An operation is submitted every 30 to 90 ms to a random one of the other processes.
 func simulateOutage(seed uint64, fault string, mutation mutant, stats *outageStats) {
 	sim := newSimulation(seed, mutation)
 	for _, m := range sim.machines {
@@ -51,7 +52,7 @@
 	switch fault {
 	case "cut":
 		sim.partition(20*second, func(a, b *machine) bool { return a == preferred || b == preferred })
-	case "silent one way":
+	case "outbound cut":
 		sim.partition(20*second, func(a, _ *machine) bool { return a == preferred })
 	case "deaf":
 		sim.partition(20*second, func(_, b *machine) bool { return b == preferred })
@@ -82,18 +83,18 @@
 	return s.latencies[min(len(s.latencies)-1, int(fraction*float64(len(s.latencies))))]
 }
 
-// Whatever silences the preferred proposer, no operation waits for nearly as long as the loss of its connections takes to notice (1 to 2 s):
-// it is skipped, and what was forwarded to it goes to the next. Without an outage nothing is sent and rejected needlessly.
+// An outage of the preferred proposer must not delay operations until its connections are found to be lost (1 to 2 s): the others skip
+// it and forward its operations to the next member. Without an outage, no needless messages or rejections may occur.
 func TestPreferredProposerOutage(t *testing.T) {
 	for _, test := range []struct {
 		fault                string
-		p99, worst           int64   // milliseconds
-		messages, rejections float64 // an operation, a seed
+		p99, worst           int64   // maximum latencies, in milliseconds
+		messages, rejections float64 // maximum messages per operation and rejections per seed
 	}{
 		{"calm", 250, 350, 25, 8},
 		{"cut", 450, 1000, 24, 20},
 		{"frozen", 450, 1000, 24, 20},
-		{"silent one way", 450, 1000, 24, 20},
+		{"outbound cut", 450, 1000, 24, 20},
 		{"deaf", 450, 1000, 24, 20},
 	} {
 		var stats outageStats
@@ -105,17 +106,17 @@
 			}
 		}
 		p99, worst, messages, rejections := stats.percentile(0.99)/ms, stats.percentile(1)/ms, float64(stats.sent)/float64(stats.submitted), float64(stats.rejections)/float64(runs)
-		summary := fmt.Sprintf("%s: %d operations in %d seeds, p50 %d ms, p99 %d ms, worst %d ms, refused %d, messages an operation %.1f, rejections a seed %.1f", test.fault, stats.submitted, runs, stats.percentile(0.5)/ms, p99, worst, stats.failed, messages, rejections)
+		summary := fmt.Sprintf("%s: %d operations in %d seeds, p50 %d ms, p99 %d ms, worst %d ms, failed %d, messages per operation %.1f, rejections per seed %.1f", test.fault, stats.submitted, runs, stats.percentile(0.5)/ms, p99, worst, stats.failed, messages, rejections)
 		if p99 > test.p99 || worst > test.worst || messages > test.messages || rejections > test.rejections || stats.failed > 0 {
-			t.Errorf("%s: over p99 %d ms, worst %d ms, %.1f messages an operation, %.1f rejections a seed", summary, test.p99, test.worst, test.messages, test.rejections)
+			t.Errorf("%s; want none failed, at most p99 %d ms, worst %d ms, messages per operation %.1f, rejections per seed %.1f", summary, test.p99, test.worst, test.messages, test.rejections)
 			continue
 		}
 		t.Log(summary)
 	}
 }
 
-// The preferred proposer decides many indexes between two reports of its status: by what it decides it is known to be as far as the others,
-// and stays the preferred one.
+// The preferred proposer decides many indexes without reporting its status in between. Its messages show that it is not behind, so it
+// must remain the preferred proposer.
 func TestPreferredProposerStaysEligible(t *testing.T) {
 	n, l := threeMembers(second)
 	preferred := l.Members[0]
@@ -128,7 +129,7 @@
 			n.Step(Event{Now: second + int64(index)*ms, From: preferred.IP, Message: &m})
 		}
 		if n.Applied() != index || n.preferredProposer() != preferred.IP {
-			t.Fatalf("at %d, applied %d: the first is %s", index, n.Applied(), n.preferredProposer())
+			t.Fatalf("after the commit of index %d: applied %d, preferred proposer %s", index, n.Applied(), n.preferredProposer())
 		}
 	}
 }
--- a/internal/control/consensus/race_test.go
+++ b/internal/control/consensus/race_test.go
@@ -2,12 +2,12 @@
 
 package consensus
 
-// What each run plays: under the race detector little is enough, as the package starts no goroutines.
+// Default sizes of the tests with random runs. Under the race detector few seeds suffice, as the package starts no goroutines.
 const (
-	defaultSeeds   = 24 // of TestRandomFaults
-	defaultOutages = 2  // of TestPreferredProposerOutage
-	defaultRepeats = 2  // of TestSameAgain
+	defaultSeeds   = 24 // seeds of TestRandomFaults
+	defaultOutages = 2  // seeds per fault of TestPreferredProposerOutage
+	defaultRepeats = 2  // seeds of TestSameAgain
 )
 
-// raceDetector reports whether the tests run under the race detector, where checksums over megabytes take seconds.
+// raceDetector is true under the race detector, where checksums of megabytes take seconds.
 const raceDetector = true
