--- a/internal/control/consensus/membership_test.go
+++ b/internal/control/consensus/membership_test.go
@@ -111,7 +111,7 @@
 
 // undecidedMembership returns a cluster of three members, of which 3 is lost. 1 and 2 have voted to add 4, so they need 3 or 4 for
 // a majority of the new members. The change is decided if 4 has voted as well. The same value also adds a service or, if restored,
-// replaces the whole configuration.
+// replaces the full configuration.
 func undecidedMembership(restored bool) *testCluster {
 	tc := newTestCluster(3, 1, 4)
 	tc.start("1", "")
--- a/internal/control/consensus/mutant_test.go
+++ b/internal/control/consensus/mutant_test.go
@@ -16,10 +16,10 @@
 	sim.deliver(from, to, func() { sim.step(to, Event{From: from.ip, Message: &x}) })
 }
 
-// mutants each break one rule that safety depends on, in the messages, on the disks or in how the process is run. Rules that random
-// faults rarely or never show to be broken are covered elsewhere: ballots reused by another incarnation by
-// TestTwoIncarnationsOneBallot, promises lost from the disk by the exhaustive search, and votes reported before they are on disk by
-// TestVoteReportedOnceOnDisk.
+// mutants each break one rule that safety depends on, in the messages, on the disks or in how a process is run. Three rules are left to
+// other tests, as random faults rarely or never reveal that they are broken: that no ballot is used by two incarnations to
+// TestTwoIncarnationsOneBallot, that promises are kept on disk to the exhaustive search, and that votes are reported only once they are
+// on disk to TestVoteReportedOnceOnDisk.
 var mutants = map[string]mutant{
 	"a wiped disk keeps its ID":                          {keepID: true},
 	"a wiped disk keeps its ID and its founders":         {firstSeed: 530, keepFounders: true, keepID: true},
--- a/internal/control/consensus/preferred_test.go
+++ b/internal/control/consensus/preferred_test.go
@@ -9,11 +9,11 @@
 	"portflow/internal/cluster/config"
 )
 
-// outageStats describes how operations fare from the start of an outage of the preferred proposer until after its end.
+// outageStats holds the results of operations submitted during an outage of the preferred proposer and in the 4 s after it.
 type outageStats struct {
 	latencies  []int64 // of confirmed operations, in nanoseconds, sorted
 	failed     int     // operations that were not confirmed
-	sent       int     // messages sent from the start of the outage until operations are no longer submitted
+	sent       int     // messages sent from the start of the outage to the end of the submissions
 	rejections int64   // rejected ballots in all runs, also before the outage
 	submitted  int     // operations
 }
--- a/internal/control/consensus/randomfaults_test.go
+++ b/internal/control/consensus/randomfaults_test.go
@@ -19,19 +19,20 @@
 	verbose   = flag.Bool("tell", false, "one seed is played, and every fault and answer is logged")
 )
 
-// mutant breaks one of the rules that safety depends on.
+// mutant breaks one of the rules that safety depends on. The zero value breaks none.
 type mutant struct {
-	firstSeed       uint64                                                    // the first seed that is played
-	keepID          bool                                                      // a wiped disk comes back as the same member
-	unsynced        bool                                                      // messages that depend on a write are sent before it is synced
-	sameIncarnation bool                                                      // all incarnations of a process use the same ballots
-	localReads      bool                                                      // a read is answered with what the process has applied
-	keepFounders    bool                                                      // a wiped disk is still one of the founders
-	hardState       func(*HardState)                                          // changes what is written
-	message         func(sim *simulation, from, to *machine, m *Message) bool // changes a message, or loses it if false
+	firstSeed       uint64           // the first seed to run
+	keepID          bool             // a wiped disk keeps its ID
+	unsynced        bool             // messages that depend on a write are sent before it is synced
+	sameIncarnation bool             // all incarnations of a process use the same ballots
+	localReads      bool             // reads return the index that the process has applied, without querying others
+	keepFounders    bool             // the wiped disk of a founder still lists the founders
+	hardState       func(*HardState) // modifies what is written to disk
+	// message modifies a message before it is sent; if it returns false, the message is dropped.
+	message func(sim *simulation, from, to *machine, m *Message) bool
 }
 
-// simulate plays one seed: starts, faults, calm, and the checks at the end.
+// simulate runs one seed: starts, faults, a period without faults, and the final checks. It returns the violation found, if any.
 func simulate(seed uint64, mutation mutant, log func(string, ...any)) (sim *simulation, found *violation) {
 	sim = newSimulation(seed, mutation)
 	if log != nil {
@@ -40,7 +41,7 @@
 	return sim, sim.play()
 }
 
-// play plays a new simulation to its end, or to the first violation.
+// play runs a new simulation to its end, or to the first violation.
 func (sim *simulation) play() (found *violation) {
 	defer func() {
 		switch reason := recover().(type) {
@@ -53,7 +54,7 @@
 	}()
 	const faultsEnd, settleTime = 40 * second, 18 * second
 	sim.scheduleAll(faultsEnd)
-	sim.run(faultsEnd + 6500*ms) // all faults have ended by then
+	sim.run(faultsEnd + 6500*ms) // all faults have ended, but replaced machines may still return
 	for _, m := range sim.machines {
 		m.maxSync = 4 * ms
 	}
@@ -71,7 +72,6 @@
 	return nil
 }
 
-// startAll starts all machines that are not removed.
 func (sim *simulation) startAll() {
 	for _, m := range sim.machines {
 		if !m.removed {
@@ -80,9 +80,10 @@
 	}
 }
 
-// foundAnew does what operators do where the first epoch can't be decided any more: the founders start with empty disks. Nothing is lost.
+// bootstrapAgain does what operators do if the first epoch can no longer be decided: it restarts the founders with empty disks. Nothing
+// is lost, as nothing was confirmed.
 func (sim *simulation) bootstrapAgain() {
-	sim.tally["founded anew"]++
+	sim.tally["bootstrapped again"]++
 	for _, m := range sim.machines {
 		sim.stop(m, false)
 		if slices.Contains(sim.founders, m.ip) && !m.removed {
@@ -93,10 +94,10 @@
 	sim.startAll()
 }
 
-// scheduleAll schedules the starts of the processes, and faults and calls until a time.
+// scheduleAll schedules the starts of the processes, and random faults and calls until faultsEnd.
 func (sim *simulation) scheduleAll(faultsEnd int64) {
 	for n, m := range sim.machines {
-		if n > len(sim.machines)/2 && sim.rand.IntN(4) == 0 { // it starts late
+		if n > len(sim.machines)/2 && sim.rand.IntN(4) == 0 { // a late start
 			sim.after(sim.between(0, 20*second), func() { sim.start(m) })
 			continue
 		}
@@ -123,9 +124,9 @@
 	sim.after(3*second, makeCalls)
 }
 
-// foundingIsLost reports whether the first members were voted on and lack a majority for good: a founder's disk was lost within the round
-// trip, while another founder was not connected. Anything else that prevents the first epoch is a violation, and so is an
-// operation that was confirmed by then.
+// bootstrapIsBlocked reports whether a process has voted for first members that permanently lack a majority: while they were being
+// voted on, a founder lost its disk and another founder was not connected. Any other reason why the first epoch is not decided is
+// a violation, and so is an operation that was confirmed by then.
 func (sim *simulation) bootstrapIsBlocked() bool {
 	if len(sim.states) > 0 || sim.confirmedIndex > 0 || sim.tally["confirmed"] > 0 {
 		return false
@@ -144,7 +145,8 @@
 	return false
 }
 
-// simulateMany plays many seeds, at most three at a time, until each returns false. It calls each for one at a time, and waits for all.
+// simulateMany runs n seeds, at most three in parallel, until each returns false. Calls of each do not overlap. It returns when all
+// runs have ended.
 func simulateMany(first uint64, n int, mutation mutant, each func(seed uint64, sim *simulation, found *violation) bool) {
 	var next atomic.Int64
 	var mu sync.Mutex
@@ -169,8 +171,8 @@
 	wg.Wait()
 }
 
-// Whatever is killed, wiped, cut off, slow, late, frozen or replaced: an index has one value, nothing confirmed is lost, nothing refused
-// takes effect, reads are linearizable, and after the faults all goes on by itself.
+// Random faults of processes, disks and links violate no invariant: each index has one value, confirmed operations are not lost,
+// rejected ones have no effect, reads are linearizable, and after the last fault the cluster makes progress without an operator.
 func TestRandomFaults(t *testing.T) {
 	n := cmp.Or(*seeds, defaultSeeds)
 	if *verbose {
@@ -200,10 +202,10 @@
 	for what, n := range nonfatal {
 		t.Errorf("%s: %d times", what, n)
 	}
-	t.Logf("%d seeds, %d with faults: %v", n, len(violations), total)
+	t.Logf("%d seeds, %d with violations: %v", n, len(violations), total)
 }
 
-// withoutNumbers returns the beginning of a violation's message without its numbers, by which violations are grouped.
+// withoutNumbers returns the start of a violation's message without its time and numbers, by which violations are grouped.
 func withoutNumbers(s string) string {
 	s, _, _ = strings.Cut(s, "\n")
 	_, s, _ = strings.Cut(s, ": ")
--- a/internal/control/consensus/recovery_test.go
+++ b/internal/control/consensus/recovery_test.go
@@ -12,7 +12,7 @@
 	"portflow/internal/control/operation"
 )
 
-// checkSame checks that all processes that are up have applied the same as the first.
+// checkSame checks that all running processes have applied the same index and hold the same set as the first process.
 func (tc *testCluster) checkSame(c *qt.C) {
 	c.Helper()
 	for _, ip := range tc.ips[1:] {
@@ -25,10 +25,10 @@
 	}
 }
 
-// A member is frozen for 20 s in the middle of its own proposal, while the others go on, and thaws with what was in flight: the replies that
-// it waits for, or its proposal.
+// A member freezes for 20 s during its own proposal, while the others decide further values. When it thaws, the replies that it waits
+// for, or its proposal, are delivered late.
 func TestFrozenDuringProposal(t *testing.T) {
-	for name, delayedKind := range map[string]MessageKind{"its promises are on the way": Promise, "nobody has its proposal yet": Accept, "its votes are on the way": Accepted} {
+	for name, delayedKind := range map[string]MessageKind{"late promises": Promise, "late proposal": Accept, "late votes": Accepted} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			tc := newTestCluster(3, 0, 3)
@@ -48,14 +48,14 @@
 			tag := tc.submit("1", serviceOperation("gate", 1, "frozen"))
 			c.Assert(len(delayed) > 0, qt.IsTrue)
 			tc.deliverable = func(from, to string, _ Message) bool { return from != "1" && to != "1" }
-			tc.members["1"].up = false // it does nothing, and receives nothing
+			tc.members["1"].up = false // frozen, not restarted
 			for _, ip := range []string{"2", "3"} {
 				tc.setConnected(ip, "1", false)
 			}
 			for n := range 20 {
 				o := tc.submit("2", serviceOperation("other", uint64(n+1), fmt.Sprint(n)))
 				tc.run(second)
-				c.Assert(tc.isConfirmed(o), qt.IsTrue, qt.Commentf("order %d: %v", n, tc.answers[o]))
+				c.Assert(tc.isConfirmed(o), qt.IsTrue, qt.Commentf("operation %d: %v", n, tc.answers[o]))
 			}
 			frozen, tc.deliverable, tc.members["1"].up = false, nil, true
 			tc.inFlight = append(tc.inFlight, delayed...)
@@ -76,8 +76,7 @@
 	}
 }
 
-// Two founders are a core that tolerates no loss: without one of them nothing is confirmed, and with it all goes on. With a third it
-// tolerates one.
+// A cluster of two founders tolerates no loss: nothing is confirmed until both are up. With a third member it tolerates one loss.
 func TestTwoFounders(t *testing.T) {
 	c := qt.New(t)
 	tc := newTestCluster(2, 1, 3)
@@ -90,7 +89,7 @@
 	}
 	tc.start("2", "")
 	tc.run(5 * second)
-	c.Check(tc.members["2"].node.Applied(), qt.Equals, uint64(0), qt.Commentf("one of two founders is no quorum"))
+	c.Check(tc.members["2"].node.Applied(), qt.Equals, uint64(0), qt.Commentf("one of two founders is not a quorum"))
 	tc.start("1", "")
 	tc.connectAll()
 	tc.run(3 * second)
@@ -112,7 +111,7 @@
 	c.Check(tc.makesProgress(), qt.IsTrue)
 }
 
-// A learner restarts while it joins: before it has voted, or after, with its disk.
+// A learner restarts with its disk while the change that adds it is being voted on, before or after its own vote.
 func TestRestartWhileJoining(t *testing.T) {
 	for name, voted := range map[string]bool{"before it votes": false, "after its vote": true} {
 		t.Run(name, func(t *testing.T) {
@@ -145,7 +144,7 @@
 			c.Check(tc.members["4"].node.IsMember(), qt.IsTrue)
 			c.Check(tc.members["4"].node.CaughtUp(), qt.IsTrue)
 			tc.checkSame(c)
-			tc.stop("3") // its vote counts now
+			tc.stop("3") // the vote of 4 is now needed for a majority
 			for _, ip := range []string{"1", "2", "4"} {
 				tc.setConnected(ip, "3", false)
 			}
@@ -154,8 +153,8 @@
 	}
 }
 
-// A read at a member that hasn't learned of a change of members yet does not take those that left for a majority: who voted on the change
-// reports it.
+// A reader that has not learned of a membership change must not complete a read with a majority of the old members: the one that voted
+// on the change reports its vote.
 func TestReadDuringMembershipChange(t *testing.T) {
 	for _, test := range []struct{ reader, other string }{{"2", "3"}, {"3", "2"}} {
 		t.Run(test.reader+" with "+test.other, func(t *testing.T) {
@@ -165,11 +164,11 @@
 			for _, ip := range tc.ips {
 				tc.start(ip, "")
 			}
-			tc.members["4"].member.Zone, tc.members["4"].node.self.Zone = "z2", "z2" // it stays a learner
+			tc.members["4"].member.Zone, tc.members["4"].node.self.Zone = "z2", "z2" // 4 stays a learner, as 3 is in its zone
 			tc.connectAll()
 			tc.run(2 * second)
 			c.Assert(tc.members["1"].node.Membership().Epoch, qt.Equals, uint64(1))
-			// 3 leaves and 4 joins; 2 votes, and receives nothing any more
+			// 3 leaves and 4 joins. 2 votes on that, but does not learn that it is decided.
 			tc.deliverable = func(from, to string, m Message) bool {
 				return to == "1" || to == "4" || m.Kind == Prepare || m.Kind == Accept && m.Index == 2 && to == "2"
 			}
@@ -180,7 +179,7 @@
 			tc.run(200 * ms)
 			c.Assert(tc.isConfirmed(tag), qt.IsTrue)
 			c.Assert(tc.members["2"].node.Applied(), qt.Equals, uint64(1))
-			// the reader is connected to the other only
+			// The reader and the other old member reach only each other.
 			tc.deliverable = func(from, to string, _ Message) bool {
 				return (from == test.reader || from == test.other) && (to == test.reader || to == test.other)
 			}
@@ -204,8 +203,7 @@
 	}
 }
 
-// An operation alone in its value costs no copy of the set, which may have tens of thousands of items; many that are pending together cost
-// one.
+// Evaluating a single operation must not copy the set, which may hold tens of thousands of items. A batch of operations copies it once.
 func TestBatchCopiesSetOnce(t *testing.T) {
 	c := qt.New(t)
 	tc := newTestCluster(3, 0, 3)
@@ -225,7 +223,7 @@
 	held := true
 	tc.deliverable = func(string, string, Message) bool { return !held }
 	var all []uint64
-	for n := range 13 { // the first is being decided, the others wait for it: of two keys, each of which several change
+	for n := range 13 { // the first is being decided while the others wait; they alternate between two services
 		all = append(all, tc.submit("1", serviceOperation(fmt.Sprint("gate-", n%2), uint64(100+n), fmt.Sprint(n))))
 	}
 	held = false
--- a/internal/control/consensus/scheduler_test.go
+++ b/internal/control/consensus/scheduler_test.go
@@ -9,13 +9,13 @@
 	second = int64(1e9)
 )
 
-// task is something that happens at a time; seq orders those of one time.
+// task is a function that runs at a simulated time, in nanoseconds. seq orders tasks of the same time.
 type task struct {
 	at, seq int64
 	do      func()
 }
 
-// tasks is a heap of tasks, the next first.
+// tasks is a min-heap of tasks by time.
 type tasks []task
 
 func (q tasks) Len() int { return len(q) }
@@ -35,25 +35,25 @@
 	return x
 }
 
-// after schedules something.
+// after schedules do in d nanoseconds, or at once if d is negative.
 func (sim *simulation) after(d int64, do func()) {
 	sim.seq++
 	heap.Push(&sim.tasks, task{sim.now + max(d, 0), sim.seq, do})
 }
 
-// between returns a random time from one to before another.
+// between returns a random duration in [from, to), or from if the interval is empty.
 func (sim *simulation) between(from, to int64) int64 {
 	return from + sim.rand.Int64N(max(1, to-from))
 }
 
-// run runs all tasks until a time.
+// run runs all tasks that are due until a time, and advances the clock to it.
 func (sim *simulation) run(until int64) {
 	for len(sim.tasks) > 0 && sim.tasks[0].at <= until {
 		t := heap.Pop(&sim.tasks).(task)
 		sim.now = t.at
 		t.do()
 		if len(sim.tasks) > 20000 {
-			sim.failLiveness("too much: %d messages or timers are pending, sent in all %v", len(sim.tasks), sim.sent)
+			sim.failLiveness("too many pending messages and timers: %d, messages sent so far: %v", len(sim.tasks), sim.sent)
 		}
 	}
 	sim.now = until
--- a/internal/control/consensus/simulation_test.go
+++ b/internal/control/consensus/simulation_test.go
@@ -13,10 +13,7 @@
 	tracedigest "portflow/internal/testing/digest"
 )
 
-// A simulation runs control processes in virtual time: machines with disks, links between them, and faults of both. All chance is drawn
-// from one seed, so a seed always plays alike. It carries out Effects in their order, and does nothing else for a Node.
-
-// counters count what happened, by name.
+// counters are event counts by name.
 type counters map[string]int64
 
 func (c counters) add(o counters) {
@@ -25,7 +22,7 @@
 	}
 }
 
-// collectCounts adds what a running process has counted to the tally.
+// collectCounts adds the counters of a running process to the tally.
 func (sim *simulation) collectCounts(m *machine) {
 	if m.node != nil && m.up {
 		c := m.node.Counts
@@ -33,7 +30,8 @@
 	}
 }
 
-// simulation is the state of one run.
+// simulation runs control processes in virtual time, with machines, disks, links and their faults. All randomness comes from one seed,
+// so that a run is reproducible. For each Node it only carries out the Effects, in their order.
 type simulation struct {
 	seed           uint64
 	rand           *rand.Rand
@@ -45,35 +43,35 @@
 	links          map[[2]int]*link
 	minPerZone     int
 	founders       []string
-	encodeMessages bool // messages are encoded and decoded on their way
+	encodeMessages bool // messages are encoded and decoded in transit
 	mutation       mutant
-	incarnations   int
-	diskIDs        int
-	tags           uint64
+	incarnations   int    // number of incarnations started, of all machines
+	diskIDs        int    // number of disk IDs assigned
+	tags           uint64 // the last tag assigned to a call
 
-	states              []decidedState // by index, from 1
-	membershipByEpoch   map[uint64]string
-	proposedMemberships map[uint64][]membership.List // that were proposed and may still be decided, by index
+	states              []decidedState               // states[i] is the state at index i+1
+	membershipByEpoch   map[uint64]string            // encoded member lists
+	proposedMemberships map[uint64][]membership.List // member lists that were proposed and may still be decided, by index
 	operations          []*operationCopies
 	confirmedIndex      uint64 // the highest index in an answer to a client
-	version             uint64
+	version             uint64 // the highest version given to an item
 	tally               counters
 	lostDisks           []lostDisk
-	maxSync             int64    // the longest sync of a disk without a fault
-	nonfatalViolations  counters // faults that do not end the run
+	maxSync             int64    // maximum duration of a sync of a disk without a fault, in nanoseconds
+	nonfatalViolations  counters // violations that do not end the run
 	sent                map[MessageKind]int
-	trace               uint64
+	trace               uint64 // hash of the states of all processes over time
 	log                 func(string, ...any)
 	recorded            *tracedigest.Digest // digest of all effects; nil if they are not recorded
 }
 
-// lostDisk is a disk that is lost, and when that was.
+// lostDisk is a member that lost its disk, and the time of the loss.
 type lostDisk struct {
 	membership.Member
 	at int64
 }
 
-// newSimulation returns a simulation whose machines are off.
+// newSimulation returns a simulation of 3 to 9 machines in three zones, all of them founders and powered off.
 func newSimulation(seed uint64, mutation mutant) *simulation {
 	sim := &simulation{
 		seed:                seed,
@@ -109,7 +107,7 @@
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
 }
 
-// sendAll sends messages in the order of their receivers.
+// sendAll sends messages, ordered by receiver so that runs are reproducible.
 func (sim *simulation) sendAll(m *machine, all map[string][]Message) {
 	for _, ip := range slices.Sorted(maps.Keys(all)) {
 		for _, x := range all[ip] {
@@ -118,10 +116,10 @@
 	}
 }
 
-// send sends a message. One to the process itself arrives at once.
+// send sends a message, unless the mutation drops it. A message to the process itself arrives without delay.
 func (sim *simulation) send(from, to *machine, message Message) {
 	if to == nil {
-		sim.fail("%s sends to nobody: %v", from.ip, message.Kind)
+		sim.fail("%s sends to an unknown address: %v", from.ip, message.Kind)
 	}
 	sim.sent[message.Kind]++
 	if message.Kind == Accept {
@@ -132,7 +130,7 @@
 	if sim.encodeMessages {
 		raw, err := json.Marshal(message)
 		if err != nil {
-			sim.fail("a message can't be encoded: %v", err)
+			sim.fail("encoding a message: %v", err)
 		}
 		message = Message{}
 		json.Unmarshal(raw, &message)
@@ -148,7 +146,7 @@
 	sim.deliver(from, to, func() { sim.step(to, Event{From: from.ip, Message: &message}) })
 }
 
-// step has a process handle an event, and carries out its effects.
+// step has a process handle an event and carries out its effects.
 func (sim *simulation) step(m *machine, e Event) {
 	e.Now, e.Random = m.clock(sim.now), sim.rand.Float64()
 	incarnation := m.incarnation
@@ -166,7 +164,7 @@
 			sim.sendAll(m, pendingWrite.sendAfterSync)
 		}
 	} else if len(effects.SaveItems)+len(effects.DeleteKeys)+len(effects.SendAfterSync) > 0 {
-		sim.fail("%s: something to be synced without a record", m.ip)
+		sim.fail("%s: items, deletions or messages to be synced without a hard state", m.ip)
 	}
 	sim.sendAll(m, effects.Send)
 	for _, a := range effects.Answers {
@@ -177,7 +175,7 @@
 	}
 }
 
-// recordEffects adds a step's effects, and what the process reports after it, to the digest.
+// recordEffects adds the effects of a step and the resulting state of the process to the digest.
 func (sim *simulation) recordEffects(m *machine, out Effects) {
 	if sim.recorded == nil {
 		return
--- a/internal/control/consensus/testcluster_test.go
+++ b/internal/control/consensus/testcluster_test.go
@@ -10,20 +10,20 @@
 	"portflow/internal/control/operation"
 )
 
-// testCluster is a few processes whose messages arrive at once, in the order of sending, where deliverable allows it. It plays what a test
-// says step by step, while a simulation plays what is drawn.
+// testCluster runs a few processes in tests that control each step, whereas a simulation is random. Messages arrive without delay in the
+// order of sending, unless deliverable drops them.
 type testCluster struct {
 	now         int64
 	ips         []string
 	members     map[string]*testMember
 	inFlight    []envelope
-	deliverable func(from, to string, m Message) bool // whether a message arrives; nil for all
-	answers     map[uint64]Result
+	deliverable func(from, to string, m Message) bool // reports whether a message arrives; nil if all do
+	answers     map[uint64]Result                     // by tag
 	lastTag     uint64
 	minPerZone  int
 }
 
-// testMember is a process of a testCluster with its disk.
+// testMember is a process of a testCluster, a member or a learner, with its disk.
 type testMember struct {
 	node         *Node
 	member       membership.Member
@@ -39,8 +39,8 @@
 	message  Message
 }
 
-// newTestCluster returns a cluster with members from IP address 1 on, in zones by turns, and learners after them. All hold index 1, and none
-// is up.
+// newTestCluster returns a cluster of members with the IP addresses "1", "2" and so on, followed by learners, assigned to the zones
+// round-robin. All disks hold index 1, and no process is started.
 func newTestCluster(members, learners, zones int) *testCluster {
 	tc := &testCluster{now: 1000 * second, members: map[string]*testMember{}, answers: map[uint64]Result{}, lastTag: 100, minPerZone: 1}
 	list := membership.List{Epoch: 1}
@@ -59,7 +59,7 @@
 	return tc
 }
 
-// start starts a process with what its disk holds; an empty incarnation stands for a new one.
+// start starts a process from the state on its disk. If incarnation is empty, a new one is assigned.
 func (tc *testCluster) start(ip, incarnation string) {
 	member := tc.members[ip]
 	set := setOf(member.items)
@@ -80,12 +80,12 @@
 	return set
 }
 
-// diskImage returns what a disk holds, to be restored.
+// diskImage returns a copy of the state on the disk.
 func (m *testMember) diskImage() (HardState, map[config.Key]config.Item) {
 	return m.hardState, maps.Clone(m.items)
 }
 
-// setConnected connects a process to another, as far as it sees, or ends that.
+// setConnected notifies a process that another one is connected, or that the connection to it is lost. The other is not notified.
 func (tc *testCluster) setConnected(ip, other string, connected bool) {
 	peer := tc.members[other]
 	switch {
@@ -98,7 +98,7 @@
 	}
 }
 
-// step has a process handle an event; its write is synced at once.
+// step has a process handle an event. Its write is synced without delay.
 func (tc *testCluster) step(ip string, e Event) {
 	member := tc.members[ip]
 	if !member.up {
@@ -137,7 +137,7 @@
 	}
 }
 
-// deliver delivers all messages in flight, and those sent in consequence.
+// deliver delivers all messages in flight, and those sent in response.
 func (tc *testCluster) deliver() {
 	for len(tc.inFlight) > 0 {
 		m := tc.inFlight[0]
@@ -157,7 +157,7 @@
 	return tc.deliverable == nil || m.from == m.to || tc.deliverable(m.from, m.to, m.message)
 }
 
-// run lets time pass: with ticks every 50 ms, and all that can be connected are.
+// run advances time by span, with a tick at every process each 50 ms. Every 500 ms it connects all that deliverable allows.
 func (tc *testCluster) run(span int64) {
 	for until := tc.now + span; tc.now < until; tc.now += 50 * ms {
 		for _, ip := range tc.ips {
@@ -170,7 +170,7 @@
 	}
 }
 
-// connectAll connects all that are up.
+// connectAll connects all running processes that deliverable allows to connect.
 func (tc *testCluster) connectAll() {
 	for _, ip := range tc.ips {
 		for _, other := range tc.ips {
@@ -182,15 +182,15 @@
 	tc.deliver()
 }
 
-// stop ends a process; others notice by setConnected.
+// stop terminates a process. The others are not notified; see setConnected.
 func (tc *testCluster) stop(ip string) { tc.members[ip].up = false }
 
-// serviceOperation returns an operation that sets a service.
+// serviceOperation returns an operation that sets a service with path as its health path.
 func serviceOperation(name string, v uint64, path string) operation.Operation {
 	return operation.Operation{Kind: operation.ModifyConfig, Items: []config.Item{item(config.KindServices, name, v, fmt.Sprintf(`{"health-path":"/%s","name":"%s"}`, path, name))}}
 }
 
-// submit submits an operation to a process, and returns its tag.
+// submit submits an operation to a process, delivers the messages that result, and returns its tag.
 func (tc *testCluster) submit(ip string, o operation.Operation) uint64 {
 	tc.lastTag++
 	tc.step(ip, Event{Operation: &o, Tag: tc.lastTag})
@@ -204,7 +204,7 @@
 	return answered && result.Err() == nil
 }
 
-// serviceBody returns the content of a service at a process.
+// serviceBody returns the encoded service as applied at a process, or "" if it does not exist.
 func (tc *testCluster) serviceBody(ip, name string) string {
 	i, _ := tc.members[ip].node.Set.Lookup(config.Key{Kind: config.KindServices, Name: name})
 	return string(i.Body)
--- a/internal/control/consensus/workload_test.go
+++ b/internal/control/consensus/workload_test.go
@@ -9,33 +9,32 @@
 	"portflow/internal/control/operation"
 )
 
-// call is a client's call to a process: an operation or a read.
+// call is a request of a client to a process: an operation or a read.
 type call struct {
 	tag         uint64
 	operation   *operation.Operation // nil for a read
-	copies      *operationCopies
+	copies      *operationCopies     // nil for a read
 	machine     *machine
 	incarnation int
 	startedAt   int64
-	minIndex    uint64 // of a read: the highest index in an answer before it began
-	done        bool
+	minIndex    uint64 // the highest index in any answer before the call began; a read must not return less
+	done        bool   // answered, or the process has ended
 	endedAt     int64
 	result      Result
 }
 
-// operationCopies are all calls with one operation.
+// operationCopies is an operation with all calls that submitted it.
 type operationCopies struct {
-	number    int
+	number    int // identifies the operation in logs and in the bodies of its items
 	operation operation.Operation
 	calls     []*call
 }
 
-// item returns an item.
 func item(kind, name string, version uint64, body string) config.Item {
 	return config.Item{Kind: kind, Name: name, Version: version, Body: []byte(body)}
 }
 
-// randomRoute returns a route whose content no other operation has.
+// randomRoute returns a route whose body no other operation has.
 func (sim *simulation) randomRoute(operationNumber, itemIndex int, name string, version uint64) config.Item {
 	service := "desk"
 	if sim.rand.IntN(40) == 0 {
@@ -44,12 +43,12 @@
 	return item(config.KindRoutes, name, version, fmt.Sprintf(`{"home-regions":["g%d.%d"],"host-name":"%s.example","name":"%s","path-prefix":"/","route-kind":"safe_method","service":"%s","timeout-s":1}`, operationNumber, itemIndex, name, name, service))
 }
 
-// deskOperation returns the operation that sets the service which all routes use.
+// deskOperation returns an operation that sets "desk", the service used by the routes.
 func deskOperation() operation.Operation {
 	return operation.Operation{Kind: operation.ModifyConfig, Items: []config.Item{item(config.KindServices, "desk", 1, `{"health-path":"/","name":"desk"}`)}}
 }
 
-// randomMachine returns a machine that is up, nil if none is.
+// randomMachine returns a random running machine, or nil if there is none.
 func (sim *simulation) randomMachine() *machine {
 	up := slices.DeleteFunc(slices.Clone(sim.machines), func(m *machine) bool { return !m.up })
 	if len(up) == 0 {
@@ -58,7 +57,6 @@
 	return up[sim.rand.IntN(len(up))]
 }
 
-// randomOperation returns a new operation.
 func (sim *simulation) randomOperation() *operationCopies {
 	copies := &operationCopies{number: len(sim.operations)}
 	switch at := sim.rand.IntN(20); {
@@ -86,12 +84,12 @@
 	return copies
 }
 
-// rolloutNumber returns the number of the newest rollout.
+// rolloutNumber returns the number of the latest rollout of "desk".
 func (sim *simulation) rolloutNumber() uint64 {
 	return sim.states[len(sim.states)-1].items[config.Key{Kind: config.KindRollouts, Name: "desk"}].Version / 2
 }
 
-// call has a client submit an operation to a process, or begin a read if there is none.
+// call has a client submit an operation to a process, or start a read if copies is nil.
 func (sim *simulation) call(m *machine, copies *operationCopies) *call {
 	sim.tags++
 	c := &call{tag: sim.tags, copies: copies, machine: m, incarnation: m.incarnation, startedAt: sim.now, minIndex: sim.confirmedIndex}
@@ -100,8 +98,8 @@
 		copies.calls = append(copies.calls, c)
 	}
 	m.calls[c.tag] = c
-	if sim.log("%.3f %s is asked %d", float64(sim.now)/1e9, m.ip, c.tag); copies != nil {
-		sim.log("  order %d %v", copies.number, copies.operation)
+	if sim.log("%.3f %s receives call %d", float64(sim.now)/1e9, m.ip, c.tag); copies != nil {
+		sim.log("  operation %d %v", copies.number, copies.operation)
 		for _, i := range copies.operation.Items {
 			sim.log("    %s", describeItem(i))
 		}
@@ -127,22 +125,22 @@
 		}
 		sim.after(requestTimeout+600*ms, func() {
 			if !c.done && m.frozenAt < submittedAt {
-				sim.failLiveness("%s has held call %d for %.1f s", m.ip, c.tag, float64(sim.now-submittedAt)/1e9)
+				sim.failLiveness("%s has not answered call %d after %.1f s", m.ip, c.tag, float64(sim.now-submittedAt)/1e9)
 			}
 		})
 	})
 	return c
 }
 
-// handleAnswer takes the answer to a client, and checks it.
+// handleAnswer records an answer to a client and checks it.
 func (sim *simulation) handleAnswer(m *machine, a Answer) {
 	c := m.calls[a.Tag]
 	if c == nil && a.Tag > 1<<32 {
-		sim.nonfatalViolations["a process answers a call of its own"]++
+		sim.nonfatalViolations["a process answers an internal call"]++
 		return
 	}
 	if c == nil || c.done {
-		sim.fail("%s answers a call that isn't there: %v", m.ip, a)
+		sim.fail("%s answers a call that is not pending: %v", m.ip, a)
 	}
 	c.done, c.result, c.endedAt = true, a.Result, sim.now
 	delete(m.calls, a.Tag)
@@ -150,15 +148,15 @@
 	switch a.Result.Kind {
 	case apierror.None:
 		if a.Result.Index > m.node.Applied() && c.operation == nil {
-			sim.fail("%s answers a read with %d, and has %d", m.ip, a.Result.Index, m.node.Applied())
+			sim.fail("%s answers a read with index %d, but has applied %d", m.ip, a.Result.Index, m.node.Applied())
 		}
 		if a.Result.Index == 0 || a.Result.Index > uint64(len(sim.states)) {
-			sim.fail("%s answers call %d with number %d of %d", m.ip, a.Tag, a.Result.Index, len(sim.states))
+			sim.fail("%s answers call %d with index %d, want 1 to %d", m.ip, a.Tag, a.Result.Index, len(sim.states))
 		}
 		if c.operation == nil {
 			sim.tally["reads"]++
 			if a.Result.Index < c.minIndex {
-				sim.fail("%s answers a read that began at %.3f s with number %d, and %d was in an answer by then", m.ip, float64(c.startedAt)/1e9, a.Result.Index, c.minIndex)
+				sim.fail("%s answers a read that began at %.3f s with index %d, though an earlier answer had index %d", m.ip, float64(c.startedAt)/1e9, a.Result.Index, c.minIndex)
 			}
 		} else {
 			sim.tally["confirmed"]++
@@ -174,11 +172,12 @@
 	case apierror.Unavailable:
 		sim.tally["unready"]++
 	default:
-		sim.fail("%s answers call %d with %v", m.ip, a.Tag, a.Result)
+		sim.fail("%s answers call %d with an unexpected result: %v", m.ip, a.Tag, a.Result)
 	}
 }
 
-// submitRepeatedly submits an operation, and again while it is unavailable, at most so many times.
+// submitRepeatedly submits an operation to a random process, and retries while it is unanswered or unavailable. times is the maximum
+// number of attempts.
 func (sim *simulation) submitRepeatedly(copies *operationCopies, times int) {
 	m := sim.randomMachine()
 	if m == nil || times == 0 {
@@ -192,7 +191,7 @@
 	})
 }
 
-// randomCalls makes one call or some at once.
+// randomCalls makes one to three calls at random processes.
 func (sim *simulation) randomCalls() {
 	m := sim.randomMachine()
 	if m == nil {
@@ -207,10 +206,10 @@
 		copies := sim.randomOperation()
 		sim.operations = append(sim.operations, copies)
 		sim.submitRepeatedly(copies, 1+sim.rand.IntN(3))
-		if sim.rand.IntN(4) == 0 { // at another process too
+		if sim.rand.IntN(4) == 0 { // the same operation at another process
 			sim.call(sim.randomMachine(), copies)
 		}
-		if sim.rand.IntN(4) == 0 { // another operation at once
+		if sim.rand.IntN(4) == 0 { // a concurrent operation
 			rival := sim.randomOperation()
 			sim.operations = append(sim.operations, rival)
 			sim.call(sim.randomMachine(), rival)
