--- a/internal/control/consensus/randomfaults_test.go
+++ b/internal/control/consensus/randomfaults_test.go
@@ -199,8 +199,8 @@
 			kinds[withoutNumbers(violations[seed])] = -1
 		}
 	}
-	for what, n := range nonfatal {
-		t.Errorf("%s: %d times", what, n)
+	for description, n := range nonfatal {
+		t.Errorf("%s: %d times", description, n)
 	}
 	t.Logf("%d seeds, %d with violations: %v", n, len(violations), total)
 }
--- a/internal/control/consensus/recovery_test.go
+++ b/internal/control/consensus/recovery_test.go
@@ -53,9 +53,9 @@
 				tc.setConnected(ip, "1", false)
 			}
 			for n := range 20 {
-				o := tc.submit("2", serviceOperation("other", uint64(n+1), fmt.Sprint(n)))
+				otherTag := tc.submit("2", serviceOperation("other", uint64(n+1), fmt.Sprint(n)))
 				tc.run(second)
-				c.Assert(tc.isConfirmed(o), qt.IsTrue, qt.Commentf("operation %d: %v", n, tc.answers[o]))
+				c.Assert(tc.isConfirmed(otherTag), qt.IsTrue, qt.Commentf("operation %d: %v", n, tc.answers[otherTag]))
 			}
 			frozen, tc.deliverable, tc.members["1"].up = false, nil, true
 			tc.inFlight = append(tc.inFlight, delayed...)
@@ -213,23 +213,23 @@
 	tc.connectAll()
 	tc.run(second)
 	for n := range 20 {
-		o := tc.submit("1", serviceOperation(fmt.Sprint("gate-", n%3), uint64(n+1), "x"))
+		tag := tc.submit("1", serviceOperation(fmt.Sprint("gate-", n%3), uint64(n+1), "x"))
 		tc.run(100 * ms)
-		c.Assert(tc.isConfirmed(o), qt.IsTrue)
+		c.Assert(tc.isConfirmed(tag), qt.IsTrue)
 	}
 	node := tc.members["1"].node
 	c.Check(node.Counts.Copied, qt.Equals, int64(0))
 	decided := node.Counts.Decided
 	held := true
 	tc.deliverable = func(string, string, Message) bool { return !held }
-	var all []uint64
+	var tags []uint64
 	for n := range 13 { // the first is being decided while the others wait; they alternate between two services
-		all = append(all, tc.submit("1", serviceOperation(fmt.Sprint("gate-", n%2), uint64(100+n), fmt.Sprint(n))))
+		tags = append(tags, tc.submit("1", serviceOperation(fmt.Sprint("gate-", n%2), uint64(100+n), fmt.Sprint(n))))
 	}
 	held = false
 	tc.run(second)
-	for n, o := range all {
-		c.Check(tc.isConfirmed(o), qt.IsTrue, qt.Commentf("%d: %v", n, tc.answers[o]))
+	for n, tag := range tags {
+		c.Check(tc.isConfirmed(tag), qt.IsTrue, qt.Commentf("%d: %v", n, tc.answers[tag]))
 	}
 	c.Check(node.Counts.Decided-decided, qt.Equals, int64(2))
 	c.Check(node.Counts.Copied, qt.Equals, int64(1))
--- a/internal/control/consensus/simulation_test.go
+++ b/internal/control/consensus/simulation_test.go
@@ -62,7 +62,7 @@
 	sent                map[MessageKind]int
 	trace               uint64 // hash of the states of all processes over time
 	log                 func(string, ...any)
-	recorded            *tracedigest.Digest // digest of all effects; nil if they are not recorded
+	digest              *tracedigest.Digest // digest of all effects; nil if they are not recorded
 }
 
 // lostDisk is a member that lost its disk, and the time of the loss.
@@ -177,9 +177,9 @@
 
 // recordEffects adds the effects of a step and the resulting state of the process to the digest.
 func (sim *simulation) recordEffects(m *machine, out Effects) {
-	if sim.recorded == nil {
+	if sim.digest == nil {
 		return
 	}
 	node := m.node
-	sim.recorded.Add(sim.now, m.id, out, node.Applied(), node.Set.Checksum(), node.Membership(), node.Busy(), node.CaughtUp(), node.IsMember())
+	sim.digest.Add(sim.now, m.id, out, node.Applied(), node.Set.Checksum(), node.Membership(), node.Busy(), node.CaughtUp(), node.IsMember())
 }
--- a/internal/control/consensus/trace_test.go
+++ b/internal/control/consensus/trace_test.go
@@ -12,7 +12,7 @@
 	want := []string{"db3f37c34d511457", "5fb14d52431f3e23", "dd71ed5243d89bd7", "316a48bd12b2391d"}
 	tracedigest.Pin(t, 25, want, func(seed uint64, d *tracedigest.Digest) {
 		sim := newSimulation(seed, mutant{})
-		sim.recorded = d
+		sim.digest = d
 		sim.scheduleAll(7 * second)
 		sim.run(10 * second)
 	})
