--- a/internal/control/consensus/network_test.go
+++ b/internal/control/consensus/network_test.go
@@ -69,8 +69,8 @@
 	})
 }
 
-// breakLink notifies a machine that its end of a link is broken. Once both ends are broken, it starts to
-// reconnect the machines.
+// breakLink notifies a machine that its end of a link is broken. Once both ends are broken, it starts to reconnect
+// the machines.
 func (sim *simulation) breakLink(m, other *machine) {
 	l, end := sim.link(m, other)
 	if !l.connected[end] {
