--- a/internal/control/consensus/randomfaults_test.go
+++ b/internal/control/consensus/randomfaults_test.go
@@ -19,19 +19,20 @@
 	verbose   = flag.Bool("tell", false, "one seed is played, and every fault and answer is logged")
 )
 
-// mutant breaks one of the rules that safety depends on.
+// mutant breaks one of the rules that safety depends on. The zero value breaks none.
 type mutant struct {
-	firstSeed       uint64                                                    // the first seed that is played
-	keepID          bool                                                      // a wiped disk comes back as the same member
-	unsynced        bool                                                      // messages that depend on a write are sent before it is synced
-	sameIncarnation bool                                                      // all incarnations of a process use the same ballots
-	localReads      bool                                                      // a read is answered with what the process has applied
-	keepFounders    bool                                                      // a wiped disk is still one of the founders
-	hardState       func(*HardState)                                          // changes what is written
-	message         func(sim *simulation, from, to *machine, m *Message) bool // changes a message, or loses it if false
+	firstSeed       uint64           // the first seed to run
+	keepID          bool             // a wiped disk keeps its ID
+	unsynced        bool             // messages that depend on a write are sent before it is synced
+	sameIncarnation bool             // all incarnations of a process use the same ballots
+	localReads      bool             // reads return the index that the process has applied, without querying others
+	keepFounders    bool             // the wiped disk of a founder still lists the founders
+	hardState       func(*HardState) // modifies what is written to disk
+	// message modifies a message before it is sent; if it returns false, the message is dropped.
+	message func(sim *simulation, from, to *machine, m *Message) bool
 }
 
-// simulate plays one seed: starts, faults, calm, and the checks at the end.
+// simulate runs one seed: starts, faults, a period without faults, and the final checks. It returns the violation found, if any.
 func simulate(seed uint64, mutation mutant, log func(string, ...any)) (sim *simulation, found *violation) {
 	sim = newSimulation(seed, mutation)
 	if log != nil {
@@ -40,7 +41,7 @@
 	return sim, sim.play()
 }
 
-// play plays a new simulation to its end, or to the first violation.
+// play runs a new simulation to its end, or to the first violation.
 func (sim *simulation) play() (found *violation) {
 	defer func() {
 		switch reason := recover().(type) {
@@ -51,17 +52,17 @@
 			panic(fmt.Sprintf("seed %d: %v", sim.seed, reason))
 		}
 	}()
-	const faultsEnd, calm = 40 * second, 18 * second
+	const faultsEnd, settleTime = 40 * second, 18 * second
 	sim.scheduleAll(faultsEnd)
-	sim.run(faultsEnd + 6500*ms) // all faults have ended by then
+	sim.run(faultsEnd + 6500*ms) // all faults have ended, but replaced machines may still return
 	for _, m := range sim.machines {
 		m.maxSync = 4 * ms
 	}
 	sim.startAll()
-	sim.run(sim.now + calm)
-	if sim.foundingIsLost() {
-		sim.foundAnew()
-		sim.run(sim.now + calm)
+	sim.run(sim.now + settleTime)
+	if sim.bootstrapIsBlocked() {
+		sim.bootstrapAgain()
+		sim.run(sim.now + settleTime)
 	}
 	sim.checkLiveness()
 	sim.checkOutcomes()
@@ -71,7 +72,6 @@
 	return nil
 }
 
-// startAll starts all machines that are not removed.
 func (sim *simulation) startAll() {
 	for _, m := range sim.machines {
 		if !m.removed {
@@ -80,9 +80,10 @@
 	}
 }
 
-// foundAnew does what operators do where the first epoch can't be decided any more: the founders start with empty disks. Nothing is lost.
-func (sim *simulation) foundAnew() {
-	sim.tally["founded anew"]++
+// bootstrapAgain does what operators do if the first epoch can no longer be decided: it restarts the founders with empty disks. Nothing
+// is lost, as nothing was confirmed.
+func (sim *simulation) bootstrapAgain() {
+	sim.tally["bootstrapped again"]++
 	for _, m := range sim.machines {
 		sim.stop(m, false)
 		if slices.Contains(sim.founders, m.ip) && !m.removed {
@@ -93,10 +94,10 @@
 	sim.startAll()
 }
 
-// scheduleAll schedules the starts of the processes, and faults and calls until a time.
+// scheduleAll schedules the starts of the processes, and random faults and calls until faultsEnd.
 func (sim *simulation) scheduleAll(faultsEnd int64) {
 	for n, m := range sim.machines {
-		if n > len(sim.machines)/2 && sim.rand.IntN(4) == 0 { // it starts late
+		if n > len(sim.machines)/2 && sim.rand.IntN(4) == 0 { // a late start
 			sim.after(sim.between(0, 20*second), func() { sim.start(m) })
 			continue
 		}
@@ -123,10 +124,10 @@
 	sim.after(3*second, makeCalls)
 }
 
-// foundingIsLost reports whether the first members were voted on and lack a majority for good: a founder's disk was lost within the round
-// trip, while another founder was not connected. Anything else that prevents the first epoch is a violation, and so is an
-// operation that was confirmed by then.
-func (sim *simulation) foundingIsLost() bool {
+// bootstrapIsBlocked reports whether a process has voted for first members that permanently lack a majority: while they were being
+// voted on, a founder lost its disk and another founder was not connected. Any other reason why the first epoch is not decided is
+// a violation, and so is an operation that was confirmed by then.
+func (sim *simulation) bootstrapIsBlocked() bool {
 	if len(sim.states) > 0 || sim.confirmedIndex > 0 || sim.tally["confirmed"] > 0 {
 		return false
 	}
@@ -144,33 +145,34 @@
 	return false
 }
 
-// simulateMany plays many seeds, at most three at a time, until each returns false. It calls each for one at a time, and waits for all.
+// simulateMany runs n seeds, at most three in parallel, until each returns false. Calls of each do not overlap. It returns when all
+// runs have ended.
 func simulateMany(first uint64, n int, mutation mutant, each func(seed uint64, sim *simulation, found *violation) bool) {
 	var next atomic.Int64
-	var lock sync.Mutex
-	var all sync.WaitGroup
+	var mu sync.Mutex
+	var wg sync.WaitGroup
 	var stop atomic.Bool
 	for range min(3, runtime.GOMAXPROCS(0)) {
-		all.Go(func() {
+		wg.Go(func() {
 			for !stop.Load() {
 				at := next.Add(1) - 1
 				if at >= int64(n) {
 					return
 				}
 				sim, found := simulate(first+uint64(at), mutation, nil)
-				lock.Lock()
+				mu.Lock()
 				if !each(first+uint64(at), sim, found) {
 					stop.Store(true)
 				}
-				lock.Unlock()
+				mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// Whatever is killed, wiped, cut off, slow, late, frozen or replaced: an index has one value, nothing confirmed is lost, nothing refused
-// takes effect, reads are linearizable, and after the faults all goes on by itself.
+// Random faults of processes, disks and links violate no invariant: each index has one value, confirmed operations are not lost,
+// rejected ones have no effect, reads are linearizable, and after the last fault the cluster makes progress without an operator.
 func TestRandomFaults(t *testing.T) {
 	n := cmp.Or(*seeds, defaultSeeds)
 	if *verbose {
@@ -179,31 +181,31 @@
 		}
 		return
 	}
-	sum, soft := counters{}, counters{}
-	bad := map[uint64]string{}
+	total, nonfatal := counters{}, counters{}
+	violations := map[uint64]string{}
 	kinds := map[string]int{}
-	simulateMany(*firstSeed, n, mutant{}, func(seed uint64, w *simulation, found *violation) bool {
-		sum.add(w.tally)
-		soft.add(w.softFaults)
+	simulateMany(*firstSeed, n, mutant{}, func(seed uint64, sim *simulation, found *violation) bool {
+		total.add(sim.tally)
+		nonfatal.add(sim.nonfatalViolations)
 		if found != nil {
-			bad[seed] = found.message
+			violations[seed] = found.message
 			kinds[withoutNumbers(found.message)]++
 		}
 		return true
 	})
-	for _, seed := range slices.Sorted(maps.Keys(bad)) {
-		if len(bad) <= 12 || kinds[withoutNumbers(bad[seed])] >= 0 {
-			t.Errorf("seed %d: %s", seed, bad[seed])
-			kinds[withoutNumbers(bad[seed])] = -1
+	for _, seed := range slices.Sorted(maps.Keys(violations)) {
+		if len(violations) <= 12 || kinds[withoutNumbers(violations[seed])] >= 0 {
+			t.Errorf("seed %d: %s", seed, violations[seed])
+			kinds[withoutNumbers(violations[seed])] = -1
 		}
 	}
-	for what, n := range soft {
-		t.Errorf("%s: %d times", what, n)
+	for description, n := range nonfatal {
+		t.Errorf("%s: %d times", description, n)
 	}
-	t.Logf("%d seeds, %d with faults: %v", n, len(bad), sum)
+	t.Logf("%d seeds, %d with violations: %v", n, len(violations), total)
 }
 
-// withoutNumbers returns the beginning of a violation's message without its numbers, by which violations are grouped.
+// withoutNumbers returns the start of a violation's message without its time and numbers, by which violations are grouped.
 func withoutNumbers(s string) string {
 	s, _, _ = strings.Cut(s, "\n")
 	_, s, _ = strings.Cut(s, ": ")
--- a/internal/control/consensus/recovery_test.go
+++ b/internal/control/consensus/recovery_test.go
@@ -12,7 +12,7 @@
 	"portflow/internal/control/operation"
 )
 
-// checkSame checks that all processes that are up have applied the same as the first.
+// checkSame checks that all running processes have applied the same index and hold the same set as the first process.
 func (tc *testCluster) checkSame(c *qt.C) {
 	c.Helper()
 	for _, ip := range tc.ips[1:] {
@@ -25,10 +25,10 @@
 	}
 }
 
-// A member is frozen for 20 s in the middle of its own proposal, while the others go on, and thaws with what was in flight: the replies that
-// it waits for, or its proposal.
-func TestThawedInItsProposal(t *testing.T) {
-	for name, held := range map[string]MessageKind{"its promises are on the way": Promise, "nobody has its proposal yet": Accept, "its votes are on the way": Accepted} {
+// A member freezes for 20 s during its own proposal, while the others decide further values. When it thaws, the replies that it waits
+// for, or its proposal, are delivered late.
+func TestFrozenDuringProposal(t *testing.T) {
+	for name, delayedKind := range map[string]MessageKind{"late promises": Promise, "late proposal": Accept, "late votes": Accepted} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			tc := newTestCluster(3, 0, 3)
@@ -37,28 +37,28 @@
 			}
 			tc.connectAll()
 			tc.run(second)
-			var late []envelope
+			var delayed []envelope
 			frozen := true
 			tc.deliverable = func(from, to string, m Message) bool {
-				if frozen && (from == "1" || to == "1") && m.Kind == held {
-					late = append(late, envelope{from, to, m})
+				if frozen && (from == "1" || to == "1") && m.Kind == delayedKind {
+					delayed = append(delayed, envelope{from, to, m})
 				}
-				return !frozen || m.Kind != held && len(late) == 0
+				return !frozen || m.Kind != delayedKind && len(delayed) == 0
 			}
 			tag := tc.submit("1", serviceOperation("gate", 1, "frozen"))
-			c.Assert(len(late) > 0, qt.IsTrue)
+			c.Assert(len(delayed) > 0, qt.IsTrue)
 			tc.deliverable = func(from, to string, _ Message) bool { return from != "1" && to != "1" }
-			tc.members["1"].up = false // it does nothing, and receives nothing
+			tc.members["1"].up = false // frozen, not restarted
 			for _, ip := range []string{"2", "3"} {
 				tc.setConnected(ip, "1", false)
 			}
 			for n := range 20 {
-				o := tc.submit("2", serviceOperation("other", uint64(n+1), fmt.Sprint(n)))
+				otherTag := tc.submit("2", serviceOperation("other", uint64(n+1), fmt.Sprint(n)))
 				tc.run(second)
-				c.Assert(tc.isConfirmed(o), qt.IsTrue, qt.Commentf("order %d: %v", n, tc.answers[o]))
+				c.Assert(tc.isConfirmed(otherTag), qt.IsTrue, qt.Commentf("operation %d: %v", n, tc.answers[otherTag]))
 			}
 			frozen, tc.deliverable, tc.members["1"].up = false, nil, true
-			tc.inFlight = append(tc.inFlight, late...)
+			tc.inFlight = append(tc.inFlight, delayed...)
 			tc.deliver()
 			tc.run(5 * second)
 			tc.checkSame(c)
@@ -76,8 +76,7 @@
 	}
 }
 
-// Two founders are a core that tolerates no loss: without one of them nothing is confirmed, and with it all goes on. With a third it
-// tolerates one.
+// A cluster of two founders tolerates no loss: nothing is confirmed until both are up. With a third member it tolerates one loss.
 func TestTwoFounders(t *testing.T) {
 	c := qt.New(t)
 	tc := newTestCluster(2, 1, 3)
@@ -90,7 +89,7 @@
 	}
 	tc.start("2", "")
 	tc.run(5 * second)
-	c.Check(tc.members["2"].node.Applied(), qt.Equals, uint64(0), qt.Commentf("one of two founders is no quorum"))
+	c.Check(tc.members["2"].node.Applied(), qt.Equals, uint64(0), qt.Commentf("one of two founders is not a quorum"))
 	tc.start("1", "")
 	tc.connectAll()
 	tc.run(3 * second)
@@ -112,8 +111,8 @@
 	c.Check(tc.makesProgress(), qt.IsTrue)
 }
 
-// A learner restarts while it joins: before it has voted, or after, with its disk.
-func TestVotedInWhileItRestarts(t *testing.T) {
+// A learner restarts with its disk while the change that adds it is being voted on, before or after its own vote.
+func TestRestartWhileJoining(t *testing.T) {
 	for name, voted := range map[string]bool{"before it votes": false, "after its vote": true} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -121,10 +120,10 @@
 			for _, ip := range tc.ips {
 				tc.start(ip, "")
 			}
-			struck := false
+			crashed := false
 			tc.deliverable = func(from, to string, m Message) bool {
-				if m.Kind == Accept && to == "4" && !voted && !struck || m.Kind == Accepted && from == "4" && voted && !struck {
-					struck = true
+				if m.Kind == Accept && to == "4" && !voted && !crashed || m.Kind == Accepted && from == "4" && voted && !crashed {
+					crashed = true
 					tc.stop("4")
 					return false
 				}
@@ -132,7 +131,7 @@
 			}
 			tc.connectAll()
 			tc.run(2 * second)
-			c.Assert(struck, qt.IsTrue)
+			c.Assert(crashed, qt.IsTrue)
 			for _, ip := range tc.ips[:3] {
 				tc.setConnected(ip, "4", false)
 			}
@@ -145,7 +144,7 @@
 			c.Check(tc.members["4"].node.IsMember(), qt.IsTrue)
 			c.Check(tc.members["4"].node.CaughtUp(), qt.IsTrue)
 			tc.checkSame(c)
-			tc.stop("3") // its vote counts now
+			tc.stop("3") // the vote of 4 is now needed for a majority
 			for _, ip := range []string{"1", "2", "4"} {
 				tc.setConnected(ip, "3", false)
 			}
@@ -154,9 +153,9 @@
 	}
 }
 
-// A read at a member that hasn't learned of a change of members yet does not take those that left for a majority: who voted on the change
-// reports it.
-func TestReadAcrossMembers(t *testing.T) {
+// A reader that has not learned of a membership change must not complete a read with a majority of the old members: the one that voted
+// on the change reports its vote.
+func TestReadDuringMembershipChange(t *testing.T) {
 	for _, test := range []struct{ reader, other string }{{"2", "3"}, {"3", "2"}} {
 		t.Run(test.reader+" with "+test.other, func(t *testing.T) {
 			c := qt.New(t)
@@ -165,11 +164,11 @@
 			for _, ip := range tc.ips {
 				tc.start(ip, "")
 			}
-			tc.members["4"].member.Zone, tc.members["4"].node.self.Zone = "z2", "z2" // it stays a learner
+			tc.members["4"].member.Zone, tc.members["4"].node.self.Zone = "z2", "z2" // 4 stays a learner, as 3 is in its zone
 			tc.connectAll()
 			tc.run(2 * second)
 			c.Assert(tc.members["1"].node.Membership().Epoch, qt.Equals, uint64(1))
-			// 3 leaves and 4 joins; 2 votes, and receives nothing any more
+			// 3 leaves and 4 joins. 2 votes on that, but does not learn that it is decided.
 			tc.deliverable = func(from, to string, m Message) bool {
 				return to == "1" || to == "4" || m.Kind == Prepare || m.Kind == Accept && m.Index == 2 && to == "2"
 			}
@@ -180,7 +179,7 @@
 			tc.run(200 * ms)
 			c.Assert(tc.isConfirmed(tag), qt.IsTrue)
 			c.Assert(tc.members["2"].node.Applied(), qt.Equals, uint64(1))
-			// the reader is connected to the other only
+			// The reader and the other old member reach only each other.
 			tc.deliverable = func(from, to string, _ Message) bool {
 				return (from == test.reader || from == test.other) && (to == test.reader || to == test.other)
 			}
@@ -198,15 +197,14 @@
 			tc.deliver()
 			tc.run(2 * second)
 			c.Check(tc.answers[read], qt.DeepEquals, Result{Index: tc.members["1"].node.Applied()})
-			_, there := tc.members[test.reader].node.Set.Lookup(config.Key{Kind: config.KindServices, Name: "gate"})
-			c.Check(there, qt.IsTrue)
+			_, exists := tc.members[test.reader].node.Set.Lookup(config.Key{Kind: config.KindServices, Name: "gate"})
+			c.Check(exists, qt.IsTrue)
 		})
 	}
 }
 
-// An operation alone in its value costs no copy of the set, which may have tens of thousands of items; many that are pending together cost
-// one.
-func TestCopiesOfTheSet(t *testing.T) {
+// Evaluating a single operation must not copy the set, which may hold tens of thousands of items. A batch of operations copies it once.
+func TestBatchCopiesSetOnce(t *testing.T) {
 	c := qt.New(t)
 	tc := newTestCluster(3, 0, 3)
 	for _, ip := range tc.ips {
@@ -215,23 +213,23 @@
 	tc.connectAll()
 	tc.run(second)
 	for n := range 20 {
-		o := tc.submit("1", serviceOperation(fmt.Sprint("gate-", n%3), uint64(n+1), "x"))
+		tag := tc.submit("1", serviceOperation(fmt.Sprint("gate-", n%3), uint64(n+1), "x"))
 		tc.run(100 * ms)
-		c.Assert(tc.isConfirmed(o), qt.IsTrue)
+		c.Assert(tc.isConfirmed(tag), qt.IsTrue)
 	}
 	node := tc.members["1"].node
 	c.Check(node.Counts.Copied, qt.Equals, int64(0))
 	decided := node.Counts.Decided
 	held := true
 	tc.deliverable = func(string, string, Message) bool { return !held }
-	var all []uint64
-	for n := range 13 { // the first is being decided, the others wait for it: of two keys, each of which several change
-		all = append(all, tc.submit("1", serviceOperation(fmt.Sprint("gate-", n%2), uint64(100+n), fmt.Sprint(n))))
+	var tags []uint64
+	for n := range 13 { // the first is being decided while the others wait; they alternate between two services
+		tags = append(tags, tc.submit("1", serviceOperation(fmt.Sprint("gate-", n%2), uint64(100+n), fmt.Sprint(n))))
 	}
 	held = false
 	tc.run(second)
-	for n, o := range all {
-		c.Check(tc.isConfirmed(o), qt.IsTrue, qt.Commentf("%d: %v", n, tc.answers[o]))
+	for n, tag := range tags {
+		c.Check(tc.isConfirmed(tag), qt.IsTrue, qt.Commentf("%d: %v", n, tc.answers[tag]))
 	}
 	c.Check(node.Counts.Decided-decided, qt.Equals, int64(2))
 	c.Check(node.Counts.Copied, qt.Equals, int64(1))
