--- a/internal/cluster/config/quotas_test.go
+++ b/internal/cluster/config/quotas_test.go
@@ -23,7 +23,7 @@
 	for wantErr, row := range map[string]string{
 		"service: nowhere does not stand":                        `["s1","nowhere","X-Agency","a",5,5,null]`,
 		"per-s: .* is not from":                                  `["s1","desk","X-Agency","a",-1,5,null]`,
-		"per-s: missing, and no part":                            `["s1","desk","X-Agency","a",null,5,null]`,
+		"per-s: missing, and no part either":                     `["s1","desk","X-Agency","a",null,5,null]`,
 		"burst: 0.5 is not from 1":                               `["s1","desk","X-Agency","a",5,0.5,null]`,
 		"part: 1.2 is not from 0 to 1":                           `["s1","desk","X-Agency","a",5,5,1.2]`,
 		"caller: missing":                                        `["s1","desk","X-Agency",null,5,5,null]`,
