--- a/internal/proxy/attempt/event.go
+++ b/internal/proxy/attempt/event.go
@@ -10,7 +10,7 @@
 	WriteStarted                 // the first bytes are being passed to the connection
 	WroteNone                    // the connection failed before it accepted any byte
 	WrotePart                    // the connection accepted part of the request
-	WroteAll                     // the connection accepted the whole request
+	WroteAll                     // the connection accepted the entire request
 	RejectedByHost               // response with the request's ID and Request-Not-Run
 	Misdirected                  // response with the request's ID and status 421
 	Answered                     // any other complete response with the request's ID
--- a/internal/proxy/attempt/model_test.go
+++ b/internal/proxy/attempt/model_test.go
@@ -360,7 +360,7 @@
 			})
 		}
 		if l.inTransit >= 0 {
-			if l.partial && !l.early { // the host answers before it has the whole request
+			if l.partial && !l.early { // the host answers before it has the entire request
 				for _, kind := range []Event{Answered, RejectedByHost} {
 					fault(func(w *modelState) {
 						if kind == Answered {
--- a/internal/proxy/attempt/phase.go
+++ b/internal/proxy/attempt/phase.go
@@ -9,7 +9,7 @@
 	Open                       // connected, nothing written
 	WriteBegun                 // the first write has begun
 	PartlyWritten              // the connection accepted part of the request
-	Written                    // the connection accepted the whole request
+	Written                    // the connection accepted the entire request
 	Ended                      // final; later events change nothing
 	phaseCount
 )
