--- a/internal/cluster/gossip/gossiper_test.go
+++ b/internal/cluster/gossip/gossiper_test.go
@@ -28,11 +28,11 @@
 	return len(b), nil
 }
 
-func (m *fakePacketConn) Close() error                     { return nil }
-func (m *fakePacketConn) LocalAddr() net.Addr              { return &net.UDPAddr{} }
-func (m *fakePacketConn) SetDeadline(time.Time) error      { return nil }
-func (m *fakePacketConn) SetReadDeadline(time.Time) error  { return nil }
-func (m *fakePacketConn) SetWriteDeadline(time.Time) error { return nil }
+func (c *fakePacketConn) Close() error                     { return nil }
+func (c *fakePacketConn) LocalAddr() net.Addr              { return &net.UDPAddr{} }
+func (c *fakePacketConn) SetDeadline(time.Time) error      { return nil }
+func (c *fakePacketConn) SetReadDeadline(time.Time) error  { return nil }
+func (c *fakePacketConn) SetWriteDeadline(time.Time) error { return nil }
 
 // Whatever is received, the view must keep its size limit and must not contain its owner or invalid members, and replies must go only to
 // the sender and fit into a datagram. There are two datagrams, so that the second meets the state that the first left.
