--- a/internal/cluster/update/assembly_test.go
+++ b/internal/cluster/update/assembly_test.go
@@ -11,19 +11,19 @@
 )
 
 // Any chunk but the next one is refused, and what was received before is dropped.
-func TestChunkRefused(t *testing.T) {
+func TestInvalidChunkRejected(t *testing.T) {
 	c := qt.New(t)
-	h := newFakeControl("a", 1000)
+	control := newFakeControl("a", 1000)
 	other := newFakeControl("b", 900).snapshot(Progress{})
-	chunk := func(cut *Snapshot, n int) Chunk {
-		var w Message
-		c.Assert(json.Unmarshal(cut.Messages[n], &w), qt.IsNil)
-		return *w.Chunk
+	chunk := func(snap *Snapshot, n int) Chunk {
+		var message Message
+		c.Assert(json.Unmarshal(snap.Messages[n], &message), qt.IsNil)
+		return *message.Chunk
 	}
-	cut := h.snapshot(Progress{})
-	for name, spoil := range map[string]func(x *Chunk){
-		"again":        func(x *Chunk) { *x = chunk(cut, 1) },
-		"passed over":  func(x *Chunk) { *x = chunk(cut, 3) },
+	snap := control.snapshot(Progress{})
+	for name, corrupt := range map[string]func(x *Chunk){
+		"again":        func(x *Chunk) { *x = chunk(snap, 1) },
+		"passed over":  func(x *Chunk) { *x = chunk(snap, 3) },
 		"of another":   func(x *Chunk) { *x = chunk(other, 2) },
 		"its head":     func(x *Chunk) { x.Number++ },
 		"its sum":      func(x *Chunk) { x.Checksum[3] ^= 1 },
@@ -34,33 +34,33 @@
 		"less than no": func(x *Chunk) { x.Total, x.From = -1, 0 },
 		"no name":      func(x *Chunk) { x.Name, x.From = "", 0 },
 	} {
-		r := &fakeProxy{}
+		proxy := &fakeProxy{}
 		for n := range 2 {
-			c.Assert(r.Add(chunk(cut, n)), qt.IsNil)
+			c.Assert(proxy.Add(chunk(snap, n)), qt.IsNil)
 		}
-		x := chunk(cut, 2)
-		spoil(&x)
-		c.Check(r.Add(x), qt.Not(qt.IsNil), qt.Commentf(name))
-		c.Check(r.Progress(), qt.Equals, Progress{}, qt.Commentf(name))
-		c.Check(r.Complete(), qt.IsFalse)
-		r.checkComplete(c, h)
+		x := chunk(snap, 2)
+		corrupt(&x)
+		c.Check(proxy.Add(x), qt.Not(qt.IsNil), qt.Commentf(name))
+		c.Check(proxy.Progress(), qt.Equals, Progress{}, qt.Commentf(name))
+		c.Check(proxy.Complete(), qt.IsFalse)
+		proxy.checkComplete(c, control)
 	}
 }
 
 // FuzzAssembly: whatever messages follow on valid chunks, the assembly is either empty, or has the first changes of the snapshot as they
 // were encoded; it is not complete with fewer changes than the snapshot has.
 func FuzzAssembly(f *testing.F) {
-	h := newFakeControl("a", 0)
+	control := newFakeControl("a", 0)
 	for n := range 12 {
-		h.set(fmt.Sprintf("route-%05d", n), 1, 4)
+		control.set(fmt.Sprintf("route-%05d", n), 1, 4)
 	}
-	cut, err := encodeSnapshot(SnapshotHeader{Name: "a.1", Incarnation: "a", To: 12, Epoch: 1, Number: 12}, h.changes(), 200, unpacked)
+	snapshot, err := encodeSnapshot(SnapshotHeader{Name: "a.1", Incarnation: "a", To: 12, Epoch: 1, Number: 12}, control.changes(), 200, unpacked)
 	if err != nil {
 		f.Fatal(err)
 	}
-	for n, w := range cut.Messages {
-		f.Add(w, uint8(n))
-		f.Add(w, uint8(0))
+	for n, message := range snapshot.Messages {
+		f.Add(message, uint8(n))
+		f.Add(message, uint8(0))
 	}
 	small, err := NewSnapshot(SnapshotHeader{Name: "a.9", Incarnation: "a", To: 3}, []Change{{Instance: &instance.Instance{ID: "h"}}, {Proxy: &Proxy{Name: "r"}}}, unpacked)
 	if err != nil {
@@ -71,27 +71,27 @@
 	f.Add([]byte(`{"k":{"i":"x","l":"a","t":0,"o":1048577,"s":null,"n":null}}`), uint8(0))
 	f.Fuzz(func(t *testing.T, raw []byte, before uint8) {
 		var a Assembly
-		for _, w := range cut.Messages[:min(int(before), len(cut.Messages))] {
-			var x Message
-			if json.Unmarshal(w, &x) != nil || a.Add(*x.Chunk) != nil {
+		for _, message := range snapshot.Messages[:min(int(before), len(snapshot.Messages))] {
+			var decoded Message
+			if json.Unmarshal(message, &decoded) != nil || a.Add(*decoded.Chunk) != nil {
 				t.Fatal("a chunk that is well is refused")
 			}
 		}
-		had := a.Progress()
-		var w Message
-		if json.Unmarshal(raw, &w) != nil || w.Chunk == nil {
+		previous := a.Progress()
+		var message Message
+		if json.Unmarshal(raw, &message) != nil || message.Chunk == nil {
 			return
 		}
-		err := a.Add(*w.Chunk)
-		switch p := a.Progress(); {
-		case err != nil && (p != Progress{} || a.Complete()):
-			t.Fatalf("%v, and %+v is there", err, p)
-		case err == nil && (p.Name != w.Chunk.Name || p.Received < w.Chunk.From || p.Received > w.Chunk.Total || w.Chunk.From != 0 && p.Name != had.Name):
-			t.Fatalf("%+v after %+v, of %+v", p, had, w.Chunk.SnapshotHeader)
-		case a.Complete() != (err == nil && p.Received == w.Chunk.Total):
-			t.Fatalf("complete with %+v of %d", p, w.Chunk.Total)
+		err := a.Add(*message.Chunk)
+		switch progress := a.Progress(); {
+		case err != nil && (progress != Progress{} || a.Complete()):
+			t.Fatalf("%v, and %+v is there", err, progress)
+		case err == nil && (progress.Name != message.Chunk.Name || progress.Received < message.Chunk.From || progress.Received > message.Chunk.Total || message.Chunk.From != 0 && progress.Name != previous.Name):
+			t.Fatalf("%+v after %+v, of %+v", progress, previous, message.Chunk.SnapshotHeader)
+		case a.Complete() != (err == nil && progress.Received == message.Chunk.Total):
+			t.Fatalf("complete with %+v of %d", progress, message.Chunk.Total)
 		}
-		if _, ok := a.Finish(Batch{Incarnation: w.Chunk.Incarnation, From: w.Chunk.To, To: w.Chunk.To}); ok && err != nil {
+		if _, ok := a.Finish(Batch{Incarnation: message.Chunk.Incarnation, From: message.Chunk.To, To: message.Chunk.To}); ok && err != nil {
 			t.Fatal("closed after an error")
 		}
 	})
--- a/internal/cluster/update/clock_offset_test.go
+++ b/internal/cluster/update/clock_offset_test.go
@@ -14,31 +14,31 @@
 
 // Whatever the clocks are, and however late messages come, a received time is taken for no earlier than it was, and for as
 // much later as the quickest recent message took.
-func TestOffset(t *testing.T) {
+func TestClockOffset(t *testing.T) {
 	for seed := range uint64(200) {
 		draw := rand.New(rand.NewPCG(seed, 5))
-		apart := draw.Int64N(7200*second) - 3600*second // the other's clock is ahead by so much
-		quickest, now, came := int64(3600)*second, int64(0), int64(0)
+		ahead := draw.Int64N(7200*second) - 3600*second // the other's clock is ahead by so much
+		minDelay, sentAt, receivedAt := int64(3600)*second, int64(0), int64(0)
 		var o ClockOffset
 		for range 30 {
-			now += draw.Int64N(3 * second)
-			way := draw.Int64N(second / 10)
+			sentAt += draw.Int64N(3 * second)
+			delay := draw.Int64N(second / 10)
 			if draw.IntN(5) == 0 {
-				way = draw.Int64N(20 * second) // who hears was frozen
+				delay = draw.Int64N(20 * second) // who hears was frozen
 			}
-			came = max(came, now+way) // words come in their order
-			quickest = min(quickest, came-now)
-			o.Observe(now+apart+1, came+1)
-			at := now - draw.Int64N(10*second) // when something was
-			late := o.ToLocal(at+apart) - at
+			receivedAt = max(receivedAt, sentAt+delay) // words come in their order
+			minDelay = min(minDelay, receivedAt-sentAt)
+			o.Observe(sentAt+ahead+1, receivedAt+1)
+			eventAt := sentAt - draw.Int64N(10*second) // when something was
+			late := o.ToLocal(eventAt+ahead) - eventAt
 			qt.Assert(t, late >= 0, qt.IsTrue, qt.Commentf("seed %d: earlier by %d", seed, -late))
-			qt.Assert(t, late <= quickest+came/driftDivisor, qt.IsTrue, qt.Commentf("seed %d: %d late, %d on its way", seed, late, quickest))
+			qt.Assert(t, late <= minDelay+receivedAt/driftDivisor, qt.IsTrue, qt.Commentf("seed %d: %d late, %d on its way", seed, late, minDelay))
 		}
 	}
 }
 
 // A clock that runs slower than this one's by less than the drift isn't taken for one that is ahead for good.
-func TestOffsetDrifts(t *testing.T) {
+func TestClockOffsetDrift(t *testing.T) {
 	var o ClockOffset
 	for now := int64(1); now < 100*3600*second; now += 60 * second {
 		theirs := now - now/20_000
@@ -51,23 +51,23 @@
 // All times of a change are converted, and nothing else; the sender's change is not modified. Without an offset nothing is converted.
 func TestChangeToLocal(t *testing.T) {
 	c := qt.New(t)
-	n := func() []Change {
+	changes := func() []Change {
 		return []Change{{Instance: &instance.Instance{ID: "h", WarmUpUntil: 50 * second}}, {Instance: &instance.Instance{ID: "h"}}, {Ejection: &outlier.Ejection{ID: "h", EjectedUntil: 60 * second, ProbationUntil: 70 * second}},
 			{Vote: &Vote{Proxy: "r", ReceivedAt: 80 * second}}, {Proxy: &Proxy{Name: "r", RegisteredAt: 90 * second}}, {RolloutStartedAt: 40 * second}, {}}
 	}
-	timed := []bool{true, false, true, true, false, true, false}
+	hasTimes := []bool{true, false, true, true, false, true, false}
 	var o ClockOffset
-	for i, x := range n() {
-		c.Check(x.ToLocal(o), qt.DeepEquals, n()[i])
-		c.Check(x.HasTimes(), qt.Equals, timed[i])
+	for i, x := range changes() {
+		c.Check(x.ToLocal(o), qt.DeepEquals, changes()[i])
+		c.Check(x.HasTimes(), qt.Equals, hasTimes[i])
 	}
 	o.Observe(0, 5)
 	c.Check(o, qt.Equals, ClockOffset{})
 	o.Observe(105*second, 100*second)
 	want := []Change{{Instance: &instance.Instance{ID: "h", WarmUpUntil: 45 * second}}, {Instance: &instance.Instance{ID: "h"}}, {Ejection: &outlier.Ejection{ID: "h", EjectedUntil: 55 * second, ProbationUntil: 65 * second}},
 		{Vote: &Vote{Proxy: "r", ReceivedAt: 75 * second}}, {Proxy: &Proxy{Name: "r", RegisteredAt: 90 * second}}, {RolloutStartedAt: 35 * second}, {}}
-	for i, x := range n() {
+	for i, x := range changes() {
 		c.Check(x.ToLocal(o), qt.DeepEquals, want[i])
-		c.Check(x, qt.DeepEquals, n()[i])
+		c.Check(x, qt.DeepEquals, changes()[i])
 	}
 }
--- a/internal/cluster/update/log_test.go
+++ b/internal/cluster/update/log_test.go
@@ -15,23 +15,23 @@
 			l.Add(Change{Proxy: &Proxy{}})
 		}
 	}
-	var f Subscription
+	var subscription Subscription
 	add(3)
-	c.Check(f.Advance("life", 0, l.Last(), false), qt.IsFalse) // of a life that it doesn't know
-	c.Check(f.Advance("life", 0, l.Last(), true), qt.IsTrue)
+	c.Check(subscription.Advance("life", 0, l.Last(), false), qt.IsFalse) // of a life that it doesn't know
+	c.Check(subscription.Advance("life", 0, l.Last(), true), qt.IsTrue)
 	for _, n := range []int{1, 0, 7, 10} {
 		add(n)
-		changes, ok := l.After(f.Offset)
+		changes, ok := l.After(subscription.Offset)
 		c.Check(ok, qt.IsTrue)
 		c.Check(changes, qt.HasLen, n)
-		c.Check(f.Advance("life", f.Offset, l.Last(), false), qt.IsTrue)
+		c.Check(subscription.Advance("life", subscription.Offset, l.Last(), false), qt.IsTrue)
 	}
-	c.Check(f.Advance("life", 4, l.Last(), false), qt.IsFalse) // a gap, or what was had
+	c.Check(subscription.Advance("life", 4, l.Last(), false), qt.IsFalse) // a gap, or what was had
 	add(16)
-	_, ok := l.After(f.Offset)
+	_, ok := l.After(subscription.Offset)
 	c.Check(ok, qt.IsFalse)
 	_, ok = l.After(l.Last() + 1) // numbers of another life
 	c.Check(ok, qt.IsFalse)
-	c.Check(f.Advance("next", 0, 2, true), qt.IsTrue)
-	c.Check(f, qt.Equals, Subscription{"next", 2})
+	c.Check(subscription.Advance("next", 0, 2, true), qt.IsTrue)
+	c.Check(subscription, qt.Equals, Subscription{"next", 2})
 }
--- a/internal/cluster/update/proxy_test.go
+++ b/internal/cluster/update/proxy_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestProxiesOrder(t *testing.T) {
+func TestSupersedesAndReadyProxies(t *testing.T) {
 	c := qt.New(t)
 	for _, x := range []struct {
 		a, b Proxy
--- a/internal/cluster/update/snapshot.go
+++ b/internal/cluster/update/snapshot.go
@@ -123,14 +123,14 @@
 // encodeChunk returns the message of a chunk with the given changes. They are put in place of a short value behind the rest, as
 // encoding a json.RawMessage would copy and check them again.
 func encodeChunk(chunk Chunk, changes []byte) ([]byte, error) {
-	const placeholder, end = "0", "}}"
+	const placeholder, suffix = "0", "}}"
 	chunk.Changes = json.RawMessage(placeholder)
 	raw, err := json.Marshal(Message{Chunk: &chunk})
 	if err != nil {
 		return nil, err
 	}
-	beginning := raw[:len(raw)-len(placeholder+end)]
-	return slices.Concat(beginning, changes, []byte(end)), nil
+	prefix := raw[:len(raw)-len(placeholder+suffix)]
+	return slices.Concat(prefix, changes, []byte(suffix)), nil
 }
 
 // NextChunk returns the index of the first chunk that a proxy still needs. Progress of another snapshot, or that doesn't end with a
--- a/internal/cluster/update/snapshot_test.go
+++ b/internal/cluster/update/snapshot_test.go
@@ -26,12 +26,12 @@
 	created     int
 }
 
-func newFakeControl(life string, routes int) *fakeControl {
-	h := &fakeControl{incarnation: life, epoch: 1, routes: map[string]config.Item{}, log: NewLog(4096)}
+func newFakeControl(id string, routes int) *fakeControl {
+	control := &fakeControl{incarnation: id, epoch: 1, routes: map[string]config.Item{}, log: NewLog(4096)}
 	for n := range routes {
-		h.set(fmt.Sprintf("route-%05d", n), 1, 400)
+		control.set(fmt.Sprintf("route-%05d", n), 1, 400)
 	}
-	return h
+	return control
 }
 
 // set changes a route, with a body of a number of bytes.
@@ -52,22 +52,22 @@
 
 // snapshot returns the snapshot that a proxy with some progress is sent.
 func (f *fakeControl) snapshot(progress Progress) *Snapshot {
-	m := f.cache.ByName(f.now, progress.Name, f.incarnation, f.log)
-	if m == nil {
-		m = f.cache.Newest(f.now, f.incarnation, f.log)
+	pending := f.cache.ByName(f.now, progress.Name, f.incarnation, f.log)
+	if pending == nil {
+		pending = f.cache.Newest(f.now, f.incarnation, f.log)
 	}
-	if m == nil {
-		m = f.cache.Start(f.now, SnapshotHeader{Incarnation: f.incarnation, To: f.log.Last(), Epoch: f.epoch, Number: f.number})
-		m.Encode(f.changes(), unpacked)
+	if pending == nil {
+		pending = f.cache.Start(f.now, SnapshotHeader{Incarnation: f.incarnation, To: f.log.Last(), Epoch: f.epoch, Number: f.number})
+		pending.Encode(f.changes(), unpacked)
 		f.created++
 	}
-	return m.Snapshot
+	return pending.Snapshot
 }
 
 // finalBatch returns the batch that follows on a snapshot.
-func (f *fakeControl) finalBatch(c *Snapshot) Batch {
-	notes, _ := f.log.After(c.To)
-	return Batch{Incarnation: f.incarnation, From: c.To, To: f.log.Last(), Changes: notes, Epoch: f.epoch, Number: f.number}
+func (f *fakeControl) finalBatch(snapshot *Snapshot) Batch {
+	changes, _ := f.log.After(snapshot.To)
+	return Batch{Incarnation: f.incarnation, From: snapshot.To, To: f.log.Last(), Changes: changes, Epoch: f.epoch, Number: f.number}
 }
 
 // fakeProxy is a proxy that receives a snapshot.
@@ -78,41 +78,41 @@
 	chunks int
 }
 
-func (p *fakeProxy) take(message []byte) error {
-	var w Message
-	if err := json.Unmarshal(message, &w); err != nil {
+func (p *fakeProxy) receive(message []byte) error {
+	var m Message
+	if err := json.Unmarshal(message, &m); err != nil {
 		return err
 	}
 	p.chunks++
-	return p.Add(*w.Chunk)
+	return p.Add(*m.Chunk)
 }
 
 // close takes the final batch, completely or not at all.
-func (p *fakeProxy) close(n Batch) bool {
-	notes, ok := p.Finish(n)
+func (p *fakeProxy) finish(batch Batch) bool {
+	changes, ok := p.Finish(batch)
 	if ok {
-		p.routes, p.number = map[string]config.Item{}, n.Number
-		for _, x := range notes {
-			p.routes[x.Item.Name] = *x.Item
+		p.routes, p.number = map[string]config.Item{}, batch.Number
+		for _, change := range changes {
+			p.routes[change.Item.Name] = *change.Item
 		}
 	}
 	return ok
 }
 
 // checkComplete sends all that is missing, and checks the result.
-func (p *fakeProxy) checkComplete(c *qt.C, h *fakeControl) {
-	cut := h.snapshot(p.Progress())
-	for t, done := NewTransfer(cut, p.Progress()), false; !done; {
-		var words [][]byte
-		words, done = t.Next(p.Progress())
-		c.Assert(len(words) <= ChunkWindow, qt.IsTrue)
-		for _, w := range words {
-			c.Assert(p.take(w), qt.IsNil)
+func (p *fakeProxy) checkComplete(c *qt.C, control *fakeControl) {
+	snap := control.snapshot(p.Progress())
+	for transfer, done := NewTransfer(snap, p.Progress()), false; !done; {
+		var messages [][]byte
+		messages, done = transfer.Next(p.Progress())
+		c.Assert(len(messages) <= ChunkWindow, qt.IsTrue)
+		for _, message := range messages {
+			c.Assert(p.receive(message), qt.IsNil)
 		}
 	}
-	c.Assert(p.close(h.finalBatch(cut)), qt.IsTrue)
-	c.Assert(maps.EqualFunc(p.routes, h.routes, config.Item.Equal), qt.IsTrue)
-	c.Assert(p.number, qt.Equals, h.number)
+	c.Assert(p.finish(control.finalBatch(snap)), qt.IsTrue)
+	c.Assert(maps.EqualFunc(p.routes, control.routes, config.Item.Equal), qt.IsTrue)
+	c.Assert(p.number, qt.Equals, control.number)
 	c.Assert(p.Progress(), qt.Equals, Progress{})
 }
 
@@ -120,22 +120,22 @@
 func TestSnapshot(t *testing.T) {
 	for _, x := range []struct{ routes, size, chunks int }{{0, 0, 1}, {1, 10, 1}, {1000, 400, 8}, {1, 300 << 10, 1}, {3, 300 << 10, 3}, {36200, 600, 0}} {
 		c := qt.New(t)
-		h := newFakeControl("a", 0)
+		control := newFakeControl("a", 0)
 		for n := range x.routes {
-			h.set(fmt.Sprintf("route-%05d", n), 1, x.size)
+			control.set(fmt.Sprintf("route-%05d", n), 1, x.size)
 		}
-		snapshot := h.snapshot(Progress{})
+		snapshot := control.snapshot(Progress{})
 		if x.chunks > 0 {
 			c.Check(snapshot.Messages, qt.HasLen, x.chunks)
 		}
 		total := 0
-		for _, w := range snapshot.Messages {
-			total += len(w)
-			c.Check(len(w) <= ChunkBytes+x.size+1024, qt.IsTrue, qt.Commentf("%d bytes", len(w)))
+		for _, message := range snapshot.Messages {
+			total += len(message)
+			c.Check(len(message) <= ChunkBytes+x.size+1024, qt.IsTrue, qt.Commentf("%d bytes", len(message)))
 		}
 		c.Check(snapshot.Bytes, qt.Equals, total)
-		(&fakeProxy{}).checkComplete(c, h)
-		c.Check(h.created, qt.Equals, 1)
+		(&fakeProxy{}).checkComplete(c, control)
+		c.Check(control.created, qt.Equals, 1)
 	}
 	_, err := NewSnapshot(SnapshotHeader{}, make([]Change, MaxSnapshotChanges+1), unpacked)
 	qt.Check(t, err, qt.ErrorMatches, ".*over 1048576")
@@ -143,105 +143,105 @@
 
 // The connection breaks after each chunk: the next one goes on from there, each chunk is sent once, and nothing is in force before the
 // snapshot is complete with the changes since.
-func TestStreamBreaksAtEachChunk(t *testing.T) {
+func TestTransferResumesAfterDisconnect(t *testing.T) {
 	c := qt.New(t)
-	h := newFakeControl("a", 3000)
-	n := len(h.snapshot(Progress{}).Messages)
+	control := newFakeControl("a", 3000)
+	n := len(control.snapshot(Progress{}).Messages)
 	c.Assert(n > 15, qt.IsTrue)
-	for breaks := range n + 1 {
-		r := &fakeProxy{}
-		for _, w := range h.snapshot(r.Progress()).Messages[:breaks] {
-			c.Assert(r.take(w), qt.IsNil)
+	for received := range n + 1 {
+		proxy := &fakeProxy{}
+		for _, message := range control.snapshot(proxy.Progress()).Messages[:received] {
+			c.Assert(proxy.receive(message), qt.IsNil)
 		}
-		c.Assert(r.routes, qt.IsNil)
-		c.Assert(r.Complete(), qt.Equals, breaks == n)
-		if breaks < n {
-			c.Assert(r.close(h.finalBatch(h.snapshot(Progress{}))), qt.IsFalse)
-			c.Assert(r.routes, qt.IsNil)
+		c.Assert(proxy.routes, qt.IsNil)
+		c.Assert(proxy.Complete(), qt.Equals, received == n)
+		if received < n {
+			c.Assert(proxy.finish(control.finalBatch(control.snapshot(Progress{}))), qt.IsFalse)
+			c.Assert(proxy.routes, qt.IsNil)
 		}
-		h.set("route-00007", h.number, 400) // while it is away
-		r.checkComplete(c, h)
-		c.Assert(r.chunks, qt.Equals, n)
+		control.set("route-00007", control.number, 400) // while it is away
+		proxy.checkComplete(c, control)
+		c.Assert(proxy.chunks, qt.Equals, n)
 	}
-	c.Check(h.created, qt.Equals, 1)
+	c.Check(control.created, qt.Equals, 1)
 }
 
 // Changes come between any two chunks: they are kept and follow, and the result is the state at the end.
 func TestChangesBetweenChunks(t *testing.T) {
 	c := qt.New(t)
 	draw := rand.New(rand.NewPCG(1, 41))
-	for at := range 20 {
-		h := newFakeControl("a", 3000)
-		r := &fakeProxy{}
-		cut := h.snapshot(Progress{})
-		for n, w := range cut.Messages {
-			c.Assert(r.take(w), qt.IsNil)
-			if n == at%len(cut.Messages) || at > 10 {
+	for run := range 20 {
+		control := newFakeControl("a", 3000)
+		proxy := &fakeProxy{}
+		snap := control.snapshot(Progress{})
+		for n, message := range snap.Messages {
+			c.Assert(proxy.receive(message), qt.IsNil)
+			if n == run%len(snap.Messages) || run > 10 {
 				for range 1 + draw.IntN(30) {
-					h.set(fmt.Sprintf("route-%05d", draw.IntN(3100)%3000), h.number+1, 400)
+					control.set(fmt.Sprintf("route-%05d", draw.IntN(3100)%3000), control.number+1, 400)
 				}
 			}
 		}
-		c.Assert(r.close(h.finalBatch(cut)), qt.IsTrue)
-		c.Assert(maps.EqualFunc(r.routes, h.routes, config.Item.Equal), qt.IsTrue)
+		c.Assert(proxy.finish(control.finalBatch(snap)), qt.IsTrue)
+		c.Assert(maps.EqualFunc(proxy.routes, control.routes, config.Item.Equal), qt.IsTrue)
 	}
 }
 
 // If more changes came than one batch may have, or than are kept, the proxy begins anew with the current state.
-func TestTooMuchCameMeanwhile(t *testing.T) {
+func TestTooManyChangesDuringTransfer(t *testing.T) {
 	for name, x := range map[string]struct{ changes, size int }{"bytes": {30, 60 << 10}, "changes": {7000, 10}} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			h := newFakeControl("a", 1000)
-			r := &fakeProxy{}
-			cut := h.snapshot(Progress{})
-			for _, w := range cut.Messages[:len(cut.Messages)-1] {
-				c.Assert(r.take(w), qt.IsNil)
+			control := newFakeControl("a", 1000)
+			proxy := &fakeProxy{}
+			snap := control.snapshot(Progress{})
+			for _, message := range snap.Messages[:len(snap.Messages)-1] {
+				c.Assert(proxy.receive(message), qt.IsNil)
 			}
 			for n := range x.changes {
-				h.set(fmt.Sprintf("route-%05d", n%1000), h.number+1, x.size)
+				control.set(fmt.Sprintf("route-%05d", n%1000), control.number+1, x.size)
 			}
-			c.Assert(h.snapshot(r.Progress()) != cut, qt.IsTrue)
-			r.checkComplete(c, h)
-			c.Check(h.created, qt.Equals, 2)
+			c.Assert(control.snapshot(proxy.Progress()) != snap, qt.IsTrue)
+			proxy.checkComplete(c, control)
+			c.Check(control.created, qt.Equals, 2)
 		})
 	}
 }
 
 // If the control process restarts during a transfer, what a proxy has received is of no use, and nothing of it is in force.
-func TestControlRestartedAmid(t *testing.T) {
+func TestControlRestartDuringTransfer(t *testing.T) {
 	c := qt.New(t)
-	old, now := newFakeControl("a", 2000), newFakeControl("b", 1500)
+	old, restarted := newFakeControl("a", 2000), newFakeControl("b", 1500)
 	for n := range old.snapshot(Progress{}).Messages {
-		r := &fakeProxy{}
-		for _, w := range old.snapshot(Progress{}).Messages[:n+1] {
-			c.Assert(r.take(w), qt.IsNil)
+		proxy := &fakeProxy{}
+		for _, message := range old.snapshot(Progress{}).Messages[:n+1] {
+			c.Assert(proxy.receive(message), qt.IsNil)
 		}
-		c.Assert(r.close(now.finalBatch(now.snapshot(Progress{}))), qt.IsFalse) // not across two lives
-		c.Assert(r.routes, qt.IsNil)
-		r.checkComplete(c, now)
+		c.Assert(proxy.finish(restarted.finalBatch(restarted.snapshot(Progress{}))), qt.IsFalse) // not across two lives
+		c.Assert(proxy.routes, qt.IsNil)
+		proxy.checkComplete(c, restarted)
 	}
 }
 
 // A proxy that acknowledges nothing is sent a window and no more; others are sent all of the same snapshot meanwhile.
-func TestSlowBesideFast(t *testing.T) {
+func TestSlowProxyDoesNotDelayOthers(t *testing.T) {
 	c := qt.New(t)
-	h := newFakeControl("a", 7000)
-	slow := NewTransfer(h.snapshot(Progress{}), Progress{})
+	control := newFakeControl("a", 7000)
+	slow := NewTransfer(control.snapshot(Progress{}), Progress{})
 	first, done := slow.Next(Progress{})
 	c.Check(first, qt.HasLen, ChunkWindow)
 	c.Check(done, qt.IsFalse)
 	for range 8 {
-		(&fakeProxy{}).checkComplete(c, h)
+		(&fakeProxy{}).checkComplete(c, control)
 		again, _ := slow.Next(Progress{})
 		c.Check(again, qt.HasLen, 0)
 	}
-	c.Check(h.created, qt.Equals, 1)
-	r := &fakeProxy{}
-	for _, w := range first {
-		c.Assert(r.take(w), qt.IsNil)
+	c.Check(control.created, qt.Equals, 1)
+	proxy := &fakeProxy{}
+	for _, message := range first {
+		c.Assert(proxy.receive(message), qt.IsNil)
 	}
-	next, _ := slow.Next(r.Progress())
+	next, _ := slow.Next(proxy.Progress())
 	c.Check(next, qt.HasLen, min(ChunkWindow, len(slow.Snapshot.Messages)-ChunkWindow))
-	r.checkComplete(c, h)
+	proxy.checkComplete(c, control)
 }
--- a/internal/cluster/update/trace_test.go
+++ b/internal/cluster/update/trace_test.go
@@ -15,36 +15,36 @@
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 6, []string{"8471fcad4cd31a47", "fb7f710f27175e03", "ea8a9ec0296285be", "0a6c95451d667a69"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
-		h := newFakeControl("a", 400)
-		var r fakeProxy
+		control := newFakeControl("a", 400)
+		var proxy fakeProxy
 		var transfer *Transfer
-		var cut *Snapshot
+		var snap *Snapshot
 		for range 12 {
-			h.now += draw.Int64N(4e9)
+			control.now += draw.Int64N(4e9)
 			for range draw.IntN(4) {
-				h.set(fmt.Sprintf("route-%05d", draw.IntN(400)), h.number, 10+draw.IntN(400))
+				control.set(fmt.Sprintf("route-%05d", draw.IntN(400)), control.number, 10+draw.IntN(400))
 			}
 			if transfer == nil || draw.IntN(8) == 0 {
-				cut = h.snapshot(r.Progress())
-				transfer = NewTransfer(cut, r.Progress())
-				d.Add(cut.Name, cut.To, cut.Number, cut.Total, cut.Bytes, cut.JSONBytes, cut.NextChunk(r.Progress()))
+				snap = control.snapshot(proxy.Progress())
+				transfer = NewTransfer(snap, proxy.Progress())
+				d.Add(snap.Name, snap.To, snap.Number, snap.Total, snap.Bytes, snap.JSONBytes, snap.NextChunk(proxy.Progress()))
 			}
-			messages, done := transfer.Next(r.Progress())
+			messages, done := transfer.Next(proxy.Progress())
 			for _, message := range messages {
 				if draw.IntN(12) == 0 {
 					message = message[:len(message)/2]
 				}
-				d.Add(message, r.take(message), r.Progress())
+				d.Add(message, proxy.receive(message), proxy.Progress())
 			}
-			d.Add(done, r.Complete(), h.cache.CachedBytes(), h.created)
-			if r.Complete() {
-				d.Add(r.close(h.finalBatch(cut)), r.number, len(r.routes))
+			d.Add(done, proxy.Complete(), control.cache.CachedBytes(), control.created)
+			if proxy.Complete() {
+				d.Add(proxy.finish(control.finalBatch(snap)), proxy.number, len(proxy.routes))
 			}
 			switch draw.IntN(12) {
 			case 0:
-				r.Reset()
+				proxy.Reset()
 			case 1:
-				d.Add(h.cache.EvictIdle(h.now))
+				d.Add(control.cache.EvictIdle(control.now))
 			}
 			if done {
 				transfer = nil
@@ -73,17 +73,17 @@
 			}[draw.IntN(4)]
 			d.Add(l.Add(n), l.Last(), n.HasTimes(), n.ToLocal(offset), offset.Ahead(), offset.ToLocal(now))
 			from := uint64(max(0, int64(l.Last())-draw.Int64N(30)))
-			notes, ok := l.After(from)
-			d.Add(ok, EstimateSize(notes))
-			d.Add(Compact(append([]Change{}, notes...)))
+			changes, ok := l.After(from)
+			d.Add(ok, EstimateSize(changes))
+			d.Add(Compact(append([]Change{}, changes...)))
 			d.Add(f.Advance([]string{"a", "b"}[draw.IntN(20)/19], from, l.Last(), draw.IntN(10) == 0), f)
 		}
-		fronts := map[string]Proxy{}
+		proxies := map[string]Proxy{}
 		for n := range 6 {
 			f := Proxy{Name: fmt.Sprint("r", n), Ready: draw.IntN(3) > 0, Gone: draw.IntN(4) == 0, RegisteredAt: int64(draw.IntN(3)), Revision: draw.IntN(3)}
-			d.Add(f.Supersedes(fronts["r0"]))
-			fronts[f.Name] = f
+			d.Add(f.Supersedes(proxies["r0"]))
+			proxies[f.Name] = f
 		}
-		d.Add(ReadyProxies(fronts))
+		d.Add(ReadyProxies(proxies))
 	})
 }
--- a/internal/control/registry/state_test.go
+++ b/internal/control/registry/state_test.go
@@ -20,20 +20,20 @@
 // newNode is the node of control process n, with a disk that holds index 1 of so many members.
 func newNode(n, size int, intact bool) *consensus.Node {
 	var list membership.List
-	at := func(n int) membership.Member {
+	member := func(n int) membership.Member {
 		return membership.Member{IP: fmt.Sprint("10.0.1.", n), ID: fmt.Sprint("d", n), Name: fmt.Sprint("b", n), Zone: fmt.Sprint("z", n)}
 	}
-	var all []membership.Member
+	var members []membership.Member
 	for n := range size {
-		all = append(all, at(n))
+		members = append(members, member(n))
 	}
-	list = list.Change(all, nil)
+	list = list.Change(members, nil)
 	set, disk := config.NewSet(), consensus.HardState{DiskID: "new"}
 	if intact {
 		set.Merge(list.Item())
 		disk = consensus.HardState{DiskID: fmt.Sprint("d", n), Applied: 1}
 	}
-	return consensus.New(at(n), "life", 1, disk, set, 0)
+	return consensus.New(member(n), "life", 1, disk, set, 0)
 }
 
 func newState(size int, intact bool) *State {
@@ -45,11 +45,11 @@
 // don't count, nor do those that have only just joined.
 func TestStatus(t *testing.T) {
 	for _, x := range []struct {
-		size   int
-		intact bool
-		others []bool // that are heard and answer: whether their disks are those of the list
-		lost   int    // of them that are not heard any more
-		want   Status
+		size         int
+		intact       bool
+		peers        []bool // that are heard and answer: whether their disks are those of the list
+		disconnected int    // of them that are not heard any more
+		want         Status
 	}{
 		{6, true, nil, 0, CatchingUp},
 		{6, true, []bool{true, true}, 0, CatchingUp},
@@ -70,16 +70,16 @@
 	} {
 		s := newState(x.size, x.intact)
 		nodes := map[string]*consensus.Node{"10.0.1.0": s.Node}
-		for i, intact := range x.others {
+		for i, intact := range x.peers {
 			nodes[fmt.Sprint("10.0.1.", i+1)] = newNode(i+1, x.size, intact)
 		}
-		var mail []consensus.Event
-		to := []string{}
-		post := func(from string, out consensus.Effects) {
-			for _, box := range []map[string][]consensus.Message{out.Send, out.SendAfterSync} {
-				for ip, all := range box {
-					for _, m := range all {
-						mail, to = append(mail, consensus.Event{Now: 1, From: from, Message: &m}), append(to, ip)
+		var queue []consensus.Event
+		recipients := []string{}
+		send := func(from string, effects consensus.Effects) {
+			for _, messages := range []map[string][]consensus.Message{effects.Send, effects.SendAfterSync} {
+				for ip, batch := range messages {
+					for _, m := range batch {
+						queue, recipients = append(queue, consensus.Event{Now: 1, From: from, Message: &m}), append(recipients, ip)
 					}
 				}
 			}
@@ -87,17 +87,17 @@
 		for _, ip := range slices.Sorted(maps.Keys(nodes)) {
 			if n := nodes[ip]; n != s.Node {
 				id := n.HardState().DiskID
-				post("10.0.1.0", s.Node.Step(consensus.Event{Now: 1, From: ip, Peer: &consensus.Peer{Member: membership.Member{IP: ip, ID: id}, Applied: n.Applied()}}))
+				send("10.0.1.0", s.Node.Step(consensus.Event{Now: 1, From: ip, Peer: &consensus.Peer{Member: membership.Member{IP: ip, ID: id}, Applied: n.Applied()}}))
 			}
 		}
-		post("10.0.1.0", s.Node.Step(consensus.Event{Now: 1, Tick: true}))
-		for len(mail) > 0 {
-			e, ip := mail[0], to[0]
-			if mail, to = mail[1:], to[1:]; nodes[ip] != nil {
-				post(ip, nodes[ip].Step(e))
+		send("10.0.1.0", s.Node.Step(consensus.Event{Now: 1, Tick: true}))
+		for len(queue) > 0 {
+			event, ip := queue[0], recipients[0]
+			if queue, recipients = queue[1:], recipients[1:]; nodes[ip] != nil {
+				send(ip, nodes[ip].Step(event))
 			}
 		}
-		for i := range x.lost {
+		for i := range x.disconnected {
 			s.Node.Step(consensus.Event{Now: 1, From: fmt.Sprint("10.0.1.", i+1), PeerLost: true})
 		}
 		qt.Check(t, s.Status(), qt.Equals, x.want, qt.Commentf("%+v", x))
@@ -106,23 +106,23 @@
 
 // Where a proxy subscribes overrides whatever was known of it: from another process, from before a step of its clock, or from one that
 // counted it as gone.
-func TestClaims(t *testing.T) {
+func TestClaimProxy(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
 	s.Self.Name = "a"
-	here := update.Proxy{Name: "r", Zone: "z0", Owner: "a", Ready: true}
-	f := s.ClaimProxy(100, here)
-	c.Check(f.RegisteredAt, qt.Equals, int64(100))
-	f = s.ClaimProxy(101, f)
-	c.Check([2]int64{f.RegisteredAt, int64(f.Revision)}, qt.Equals, [2]int64{100, 1})
+	proxy := update.Proxy{Name: "r", Zone: "z0", Owner: "a", Ready: true}
+	claimed := s.ClaimProxy(100, proxy)
+	c.Check(claimed.RegisteredAt, qt.Equals, int64(100))
+	claimed = s.ClaimProxy(101, claimed)
+	c.Check([2]int64{claimed.RegisteredAt, int64(claimed.Revision)}, qt.Equals, [2]int64{100, 1})
 	s.PublishProxy(update.Proxy{Name: "r", Zone: "z0", Owner: "b", Ready: true, RegisteredAt: 900}, false) // by a clock that was ahead
-	f = s.ClaimProxy(110, f)
+	claimed = s.ClaimProxy(110, claimed)
 	c.Check(s.Proxies["r"].Owner, qt.Equals, "a")
 	gone := s.Proxies["r"]
 	gone.Gone = true
 	c.Check(s.PublishProxy(gone, false), qt.IsTrue)
 	c.Check(s.ReadyProxies(), qt.HasLen, 0)
-	s.ClaimProxy(111, f)
+	s.ClaimProxy(111, claimed)
 	c.Check(s.ReadyProxies(), qt.HasLen, 1)
 
 	// one of a process which is lost is gone after a while, unless it subscribes elsewhere by then
@@ -143,10 +143,10 @@
 // appear again meanwhile, there or elsewhere.
 func TestReconcilePeer(t *testing.T) {
 	for _, x := range []struct {
-		name  string
-		named []update.Change
-		then  func(s *State)
-		want  bool // gone
+		name     string
+		snapshot []update.Change
+		then     func(s *State)
+		want     bool // gone
 	}{
 		{"not named", nil, nil, true},
 		{"named", []update.Change{{Proxy: &update.Proxy{Name: "x", Owner: "b", Ready: true, RegisteredAt: 10}}}, nil, false},
@@ -162,14 +162,14 @@
 		t.Run(x.name, func(t *testing.T) {
 			c := qt.New(t)
 			s := newState(6, true)
-			for _, f := range []update.Proxy{{Name: "x", Owner: "b", Ready: true, RegisteredAt: 10}, {Name: "y", Owner: "b", Ready: true, RegisteredAt: 10}, {Name: "z", Owner: "c", Ready: true, RegisteredAt: 10}} {
-				s.Merge(900, update.Change{Proxy: &f})
+			for _, proxy := range []update.Proxy{{Name: "x", Owner: "b", Ready: true, RegisteredAt: 10}, {Name: "y", Owner: "b", Ready: true, RegisteredAt: 10}, {Name: "z", Owner: "c", Ready: true, RegisteredAt: 10}} {
+				s.Merge(900, update.Change{Proxy: &proxy})
 			}
 			s.UpdatePeer("10.0.1.1", update.Status{Member: true})
 			s.PeerLost(950, "10.0.1.1", "b")
 			s.PeerFound("b")
-			notes := append(x.named, update.Change{Proxy: &update.Proxy{Name: "y", Owner: "b", Ready: true, RegisteredAt: 10}})
-			s.ReconcilePeer(1000, "b", notes)
+			changes := append(x.snapshot, update.Change{Proxy: &update.Proxy{Name: "y", Owner: "b", Ready: true, RegisteredAt: 10}})
+			s.ReconcilePeer(1000, "b", changes)
 			if x.then != nil {
 				x.then(s)
 			}
@@ -189,42 +189,42 @@
 func TestClaimAfterRestart(t *testing.T) {
 	for _, owner := range []string{"a", "b"} { // whose the former claim was: its own, or another's that is lost
 		c := qt.New(t)
-		all := map[string]*State{}
+		states := map[string]*State{}
 		seen := map[string]uint64{}
 		for _, name := range []string{"a", "c", "d"} {
-			all[name] = newState(3, true)
-			all[name].Self.Name = name
+			states[name] = newState(3, true)
+			states[name].Self.Name = name
 			if name != "a" {
-				all[name].PublishProxy(update.Proxy{Name: "r", Owner: owner, Ready: true, RegisteredAt: 4600, Gone: true, Revision: 7}, false)
-				seen[name] = all[name].Updates.Last()
+				states[name].PublishProxy(update.Proxy{Name: "r", Owner: owner, Ready: true, RegisteredAt: 4600, Gone: true, Revision: 7}, false)
+				seen[name] = states[name].Updates.Last()
 			}
 		}
-		here := all["a"].ClaimProxy(1000, update.Proxy{Name: "r", Owner: "a", Ready: true})
-		notes := 0
+		claimed := states["a"].ClaimProxy(1000, update.Proxy{Name: "r", Owner: "a", Ready: true})
+		merged := 0
 		for range 5 {
 			for _, from := range []string{"a", "c", "d"} {
-				changes, ok := all[from].Updates.After(seen[from])
+				changes, ok := states[from].Updates.After(seen[from])
 				c.Assert(ok, qt.IsTrue)
-				seen[from] = all[from].Updates.Last()
-				for _, n := range Filter(changes, true) {
-					for to, s := range all {
+				seen[from] = states[from].Updates.Last()
+				for _, change := range Filter(changes, true) {
+					for to, s := range states {
 						if to != from {
-							notes++
-							s.Merge(1001, n)
+							merged++
+							s.Merge(1001, change)
 						}
 					}
 				}
 			}
-			if x := all["a"].Proxies["r"]; x.Gone || x.Owner != "a" { // as reclaim finds it
-				here = all["a"].ClaimProxy(1002, here)
+			if proxy := states["a"].Proxies["r"]; proxy.Gone || proxy.Owner != "a" { // as reclaim finds it
+				claimed = states["a"].ClaimProxy(1002, claimed)
 			}
 		}
-		for name, s := range all {
-			x := s.Proxies["r"]
-			c.Check(!x.Gone && x.Ready && x.Owner == "a", qt.IsTrue, qt.Commentf("%s of %s: %+v", name, owner, x))
+		for name, s := range states {
+			proxy := s.Proxies["r"]
+			c.Check(!proxy.Gone && proxy.Ready && proxy.Owner == "a", qt.IsTrue, qt.Commentf("%s of %s: %+v", name, owner, proxy))
 			c.Check(s.ReadyProxies(), qt.HasLen, 1)
 		}
-		c.Check(notes <= 10, qt.IsTrue, qt.Commentf("%d notes", notes))
+		c.Check(merged <= 10, qt.IsTrue, qt.Commentf("%d notes", merged))
 	}
 }
 
@@ -235,27 +235,27 @@
 	s := newState(6, true)
 	old := update.Proxy{Name: "r", Owner: "b", Ready: true, RegisteredAt: 10}
 	s.Merge(20, update.Change{Proxy: &old})
-	now := update.Proxy{Name: "r", Owner: "c", Ready: true, RegisteredAt: 20}
-	s.Merge(30, update.Change{Proxy: &now})
-	at := s.Updates.Last()
+	current := update.Proxy{Name: "r", Owner: "c", Ready: true, RegisteredAt: 20}
+	s.Merge(30, update.Change{Proxy: &current})
+	last := s.Updates.Last()
 	left := old
 	left.Gone, left.Revision = true, 1
 	s.Merge(31, update.Change{Proxy: &left})
-	c.Check(s.Updates.Last(), qt.Equals, at)
-	c.Check(s.Proxies["r"], qt.Equals, now)
+	c.Check(s.Updates.Last(), qt.Equals, last)
+	c.Check(s.Proxies["r"], qt.Equals, current)
 	old.Revision = 2 // a claim that is older, of who may not know better, is
 	s.Merge(32, update.Change{Proxy: &old})
-	notes, _ := s.Updates.After(at)
-	c.Assert(notes, qt.HasLen, 1)
-	c.Check(*notes[0].Proxy, qt.Equals, now)
-	c.Check(notes[0].FirstHand, qt.IsTrue)
+	changes, _ := s.Updates.After(last)
+	c.Assert(changes, qt.HasLen, 1)
+	c.Check(*changes[0].Proxy, qt.Equals, current)
+	c.Check(changes[0].FirstHand, qt.IsTrue)
 }
 
 // Of several changes of one thing the last is sent, in its place; each kind of thing by itself.
-func TestFilterKeepsTheLast(t *testing.T) {
+func TestFilterKeepsLatestChange(t *testing.T) {
 	c := qt.New(t)
-	front := func(name string, change int) update.Change {
-		return update.Change{Proxy: &update.Proxy{Name: name, Revision: change}, FirstHand: true}
+	proxy := func(name string, revision int) update.Change {
+		return update.Change{Proxy: &update.Proxy{Name: name, Revision: revision}, FirstHand: true}
 	}
 	host := func(id string, sequence uint64) update.Change {
 		return update.Change{Instance: &instance.Instance{ID: id, Sequence: sequence}, FirstHand: true}
@@ -263,21 +263,21 @@
 	item := func(kind, name string, version uint64) update.Change {
 		return update.Change{Item: &config.Item{Kind: kind, Name: name, Version: version}}
 	}
-	poll := func(front, service string, order uint64) update.Change {
-		return update.Change{Vote: &update.Vote{Proxy: front, Service: service, Number: order}, FirstHand: true}
+	vote := func(proxy, service string, number uint64) update.Change {
+		return update.Change{Vote: &update.Vote{Proxy: proxy, Service: service, Number: number}, FirstHand: true}
 	}
-	all := []update.Change{front("a", 1), item(config.KindRoutes, "a", 1), host("a", 1), front("b", 1), poll("a", "x", 1), front("a", 2), item(config.KindServices, "a", 1),
-		poll("a", "y", 1), host("b", 1), item(config.KindRoutes, "a", 2), host("a", 2), poll("a", "x", 2), front("a", 3)}
-	kept := slices.Clone(all)
-	c.Check(fmt.Sprint(texts(Filter(all, false))), qt.Equals, fmt.Sprint(texts([]update.Change{all[3], all[6], all[8], all[9], all[10], all[12]})))
-	c.Check(fmt.Sprint(texts(Filter(all, true))), qt.Equals, fmt.Sprint(texts([]update.Change{all[3], all[7], all[8], all[10], all[11], all[12]})))
-	c.Check(all, qt.DeepEquals, kept) // the ledger's own
+	all := []update.Change{proxy("a", 1), item(config.KindRoutes, "a", 1), host("a", 1), proxy("b", 1), vote("a", "x", 1), proxy("a", 2), item(config.KindServices, "a", 1),
+		vote("a", "y", 1), host("b", 1), item(config.KindRoutes, "a", 2), host("a", 2), vote("a", "x", 2), proxy("a", 3)}
+	original := slices.Clone(all)
+	c.Check(fmt.Sprint(encodeJSON(Filter(all, false))), qt.Equals, fmt.Sprint(encodeJSON([]update.Change{all[3], all[6], all[8], all[9], all[10], all[12]})))
+	c.Check(fmt.Sprint(encodeJSON(Filter(all, true))), qt.Equals, fmt.Sprint(encodeJSON([]update.Change{all[3], all[7], all[8], all[10], all[11], all[12]})))
+	c.Check(all, qt.DeepEquals, original) // the ledger's own
 	c.Check(Filter(nil, true), qt.HasLen, 0)
 }
 
-func texts(notes []update.Change) (all []string) {
-	for _, n := range notes {
-		raw, _ := json.Marshal(n)
+func encodeJSON(changes []update.Change) (all []string) {
+	for _, change := range changes {
+		raw, _ := json.Marshal(change)
 		all = append(all, string(raw))
 	}
 	return all
@@ -287,7 +287,7 @@
 func TestPublishVote(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
-	k := VoteKey{"r", "desk"}
+	key := VoteKey{"r", "desk"}
 	for i, x := range []struct {
 		vote       decision.Verdict
 		evidence   bool
@@ -298,30 +298,30 @@
 		{decision.NoVote, true, true, decision.NoVote, 0}, {decision.RollBack, true, false, decision.RollBack, 1}, {decision.NoVote, true, true, decision.RollBack, 1},
 		{decision.NoVote, false, false, decision.NoVote, 2}, {decision.Advance, true, false, decision.Advance, 3},
 	} {
-		p := update.Vote{Proxy: "r", Service: "desk", Number: 1, Verdict: uint8(x.vote), ReceivedAt: int64(i + 1), ReportOnly: x.reportOnly}
+		published := update.Vote{Proxy: "r", Service: "desk", Number: 1, Verdict: uint8(x.vote), ReceivedAt: int64(i + 1), ReportOnly: x.reportOnly}
 		if x.evidence {
-			p.Evidence = &update.Evidence{Allowance: float64(i)}
+			published.Evidence = &update.Evidence{Allowance: float64(i)}
 		}
-		s.PublishVote(p, true)
-		c.Check(decision.Verdict(s.Votes[k].Verdict), qt.Equals, x.want, qt.Commentf("vote %d", i))
+		s.PublishVote(published, true)
+		c.Check(decision.Verdict(s.Votes[key].Verdict), qt.Equals, x.want, qt.Commentf("vote %d", i))
 		c.Check(s.Updates.Last(), qt.Equals, x.wantLast, qt.Commentf("vote %d", i))
-		c.Check(s.Votes[k].Evidence, qt.IsNil)
+		c.Check(s.Votes[key].Evidence, qt.IsNil)
 	}
-	c.Check(s.Metrics[k].Evidence.Allowance, qt.Equals, 4.0)
+	c.Check(s.Metrics[key].Evidence.Allowance, qt.Equals, 4.0)
 }
 
 // Control processes send each other only what they know at first hand, so that no update goes round.
-func TestUpdateIsSentOnce(t *testing.T) {
+func TestSecondHandChangeNotForwarded(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
-	h, changed := s.Instances.Heartbeat(1, instance.Instance{ID: "i", Service: "desk", Sequence: 1})
+	host, changed := s.Instances.Heartbeat(1, instance.Instance{ID: "i", Service: "desk", Sequence: 1})
 	c.Assert(changed, qt.IsTrue)
-	s.PublishInstance(h, true)
+	s.PublishInstance(host, true)
 	s.Merge(1, update.Change{Instance: &instance.Instance{ID: "j", Service: "desk", Sequence: 1, Owner: "b"}})
-	notes, ok := s.Updates.After(0)
+	changes, ok := s.Updates.After(0)
 	c.Assert(ok, qt.IsTrue)
-	c.Check(Filter(notes, true), qt.HasLen, 1)
-	c.Check(Filter(notes, false), qt.HasLen, 2)
+	c.Check(Filter(changes, true), qt.HasLen, 1)
+	c.Check(Filter(changes, false), qt.HasLen, 2)
 	c.Check(s.Snapshot(1, true), qt.HasLen, 1)
 	c.Check(s.Snapshot(1, false), qt.HasLen, 3) // and the list of members
 }
@@ -342,7 +342,7 @@
 
 // Thousands of proxies come, vote and go in a day, and control processes with them: the state is bounded by what there is and by what
 // went in the last ten minutes, and what is still there is never forgotten.
-func TestForget(t *testing.T) {
+func TestExpireBoundsState(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
 	minute := int64(60e9)
@@ -350,16 +350,16 @@
 	most := 0
 	for n := range int64(2000) { // one a minute
 		now := (n + 1) * minute
-		f := update.Proxy{Name: fmt.Sprint("r", n), Owner: "b", Ready: true, RegisteredAt: now}
-		s.Merge(now, update.Change{Proxy: &f})
-		s.PublishVote(update.Vote{Proxy: f.Name, Service: "desk", Number: 1, Verdict: uint8(decision.Advance), ReceivedAt: now, Evidence: &update.Evidence{}}, true)
+		proxy := update.Proxy{Name: fmt.Sprint("r", n), Owner: "b", Ready: true, RegisteredAt: now}
+		s.Merge(now, update.Change{Proxy: &proxy})
+		s.PublishVote(update.Vote{Proxy: proxy.Name, Service: "desk", Number: 1, Verdict: uint8(decision.Advance), ReceivedAt: now, Evidence: &update.Evidence{}}, true)
 		if n%2 == 0 {
-			f.Gone, f.Revision = true, 1
-			s.Merge(now+1, update.Change{Proxy: &f})
+			proxy.Gone, proxy.Revision = true, 1
+			s.Merge(now+1, update.Change{Proxy: &proxy})
 		} else { // its control process goes with it
 			name := fmt.Sprint("b", n)
-			f.Owner, f.RegisteredAt = name, now+1
-			s.Merge(now+1, update.Change{Proxy: &f})
+			proxy.Owner, proxy.RegisteredAt = name, now+1
+			s.Merge(now+1, update.Change{Proxy: &proxy})
 			s.PeerLost(now+2, "10.0.9.9", name)
 			s.Tick(now + 2 + reconnectGrace + 1)
 		}
--- a/internal/control/registry/trace_test.go
+++ b/internal/control/registry/trace_test.go
@@ -20,10 +20,10 @@
 )
 
 // sortedDigests is the digests of changes, sorted: some come in the order of a map, which means nothing.
-func sortedDigests(notes []update.Change) (all []string) {
-	for _, n := range notes {
+func sortedDigests(changes []update.Change) (all []string) {
+	for _, change := range changes {
 		d := digest.New()
-		d.Add(n)
+		d.Add(change)
 		all = append(all, d.String())
 	}
 	slices.Sort(all)
@@ -33,17 +33,17 @@
 // randomChange is a random change of one of few things.
 func randomChange(draw *rand.Rand, now int64) update.Change {
 	owner := []string{"b0", "b1", "b2"}[draw.IntN(3)]
-	front := fmt.Sprint("r", draw.IntN(5))
+	proxyName := fmt.Sprint("r", draw.IntN(5))
 	switch draw.IntN(5) {
 	case 0, 1:
 		id := fmt.Sprint("h", draw.IntN(8))
 		return update.Change{Instance: &instance.Instance{ID: id, Service: "desk", Address: id + ":1", Zone: "z0", Slots: 2, State: instance.State(draw.IntN(9) / 4),
 			Sequence: uint64(now/traceSecond) - uint64(draw.IntN(3)), Unresponsive: draw.IntN(6) == 0, Owner: owner}}
 	case 2:
-		return update.Change{Proxy: &update.Proxy{Name: front, Zone: "z0", IP: "10.0.2.1", Address: "10.0.2.1:1", Ready: draw.IntN(4) > 0, Gone: draw.IntN(9) == 0,
+		return update.Change{Proxy: &update.Proxy{Name: proxyName, Zone: "z0", IP: "10.0.2.1", Address: "10.0.2.1:1", Ready: draw.IntN(4) > 0, Gone: draw.IntN(9) == 0,
 			RegisteredAt: now - draw.Int64N(5)*traceSecond, Revision: draw.IntN(4), Owner: owner}}
 	case 3:
-		return update.Change{Vote: &update.Vote{Proxy: front, Service: "desk", Number: uint64(draw.IntN(2)), Verdict: uint8(draw.IntN(3)), ReceivedAt: now, ReportOnly: draw.IntN(3) == 0}}
+		return update.Change{Vote: &update.Vote{Proxy: proxyName, Service: "desk", Number: uint64(draw.IntN(2)), Verdict: uint8(draw.IntN(3)), ReceivedAt: now, ReportOnly: draw.IntN(3) == 0}}
 	}
 	return update.Change{Ejection: &outlier.Ejection{ID: fmt.Sprint("h", draw.IntN(8)), Service: "desk", EjectedUntil: now + draw.Int64N(3*traceSecond), ProbationUntil: now + 4*traceSecond, Count: 1}}
 }
@@ -57,28 +57,28 @@
 		now, seen := 1000*traceSecond, uint64(0)
 		for n := range 100 {
 			now += draw.Int64N(400 * traceMs)
-			note := randomChange(draw, now)
+			change := randomChange(draw, now)
 			peer := 1 + draw.IntN(2)
 			ip, name := fmt.Sprint("10.0.1.", peer), fmt.Sprint("b", peer)
 			switch draw.IntN(14) {
 			case 0, 1, 2, 3:
-				s.Merge(now, note)
+				s.Merge(now, change)
 			case 4:
-				if note.Proxy != nil {
-					d.Add(s.ClaimProxy(now, *note.Proxy))
+				if change.Proxy != nil {
+					d.Add(s.ClaimProxy(now, *change.Proxy))
 				}
 			case 5:
-				if note.Instance != nil {
-					h, changed := s.Instances.Heartbeat(now, *note.Instance)
-					if d.Add(h, changed); changed {
-						s.PublishInstance(h, true)
+				if change.Instance != nil {
+					host, changed := s.Instances.Heartbeat(now, *change.Instance)
+					if d.Add(host, changed); changed {
+						s.PublishInstance(host, true)
 					}
 				}
-				if note.Vote != nil {
-					s.PublishVote(*note.Vote, true)
+				if change.Vote != nil {
+					s.PublishVote(*change.Vote, true)
 				}
-				if note.Ejection != nil {
-					s.PublishEjection(now, *note.Ejection, true)
+				if change.Ejection != nil {
+					s.PublishEjection(now, *change.Ejection, true)
 				}
 			case 6:
 				s.UpdatePeer(ip, update.Status{Member: draw.IntN(3) > 0, Complete: true})
@@ -88,11 +88,11 @@
 				s.PeerLost(now, ip, name)
 				s.Node.Step(consensus.Event{Now: now, From: ip, PeerLost: true})
 			case 8:
-				s.ReconcilePeer(now, name, []update.Change{note, randomChange(draw, now)})
+				s.ReconcilePeer(now, name, []update.Change{change, randomChange(draw, now)})
 			case 9:
-				i := config.Item{Kind: config.KindServices, Name: fmt.Sprint("s", draw.IntN(3)), Version: uint64(n + 1), Body: []byte(`{"health-path":"/","name":"s"}`)}
-				s.Set.Apply([]config.Item{i})
-				s.Publish(now, []config.Item{i}, draw.IntN(2) == 0)
+				item := config.Item{Kind: config.KindServices, Name: fmt.Sprint("s", draw.IntN(3)), Version: uint64(n + 1), Body: []byte(`{"health-path":"/","name":"s"}`)}
+				s.Set.Apply([]config.Item{item})
+				s.Publish(now, []config.Item{item}, draw.IntN(2) == 0)
 			case 10:
 				s.Expire(now)
 			case 11:
