--- a/internal/cluster/update/assembly.go
+++ b/internal/cluster/update/assembly.go
@@ -8,21 +8,21 @@
 	"hash"
 )
 
-// Assembly is a snapshot that a proxy receives. Nothing of it may be used before it is complete and the changes since it have come
-// (Finish). It holds one snapshot, of at most MaxSnapshotChanges and MaxSnapshotBytes. The zero value is empty; it is empty again
-// after an error.
+// Assembly reassembles a snapshot from the chunks that a proxy receives. The changes become available only through Finish, once all
+// chunks and the batch that follows the snapshot have been received. It holds one snapshot of at most MaxSnapshotChanges changes and
+// MaxSnapshotBytes bytes. The zero value is empty; an error empties it again.
 type Assembly struct {
 	header  SnapshotHeader
 	changes []Change
-	bytes   int // of the changes as JSON
+	bytes   int // size of the changes as JSON
 	hash    hash.Hash
 }
 
-// ErrChunkSequence is returned for a chunk that isn't the next one of the snapshot, or isn't valid.
+// ErrChunkSequence is returned for a chunk that is invalid or is not the next chunk of the snapshot.
 var ErrChunkSequence = errors.New("a snapshot's chunk does not follow")
 
-// Add adds the next chunk. The first chunk of another snapshot replaces all that was received. Errors wrap ErrChunkSequence, but for
-// changes that aren't valid JSON.
+// Add adds the next chunk. The first chunk of a snapshot discards what was received before. An error wraps ErrChunkSequence, or is
+// that of json.Unmarshal if the changes can't be decoded.
 func (a *Assembly) Add(chunk Chunk) error {
 	if err := a.add(chunk); err != nil {
 		a.Reset()
@@ -34,7 +34,7 @@
 func (a *Assembly) add(chunk Chunk) error {
 	if chunk.From == 0 && (chunk.Name != a.header.Name || len(a.changes) > 0) {
 		if chunk.Name == "" || chunk.Total < 0 || chunk.Total > MaxSnapshotChanges {
-			return fmt.Errorf("%w: %q of %d notes", ErrChunkSequence, chunk.Name, chunk.Total)
+			return fmt.Errorf("%w: invalid header: snapshot %q of %d changes", ErrChunkSequence, chunk.Name, chunk.Total)
 		}
 		*a = Assembly{header: chunk.SnapshotHeader, hash: chunk.newHash()}
 	}
@@ -43,11 +43,11 @@
 	}
 	a.bytes += len(chunk.Changes)
 	if a.bytes > MaxSnapshotBytes {
-		return fmt.Errorf("%w: over %d bytes", ErrChunkSequence, MaxSnapshotBytes)
+		return fmt.Errorf("%w: the snapshot exceeds %d bytes", ErrChunkSequence, MaxSnapshotBytes)
 	}
 	a.hash.Write(chunk.Changes)
 	if !bytes.Equal(a.hash.Sum(nil), chunk.Checksum) {
-		return fmt.Errorf("%w: its sum is another", ErrChunkSequence)
+		return fmt.Errorf("%w: checksum mismatch", ErrChunkSequence)
 	}
 	var changes []Change
 	if err := json.Unmarshal(chunk.Changes, &changes); err != nil {
@@ -55,22 +55,22 @@
 	}
 	received := len(a.changes) + len(changes)
 	if received > chunk.Total || len(changes) == 0 && chunk.Total > 0 {
-		return fmt.Errorf("%w: %d notes of %d", ErrChunkSequence, received, chunk.Total)
+		return fmt.Errorf("%w: the chunk is empty or exceeds the total: %d changes received of %d", ErrChunkSequence, received, chunk.Total)
 	}
 	a.changes = append(a.changes, changes...)
 	return nil
 }
 
-// Progress returns how much was received.
+// Progress returns the progress to acknowledge. It is the zero value if the assembly is empty.
 func (a *Assembly) Progress() Progress {
 	return Progress{Name: a.header.Name, Received: len(a.changes)}
 }
 
-// Complete reports whether all chunks were received.
+// Complete reports whether all chunks have been received.
 func (a *Assembly) Complete() bool { return a.hash != nil && len(a.changes) == a.header.Total }
 
-// Finish takes the batch that follows on the complete snapshot and returns the changes of both, once. ok is false if the batch doesn't
-// follow.
+// Finish returns the changes of the complete snapshot followed by those of batch, and empties the assembly. ok is false, and the assembly
+// is unchanged, if the snapshot is incomplete or batch is not the one that follows it.
 func (a *Assembly) Finish(batch Batch) (changes []Change, ok bool) {
 	follows := batch.Incarnation == a.header.Incarnation && batch.From == a.header.To && batch.To >= batch.From
 	if !a.Complete() || batch.Snapshot || !follows {
@@ -81,5 +81,5 @@
 	return changes, true
 }
 
-// Reset drops what was received.
+// Reset discards what was received.
 func (a *Assembly) Reset() { *a = Assembly{} }
--- a/internal/cluster/update/assembly_test.go
+++ b/internal/cluster/update/assembly_test.go
@@ -10,7 +10,7 @@
 	"portflow/internal/cluster/instance"
 )
 
-// Any chunk but the next one is refused, and what was received before is dropped.
+// An invalid or out-of-sequence chunk must be rejected and reset the assembly, after which the transfer can start over.
 func TestInvalidChunkRejected(t *testing.T) {
 	c := qt.New(t)
 	control := newFakeControl("a", 1000)
@@ -22,17 +22,17 @@
 	}
 	snap := control.snapshot(Progress{})
 	for name, corrupt := range map[string]func(x *Chunk){
-		"again":        func(x *Chunk) { *x = chunk(snap, 1) },
-		"passed over":  func(x *Chunk) { *x = chunk(snap, 3) },
-		"of another":   func(x *Chunk) { *x = chunk(other, 2) },
-		"its head":     func(x *Chunk) { x.Number++ },
-		"its sum":      func(x *Chunk) { x.Checksum[3] ^= 1 },
-		"no sum":       func(x *Chunk) { x.Checksum = nil },
-		"its notes":    func(x *Chunk) { x.Changes[40] ^= 1 },
-		"no notes":     func(x *Chunk) { x.Changes = json.RawMessage("[]") },
-		"too many":     func(x *Chunk) { x.Total, x.From = MaxSnapshotChanges+1, 0 },
-		"less than no": func(x *Chunk) { x.Total, x.From = -1, 0 },
-		"no name":      func(x *Chunk) { x.Name, x.From = "", 0 },
+		"again":           func(x *Chunk) { *x = chunk(snap, 1) },
+		"skipped one":     func(x *Chunk) { *x = chunk(snap, 3) },
+		"other snapshot":  func(x *Chunk) { *x = chunk(other, 2) },
+		"wrong header":    func(x *Chunk) { x.Number++ },
+		"wrong checksum":  func(x *Chunk) { x.Checksum[3] ^= 1 },
+		"no checksum":     func(x *Chunk) { x.Checksum = nil },
+		"changes altered": func(x *Chunk) { x.Changes[40] ^= 1 },
+		"no changes":      func(x *Chunk) { x.Changes = json.RawMessage("[]") },
+		"total too large": func(x *Chunk) { x.Total, x.From = MaxSnapshotChanges+1, 0 },
+		"total negative":  func(x *Chunk) { x.Total, x.From = -1, 0 },
+		"no name":         func(x *Chunk) { x.Name, x.From = "", 0 },
 	} {
 		proxy := &fakeProxy{}
 		for n := range 2 {
@@ -47,8 +47,8 @@
 	}
 }
 
-// FuzzAssembly: whatever messages follow on valid chunks, the assembly is either empty, or has the first changes of the snapshot as they
-// were encoded; it is not complete with fewer changes than the snapshot has.
+// FuzzAssembly adds an arbitrary message after some valid chunks. The assembly must then either be empty or have advanced within the
+// chunk's snapshot, and must not be complete with fewer changes than the snapshot has.
 func FuzzAssembly(f *testing.F) {
 	control := newFakeControl("a", 0)
 	for n := range 12 {
@@ -74,7 +74,7 @@
 		for _, message := range snapshot.Messages[:min(int(before), len(snapshot.Messages))] {
 			var decoded Message
 			if json.Unmarshal(message, &decoded) != nil || a.Add(*decoded.Chunk) != nil {
-				t.Fatal("a chunk that is well is refused")
+				t.Fatal("valid chunk rejected")
 			}
 		}
 		previous := a.Progress()
@@ -85,14 +85,14 @@
 		err := a.Add(*message.Chunk)
 		switch progress := a.Progress(); {
 		case err != nil && (progress != Progress{} || a.Complete()):
-			t.Fatalf("%v, and %+v is there", err, progress)
+			t.Fatalf("got error %v, but progress is %+v", err, progress)
 		case err == nil && (progress.Name != message.Chunk.Name || progress.Received < message.Chunk.From || progress.Received > message.Chunk.Total || message.Chunk.From != 0 && progress.Name != previous.Name):
-			t.Fatalf("%+v after %+v, of %+v", progress, previous, message.Chunk.SnapshotHeader)
+			t.Fatalf("progress %+v after %+v is not possible with header %+v", progress, previous, message.Chunk.SnapshotHeader)
 		case a.Complete() != (err == nil && progress.Received == message.Chunk.Total):
-			t.Fatalf("complete with %+v of %d", progress, message.Chunk.Total)
+			t.Fatalf("wrong result of Complete with progress %+v of %d changes", progress, message.Chunk.Total)
 		}
 		if _, ok := a.Finish(Batch{Incarnation: message.Chunk.Incarnation, From: message.Chunk.To, To: message.Chunk.To}); ok && err != nil {
-			t.Fatal("closed after an error")
+			t.Fatal("Finish succeeded after an error")
 		}
 	})
 }
--- a/internal/cluster/update/change.go
+++ b/internal/cluster/update/change.go
@@ -1,9 +1,10 @@
-// Package update owns what control processes tell each other and the proxies that subscribe to them: changes, numbered within one
-// incarnation of a control process, and the snapshots that a subscriber receives when it has missed more changes than are kept.
+// Package update defines the updates that a control process sends to its subscribers, which are proxies and other control processes:
+// changes, numbered within one incarnation of the control process, and snapshots for subscribers that have missed more changes than
+// the log keeps.
 //
-// The package does no input or output, reads no clock and starts no goroutine. It neither decides what changes nor sends it: streams
-// and subscriptions belong to the control server and the proxy. Begin reading at Change, Log and Message; Snapshot, Transfer and
-// Assembly are the way of a snapshot.
+// The package performs no I/O, reads no clock and starts no goroutines. It neither originates changes nor sends them; the streams belong
+// to the control server and the proxy. Start reading at Change, Log and Message. Snapshot, Transfer and Assembly encode, send and
+// receive a snapshot.
 package update
 
 import (
@@ -12,38 +13,39 @@
 	"portflow/internal/cluster/outlier"
 )
 
-// Evidence is what a proxy judges a version by. The first of each pair is about failures, the second about latency.
+// Evidence is the statistics by which a proxy votes on a version under trial. Element 0 of each pair is for failures, element 1 for
+// latency. The fields are those of decision.TrialStatistics.
 type Evidence struct {
 	Outcomes  [2]float64 `json:"n"`
 	Excess    [2]float64 `json:"x"`
 	Error     [2]float64 `json:"e"`
 	Threshold [2]float64 `json:"t"`
-	Allowance float64    `json:"l"` // requests that the proxy may still send to the version at once
+	Allowance float64    `json:"l"` // number of requests that the proxy may send to the version now
 }
 
-// Vote is a proxy's vote on a rollout. It counts until it expires, or until one without a verdict withdraws it.
+// Vote is a proxy's vote on a rollout. It is valid until it expires or the proxy's next vote replaces it; decision.NoVote withdraws it.
 type Vote struct {
 	Proxy      string    `json:"f"`
 	Service    string    `json:"s"`
-	Number     uint64    `json:"o"` // of the rollout
-	Verdict    uint8     `json:"v"`
-	ReceivedAt int64     `json:"t"` // by control, in nanoseconds of the sender's clock
+	Number     uint64    `json:"o"` // number of the rollout
+	Verdict    uint8     `json:"v"` // a decision.Verdict
+	ReceivedAt int64     `json:"t"` // time at which control received it, in nanoseconds of the sender's clock
 	Evidence   *Evidence `json:"g,omitempty"`
-	ReportOnly bool      `json:"w,omitempty"` // no vote: it only reports the evidence
+	ReportOnly bool      `json:"w,omitempty"` // not a vote, only a report of the evidence
 }
 
-// Change is one change; one of its pointers is set. Times are in nanoseconds of the sender's clock.
+// Change is a change of one object: exactly one of the pointers is set. Times are in nanoseconds of the sender's clock.
 type Change struct {
 	Item             *config.Item       `json:"i,omitempty"`
 	Instance         *instance.Instance `json:"h,omitempty"`
 	Proxy            *Proxy             `json:"f,omitempty"`
 	Vote             *Vote              `json:"p,omitempty"`
 	Ejection         *outlier.Ejection  `json:"a,omitempty"`
-	RolloutStartedAt int64              `json:"o,omitempty"` // with the item of a rollout
-	FirstHand        bool               `json:"-"`           // other control processes don't know it yet
+	RolloutStartedAt int64              `json:"o,omitempty"` // only with an item of kind rollouts
+	FirstHand        bool               `json:"-"`           // originates from this control process, which must send it to the others
 }
 
-// subject is what a change is about.
+// subject identifies the object of a change.
 type subject struct{ kind, name, service string }
 
 func (c Change) subject() subject {
@@ -62,7 +64,7 @@
 	return subject{}
 }
 
-// Compact keeps the last of several changes of one subject, and the order of those that it keeps. It may change the given list.
+// Compact returns the last change of each object, in order. It may overwrite the given slice, and the result shares its memory.
 func Compact(changes []Change) []Change {
 	if len(changes) < 2 {
 		return changes
--- a/internal/cluster/update/clock_offset.go
+++ b/internal/cluster/update/clock_offset.go
@@ -1,20 +1,21 @@
 package update
 
-// driftDivisor bounds the drift of two clocks: they come apart by at most one part in so many.
+// driftDivisor bounds the relative drift of two clocks: their offset changes by at most the elapsed time divided by driftDivisor.
 const driftDivisor = 10_000
 
-// ClockOffset is how far the clock of a stream's other process is ahead of this process's clock, in nanoseconds.
+// ClockOffset estimates how far the clock of the process at the other end of a stream is ahead of the local clock, in nanoseconds.
 //
-// Times on a stream are of the sender's clock, which is set when its process starts, never steps, and may differ from other clocks by
-// hours. The receiver converts them to its own clock, so that no time of day is sent between processes. The delay of a message makes
-// the observed offset smaller, never greater, so that the greatest recent one is kept: a received time is never taken for earlier
-// than it was, but for drift. The zero value converts nothing, as for processes that send no time.
+// Times on a stream are on the sender's clock, which is set when its process starts, never steps, and may differ from other clocks by
+// hours. The receiver converts them to its own clock, so processes don't depend on each other's time of day. Message delay only ever
+// lowers the observed offset, so the maximum of recent observations is kept, reduced by the possible drift. A converted time is
+// therefore never too early, apart from drift. The zero value converts nothing; it applies to processes that send no time.
 type ClockOffset struct {
 	ahead, observedAt int64
 	known             bool
 }
 
-// Observe updates the offset by the sender's clock in a message that is received now; 0 means that the message has none.
+// Observe updates the estimate with theirs, the sender's clock in a message received at now. It ignores a zero theirs: the message has no
+// time.
 func (o *ClockOffset) Observe(theirs, now int64) {
 	if theirs == 0 {
 		return
@@ -27,10 +28,10 @@
 	*o = ClockOffset{ahead: ahead, observedAt: now, known: true}
 }
 
-// Ahead returns by how many nanoseconds the other clock is ahead.
+// Ahead returns the estimated offset in nanoseconds, 0 if no time has been observed.
 func (o ClockOffset) Ahead() int64 { return o.ahead }
 
-// ToLocal converts a received time to this process's clock; 0, no time, stays 0.
+// ToLocal converts a received time to the local clock. Zero, which means no time, stays zero.
 func (o ClockOffset) ToLocal(theirs int64) int64 {
 	if theirs == 0 {
 		return 0
@@ -38,8 +39,8 @@
 	return theirs - o.ahead
 }
 
-// ToLocal returns a received change with its times converted to this process's clock. Proxy.RegisteredAt is a version and no time: a
-// control process that registers a proxy gives it a higher one.
+// ToLocal returns a received change with its times converted to the local clock; c's objects are not modified. Proxy.RegisteredAt is
+// not converted because it is used as a version: a control process that registers a proxy again raises it.
 func (c Change) ToLocal(offset ClockOffset) Change {
 	if !offset.known {
 		return c
@@ -64,7 +65,7 @@
 	return c
 }
 
-// HasTimes reports whether a change has times: then its message must have the sender's clock.
+// HasTimes reports whether c has times. A message with such a change must include the sender's clock (Message.Now).
 func (c Change) HasTimes() bool {
 	return c.Instance != nil && c.Instance.WarmUpUntil != 0 || c.Ejection != nil || c.Vote != nil || c.RolloutStartedAt != 0
 }
--- a/internal/cluster/update/clock_offset_test.go
+++ b/internal/cluster/update/clock_offset_test.go
@@ -12,43 +12,45 @@
 
 const second = int64(1e9)
 
-// Whatever the clocks are, and however late messages come, a received time is taken for no earlier than it was, and for as
-// much later as the quickest recent message took.
+// For any clock offset and message delays, a converted time must not be too early, and too late by at most the smallest delay so far
+// plus the drift.
 func TestClockOffset(t *testing.T) {
 	for seed := range uint64(200) {
 		draw := rand.New(rand.NewPCG(seed, 5))
-		ahead := draw.Int64N(7200*second) - 3600*second // the other's clock is ahead by so much
+		ahead := draw.Int64N(7200*second) - 3600*second // of the other clock
 		minDelay, sentAt, receivedAt := int64(3600)*second, int64(0), int64(0)
 		var o ClockOffset
 		for range 30 {
 			sentAt += draw.Int64N(3 * second)
 			delay := draw.Int64N(second / 10)
 			if draw.IntN(5) == 0 {
-				delay = draw.Int64N(20 * second) // who hears was frozen
+				delay = draw.Int64N(20 * second) // the receiver was paused
 			}
-			receivedAt = max(receivedAt, sentAt+delay) // words come in their order
+			receivedAt = max(receivedAt, sentAt+delay) // messages arrive in order
 			minDelay = min(minDelay, receivedAt-sentAt)
 			o.Observe(sentAt+ahead+1, receivedAt+1)
-			eventAt := sentAt - draw.Int64N(10*second) // when something was
+			eventAt := sentAt - draw.Int64N(10*second) // time of an event that the message refers to
 			late := o.ToLocal(eventAt+ahead) - eventAt
-			qt.Assert(t, late >= 0, qt.IsTrue, qt.Commentf("seed %d: earlier by %d", seed, -late))
-			qt.Assert(t, late <= minDelay+receivedAt/driftDivisor, qt.IsTrue, qt.Commentf("seed %d: %d late, %d on its way", seed, late, minDelay))
+			qt.Assert(t, late >= 0, qt.IsTrue, qt.Commentf("seed %d: too early by %d ns", seed, -late))
+			qt.Assert(t, late <= minDelay+receivedAt/driftDivisor, qt.IsTrue, qt.Commentf("seed %d: late by %d ns, smallest delay %d ns", seed, late, minDelay))
 		}
 	}
 }
 
-// A clock that runs slower than this one's by less than the drift isn't taken for one that is ahead for good.
+// If the other clock runs slower than the local one, within the drift bound, the estimate must follow it rather than keep the initial
+// maximum.
 func TestClockOffsetDrift(t *testing.T) {
 	var o ClockOffset
 	for now := int64(1); now < 100*3600*second; now += 60 * second {
 		theirs := now - now/20_000
 		o.Observe(theirs, now)
 		late := o.ToLocal(theirs) - now
-		qt.Assert(t, late >= -60*second/driftDivisor && late <= second/1000, qt.IsTrue, qt.Commentf("%d at %d", late, now))
+		qt.Assert(t, late >= -60*second/driftDivisor && late <= second/1000, qt.IsTrue, qt.Commentf("late by %d ns at %d", late, now))
 	}
 }
 
-// All times of a change are converted, and nothing else; the sender's change is not modified. Without an offset nothing is converted.
+// ToLocal must convert all times of a change and nothing else, must not modify the received objects, and must convert nothing while no
+// offset is known.
 func TestChangeToLocal(t *testing.T) {
 	c := qt.New(t)
 	changes := func() []Change {
--- a/internal/cluster/update/log_test.go
+++ b/internal/cluster/update/log_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A subscriber gets every number once and in order; one that has missed more changes than are kept needs a snapshot.
+// A subscriber must receive each change once and in order. One that has missed more changes than the log keeps needs a snapshot.
 func TestLogAndSubscription(t *testing.T) {
 	c := qt.New(t)
 	l := NewLog(10)
@@ -17,7 +17,7 @@
 	}
 	var subscription Subscription
 	add(3)
-	c.Check(subscription.Advance("life", 0, l.Last(), false), qt.IsFalse) // of a life that it doesn't know
+	c.Check(subscription.Advance("life", 0, l.Last(), false), qt.IsFalse) // unknown incarnation
 	c.Check(subscription.Advance("life", 0, l.Last(), true), qt.IsTrue)
 	for _, n := range []int{1, 0, 7, 10} {
 		add(n)
@@ -26,11 +26,11 @@
 		c.Check(changes, qt.HasLen, n)
 		c.Check(subscription.Advance("life", subscription.Offset, l.Last(), false), qt.IsTrue)
 	}
-	c.Check(subscription.Advance("life", 4, l.Last(), false), qt.IsFalse) // a gap, or what was had
+	c.Check(subscription.Advance("life", 4, l.Last(), false), qt.IsFalse) // not at the position
 	add(16)
 	_, ok := l.After(subscription.Offset)
 	c.Check(ok, qt.IsFalse)
-	_, ok = l.After(l.Last() + 1) // numbers of another life
+	_, ok = l.After(l.Last() + 1) // number of another incarnation
 	c.Check(ok, qt.IsFalse)
 	c.Check(subscription.Advance("next", 0, 2, true), qt.IsTrue)
 	c.Check(subscription, qt.Equals, Subscription{"next", 2})
--- a/internal/cluster/update/proxy.go
+++ b/internal/cluster/update/proxy.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// Proxy is a proxy that carries traffic, as the control process that it subscribes to knows it.
+// Proxy is the state of a proxy, as published by the control process that it subscribes to.
 type Proxy struct {
 	Name          string `json:"n"`
 	Zone          string `json:"z"`
 	IP            string `json:"p"`
-	Address       string `json:"a"` // where it serves clients
+	Address       string `json:"a"` // host and port at which it serves clients
 	Ready         bool   `json:"r,omitempty"`
-	LacksCapacity bool   `json:"h,omitempty"` // its zone lacks capacity: it may use what other zones don't
-	Gone          bool   `json:"g,omitempty"` // it doesn't subscribe to Owner any more
-	RegisteredAt  int64  `json:"s"`           // Unix nanoseconds; a later registration supersedes an earlier one
-	Revision      int    `json:"c,omitempty"` // counts the changes since the registration
-	Owner         string `json:"o"`           // the control process that it subscribes to
+	LacksCapacity bool   `json:"h,omitempty"` // its zone lacks capacity, so that it may use spare capacity of other zones
+	Gone          bool   `json:"g,omitempty"` // it no longer subscribes to Owner
+	RegisteredAt  int64  `json:"s"`           // on Owner's clock in nanoseconds, raised if needed so that a later registration is greater
+	Revision      int    `json:"c,omitempty"` // number of changes since the registration
+	Owner         string `json:"o"`           // name of the control process that it subscribes to
 }
 
 // Supersedes reports whether p takes precedence over other, which has the same name.
@@ -30,7 +30,7 @@
 	return p.Gone && !other.Gone
 }
 
-// ReadyProxies returns the proxies that are ready, by name. A proxy's rank is its index.
+// ReadyProxies returns the proxies that are ready and not gone, sorted by name. A proxy's rank is its index in the result.
 func ReadyProxies(proxies map[string]Proxy) (ready []Proxy) {
 	for _, proxy := range proxies {
 		if proxy.Ready && !proxy.Gone {
--- a/internal/cluster/update/snapshot.go
+++ b/internal/cluster/update/snapshot.go
@@ -9,42 +9,42 @@
 	"slices"
 )
 
-// The bounds of a snapshot.
+// Limits of a snapshot. Sizes are those of the changes as JSON.
 const (
-	ChunkBytes         = 64 << 10 // of a chunk's changes as JSON; the last one may exceed it
-	MaxSnapshotBytes   = 64 << 20 // of all changes as JSON
+	ChunkBytes         = 64 << 10 // size at which a chunk is ended; its last change may exceed it
+	MaxSnapshotBytes   = 64 << 20
 	MaxSnapshotChanges = 1 << 20
-	ChunkWindow        = 32 // chunks that may be sent to one proxy before it acknowledges any of them
+	ChunkWindow        = 32 // maximum number of unacknowledged chunks per proxy
 )
 
-// SnapshotHeader identifies the snapshot that a chunk is of. The changes of a snapshot are numbered from 0, in the order in which they
-// are sent.
+// SnapshotHeader identifies the snapshot that a chunk belongs to. The changes of a snapshot are numbered from 0 in the order in which
+// they are sent.
 type SnapshotHeader struct {
-	Name        string `json:"i"` // unique among the snapshots of all incarnations
-	Incarnation string `json:"l"` // of the control process that made it
-	To          uint64 `json:"t"` // number of the last change in the log that it has
-	Epoch       uint64 `json:"e,omitempty"`
-	Number      uint64 `json:"u,omitempty"` // epoch and index of the configuration as of it
+	Name        string `json:"i"`           // unique among the snapshots of all incarnations
+	Incarnation string `json:"l"`           // incarnation of the control process that created it
+	To          uint64 `json:"t"`           // number of the last change of the log that it includes
+	Epoch       uint64 `json:"e,omitempty"` // epoch of the configuration in it
+	Number      uint64 `json:"u,omitempty"` // index of the configuration in it
 	Total       int    `json:"o"`           // number of changes
 }
 
-// Chunk has the changes of a snapshot from From on. The order of its fields matters: Changes is the last one, so that the other
-// fields can be encoded and read without it.
+// Chunk has consecutive changes of a snapshot, starting with number From. Changes must remain the last field, because encodeChunk
+// appends the changes to the encoded other fields.
 type Chunk struct {
 	SnapshotHeader
 	From     int             `json:"f,omitempty"`
-	Checksum []byte          `json:"s"` // SHA-256 of the header as JSON and the Changes of all chunks up to this one
-	Changes  json.RawMessage `json:"n"` // a list of Change
+	Checksum []byte          `json:"s"` // SHA-256 of the header as JSON and of Changes of all chunks up to and including this one
+	Changes  json.RawMessage `json:"n"` // a JSON array of Change
 }
 
-// Progress is how much of a snapshot a proxy has received: the first Received changes. The zero value is of no snapshot; with a hello
-// it says that the proxy receives chunks.
+// Progress is how much of a snapshot a proxy has received. The zero value means no snapshot; sent with a hello, even the zero value
+// announces that the proxy accepts chunks.
 type Progress struct {
-	Name     string `json:"i,omitempty"`
-	Received int    `json:"h,omitempty"`
+	Name     string `json:"i,omitempty"` // name of the snapshot
+	Received int    `json:"h,omitempty"` // number of changes received, from the first one on
 }
 
-// newHash returns a hash that has the header. Encoding it can't fail, as it has numbers and texts alone.
+// newHash returns a hash of the header. Encoding the header can't fail, as it has only numbers and strings.
 func (h SnapshotHeader) newHash() hash.Hash {
 	digest := sha256.New()
 	raw, _ := json.Marshal(h)
@@ -52,17 +52,17 @@
 	return digest
 }
 
-// Snapshot is a snapshot that is encoded once for all proxies that ask for it.
+// Snapshot is a snapshot that is encoded once for all proxies that request it. It must not be modified.
 type Snapshot struct {
 	SnapshotHeader
-	Messages  [][]byte // a message a chunk, as pack returned it
-	Bytes     int      // of all messages
-	JSONBytes int      // of the changes as JSON
-	chunkEnds []int    // numbers of the changes that the chunks after these begin with
+	Messages  [][]byte // one message per chunk, as returned by pack
+	Bytes     int      // total size of Messages
+	JSONBytes int      // size of the changes as JSON
+	chunkEnds []int    // for each chunk, the number of changes up to its end
 }
 
-// NewSnapshot encodes a snapshot of changes; the header's Total is set by it. pack encodes a message as it is sent; there is never
-// more than one message that isn't packed.
+// NewSnapshot encodes a snapshot of changes and sets the header's Total. pack encodes a JSON message for the wire. Messages are packed
+// one at a time, so that at most one unpacked message is in memory.
 func NewSnapshot(header SnapshotHeader, changes []Change, pack func(message []byte) []byte) (*Snapshot, error) {
 	return encodeSnapshot(header, changes, ChunkBytes, pack)
 }
@@ -70,7 +70,7 @@
 func encodeSnapshot(header SnapshotHeader, changes []Change, chunkBytes int, pack func(message []byte) []byte) (*Snapshot, error) {
 	header.Total = len(changes)
 	if header.Total > MaxSnapshotChanges {
-		return nil, fmt.Errorf("a snapshot of %d notes, over %d", header.Total, MaxSnapshotChanges)
+		return nil, fmt.Errorf("snapshot has %d changes, more than the limit of %d", header.Total, MaxSnapshotChanges)
 	}
 	snapshot := &Snapshot{SnapshotHeader: header}
 	digest := header.newHash()
@@ -84,7 +84,7 @@
 		next += count
 		snapshot.JSONBytes += list.Len()
 		if snapshot.JSONBytes > MaxSnapshotBytes {
-			return nil, fmt.Errorf("a snapshot of over %d bytes", MaxSnapshotBytes)
+			return nil, fmt.Errorf("snapshot exceeds %d bytes of JSON", MaxSnapshotBytes)
 		}
 		digest.Write(list.Bytes())
 		message, err := encodeChunk(Chunk{SnapshotHeader: header, From: from, Checksum: digest.Sum(nil)}, list.Bytes())
@@ -101,8 +101,8 @@
 	}
 }
 
-// encodeChanges replaces the contents of list by a JSON list of the first changes, until it has limit bytes. It returns how many
-// changes these are.
+// encodeChanges replaces the contents of list with a JSON array of the first changes. It stops after the change with which the array
+// reaches limit bytes, and returns the number of changes encoded.
 func encodeChanges(list *bytes.Buffer, changes []Change, limit int) (count int, err error) {
 	list.Reset()
 	list.WriteByte('[')
@@ -114,14 +114,14 @@
 		if err := encoder.Encode(changes[count]); err != nil {
 			return 0, err
 		}
-		list.Truncate(list.Len() - 1) // the encoder ends each value with a line break
+		list.Truncate(list.Len() - 1) // the newline that the encoder adds
 	}
 	list.WriteByte(']')
 	return count, nil
 }
 
-// encodeChunk returns the message of a chunk with the given changes. They are put in place of a short value behind the rest, as
-// encoding a json.RawMessage would copy and check them again.
+// encodeChunk returns the message of a chunk with the given changes. The changes replace a placeholder at the end of the message, because
+// encoding them as a json.RawMessage would validate and copy them again.
 func encodeChunk(chunk Chunk, changes []byte) ([]byte, error) {
 	const placeholder, suffix = "0", "}}"
 	chunk.Changes = json.RawMessage(placeholder)
@@ -133,8 +133,8 @@
 	return slices.Concat(prefix, changes, []byte(suffix)), nil
 }
 
-// NextChunk returns the index of the first chunk that a proxy still needs. Progress of another snapshot, or that doesn't end with a
-// chunk, is of no use: then it is 0.
+// NextChunk returns the index of the first chunk that a proxy still needs. It returns 0 if the progress is that of another snapshot or
+// doesn't end at the end of a chunk.
 func (s *Snapshot) NextChunk(progress Progress) int {
 	if progress.Name != s.Name {
 		return 0
--- a/internal/cluster/update/snapshot_cache.go
+++ b/internal/cluster/update/snapshot_cache.go
@@ -5,17 +5,15 @@
 	"slices"
 )
 
-// SnapshotCache holds the snapshots that are being sent to proxies, so that proxies that ask at about the same time receive the same
-// one. It holds two; the transfers of an older one begin anew. It is not safe for concurrent use. Times are in nanoseconds of one
-// clock.
+// SnapshotCache keeps the snapshots that are being sent to proxies, so that proxies that subscribe at about the same time share one. It
+// keeps the last two; transfers of evicted ones start over. It is not safe for concurrent use. Times are in nanoseconds of one clock.
 type SnapshotCache struct {
-	snapshots []*PendingSnapshot // the newest last
-	created   int
+	snapshots []*PendingSnapshot // oldest first
+	created   int                // number of snapshots started, for unique names
 	lastUsed  int64
 }
 
-// PendingSnapshot is a snapshot that may still be being encoded, by one goroutine. Snapshot and Err must be read only after Done is
-// closed.
+// PendingSnapshot is a snapshot that one goroutine is encoding or has encoded. Snapshot and Err may be read only after Done is closed.
 type PendingSnapshot struct {
 	SnapshotHeader
 	Done     chan struct{}
@@ -25,23 +23,24 @@
 
 const (
 	maxCachedSnapshots = 2
-	cacheIdleTimeout   = int64(30e9) // nanoseconds without a request, after which all snapshots are dropped
+	cacheIdleTimeout   = int64(30e9) // nanoseconds without a request after which all snapshots are evicted
 )
 
-// The bounds of what may have changed since a snapshot that is still sent, and of the changes that are sent in one frame. Beyond them a
-// new snapshot is smaller.
+// Limits on the changes since a snapshot. A proxy without a snapshot is sent a cached one only while it is fresh; beyond these limits a
+// new snapshot is cheaper, because a snapshot is encoded once for all proxies and the changes since are sent to each proxy separately.
+// Sizes are estimates of the compacted changes as JSON.
 const (
-	MaxFreshChanges = 1024
-	MaxFreshBytes   = 256 << 10
-	MaxBatchBytes   = 1 << 20
-	freshDivisor    = 4       // changes may have a fourth of the snapshot's size, as each proxy is sent them by itself
-	minFreshBytes   = 4 << 10 // or so many bytes, for a small snapshot
+	MaxFreshChanges = 1024      // number of changes, before compaction, up to which a snapshot is fresh
+	MaxFreshBytes   = 256 << 10 // see freshDivisor
+	MaxBatchBytes   = 1 << 20   // size of the changes that are sent in one batch
+	freshDivisor    = 4         // a snapshot is fresh up to JSONBytes/freshDivisor, but at least minFreshBytes and at most MaxFreshBytes
+	minFreshBytes   = 4 << 10   // see freshDivisor
 )
 
-// changeBytes is about how many bytes a change takes as JSON, without an item's name and body.
+// changeBytes is the approximate size of a change as JSON, without an item's name and body.
 const changeBytes = 200
 
-// EstimateSize returns about how many bytes changes take as JSON.
+// EstimateSize returns the approximate size of changes as JSON, in bytes.
 func EstimateSize(changes []Change) (size int) {
 	for _, change := range changes {
 		size += changeBytes
@@ -52,12 +51,12 @@
 	return size
 }
 
-// compactedSize estimates the size of changes as they are sent behind a snapshot: compacted.
+// compactedSize estimates the size of the changes that are sent after a snapshot, which are compacted first.
 func compactedSize(changes []Change) int { return EstimateSize(Compact(slices.Clone(changes))) }
 
-// Newest returns the newest snapshot if it is fresh or still being encoded, else nil: then a new one is to be started. Proxies wait for
-// one that is being encoded, and receive it by ByName, however much has changed meanwhile: if they asked for a fresh one again, none
-// would ever get one while much changes.
+// Newest returns the newest snapshot if it is fresh or still being encoded. Otherwise it returns nil, and the caller is to start a new
+// one. Proxies that wait for a snapshot being encoded obtain it with ByName, even if it is no longer fresh by then: if they required a
+// fresh one, they might never get any under frequent changes.
 func (c *SnapshotCache) Newest(now int64, incarnation string, log *Log) *PendingSnapshot {
 	c.evictIdle(now)
 	if len(c.snapshots) == 0 {
@@ -74,8 +73,8 @@
 	return newest
 }
 
-// ByName returns a snapshot for a proxy that has a part of it or waits for it. It is nil if the snapshot isn't held any more, or if
-// the changes since it aren't, or are more than one batch may have.
+// ByName returns a snapshot for a proxy that has received part of it or is waiting for it. It returns nil if the snapshot has failed or
+// is no longer cached, or if the changes since are no longer logged or exceed MaxBatchBytes.
 func (c *SnapshotCache) ByName(now int64, name, incarnation string, log *Log) *PendingSnapshot {
 	c.evictIdle(now)
 	for _, snapshot := range c.snapshots {
@@ -92,7 +91,7 @@
 	return nil
 }
 
-// isFresh reports whether few changes came since an encoded snapshot.
+// isFresh reports whether the changes since the snapshot are within the limits. The snapshot must be encoded.
 func (p *PendingSnapshot) isFresh(log *Log) bool {
 	changes, ok := log.After(p.To)
 	if !ok || len(changes) > MaxFreshChanges {
@@ -113,7 +112,7 @@
 	}
 }
 
-// Start adds a snapshot that is to be encoded, by PendingSnapshot.Encode. The header's Name is set by it.
+// Start adds a new snapshot, whose Name it assigns, and may evict the oldest one. The caller must call Encode on the result.
 func (c *SnapshotCache) Start(now int64, header SnapshotHeader) *PendingSnapshot {
 	c.created++
 	header.Name = fmt.Sprintf("%s.%d", header.Incarnation, c.created)
@@ -124,13 +123,13 @@
 	return pending
 }
 
-// Encode encodes the snapshot of the changes as of its number, and closes Done.
+// Encode sets Snapshot or Err, and closes Done. It must be called once, with the state as of the header's To.
 func (p *PendingSnapshot) Encode(changes []Change, pack func([]byte) []byte) {
 	defer close(p.Done)
 	p.Snapshot, p.Err = NewSnapshot(p.SnapshotHeader, changes, pack)
 }
 
-// EvictIdle drops all snapshots if none was asked for in the last half minute, and reports whether any is left.
+// EvictIdle evicts all snapshots if none was requested within cacheIdleTimeout, and reports whether any is left.
 func (c *SnapshotCache) EvictIdle(now int64) bool {
 	c.evictIdle(now)
 	return len(c.snapshots) > 0
@@ -142,7 +141,7 @@
 	}
 }
 
-// CachedBytes returns how many bytes the encoded snapshots take.
+// CachedBytes returns the total size of the messages of the cached snapshots.
 func (c *SnapshotCache) CachedBytes() (bytes int) {
 	for _, pending := range c.snapshots {
 		if !pending.inProgress() && pending.Snapshot != nil {
--- a/internal/cluster/update/snapshot_cache_test.go
+++ b/internal/cluster/update/snapshot_cache_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The changes since a snapshot are sent compacted, and are few beside it: a route that changes hundreds of times is one change; once a
-// fourth of the snapshot's size has changed, the next subscriber is sent a new snapshot.
+// Freshness must be judged by the compacted size: hundreds of changes of one route count as one. Once the changes exceed a fourth of the
+// snapshot's size, the next subscriber must be sent a new snapshot.
 func TestChangesAfterSnapshotAreBounded(t *testing.T) {
 	c := qt.New(t)
 	control := newFakeControl("a", 1000)
@@ -24,7 +24,7 @@
 		n++
 	}
 	least, most := snap.JSONBytes/4/400, snap.JSONBytes/4/300
-	c.Check(n >= least && n <= most, qt.IsTrue, qt.Commentf("after %d of %d to %d", n, least, most))
+	c.Check(n >= least && n <= most, qt.IsTrue, qt.Commentf("got a new snapshot after %d changes, want %d to %d", n, least, most))
 	c.Check(control.created, qt.Equals, 2)
 	small := newFakeControl("b", 3)
 	first := small.snapshot(Progress{})
@@ -34,7 +34,7 @@
 	c.Check(small.snapshot(Progress{}) == first, qt.IsTrue)
 }
 
-// A snapshot is reused while few changes have come since; two are kept, and none that nobody has asked for in half a minute.
+// A snapshot must be reused while it is fresh. The last two must be kept, and be evicted after the idle timeout.
 func TestSnapshotCache(t *testing.T) {
 	c := qt.New(t)
 	control := newFakeControl("a", 1000)
@@ -47,13 +47,13 @@
 	two := control.snapshot(Progress{})
 	c.Check(two != one, qt.IsTrue)
 	partial := Progress{one.Name, one.chunkEnds[0]}
-	c.Check(control.snapshot(partial) == one, qt.IsTrue) // who has a part of it goes on
+	c.Check(control.snapshot(partial) == one, qt.IsTrue) // a proxy that has part of it continues with it
 	control.set("route-00001", control.number+1, MaxFreshBytes)
 	three := control.snapshot(Progress{})
 	c.Check(three != two, qt.IsTrue)
-	c.Check(control.snapshot(partial) == three, qt.IsTrue) // two are kept
+	c.Check(control.snapshot(partial) == three, qt.IsTrue) // only the last two are kept
 	c.Check(control.cache.CachedBytes(), qt.Equals, two.Bytes+three.Bytes)
-	control.incarnation += "+" // the set was taken over: what goes on from here isn't what was
+	control.incarnation += "+" // snapshots of another incarnation are not reused
 	c.Check(control.snapshot(Progress{}) != three, qt.IsTrue)
 	c.Check(control.snapshot(Progress{three.Name, three.chunkEnds[0]}) != three, qt.IsTrue)
 	control.now += cacheIdleTimeout - 1
@@ -63,8 +63,8 @@
 	c.Check(control.cache.CachedBytes(), qt.Equals, 0)
 }
 
-// A snapshot during whose encoding more changes come than a fresh one may lack is still sent to the subscribers that waited for it, as
-// long as the changes are kept; others that ask meanwhile wait for the same one.
+// A snapshot that is no longer fresh once encoded must still be returned to the proxies that waited for it, as long as the changes since
+// are logged. Otherwise frequent changes could keep all proxies waiting.
 func TestChangesDuringEncoding(t *testing.T) {
 	c := qt.New(t)
 	control := newFakeControl("a", 100)
@@ -75,7 +75,7 @@
 		c.Assert(control.cache.Newest(0, "a", control.log) == pending, qt.IsTrue)
 	}
 	pending.Encode(initial, unpacked)
-	c.Check(control.cache.Newest(0, "a", control.log), qt.IsNil) // for who comes now
+	c.Check(control.cache.Newest(0, "a", control.log), qt.IsNil) // for a new subscriber
 	c.Check(control.cache.ByName(0, pending.Name, "a", control.log) == pending, qt.IsTrue)
 	for range 7000 {
 		control.set("route-00001", control.number+1, 10)
--- a/internal/cluster/update/snapshot_test.go
+++ b/internal/cluster/update/snapshot_test.go
@@ -14,7 +14,7 @@
 
 func unpacked(message []byte) []byte { return message }
 
-// fakeControl is the state of a control process: the last item set of each name.
+// fakeControl is a control process whose state is the current routes.
 type fakeControl struct {
 	incarnation string
 	now         int64
@@ -34,7 +34,7 @@
 	return control
 }
 
-// set changes a route, with a body of a number of bytes.
+// set sets a route whose body has about size bytes.
 func (f *fakeControl) set(name string, version uint64, size int) {
 	f.number++
 	i := config.Item{Kind: config.KindRoutes, Name: name, Version: version, Body: fmt.Appendf(nil, `{"v":%d,"x":"%0*d"}`, version, size, version)}
@@ -43,14 +43,14 @@
 }
 
 func (f *fakeControl) changes() (all []Change) {
-	for n := range len(f.routes) { // their names come in order
+	for n := range len(f.routes) { // in the order of their names
 		i := f.routes[fmt.Sprintf("route-%05d", n)]
 		all = append(all, Change{Item: &i})
 	}
 	return all
 }
 
-// snapshot returns the snapshot that a proxy with some progress is sent.
+// snapshot returns the snapshot to send to a proxy with the given progress, and creates one if none in the cache is suitable.
 func (f *fakeControl) snapshot(progress Progress) *Snapshot {
 	pending := f.cache.ByName(f.now, progress.Name, f.incarnation, f.log)
 	if pending == nil {
@@ -64,7 +64,7 @@
 	return pending.Snapshot
 }
 
-// finalBatch returns the batch that follows on a snapshot.
+// finalBatch returns the batch of the changes since a snapshot.
 func (f *fakeControl) finalBatch(snapshot *Snapshot) Batch {
 	changes, _ := f.log.After(snapshot.To)
 	return Batch{Incarnation: f.incarnation, From: snapshot.To, To: f.log.Last(), Changes: changes, Epoch: f.epoch, Number: f.number}
@@ -75,7 +75,7 @@
 	Assembly
 	routes map[string]config.Item
 	number uint64
-	chunks int
+	chunks int // number of chunks received
 }
 
 func (p *fakeProxy) receive(message []byte) error {
@@ -87,7 +87,7 @@
 	return p.Add(*m.Chunk)
 }
 
-// close takes the final batch, completely or not at all.
+// finish applies the snapshot with the final batch, completely or not at all.
 func (p *fakeProxy) finish(batch Batch) bool {
 	changes, ok := p.Finish(batch)
 	if ok {
@@ -99,7 +99,7 @@
 	return ok
 }
 
-// checkComplete sends all that is missing, and checks the result.
+// checkComplete sends the proxy everything that it lacks and checks that it then has the state of control.
 func (p *fakeProxy) checkComplete(c *qt.C, control *fakeControl) {
 	snap := control.snapshot(p.Progress())
 	for transfer, done := NewTransfer(snap, p.Progress()), false; !done; {
@@ -116,7 +116,7 @@
 	c.Assert(p.Progress(), qt.Equals, Progress{})
 }
 
-// The chunks of a snapshot are bounded and have all of its changes together, also at the size of docs/CAPACITY.md.
+// The chunks of a snapshot must be bounded in size and together have all of its changes, also at the size stated in docs/CAPACITY.md.
 func TestSnapshot(t *testing.T) {
 	for _, x := range []struct{ routes, size, chunks int }{{0, 0, 1}, {1, 10, 1}, {1000, 400, 8}, {1, 300 << 10, 1}, {3, 300 << 10, 3}, {36200, 600, 0}} {
 		c := qt.New(t)
@@ -138,11 +138,11 @@
 		c.Check(control.created, qt.Equals, 1)
 	}
 	_, err := NewSnapshot(SnapshotHeader{}, make([]Change, MaxSnapshotChanges+1), unpacked)
-	qt.Check(t, err, qt.ErrorMatches, ".*over 1048576")
+	qt.Check(t, err, qt.ErrorMatches, ".*limit of 1048576")
 }
 
-// The connection breaks after each chunk: the next one goes on from there, each chunk is sent once, and nothing is in force before the
-// snapshot is complete with the changes since.
+// If the connection breaks after any number of chunks, the transfer must resume there without repeating a chunk, and nothing may be
+// applied before the snapshot is complete with the changes since.
 func TestTransferResumesAfterDisconnect(t *testing.T) {
 	c := qt.New(t)
 	control := newFakeControl("a", 3000)
@@ -159,14 +159,14 @@
 			c.Assert(proxy.finish(control.finalBatch(control.snapshot(Progress{}))), qt.IsFalse)
 			c.Assert(proxy.routes, qt.IsNil)
 		}
-		control.set("route-00007", control.number, 400) // while it is away
+		control.set("route-00007", control.number, 400) // while the proxy is disconnected
 		proxy.checkComplete(c, control)
 		c.Assert(proxy.chunks, qt.Equals, n)
 	}
 	c.Check(control.created, qt.Equals, 1)
 }
 
-// Changes come between any two chunks: they are kept and follow, and the result is the state at the end.
+// Changes made between any two chunks must reach the proxy with the final batch.
 func TestChangesBetweenChunks(t *testing.T) {
 	c := qt.New(t)
 	draw := rand.New(rand.NewPCG(1, 41))
@@ -187,7 +187,7 @@
 	}
 }
 
-// If more changes came than one batch may have, or than are kept, the proxy begins anew with the current state.
+// If the changes since a snapshot exceed a batch or are no longer logged, the transfer must start over with a new snapshot.
 func TestTooManyChangesDuringTransfer(t *testing.T) {
 	for name, x := range map[string]struct{ changes, size int }{"bytes": {30, 60 << 10}, "changes": {7000, 10}} {
 		t.Run(name, func(t *testing.T) {
@@ -208,7 +208,7 @@
 	}
 }
 
-// If the control process restarts during a transfer, what a proxy has received is of no use, and nothing of it is in force.
+// If the control process restarts during a transfer, the proxy must not apply what it has received of the old snapshot.
 func TestControlRestartDuringTransfer(t *testing.T) {
 	c := qt.New(t)
 	old, restarted := newFakeControl("a", 2000), newFakeControl("b", 1500)
@@ -217,13 +217,13 @@
 		for _, message := range old.snapshot(Progress{}).Messages[:n+1] {
 			c.Assert(proxy.receive(message), qt.IsNil)
 		}
-		c.Assert(proxy.finish(restarted.finalBatch(restarted.snapshot(Progress{}))), qt.IsFalse) // not across two lives
+		c.Assert(proxy.finish(restarted.finalBatch(restarted.snapshot(Progress{}))), qt.IsFalse) // batch of another incarnation
 		c.Assert(proxy.routes, qt.IsNil)
 		proxy.checkComplete(c, restarted)
 	}
 }
 
-// A proxy that acknowledges nothing is sent a window and no more; others are sent all of the same snapshot meanwhile.
+// A proxy that acknowledges nothing must be sent one window and no more, while others receive all of the same snapshot.
 func TestSlowProxyDoesNotDelayOthers(t *testing.T) {
 	c := qt.New(t)
 	control := newFakeControl("a", 7000)
--- a/internal/cluster/update/trace_test.go
+++ b/internal/cluster/update/trace_test.go
@@ -10,8 +10,8 @@
 	"portflow/internal/testing/digest"
 )
 
-// Snapshots that are sent in chunks, broken off and resumed while changes come, and the log of changes, are pinned by digests. The chunks
-// are recorded as their bytes. The order of the fields of what is recorded counts; names don't.
+// Digests pin the transfer of snapshots in chunks, with truncated chunks and restarted transfers while changes are made. Chunks are
+// recorded as bytes.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 6, []string{"8471fcad4cd31a47", "fb7f710f27175e03", "ea8a9ec0296285be", "0a6c95451d667a69"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
@@ -53,7 +53,7 @@
 	})
 }
 
-// The log, its subscriptions, the offset of clocks and the compaction of changes are pinned by digests.
+// Digests pin the log, subscriptions, clock offsets, the compaction of changes and the order of proxies.
 func TestTraceOfLog(t *testing.T) {
 	digest.Pin(t, 50, []string{"815b6ff68a486af7", "0ff99e325a5055cd"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 2))
--- a/internal/cluster/update/transfer.go
+++ b/internal/cluster/update/transfer.go
@@ -1,18 +1,18 @@
 package update
 
-// Transfer is a snapshot that is being sent to one proxy.
+// Transfer sends a snapshot to one proxy, with a window of ChunkWindow chunks. It is not safe for concurrent use.
 type Transfer struct {
 	Snapshot *Snapshot
 	next     int // index of the chunk to send next
 }
 
-// NewTransfer returns a transfer that begins with what the proxy doesn't have.
+// NewTransfer returns a transfer that starts with the first chunk that the proxy doesn't have.
 func NewTransfer(snapshot *Snapshot, progress Progress) *Transfer {
 	return &Transfer{Snapshot: snapshot, next: snapshot.NextChunk(progress)}
 }
 
-// Next returns the messages that may be sent now, after the proxy has acknowledged progress. done says that with them all have been
-// sent, and that the changes since the snapshot follow.
+// Next returns the messages that the window allows to be sent once the proxy has acknowledged progress. done reports whether they are
+// the last ones; the batch of the changes since the snapshot is to be sent after them.
 func (t *Transfer) Next(progress Progress) (messages [][]byte, done bool) {
 	acknowledged := min(t.Snapshot.NextChunk(progress), t.next)
 	end := min(len(t.Snapshot.Messages), acknowledged+ChunkWindow)
