--- a/internal/cluster/update/change.go
+++ b/internal/cluster/update/change.go
@@ -42,7 +42,7 @@
 	Vote             *Vote              `json:"p,omitempty"`
 	Ejection         *outlier.Ejection  `json:"a,omitempty"`
 	RolloutStartedAt int64              `json:"o,omitempty"` // only with an item of kind rollouts
-	FirstHand        bool               `json:"-"`           // originates from this control process, which must send it to the others
+	FirstHand        bool               `json:"-"`           // to be sent to other control processes as well as to proxies
 }
 
 // subject identifies the object of a change.
--- a/internal/control/registry/peers.go
+++ b/internal/control/registry/peers.go
@@ -6,12 +6,13 @@
 	"portflow/internal/cluster/update"
 )
 
-// Peer is another control process, as it appears on the stream that this one dialled.
+// Peer is another control process to which this one is connected. Status is the last one received on the stream that this process
+// dialled.
 type Peer struct {
 	Status update.Status
 }
 
-// VotingPeers are the IPs of the connected peers that are members, sorted.
+// VotingPeers returns the IP addresses of the connected peers that are voting members by their own status, sorted.
 func (s *State) VotingPeers() (ips []string) {
 	for ip, peer := range s.Peers {
 		if peer.Status.Member {
@@ -22,7 +23,7 @@
 	return ips
 }
 
-// MemberIPs are the IPs of the members as they are known here, apart from this process's, in no order.
+// MemberIPs returns the IP addresses of the other processes in the applied member list, in no particular order.
 func (s *State) MemberIPs() (ips []string) {
 	for ip := range s.Set.Members() {
 		if ip != s.Self.IP {
@@ -32,7 +33,7 @@
 	return ips
 }
 
-// UpdatePeer notes that a peer is connected, and its status.
+// UpdatePeer records that a peer is connected, and its latest status.
 func (s *State) UpdatePeer(ip string, status update.Status) {
 	peer := s.Peers[ip]
 	if peer == nil {
@@ -42,22 +43,23 @@
 	peer.Status = status
 }
 
-// PeerLost notes that a peer isn't connected any more: its hosts and proxies will appear at other control processes.
+// PeerLost records that a peer has disconnected. Its hosts and proxies are expected to move to other control processes; those that don't
+// within their timeouts are marked as unresponsive or gone.
 func (s *State) PeerLost(now int64, ip, name string) {
 	delete(s.Peers, ip)
 	s.lostPeers[name] = now
 	s.Instances.Adopt(now, name)
 }
 
-// PeerFound notes that a peer is connected again.
+// PeerFound records that a peer has reconnected.
 func (s *State) PeerFound(name string) {
 	delete(s.lostPeers, name)
 	s.Instances.Release(name)
 }
 
-// ReconcilePeer takes another control process's snapshot, once its changes are merged: it names all hosts and proxies of that process.
-// Those that this one knows as the other's, and that it doesn't name, were there in an earlier incarnation: they are moving to another
-// process, or lost.
+// ReconcilePeer finds the hosts and proxies of another control process that are missing from its snapshot, which lists all that it owns.
+// They were connected to its previous incarnation, and are now either moving to another process or lost. The caller must have merged
+// the changes of the snapshot before.
 func (s *State) ReconcilePeer(now int64, name string, changes []update.Change) {
 	instances, proxies := map[string]bool{}, map[string]bool{}
 	for _, change := range changes {
--- a/internal/control/registry/proxies.go
+++ b/internal/control/registry/proxies.go
@@ -7,20 +7,21 @@
 	"portflow/internal/cluster/update"
 )
 
-// Proxy is a proxy as control processes know it.
+// Proxy is the published state of a proxy.
 type Proxy = update.Proxy
 
-// orphan is a proxy as it was known when its control process appeared without it.
+// orphan is a proxy that is missing from the snapshot of its control process, see ReconcilePeer.
 type orphan struct {
-	proxy Proxy
+	proxy Proxy // state when the snapshot was received
 	since int64
 }
 
-// reconnectGrace is how long, in nanoseconds, the proxies of a control process which isn't connected any more, or has started again, may
-// take to subscribe to another before they count as gone.
+// reconnectGrace is the time, in nanoseconds, that proxies have to subscribe again after their control process has disconnected or
+// restarted. They count as gone after that.
 const reconnectGrace = int64(1200e6)
 
-// Tick finds proxies that went down with the control process that they subscribed to, and reports whether there are any.
+// Tick marks proxies as gone that haven't subscribed again within reconnectGrace after their control process disconnected or restarted.
+// It reports whether it published any change. It is to be called periodically.
 func (s *State) Tick(now int64) (changed bool) {
 	for _, proxy := range s.Proxies {
 		if at, lost := s.lostPeers[proxy.Owner]; lost && !proxy.Gone && now-at > reconnectGrace {
@@ -30,7 +31,7 @@
 	}
 	for name, lost := range s.orphans {
 		proxy := s.Proxies[name]
-		if proxy != lost.proxy { // something newer is known of it
+		if proxy != lost.proxy { // a newer state is known
 			delete(s.orphans, name)
 		} else if now-lost.since > reconnectGrace {
 			delete(s.orphans, name)
@@ -41,8 +42,8 @@
 	return changed
 }
 
-// ClaimProxy publishes a proxy that subscribes here, and returns it as published: whatever is known of it from elsewhere, or from before
-// a step of the clock, is older than what it sends now.
+// ClaimProxy publishes the state of a proxy that subscribes to this process, and returns it as published. It sets RegisteredAt and
+// Revision so that the state supersedes any known one, also one of another process or one registered by a clock that was ahead.
 func (s *State) ClaimProxy(now int64, proxy Proxy) Proxy {
 	old, known := s.Proxies[proxy.Name]
 	if proxy.RegisteredAt == 0 || known && (old.Owner != proxy.Owner || old.Gone) {
@@ -54,7 +55,8 @@
 	return proxy
 }
 
-// PublishProxy publishes a proxy's state, unless a newer one is known, and reports whether it did. firstHand says that it subscribes here.
+// PublishProxy publishes a proxy's state if it supersedes the known one, and reports whether it did. firstHand is set if the state is to
+// be sent to other control processes as well.
 func (s *State) PublishProxy(proxy update.Proxy, firstHand bool) bool {
 	old, known := s.Proxies[proxy.Name]
 	if known && !proxy.Supersedes(old) {
@@ -65,7 +67,8 @@
 	return true
 }
 
-// ReannounceProxies publishes this process's own proxies again, for another process that was disconnected and may count them as gone.
+// ReannounceProxies publishes again, with a new revision, all proxies that subscribe to this process. It serves peers that reconnect, as
+// they may have marked these proxies as gone.
 func (s *State) ReannounceProxies() {
 	for _, proxy := range s.Proxies {
 		if proxy.Owner == s.Self.Name && !proxy.Gone {
@@ -75,14 +78,14 @@
 	}
 }
 
-// ReadyProxies are the proxies that are ready, by name; a proxy's rank is its index.
+// ReadyProxies returns the proxies that are ready and not gone, sorted by name. A proxy's rank is its index in the result.
 func (s *State) ReadyProxies() []update.Proxy { return update.ReadyProxies(s.Proxies) }
 
-// maxAddresses is how many addresses a client is given at most.
+// maxAddresses is the maximum number of addresses in the answer to a client.
 const maxAddresses = 64
 
-// Addresses are the addresses for a client of a zone and region: of the ready proxies in its zone; without any, in its region; without
-// any, of all. They are sorted, and maxAddresses at most.
+// Addresses returns the addresses of the ready proxies nearest to a client: those in its zone or, if there are none, those in its region
+// or, if there are none either, all. They are sorted and at most maxAddresses. regions has the region of each zone.
 func (s *State) Addresses(zone, region string, regions map[string]string) (all []string) {
 	nearest := 0
 	for _, proxy := range s.ReadyProxies() {
--- a/internal/control/registry/state.go
+++ b/internal/control/registry/state.go
@@ -1,9 +1,8 @@
-// Package registry owns what a control process knows: the hosts and proxies there are, the configuration's items as package consensus
-// has them decided, the proxies' votes, the ejected hosts, the other control processes, and the log of updates for subscribers. It
-// never does I/O, has no clock and starts no goroutines; the caller passes the time, in nanoseconds.
+// Package registry holds the state of a control process: the hosts, the proxies, the replicated configuration items, the proxies'
+// votes, the ejected hosts, the other control processes, and the log of updates for subscribers. It performs no I/O, reads no clock and
+// starts no goroutines; the caller passes the time in nanoseconds.
 //
-// Begin with State; peers.go has what is known of other control processes, proxies.go of proxies, and updates.go what subscribers are
-// sent.
+// Start reading at State. peers.go handles other control processes, proxies.go proxies, and updates.go the updates for subscribers.
 package registry
 
 import (
@@ -17,38 +16,39 @@
 	"portflow/internal/control/consensus"
 )
 
-// Status is how far a control process can be relied on.
+// Status describes whether a control process is up to date and has a quorum.
 type Status uint8
 
-// The statuses, in the order in which a process that starts goes through them.
+// The statuses, in the order in which a starting process passes through them.
 const (
-	CatchingUp    Status = iota // it may lack what was acknowledged: it sends no updates and takes no operations
-	WithoutQuorum               // it has applied all that was decided when it asked, and reaches no majority of the members now
-	HasQuorum                   // it reaches a majority
+	CatchingUp    Status = iota // it may lack acknowledged changes, and sends proxies no updates
+	WithoutQuorum               // it has caught up since it started, but is not connected to a majority of the members
+	HasQuorum                   // it has caught up and is connected to a majority, as is required to accept operations
 )
 
-// String is the text that operators are answered and the log has.
+// String returns the name of the status in answers to operators and in the log.
 func (s Status) String() string { return [...]string{"adrift", "alone", "in touch"}[s] }
 
-// State is what a control process knows. It is not safe for concurrent use.
+// State is the state of a control process. It is not safe for concurrent use.
 type State struct {
 	Self        update.Hello
-	Node        *consensus.Node // this process's part in the consensus
-	Set         *config.Set
+	Node        *consensus.Node
+	Set         *config.Set // the replicated items, which Node modifies
 	Instances   *instance.Table
 	Proxies     map[string]update.Proxy
 	Updates     *update.Log
 	Votes       map[VoteKey]update.Vote
-	Ejections   map[string]outlier.Ejection // by host ID: those ejected, or back on probation
-	Metrics     map[VoteKey]update.Vote     // the last evidence of proxies that subscribe here
-	Peers       map[string]*Peer            // by IP, those that are connected now
-	lostPeers   map[string]int64            // by name, control processes that are not connected, since when
-	goneSince   map[string]int64            // by name, proxies that are gone, since when that is known
-	orphans     map[string]orphan           // by name, proxies whose control process is connected, and has started again without them
-	RolloutAges rollout.StartTimes          // when the rollouts began, by this process's clock
+	Ejections   map[string]outlier.Ejection // by host ID; includes hosts on probation after an ejection
+	Metrics     map[VoteKey]update.Vote     // the last evidence of each proxy that subscribes to this process
+	Peers       map[string]*Peer            // connected peers, by IP address
+	lostPeers   map[string]int64            // time at which a control process disconnected, by name
+	goneSince   map[string]int64            // time at which a proxy was found gone, by name
+	orphans     map[string]orphan           // proxies missing from the snapshot of their restarted control process, by name
+	RolloutAges rollout.StartTimes          // start times of the rollouts on this process's clock
 }
 
-// NewState makes the state around a node that has what the disk held. heartbeat is the interval of hosts' heartbeats, nanoseconds.
+// NewState returns a state with the items of node's set, which it shares. heartbeat is the interval of the hosts' heartbeats in
+// nanoseconds.
 func NewState(self update.Hello, node *consensus.Node, heartbeat int64) *State {
 	return &State{
 		Self:        self,
@@ -68,7 +68,7 @@
 	}
 }
 
-// Status is how far this process can be relied on.
+// Status returns the current status of this process.
 func (s *State) Status() Status {
 	switch {
 	case !s.Node.CaughtUp():
@@ -79,7 +79,7 @@
 	return HasQuorum
 }
 
-// PeerStatus is the status that subscribers are sent.
+// PeerStatus returns the status to send to subscribers.
 func (s *State) PeerStatus() update.Status {
 	return update.Status{
 		Complete:  s.Node.CaughtUp(),
@@ -91,12 +91,12 @@
 	}
 }
 
-// retention is how long, in nanoseconds, proxies and control processes that are gone and votes are known: longer than any message about
-// them is on its way, or any stream is silent before it is closed.
+// retention is the time, in nanoseconds, for which votes, gone proxies and disconnected control processes are remembered. It exceeds the
+// delay of any message about them and the time after which a silent stream is closed.
 const retention = int64(600e9)
 
-// Expire forgets what ended more than the retention ago, so that the state is bounded by what there is and what ended in that time. It
-// is called now and then.
+// Expire removes votes older than retention, proxies gone and control processes disconnected for longer than retention, and hosts that
+// have been unresponsive for long, so that the state stays bounded. It is to be called periodically.
 func (s *State) Expire(now int64) {
 	s.Instances.EvictUnresponsive(now)
 	for _, votes := range []map[VoteKey]update.Vote{s.Votes, s.Metrics} {
--- a/internal/control/registry/state_test.go
+++ b/internal/control/registry/state_test.go
@@ -17,7 +17,8 @@
 	"portflow/internal/decision"
 )
 
-// newNode is the node of control process n, with a disk that holds index 1 of so many members.
+// newNode returns the node of control process n in a cluster of size members. If intact, its disk has index 1 with the member list;
+// otherwise the disk is new.
 func newNode(n, size int, intact bool) *consensus.Node {
 	var list membership.List
 	member := func(n int) membership.Member {
@@ -40,25 +41,24 @@
 	return NewState(update.Hello{Name: "b0", IP: "10.0.1.0", Zone: "z0", Control: true}, newNode(0, size, intact), 1300e6)
 }
 
-// The status of a control process, with several numbers of members, after a start on an intact disk or on a lost one: it has caught up
-// once a majority of the members has sent how far they are and it has come as far. Those whose disks are others than the list has
-// don't count, nor do those that have only just joined.
+// A control process has caught up only once a majority of the members has answered its query and it has applied what they had applied.
+// Processes whose disk is not the one in the member list, such as new ones, must not count, nor must this process if it lost its disk.
 func TestStatus(t *testing.T) {
 	for _, x := range []struct {
 		size         int
 		intact       bool
-		peers        []bool // that are heard and answer: whether their disks are those of the list
-		disconnected int    // of them that are not heard any more
+		peers        []bool // connected peers that answer: whether their disks are intact
+		disconnected int    // number of peers that disconnect after they answered
 		want         Status
 	}{
 		{6, true, nil, 0, CatchingUp},
 		{6, true, []bool{true, true}, 0, CatchingUp},
 		{6, true, []bool{true, true, true}, 0, HasQuorum},
-		{6, true, []bool{true, true, false, false}, 0, CatchingUp}, // those are no members
+		{6, true, []bool{true, true, false, false}, 0, CatchingUp}, // a process with a new disk is not a member
 		{6, true, []bool{true, true, true}, 1, WithoutQuorum},
 		{6, true, []bool{true, true, true, true, true}, 2, HasQuorum},
 		{6, false, []bool{true, true}, 0, CatchingUp},
-		{6, false, []bool{true, true, true}, 0, CatchingUp}, // its own disk counts for nothing: four others are needed
+		{6, false, []bool{true, true, true}, 0, CatchingUp}, // it doesn't count itself: four others are required
 		{6, false, []bool{true, true, true, true}, 0, HasQuorum},
 		{9, true, []bool{true, true, true}, 0, CatchingUp},
 		{9, true, []bool{true, true, true, true}, 0, HasQuorum},
@@ -66,7 +66,7 @@
 		{9, false, []bool{true, true, true, true, true}, 0, HasQuorum},
 		{1, true, nil, 0, HasQuorum},
 		{3, false, []bool{false}, 0, CatchingUp},
-		{3, false, []bool{false, false}, 0, CatchingUp}, // all disks were lost: an operator must say what is to be
+		{3, false, []bool{false, false}, 0, CatchingUp}, // all disks are lost: an operator has to recover the cluster
 	} {
 		s := newState(x.size, x.intact)
 		nodes := map[string]*consensus.Node{"10.0.1.0": s.Node}
@@ -104,8 +104,8 @@
 	}
 }
 
-// Where a proxy subscribes overrides whatever was known of it: from another process, from before a step of its clock, or from one that
-// counted it as gone.
+// A proxy's subscription must override any state known before: one of another process, one by a clock that was ahead, or one that
+// marked the proxy as gone.
 func TestClaimProxy(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
@@ -115,7 +115,7 @@
 	c.Check(claimed.RegisteredAt, qt.Equals, int64(100))
 	claimed = s.ClaimProxy(101, claimed)
 	c.Check([2]int64{claimed.RegisteredAt, int64(claimed.Revision)}, qt.Equals, [2]int64{100, 1})
-	s.PublishProxy(update.Proxy{Name: "r", Zone: "z0", Owner: "b", Ready: true, RegisteredAt: 900}, false) // by a clock that was ahead
+	s.PublishProxy(update.Proxy{Name: "r", Zone: "z0", Owner: "b", Ready: true, RegisteredAt: 900}, false) // registered by a clock that is ahead
 	claimed = s.ClaimProxy(110, claimed)
 	c.Check(s.Proxies["r"].Owner, qt.Equals, "a")
 	gone := s.Proxies["r"]
@@ -125,7 +125,7 @@
 	s.ClaimProxy(111, claimed)
 	c.Check(s.ReadyProxies(), qt.HasLen, 1)
 
-	// one of a process which is lost is gone after a while, unless it subscribes elsewhere by then
+	// a proxy of a disconnected process is gone after reconnectGrace, unless it subscribes elsewhere by then
 	for name, owner := range map[string]string{"x": "b", "y": "b"} {
 		s.PublishProxy(update.Proxy{Name: name, Owner: owner, Ready: true, RegisteredAt: 1}, false)
 	}
@@ -139,8 +139,8 @@
 	c.Check(s.Proxies["x"].Gone, qt.IsTrue)
 }
 
-// A control process that starts again names its proxies; the others count those of before that it doesn't name as gone, unless they
-// appear again meanwhile, there or elsewhere.
+// Proxies missing from the snapshot of a restarted control process must be marked as gone after reconnectGrace, unless they subscribe
+// again by then, to it or to another process.
 func TestReconcilePeer(t *testing.T) {
 	for _, x := range []struct {
 		name     string
@@ -148,7 +148,7 @@
 		then     func(s *State)
 		want     bool // gone
 	}{
-		{"not named", nil, nil, true},
+		{"not listed", nil, nil, true},
 		{"named", []update.Change{{Proxy: &update.Proxy{Name: "x", Owner: "b", Ready: true, RegisteredAt: 10}}}, nil, false},
 		{"subscribes there again", nil, func(s *State) {
 			s.Merge(1000, update.Change{Proxy: &update.Proxy{Name: "x", Owner: "b", Ready: true, RegisteredAt: 1000}})
@@ -157,7 +157,7 @@
 			s.Merge(1000, update.Change{Proxy: &update.Proxy{Name: "x", Owner: "c", Ready: true, RegisteredAt: 1000}})
 		}, false},
 		{"subscribes here", nil, func(s *State) { s.ClaimProxy(1000, update.Proxy{Name: "x", Owner: s.Self.Name, Ready: true}) }, false},
-		{"its process is lost again", nil, func(s *State) { s.PeerLost(1000, "10.0.1.1", "b") }, true},
+		{"its process disconnects again", nil, func(s *State) { s.PeerLost(1000, "10.0.1.1", "b") }, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -183,11 +183,10 @@
 	}
 }
 
-// A control process restarts with its proxy by a clock that is an hour behind that of its former incarnation: its claim is older than
-// what the others know. They send it that, and it claims the proxy again; then all know it as it is, after a bounded number of
-// changes.
+// A control process restarts with a clock that is an hour behind, so that its claim of a proxy is older than the state that the others
+// know. They must send it that state so that it claims the proxy again, and all must agree after a bounded number of changes.
 func TestClaimAfterRestart(t *testing.T) {
-	for _, owner := range []string{"a", "b"} { // whose the former claim was: its own, or another's that is lost
+	for _, owner := range []string{"a", "b"} { // owner of the previous claim: the restarted process, or one that is lost
 		c := qt.New(t)
 		states := map[string]*State{}
 		seen := map[string]uint64{}
@@ -215,21 +214,21 @@
 					}
 				}
 			}
-			if proxy := states["a"].Proxies["r"]; proxy.Gone || proxy.Owner != "a" { // as reclaim finds it
+			if proxy := states["a"].Proxies["r"]; proxy.Gone || proxy.Owner != "a" { // the condition of Server.reclaimProxies
 				claimed = states["a"].ClaimProxy(1002, claimed)
 			}
 		}
 		for name, s := range states {
 			proxy := s.Proxies["r"]
-			c.Check(!proxy.Gone && proxy.Ready && proxy.Owner == "a", qt.IsTrue, qt.Commentf("%s of %s: %+v", name, owner, proxy))
+			c.Check(!proxy.Gone && proxy.Ready && proxy.Owner == "a", qt.IsTrue, qt.Commentf("state of %s, previous owner %s: %+v", name, owner, proxy))
 			c.Check(s.ReadyProxies(), qt.HasLen, 1)
 		}
-		c.Check(merged <= 10, qt.IsTrue, qt.Commentf("%d notes", merged))
+		c.Check(merged <= 10, qt.IsTrue, qt.Commentf("%d changes merged", merged))
 	}
 }
 
-// A proxy moves, and the change by its new process comes before the change by its former one that it has left. Nobody publishes either
-// once more: each would send it to all others and all its proxies, for every proxy that moves.
+// If the claim of a proxy's new owner arrives before the Gone state of its former owner, neither may be published again. Otherwise each
+// move of a proxy would cause each process to send another change to all others and all proxies.
 func TestMovesArePublishedOnce(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
@@ -243,7 +242,7 @@
 	s.Merge(31, update.Change{Proxy: &left})
 	c.Check(s.Updates.Last(), qt.Equals, last)
 	c.Check(s.Proxies["r"], qt.Equals, current)
-	old.Revision = 2 // a claim that is older, of who may not know better, is
+	old.Revision = 2 // an outdated claim is answered: its sender may not know the current one
 	s.Merge(32, update.Change{Proxy: &old})
 	changes, _ := s.Updates.After(last)
 	c.Assert(changes, qt.HasLen, 1)
@@ -251,7 +250,7 @@
 	c.Check(changes[0].FirstHand, qt.IsTrue)
 }
 
-// Of several changes of one thing the last is sent, in its place; each kind of thing by itself.
+// Filter must keep the last change of each object, in order, and not confuse objects of different kinds with the same name.
 func TestFilterKeepsLatestChange(t *testing.T) {
 	c := qt.New(t)
 	proxy := func(name string, revision int) update.Change {
@@ -271,7 +270,7 @@
 	original := slices.Clone(all)
 	c.Check(fmt.Sprint(encodeJSON(Filter(all, false))), qt.Equals, fmt.Sprint(encodeJSON([]update.Change{all[3], all[6], all[8], all[9], all[10], all[12]})))
 	c.Check(fmt.Sprint(encodeJSON(Filter(all, true))), qt.Equals, fmt.Sprint(encodeJSON([]update.Change{all[3], all[7], all[8], all[10], all[11], all[12]})))
-	c.Check(all, qt.DeepEquals, original) // the ledger's own
+	c.Check(all, qt.DeepEquals, original) // the log's slice must not be modified
 	c.Check(Filter(nil, true), qt.HasLen, 0)
 }
 
@@ -283,7 +282,7 @@
 	return all
 }
 
-// A vote counts until the proxy's next one, also one that withdraws it; evidence alone changes no vote, and stays here.
+// A vote must be replaced by the proxy's next one, also by its withdrawal. Evidence must be kept separately and not change the vote.
 func TestPublishVote(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
@@ -310,7 +309,7 @@
 	c.Check(s.Metrics[key].Evidence.Allowance, qt.Equals, 4.0)
 }
 
-// Control processes send each other only what they know at first hand, so that no update goes round.
+// A control process must send others only first-hand changes, or changes would circulate.
 func TestSecondHandChangeNotForwarded(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
@@ -323,7 +322,7 @@
 	c.Check(Filter(changes, true), qt.HasLen, 1)
 	c.Check(Filter(changes, false), qt.HasLen, 2)
 	c.Check(s.Snapshot(1, true), qt.HasLen, 1)
-	c.Check(s.Snapshot(1, false), qt.HasLen, 3) // and the list of members
+	c.Check(s.Snapshot(1, false), qt.HasLen, 3) // the two hosts and the member list
 }
 
 func TestAddresses(t *testing.T) {
@@ -340,15 +339,15 @@
 	}
 }
 
-// Thousands of proxies come, vote and go in a day, and control processes with them: the state is bounded by what there is and by what
-// went in the last ten minutes, and what is still there is never forgotten.
+// With thousands of proxies and control processes that come and go, the size of the state must stay bounded by what exists and what
+// was removed within the retention, and a connected proxy must never expire.
 func TestExpireBoundsState(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
 	minute := int64(60e9)
 	s.ClaimProxy(1, update.Proxy{Name: "stays", Owner: s.Self.Name, Ready: true})
 	most := 0
-	for n := range int64(2000) { // one a minute
+	for n := range int64(2000) { // one per minute
 		now := (n + 1) * minute
 		proxy := update.Proxy{Name: fmt.Sprint("r", n), Owner: "b", Ready: true, RegisteredAt: now}
 		s.Merge(now, update.Change{Proxy: &proxy})
@@ -356,7 +355,7 @@
 		if n%2 == 0 {
 			proxy.Gone, proxy.Revision = true, 1
 			s.Merge(now+1, update.Change{Proxy: &proxy})
-		} else { // its control process goes with it
+		} else { // its control process disconnects too
 			name := fmt.Sprint("b", n)
 			proxy.Owner, proxy.RegisteredAt = name, now+1
 			s.Merge(now+1, update.Change{Proxy: &proxy})
--- a/internal/control/registry/trace_test.go
+++ b/internal/control/registry/trace_test.go
@@ -19,7 +19,7 @@
 	traceSecond = int64(1e9)
 )
 
-// sortedDigests is the digests of changes, sorted: some come in the order of a map, which means nothing.
+// sortedDigests returns the digests of changes in sorted order, as some changes are in the random order of a map.
 func sortedDigests(changes []update.Change) (all []string) {
 	for _, change := range changes {
 		d := digest.New()
@@ -30,7 +30,7 @@
 	return all
 }
 
-// randomChange is a random change of one of few things.
+// randomChange returns a random change of one of a few hosts or proxies.
 func randomChange(draw *rand.Rand, now int64) update.Change {
 	owner := []string{"b0", "b1", "b2"}[draw.IntN(3)]
 	proxyName := fmt.Sprint("r", draw.IntN(5))
@@ -48,8 +48,8 @@
 	return update.Change{Ejection: &outlier.Ejection{ID: fmt.Sprint("h", draw.IntN(8)), Service: "desk", EjectedUntil: now + draw.Int64N(3*traceSecond), ProbationUntil: now + 4*traceSecond, Count: 1}}
 }
 
-// What a control process knows, sends and answers under random changes, claims of proxies, losses and returns of other processes and
-// published items is what it was. The order of the fields of changes counts; names don't, nor the order of changes of one step.
+// Digests pin the state, updates, snapshots and addresses under random changes, proxy claims, disconnects and reconnects of peers, and
+// published items. The order of the changes of one step is not recorded.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 25, []string{"5e7beeb11598ae57", "7c7f049e29b66a64", "8a855d36c1cd2ff0", "d2a01d0e02ca8e4a"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
--- a/internal/control/registry/updates.go
+++ b/internal/control/registry/updates.go
@@ -11,14 +11,14 @@
 	"portflow/internal/cluster/update"
 )
 
-// MaxUpdates is how many changes are kept for subscribers that are behind.
+// MaxUpdates is the capacity of State.Updates: the number of changes kept for subscribers that lag behind.
 const MaxUpdates = 4096
 
-// VoteKey is the proxy and the service of a vote.
+// VoteKey identifies the current vote of a proxy on a service's rollout.
 type VoteKey struct{ Proxy, Service string }
 
-// Publish publishes items that were decided, for the proxies that subscribe here. live says that they were decided while this process
-// runs, as far as it knows.
+// Publish publishes decided items to the proxies that subscribe to this process, except items that the set no longer has in this version.
+// live is set if they were decided, as far as known, while this process has been running.
 func (s *State) Publish(now int64, items []config.Item, live bool) {
 	for _, i := range items {
 		if i.Kind == config.KindRollouts && !i.Deleted {
@@ -30,9 +30,9 @@
 	}
 }
 
-// itemChange is an item as proxies are sent it.
+// itemChange returns the change to send to proxies for an item.
 func (s *State) itemChange(now int64, i config.Item) update.Change {
-	i.History = nil // of no use to proxies
+	i.History = nil // proxies don't use it
 	change := update.Change{Item: &i}
 	if i.Kind == config.KindRollouts && !i.Deleted {
 		change.RolloutStartedAt = s.RolloutAges.Localize(now, rollout.FromItem(i)).StartedAt
@@ -40,13 +40,13 @@
 	return change
 }
 
-// PublishInstance publishes a host. firstHand says that it sends heartbeats here.
+// PublishInstance publishes the state of a host. firstHand is set if the state is to be sent to other control processes as well.
 func (s *State) PublishInstance(host instance.Instance, firstHand bool) {
 	s.Updates.Add(update.Change{Instance: &host, FirstHand: firstHand})
 }
 
-// PublishVote publishes a proxy's vote, unless a newer one is known, or takes its evidence alone. Evidence stays here: it is for
-// operators, who ask each control process; only votes are sent to the others.
+// PublishVote stores a proxy's vote unless a newer one is known. If firstHand is set, the vote is also sent to other control processes.
+// Evidence is stored in Metrics and not forwarded, because operators query each process for it. A ReportOnly vote only updates Metrics.
 func (s *State) PublishVote(vote update.Vote, firstHand bool) {
 	key := VoteKey{vote.Proxy, vote.Service}
 	if vote.Evidence != nil {
@@ -65,8 +65,8 @@
 	}
 }
 
-// PublishEjection publishes a host's ejection, by this process or by another, unless a newer one is known. Ejections whose probation is
-// over are forgotten.
+// PublishEjection publishes a host's ejection if it supersedes the known one, and removes ejections whose probation is over. firstHand is
+// set if this process decided the ejection.
 func (s *State) PublishEjection(now int64, ejection outlier.Ejection, firstHand bool) {
 	maps.DeleteFunc(s.Ejections, func(_ string, known outlier.Ejection) bool { return now > known.ProbationUntil })
 	if !ejection.Supersedes(s.Ejections[ejection.ID]) {
@@ -76,7 +76,7 @@
 	s.Updates.Add(update.Change{Ejection: &ejection, FirstHand: firstHand})
 }
 
-// Merge takes a change that another control process has published.
+// Merge applies a change received from another control process, with times converted to this process's clock. It ignores items.
 func (s *State) Merge(now int64, change update.Change) {
 	switch {
 	case change.Instance != nil:
@@ -99,9 +99,10 @@
 	}
 }
 
-// mergeProxy takes another control process's view of a proxy. A process that claims a proxy by a clock that is behind, after a restart
-// or as it didn't know of the proxy, is sent the claim that counts: until its clock has caught up, what it sends would be ignored.
-// That a proxy has left is no claim: of each one that moves that is published once others know where it is.
+// mergeProxy applies another control process's state of a proxy. If the known state supersedes the received one, the known one is sent
+// to the other processes again: the sender may have claimed the proxy with a clock that is behind, after a restart or without knowing
+// the proxy, and its updates would be ignored until it claims the proxy with a later registration. An outdated Gone is not answered,
+// because it is received regularly: a proxy that moves is often claimed by its new owner before the former one reports it gone.
 func (s *State) mergeProxy(proxy Proxy) {
 	current := s.Proxies[proxy.Name]
 	if !s.PublishProxy(proxy, false) && !proxy.Gone && current.Supersedes(proxy) {
@@ -109,7 +110,8 @@
 	}
 }
 
-// Snapshot is all that a proxy must know, or all that another control process knows only from this one.
+// Snapshot returns the changes of a snapshot for a proxy: all items, hosts, proxies and ejections. If forControl is set, it returns those
+// for another control process: the hosts and proxies that this process owns, and all known ejections and votes.
 func (s *State) Snapshot(now int64, forControl bool) (changes []update.Change) {
 	hosts := s.Instances.All()
 	if forControl {
@@ -145,8 +147,9 @@
 	return changes
 }
 
-// Filter leaves out of a batch what its subscriber learns elsewhere: control processes send each other what they know at first hand, and
-// items are decided by consensus. Of several changes of one thing it keeps the last, in its place.
+// Filter returns the changes to send to a subscriber, without modifying the given slice. Control processes are sent only first-hand
+// changes, as they receive the others, and items, elsewhere; proxies are sent everything but votes. Only the last change of each object
+// is kept.
 func Filter(changes []update.Change, forControl bool) []update.Change {
 	batch := make([]update.Change, 0, len(changes))
 	for _, change := range changes {
