--- a/internal/cluster/update/message.go
+++ b/internal/cluster/update/message.go
@@ -62,13 +62,13 @@
 
 // Status is the state of a control process.
 type Status struct {
-	Complete  bool   `json:"w,omitempty"` // since its start it has received everything that was decided when it queried a majority
-	Member    bool   `json:"i,omitempty"` // it is a voting member, as of Epoch
-	HasQuorum bool   `json:"m,omitempty"` // it is complete and connected to a majority of the members
-	Leaving   bool   `json:"l,omitempty"` // it is shutting down: nothing is forwarded to it, and it can't become a member
-	Sum       uint64 `json:"s,omitempty"` // checksum of its configuration
-	Epoch     uint64 `json:"e,omitempty"`
-	Number    uint64 `json:"n,omitempty"` // log index that it has applied
+	Complete       bool   `json:"w,omitempty"` // since its start it has received everything that was decided when it queried a majority
+	Member         bool   `json:"i,omitempty"` // it is a voting member, as of Epoch
+	HasQuorum      bool   `json:"m,omitempty"` // it is complete and connected to a majority of the members
+	Leaving        bool   `json:"l,omitempty"` // it is shutting down: nothing is forwarded to it, and it can't become a member
+	ConfigChecksum uint64 `json:"s,omitempty"` // checksum of its configuration
+	Epoch          uint64 `json:"e,omitempty"`
+	Number         uint64 `json:"n,omitempty"` // log index that it has applied
 }
 
 // RolloutStart announces when a service's newest rollout began. StartedAt is in nanoseconds of the sender's clock.
--- a/internal/control/registry/state.go
+++ b/internal/control/registry/state.go
@@ -31,40 +31,40 @@
 
 // State is the state of a control process. It is not safe for concurrent use.
 type State struct {
-	Self        update.Hello
-	Node        *consensus.Node
-	Set         *config.Set // the replicated items, which Node modifies
-	Instances   *instance.Table
-	Proxies     map[string]update.Proxy
-	Updates     *update.Log
-	Votes       map[VoteKey]update.Vote
-	Ejections   map[string]outlier.Ejection // by host ID; includes hosts on probation after an ejection
-	Metrics     map[VoteKey]update.Vote     // the last evidence of each proxy that subscribes to this process
-	Peers       map[string]*Peer            // connected peers, by IP address
-	lostPeers   map[string]int64            // time at which a control process disconnected, by name
-	goneSince   map[string]int64            // time at which a proxy was found gone, by name
-	orphans     map[string]orphan           // proxies missing from the snapshot of their restarted control process, by name
-	RolloutAges rollout.StartTimes          // start times of the rollouts on this process's clock
+	Self         update.Hello
+	Node         *consensus.Node
+	Set          *config.Set // the replicated items, which Node modifies
+	Instances    *instance.Table
+	Proxies      map[string]update.Proxy
+	Updates      *update.Log
+	Votes        map[VoteKey]update.Vote
+	Ejections    map[string]outlier.Ejection // by host ID; includes hosts on probation after an ejection
+	LastEvidence map[VoteKey]update.Vote     // the last evidence of each proxy that subscribes to this process
+	Peers        map[string]*Peer            // connected peers, by IP address
+	lostPeers    map[string]int64            // time at which a control process disconnected, by name
+	goneSince    map[string]int64            // time at which a proxy was found gone, by name
+	orphans      map[string]orphan           // proxies missing from the snapshot of their restarted control process, by name
+	RolloutAges  rollout.StartTimes          // start times of the rollouts on this process's clock
 }
 
 // NewState returns a state with the items of node's set, which it shares. heartbeat is the interval of the hosts' heartbeats in
 // nanoseconds.
 func NewState(self update.Hello, node *consensus.Node, heartbeat int64) *State {
 	return &State{
-		Self:        self,
-		Node:        node,
-		Set:         node.Set,
-		Instances:   instance.NewTable(self.Name, heartbeat),
-		Proxies:     map[string]update.Proxy{},
-		Updates:     update.NewLog(MaxUpdates),
-		Votes:       map[VoteKey]update.Vote{},
-		Ejections:   map[string]outlier.Ejection{},
-		Metrics:     map[VoteKey]update.Vote{},
-		Peers:       map[string]*Peer{},
-		lostPeers:   map[string]int64{},
-		goneSince:   map[string]int64{},
-		orphans:     map[string]orphan{},
-		RolloutAges: rollout.StartTimes{},
+		Self:         self,
+		Node:         node,
+		Set:          node.Set,
+		Instances:    instance.NewTable(self.Name, heartbeat),
+		Proxies:      map[string]update.Proxy{},
+		Updates:      update.NewLog(MaxUpdates),
+		Votes:        map[VoteKey]update.Vote{},
+		Ejections:    map[string]outlier.Ejection{},
+		LastEvidence: map[VoteKey]update.Vote{},
+		Peers:        map[string]*Peer{},
+		lostPeers:    map[string]int64{},
+		goneSince:    map[string]int64{},
+		orphans:      map[string]orphan{},
+		RolloutAges:  rollout.StartTimes{},
 	}
 }
 
@@ -82,12 +82,12 @@
 // PeerStatus returns the status to send to subscribers.
 func (s *State) PeerStatus() update.Status {
 	return update.Status{
-		Complete:  s.Node.CaughtUp(),
-		Member:    s.Node.IsMember(),
-		HasQuorum: s.Status() == HasQuorum,
-		Sum:       s.Set.Checksum(),
-		Epoch:     s.Node.Membership().Epoch,
-		Number:    s.Node.Applied(),
+		Complete:       s.Node.CaughtUp(),
+		Member:         s.Node.IsMember(),
+		HasQuorum:      s.Status() == HasQuorum,
+		ConfigChecksum: s.Set.Checksum(),
+		Epoch:          s.Node.Membership().Epoch,
+		Number:         s.Node.Applied(),
 	}
 }
 
@@ -99,7 +99,7 @@
 // have been unresponsive for long, so that the state stays bounded. It is to be called periodically.
 func (s *State) Expire(now int64) {
 	s.Instances.EvictUnresponsive(now)
-	for _, votes := range []map[VoteKey]update.Vote{s.Votes, s.Metrics} {
+	for _, votes := range []map[VoteKey]update.Vote{s.Votes, s.LastEvidence} {
 		maps.DeleteFunc(votes, func(_ VoteKey, vote update.Vote) bool { return now-vote.ReceivedAt > retention })
 	}
 	owners := map[string]bool{}
--- a/internal/control/registry/state_test.go
+++ b/internal/control/registry/state_test.go
@@ -306,7 +306,7 @@
 		c.Check(s.Updates.Last(), qt.Equals, x.wantLast, qt.Commentf("vote %d", i))
 		c.Check(s.Votes[key].Evidence, qt.IsNil)
 	}
-	c.Check(s.Metrics[key].Evidence.Allowance, qt.Equals, 4.0)
+	c.Check(s.LastEvidence[key].Evidence.Allowance, qt.Equals, 4.0)
 }
 
 // A control process must send others only first-hand changes, or changes would circulate.
@@ -363,7 +363,7 @@
 			s.Tick(now + 2 + reconnectGrace + 1)
 		}
 		s.Expire(now + 10e9)
-		most = max(most, len(s.Proxies)+len(s.Votes)+len(s.Metrics)+len(s.lostPeers)+len(s.goneSince)+len(s.orphans))
+		most = max(most, len(s.Proxies)+len(s.Votes)+len(s.LastEvidence)+len(s.lostPeers)+len(s.goneSince)+len(s.orphans))
 	}
 	c.Check(most <= 1+5*13, qt.IsTrue, qt.Commentf("%d", most))
 	c.Check(s.ReadyProxies(), qt.HasLen, 1)
--- a/internal/control/registry/trace_test.go
+++ b/internal/control/registry/trace_test.go
@@ -103,7 +103,7 @@
 			changes, ok := s.Updates.After(seen)
 			seen = s.Updates.Last()
 			d.Add(ok, len(changes), sortedDigests(changes), sortedDigests(Filter(changes, draw.IntN(2) == 0)))
-			d.Add(s.ReadyProxies(), s.Status(), s.PeerStatus(), s.VotingPeers(), slices.Sorted(slices.Values(s.MemberIPs())), s.Proxies, s.Votes, s.Metrics, s.Ejections, s.Instances.All(),
+			d.Add(s.ReadyProxies(), s.Status(), s.PeerStatus(), s.VotingPeers(), slices.Sorted(slices.Values(s.MemberIPs())), s.Proxies, s.Votes, s.LastEvidence, s.Ejections, s.Instances.All(),
 				sortedDigests(s.Snapshot(now, true)), sortedDigests(s.Snapshot(now, false)))
 			d.Add(s.Addresses("z0", "r0", map[string]string{"z0": "r0", "z1": "r0"}))
 		}
--- a/internal/control/registry/updates.go
+++ b/internal/control/registry/updates.go
@@ -46,11 +46,12 @@
 }
 
 // PublishVote stores a proxy's vote unless a newer one is known. If firstHand is set, the vote is also sent to other control processes.
-// Evidence is stored in Metrics and not forwarded, because operators query each process for it. A ReportOnly vote only updates Metrics.
+// Evidence is kept in LastEvidence and not forwarded, because operators query each process for it. A ReportOnly vote only updates
+// LastEvidence.
 func (s *State) PublishVote(vote update.Vote, firstHand bool) {
 	key := VoteKey{vote.Proxy, vote.Service}
 	if vote.Evidence != nil {
-		s.Metrics[key] = vote
+		s.LastEvidence[key] = vote
 		vote.Evidence = nil
 	}
 	if vote.ReportOnly {
--- a/internal/control/server/status.go
+++ b/internal/control/server/status.go
@@ -270,7 +270,7 @@
 
 // proxyMetrics is the last evidence of each proxy on a rollout, by its name.
 func (s *Server) proxyMetrics(now int64, ro rollout.Rollout) (metrics []ProxyMetrics) {
-	for key, report := range s.state.Metrics {
+	for key, report := range s.state.LastEvidence {
 		if key.Service != ro.Service || report.Number != ro.Number {
 			continue
 		}
--- a/internal/control/server/updates.go
+++ b/internal/control/server/updates.go
@@ -85,7 +85,7 @@
 	status.Leaving = s.stopping && u.identity.Control
 	at := position{last: s.state.Updates.Last(), epoch: status.Epoch, index: status.Number}
 	if !u.identity.Control {
-		status.Sum, status.Epoch, status.Number = 0, 0, 0 // of no use to a proxy
+		status.ConfigChecksum, status.Epoch, status.Number = 0, 0, 0 // of no use to a proxy
 	}
 	if u.statusDue(status, time.Now()) {
 		u.sendStatus(status)
--- a/internal/golden/lines_test.go
+++ b/internal/golden/lines_test.go
@@ -62,7 +62,7 @@
 		}},
 		{"control-to-router", []update.Message{
 			{Hello: &update.Hello{Name: "control-1", IP: "10.0.0.1", Zone: "z1", Control: true, Incarnation: "life-1", ID: "disk-1", Now: 1700000000000000000}},
-			{Status: &update.Status{Complete: true, Member: true, HasQuorum: true, Sum: 1 << 63, Epoch: 2, Number: 13}, Now: 1700000000000000005},
+			{Status: &update.Status{Complete: true, Member: true, HasQuorum: true, ConfigChecksum: 1 << 63, Epoch: 2, Number: 13}, Now: 1700000000000000005},
 			{Batch: &update.Batch{Incarnation: "life-1", From: 4, To: 9, Epoch: 2, Number: 13, Changes: []update.Change{{Item: &goldenItem}, {Instance: &goldenHost}, {Proxy: &goldenRouter},
 				{Vote: &goldenVote}, {Ejection: &outlier.Ejection{ID: "h1", Service: "desk", EjectedUntil: 11, ProbationUntil: 12, Count: 2}}}}, Now: 1700000000000000006},
 			{Batch: &update.Batch{Incarnation: "life-1", To: 9, Snapshot: true, Changes: many}}, // long enough to be deflated
