--- a/internal/cluster/update/assembly.go
+++ b/internal/cluster/update/assembly.go
@@ -10,7 +10,7 @@
 
 // Assembly reassembles a snapshot from the chunks that a proxy receives. The changes become available only through Finish, once all
 // chunks and the batch that follows the snapshot have been received. It holds one snapshot of at most MaxSnapshotChanges changes and
-// MaxSnapshotBytes bytes. The zero value is empty; an error empties it again.
+// MaxSnapshotBytes bytes. The zero value is empty; an error from Add empties it again.
 type Assembly struct {
 	header  SnapshotHeader
 	changes []Change
--- a/internal/cluster/update/change.go
+++ b/internal/cluster/update/change.go
@@ -41,8 +41,8 @@
 	Proxy            *Proxy             `json:"f,omitempty"`
 	Vote             *Vote              `json:"p,omitempty"`
 	Ejection         *outlier.Ejection  `json:"a,omitempty"`
-	RolloutStartedAt int64              `json:"o,omitempty"` // only with an item of kind rollouts
-	FirstHand        bool               `json:"-"`           // to be sent to other control processes as well as to proxies
+	RolloutStartedAt int64              `json:"o,omitempty"` // start of the rollout, if Item is a rollout
+	FirstHand        bool               `json:"-"`           // to be sent to other control processes too
 }
 
 // subject identifies the object of a change.
--- a/internal/cluster/update/clock_offset.go
+++ b/internal/cluster/update/clock_offset.go
@@ -1,6 +1,6 @@
 package update
 
-// driftDivisor bounds the relative drift of two clocks: their offset changes by at most the elapsed time divided by driftDivisor.
+// driftDivisor bounds the relative drift of two clocks, which is at most 1/driftDivisor.
 const driftDivisor = 10_000
 
 // ClockOffset estimates how far the clock of the process at the other end of a stream is ahead of the local clock, in nanoseconds.
--- a/internal/cluster/update/clock_offset_test.go
+++ b/internal/cluster/update/clock_offset_test.go
@@ -12,7 +12,7 @@
 
 const second = int64(1e9)
 
-// For any clock offset and message delays, a converted time must not be too early, and too late by at most the smallest delay so far
+// For any clock offset and message delays, a converted time must be neither too early nor late by more than the smallest delay so far
 // plus the drift.
 func TestClockOffset(t *testing.T) {
 	for seed := range uint64(200) {
--- a/internal/cluster/update/log.go
+++ b/internal/cluster/update/log.go
@@ -42,8 +42,8 @@
 	Offset      uint64 // number of the last change received
 }
 
-// Advance moves the position to the end of a batch with the changes above from up to to. It returns false, and leaves the position
-// unchanged, if the batch doesn't start at the position. A snapshot is accepted at any position.
+// Advance moves the position to the end of a received batch. It returns false and leaves the position unchanged if the batch is of another
+// incarnation or doesn't start at the position. A snapshot is accepted in any case.
 func (s *Subscription) Advance(incarnation string, from, to uint64, snapshot bool) bool {
 	if snapshot {
 		s.Incarnation = incarnation
--- a/internal/cluster/update/snapshot.go
+++ b/internal/cluster/update/snapshot.go
@@ -11,7 +11,7 @@
 
 // Limits of a snapshot. Sizes are those of the changes as JSON.
 const (
-	ChunkBytes         = 64 << 10 // size at which a chunk is ended; its last change may exceed it
+	ChunkBytes         = 64 << 10 // a chunk ends with the change that reaches this size
 	MaxSnapshotBytes   = 64 << 20
 	MaxSnapshotChanges = 1 << 20
 	ChunkWindow        = 32 // maximum number of unacknowledged chunks per proxy
--- a/internal/cluster/update/snapshot_cache.go
+++ b/internal/cluster/update/snapshot_cache.go
@@ -32,7 +32,7 @@
 const (
 	MaxFreshChanges = 1024      // number of changes, before compaction, up to which a snapshot is fresh
 	MaxFreshBytes   = 256 << 10 // see freshDivisor
-	MaxBatchBytes   = 1 << 20   // size of the changes that are sent in one batch
+	MaxBatchBytes   = 1 << 20   // maximum size of the changes that are sent in one batch
 	freshDivisor    = 4         // a snapshot is fresh up to JSONBytes/freshDivisor, but at least minFreshBytes and at most MaxFreshBytes
 	minFreshBytes   = 4 << 10   // see freshDivisor
 )
@@ -73,8 +73,8 @@
 	return newest
 }
 
-// ByName returns a snapshot for a proxy that has received part of it or is waiting for it. It returns nil if the snapshot has failed or
-// is no longer cached, or if the changes since are no longer logged or exceed MaxBatchBytes.
+// ByName returns a snapshot for a proxy that has received part of it or is waiting for it. It returns nil if the snapshot couldn't be
+// encoded or is no longer cached, or if the changes since are no longer in the log or exceed MaxBatchBytes.
 func (c *SnapshotCache) ByName(now int64, name, incarnation string, log *Log) *PendingSnapshot {
 	c.evictIdle(now)
 	for _, snapshot := range c.snapshots {
--- a/internal/cluster/update/snapshot_cache_test.go
+++ b/internal/cluster/update/snapshot_cache_test.go
@@ -63,8 +63,8 @@
 	c.Check(control.cache.CachedBytes(), qt.Equals, 0)
 }
 
-// A snapshot that is no longer fresh once encoded must still be returned to the proxies that waited for it, as long as the changes since
-// are logged. Otherwise frequent changes could keep all proxies waiting.
+// A snapshot that is no longer fresh once encoded must still be sent to the proxies that waited for it, as long as the changes since
+// are in the log. Otherwise frequent changes could keep all proxies waiting.
 func TestChangesDuringEncoding(t *testing.T) {
 	c := qt.New(t)
 	control := newFakeControl("a", 100)
--- a/internal/cluster/update/snapshot_test.go
+++ b/internal/cluster/update/snapshot_test.go
@@ -187,7 +187,7 @@
 	}
 }
 
-// If the changes since a snapshot exceed a batch or are no longer logged, the transfer must start over with a new snapshot.
+// If the changes since a snapshot exceed a batch or are no longer in the log, the transfer must start over with a new snapshot.
 func TestTooManyChangesDuringTransfer(t *testing.T) {
 	for name, x := range map[string]struct{ changes, size int }{"bytes": {30, 60 << 10}, "changes": {7000, 10}} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/cluster/update/transfer.go
+++ b/internal/cluster/update/transfer.go
@@ -11,8 +11,8 @@
 	return &Transfer{Snapshot: snapshot, next: snapshot.NextChunk(progress)}
 }
 
-// Next returns the messages that the window allows to be sent once the proxy has acknowledged progress. done reports whether they are
-// the last ones; the batch of the changes since the snapshot is to be sent after them.
+// Next returns the messages that the window allows to be sent once the proxy has acknowledged progress. done reports whether all
+// messages have now been returned; the batch of the changes since the snapshot is to be sent after them.
 func (t *Transfer) Next(progress Progress) (messages [][]byte, done bool) {
 	acknowledged := min(t.Snapshot.NextChunk(progress), t.next)
 	end := min(len(t.Snapshot.Messages), acknowledged+ChunkWindow)
--- a/internal/control/registry/state.go
+++ b/internal/control/registry/state.go
@@ -47,7 +47,7 @@
 	RolloutAges  rollout.StartTimes          // start times of the rollouts on this process's clock
 }
 
-// NewState returns a state with the items of node's set, which it shares. heartbeat is the interval of the hosts' heartbeats in
+// NewState returns the initial state for node, whose item set it shares. heartbeat is the interval of the hosts' heartbeats in
 // nanoseconds.
 func NewState(self update.Hello, node *consensus.Node, heartbeat int64) *State {
 	return &State{
--- a/internal/control/registry/state_test.go
+++ b/internal/control/registry/state_test.go
@@ -47,7 +47,7 @@
 	for _, x := range []struct {
 		size         int
 		intact       bool
-		peers        []bool // connected peers that answer: whether their disks are intact
+		peers        []bool // for each connected peer, whether its disk is intact
 		disconnected int    // number of peers that disconnect after they answered
 		want         Status
 	}{
