--- a/internal/control/registry/state_test.go
+++ b/internal/control/registry/state_test.go
@@ -17,48 +17,48 @@
 	"portflow/internal/decision"
 )
 
-// newNode is the node of control process n, with a disk that holds index 1 of so many members.
+// newNode returns the node of control process n in a cluster of size members. If intact, its disk has index 1 with the member list;
+// otherwise the disk is new.
 func newNode(n, size int, intact bool) *consensus.Node {
 	var list membership.List
-	at := func(n int) membership.Member {
+	member := func(n int) membership.Member {
 		return membership.Member{IP: fmt.Sprint("10.0.1.", n), ID: fmt.Sprint("d", n), Name: fmt.Sprint("b", n), Zone: fmt.Sprint("z", n)}
 	}
-	var all []membership.Member
+	var members []membership.Member
 	for n := range size {
-		all = append(all, at(n))
+		members = append(members, member(n))
 	}
-	list = list.Change(all, nil)
+	list = list.Change(members, nil)
 	set, disk := config.NewSet(), consensus.HardState{DiskID: "new"}
 	if intact {
 		set.Merge(list.Item())
 		disk = consensus.HardState{DiskID: fmt.Sprint("d", n), Applied: 1}
 	}
-	return consensus.New(at(n), "life", 1, disk, set, 0)
+	return consensus.New(member(n), "life", 1, disk, set, 0)
 }
 
 func newState(size int, intact bool) *State {
 	return NewState(update.Hello{Name: "b0", IP: "10.0.1.0", Zone: "z0", Control: true}, newNode(0, size, intact), 1300e6)
 }
 
-// The status of a control process, with several numbers of members, after a start on an intact disk or on a lost one: it has caught up
-// once a majority of the members has sent how far they are and it has come as far. Those whose disks are others than the list has
-// don't count, nor do those that have only just joined.
+// A control process has caught up only once a majority of the members has answered its query and it has applied what they had applied.
+// Processes whose disk is not the one in the member list, such as new ones, must not count, nor must this process if it lost its disk.
 func TestStatus(t *testing.T) {
 	for _, x := range []struct {
-		size   int
-		intact bool
-		others []bool // that are heard and answer: whether their disks are those of the list
-		lost   int    // of them that are not heard any more
-		want   Status
+		size         int
+		intact       bool
+		peers        []bool // for each connected peer, whether its disk is intact
+		disconnected int    // number of peers that disconnect after they answered
+		want         Status
 	}{
 		{6, true, nil, 0, CatchingUp},
 		{6, true, []bool{true, true}, 0, CatchingUp},
 		{6, true, []bool{true, true, true}, 0, HasQuorum},
-		{6, true, []bool{true, true, false, false}, 0, CatchingUp}, // those are no members
+		{6, true, []bool{true, true, false, false}, 0, CatchingUp}, // a process with a new disk is not a member
 		{6, true, []bool{true, true, true}, 1, WithoutQuorum},
 		{6, true, []bool{true, true, true, true, true}, 2, HasQuorum},
 		{6, false, []bool{true, true}, 0, CatchingUp},
-		{6, false, []bool{true, true, true}, 0, CatchingUp}, // its own disk counts for nothing: four others are needed
+		{6, false, []bool{true, true, true}, 0, CatchingUp}, // it doesn't count itself: four others are required
 		{6, false, []bool{true, true, true, true}, 0, HasQuorum},
 		{9, true, []bool{true, true, true}, 0, CatchingUp},
 		{9, true, []bool{true, true, true, true}, 0, HasQuorum},
@@ -66,20 +66,20 @@
 		{9, false, []bool{true, true, true, true, true}, 0, HasQuorum},
 		{1, true, nil, 0, HasQuorum},
 		{3, false, []bool{false}, 0, CatchingUp},
-		{3, false, []bool{false, false}, 0, CatchingUp}, // all disks were lost: an operator must say what is to be
+		{3, false, []bool{false, false}, 0, CatchingUp}, // all disks are lost: an operator has to recover the cluster
 	} {
 		s := newState(x.size, x.intact)
 		nodes := map[string]*consensus.Node{"10.0.1.0": s.Node}
-		for i, intact := range x.others {
+		for i, intact := range x.peers {
 			nodes[fmt.Sprint("10.0.1.", i+1)] = newNode(i+1, x.size, intact)
 		}
-		var mail []consensus.Event
-		to := []string{}
-		post := func(from string, out consensus.Effects) {
-			for _, box := range []map[string][]consensus.Message{out.Send, out.SendAfterSync} {
-				for ip, all := range box {
-					for _, m := range all {
-						mail, to = append(mail, consensus.Event{Now: 1, From: from, Message: &m}), append(to, ip)
+		var queue []consensus.Event
+		recipients := []string{}
+		send := func(from string, effects consensus.Effects) {
+			for _, messages := range []map[string][]consensus.Message{effects.Send, effects.SendAfterSync} {
+				for ip, batch := range messages {
+					for _, m := range batch {
+						queue, recipients = append(queue, consensus.Event{Now: 1, From: from, Message: &m}), append(recipients, ip)
 					}
 				}
 			}
@@ -87,45 +87,45 @@
 		for _, ip := range slices.Sorted(maps.Keys(nodes)) {
 			if n := nodes[ip]; n != s.Node {
 				id := n.HardState().DiskID
-				post("10.0.1.0", s.Node.Step(consensus.Event{Now: 1, From: ip, Peer: &consensus.Peer{Member: membership.Member{IP: ip, ID: id}, Applied: n.Applied()}}))
+				send("10.0.1.0", s.Node.Step(consensus.Event{Now: 1, From: ip, Peer: &consensus.Peer{Member: membership.Member{IP: ip, ID: id}, Applied: n.Applied()}}))
 			}
 		}
-		post("10.0.1.0", s.Node.Step(consensus.Event{Now: 1, Tick: true}))
-		for len(mail) > 0 {
-			e, ip := mail[0], to[0]
-			if mail, to = mail[1:], to[1:]; nodes[ip] != nil {
-				post(ip, nodes[ip].Step(e))
+		send("10.0.1.0", s.Node.Step(consensus.Event{Now: 1, Tick: true}))
+		for len(queue) > 0 {
+			event, ip := queue[0], recipients[0]
+			if queue, recipients = queue[1:], recipients[1:]; nodes[ip] != nil {
+				send(ip, nodes[ip].Step(event))
 			}
 		}
-		for i := range x.lost {
+		for i := range x.disconnected {
 			s.Node.Step(consensus.Event{Now: 1, From: fmt.Sprint("10.0.1.", i+1), PeerLost: true})
 		}
 		qt.Check(t, s.Status(), qt.Equals, x.want, qt.Commentf("%+v", x))
 	}
 }
 
-// Where a proxy subscribes overrides whatever was known of it: from another process, from before a step of its clock, or from one that
-// counted it as gone.
-func TestClaims(t *testing.T) {
+// A proxy's subscription must override any state known before: one of another process, one by a clock that was ahead, or one that
+// marked the proxy as gone.
+func TestClaimProxy(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
 	s.Self.Name = "a"
-	here := update.Proxy{Name: "r", Zone: "z0", Owner: "a", Ready: true}
-	f := s.ClaimProxy(100, here)
-	c.Check(f.RegisteredAt, qt.Equals, int64(100))
-	f = s.ClaimProxy(101, f)
-	c.Check([2]int64{f.RegisteredAt, int64(f.Revision)}, qt.Equals, [2]int64{100, 1})
-	s.PublishProxy(update.Proxy{Name: "r", Zone: "z0", Owner: "b", Ready: true, RegisteredAt: 900}, false) // by a clock that was ahead
-	f = s.ClaimProxy(110, f)
+	proxy := update.Proxy{Name: "r", Zone: "z0", Owner: "a", Ready: true}
+	claimed := s.ClaimProxy(100, proxy)
+	c.Check(claimed.RegisteredAt, qt.Equals, int64(100))
+	claimed = s.ClaimProxy(101, claimed)
+	c.Check([2]int64{claimed.RegisteredAt, int64(claimed.Revision)}, qt.Equals, [2]int64{100, 1})
+	s.PublishProxy(update.Proxy{Name: "r", Zone: "z0", Owner: "b", Ready: true, RegisteredAt: 900}, false) // registered by a clock that is ahead
+	claimed = s.ClaimProxy(110, claimed)
 	c.Check(s.Proxies["r"].Owner, qt.Equals, "a")
 	gone := s.Proxies["r"]
 	gone.Gone = true
 	c.Check(s.PublishProxy(gone, false), qt.IsTrue)
 	c.Check(s.ReadyProxies(), qt.HasLen, 0)
-	s.ClaimProxy(111, f)
+	s.ClaimProxy(111, claimed)
 	c.Check(s.ReadyProxies(), qt.HasLen, 1)
 
-	// one of a process which is lost is gone after a while, unless it subscribes elsewhere by then
+	// a proxy of a disconnected process is gone after reconnectGrace, unless it subscribes elsewhere by then
 	for name, owner := range map[string]string{"x": "b", "y": "b"} {
 		s.PublishProxy(update.Proxy{Name: name, Owner: owner, Ready: true, RegisteredAt: 1}, false)
 	}
@@ -139,16 +139,16 @@
 	c.Check(s.Proxies["x"].Gone, qt.IsTrue)
 }
 
-// A control process that starts again names its proxies; the others count those of before that it doesn't name as gone, unless they
-// appear again meanwhile, there or elsewhere.
+// Proxies missing from the snapshot of a restarted control process must be marked as gone after reconnectGrace, unless they subscribe
+// again by then, to it or to another process.
 func TestReconcilePeer(t *testing.T) {
 	for _, x := range []struct {
-		name  string
-		named []update.Change
-		then  func(s *State)
-		want  bool // gone
+		name     string
+		snapshot []update.Change
+		then     func(s *State)
+		want     bool // gone
 	}{
-		{"not named", nil, nil, true},
+		{"not listed", nil, nil, true},
 		{"named", []update.Change{{Proxy: &update.Proxy{Name: "x", Owner: "b", Ready: true, RegisteredAt: 10}}}, nil, false},
 		{"subscribes there again", nil, func(s *State) {
 			s.Merge(1000, update.Change{Proxy: &update.Proxy{Name: "x", Owner: "b", Ready: true, RegisteredAt: 1000}})
@@ -157,19 +157,19 @@
 			s.Merge(1000, update.Change{Proxy: &update.Proxy{Name: "x", Owner: "c", Ready: true, RegisteredAt: 1000}})
 		}, false},
 		{"subscribes here", nil, func(s *State) { s.ClaimProxy(1000, update.Proxy{Name: "x", Owner: s.Self.Name, Ready: true}) }, false},
-		{"its process is lost again", nil, func(s *State) { s.PeerLost(1000, "10.0.1.1", "b") }, true},
+		{"its process disconnects again", nil, func(s *State) { s.PeerLost(1000, "10.0.1.1", "b") }, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := qt.New(t)
 			s := newState(6, true)
-			for _, f := range []update.Proxy{{Name: "x", Owner: "b", Ready: true, RegisteredAt: 10}, {Name: "y", Owner: "b", Ready: true, RegisteredAt: 10}, {Name: "z", Owner: "c", Ready: true, RegisteredAt: 10}} {
-				s.Merge(900, update.Change{Proxy: &f})
+			for _, proxy := range []update.Proxy{{Name: "x", Owner: "b", Ready: true, RegisteredAt: 10}, {Name: "y", Owner: "b", Ready: true, RegisteredAt: 10}, {Name: "z", Owner: "c", Ready: true, RegisteredAt: 10}} {
+				s.Merge(900, update.Change{Proxy: &proxy})
 			}
 			s.UpdatePeer("10.0.1.1", update.Status{Member: true})
 			s.PeerLost(950, "10.0.1.1", "b")
 			s.PeerFound("b")
-			notes := append(x.named, update.Change{Proxy: &update.Proxy{Name: "y", Owner: "b", Ready: true, RegisteredAt: 10}})
-			s.ReconcilePeer(1000, "b", notes)
+			changes := append(x.snapshot, update.Change{Proxy: &update.Proxy{Name: "y", Owner: "b", Ready: true, RegisteredAt: 10}})
+			s.ReconcilePeer(1000, "b", changes)
 			if x.then != nil {
 				x.then(s)
 			}
@@ -183,79 +183,78 @@
 	}
 }
 
-// A control process restarts with its proxy by a clock that is an hour behind that of its former incarnation: its claim is older than
-// what the others know. They send it that, and it claims the proxy again; then all know it as it is, after a bounded number of
-// changes.
+// A control process restarts with a clock that is an hour behind, so that its claim of a proxy is older than the state that the others
+// know. They must send it that state so that it claims the proxy again, and all must agree after a bounded number of changes.
 func TestClaimAfterRestart(t *testing.T) {
-	for _, owner := range []string{"a", "b"} { // whose the former claim was: its own, or another's that is lost
+	for _, owner := range []string{"a", "b"} { // owner of the previous claim: the restarted process, or one that is lost
 		c := qt.New(t)
-		all := map[string]*State{}
+		states := map[string]*State{}
 		seen := map[string]uint64{}
 		for _, name := range []string{"a", "c", "d"} {
-			all[name] = newState(3, true)
-			all[name].Self.Name = name
+			states[name] = newState(3, true)
+			states[name].Self.Name = name
 			if name != "a" {
-				all[name].PublishProxy(update.Proxy{Name: "r", Owner: owner, Ready: true, RegisteredAt: 4600, Gone: true, Revision: 7}, false)
-				seen[name] = all[name].Updates.Last()
+				states[name].PublishProxy(update.Proxy{Name: "r", Owner: owner, Ready: true, RegisteredAt: 4600, Gone: true, Revision: 7}, false)
+				seen[name] = states[name].Updates.Last()
 			}
 		}
-		here := all["a"].ClaimProxy(1000, update.Proxy{Name: "r", Owner: "a", Ready: true})
-		notes := 0
+		claimed := states["a"].ClaimProxy(1000, update.Proxy{Name: "r", Owner: "a", Ready: true})
+		merged := 0
 		for range 5 {
 			for _, from := range []string{"a", "c", "d"} {
-				changes, ok := all[from].Updates.After(seen[from])
+				changes, ok := states[from].Updates.After(seen[from])
 				c.Assert(ok, qt.IsTrue)
-				seen[from] = all[from].Updates.Last()
-				for _, n := range Filter(changes, true) {
-					for to, s := range all {
+				seen[from] = states[from].Updates.Last()
+				for _, change := range Filter(changes, true) {
+					for to, s := range states {
 						if to != from {
-							notes++
-							s.Merge(1001, n)
+							merged++
+							s.Merge(1001, change)
 						}
 					}
 				}
 			}
-			if x := all["a"].Proxies["r"]; x.Gone || x.Owner != "a" { // as reclaim finds it
-				here = all["a"].ClaimProxy(1002, here)
+			if proxy := states["a"].Proxies["r"]; proxy.Gone || proxy.Owner != "a" { // the condition of Server.reclaimProxies
+				claimed = states["a"].ClaimProxy(1002, claimed)
 			}
 		}
-		for name, s := range all {
-			x := s.Proxies["r"]
-			c.Check(!x.Gone && x.Ready && x.Owner == "a", qt.IsTrue, qt.Commentf("%s of %s: %+v", name, owner, x))
+		for name, s := range states {
+			proxy := s.Proxies["r"]
+			c.Check(!proxy.Gone && proxy.Ready && proxy.Owner == "a", qt.IsTrue, qt.Commentf("state of %s, previous owner %s: %+v", name, owner, proxy))
 			c.Check(s.ReadyProxies(), qt.HasLen, 1)
 		}
-		c.Check(notes <= 10, qt.IsTrue, qt.Commentf("%d notes", notes))
+		c.Check(merged <= 10, qt.IsTrue, qt.Commentf("%d changes merged", merged))
 	}
 }
 
-// A proxy moves, and the change by its new process comes before the change by its former one that it has left. Nobody publishes either
-// once more: each would send it to all others and all its proxies, for every proxy that moves.
+// If the claim of a proxy's new owner arrives before the Gone state of its former owner, neither may be published again. Otherwise each
+// move of a proxy would cause each process to send another change to all others and all proxies.
 func TestMovesArePublishedOnce(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
 	old := update.Proxy{Name: "r", Owner: "b", Ready: true, RegisteredAt: 10}
 	s.Merge(20, update.Change{Proxy: &old})
-	now := update.Proxy{Name: "r", Owner: "c", Ready: true, RegisteredAt: 20}
-	s.Merge(30, update.Change{Proxy: &now})
-	at := s.Updates.Last()
+	current := update.Proxy{Name: "r", Owner: "c", Ready: true, RegisteredAt: 20}
+	s.Merge(30, update.Change{Proxy: &current})
+	last := s.Updates.Last()
 	left := old
 	left.Gone, left.Revision = true, 1
 	s.Merge(31, update.Change{Proxy: &left})
-	c.Check(s.Updates.Last(), qt.Equals, at)
-	c.Check(s.Proxies["r"], qt.Equals, now)
-	old.Revision = 2 // a claim that is older, of who may not know better, is
+	c.Check(s.Updates.Last(), qt.Equals, last)
+	c.Check(s.Proxies["r"], qt.Equals, current)
+	old.Revision = 2 // an outdated claim is answered: its sender may not know the current one
 	s.Merge(32, update.Change{Proxy: &old})
-	notes, _ := s.Updates.After(at)
-	c.Assert(notes, qt.HasLen, 1)
-	c.Check(*notes[0].Proxy, qt.Equals, now)
-	c.Check(notes[0].FirstHand, qt.IsTrue)
+	changes, _ := s.Updates.After(last)
+	c.Assert(changes, qt.HasLen, 1)
+	c.Check(*changes[0].Proxy, qt.Equals, current)
+	c.Check(changes[0].FirstHand, qt.IsTrue)
 }
 
-// Of several changes of one thing the last is sent, in its place; each kind of thing by itself.
-func TestFilterKeepsTheLast(t *testing.T) {
+// Filter must keep the last change of each object, in order, and not confuse objects of different kinds with the same name.
+func TestFilterKeepsLatestChange(t *testing.T) {
 	c := qt.New(t)
-	front := func(name string, change int) update.Change {
-		return update.Change{Proxy: &update.Proxy{Name: name, Revision: change}, FirstHand: true}
+	proxy := func(name string, revision int) update.Change {
+		return update.Change{Proxy: &update.Proxy{Name: name, Revision: revision}, FirstHand: true}
 	}
 	host := func(id string, sequence uint64) update.Change {
 		return update.Change{Instance: &instance.Instance{ID: id, Sequence: sequence}, FirstHand: true}
@@ -263,31 +262,31 @@
 	item := func(kind, name string, version uint64) update.Change {
 		return update.Change{Item: &config.Item{Kind: kind, Name: name, Version: version}}
 	}
-	poll := func(front, service string, order uint64) update.Change {
-		return update.Change{Vote: &update.Vote{Proxy: front, Service: service, Number: order}, FirstHand: true}
+	vote := func(proxy, service string, number uint64) update.Change {
+		return update.Change{Vote: &update.Vote{Proxy: proxy, Service: service, Number: number}, FirstHand: true}
 	}
-	all := []update.Change{front("a", 1), item(config.KindRoutes, "a", 1), host("a", 1), front("b", 1), poll("a", "x", 1), front("a", 2), item(config.KindServices, "a", 1),
-		poll("a", "y", 1), host("b", 1), item(config.KindRoutes, "a", 2), host("a", 2), poll("a", "x", 2), front("a", 3)}
-	kept := slices.Clone(all)
-	c.Check(fmt.Sprint(texts(Filter(all, false))), qt.Equals, fmt.Sprint(texts([]update.Change{all[3], all[6], all[8], all[9], all[10], all[12]})))
-	c.Check(fmt.Sprint(texts(Filter(all, true))), qt.Equals, fmt.Sprint(texts([]update.Change{all[3], all[7], all[8], all[10], all[11], all[12]})))
-	c.Check(all, qt.DeepEquals, kept) // the ledger's own
+	all := []update.Change{proxy("a", 1), item(config.KindRoutes, "a", 1), host("a", 1), proxy("b", 1), vote("a", "x", 1), proxy("a", 2), item(config.KindServices, "a", 1),
+		vote("a", "y", 1), host("b", 1), item(config.KindRoutes, "a", 2), host("a", 2), vote("a", "x", 2), proxy("a", 3)}
+	original := slices.Clone(all)
+	c.Check(fmt.Sprint(encodeJSON(Filter(all, false))), qt.Equals, fmt.Sprint(encodeJSON([]update.Change{all[3], all[6], all[8], all[9], all[10], all[12]})))
+	c.Check(fmt.Sprint(encodeJSON(Filter(all, true))), qt.Equals, fmt.Sprint(encodeJSON([]update.Change{all[3], all[7], all[8], all[10], all[11], all[12]})))
+	c.Check(all, qt.DeepEquals, original) // the log's slice must not be modified
 	c.Check(Filter(nil, true), qt.HasLen, 0)
 }
 
-func texts(notes []update.Change) (all []string) {
-	for _, n := range notes {
-		raw, _ := json.Marshal(n)
+func encodeJSON(changes []update.Change) (all []string) {
+	for _, change := range changes {
+		raw, _ := json.Marshal(change)
 		all = append(all, string(raw))
 	}
 	return all
 }
 
-// A vote counts until the proxy's next one, also one that withdraws it; evidence alone changes no vote, and stays here.
+// A vote must be replaced by the proxy's next one, also by its withdrawal. Evidence must be kept separately and not change the vote.
 func TestPublishVote(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
-	k := VoteKey{"r", "desk"}
+	key := VoteKey{"r", "desk"}
 	for i, x := range []struct {
 		vote       decision.Verdict
 		evidence   bool
@@ -298,32 +297,32 @@
 		{decision.NoVote, true, true, decision.NoVote, 0}, {decision.RollBack, true, false, decision.RollBack, 1}, {decision.NoVote, true, true, decision.RollBack, 1},
 		{decision.NoVote, false, false, decision.NoVote, 2}, {decision.Advance, true, false, decision.Advance, 3},
 	} {
-		p := update.Vote{Proxy: "r", Service: "desk", Number: 1, Verdict: uint8(x.vote), ReceivedAt: int64(i + 1), ReportOnly: x.reportOnly}
+		published := update.Vote{Proxy: "r", Service: "desk", Number: 1, Verdict: uint8(x.vote), ReceivedAt: int64(i + 1), ReportOnly: x.reportOnly}
 		if x.evidence {
-			p.Evidence = &update.Evidence{Allowance: float64(i)}
+			published.Evidence = &update.Evidence{Allowance: float64(i)}
 		}
-		s.PublishVote(p, true)
-		c.Check(decision.Verdict(s.Votes[k].Verdict), qt.Equals, x.want, qt.Commentf("vote %d", i))
+		s.PublishVote(published, true)
+		c.Check(decision.Verdict(s.Votes[key].Verdict), qt.Equals, x.want, qt.Commentf("vote %d", i))
 		c.Check(s.Updates.Last(), qt.Equals, x.wantLast, qt.Commentf("vote %d", i))
-		c.Check(s.Votes[k].Evidence, qt.IsNil)
+		c.Check(s.Votes[key].Evidence, qt.IsNil)
 	}
-	c.Check(s.Metrics[k].Evidence.Allowance, qt.Equals, 4.0)
+	c.Check(s.LastEvidence[key].Evidence.Allowance, qt.Equals, 4.0)
 }
 
-// Control processes send each other only what they know at first hand, so that no update goes round.
-func TestUpdateIsSentOnce(t *testing.T) {
+// A control process must send others only first-hand changes, or changes would circulate.
+func TestSecondHandChangeNotForwarded(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
-	h, changed := s.Instances.Heartbeat(1, instance.Instance{ID: "i", Service: "desk", Sequence: 1})
+	host, changed := s.Instances.Heartbeat(1, instance.Instance{ID: "i", Service: "desk", Sequence: 1})
 	c.Assert(changed, qt.IsTrue)
-	s.PublishInstance(h, true)
+	s.PublishInstance(host, true)
 	s.Merge(1, update.Change{Instance: &instance.Instance{ID: "j", Service: "desk", Sequence: 1, Owner: "b"}})
-	notes, ok := s.Updates.After(0)
+	changes, ok := s.Updates.After(0)
 	c.Assert(ok, qt.IsTrue)
-	c.Check(Filter(notes, true), qt.HasLen, 1)
-	c.Check(Filter(notes, false), qt.HasLen, 2)
+	c.Check(Filter(changes, true), qt.HasLen, 1)
+	c.Check(Filter(changes, false), qt.HasLen, 2)
 	c.Check(s.Snapshot(1, true), qt.HasLen, 1)
-	c.Check(s.Snapshot(1, false), qt.HasLen, 3) // and the list of members
+	c.Check(s.Snapshot(1, false), qt.HasLen, 3) // the two hosts and the member list
 }
 
 func TestAddresses(t *testing.T) {
@@ -340,31 +339,31 @@
 	}
 }
 
-// Thousands of proxies come, vote and go in a day, and control processes with them: the state is bounded by what there is and by what
-// went in the last ten minutes, and what is still there is never forgotten.
-func TestForget(t *testing.T) {
+// With thousands of proxies and control processes that come and go, the size of the state must stay bounded by what exists and what
+// was removed within the retention, and a connected proxy must never expire.
+func TestExpireBoundsState(t *testing.T) {
 	c := qt.New(t)
 	s := newState(6, true)
 	minute := int64(60e9)
 	s.ClaimProxy(1, update.Proxy{Name: "stays", Owner: s.Self.Name, Ready: true})
 	most := 0
-	for n := range int64(2000) { // one a minute
+	for n := range int64(2000) { // one per minute
 		now := (n + 1) * minute
-		f := update.Proxy{Name: fmt.Sprint("r", n), Owner: "b", Ready: true, RegisteredAt: now}
-		s.Merge(now, update.Change{Proxy: &f})
-		s.PublishVote(update.Vote{Proxy: f.Name, Service: "desk", Number: 1, Verdict: uint8(decision.Advance), ReceivedAt: now, Evidence: &update.Evidence{}}, true)
+		proxy := update.Proxy{Name: fmt.Sprint("r", n), Owner: "b", Ready: true, RegisteredAt: now}
+		s.Merge(now, update.Change{Proxy: &proxy})
+		s.PublishVote(update.Vote{Proxy: proxy.Name, Service: "desk", Number: 1, Verdict: uint8(decision.Advance), ReceivedAt: now, Evidence: &update.Evidence{}}, true)
 		if n%2 == 0 {
-			f.Gone, f.Revision = true, 1
-			s.Merge(now+1, update.Change{Proxy: &f})
-		} else { // its control process goes with it
+			proxy.Gone, proxy.Revision = true, 1
+			s.Merge(now+1, update.Change{Proxy: &proxy})
+		} else { // its control process disconnects too
 			name := fmt.Sprint("b", n)
-			f.Owner, f.RegisteredAt = name, now+1
-			s.Merge(now+1, update.Change{Proxy: &f})
+			proxy.Owner, proxy.RegisteredAt = name, now+1
+			s.Merge(now+1, update.Change{Proxy: &proxy})
 			s.PeerLost(now+2, "10.0.9.9", name)
 			s.Tick(now + 2 + reconnectGrace + 1)
 		}
 		s.Expire(now + 10e9)
-		most = max(most, len(s.Proxies)+len(s.Votes)+len(s.Metrics)+len(s.lostPeers)+len(s.goneSince)+len(s.orphans))
+		most = max(most, len(s.Proxies)+len(s.Votes)+len(s.LastEvidence)+len(s.lostPeers)+len(s.goneSince)+len(s.orphans))
 	}
 	c.Check(most <= 1+5*13, qt.IsTrue, qt.Commentf("%d", most))
 	c.Check(s.ReadyProxies(), qt.HasLen, 1)
