--- a/internal/proxy/control_follow.go
+++ b/internal/proxy/control_follow.go
@@ -10,7 +10,7 @@
 
 const (
 	controlRetryInterval = 50 * time.Millisecond   // between two rounds of following
-	avoidFor             = 3 * time.Second         // for which a control process that failed is asked after the others
+	avoidDuration        = 3 * time.Second         // for which a control process that failed is asked after the others
 	nearerCheckInterval  = 1500 * time.Millisecond // between two checks for a nearer control process
 )
 
@@ -20,7 +20,7 @@
 // add notes that a control process has failed.
 func (a avoidList) add(ip string, why error) {
 	klog.InfoS("line ended", "to", ip, "why", why)
-	a[ip] = time.Now().Add(avoidFor)
+	a[ip] = time.Now().Add(avoidDuration)
 }
 
 // has reports whether a control process failed of late.
@@ -101,10 +101,10 @@
 }
 
 // nearerControl is the nearest control process that is nearer than one and hasn't failed of late.
-func (p *Proxy) nearerControl(than string, avoid avoidList) (ip string, found bool) {
+func (p *Proxy) nearerControl(current string, avoid avoidList) (ip string, found bool) {
 	distance := p.controlDistances()
 	for _, ip := range p.controlCandidates() {
-		if distance(ip) >= distance(than) {
+		if distance(ip) >= distance(current) {
 			return "", false
 		}
 		if !avoid.has(ip) {
@@ -117,20 +117,20 @@
 // tryNearer dials a control process beside the link that is followed, which ends only once the nearer one has said that it is complete
 // and has a quorum: one that is cut off, behind or frozen costs the proxy nothing. It returns nil where the trial failed.
 func (p *Proxy) tryNearer(ctx context.Context, ip string, current *controlLink, avoid avoidList) *controlLink {
-	trial, err := p.dialControl(ctx, ip, true)
+	candidate, err := p.dialControl(ctx, ip, true)
 	if err == nil {
 		select {
-		case <-trial.chosen:
-			return trial
+		case <-candidate.followed:
+			return candidate
 		case <-current.stream.Done():
-		case err = <-trial.ended:
+		case err = <-candidate.ended:
 		}
 		select {
-		case <-trial.chosen: // which ended the current one
-			return trial
+		case <-candidate.followed: // which ended the current one
+			return candidate
 		default:
 		}
-		trial.stream.Close(errBehind)
+		candidate.stream.Close(errNotUsable)
 	}
 	if err != nil && ctx.Err() == nil {
 		avoid.add(ip, err)
--- a/internal/proxy/control_link.go
+++ b/internal/proxy/control_link.go
@@ -14,10 +14,10 @@
 // controlLink is a connection to a control process, from the dial to its end. The one in Proxy.control is the one that this proxy
 // follows; another may be tried beside it.
 type controlLink struct {
-	ip     string
-	stream *stream.Conn[update.Message]
-	chosen chan struct{} // closed once this proxy follows it
-	ended  chan error    // why it ended, once
+	ip       string
+	stream   *stream.Conn[update.Message]
+	followed chan struct{} // closed once this proxy follows it
+	ended    chan error    // why it ended, once
 
 	// the proxy's lock guards these
 	subscription update.Subscription
@@ -33,14 +33,14 @@
 )
 
 var (
-	errBehind    = errors.New("it is behind, or hears too few others")
+	errNotUsable = errors.New("it is behind, or hears too few others")
 	errNearer    = errors.New("a nearer one is followed")
 	errUpdateGap = errors.New("news does not follow")
 )
 
 // dialControl opens a link to a control process, which this proxy follows at once; or, as a trial beside the one that there is, once
 // it has said that it is complete and has a quorum.
-func (p *Proxy) dialControl(ctx context.Context, ip string, trial bool) (*controlLink, error) {
+func (p *Proxy) dialControl(ctx context.Context, ip string, statusOnly bool) (*controlLink, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	c, err := p.Network.Dial(ctx, "tcp", net.JoinHostPort(ip, strconv.Itoa(p.Settings.InternalPorts[0])))
 	cancel()
@@ -51,12 +51,12 @@
 		ip:       ip,
 		stream:   stream.Open[update.Message](c, stream.ProxyKeepalive),
 		incoming: &update.Assembly{},
-		chosen:   make(chan struct{}),
+		followed: make(chan struct{}),
 		ended:    make(chan error, 1),
 	}
-	hello, progress := p.greeting(link, trial)
-	link.stream.Send(update.Message{Hello: &hello, Progress: &progress, StatusOnly: trial})
-	if !trial {
+	hello, progress := p.greeting(link, statusOnly)
+	link.stream.Send(update.Message{Hello: &hello, Progress: &progress, StatusOnly: statusOnly})
+	if !statusOnly {
 		p.switchTo(link)
 	}
 	go func() { link.ended <- p.receive(link) }() // ends with the stream
@@ -64,14 +64,14 @@
 }
 
 // greeting is what a new link begins with: who this proxy is, and what it has received of the updates and of a snapshot.
-func (p *Proxy) greeting(link *controlLink, trial bool) (update.Hello, update.Progress) {
+func (p *Proxy) greeting(link *controlLink, statusOnly bool) (update.Hello, update.Progress) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	hello := update.Hello{Name: p.Settings.Name, IP: p.Settings.IP, Zone: p.Settings.Zone}
 	if p.control != nil {
 		hello.Incarnation, hello.Offset = p.control.subscription.Incarnation, p.control.subscription.Offset
 	}
-	if p.control != nil && !trial { // a part of a snapshot is continued by any control process that has the rest
+	if p.control != nil && !statusOnly { // a part of a snapshot is continued by any control process that has the rest
 		link.incoming, link.lastChunkAt = p.control.incoming, p.control.lastChunkAt
 	}
 	return hello, link.incoming.Progress()
@@ -87,7 +87,7 @@
 	p.control = link
 	p.subscribedAt = time.Now().UnixNano()
 	p.mu.Unlock()
-	close(link.chosen)
+	close(link.followed)
 	p.reportStatus() // first: others are to be notified that it is subscribed here before they are that it has left there
 	if old != nil {
 		old.stream.Close(errNearer)
@@ -105,7 +105,7 @@
 func (p *Proxy) receive(link *controlLink) error {
 	stop := context.AfterFunc(p.ctx, func() { link.stream.Close(p.ctx.Err()) })
 	defer stop()
-	catchUp := time.AfterFunc(catchUpTimeout, func() { link.stream.Close(errBehind) })
+	catchUp := time.AfterFunc(catchUpTimeout, func() { link.stream.Close(errNotUsable) })
 	defer catchUp.Stop()
 	err := link.stream.Run(func(m update.Message) {
 		p.updateClockOffset(link, m)
@@ -130,7 +130,7 @@
 	}
 	catchUp.Stop()
 	select {
-	case <-link.chosen:
+	case <-link.followed:
 	default:
 		p.switchTo(link)
 	}
@@ -151,6 +151,6 @@
 	case m.Chunk != nil:
 		p.applyChunk(link, *m.Chunk)
 	case m.Quota != nil:
-		p.applyAllotments(*m.Quota)
+		p.applyAllocations(*m.Quota)
 	}
 }
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -24,12 +24,12 @@
 	cuts           cutCounts        // clients' connections that this process ended
 	invalidAnswers [16]atomic.Int64 // what came in place of answers, by attempt.Event
 	refusals       [32]atomic.Int64 // by apierror.Kind
-	endings        [16]atomic.Int64 // of attempts, by decision.Result
+	results        [16]atomic.Int64 // of attempts, by decision.Result
 	byDistance     [3]atomic.Int64  // attempts in this zone, in its region, beyond
 }
 
-// endingNames are the names of attempts' results in the log line of counters.
-var endingNames = [...]string{
+// resultNames are the names of attempts' results in the log line of counters.
+var resultNames = [...]string{
 	decision.Succeeded:       "fulfilled",
 	decision.Failed:          "failed",
 	decision.Rejected:        "turned_away",
@@ -54,8 +54,8 @@
 	for _, k := range apierror.All() {
 		writeNonZero(&b, k.String(), &c.refusals[k])
 	}
-	for result, name := range endingNames {
-		writeNonZero(&b, "sent."+name, &c.endings[result])
+	for result, name := range resultNames {
+		writeNonZero(&b, "sent."+name, &c.results[result])
 	}
 	b.WriteString(c.cuts.String())
 	fmt.Fprintf(&b, " sent.zone=%d sent.region=%d sent.beyond=%d", c.byDistance[0].Load(), c.byDistance[1].Load(), c.byDistance[2].Load())
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -43,7 +43,7 @@
 			s.proxy.counters.invalidAnswers[invalid].Add(1)
 		}
 		s.attemptEnded(to, host, startedAt, o.Result)
-		s.proxy.counters.endings[o.Result].Add(1)
+		s.proxy.counters.results[o.Result].Add(1)
 		if a, ok := o.Reply.(*reply); ok && a.misdirected && host != nil {
 			s.proxy.markReplaced(to.Name)
 		}
@@ -99,7 +99,7 @@
 	}
 	s.forecast.Answered(now)
 	if s.meter != nil {
-		s.load.Add(now, loadMemory, float64(now-startedAt)/float64(second))
+		s.load.Add(now, loadTimeConstant, float64(now-startedAt)/float64(second))
 	}
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -50,7 +50,7 @@
 	connections *connlimit.Limiter
 	server      atomic.Pointer[http.Server]
 	front       atomic.Pointer[net.Listener]
-	accepted    chan struct{} // closed once no connection is accepted any more
+	acceptDone  chan struct{} // closed once no connection is accepted any more
 
 	mu             sync.Mutex // guards what follows; a service's lock may be locked under it, and never the other way round
 	endpoints      *endpoint.Table
@@ -123,7 +123,7 @@
 		Options:      o,
 		ctx:          ctx,
 		clock:        o.Clock,
-		accepted:     make(chan struct{}),
+		acceptDone:   make(chan struct{}),
 		services:     map[string]*service{},
 		subscribedAt: time.Now().UnixNano(),
 		endpoints:    endpoint.NewTable(s.Name, endpoint.Location{Zone: s.Zone, Region: s.Region}, s.ZoneRegions),
--- a/internal/proxy/quota.go
+++ b/internal/proxy/quota.go
@@ -54,8 +54,8 @@
 	return time.Duration(v.RetryAfter), v.Admitted
 }
 
-// applyAllotments applies what control has allocated to this proxy.
-func (p *Proxy) applyAllotments(u update.QuotaUpdate) {
+// applyAllocations applies what control has allocated to this proxy.
+func (p *Proxy) applyAllocations(u update.QuotaUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock()
--- a/internal/proxy/quota_report.go
+++ b/internal/proxy/quota_report.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	loadMemory      = 3 * second  // nanoseconds: time constant of how quickly a service answers this proxy
-	minLoadAnswers  = 0.1         // answers within loadMemory, below which no load is reported
-	loadInterval    = second      // nanoseconds between two reports of services' loads
-	callersInterval = 10 * second // nanoseconds between two reports of the callers' counts
+	loadTimeConstant = 3 * second  // nanoseconds: time constant of how quickly a service answers this proxy
+	minLoadAnswers   = 0.1         // answers within loadTimeConstant, below which no load is reported
+	loadInterval     = second      // nanoseconds between two reports of services' loads
+	callersInterval  = 10 * second // nanoseconds between two reports of the callers' counts
 )
 
 // reportQuotas reports the demand of callers with quotas to control, until the process's context ends; it begins with the first quota.
@@ -59,10 +59,10 @@
 	now := s.proxy.clock()
 	s.evenSlots = evenSlots
 	report.Reports = append(report.Reports, s.meter.Reports(now)...)
-	s.load.Decay(now, loadMemory)
+	s.load.Decay(now, loadTimeConstant)
 	if withLoads && s.load.Count > minLoadAnswers {
-		memory := float64(loadMemory) / float64(second)
-		report.Loads = append(report.Loads, quota.Load{Service: s.name, Completed: s.load.Count / memory, Work: s.load.Total / memory})
+		seconds := float64(loadTimeConstant) / float64(second)
+		report.Loads = append(report.Loads, quota.Load{Service: s.name, Completed: s.load.Count / seconds, Work: s.load.Total / seconds})
 	}
 	if withCallers {
 		report.Callers[s.name] = s.meter.DrainCallerCounts()
--- a/internal/proxy/rollout_vote.go
+++ b/internal/proxy/rollout_vote.go
@@ -28,12 +28,12 @@
 // evidenceInterval is how many of its engine's ticks a voter lets pass between two reports of its evidence to control.
 const evidenceInterval = 20
 
-// trialShareOfBound is the fraction of the allowed exposure that a proxy uses.
-const trialShareOfBound = 0.8
+// exposureUtilization is the fraction of the allowed exposure that a proxy uses.
+const exposureUtilization = 0.8
 
 // trialShare is the fraction of its requests that a proxy gives to a version on trial: less than the bound, as a request that is
 // rejected does not reach the service and yet counts as received.
-func trialShare(terms settings.Terms) float64 { return trialShareOfBound * terms.ExposureShare }
+func trialShare(terms settings.Terms) float64 { return exposureUtilization * terms.ExposureShare }
 
 // notifyRollout notifies the decision engine of the rollout's state.
 func (s *service) notifyRollout(r decision.Rollout) {
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -23,12 +23,12 @@
 
 // startServers begins to serve clients and the platform's readiness checks, until the process's context ends.
 func (p *Proxy) startServers(front, readiness net.Listener) {
-	checks := p.newReadinessServer()
-	go func() { logServeError("readiness", checks.Serve(readiness)) }()
+	readinessServer := p.newReadinessServer()
+	go func() { logServeError("readiness", readinessServer.Serve(readiness)) }()
 	go p.serveClients(front)
 	go func() {
 		<-p.ctx.Done()
-		checks.Close()
+		readinessServer.Close()
 		front.Close()
 		p.server.Load().Close()
 	}()
@@ -74,7 +74,7 @@
 	}
 	p.server.Store(server)
 	p.front.Store(&l)
-	defer close(p.accepted)
+	defer close(p.acceptDone)
 	logServeError("front", server.Serve(&limitedListener{
 		Listener: l,
 		limiter:  p.connections,
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -41,7 +41,7 @@
 	}
 	front.Close()
 	select { // what was accepted last is counted by then
-	case <-p.accepted:
+	case <-p.acceptDone:
 	case <-time.After(within):
 	}
 	p.server.Load().SetKeepAlivesEnabled(false) // it closes idle connections, also those that become idle later
