--- a/internal/proxy/control_candidates.go
+++ b/internal/proxy/control_candidates.go
@@ -8,7 +8,7 @@
 	"portflow/internal/cluster/gossip"
 )
 
-// controlZones are the zones of the control processes by IP, empty where the zone is not known yet.
+// controlZones returns the zones of the known control processes by IP. A zone that isn't known yet is empty.
 func (p *Proxy) controlZones() map[string]string {
 	p.mu.Lock()
 	zones := p.endpoints.Set.Members()
@@ -28,7 +28,8 @@
 	return zones
 }
 
-// controlDistances returns how far a control process is: 0 in this zone, 1 in this region, 2 beyond.
+// controlDistances returns a function that reports the distance of a control process: 0 in this proxy's zone, 1 in another zone of its
+// region, 2 in another region or an unknown zone.
 func (p *Proxy) controlDistances() func(ip string) int {
 	zones := p.controlZones()
 	return func(ip string) int {
@@ -42,8 +43,8 @@
 	}
 }
 
-// controlCandidates are the known control processes, the nearest first; among equals in an order of this proxy's own, so that many
-// proxies do not all subscribe to the same one.
+// controlCandidates returns the IPs of the known control processes, nearest first. Those at the same distance are ordered by a hash with
+// the seed of this proxy, so that not all proxies subscribe to the same one.
 func (p *Proxy) controlCandidates() (ips []string) {
 	distance := p.controlDistances()
 	for ip := range p.controlZones() {
@@ -61,7 +62,7 @@
 // fnvPrime is the prime of the 64-bit FNV hash.
 const fnvPrime = 0x100000001b3
 
-// hashWithSeed is the 64-bit FNV-1a hash of a text that begins at a seed, with its high bits mixed into the low ones.
+// hashWithSeed returns the 64-bit FNV-1a hash of text with seed as the offset basis and the high bits mixed into the low ones.
 func hashWithSeed(text string, seed uint64) uint64 {
 	for _, c := range []byte(text) {
 		seed = (seed ^ uint64(c)) * fnvPrime
--- a/internal/proxy/control_follow.go
+++ b/internal/proxy/control_follow.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	controlRetryInterval = 50 * time.Millisecond   // between two rounds of following
-	avoidDuration        = 3 * time.Second         // for which a control process that failed is asked after the others
-	nearerCheckInterval  = 1500 * time.Millisecond // between two checks for a nearer control process
+	controlRetryInterval = 50 * time.Millisecond   // pause before reconnecting
+	avoidDuration        = 3 * time.Second         // how long a control process that failed is tried last
+	nearerCheckInterval  = 1500 * time.Millisecond // time between two checks for a nearer control process
 )
 
-// avoidList is until when control processes that failed are asked after the others, by IP.
+// avoidList maps the IP of each control process that failed to the time until which it is tried after the others.
 type avoidList map[string]time.Time
 
-// add notes that a control process has failed.
+// add records that a control process failed.
 func (a avoidList) add(ip string, why error) {
 	klog.InfoS("line ended", "to", ip, "why", why)
 	a[ip] = time.Now().Add(avoidDuration)
 }
 
-// has reports whether a control process failed of late.
+// has reports whether a control process failed within the last avoidDuration.
 func (a avoidList) has(ip string) bool { return time.Now().Before(a[ip]) }
 
-// followControl follows the nearest control process that is usable, until the process's context ends.
+// followControl keeps this proxy connected to the nearest usable control process until the proxy's context is done.
 func (p *Proxy) followControl() {
 	avoid := avoidList{}
 	for p.ctx.Err() == nil {
 		p.dropStaleSnapshot()
 		if ips := p.controlCandidates(); len(ips) > 0 {
-			slices.SortStableFunc(ips, func(a, b string) int { // those that failed lately come last
+			slices.SortStableFunc(ips, func(a, b string) int { // recently failed ones last
 				return boolInt(avoid.has(a)) - boolInt(avoid.has(b))
 			})
 			p.followFrom(ips[0], avoid)
@@ -44,7 +44,7 @@
 	}
 }
 
-// followFrom follows a control process, and whichever nearer ones take its place, until the link to the last one ends.
+// followFrom follows the control process at ip, and the nearer ones that replace it. It returns once a link ends without a replacement.
 func (p *Proxy) followFrom(ip string, avoid avoidList) {
 	link, err := p.dialControl(p.ctx, ip, false)
 	if err != nil {
@@ -69,15 +69,15 @@
 	return 0
 }
 
-// waitForNearer dials, every so often, a control process that is nearer than the one that is followed: a proxy that starts knows the
-// seed nodes only, and would otherwise follow one of another region for good. It returns the link that replaces this one, or nil once
-// this one has ended.
+// waitForNearer periodically tries to switch to a control process that is nearer than the followed one. A new proxy knows only the seed
+// nodes and might otherwise follow a control process of another region forever. It returns the link that has replaced the given one, or
+// nil once the given one has ended.
 func (p *Proxy) waitForNearer(link *controlLink, avoid avoidList) *controlLink {
 	t := time.NewTicker(nearerCheckInterval)
 	defer t.Stop()
 	ctx, cancel := context.WithCancel(p.ctx)
 	defer cancel()
-	go func() { // ends with the link or this function
+	go func() { // ends with link or when this function returns
 		select {
 		case <-link.stream.Done():
 			cancel()
@@ -100,7 +100,7 @@
 	}
 }
 
-// nearerControl is the nearest control process that is nearer than one and hasn't failed of late.
+// nearerControl returns the nearest control process that is nearer than current and hasn't failed recently.
 func (p *Proxy) nearerControl(current string, avoid avoidList) (ip string, found bool) {
 	distance := p.controlDistances()
 	for _, ip := range p.controlCandidates() {
@@ -114,8 +114,9 @@
 	return "", false
 }
 
-// tryNearer dials a control process beside the link that is followed, which ends only once the nearer one has said that it is complete
-// and has a quorum: one that is cut off, behind or frozen costs the proxy nothing. It returns nil where the trial failed.
+// tryNearer connects to a nearer control process while the proxy still follows the current one. The proxy switches only once the nearer
+// one reports a complete state and a quorum, so that nothing is lost if it is partitioned, catching up or unresponsive. It returns nil if
+// the proxy hasn't switched.
 func (p *Proxy) tryNearer(ctx context.Context, ip string, current *controlLink, avoid avoidList) *controlLink {
 	candidate, err := p.dialControl(ctx, ip, true)
 	if err == nil {
@@ -126,7 +127,7 @@
 		case err = <-candidate.ended:
 		}
 		select {
-		case <-candidate.followed: // which ended the current one
+		case <-candidate.followed: // the switch has closed current
 			return candidate
 		default:
 		}
--- a/internal/proxy/control_link.go
+++ b/internal/proxy/control_link.go
@@ -11,35 +11,35 @@
 	"portflow/internal/cluster/update"
 )
 
-// controlLink is a connection to a control process, from the dial to its end. The one in Proxy.control is the one that this proxy
-// follows; another may be tried beside it.
+// controlLink is a connection to a control process. The proxy follows the one in Proxy.control. It may also have one open to a nearer
+// control process, to switch to it once that is usable (tryNearer).
 type controlLink struct {
 	ip       string
 	stream   *stream.Conn[update.Message]
-	followed chan struct{} // closed once this proxy follows it
-	ended    chan error    // why it ended, once
+	followed chan struct{} // closed when the proxy begins to follow this link
+	ended    chan error    // receives the reason for the end, once
 
-	// the proxy's lock guards these
+	// The fields below are guarded by Proxy.mu.
 	subscription update.Subscription
-	clockOffset  update.ClockOffset // of its clock
-	incoming     *update.Assembly   // a snapshot that comes in; the next link goes on with it
-	lastChunkAt  time.Time          // when its last chunk came
+	clockOffset  update.ClockOffset // of the control process's clock
+	incoming     *update.Assembly   // partially received snapshot, which the next link resumes
+	lastChunkAt  time.Time          // when the last chunk of incoming was received
 }
 
 const (
 	dialTimeout             = time.Second
-	catchUpTimeout          = 600 * time.Millisecond // with a control process that is catching up, or without quorum
-	partialSnapshotLifetime = 30 * time.Second       // for which a part of a snapshot is kept: no longer than control keeps the rest
+	catchUpTimeout          = 600 * time.Millisecond // until the link to an unusable control process is closed; restarted by each status
+	partialSnapshotLifetime = 30 * time.Second       // since its last chunk; at most as long as control keeps the rest
 )
 
 var (
-	errNotUsable = errors.New("it is behind, or hears too few others")
-	errNearer    = errors.New("a nearer one is followed")
-	errUpdateGap = errors.New("news does not follow")
+	errNotUsable = errors.New("control process is catching up or has no quorum")
+	errNearer    = errors.New("switched to a nearer control process")
+	errUpdateGap = errors.New("update batch does not follow the last one received")
 )
 
-// dialControl opens a link to a control process, which this proxy follows at once; or, as a trial beside the one that there is, once
-// it has said that it is complete and has a quorum.
+// dialControl opens a link to a control process. The proxy follows it at once. If statusOnly is set, it follows the link only once the
+// control process reports a complete state and a quorum; until then control sends nothing but its status.
 func (p *Proxy) dialControl(ctx context.Context, ip string, statusOnly bool) (*controlLink, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	c, err := p.Network.Dial(ctx, "tcp", net.JoinHostPort(ip, strconv.Itoa(p.Settings.InternalPorts[0])))
@@ -59,11 +59,12 @@
 	if !statusOnly {
 		p.switchTo(link)
 	}
-	go func() { link.ended <- p.receive(link) }() // ends with the stream
+	go func() { link.ended <- p.receive(link) }() // ends when the connection is closed
 	return link, nil
 }
 
-// greeting is what a new link begins with: who this proxy is, and what it has received of the updates and of a snapshot.
+// greeting returns the content of the first message on a link: the identity of this proxy, the offset up to which it has received updates,
+// and the progress of a partial snapshot.
 func (p *Proxy) greeting(link *controlLink, statusOnly bool) (update.Hello, update.Progress) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,13 +72,13 @@
 	if p.control != nil {
 		hello.Incarnation, hello.Offset = p.control.subscription.Incarnation, p.control.subscription.Offset
 	}
-	if p.control != nil && !statusOnly { // a part of a snapshot is continued by any control process that has the rest
+	if p.control != nil && !statusOnly { // any control process that has the rest of a partial snapshot can resume it
 		link.incoming, link.lastChunkAt = p.control.incoming, p.control.lastChunkAt
 	}
 	return hello, link.incoming.Progress()
 }
 
-// switchTo has this proxy follow a link; the one before ends.
+// switchTo makes the proxy follow link, and closes the link that it followed before.
 func (p *Proxy) switchTo(link *controlLink) {
 	p.mu.Lock()
 	old := p.control
@@ -88,20 +89,20 @@
 	p.subscribedAt = time.Now().UnixNano()
 	p.mu.Unlock()
 	close(link.followed)
-	p.reportStatus() // first: others are to be notified that it is subscribed here before they are that it has left there
+	p.reportStatus() // before closing old: other processes must learn of the new subscription before the end of the old one
 	if old != nil {
 		old.stream.Close(errNearer)
 	}
 }
 
-// isCurrent reports whether a link is the one that this proxy follows.
+// isCurrent reports whether link is the one that the proxy follows.
 func (p *Proxy) isCurrent(link *controlLink) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.control == link
 }
 
-// receive handles a link's messages until it ends, and returns why it did.
+// receive handles the messages of a link until it ends, and returns the reason for its end.
 func (p *Proxy) receive(link *controlLink) error {
 	stop := context.AfterFunc(p.ctx, func() { link.stream.Close(p.ctx.Err()) })
 	defer stop()
@@ -112,7 +113,7 @@
 		if m.Status != nil {
 			p.receiveStatus(link, *m.Status, catchUp)
 		}
-		if p.isCurrent(link) { // not a trial, nor replaced by another
+		if p.isCurrent(link) { // neither a candidate nor replaced by another link
 			p.applyMessage(link, m)
 		}
 	})
@@ -122,7 +123,8 @@
 	return err
 }
 
-// receiveStatus follows a link once its control process is usable, and bounds the time for which it is not.
+// receiveStatus switches to a link once its control process is usable. Each status of one that isn't usable restarts catchUp, which
+// closes the link after catchUpTimeout.
 func (p *Proxy) receiveStatus(link *controlLink, status update.Status, catchUp *time.Timer) {
 	if !usable(status) {
 		catchUp.Reset(catchUpTimeout)
@@ -139,12 +141,12 @@
 // usable reports whether a control process has a complete state and a quorum.
 func usable(status update.Status) bool { return status.Complete && status.HasQuorum }
 
-// applyMessage applies a message of the link that this proxy follows.
+// applyMessage handles a message on the link that the proxy follows.
 func (p *Proxy) applyMessage(link *controlLink, m update.Message) {
 	switch {
 	case m.Status != nil && usable(*m.Status):
 		if p.cutOffSince.Swap(0) != 0 {
-			p.rejoinedAt.Store(p.clock()) // others may have taken over its shares
+			p.rejoinedAt.Store(p.clock()) // other proxies may have taken over its shares of hosts
 		}
 	case m.Batch != nil:
 		p.applyBatch(link, *m.Batch)
--- a/internal/proxy/updates.go
+++ b/internal/proxy/updates.go
@@ -7,7 +7,7 @@
 	"portflow/internal/proxy/endpoint"
 )
 
-// updateClockOffset goes by what a message says of its sender's clock.
+// updateClockOffset updates the clock offset of a link by the sender's time in a message, if it has one.
 func (p *Proxy) updateClockOffset(link *controlLink, m update.Message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -17,7 +17,8 @@
 	link.clockOffset.Observe(m.Now, p.clock())
 }
 
-// applyChunk adds a chunk of a snapshot. Nothing of the snapshot is in force before it is complete, with the changes since.
+// applyChunk adds a chunk of a snapshot and acknowledges it. The snapshot takes effect only once it is complete and the batch of the
+// changes since then is received.
 func (p *Proxy) applyChunk(link *controlLink, c update.Chunk) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -30,7 +31,7 @@
 	link.stream.Send(update.Message{Progress: &progress})
 }
 
-// dropStaleSnapshot drops a part of a snapshot whose rest no control process keeps any more.
+// dropStaleSnapshot drops a partial snapshot that is so old that control may not have the rest any more.
 func (p *Proxy) dropStaleSnapshot() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -39,7 +40,7 @@
 	}
 }
 
-// applyBatch applies a batch of changes, or a snapshot; the link ends where the batch does not follow the one before.
+// applyBatch applies a batch of changes or a snapshot. It closes the link if the batch doesn't follow the last one.
 func (p *Proxy) applyBatch(link *controlLink, b update.Batch) {
 	if err := p.publishBatch(link, &b); err != nil {
 		link.stream.Close(err)
@@ -51,12 +52,12 @@
 	}
 }
 
-// publishBatch publishes what the endpoint table is after a batch, and acknowledges the batch. A batch that completes a snapshot in
-// chunks becomes that snapshot.
+// publishBatch applies a batch to the endpoint table, publishes the result and acknowledges the batch. If the batch completes a snapshot
+// that was received in chunks, it is replaced by that snapshot with the changes of the batch.
 func (p *Proxy) publishBatch(link *controlLink, b *update.Batch) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if changes, ok := link.incoming.Finish(*b); ok { // the snapshot and the changes since, in one step
+	if changes, ok := link.incoming.Finish(*b); ok { // the snapshot and the changes since then, in one step
 		b.Changes, b.Snapshot = changes, true
 	} else if b.Snapshot {
 		link.incoming.Reset()
