--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -12,23 +12,23 @@
 	"portflow/internal/proxy/attempt"
 )
 
-// counters are the counters of a process, of requests and of attempts. The sizes of the arrays are beyond the number of kinds.
+// counters are the counters of a proxy process. The arrays are longer than the number of kinds that index them.
 type counters struct {
-	received       atomic.Int64     // requests
-	answered       atomic.Int64     // requests with a host's answer
-	retried        atomic.Int64     // attempts after a request's first
-	clientGone     atomic.Int64     // clients that went while their request was at work
-	panics         atomic.Int64     // of attempts
-	bodyRefused    atomic.Int64     // bodies that there was no memory for
-	withheld       atomic.Int64     // attempts that a decision engine asked for and that must not be made
-	cuts           cutCounts        // clients' connections that this process ended
-	invalidAnswers [16]atomic.Int64 // what came in place of answers, by attempt.Event
-	refusals       [32]atomic.Int64 // by apierror.Kind
-	results        [16]atomic.Int64 // of attempts, by decision.Result
-	byDistance     [3]atomic.Int64  // attempts in this zone, in its region, beyond
+	received       atomic.Int64     // requests received
+	answered       atomic.Int64     // requests answered by a host
+	retried        atomic.Int64     // attempts after the first one of a request
+	clientGone     atomic.Int64     // clients that disconnected while their request was in progress
+	panics         atomic.Int64     // panics in attempts
+	bodyRefused    atomic.Int64     // request bodies rejected for lack of memory
+	withheld       atomic.Int64     // attempts requested by a decision engine but not made, as the request could run twice
+	cuts           cutCounts        // client connections ended by this process, by cause
+	invalidAnswers [16]atomic.Int64 // invalid answers of hosts, by attempt.Event
+	refusals       [32]atomic.Int64 // rejected requests, by apierror.Kind
+	results        [16]atomic.Int64 // attempts by decision.Result
+	byDistance     [3]atomic.Int64  // attempts by distance of the host: this zone, this region, other regions
 }
 
-// resultNames are the names of attempts' results in the log line of counters.
+// resultNames has the names that the log line of counters uses for results.
 var resultNames = [...]string{
 	decision.Succeeded:       "fulfilled",
 	decision.Failed:          "failed",
@@ -41,7 +41,8 @@
 	decision.InvalidAnswer:   "spoilt",
 }
 
-// String is the counters as the log line has them: those of requests always, others where they are not zero.
+// String returns the counters in the format of their log line. The first five and those by distance are always included, the others only
+// if they aren't zero.
 func (c *counters) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "taken=%d answered=%d again=%d gone=%d panics=%d",
@@ -62,14 +63,14 @@
 	return b.String()
 }
 
-// writeNonZero writes a counter behind a space, unless it is zero.
+// writeNonZero writes a space and a counter, unless the counter is zero.
 func writeNonZero(b *strings.Builder, name string, counter *atomic.Int64) {
 	if n := counter.Load(); n > 0 {
 		fmt.Fprintf(b, " %s=%d", name, n)
 	}
 }
 
-// LogCounters writes the counters on one line.
+// LogCounters logs the counters, and the current numbers of open requests, hosts, routes and proxies, in one line.
 func (p *Proxy) LogCounters() {
 	p.mu.Lock()
 	hosts := len(p.endpoints.Instances)
--- a/internal/proxy/host_state.go
+++ b/internal/proxy/host_state.go
@@ -11,24 +11,24 @@
 	"portflow/internal/proxy/endpoint"
 )
 
-// clockSkew is by how much the clocks of machines may differ, nanoseconds.
+// clockSkew is the maximum tolerated difference, in nanoseconds, between the clocks of two machines.
 const clockSkew = second / 2
 
-// hostState is one host as this proxy uses it; the service's lock guards it.
+// hostState is the state of a host at this proxy. The service's mu guards it.
 type hostState struct {
 	instance.Instance
-	inFlight   int // attempts
+	inFlight   int // number of attempts
 	coldWindow endpoint.SlidingWindow
 	ejection   outlier.Ejection
 
-	share        endpoint.Share       // as of shareVersion and shareRouting, and no longer than until shareUntil
-	evenShare    int                  // its part of the host's concurrent requests while no proxy lends any
+	share        endpoint.Share       // computed for shareVersion and shareRouting, and valid until shareUntil
+	evenShare    int                  // share.Concurrent without capacity borrowed from other proxies
 	shareVersion int                  // version of the proxy list
-	shareRouting *config.RoutingTable // its identity
-	shareUntil   int64                // nanoseconds
+	shareRouting *config.RoutingTable // compared by pointer
+	shareUntil   int64                // Unix nanoseconds
 }
 
-// updateHosts replaces what is known of the service's hosts. One that has gone stays while attempts at it are in flight.
+// updateHosts updates the states of the service's hosts. A host that was removed is kept while attempts at it are in flight.
 func (s *service) updateHosts(instances map[string]instance.Instance, ejections map[string]outlier.Ejection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +53,8 @@
 	}
 }
 
-// mayUse reports whether a request with these home regions may go to a host now, by the proxy's share of it and its state.
+// mayUse reports whether a request may be sent to a host now. It checks the request's home regions, if any, this proxy's share of the
+// host, and the limits for a host on probation or in warm-up.
 func (s *service) mayUse(h dispatch.Host, homeRegions []string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +74,7 @@
 	switch {
 	case host.inFlight >= host.share.Concurrent:
 		return false
-	case host.inFlight > 0 && now < host.ejection.ProbationUntil: // one attempt at a time on probation
+	case host.inFlight > 0 && now < host.ejection.ProbationUntil: // on probation: one attempt at a time
 		return false
 	case host.WarmUpUntil+clockSkew <= now:
 		return true
@@ -81,13 +82,14 @@
 	return host.coldWindow.Allows(now, min(host.share.ColdPerSecond, p.coldShare(now, host.Instance, snapshot)))
 }
 
-// shareOutdated reports whether the host's share is to be computed anew: it changes with the proxy list and the service only.
+// shareOutdated reports whether the host's share must be recomputed, because the proxy list or the routing table changed or shareUntil
+// has passed.
 func (h *hostState) shareOutdated(snapshot *routingSnapshot, now int64) bool {
 	return h.shareVersion != snapshot.listVersion || h.shareRouting != snapshot.routing || now >= h.shareUntil
 }
 
-// updateShare computes this proxy's share of a host. In its own zone, where proxies lend each other theirs, a share that has grown is
-// used only once the others have had time to shrink theirs.
+// updateShare recomputes this proxy's share of a host. Proxies lend each other their shares of the hosts in their own zone; there, a share
+// that has grown is used only after endpoint.SettleTime, when the other proxies have reduced theirs. The caller holds the service's mu.
 func (p *Proxy) updateShare(host *hostState, snapshot *routingSnapshot, now int64) {
 	host.share = p.hostShare(host.Instance, snapshot, snapshot.proxies)
 	host.shareVersion = snapshot.listVersion
@@ -107,7 +109,7 @@
 	}
 }
 
-// hostShare is this proxy's share of a host where these are the ready proxies.
+// hostShare returns this proxy's share of a host for the given list of ready proxies.
 func (p *Proxy) hostShare(h instance.Instance, snapshot *routingSnapshot, proxies endpoint.ProxyList) endpoint.Share {
 	bounds := endpoint.ColdBounds{
 		Overrun:   p.Settings.Terms.ColdOverrun,
@@ -118,8 +120,8 @@
 	return endpoint.ShareOf(h, p.Settings.Name, location, p.Settings.ZoneRegions, proxies, bounds)
 }
 
-// coldShare is the least share of a cold host that this proxy has had of late, requests a second: none for one that is cut off from
-// control, has just rejoined, or isn't on the proxy list yet.
+// coldShare returns the least share of a cold host that this proxy recently had, in requests per second. It is 0 while the proxy is
+// disconnected from control, for endpoint.SettleTime after it has reconnected, and until control announces it as ready.
 func (p *Proxy) coldShare(now int64, h instance.Instance, snapshot *routingSnapshot) int {
 	if p.cutOffSince.Load() != 0 || now-p.rejoinedAt.Load() < endpoint.SettleTime || !snapshot.counted {
 		return 0
--- a/internal/proxy/outliers.go
+++ b/internal/proxy/outliers.go
@@ -6,7 +6,8 @@
 	"portflow/internal/proxy/endpoint"
 )
 
-// reportOutliers reports the statistics of hosts that do badly to control, and publishes hosts whose ejection has ended.
+// reportOutliers sends control the statistics of hosts with recent failures, and publishes the services with hosts whose ejection has
+// ended.
 func (p *Proxy) reportOutliers() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -28,7 +29,7 @@
 	}
 }
 
-// markReplaced notes that another host answers at a host's address: the host has ended without saying so.
+// markReplaced marks a host as unresponsive because another host answers at its address: the host terminated without announcing it.
 func (p *Proxy) markReplaced(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -41,7 +42,7 @@
 	p.publish(endpoint.Changes{Services: map[string]bool{h.Service: true}})
 }
 
-// removeStaleHosts removes hosts that have been silent for long.
+// removeStaleHosts removes hosts that have been unresponsive or missing for too long.
 func (p *Proxy) removeStaleHosts() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,13 +1,13 @@
-// Package proxy is the process that carries traffic: it follows the updates of a control process, keeps a snapshot of the routing
-// table and the endpoints, and has a decision engine choose a host for each request.
+// Package proxy implements the process that forwards clients' requests to hosts. It receives updates from a control process, keeps a
+// snapshot of the routing table and the endpoints, and has a decision engine choose a host for each request.
 //
-// A request's way, a file a stage: listener.go and client_conn.go (accept, deadlines), handler.go (ServeHTTP, where to begin reading),
-// request_check.go (framing, head, route), body.go, route.go and quota.go (admission), host_state.go (which hosts the decision
-// engine may choose), forward.go and host_protocol.go (an attempt at a host), answer.go and refusal.go. The snapshot that requests
-// are routed by is in routing_snapshot.go; what control sends comes in by control_link.go and updates.go.
+// A request passes through these files: listener.go and client_conn.go (accepting, deadlines), handler.go (ServeHTTP; start reading
+// there), request_check.go (framing, header, route), body.go, route.go and quota.go (admission), host_state.go (which hosts the decision
+// engine may choose), forward.go and host_protocol.go (an attempt at a host), answer.go and refusal.go (the response). The snapshot that
+// requests are routed with is in routing_snapshot.go; control_link.go and updates.go receive the updates from control.
 //
-// The package decides nothing about hosts, retries or rollouts itself: internal/decision does, and internal/proxy/attempt says what
-// may be sent again.
+// The package itself makes no decisions about hosts, retries or rollouts: internal/decision makes them, and internal/proxy/attempt
+// determines which requests may be sent again.
 package proxy
 
 import (
@@ -32,15 +32,15 @@
 	"portflow/internal/upstream"
 )
 
-// Options are how a process that carries traffic runs.
+// Options configures a Proxy.
 type Options struct {
 	Settings settings.Settings
 	Network  network.Network
 	Seed     uint64
-	Clock    dispatch.Clock // nanoseconds, never back; nil for this machine's monotonic clock
+	Clock    dispatch.Clock // must never go back; nil for dispatch.NewClock
 }
 
-// Proxy is a process that carries traffic.
+// Proxy is a running proxy process. Start returns one.
 type Proxy struct {
 	Options
 	ctx         context.Context
@@ -50,29 +50,29 @@
 	connections *connlimit.Limiter
 	server      atomic.Pointer[http.Server]
 	front       atomic.Pointer[net.Listener]
-	acceptDone  chan struct{} // closed once no connection is accepted any more
+	acceptDone  chan struct{} // closed once no more connections are accepted
 
-	mu             sync.Mutex // guards what follows; a service's lock may be locked under it, and never the other way round
+	mu             sync.Mutex // guards the fields up to reportedDemand; a service's mu may be locked while it is held, but not vice versa
 	endpoints      *endpoint.Table
 	services       map[string]*service
-	control        *controlLink // the control process that is followed
-	subscribedAt   int64        // Unix nanoseconds
+	control        *controlLink // link to the control process that is followed or was last; nil before the first
+	subscribedAt   int64        // when control was last replaced, in Unix nanoseconds; at first the start of the proxy
 	history        endpoint.History
-	quotasActive   bool // demand is reported to control, since the first quota
-	reportedDemand bool // the last report had any
+	quotasActive   bool // set with the first quota: since then demand is reported to control
+	reportedDemand bool // whether the last report had any demand
 
-	shortage endpoint.Shortage // only the ticker uses it
+	shortage endpoint.Shortage // used only by the goroutine of runTicker
 
 	snapshot      atomic.Pointer[routingSnapshot]
-	cutOffSince   atomic.Int64 // since when no control process with a quorum is heard, 0 where one is
-	rejoinedAt    atomic.Int64 // when one was heard again
-	ready         atomic.Bool  // a complete snapshot of the configuration has come
+	cutOffSince   atomic.Int64 // when the link to control ended, 0 while a usable control process is followed
+	rejoinedAt    atomic.Int64 // when a usable control process was followed again after that
+	ready         atomic.Bool  // a complete snapshot was received from control
 	draining      atomic.Bool
-	refusing      atomic.Bool  // no new request is served any more
-	borrowing     atomic.Bool  // other proxies lend this one their shares
-	openRequests  atomic.Int64 // requests that have no answer yet
-	unfinished    atomic.Int64 // clients' connections that are new, or have a request that isn't answered yet
-	heldBodyBytes atomic.Int64 // bytes of requests' bodies
+	refusing      atomic.Bool  // new requests are refused
+	borrowing     atomic.Bool  // short of capacity in the zone: other proxies lend this one their shares of hosts
+	openRequests  atomic.Int64 // number of requests without an answer yet
+	unfinished    atomic.Int64 // number of client connections that are new or have a request without an answer yet
+	heldBodyBytes atomic.Int64 // memory for request bodies, in bytes
 	counters      counters
 	forwarded     forwardCounts
 
@@ -83,17 +83,17 @@
 const second = int64(time.Second)
 
 const (
-	connectTimeout      = 400 * time.Millisecond // more than the longest round trip, and a packet sent again
-	upstreamIdleTimeout = 8 * time.Second        // hosts close connections that are idle for some seconds
-	maxBufferedAnswer   = 256 << 10              // bytes of a host's answer that are read before it is passed on; longer ones are streamed
+	connectTimeout      = 400 * time.Millisecond // longer than the longest round trip plus one retransmission
+	upstreamIdleTimeout = 8 * time.Second        // hosts close connections after several idle seconds
+	maxBufferedAnswer   = 256 << 10              // bytes; longer answers of hosts are streamed
 )
 
 const (
-	reservedDescriptors = 300 // file descriptors for all but the connections of clients and to hosts
+	reservedDescriptors = 300 // file descriptors for uses other than connections of clients and to hosts
 	minConnections      = 64
 )
 
-// Start starts the process; it serves until Drain, or until its context ends. The caller calls Close after that.
+// Start starts a proxy, which serves until Drain is called or ctx is done. The caller must call Close after that.
 func Start(ctx context.Context, o Options) (*Proxy, error) {
 	p := newProxy(ctx, o)
 	if err := p.startGossip(); err != nil {
@@ -109,14 +109,14 @@
 	}
 	p.publish(endpoint.Changes{Routing: true, Proxies: true})
 	p.startServers(front, readiness)
-	go p.gossiper.Run(ctx) // these end with the context
+	go p.gossiper.Run(ctx) // this goroutine and the next two end when ctx is done
 	go p.followControl()
 	go p.runTicker()
 	klog.InfoS("proxy serving", "node", o.Settings.Name, "zone", o.Settings.Zone)
 	return p, nil
 }
 
-// newProxy is a process that has neither routes nor connections yet.
+// newProxy returns a proxy without routes and connections.
 func newProxy(ctx context.Context, o Options) *Proxy {
 	s := o.Settings
 	p := &Proxy{
@@ -129,10 +129,10 @@
 		endpoints:    endpoint.NewTable(s.Name, endpoint.Location{Zone: s.Zone, Region: s.Region}, s.ZoneRegions),
 	}
 	if p.clock == nil {
-		p.clock = dispatch.NewClock() // a step of the time of day changes nothing
+		p.clock = dispatch.NewClock() // unaffected by steps of the wall clock
 	}
 	p.random.Seed = ^o.Seed
-	maxConnections := max(minConnections, (s.Descriptors-reservedDescriptors)/2) // one half each: clients, hosts
+	maxConnections := max(minConnections, (s.Descriptors-reservedDescriptors)/2) // half for clients, half for hosts
 	p.connections = connlimit.New(maxConnections, maxConnections*3/4)
 	p.upstreams = upstream.New(upstream.Options{
 		Protocol:       hostProtocol{maxBufferedAnswer},
@@ -145,13 +145,13 @@
 	return p
 }
 
-// attemptPanicked counts and logs a panic of an attempt, which ends that attempt alone.
+// attemptPanicked counts and logs a panic in an attempt. Other attempts continue.
 func (p *Proxy) attemptPanicked(v any, stack []byte) {
 	p.counters.panics.Add(1)
 	klog.ErrorS(fmt.Errorf("%v", v), "attempt", "stack", string(stack))
 }
 
-// startGossip opens the gossip socket; the seed nodes are the members that are known to begin with.
+// startGossip opens the gossip socket and adds the seed nodes as the first known members.
 func (p *Proxy) startGossip() error {
 	s := p.Settings
 	packets, err := p.Network.ListenPacket(net.JoinHostPort(s.IP, strconv.Itoa(s.InternalPorts[1])))
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// listen opens a listener of the settings by its name.
+// listen opens the listener with the given name in the settings.
 func (p *Proxy) listen(name string) (net.Listener, error) {
 	l, err := p.Network.Listen(p.Settings.ListenAddresses[name])
 	if err != nil {
--- a/internal/proxy/quota.go
+++ b/internal/proxy/quota.go
@@ -11,8 +11,8 @@
 	"portflow/internal/quota"
 )
 
-// updateMeters has the services' meters follow the quotas of a routing table; the caller holds the lock of the proxy. Where there are
-// no quotas this is all that they cost.
+// updateMeters applies the quotas of a routing table to the meters of the services. The caller holds Proxy.mu. As long as no quota was
+// ever configured, it returns at once and there are no meters.
 func (p *Proxy) updateMeters(routing *config.RoutingTable, proxies int) {
 	if routing.Quotas == nil && !p.quotasActive {
 		return
@@ -31,12 +31,12 @@
 	}
 	if !p.quotasActive {
 		p.quotasActive = true
-		go p.reportQuotas() // ends with the process's context
+		go p.reportQuotas() // ends when the proxy's context is done
 	}
 }
 
-// checkQuota counts a request against its caller's quota, and states that in the answer's header; admitted is false where the request
-// is to be refused, and retryAfter when to come back.
+// checkQuota charges a request to its caller's quota, and sets the RateLimit fields of the answer's header. If admitted is false, the
+// request must be refused, and the caller may retry after retryAfter.
 func (s *service) checkQuota(w http.ResponseWriter, r *http.Request, idempotent bool) (retryAfter time.Duration, admitted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +45,7 @@
 	}
 	headroom := quota.HeadroomFor(float64(s.inFlight) / max(1, s.evenSlots))
 	v := s.meter.Admit(s.proxy.clock(), r.Header.Get(s.meter.CallerHeader()), idempotent, headroom)
-	if v.Quota != "" { // as the RateLimit header fields of draft-ietf-httpapi-ratelimit-headers
+	if v.Quota != "" { // header fields of draft-ietf-httpapi-ratelimit-headers
 		window := quota.LimitWindow / second
 		reset := math.Ceil(float64(v.Reset) / float64(second))
 		w.Header()["RateLimit-Policy"] = []string{fmt.Sprintf("%q;q=%.0f;w=%d", v.Quota, v.Limit, window)}
@@ -54,7 +54,7 @@
 	return time.Duration(v.RetryAfter), v.Admitted
 }
 
-// applyAllocations applies what control has allocated to this proxy.
+// applyAllocations applies the quota allocations and the capacities of services that control has sent.
 func (p *Proxy) applyAllocations(u update.QuotaUpdate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/quota_report.go
+++ b/internal/proxy/quota_report.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	loadTimeConstant = 3 * second  // nanoseconds: time constant of how quickly a service answers this proxy
-	minLoadAnswers   = 0.1         // answers within loadTimeConstant, below which no load is reported
-	loadInterval     = second      // nanoseconds between two reports of services' loads
-	callersInterval  = 10 * second // nanoseconds between two reports of the callers' counts
+	loadTimeConstant = 3 * second  // nanoseconds, for the decay of service.load
+	minLoadAnswers   = 0.1         // decayed count of answers up to which no load is reported
+	loadInterval     = second      // nanoseconds between two reports of the loads of services
+	callersInterval  = 10 * second // nanoseconds between two reports of the request counts of callers
 )
 
-// reportQuotas reports the demand of callers with quotas to control, until the process's context ends; it begins with the first quota.
+// reportQuotas reports the demand of callers with quotas to control until the proxy's context is done. It is started with the first quota.
 func (p *Proxy) reportQuotas() {
 	t := time.NewTicker(time.Duration(quota.AllocationInterval))
 	defer t.Stop()
@@ -31,7 +31,7 @@
 	}
 }
 
-// sendQuotaReport reports what callers ask for, and where it is asked for also how quickly services answer, and which callers there were.
+// sendQuotaReport sends control the demand of callers. withLoads adds the loads of the services, withCallers the request counts of callers.
 func (p *Proxy) sendQuotaReport(withLoads, withCallers bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -43,13 +43,13 @@
 		}
 	}
 	hasContent := len(report.Reports) > 0 || len(report.Loads) > 0 || withCallers
-	if p.control != nil && (hasContent || p.reportedDemand) { // also that there is no demand any more
+	if p.control != nil && (hasContent || p.reportedDemand) { // also sent once when demand has ended
 		p.control.stream.Send(update.Message{Quota: &report})
 	}
 	p.reportedDemand = len(report.Reports) > 0
 }
 
-// addQuotaReport adds a service's part of a report.
+// addQuotaReport adds the data of a service to a report.
 func (s *service) addQuotaReport(report *update.QuotaUpdate, evenSlots float64, withLoads, withCallers bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,8 +69,8 @@
 	}
 }
 
-// evenSlotShare is this proxy's even share of the slots of a service's hosts: of its zone's, where there are none of its region's,
-// else of all. The caller holds the lock of the proxy.
+// evenSlotShare returns the slots of a service's ready hosts divided by the number of ready proxies, both in this proxy's zone. If the zone
+// has no slots, both are counted in the region, and if that has none either, everywhere. The caller holds Proxy.mu.
 func (p *Proxy) evenSlotShare(name string, snapshot *routingSnapshot) float64 {
 	var slots [3]float64 // by distance
 	for _, h := range p.endpoints.Hosts(name) {
