--- a/internal/proxy/rollout_vote.go
+++ b/internal/proxy/rollout_vote.go
@@ -12,7 +12,7 @@
 	"portflow/internal/dispatch"
 )
 
-// decisionLog logs what a decision engine notes: a vote that has changed, with its evidence.
+// decisionLog is an io.Writer that logs the messages of a decision engine. They report changed votes with their evidence.
 type decisionLog struct{ service string }
 
 func (l decisionLog) Write(line []byte) (int, error) {
@@ -25,35 +25,35 @@
 	voteLifetime = rollout.VoteLifetime
 )
 
-// evidenceInterval is how many of its engine's ticks a voter lets pass between two reports of its evidence to control.
+// evidenceInterval is the number of engine ticks between two reports of a voter's evidence to control.
 const evidenceInterval = 20
 
-// exposureUtilization is the fraction of the allowed exposure that a proxy uses.
+// exposureUtilization is the fraction of the allowed exposure of a trial that a proxy uses.
 const exposureUtilization = 0.8
 
-// trialShare is the fraction of its requests that a proxy gives to a version on trial: less than the bound, as a request that is
-// rejected does not reach the service and yet counts as received.
+// trialShare returns the fraction of its requests that a proxy may send to a version on trial. It is below the allowed exposure because
+// that fraction also counts rejected requests, which don't reach the service.
 func trialShare(terms settings.Terms) float64 { return exposureUtilization * terms.ExposureShare }
 
-// notifyRollout notifies the decision engine of the rollout's state.
+// notifyRollout notifies the decision engine of the state of the rollout.
 func (s *service) notifyRollout(r decision.Rollout) {
 	s.engineRollout.Store(&r)
 	s.dispatcher.Post(dispatch.RolloutChanged{Rollout: r})
 }
 
-// Vote sends control this proxy's decision on a rollout.
+// Vote implements dispatch.RolloutPlatform. It sends control this proxy's vote on a rollout, with the evidence.
 func (s *service) Vote(v decision.Verdict, build, _ int) {
 	vote := update.Vote{Service: s.name, Number: uint64(build), Verdict: uint8(v), ReceivedAt: s.proxy.clock()}
-	if v != decision.NoVote { // which only withdraws the last one
+	if v != decision.NoVote { // NoVote only withdraws the last vote
 		vote.Evidence = s.trialEvidence()
 	}
 	s.proxy.SendVote(vote)
 	r := *s.engineRollout.Load()
 	r.VoteReply = true
-	go s.dispatcher.Post(dispatch.RolloutChanged{Rollout: r}) // not from here: the engine is in the middle of a step
+	go s.dispatcher.Post(dispatch.RolloutChanged{Rollout: r}) // ends once posted: Post may block, and the caller is the engine's goroutine
 }
 
-// trialEvidence is what the decision engine decides by; only an effect of the engine may call it.
+// trialEvidence returns the statistics by which the decision engine evaluates a trial. It must be called only from an effect of the engine.
 func (s *service) trialEvidence() *update.Evidence {
 	statistics := s.dispatcher.TrialStatistics()
 	return &update.Evidence{
@@ -65,7 +65,8 @@
 	}
 }
 
-// SendGossip gossips while a version is on trial, as there is nothing to share otherwise. Voters also report their evidence to control.
+// SendGossip implements dispatch.Peers. It gossips only while a version is on trial, as there is nothing to share otherwise. Voters also
+// report their evidence to control.
 func (s *service) SendGossip(_ int, message []byte) {
 	r := s.engineRollout.Load()
 	if r.State != decision.OnTrial {
@@ -84,9 +85,9 @@
 	}
 }
 
-// SendVote sends control a vote of a decision engine.
+// SendVote sends control a vote of a decision engine. It does not block. The vote is dropped if there is no link to control.
 func (p *Proxy) SendVote(vote update.Vote) {
-	go func() { // ends once sent: the engine is in the middle of a step, and whoever posts to it may hold the lock
+	go func() { // ends once sent; the engine's goroutine must not lock mu, as a goroutine that holds it may be waiting in Post
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if p.control != nil && decision.Verdict(vote.Verdict) <= decision.RollBack {
@@ -95,7 +96,7 @@
 	}()
 }
 
-// receiveGossip gives a decision engine what another proxy's engine gossiped; the topic is the service's name.
+// receiveGossip passes a gossip message of another proxy to the decision engine of a service. The topic is the service's name.
 func (p *Proxy) receiveGossip(topic string, message []byte) {
 	snapshot := p.snapshot.Load()
 	if s := snapshot.services[topic]; s != nil && snapshot.count > 1 {
--- a/internal/proxy/routing_snapshot.go
+++ b/internal/proxy/routing_snapshot.go
@@ -9,20 +9,20 @@
 	"portflow/internal/proxy/endpoint"
 )
 
-// routingSnapshot is what requests are routed by. It is immutable: publish replaces it as a whole.
+// routingSnapshot has the state that requests are routed with. It is immutable; publish replaces it.
 type routingSnapshot struct {
 	routing     *config.RoutingTable
 	services    map[string]*service
 	proxies     endpoint.ProxyList
 	listVersion int              // version of the proxy list
-	rank        int              // of this proxy on the list
-	count       int              // of proxies on the list
-	counted     bool             // this proxy is on the list by control's word, not only by its own
-	history     endpoint.History // of the proxy list
+	rank        int              // of this proxy among the ready proxies
+	count       int              // number of proxies on the list
+	counted     bool             // control announces this proxy as ready; otherwise it was added to the list locally
+	history     endpoint.History // recently replaced proxy lists
 }
 
-// publish makes a snapshot of the endpoint table after changes, and notifies the decision engines of them. The caller holds the
-// lock of the proxy, or nothing else runs yet.
+// publish replaces the snapshot after changes of the endpoint table, and notifies the decision engines of the changes. The caller holds
+// Proxy.mu, unless no other goroutine of the proxy has been started yet.
 func (p *Proxy) publish(c endpoint.Changes) {
 	next := routingSnapshot{}
 	if old := p.snapshot.Load(); old != nil {
@@ -45,8 +45,8 @@
 	}
 }
 
-// rebuildRouting replaces a snapshot's routing table and services, and starts services that are new. It returns the changed services
-// with those added.
+// rebuildRouting replaces the routing table and the services of a snapshot, and starts new services. It returns the changed services
+// including the new ones.
 func (p *Proxy) rebuildRouting(next *routingSnapshot, changed map[string]bool) map[string]bool {
 	next.routing = next.routing.Rebuild(p.endpoints.Set)
 	for _, item := range next.routing.Inactive {
@@ -69,7 +69,7 @@
 	return changed
 }
 
-// rebuildProxyList replaces a snapshot's proxy list, and notifies the decision engines of this proxy's rank.
+// rebuildProxyList replaces the proxy list of a snapshot, and notifies the decision engines of this proxy's rank.
 func (p *Proxy) rebuildProxyList(next *routingSnapshot) {
 	p.history = p.history.Append(p.clock(), next.proxies, next.counted)
 	next.history = p.history
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -19,9 +19,9 @@
 	readinessIdleTimeout   = 30 * time.Second
 )
 
-var discardLog = stdlog.New(io.Discard, "", 0) // what clients send wrong is counted, not logged
+var discardLog = stdlog.New(io.Discard, "", 0) // invalid input from clients is counted, not logged
 
-// startServers begins to serve clients and the platform's readiness checks, until the process's context ends.
+// startServers starts to serve clients and the platform's readiness checks. Its goroutines end when the proxy's context is done.
 func (p *Proxy) startServers(front, readiness net.Listener) {
 	readinessServer := p.newReadinessServer()
 	go func() { logServeError("readiness", readinessServer.Serve(readiness)) }()
@@ -34,12 +34,12 @@
 	}()
 }
 
-// logServeError logs why a server ended; ending it gives http.ErrServerClosed or net.ErrClosed.
+// logServeError logs why a server ended. The error is http.ErrServerClosed or net.ErrClosed if it was closed.
 func logServeError(name string, err error) {
 	klog.V(1).InfoS("server ended", "server", name, "why", err)
 }
 
-// newReadinessServer is the server of the platform's readiness checks.
+// newReadinessServer returns the server that answers the platform's readiness checks.
 func (p *Proxy) newReadinessServer() *http.Server {
 	router := chi.NewRouter()
 	router.Get("/-/readiness", func(w http.ResponseWriter, _ *http.Request) {
@@ -58,8 +58,8 @@
 	}
 }
 
-// serveClients serves clients until the listener is closed. The server is made before any limits have come: clientConn replaces its
-// timeouts by the limits in force.
+// serveClients serves clients until the listener is closed. The server is created before the configured limits are received; clientConn
+// replaces its timeouts with the current limits.
 func (p *Proxy) serveClients(l net.Listener) {
 	limits := p.snapshot.Load().routing.Limits
 	server := &http.Server{
@@ -70,7 +70,7 @@
 		ErrorLog:                     discardLog,
 		ConnState:                    p.connStateChanged,
 		ConnContext:                  withClientConn,
-		DisableGeneralOptionsHandler: true, // it would answer beside ServeHTTP, and nobody would take the request's framing
+		DisableGeneralOptionsHandler: true, // net/http would answer OPTIONS * without ServeHTTP, which must consume the framing of each request
 	}
 	p.server.Store(server)
 	p.front.Store(&l)
@@ -83,7 +83,7 @@
 	}))
 }
 
-// connStateChanged follows a client's connection through the states that net/http reports.
+// connStateChanged is the http.Server.ConnState hook. It updates the count of unfinished connections and the slot of the connection.
 func (p *Proxy) connStateChanged(c net.Conn, state http.ConnState) {
 	conn, ok := c.(*clientConn)
 	if !ok {
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -16,29 +16,29 @@
 	"portflow/internal/quota"
 )
 
-// service is one service's decision engine, and the state of its hosts as this proxy uses them.
+// service has the decision engine of a service, and the state of its hosts at this proxy.
 type service struct {
 	proxy         *Proxy
 	name          string
 	dispatcher    *dispatch.Dispatcher
-	rollout       rollout.Rollout                  // as it was published last; guarded by the proxy's lock
-	engineRollout atomic.Pointer[decision.Rollout] // as the decision engine was notified of it last
-	trialTicks    int                              // ticks of the engine during a trial; only the engine's goroutine uses it
+	rollout       rollout.Rollout                  // last published state; guarded by Proxy.mu
+	engineRollout atomic.Pointer[decision.Rollout] // last state that the decision engine was notified of
+	trialTicks    int                              // number of engine ticks during trials; used only by the engine's goroutine
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields up to hosts
 	forecast  endpoint.Forecast
-	meter     *quota.Meter // nil where no caller has a quota
-	inFlight  int          // attempts
-	evenSlots float64      // this proxy's even share of the slots that it uses
-	load      decay.Sum    // answers, and the seconds that they took
+	meter     *quota.Meter // nil if no caller has a quota
+	inFlight  int          // number of attempts
+	evenSlots float64      // this proxy's even share of the slots of the hosts, see evenSlotShare
+	load      decay.Sum    // decaying count of answers and total of the seconds that they took
 	outliers  *outlier.Recorder
 	hosts     map[string]*hostState
 
-	classMu sync.Mutex // guards classes; the engine's goroutine never locks it, as a class may wait for room in its queue
+	classMu sync.Mutex // guards classes; the engine's goroutine must never lock it, as classOf holds it while it waits in Post
 	classes classTable
 }
 
-// The decision engine acts through its service.
+// A service implements the outputs of its decision engine.
 var (
 	_ dispatch.Upstream        = (*service)(nil)
 	_ dispatch.RolloutPlatform = (*service)(nil)
@@ -47,15 +47,15 @@
 )
 
 const (
-	releasedAge         = int64(3600e9) // nanoseconds: of the version of a service of which no rollout is known
+	releasedAge         = int64(3600e9) // nanoseconds; assumed age of the version of a service without a known rollout
 	timerResolution     = int64(5e6)    // nanoseconds
 	maxEngineRetryAfter = int64(500e6)  // nanoseconds
 	voteTimeout         = int64(500e6)  // nanoseconds
-	trialBurstPerSlack  = 0.7           // of the slack of a trial's exposure
-	retryBurstPerSlack  = 0.5           // of the slack of the retry budget
+	trialBurstPerSlack  = 0.7           // fraction of Terms.ExposureSlack
+	retryBurstPerSlack  = 0.5           // fraction of Terms.BudgetSlack
 )
 
-// startService begins a service, whose decision engine runs until the process's context ends; the caller holds the lock of the proxy.
+// startService starts the decision engine of a service, which runs until the proxy's context is done. The caller holds Proxy.mu.
 func (p *Proxy) startService(name string) *service {
 	s := &service{proxy: p, name: name, hosts: map[string]*hostState{}, outliers: outlier.NewRecorder()}
 	s.dispatcher = dispatch.New(p.clock, zerolog.New(decisionLog{name}))
@@ -73,8 +73,8 @@
 	return s
 }
 
-// decisionSettings are the settings of a service's decision engine. Bounds of all proxies together are divided by their number, of
-// which the engine is notified.
+// decisionSettings returns the settings of a service's decision engine. The engine divides the bounds for all proxies together by the
+// number of proxies, which RankChanged events report.
 func decisionSettings(terms settings.Terms) decision.Settings {
 	return decision.Settings{
 		Routers:          1,
@@ -98,11 +98,11 @@
 	}
 }
 
-// CloseIdle closes the idle connections to an address.
+// CloseIdle implements dispatch.Upstream.
 func (s *service) CloseIdle(address string) { s.proxy.upstreams.CloseIdle(address) }
 
-// Forget drops what is kept for an address.
+// Forget implements dispatch.Upstream.
 func (s *service) Forget(address string) { s.proxy.upstreams.Forget(address) }
 
-// Watch does nothing: updates come without being asked for.
+// Watch implements dispatch.HostWatcher. It does nothing, as control sends all updates of hosts anyway.
 func (s *service) Watch(bool) {}
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// acceptAfterTerm is the most time for which a draining proxy serves new requests: one that is sent later than 3 s after a
-	// SIGTERM has a right to be finished, whatever is left of the grace.
+	// acceptAfterTerm is the maximum time for which a draining proxy serves new requests. If a request that is sent more than 3 s
+	// after SIGTERM is served, it must be completed, however little is left of the grace period.
 	acceptAfterTerm = 2800 * time.Millisecond
-	// finishReserve is left of three quarters of the grace as connections begin to be finished.
+	// finishReserve is how long before three quarters of the grace period Drain calls finishConnections.
 	finishReserve = 200 * time.Millisecond
-	// finishPollInterval is the time between two checks of whether all connections are finished.
+	// finishPollInterval is the time between two checks whether all connections are finished.
 	finishPollInterval = 5 * time.Millisecond
 )
 
-// Drain ends the service of clients. The proxy is not ready at once, and connections are closed after their next answer. New requests
-// are served for a while, then refused, until shortly before the grace ends; what was received has at least half of the grace to be
-// finished.
+// Drain stops serving clients gracefully. The proxy is not ready from now on, and closes each connection after its next answer. New
+// requests are served for at most half of the grace period and refused after that. Requests that were received can complete until Drain
+// returns, shortly before the grace period ends.
 func (p *Proxy) Drain() {
 	p.draining.Store(true)
 	p.reportStatus()
@@ -30,9 +30,9 @@
 	p.LogCounters()
 }
 
-// finishConnections stops accepting connections once none waits to be accepted, as closing a listener resets those. Idle connections
-// are closed, and those that are new or have a request get its answer, all within the given time. http.Server.Shutdown won't do: once
-// it has begun, the server closes a connection without an answer after it has read a request on it.
+// finishConnections closes the listener once no connection is waiting to be accepted, because closing it resets those. It then closes
+// idle connections and waits for the answers on those that are new or have a request. Each wait is limited by the given time.
+// http.Server.Shutdown is unsuitable: once it is called, a connection on which a request is read is closed without an answer.
 func (p *Proxy) finishConnections(within time.Duration) {
 	began := time.Now()
 	front := *p.front.Load()
@@ -40,17 +40,18 @@
 		time.Sleep(finishPollInterval)
 	}
 	front.Close()
-	select { // what was accepted last is counted by then
+	select { // the last accepted connections have been counted by then
 	case <-p.acceptDone:
 	case <-time.After(within):
 	}
-	p.server.Load().SetKeepAlivesEnabled(false) // it closes idle connections, also those that become idle later
+	p.server.Load().SetKeepAlivesEnabled(false) // closes idle connections, now and as soon as they become idle
 	for p.unfinished.Load() > 0 && time.Since(began) < within {
 		time.Sleep(finishPollInterval)
 	}
 }
 
-// unfinished returns by how much a connection's new state changes the number of those that are new or have a request.
+// unfinished records the new state of a connection, and returns by how much it changes the number of connections that are new or have a
+// request.
 func (c *clientConn) unfinished(state http.ConnState) int64 {
 	is := state == http.StateNew || state == http.StateActive
 	c.mu.Lock()
@@ -66,5 +67,5 @@
 	return 0
 }
 
-// Close closes the connections to hosts; the context that the process was started with has ended.
+// Close closes the connections to hosts. It must be called only after the context passed to Start is done.
 func (p *Proxy) Close() { p.upstreams.Shutdown() }
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -11,11 +11,11 @@
 	"portflow/internal/proxy/endpoint"
 )
 
-// ticksPerLogLine is how many ticks lie between two log lines of counters.
+// ticksPerLogLine is the number of ticks between two log lines of counters.
 const ticksPerLogLine = 20
 
-// runTicker checks whether this proxy is short of capacity and reports outliers, and every so often removes stale hosts and logs the
-// counters, until the process's context ends.
+// runTicker reports outliers and checks whether this proxy is short of capacity at each tick, and removes stale hosts and logs the
+// counters every ticksPerLogLine ticks, until the proxy's context is done.
 func (p *Proxy) runTicker() {
 	t := time.NewTicker(time.Duration(endpoint.CheckInterval))
 	defer t.Stop()
@@ -34,7 +34,7 @@
 	}
 }
 
-// checkShortage decides whether this proxy borrows other proxies' shares, and reports a change of that to control.
+// checkShortage determines whether this proxy needs to borrow other proxies' shares of hosts, and reports a change to control.
 func (p *Proxy) checkShortage() {
 	all, otherZone, overShare := p.forwarded.all.Swap(0), p.forwarded.otherZone.Swap(0), p.forwarded.overShare.Swap(0)
 	short := p.shortage.Check(int(all), int(otherZone), int(overShare))
@@ -44,7 +44,7 @@
 	}
 }
 
-// reportStatus reports this proxy's own state to control.
+// reportStatus sends this proxy's state to control.
 func (p *Proxy) reportStatus() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,10 +62,10 @@
 	}})
 }
 
-// Ready reports whether the process serves requests.
+// Ready reports whether the proxy has received a complete snapshot from control and is not draining.
 func (p *Proxy) Ready() bool { return p.ready.Load() && !p.draining.Load() }
 
-// RouteVersions are the versions of the routes that this proxy knows, dropped ones included, by name.
+// RouteVersions returns the versions of the known routes by name, including deleted routes whose tombstones are kept.
 func (p *Proxy) RouteVersions() map[string]uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,7 +78,7 @@
 	return versions
 }
 
-// UsableHosts is how many hosts of a service this proxy may use by what control has announced.
+// UsableHosts returns the number of a service's hosts that are ready, as of the last update from control.
 func (p *Proxy) UsableHosts(service string) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
