--- a/internal/proxy/control_follow.go
+++ b/internal/proxy/control_follow.go
@@ -19,7 +19,7 @@
 
 // add records that a control process failed.
 func (a avoidList) add(ip string, why error) {
-	klog.InfoS("line ended", "to", ip, "why", why)
+	klog.InfoS("control connection ended", "to", ip, "why", why)
 	a[ip] = time.Now().Add(avoidDuration)
 }
 
@@ -54,7 +54,7 @@
 	for link != nil {
 		nearer := p.waitForNearer(link, avoid)
 		if why := <-link.ended; nearer != nil {
-			klog.InfoS("line ended", "to", link.ip, "why", why)
+			klog.InfoS("control connection ended", "to", link.ip, "why", why)
 		} else {
 			avoid.add(link.ip, why)
 		}
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -39,7 +39,7 @@
 	all, otherZone, overShare := p.forwarded.all.Swap(0), p.forwarded.otherZone.Swap(0), p.forwarded.overShare.Swap(0)
 	short := p.shortage.Check(int(all), int(otherZone), int(overShare))
 	if p.borrowing.Swap(short) != short {
-		klog.InfoS("short of room in the zone", "is", short)
+		klog.InfoS("zone is short of capacity", "is", short)
 		p.reportStatus()
 	}
 }
