--- a/internal/proxy/control_follow.go
+++ b/internal/proxy/control_follow.go
@@ -10,7 +10,7 @@
 
 const (
 	controlRetryInterval = 50 * time.Millisecond   // pause before reconnecting
-	avoidDuration        = 3 * time.Second         // how long a control process that failed is tried last
+	avoidDuration        = 3 * time.Second         // time after a failure in which a control process is tried last
 	nearerCheckInterval  = 1500 * time.Millisecond // time between two checks for a nearer control process
 )
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -84,7 +84,7 @@
 
 const (
 	connectTimeout      = 400 * time.Millisecond // longer than the longest round trip plus one retransmission
-	upstreamIdleTimeout = 8 * time.Second        // hosts close connections after several idle seconds
+	upstreamIdleTimeout = 8 * time.Second        // hosts close connections that were idle for several seconds
 	maxBufferedAnswer   = 256 << 10              // bytes; longer answers of hosts are streamed
 )
 
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -21,7 +21,7 @@
 
 var discardLog = stdlog.New(io.Discard, "", 0) // invalid input from clients is counted, not logged
 
-// startServers starts to serve clients and the platform's readiness checks. Its goroutines end when the proxy's context is done.
+// startServers starts to serve clients and the platform's readiness checks. Its goroutines end at the latest when the proxy's context is done.
 func (p *Proxy) startServers(front, readiness net.Listener) {
 	readinessServer := p.newReadinessServer()
 	go func() { logServeError("readiness", readinessServer.Serve(readiness)) }()
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -9,7 +9,7 @@
 	// acceptAfterTerm is the maximum time for which a draining proxy serves new requests. If a request that is sent more than 3 s
 	// after SIGTERM is served, it must be completed, however little is left of the grace period.
 	acceptAfterTerm = 2800 * time.Millisecond
-	// finishReserve is how long before three quarters of the grace period Drain calls finishConnections.
+	// Drain calls finishConnections finishReserve before three quarters of the grace period have passed.
 	finishReserve = 200 * time.Millisecond
 	// finishPollInterval is the time between two checks whether all connections are finished.
 	finishPollInterval = 5 * time.Millisecond
