--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -14,53 +14,55 @@
 	"portflow/internal/dispatch"
 )
 
-// An attempt leaves stateWaiting once: to whichever comes first, its first byte or its end.
+// The states of an attempt. It leaves stateWaiting at most once: for stateWriting when its first byte is about to be
+// written, or for stateCanceled if it is canceled or times out before that.
 const (
 	stateWaiting int32 = iota
 	stateWriting
 	stateCanceled
 )
 
-// Causes with which an attempt's context is canceled.
+// Cancellation causes of an attempt's context.
 var (
 	errCanceled       = errors.New("attempt canceled")
 	errTimeout        = errors.New("attempt timed out")
-	errConnectTimeout = errors.New("no connection in time")
-	errReadTimeout    = errors.New("the rest of the answer did not come in time")
+	errConnectTimeout = errors.New("timed out waiting for a connection")
+	errReadTimeout    = errors.New("timed out reading the rest of the response")
 )
 
 type attempt struct {
 	cancel     context.CancelCauseFunc
-	tracker    WriteTracker // nil for none
+	tracker    WriteTracker // nil if the request's Payload is not one
 	startedAt  time.Time
-	phaseTimer *time.Timer // until it must have a connection, and then until the end of its answer
+	phaseTimer *time.Timer // connect timeout, then read timeout once the response has started
 	state      atomic.Int32
-	answering  atomic.Bool          // its answer has begun
-	dialed     atomic.Bool          // a connection was asked for
-	conn       atomic.Pointer[conn] // that it has, or had
-	reused     atomic.Bool          // another attempt had that connection before
-	writtenOn  atomic.Pointer[conn] // that its bytes were written on
-
-	// The transport keeps traces, and so the attempt, for as long as it likes; a long body must not be reachable from
-	// there. These two are set only while the attempt is made.
+	answering  atomic.Bool          // the response has started
+	dialed     atomic.Bool          // a dial was started for this attempt
+	conn       atomic.Pointer[conn] // current or last connection; nil before the first
+	reused     atomic.Bool          // conn was used by another attempt before
+	writtenOn  atomic.Pointer[conn] // connection that the request was written on; nil before the first byte
+
+	// The transport may keep the trace, and with it the attempt, after the attempt has ended. These two are set only
+	// while the attempt runs, so that a large body does not stay reachable.
 	request   *http.Request
 	forwarded *dispatch.Request
 }
 
 var _ dispatch.Attempt = (*attempt)(nil)
 
-// beginWrite settles that the attempt is written on this connection, unless it was canceled or written on another before.
+// beginWrite reports whether the attempt may be written on this connection, and commits it to the connection before its
+// first byte. It returns false if the attempt was canceled, is committed to another connection, or was denied by its tracker.
 func (a *attempt) beginWrite(c *conn) bool {
 	if a.state.CompareAndSwap(stateWaiting, stateWriting) {
 		if a.tracker != nil && !a.tracker.BeginWrite(c) {
-			return false // nor on any other connection, as the state has changed
+			return false // for good: the state has changed, so no other connection can be used either
 		}
 		a.writtenOn.Store(c)
 	}
 	return a.writtenOn.Load() == c
 }
 
-// alreadyWrittenOn says whether an earlier attempt of the same request was written on this connection.
+// alreadyWrittenOn reports whether an earlier attempt of the same request was written on this connection.
 func (a *attempt) alreadyWrittenOn(c *conn) bool {
 	return a.tracker != nil && a.writtenOn.Load() != c && a.tracker.WrittenOn(c)
 }
@@ -80,7 +82,8 @@
 	a.cancel(errCanceled)
 }
 
-// phaseTimedOut ends an attempt that has no connection in time, or whose answer does not end in time.
+// phaseTimedOut cancels an attempt whose connect or read timeout has expired. An attempt that has been written and
+// has no response yet keeps running until its own timeout.
 func (a *attempt) phaseTimedOut() {
 	if a.answering.Load() {
 		a.cancel(errReadTimeout)
@@ -88,8 +91,8 @@
 	a.cancelUnsent(errConnectTimeout)
 }
 
-// Forward implements dispatch.Upstream: it starts an attempt, and calls done with its outcome once its connection is
-// free again or closed.
+// Forward implements dispatch.Upstream. It starts an attempt on a worker goroutine, which calls done with the outcome
+// once the attempt's connection is idle again or closed.
 func (p *Pool) Forward(to dispatch.Host, r *dispatch.Request, timeout time.Duration, done func(dispatch.Outcome)) dispatch.Attempt {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	a := &attempt{cancel: cancel, startedAt: time.Now()}
@@ -101,7 +104,7 @@
 	return a
 }
 
-// runAttempt makes an attempt under its time-outs. A panic is reported and ends it as a broken connection would.
+// runAttempt runs an attempt under its timeouts. A panic is passed to OnPanic, and the attempt fails with ConnectionReset.
 func (p *Pool) runAttempt(ctx context.Context, a *attempt, to dispatch.Host, r *dispatch.Request, timeout time.Duration) (outcome dispatch.Outcome) {
 	defer func() {
 		if v := recover(); v != nil {
@@ -116,8 +119,9 @@
 	return p.sendAttempt(ctx, a, to, r, timeout)
 }
 
-// sendAttempt sends on a connection that turns out to be usable. A connection that is older than the attempt, or that
-// another attempt has had, may turn out to be unusable before anything is written: then the next one is tried.
+// sendAttempt goes through connections until writing has begun on one or the attempt fails to get one. A connection that is
+// older than the attempt, or was used by another attempt, may prove unusable before anything is written; the next one
+// is tried then. If a new connection proves unusable, the attempt fails.
 func (p *Pool) sendAttempt(ctx context.Context, a *attempt, to dispatch.Host, r *dispatch.Request, timeout time.Duration) dispatch.Outcome {
 	for {
 		a.conn.Store(nil)
@@ -126,7 +130,7 @@
 		if c == nil || a.state.Load() == stateWriting {
 			return outcome
 		}
-		c.discard() // an answer that came before its request was written is that of another request
+		c.discard() // a response received before the request was written belongs to another request
 		if ctx.Err() != nil || c.openedAt.After(a.startedAt) && !a.reused.Load() {
 			return dispatch.Outcome{Result: a.failureResult(ctx, errConnUnusable)}
 		}
@@ -137,7 +141,7 @@
 	a.request = p.Protocol.NewRequest(to, r, timeout)
 	a.forwarded = r
 	defer func() { a.request, a.forwarded = nil, nil }()
-	connCtx, connected := context.WithCancel(context.WithValue(ctx, attemptKey{}, a)) // until it has a connection
+	connCtx, connected := context.WithCancel(context.WithValue(ctx, attemptKey{}, a)) // canceled once the attempt has a connection or has ended
 	defer connected()
 	trace := p.trace(a, to, timeout, connected)
 	h := p.host(to.Address)
@@ -151,14 +155,15 @@
 	outcome, err := p.Protocol.ReadAnswer(r, resp)
 	if err != nil {
 		if c := a.conn.Load(); c != nil {
-			c.discard() // what else comes on it belongs to no request
+			c.discard() // unread data of this response would be taken for the next one
 		}
 		return dispatch.Outcome{Result: a.failureResult(ctx, err)}
 	}
 	return outcome
 }
 
-// trace follows an attempt through the transport.
+// trace returns the hooks that record an attempt's connection and the start of its response. connected is called when
+// the attempt has a connection, and ends its wait for a dial.
 func (p *Pool) trace(a *attempt, to dispatch.Host, timeout time.Duration, connected func()) *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
@@ -183,12 +188,11 @@
 	}
 }
 
-// progress is how far an attempt has got.
 func (a *attempt) progress() Progress {
 	switch {
 	case a.answering.Load():
 		return Answering
-	case a.state.Load() == stateWriting: // the last byte may just have been written, whatever the transport has reported
+	case a.state.Load() == stateWriting: // the last byte may have been written, whatever the transport has reported so far
 		return Written
 	case a.conn.Load() != nil:
 		return PartlyWritten
@@ -196,7 +200,8 @@
 	return NotConnected
 }
 
-// failureResult is the result of an attempt that got no complete answer.
+// failureResult returns the result of an attempt that received no complete response. The cause of ctx takes precedence
+// over err where the attempt was canceled or timed out.
 func (a *attempt) failureResult(ctx context.Context, err error) decision.Result {
 	failure := Error{Progress: a.progress(), Err: err}
 	cause := context.Cause(ctx)
@@ -204,7 +209,7 @@
 	timedOut := errors.Is(cause, errTimeout)
 	switch {
 	case noConnection && !a.dialed.Load():
-		return decision.Unsent // that this router has no room for a connection is no sign of the host's health
+		return decision.Unsent // the pool's connection limit was reached, which says nothing about the host's health
 	case cause == nil || noConnection || errors.Is(cause, errReadTimeout):
 		return failure.result()
 	case failure.Progress < Written && timedOut:
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -14,33 +14,33 @@
 )
 
 var (
-	errCanceledUnsent = errors.New("canceled before it was written")
-	errConnLimit      = errors.New("no room for another connection")
-	errConnUnusable   = errors.New("the connection has ended, or has brought more than its last answer")
-	errNotPollable    = errors.New("a connection that can't say whether bytes wait on it")
+	errCanceledUnsent = errors.New("attempt canceled before it was written")
+	errConnLimit      = errors.New("connection limit reached")
+	errConnUnusable   = errors.New("connection is closed, or not usable for this request")
+	errNotPollable    = errors.New("connection implements neither syscall.Conn nor PendingConn")
 )
 
-// conn is a connection to a host. Before an attempt is written on it, it checks that the attempt still stands, and that
-// nothing has come since the last answer: what a host sends after an answer would otherwise be read as the next one. The
-// transport does not check that: it writes as soon as it has a connection, and reads what is there as the answer.
+// conn is a connection to a host. Before an attempt is written on it, it checks that the attempt was not canceled and
+// that nothing has been received since the last response. The transport doesn't check this: it writes as soon as it has
+// a connection, and would read any bytes that the host sent after the last response as the next one.
 type conn struct {
 	net.Conn
 	raw      syscall.RawConn
-	pending  PendingConn // in place of raw, for a connection that is not the operating system's
+	pending  PendingConn // used if raw is nil
 	slot     *connlimit.Slot
 	counter  ConnCounter
 	openedAt time.Time
-	attempt  atomic.Pointer[attempt]
+	attempt  atomic.Pointer[attempt] // last attempt that the transport gave the connection to; nil before the first
 
-	mu          sync.Mutex // guards the fields up to lastWritten
-	readerWaits sync.Cond  // signaled when the reader waits, or the connection is closed
-	drained     bool       // the reader waits, so all that had come was read
+	mu          sync.Mutex // guards drained, closed and lastWritten
+	readerWaits sync.Cond  // signaled when drained or closed becomes true
+	drained     bool       // the reader is blocked and has read everything received so far
 	closed      bool
-	lastWritten *attempt // the attempt that was written last
+	lastWritten *attempt // last attempt that waitFresh checked the connection for
 
-	partlyTaken *attempt      // the attempt of which the host has taken bytes; only Write uses it
-	writeLock   chan struct{} // holds one token while bytes of an attempt with a tracker are written
-	writeFailed atomic.Bool   // such a write failed
+	partlyTaken *attempt      // last attempt with a successful write; used only by Write
+	writeLock   chan struct{} // semaphore, held during a write of an attempt with a tracker
+	writeFailed atomic.Bool   // a write under writeLock failed
 }
 
 func newConn(c net.Conn, slot *connlimit.Slot, observe Observer, to string) (*conn, error) {
@@ -68,13 +68,12 @@
 	return wrapped, nil
 }
 
-// PendingConn is a connection that isn't the operating system's, as of tests in memory. Pending says whether bytes, or its
-// end, wait to be read.
+// PendingConn is implemented by connections without a file descriptor, such as in-memory connections of tests. Pending
+// reports whether data or the end of the stream is waiting to be read.
 type PendingConn interface{ Pending() bool }
 
-// Read implements net.Conn. An end after a write that failed is io.ErrUnexpectedEOF: the write may have consumed the
-// report of a reset, and the end then reads like an orderly one, so that an answer that ends with its connection would
-// look complete.
+// Read implements net.Conn. It returns io.ErrUnexpectedEOF instead of io.EOF if a tracked write failed: the write may
+// have consumed the error of a connection reset, and a response delimited by the end of the connection would look complete.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.read(b)
 	if err != nil && errors.Is(err, io.EOF) && !c.closedCleanly() {
@@ -83,10 +82,12 @@
 	return n, err
 }
 
-// lastWriteGrace is for a write in progress while the end is read: one that the host has taken returns well within it.
+// lastWriteGrace is how long Read waits at EOF for a write in progress. A write whose bytes the host has received
+// returns well within it.
 const lastWriteGrace = 50 * time.Millisecond
 
-// closedCleanly says, at the connection's end, whether the host took all that was written on it.
+// closedCleanly reports, at EOF, whether all tracked writes have succeeded. A write that is still in progress after
+// lastWriteGrace counts as failed.
 func (c *conn) closedCleanly() bool {
 	select {
 	case c.writeLock <- struct{}{}:
@@ -117,7 +118,8 @@
 	return c.readRaw(b)
 }
 
-// readRaw reads under the lock, so that no byte can come between waitFresh's look and the write that follows it.
+// readRaw reads and updates drained under mu, so that waitFresh never finds the socket empty because of bytes that were
+// read while drained was still set.
 func (c *conn) readRaw(b []byte) (n int, err error) {
 	waitErr := c.raw.Read(func(fd uintptr) bool {
 		c.mu.Lock()
@@ -143,8 +145,8 @@
 	return n, nil
 }
 
-// Write implements net.Conn. It refuses an attempt that does not stand any more, and closes a connection that is not fit
-// for it.
+// Write implements net.Conn. It writes nothing for an attempt that was canceled, and closes the connection if it is not
+// usable for the attempt.
 func (c *conn) Write(b []byte) (int, error) {
 	a := c.attempt.Load()
 	if a != nil {
@@ -160,7 +162,8 @@
 	return n, err
 }
 
-// beginWrite returns an error unless the attempt's bytes may be written on this connection.
+// beginWrite returns nil if the attempt may be written on this connection: errConnUnusable if the connection is unusable
+// for it, which is then closed, or errCanceledUnsent if the attempt may no longer be written.
 func (c *conn) beginWrite(a *attempt) error {
 	if !c.waitFresh(a) || a.alreadyWrittenOn(c) {
 		c.discard()
@@ -184,7 +187,8 @@
 		c.partlyTaken = a
 	}
 	if c.partlyTaken == a && isPeerClosed(err) {
-		// The host wants no more of the request, and may have said why: its answer, or the end, is for the reader.
+		// The host stopped reading the request, perhaps after sending a response. Report success, so that the transport
+		// goes on to read the response or the end of the connection.
 		a.tracker.Wrote(len(b), nil)
 		return len(b), nil
 	}
@@ -196,7 +200,8 @@
 	return errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// waitFresh waits until the reader waits, and says whether nothing has come since the last answer.
+// waitFresh reports whether the connection is open and nothing has been received since the last response. It first waits
+// until the reader has read everything received so far. Once an attempt has been checked, it is not checked again.
 func (c *conn) waitFresh(a *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -224,7 +229,8 @@
 	return err == nil && peekErr == syscall.EAGAIN
 }
 
-// markIdle says that an attempt is over: the connection may be evicted, unless another attempt has it already.
+// markIdle makes the connection evictable after an attempt has ended, unless another attempt already uses it. The second
+// check covers an attempt that gets the connection during the call.
 func (c *conn) markIdle(a *attempt) {
 	if c.attempt.Load() != a {
 		return
@@ -246,5 +252,5 @@
 	return c.Conn.Close()
 }
 
-// discard closes a connection that is of no further use, so that an error in closing it matters to nobody.
+// discard closes a connection that is no longer needed, ignoring any error.
 func (c *conn) discard() { _ = c.Close() }
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -11,7 +11,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// endedConn is a connection that the host has closed after its last byte; the results of its writes are given.
+// endedConn is a connection that the host has closed: reads return io.EOF, and writes return what write returns.
 type endedConn struct {
 	net.Conn
 	write func(b []byte) (int, error)
@@ -25,22 +25,21 @@
 func (e endedConn) RemoteAddr() net.Addr              { return nil }
 func (e endedConn) SetReadDeadline(t time.Time) error { return nil }
 
-// A connection's end is orderly only if the host took all that was written on it: a write consumes the report of a reset, and
-// the read after it sees an end like any other. A write that fails after the host has taken a part does not fail the attempt:
-// the answer may be there.
+// A failed write may consume the error of a connection reset, so the next read must not report a clean EOF. A write that fails
+// after part of the request was written must not fail the attempt, as a response may already be waiting.
 func TestOrderlyEnd(t *testing.T) {
 	for name, test := range map[string]struct {
 		secondWrite func(b []byte) (int, error)
 		writeErr    error
 		readErr     error
 	}{
-		"taken":          {func(b []byte) (int, error) { return len(b), nil }, nil, io.EOF},
-		"reset":          {func(b []byte) (int, error) { return 0, syscall.ECONNRESET }, nil, io.ErrUnexpectedEOF},
-		"broken":         {func(b []byte) (int, error) { return 1, syscall.EPIPE }, nil, io.ErrUnexpectedEOF},
-		"closed by us":   {func(b []byte) (int, error) { return 0, net.ErrClosed }, net.ErrClosed, io.ErrUnexpectedEOF},
-		"in a moment":    {func(b []byte) (int, error) { time.Sleep(lastWriteGrace / 2); return len(b), nil }, nil, io.EOF},
-		"resets then":    {func(b []byte) (int, error) { time.Sleep(lastWriteGrace / 2); return 0, syscall.EPIPE }, nil, io.ErrUnexpectedEOF},
-		"stands for now": {func(b []byte) (int, error) { time.Sleep(lastWriteGrace * 2); return len(b), nil }, nil, io.ErrUnexpectedEOF},
+		"taken":                  {func(b []byte) (int, error) { return len(b), nil }, nil, io.EOF},
+		"reset":                  {func(b []byte) (int, error) { return 0, syscall.ECONNRESET }, nil, io.ErrUnexpectedEOF},
+		"broken":                 {func(b []byte) (int, error) { return 1, syscall.EPIPE }, nil, io.ErrUnexpectedEOF},
+		"closed locally":         {func(b []byte) (int, error) { return 0, net.ErrClosed }, net.ErrClosed, io.ErrUnexpectedEOF},
+		"slow write":             {func(b []byte) (int, error) { time.Sleep(lastWriteGrace / 2); return len(b), nil }, nil, io.EOF},
+		"slow write, then reset": {func(b []byte) (int, error) { time.Sleep(lastWriteGrace / 2); return 0, syscall.EPIPE }, nil, io.ErrUnexpectedEOF},
+		"write still pending":    {func(b []byte) (int, error) { time.Sleep(lastWriteGrace * 2); return len(b), nil }, nil, io.ErrUnexpectedEOF},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -69,7 +68,7 @@
 				qt.Check(t, <-done, qt.Equals, test.writeErr)
 				next := &attempt{cancel: func(error) {}, tracker: &recordingTracker{}}
 				if c.writeFailed.Load() && c.waitFresh(next) {
-					t.Error("used again")
+					t.Error("connection is reusable after a failed write")
 				}
 			})
 		})
--- a/internal/upstream/error.go
+++ b/internal/upstream/error.go
@@ -9,22 +9,22 @@
 	"portflow/internal/decision"
 )
 
-// Progress is how far an attempt had got when it broke off.
+// Progress is the last stage that a failed attempt reached.
 type Progress uint8
 
-// The steps of an attempt.
+// The values of Progress, in the order in which an attempt reaches them.
 const (
 	NotConnected  Progress = iota
-	PartlyWritten          // its last byte was not written
-	Written
-	Answering
+	PartlyWritten          // has a connection; nothing has been written
+	Written                // writing has begun, so the host may have received the entire request
+	Answering              // the response has started
 )
 
 func (p Progress) String() string {
 	return [...]string{"not connected", "not fully written", "written", "answering"}[p]
 }
 
-// Error is why an attempt got no complete answer, and how far it had got.
+// Error is the error of an attempt that received no complete response.
 type Error struct {
 	Progress Progress
 	Err      error
@@ -32,10 +32,10 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("%v: %v", e.Progress, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns e.Err, without the progress.
 func (e *Error) Unwrap() error { return e.Err }
 
-// result is the result of an attempt that was not canceled and broke off.
+// result returns the result of an attempt that failed without having been canceled.
 func (e *Error) result() decision.Result {
 	switch {
 	case e.Progress < Written:
--- a/internal/upstream/host.go
+++ b/internal/upstream/host.go
@@ -11,33 +11,33 @@
 	"portflow/internal/connlimit"
 )
 
-// maxDials is how many connections to one host may be dialed at once. A burst that finds none idle would otherwise dial
-// one for each attempt, though the connections that become free first serve the rest; each costs both sides work. With
-// one or two, bursts waited for connections that came up one after another at a host that was slow already.
+// maxDials bounds the concurrent dials to one host. Without a bound, a burst would dial a connection for each attempt,
+// although connections that become idle can serve most of them; with a very low one, the attempts of a burst would wait
+// for a slow host to accept connections one after another.
 const maxDials = 8
 
-// maxPreconnected is how many connections to a host a router opens at most before it takes requests: about as many as few
-// routers have in use at once, as the first requests would otherwise wait together for as many to be dialed.
+// maxPreconnected bounds the connections per host that Preconnect opens: enough that the first concurrent requests need
+// not wait for dials.
 const maxPreconnected = 3
 
-// attemptKey is the key of a context's values. In the context of a dial it is the context that ends when the attempt needs
-// no connection any more; in that one it is the *attempt.
+// attemptKey is a context key. The transport passes the values of a request's context to dial. There the key's value is
+// another context, which is canceled once the attempt needs no connection; in that context, the value is the *attempt.
 type attemptKey struct{}
 
-// host is what the pool has for one address.
+// host is the state of one address in the pool.
 type host struct {
 	pool         *Pool
 	address      string
 	transport    *http.Transport
-	dials        chan struct{} // holds one token for each dial in progress
-	preconnected chan *conn    // opened before there was an attempt for them
-	forgotten    atomic.Bool   // no connection stays idle any more
+	dials        chan struct{} // semaphore: one token for each dial in progress
+	preconnected chan *conn    // opened by Preconnect and not used yet
+	forgotten    atomic.Bool   // connections are closed when they become idle
 }
 
-// forget makes the host one whose connections are closed as they become idle. It does not block.
+// forget closes the host's idle connections, and each other one when it becomes idle. It does not block.
 func (h *host) forget() {
 	h.forgotten.Store(true)
-	go h.closeIdle() // ends once they are closed
+	go h.closeIdle() // ends once the idle connections are closed
 }
 
 func (h *host) closeIdle() {
@@ -47,7 +47,7 @@
 	h.transport.CloseIdleConnections()
 }
 
-// release gives back the connection of an attempt that is over.
+// release makes the connection of an attempt that has ended evictable, and closes it if the host was forgotten.
 func (h *host) release(a *attempt) {
 	if c := a.conn.Load(); c != nil {
 		c.markIdle(a)
@@ -57,8 +57,9 @@
 	}
 }
 
-// dial is the transport's DialContext. The transport dials as soon as no connection is idle, and gives the attempt the
-// first connection that is; a dial that is not needed any more by the time that it may begin is not begun.
+// dial is the transport's DialContext. The transport starts a dial for each attempt that finds no idle connection, and
+// gives the attempt whichever connection is available first. A dial that has to wait for maxDials or for a slot is
+// dropped once its attempt no longer needs it.
 func (h *host) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	if c := h.takePreconnected(); c != nil {
 		return c, nil
@@ -78,12 +79,12 @@
 	a.dialed.Store(true)
 	c, err := h.connect(ctx, slot)
 	if err != nil {
-		return nil, err // and not a *conn that is nil as a net.Conn that is not
+		return nil, err // not c: a nil *conn would become a non-nil net.Conn
 	}
 	return c, nil
 }
 
-// connect opens a connection in a slot, which it releases on an error.
+// connect opens a connection and attaches it to the slot. It releases the slot on an error.
 func (h *host) connect(ctx context.Context, slot *connlimit.Slot) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, h.pool.ConnectTimeout)
 	defer cancel()
@@ -102,7 +103,8 @@
 	return c, nil
 }
 
-// takePreconnected returns a connection that was opened ahead and is not too old, nil if there is none.
+// takePreconnected returns a preconnected connection that the host is unlikely to have closed for idleness, or nil if
+// there is none. It closes the older ones.
 func (h *host) takePreconnected() *conn {
 	for {
 		select {
@@ -117,8 +119,9 @@
 	}
 }
 
-// Preconnect opens up to maxConns connections to hosts ahead of requests: one to each before the second to any, and those
-// after the first within half of the pool's bound. It returns once they are open or have failed.
+// Preconnect opens up to maxConns connections to hosts before there are requests for them: one to each host before a
+// second one to any. Only the first one per host may be opened while more than half of MaxConns are in use. Preconnect
+// returns once all dials have succeeded or failed.
 func (p *Pool) Preconnect(addresses []string, maxConns int) {
 	var dials sync.WaitGroup
 	for round := range maxPreconnected {
@@ -138,7 +141,7 @@
 	dials.Wait()
 }
 
-// preconnect opens one connection ahead. A failure tells nothing that the first attempt doesn't find out.
+// preconnect opens one connection. Errors are ignored, as the first attempt would report them.
 func (h *host) preconnect(slot *connlimit.Slot) {
 	if c, err := h.connect(context.Background(), slot); err == nil {
 		h.preconnected <- c
--- a/internal/upstream/options.go
+++ b/internal/upstream/options.go
@@ -9,59 +9,62 @@
 	"portflow/internal/dispatch"
 )
 
-// Options are a Pool's settings.
+// Options configures a Pool.
 type Options struct {
-	Protocol       Protocol      // what is written and read on connections
-	ConnectTimeout time.Duration // an attempt that has no connection by then never gets one
-	ReadTimeout    time.Duration // the most between an answer's first byte and its end, 0 for any
-	IdleTimeout    time.Duration // after which hosts close connections that are idle
-	MaxConns       int           // connections at once, to all hosts
-	Dial           Dial          // opens a connection, nil for TCP
-	Observe        Observer      // counts what passes on connections, nil for nothing
+	Protocol       Protocol
+	ConnectTimeout time.Duration // for getting a connection, including the wait for a free slot
+	ReadTimeout    time.Duration // from the first byte of a response to its end; 0 means no limit
+	IdleTimeout    time.Duration // idle time after which hosts close a connection; the pool closes it earlier
+	MaxConns       int           // bounds the open connections to all hosts together
+	Dial           Dial          // nil means TCP
+	Observe        Observer      // nil disables counting
 	OnPanic        func(v any, stack []byte)
 }
 
-// Protocol makes requests and reads answers; the pool itself knows only connections, and how far an attempt got.
+// Protocol creates requests and reads responses. The pool itself only manages connections and tracks the progress of
+// attempts.
 type Protocol interface {
-	// NewRequest returns the HTTP request to a host that has so long to answer. It must not have GetBody set:
-	// http.Transport would send a request whose body it can have anew again by itself.
+	// NewRequest returns the HTTP request for an attempt with this timeout. GetBody must be nil, as http.Transport could
+	// otherwise resend a request with a body by itself.
 	NewRequest(to dispatch.Host, r *dispatch.Request, timeout time.Duration) *http.Request
-	// ReadAnswer reads the complete answer; an error says that what came is no answer.
+	// ReadAnswer reads the entire response. It returns an error if the response is incomplete or invalid.
 	ReadAnswer(r *dispatch.Request, resp *http.Response) (dispatch.Outcome, error)
 }
 
-// DeadlineRenewer is a Protocol whose requests state how long the host has. RenewDeadline is called once an attempt has
-// its connection, as a request that waited for one has less time left by then.
+// DeadlineRenewer is implemented by a Protocol whose requests carry the time that the host has left. RenewDeadline
+// updates it when an attempt gets a connection, as waiting for one takes part of that time.
 type DeadlineRenewer interface {
 	RenewDeadline(r *http.Request, timeout time.Duration)
 }
 
-// WriteTracker follows what is written of a request. If a request's Payload is one, no byte of it is written without its
-// consent.
+// WriteTracker allows or denies the writes of a request and records them. The pool uses one if the request's Payload
+// implements it.
 type WriteTracker interface {
-	// WrittenOn says whether the request was written on this connection before: a second answer to that may still come on it.
+	// WrittenOn reports whether an earlier attempt of the request was written on this connection. The connection is not
+	// used again for the request then, as a late response to the earlier attempt would be taken for the new one's.
 	WrittenOn(conn any) bool
-	// BeginWrite is asked before the first byte is written on a connection, at most once an attempt.
+	// BeginWrite is called before an attempt's first byte is written, at most once per attempt, and reports whether the
+	// attempt may be written.
 	BeginWrite(conn any) bool
-	// Wrote is called with the result of each write.
+	// Wrote is called with the result of each write. A write that fails because the host stopped reading is passed as
+	// complete if an earlier part of the request was written.
 	Wrote(n int, err error)
 }
 
-// Dial opens a connection.
+// Dial opens a connection. It must return a syscall.Conn or a PendingConn.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Observer returns what counts the bytes of a new connection to a host.
+// Observer returns the counter for a new connection to the host with address to.
 type Observer func(to string, local, remote net.Addr) ConnCounter
 
-// ConnCounter counts what passes on one connection.
+// ConnCounter counts the traffic of one connection.
 type ConnCounter interface {
 	BytesRead(n int)
 	BytesWritten(n int)
-	AttemptStarted(to dispatch.Host, r *dispatch.Request) // the connection is the attempt's from now on
+	AttemptStarted(to dispatch.Host, r *dispatch.Request) // later bytes belong to this attempt
 	Closed()
 }
 
-// noCounter counts nothing.
 type noCounter struct{}
 
 var _ ConnCounter = noCounter{}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,9 +1,9 @@
-// Package upstream forwards requests to hosts over HTTP/1.1. One call of Forward is one attempt: nothing is sent again, and
-// the package decides nothing about retries. It owns the connections to hosts: their number is bounded, a connection is
-// used again only if nothing has come on it since the last answer, and a canceled attempt of which nothing has been
-// written never is.
+// Package upstream forwards requests to hosts over HTTP/1.1. One call of Forward is one attempt: the package never resends
+// a request, and leaves retries to its caller. It manages the connections to hosts: it bounds their number, reuses a
+// connection only if nothing has been received on it since the last response, and never writes an attempt that was
+// canceled before its first byte.
 //
-// Begin reading at Pool.Forward in attempt.go; conn.go has what a connection checks before it writes.
+// Start reading at Pool.Forward in attempt.go. The checks before a connection is written to are in conn.go.
 package upstream
 
 import (
@@ -15,22 +15,22 @@
 	"portflow/internal/connlimit"
 )
 
-// maxHeaderBytes bounds the header of an answer; usual ones have some hundred bytes.
+// maxHeaderBytes bounds the header of a response; typical ones have a few hundred bytes.
 const maxHeaderBytes = 16 << 10
 
-// Pool holds the connections to all hosts. It is safe for concurrent use.
+// Pool manages the connections to all hosts. It is safe for concurrent use.
 type Pool struct {
 	Options
 	limiter     *connlimit.Limiter
-	jobs        chan func() // for idle workers
-	stopped     chan struct{}
+	jobs        chan func()   // unbuffered; received by idle workers
+	stopped     chan struct{} // closed by Shutdown
 	idleWorkers atomic.Int32
 
 	mu    sync.Mutex       // guards hosts
 	hosts map[string]*host // by address
 }
 
-// New makes an empty pool.
+// New returns a pool without connections. The caller must call Shutdown when it no longer needs the pool.
 func New(options Options) *Pool {
 	p := &Pool{
 		Options: options,
@@ -40,7 +40,7 @@
 		hosts:   map[string]*host{},
 	}
 	if p.Dial == nil {
-		dialer := net.Dialer{KeepAlive: -1} // attempts' time-outs find hosts that have become silent
+		dialer := net.Dialer{KeepAlive: -1} // unresponsive hosts are detected by the timeouts of attempts
 		dialer.SetMultipathTCP(false)
 		p.Dial = dialer.DialContext
 	}
@@ -53,7 +53,7 @@
 	return p
 }
 
-// host returns the entry of an address, which is made if there is none.
+// host returns the state of an address, creating it if necessary.
 func (p *Pool) host(address string) *host {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,24 +76,24 @@
 		DialContext:            h.dial,
 		DisableCompression:     true,
 		MaxIdleConnsPerHost:    p.MaxConns,
-		IdleConnTimeout:        p.IdleTimeout * 3 / 4, // closed here before the host closes it
+		IdleConnTimeout:        p.IdleTimeout * 3 / 4, // close connections before the host does
 		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 	return h
 }
 
-// CloseIdle closes the idle connections to an address. It does not block.
+// CloseIdle closes the idle connections to an address in the background. It does nothing for an unknown address.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	h := p.hosts[address]
 	p.mu.Unlock()
 	if h != nil {
-		go h.closeIdle() // ends once they are closed
+		go h.closeIdle() // ends once the idle connections are closed
 	}
 }
 
-// Forget drops an address: attempts in flight end by themselves, and a later attempt at the same address is at another
-// host. It does not block.
+// Forget removes an address and closes its idle connections in the background. Attempts in flight continue. A later
+// attempt at the same address starts with new connections.
 func (p *Pool) Forget(address string) {
 	p.mu.Lock()
 	h := p.hosts[address]
@@ -104,8 +104,8 @@
 	}
 }
 
-// Shutdown closes all idle connections and ends the idle workers; attempts in flight end by themselves. The pool must not
-// be used after it.
+// Shutdown closes all idle connections in the background and ends the idle workers. Attempts in flight continue. It must
+// be called at most once, and the pool must not be used afterwards.
 func (p *Pool) Shutdown() {
 	close(p.stopped)
 	p.mu.Lock()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -19,10 +19,11 @@
 	"portflow/internal/router/protocol"
 )
 
-const never = time.Minute // longer than any test waits
+const never = time.Minute // a timeout that no test reaches
 
-// startHost starts a host and returns its address. It calls act with the n-th complete request; act returns whether the
-// connection stays open.
+// startHost starts a host and returns its address. For each complete request, it calls act with the number of requests
+// received so far; act reports whether the connection stays open. The host's goroutines end when the test closes the
+// listener and the pool closes the connections.
 func startHost(t *testing.T, act func(n int, c net.Conn, r *http.Request, body string) bool) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -70,7 +71,7 @@
 	})
 }
 
-// start forwards a copy of a request.
+// start forwards a copy of r and returns the attempt and a channel for its outcome.
 func start(p *Pool, address string, r dispatch.Request, timeout time.Duration) (dispatch.Attempt, chan dispatch.Outcome) {
 	done := make(chan dispatch.Outcome, 1)
 	r.TraceID = "t"
@@ -85,23 +86,23 @@
 		staysOpen    bool
 		want         decision.Result
 	}{
-		"answer":         {"200 OK", "Content-Length: 2\r\nEndpoint-Load-Metrics: TEXT queue=3, latency_ms=1.5\r\n\r\nhi", true, decision.Succeeded},
-		"error":          {"500 no", "Content-Length: 0\r\n\r\n", true, decision.Failed},
-		"rejected":       {"503 no", "X-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", true, decision.Rejected},
-		"maybe run":      {"503 no", "Content-Length: 0\r\n\r\n", true, decision.Failed},
-		"redirect":       {"302 no", "Location: /else\r\nContent-Length: 0\r\n\r\n", true, decision.Failed},
-		"cut short":      {"200 OK", "Content-Length: 9\r\n\r\nhi", false, decision.ConnectionReset},
-		"cut, and open":  {"200 OK", "Content-Length: 9\r\n\r\nhi", true, decision.InvalidAnswer},
-		"half a head":    {"200 OK", "Content-Le", true, decision.InvalidAnswer},
-		"wrong framing":  {"200 OK", "Transfer-Encoding: chunked\r\n\r\nzz\r\n", true, decision.InvalidAnswer},
-		"states 3 GB":    {"200 OK", "Content-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 90000), true, decision.InvalidAnswer},
-		"1xx before":     {"103 Early Hints", "Link: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", true, decision.Succeeded},
-		"report of none": {"200 OK", "Endpoint-Load-Metrics: %%%\r\nContent-Length: 2\r\n\r\nhi", true, decision.Succeeded},
-		"noise after":    {"200 OK", "Content-Length: 2\r\n\r\nhi\xff\x00\r\n\r\n", true, decision.Succeeded},
-		"not HTTP":       {"what", "\r\n\r\n", true, decision.InvalidAnswer},
-		"closed":         {"", "", false, decision.ConnectionReset},
-		"oversized":      {"200 OK", "Content-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), true, decision.InvalidAnswer},
-		"endless header": {"200 OK", "X: " + strings.Repeat("x", 90000), true, decision.InvalidAnswer},
+		"answer":                 {"200 OK", "Content-Length: 2\r\nEndpoint-Load-Metrics: TEXT queue=3, latency_ms=1.5\r\n\r\nhi", true, decision.Succeeded},
+		"error":                  {"500 no", "Content-Length: 0\r\n\r\n", true, decision.Failed},
+		"rejected":               {"503 no", "X-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", true, decision.Rejected},
+		"may have run":           {"503 no", "Content-Length: 0\r\n\r\n", true, decision.Failed},
+		"redirect":               {"302 no", "Location: /else\r\nContent-Length: 0\r\n\r\n", true, decision.Failed},
+		"truncated, closed":      {"200 OK", "Content-Length: 9\r\n\r\nhi", false, decision.ConnectionReset},
+		"truncated, open":        {"200 OK", "Content-Length: 9\r\n\r\nhi", true, decision.InvalidAnswer},
+		"partial header":         {"200 OK", "Content-Le", true, decision.InvalidAnswer},
+		"invalid chunk size":     {"200 OK", "Transfer-Encoding: chunked\r\n\r\nzz\r\n", true, decision.InvalidAnswer},
+		"Content-Length of 3 GB": {"200 OK", "Content-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 90000), true, decision.InvalidAnswer},
+		"1xx responses first":    {"103 Early Hints", "Link: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", true, decision.Succeeded},
+		"malformed load report":  {"200 OK", "Endpoint-Load-Metrics: %%%\r\nContent-Length: 2\r\n\r\nhi", true, decision.Succeeded},
+		"garbage after response": {"200 OK", "Content-Length: 2\r\n\r\nhi\xff\x00\r\n\r\n", true, decision.Succeeded},
+		"not HTTP":               {"what", "\r\n\r\n", true, decision.InvalidAnswer},
+		"closed":                 {"", "", false, decision.ConnectionReset},
+		"oversized":              {"200 OK", "Content-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), true, decision.InvalidAnswer},
+		"endless header":         {"200 OK", "X: " + strings.Repeat("x", 90000), true, decision.InvalidAnswer},
 	} {
 		t.Run(name, func(t *testing.T) {
 			address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
@@ -110,7 +111,7 @@
 			_, done := start(newPool(4), address, get, never)
 			o := <-done
 			if o.Result != test.want || (test.want == decision.Succeeded) != (string(o.Body) == "hi") {
-				t.Errorf("%v %q, wanted %v", o.Result, o.Body, test.want)
+				t.Errorf("got %v with body %q, want %v", o.Result, o.Body, test.want)
 			}
 			if name == "answer" && (len(o.LoadReport) != 2 || o.LoadReport[0] != 3 || o.LoadReport[1] != 1.5) {
 				t.Error("report", o.LoadReport)
@@ -119,8 +120,8 @@
 	}
 }
 
-// A second copy, or noise, after an answer must not be read as the next attempt's answer, and a connection that the host has
-// closed meanwhile fails no attempt. Requests follow one another, so each finds an idle connection.
+// Extra bytes after a response must not be read as the response to the next attempt, and a connection that the host has closed
+// while it was idle must not fail an attempt. The requests are sequential, so each one can reuse an idle connection.
 func TestBytesAfterAnAnswer(t *testing.T) {
 	for _, extra := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "\xff\x00\r\n\r\n"} {
 		address := startHost(t, func(n int, c net.Conn, r *http.Request, _ string) bool {
@@ -133,11 +134,11 @@
 			r.TraceID = fmt.Sprint("id", n)
 			p.Forward(dispatch.Host{Address: address}, &r, never, func(o dispatch.Outcome) { done <- o })
 			if o := <-done; o.Result != decision.Succeeded || string(o.Body) != r.TraceID {
-				t.Fatalf("%q: %v %q for %s", extra, o.Result, o.Body, r.TraceID)
+				t.Fatalf("extra bytes %q: got %v with body %q for request %s", extra, o.Result, o.Body, r.TraceID)
 			}
 		}
 		if p.Forget(address); len(p.hosts) > 0 {
-			t.Error("not forgotten")
+			t.Error("host is still in the pool after Forget")
 		}
 		for p.limiter.Len() > 0 { // the transport closes in the background
 			time.Sleep(time.Millisecond)
@@ -145,7 +146,7 @@
 	}
 }
 
-// Idle connections are evicted for attempts at other hosts.
+// At the connection limit, an attempt at a new host must evict an idle connection to another host.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	p := newPool(2)
 	for range 6 {
@@ -153,7 +154,7 @@
 			return writeAnswer(c, "200 OK", "Content-Length: 0\r\n\r\n")
 		})
 		if _, done := start(p, address, get, never); (<-done).Result != decision.Succeeded {
-			t.Fatal("no room")
+			t.Fatal("attempt failed at the connection limit")
 		}
 	}
 }
@@ -163,22 +164,23 @@
 	address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool { read <- true; return true })
 	p := newPool(4)
 	if _, done := start(p, address, get, 50*time.Millisecond); (<-done).Result != decision.TimedOut {
-		t.Error("silence is no time-out")
+		t.Error("no timeout for a host that does not respond")
 	}
 	<-read
 	attempt, done := start(p, address, get, never)
 	<-read
 	if attempt.Cancel(); (<-done).Result != decision.Canceled {
-		t.Error("not canceled")
+		t.Error("canceled attempt has another result")
 	}
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	l.Close()
 	if _, done := start(p, l.Addr().String(), get, never); (<-done).Result != decision.ConnectFailed {
-		t.Error("refused, and not that")
+		t.Error("refused connection is not reported as ConnectFailed")
 	}
 }
 
-// http.Transport sends a GET, and what carries an Idempotency-Key, again when a used connection breaks.
+// http.Transport by default resends a GET, or a request with an Idempotency-Key, if a reused connection breaks. The pool must
+// not let it.
 func TestNothingIsSentAgain(t *testing.T) {
 	for _, r := range []dispatch.Request{get, {Method: "POST", Target: "/accept", IdempotencyKey: "k", Body: []byte("body")},
 		{Method: "POST", Target: "/accept", IdempotencyKey: "k"}} {
@@ -194,7 +196,7 @@
 		}
 		_, second := start(p, address, r, never)
 		if o := <-second; o.Result != decision.ConnectionReset || received.Load() != 2 {
-			t.Errorf("%s: %v, %d received", r.Method, o.Result, received.Load())
+			t.Errorf("%s: got %v, and the host received %d requests", r.Method, o.Result, received.Load())
 		}
 	}
 }
@@ -217,12 +219,12 @@
 		<-done
 		r.TraceID = "t"
 		if fmt.Sprint(got) != fmt.Sprint(r) || len(framing) > 0 {
-			t.Errorf("%.200v came as %.200v, %v", r, got, framing)
+			t.Errorf("sent %.200v, host received %.200v with transfer encoding %v", r, got, framing)
 		}
 	}
 }
 
-// An attempt that is canceled while it waits for a connection must not be written, whatever the transport does.
+// An attempt that was canceled while it waited for a connection must not be written, even if the transport tries to.
 func TestCanceledUnsentIsNeverWritten(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -233,7 +235,7 @@
 	n, err := c.Write([]byte("x"))
 	qt.Check(t, n, qt.Equals, 0)
 	qt.Check(t, err, qt.Equals, errCanceledUnsent)
-	sent := &attempt{cancel: func(error) { t.Error("canceled though it was sent") }}
+	sent := &attempt{cancel: func(error) { t.Error("canceled after it was sent") }}
 	c.lastWritten = sent
 	c.attempt.Store(sent)
 	go far.Read(make([]byte, 1))
@@ -243,7 +245,7 @@
 	sent.CancelUnsent()
 }
 
-// A router without room for a connection ends the attempt as unsent, which says nothing of the host.
+// At the connection limit, an attempt must end as Unsent, so that it does not count against the host.
 func TestConnectionLimit(t *testing.T) {
 	received := make(chan bool, 2)
 	address := startHost(t, func(_ int, _ net.Conn, _ *http.Request, _ string) bool { received <- true; return true })
@@ -252,7 +254,7 @@
 	<-received
 	p.ConnectTimeout = 10 * time.Millisecond
 	if _, second := start(p, address, get, never); (<-second).Result != decision.Unsent {
-		t.Error("not unsent")
+		t.Error("attempt at the connection limit is not reported as Unsent")
 	}
 	first.Cancel()
 	<-done
@@ -268,7 +270,7 @@
 	p := newPool(8)
 	p.Preconnect([]string{address}, 0)
 	if p.limiter.Len() != 0 {
-		t.Error("more than was asked for")
+		t.Error("Preconnect opened connections with a maximum of 0")
 	}
 	p.Preconnect([]string{address}, 9)
 	if p.limiter.Len() != maxPreconnected {
@@ -284,7 +286,7 @@
 	}
 }
 
-// usedConn is a connection that has ended for all but its first request.
+// usedConn is a connection that reports pending data for every request but its first.
 type usedConn struct {
 	net.Conn
 	used atomic.Bool
@@ -292,8 +294,8 @@
 
 func (c *usedConn) Pending() bool { return c.used.Swap(true) }
 
-// An attempt that waits for its connection may be given one that was opened after it began, that another attempt used and that
-// has ended since: that says nothing of the host, and the attempt goes on to the next connection.
+// An attempt that waits for a connection may be given one that was opened after the attempt started, was used by another
+// attempt, and has been closed since. That must not fail the attempt; it must try the next connection.
 func TestConnectionEndedAfterAnotherAttempt(t *testing.T) {
 	address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
 		return writeAnswer(c, "200 OK", "Content-Length: 2\r\n\r\nhi")
@@ -313,10 +315,10 @@
 	<-waits
 	_, second := start(p, address, get, never)
 	if o := <-second; o.Result != decision.Succeeded {
-		t.Error("the second", o.Result)
+		t.Error("second attempt has result", o.Result)
 	}
 	if o := <-first; o.Result != decision.Succeeded || dials.Load() != 3 {
-		t.Error("the first", o.Result, "after", dials.Load(), "dials")
+		t.Error("first attempt has result", o.Result, "after", dials.Load(), "dials")
 	}
 	close(held)
 }
--- a/internal/upstream/tracker_test.go
+++ b/internal/upstream/tracker_test.go
@@ -11,7 +11,7 @@
 	"portflow/internal/dispatch"
 )
 
-// recordingTracker is a WriteTracker that records its calls.
+// recordingTracker is a WriteTracker that records its calls, and denies all writes if deny is set.
 type recordingTracker struct {
 	mu     sync.Mutex // guards the fields below
 	deny   bool
@@ -49,8 +49,8 @@
 	}
 }
 
-// Without the tracker's consent nothing is written; a request that is sent to a host again is written on another connection,
-// while other requests use the connections that are open.
+// Nothing may be written if the tracker denies it. A retry must be written on a connection that the request has not used before,
+// while other requests reuse the open connections.
 func TestWriteTracker(t *testing.T) {
 	var received, conns atomic.Int64
 	address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
@@ -67,11 +67,11 @@
 		r := get
 		r.Payload = tracker
 		if _, done := start(p, address, r, never); (<-done).Result != decision.Succeeded || received.Load() != want.received || conns.Load() != want.conns {
-			t.Errorf("%d: %d received on %d connections", n, received.Load(), conns.Load())
+			t.Errorf("attempt %d: host received %d requests on %d connections", n, received.Load(), conns.Load())
 		}
 		_, done := start(p, address, get, never) // has no tracker
 		if (<-done).Result != decision.Succeeded || conns.Load() != want.conns {
-			t.Errorf("%d: %d connections", n, conns.Load())
+			t.Errorf("request without a tracker after attempt %d: %d connections", n, conns.Load())
 		}
 		received.Add(-1)
 	}
@@ -81,6 +81,6 @@
 	denied := dispatch.Request{Method: "POST", Target: "/accept", Body: []byte("body"), Payload: &recordingTracker{deny: true}}
 	before := received.Load()
 	if _, done := start(p, address, denied, never); (<-done).Result == decision.Succeeded || received.Load() != before {
-		t.Error("written without consent")
+		t.Error("written although the tracker denied it")
 	}
 }
--- a/internal/upstream/worker.go
+++ b/internal/upstream/worker.go
@@ -1,10 +1,10 @@
 package upstream
 
-// maxIdleWorkers bounds the idle goroutines that wait for further attempts: about as many as there are attempts in flight
-// under usual traffic.
+// maxIdleWorkers bounds the idle worker goroutines: about as many as there are attempts in flight under normal load.
 const maxIdleWorkers = 32
 
-// runWorker runs f on a goroutine that is idle, if there is one: a new one must first grow its stack.
+// runWorker runs f on an idle worker if there is one, and on a new worker otherwise. Workers are reused because a new
+// goroutine has to grow its stack first.
 func (p *Pool) runWorker(f func()) {
 	select {
 	case p.jobs <- f:
@@ -13,11 +13,11 @@
 	}
 }
 
-// work runs f and then further jobs. It ends when enough other workers are idle, or by Shutdown.
+// work runs f and then other jobs. It returns when maxIdleWorkers other workers are idle, or when it is idle after Shutdown.
 func (p *Pool) work(f func()) {
 	for {
 		f()
-		f = nil // an idle worker must not keep what its last job referred to, such as a long body
+		f = nil // release what the job refers to, such as a large body, while the worker is idle
 		if p.idleWorkers.Add(1) > maxIdleWorkers {
 			p.idleWorkers.Add(-1)
 			return
