--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -1,7 +1,7 @@
-// Package connlimit bounds the number of connections. When the bound is reached, a connection that is not in use is closed
-// for a new one. The package opens no connection and reads none: its users say what each is doing.
+// Package connlimit bounds the number of connections. At the limit, it closes a connection that is not in use to make room
+// for a new one. The package does no I/O itself: its users open the connections and report the state of each.
 //
-// Begin reading at Limiter.Acquire; slot.go has the states of a connection.
+// Start reading at Limiter.Acquire. The states of a connection are in slot.go.
 package connlimit
 
 import (
@@ -10,27 +10,29 @@
 	"time"
 )
 
-// retryInterval is the time between two looks for a connection that may be evicted; short beside any of minAge.
+// retryInterval is how often a waiting Acquire looks for a connection to evict. It is shorter than every minAge.
 const retryInterval = 5 * time.Millisecond
 
-// Limiter is a bound on the number of connections. It is safe for concurrent use.
+// Limiter bounds the number of connections. It is safe for concurrent use.
 type Limiter struct {
-	tokens  chan struct{} // holds one for each connection
-	maxIdle int           // connections that may be idle at once
+	tokens  chan struct{} // semaphore: one token for each acquired slot
+	maxIdle int
 
-	mu      sync.Mutex             // guards byState and the slots' states
-	byState [StateActive]list.List // of *Slot, the one that has been in its state for longest first
+	mu      sync.Mutex             // guards byState and the state, since, element and released fields of all slots
+	byState [StateActive]list.List // evictable slots (*Slot) by state, longest in that state first
 }
 
-// New makes a limiter of maxConns connections, of which maxIdle may be idle at once.
+// New returns a Limiter for up to maxConns connections. If more than maxIdle of them are idle, idle ones are closed although
+// there are free slots.
 func New(maxConns, maxIdle int) *Limiter {
 	return &Limiter{tokens: make(chan struct{}, maxConns), maxIdle: maxIdle}
 }
 
-// Len returns the number of connections.
+// Len returns the number of acquired slots, including those that have no connection yet.
 func (l *Limiter) Len() int { return len(l.tokens) }
 
-// TryAcquire returns a slot if one is free, nil otherwise. The caller must call the slot's Attach or Release.
+// TryAcquire returns a free slot without waiting or evicting a connection, or nil if there is none. The caller must call
+// Attach or Release on the slot.
 func (l *Limiter) TryAcquire() *Slot {
 	select {
 	case l.tokens <- struct{}{}:
@@ -40,7 +42,8 @@
 	}
 }
 
-// Acquire waits for a slot, and evicts a connection for it if it must. It returns nil if done is closed first.
+// Acquire waits for a free slot, evicting connections if necessary. It returns nil if done is closed first. The caller must
+// call Attach or Release on the slot.
 func (l *Limiter) Acquire(done <-chan struct{}) *Slot {
 	if s := l.TryAcquire(); s != nil {
 		return s
@@ -60,15 +63,16 @@
 	}
 }
 
-// evict closes one connection that may be evicted, if there is one.
+// evict closes one evictable connection, if there is one.
 func (l *Limiter) evict() {
 	if victim := l.victim(); victim != nil {
 		victim.closeConn()
 	}
 }
 
-// victim takes the connection to be evicted out of the choice. An idle one costs its client least, another connection; but
-// those on which no complete request has come get no more than half of the bound, so that they can't displace the others.
+// victim selects a connection to evict and marks it active, so that it is not selected again. Idle connections come first,
+// as their clients only have to reconnect. If connections without a complete request occupy more than half of the slots,
+// these come first, so that they cannot displace all others.
 func (l *Limiter) victim() *Slot {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,7 +89,8 @@
 	return nil
 }
 
-// setState changes a slot's state, and returns the connection to be evicted if too many are idle.
+// setState changes a slot's state unless it was released. If more than maxIdle connections are idle, it returns the one
+// to evict, or nil if none is old enough.
 func (l *Limiter) setState(s *Slot, state State) *Slot {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,8 +103,8 @@
 	return l.takeEvictable(StateIdle)
 }
 
-// takeEvictable takes the connection that has been in a state for longest out of the choice, if it has been for long
-// enough. The caller holds mu.
+// takeEvictable returns the connection that has been in this state longest and marks it active. It returns nil if there is
+// none, or if it is younger than minAge. The caller holds mu.
 func (l *Limiter) takeEvictable(state State) *Slot {
 	first := l.byState[state].Front()
 	if first == nil {
--- a/internal/connlimit/limiter_test.go
+++ b/internal/connlimit/limiter_test.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// Idle connections are evicted first, then those on which nothing has come, then those with part of a request; those in use
-// never are, and a connection is given its time in each state. Where most are without a complete request, they are evicted
-// before the idle ones.
+// Eviction order: idle connections, then new ones, then those with a partial request. If more than half have no complete request,
+// those go before the idle ones. Active connections and those younger than minAge must not be evicted.
 func TestEvictsIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limiter := New(6, 6)
@@ -19,7 +18,7 @@
 			slot.Attach(state, func() {
 				closed = append(closed, name)
 				slot.Release()
-				slot.Release() // a second call does nothing
+				slot.Release() // must have no effect
 			})
 			return slot
 		}
@@ -40,11 +39,11 @@
 		add("new3", StateNew)
 		check("idle")
 		since := time.Now()
-		add("new4", StateNew) // four of six are without a request
+		add("new4", StateNew) // four of six have no complete request
 		check("new")
 		add("new5", StateNew)
 		check("new2")
-		add("new6", StateNew) // new3 is too new
+		add("new6", StateNew) // new3 is younger than minAge
 		check("reading")
 		add("new7", StateNew)
 		check("idle2")
@@ -60,12 +59,12 @@
 		done := make(chan struct{})
 		time.AfterFunc(time.Second, func() { close(done) })
 		if limiter.TryAcquire() != nil || limiter.Acquire(done) != nil || limiter.Len() != 6 {
-			t.Error("a slot beyond the bound")
+			t.Error("got a slot beyond the limit")
 		}
 	})
 }
 
-// Beyond maxIdle the connection that has been idle for longest is closed, though there are free slots.
+// Above maxIdle, the connection that has been idle longest must be closed, although there are free slots.
 func TestMaxIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limiter := New(6, 2)
--- a/internal/connlimit/trace_test.go
+++ b/internal/connlimit/trace_test.go
@@ -9,8 +9,7 @@
 	"portflow/internal/testing/digest"
 )
 
-// Which connections are evicted, and when, is unchanged: connections open, change their state and close at random, in virtual
-// time.
+// Pins which connections are evicted, and when, while connections open, change state and close at random in virtual time.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 30, []string{"0040b8cd8bb83fdb", "b85ac12a004ecc91", "2771f6c26ad2564b"}, func(seed uint64, d *digest.Digest) {
 		synctest.Test(t, func(t *testing.T) { traceEvictions(seed, d) })
--- a/internal/httpframing/head.go
+++ b/internal/httpframing/head.go
@@ -1,28 +1,30 @@
-// Package httpframing follows how requests are framed (RFC 9112, section 6) as their bytes come, beside net/http, which does not say
-// all of it to a handler. It reads no connection and rejects nothing: its users pass the bytes in, and decide. Begin reading at
-// Stream; Head is for connections with one request.
+// Package httpframing tracks how HTTP/1.1 requests are framed (RFC 9112, section 6) while net/http reads them, because
+// net/http does not pass all framing fields on to a handler. The package does no I/O and rejects nothing: its users pass in the
+// bytes that were received, and decide. Start reading at Stream, which follows all requests of a connection. Head reads a
+// single request.
 package httpframing
 
 import "bytes"
 
-// Head finds the end of a request's head as its bytes come, and counts the fields that frame its body.
+// Head scans the header of one request as it is received, and counts the fields that frame the body. The zero value is
+// ready for use.
 type Head struct {
-	Started           bool // the first byte has come; set by users
-	Lengths           int  // Content-Length lines
-	TransferEncodings int  // Transfer-Encoding lines
-	BodyBytes         int  // bytes after the head
+	Started           bool // for use by callers; Read neither sets nor reads it
+	Lengths           int  // number of Content-Length lines
+	TransferEncodings int  // number of Transfer-Encoding lines
+	BodyBytes         int  // bytes received after the end of the header
 
 	done bool
-	line []byte // the beginning of the present line, up to the length of transferEncoding
+	line []byte // start of the current line, limited to the length of transferEncoding
 }
 
-// The fields that frame a body, in lower case.
+// Names of the fields that frame a body, in lower case and with the colon.
 var (
 	contentLength    = []byte("content-length:")
 	transferEncoding = []byte("transfer-encoding:")
 )
 
-// Read takes the next bytes of the connection.
+// Read processes the next bytes received on the connection. It does not retain b.
 func (h *Head) Read(b []byte) {
 	for !h.done && len(b) > 0 {
 		b = h.readLine(b)
@@ -30,7 +32,7 @@
 	h.BodyBytes += len(b)
 }
 
-// readLine takes bytes up to the end of a line, and returns the rest.
+// readLine processes bytes up to the end of a line and returns the rest.
 func (h *Head) readLine(b []byte) []byte {
 	end := bytes.IndexByte(b, '\n')
 	part := b
@@ -52,7 +54,7 @@
 	return b[end+1:]
 }
 
-// hasFieldName says whether a line begins with a field's name, in any case.
+// hasFieldName reports whether a line starts with a field name, ignoring case.
 func hasFieldName(line, name []byte) bool {
 	return len(line) >= len(name) && bytes.EqualFold(line[:len(name)], name)
 }
--- a/internal/httpframing/stream.go
+++ b/internal/httpframing/stream.go
@@ -5,28 +5,28 @@
 	"strconv"
 )
 
-// Fields is how a request states its framing.
+// Fields describes the framing of a request, as stated in its header.
 type Fields struct {
-	Lengths, TransferEncodings int  // Content-Length and Transfer-Encoding lines
-	Lost                       bool // it is not known where the request begins or ends
+	Lengths, TransferEncodings int  // number of Content-Length and Transfer-Encoding lines
+	Lost                       bool // the start or the end of the request is unknown
 }
 
-// Ambiguous says whether the request can be read in two ways: with two lengths, with a length beside chunks, or without a
-// known beginning or end.
+// Ambiguous reports whether recipients may disagree about the end of the request: it has several Content-Length or
+// Transfer-Encoding lines, or both fields, or is Lost.
 func (f Fields) Ambiguous() bool {
 	return f.Lost || f.Lengths > 1 || f.TransferEncodings > 1 || f.Lengths > 0 && f.TransferEncodings > 0
 }
 
-// Stream follows all requests of a connection as their bytes come, also those that follow another in the same packet, which a
-// look from one answer to the next does not see. It keeps the beginning of one line, and the Fields of heads until Next takes
-// them: as many as fit in a reader's buffer.
+// Stream tracks the framing of all requests on a connection as they are received, including pipelined ones. It keeps the
+// start of one line, and the Fields of each complete header until Next returns them. Their number is bounded by the requests
+// that fit into the buffer of the connection's reader. The zero value is ready for use.
 type Stream struct {
-	heads     []Fields // of complete heads
-	current   Fields   // of the present head
-	started   bool     // a line of the present head has come
-	line      []byte   // the beginning of the present line
-	head      int      // bytes of the present head so far
-	remaining int64    // bytes to come of a body, or of a chunk with its line end
+	heads     []Fields // complete headers that Next has not returned yet, oldest first
+	current   Fields   // of the incomplete header
+	started   bool     // a line of the incomplete header has been read
+	line      []byte   // start of the current line, limited to maxLineKept
+	head      int      // bytes of the incomplete header and of empty lines before it, without line feeds
+	remaining int64    // unread bytes of the body, or of the chunk and the line break after it
 	state     parseState
 }
 
@@ -42,12 +42,13 @@
 )
 
 const (
-	maxLineKept   = 64 // bytes of a line: the longest name, and a length
-	chunkLineEnd  = 2  // bytes after a chunk
-	maxLengthBits = 62 // of lengths that are read
+	maxLineKept   = 64 // bytes; enough for the longer field name and for a length
+	chunkLineEnd  = 2  // bytes of the CRLF after a chunk
+	maxLengthBits = 62 // so that a chunk size plus chunkLineEnd fits into an int64
 )
 
-// Read takes the next bytes of the connection.
+// Read processes the next bytes received on the connection. It does not retain b, and ignores all bytes once the framing
+// is lost.
 func (s *Stream) Read(b []byte) {
 	for len(b) > 0 && s.state != lost {
 		if s.state == inBody || s.state == inChunk {
@@ -58,7 +59,7 @@
 	}
 }
 
-// skipBody passes over bytes of a body or of a chunk, and returns the rest.
+// skipBody skips bytes of a body or a chunk and returns the rest.
 func (s *Stream) skipBody(b []byte) []byte {
 	n := min(s.remaining, int64(len(b)))
 	s.remaining -= n
@@ -76,7 +77,7 @@
 	}
 }
 
-// readLine takes bytes up to the end of a line, and returns the rest.
+// readLine processes bytes up to the end of a line and returns the rest.
 func (s *Stream) readLine(b []byte) []byte {
 	end := bytes.IndexByte(b, '\n')
 	part := b
@@ -95,7 +96,7 @@
 	return b[end+1:]
 }
 
-// lineRead takes a complete line, or the beginning of a long one.
+// lineRead processes a complete line, of which only the first maxLineKept bytes are given.
 func (s *Stream) lineRead(line []byte) {
 	switch s.state {
 	case inChunkSize:
@@ -124,7 +125,7 @@
 
 func (s *Stream) headLineRead(line []byte) {
 	if len(line) == 0 {
-		if s.started { // empty lines before a request belong to none: net/http skips them after a POST
+		if s.started { // ignore empty lines before a request line, as net/http does after a POST
 			s.headRead()
 		}
 		return
@@ -143,7 +144,7 @@
 	}
 }
 
-// headRead ends the present head.
+// headRead completes the current header and prepares for what follows it.
 func (s *Stream) headRead() {
 	s.heads = append(s.heads, s.current)
 	switch {
@@ -160,7 +161,7 @@
 	s.head = 0
 }
 
-// parseChunkSize reads a chunk's size, which extensions may follow.
+// parseChunkSize parses the size in a chunk's first line, ignoring chunk extensions.
 func parseChunkSize(line []byte) (n int64, ok bool) {
 	if i := bytes.IndexByte(line, ';'); i >= 0 {
 		line = line[:i]
@@ -169,18 +170,20 @@
 	return int64(size), err == nil
 }
 
-// Begun says whether anything has come of a request that Next has not taken.
+// Begun reports whether any part of a request's header has been received that Next has not returned yet.
 func (s *Stream) Begun() bool {
 	return len(s.heads) > 0 || s.state == inHead && (s.started || len(s.line) > 0)
 }
 
-// Whole says whether a complete head has come that Next has not taken.
+// Whole reports whether a complete header has been received that Next has not returned yet.
 func (s *Stream) Whole() bool { return len(s.heads) > 0 }
 
-// Head returns the number of bytes that have come of a head whose end has not.
+// Head returns the number of bytes received of an incomplete header and of empty lines before it, without
+// line feeds.
 func (s *Stream) Head() int { return s.head }
 
-// Next returns how the next request is framed, once its head has been read. It is Lost if the Stream has not seen the head.
+// Next returns the Fields of the next request and removes them. It must be called once per request, after its header has
+// been read. It returns Lost if the Stream has found no such header.
 func (s *Stream) Next() Fields {
 	if len(s.heads) == 0 {
 		return Fields{Lost: true}
--- a/internal/httpframing/stream_test.go
+++ b/internal/httpframing/stream_test.go
@@ -14,8 +14,8 @@
 	codingLine = regexp.MustCompile(`(?im)^transfer-encoding:`)
 )
 
-// compare reads a connection's bytes with net/http, and with a Stream that is given them in parts: both must find the same framing of
-// each request that net/http reads. It returns how many were read completely.
+// compare parses the bytes of a connection with net/http and with a Stream that gets them in reads of the given size. Both must find
+// the same framing for each request that net/http accepts. It returns the number of requests read completely.
 func compare(t *testing.T, raw []byte, part int) (read int) {
 	var s Stream
 	for rest := raw; len(rest) > 0; {
@@ -27,7 +27,7 @@
 	in := bufio.NewReader(source)
 	position := func() int { return len(raw) - source.Len() - in.Buffered() }
 	for last := ""; ; {
-		if last == http.MethodPost { // as net/http's server does, for old clients
+		if last == http.MethodPost { // net/http's server skips line breaks after a POST for old clients
 			next, _ := in.Peek(4)
 			in.Discard(len(next) - len(bytes.TrimLeft(next, "\r\n")))
 		}
@@ -42,11 +42,11 @@
 		lengths := len(lengthLine.FindAll(head, -1))
 		codings := len(codingLine.FindAll(head, -1))
 		if !found.Lost && (lengths != found.Lengths || codings != found.TransferEncodings) {
-			t.Fatalf("%q: %d lengths and %d codings, not %+v", head, lengths, codings, found)
+			t.Fatalf("%q has %d Content-Length and %d Transfer-Encoding lines, got %+v", head, lengths, codings, found)
 		}
-		if found.Ambiguous() || found.TransferEncodings > 0 && !r.ProtoAtLeast(1, 1) { // the connection ends here
+		if found.Ambiguous() || found.TransferEncodings > 0 && !r.ProtoAtLeast(1, 1) { // the proxy rejects it
 			if found.Lost && lengths == 0 {
-				t.Fatalf("%q is lost", head)
+				t.Fatalf("framing is lost at %q", head)
 			}
 			return read
 		}
@@ -57,34 +57,34 @@
 	}
 }
 
-// A Stream finds each request, in parts of any size, as net/http does.
+// A Stream must find the same requests as net/http, however the bytes are split into reads.
 func TestStream(t *testing.T) {
 	get := "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 	for name, test := range map[string]struct {
 		raw  string
 		read int
 	}{
-		"one":                {get, 1},
-		"three":              {get + get + get, 3},
-		"bodies":             {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nGET " + get + "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n" + get, 4},
-		"chunks":             {"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nA;x=\"y\"\r\n0123456789\r\n001\r\n\n\r\n0\r\nContent-Length: 3\r\n\r\n" + get, 2},
-		"both":               {get + "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get, 1},
-		"two lengths":        {get + "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\ncontent-length: 0\r\n\r\n" + get, 1},
-		"a long name":        {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length-But-Not-Quite: 9\r\n\r\n" + get, 2},
-		"a length of spaces": {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: \t 1 \r\n\r\n1" + get, 2},
-		"HTTP/1.0":           {"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get, 0},
-		"lines between":      {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\n1\r\n\r\nPOST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get, 1},
-		"body without end":   {get + "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 400\r\n\r\n" + get, 1},
+		"one":                         {get, 1},
+		"three":                       {get + get + get, 3},
+		"bodies":                      {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nGET " + get + "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n" + get, 4},
+		"chunks":                      {"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nA;x=\"y\"\r\n0123456789\r\n001\r\n\n\r\n0\r\nContent-Length: 3\r\n\r\n" + get, 2},
+		"both":                        {get + "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get, 1},
+		"two lengths":                 {get + "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\ncontent-length: 0\r\n\r\n" + get, 1},
+		"longer field name":           {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length-But-Not-Quite: 9\r\n\r\n" + get, 2},
+		"length between spaces":       {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: \t 1 \r\n\r\n1" + get, 2},
+		"HTTP/1.0":                    {"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get, 0},
+		"empty line between requests": {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\n1\r\n\r\nPOST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get, 1},
+		"truncated body":              {get + "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 400\r\n\r\n" + get, 1},
 	} {
 		for part := 1; part < len(test.raw)+1; part++ {
 			if got := compare(t, []byte(test.raw), part); got != test.read {
-				t.Errorf("%s, in parts of %d: %d read, wanted %d", name, part, got, test.read)
+				t.Errorf("%s, in reads of %d bytes: got %d requests, want %d", name, part, got, test.read)
 			}
 		}
 	}
 }
 
-// FuzzStream compares a Stream with net/http on any bytes.
+// FuzzStream checks that a Stream and net/http agree on the framing of arbitrary bytes, split into reads of any size.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\nPOST /b HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\n\r\n"), 7)
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\nabc\r\n0\r\nA: b\r\n\r\nGET / HTTP/1.1\r\n\r\n"), 1)
--- a/internal/resolver/address.go
+++ b/internal/resolver/address.go
@@ -1,5 +1,5 @@
-// Package resolver holds the address of a peer that may change while calls to it are in flight. It looks nothing up: its users set the
-// address. Begin reading at Address.Run.
+// Package resolver keeps the address of a peer, which may change while calls to the peer are in flight. It does not resolve
+// names; its users set the address. Start reading at Address.Run.
 package resolver
 
 import (
@@ -8,23 +8,23 @@
 	"sync/atomic"
 )
 
-// Address is the address of one peer. It is safe for concurrent use, except that only one Run may be active.
+// Address is the current address of one peer. It is safe for concurrent use, except that Run must not be called concurrently.
 type Address struct {
 	current atomic.Pointer[string]
-	changed chan struct{} // holds one token after Set until Run has noticed
+	changed chan struct{} // has a buffer of one; Set sends to it and Run receives
 }
 
-// New makes an address with its first value.
+// New returns an Address with an initial value.
 func New(first string) *Address {
 	a := &Address{changed: make(chan struct{}, 1)}
 	a.current.Store(&first)
 	return a
 }
 
-// Current returns the present address.
+// Current returns the address that was set last.
 func (a *Address) Current() string { return *a.current.Load() }
 
-// Set changes the address.
+// Set changes the address and makes Run call use again, even if the address is the same. It does not block.
 func (a *Address) Set(to string) {
 	a.current.Store(&to)
 	select {
@@ -33,14 +33,14 @@
 	}
 }
 
-// Run calls use with the present address, and again with each that follows, until the context ends. A change of the address ends the
-// context of the present call, and the next call begins when that has returned. After use has returned by itself, Run waits
-// for a change.
+// Run calls use with the current address, and again after each Set, until ctx is done. Set cancels the context of the running
+// call, and the next call starts once that one has returned. If use returns on its own, Run waits for the next Set. Calls to
+// Set in quick succession may lead to a single call, with the last address.
 func (a *Address) Run(ctx context.Context, use func(ctx context.Context, address string)) {
 	for ctx.Err() == nil {
 		useCtx, cancel := context.WithCancel(ctx)
 		ended := make(chan struct{})
-		go func() { // ends when use does, which is waited for below
+		go func() { // ends when use returns; Run waits for it below
 			defer close(ended)
 			use(useCtx, a.Current())
 		}()
@@ -53,5 +53,6 @@
 	}
 }
 
-// NoRedirect is an http.Client's CheckRedirect that follows none: a peer is where the configuration says, and nowhere else.
+// NoRedirect is a CheckRedirect function for http.Client that returns the redirect response instead of following it, so that
+// a client connects only to the configured address.
 func NoRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
