--- a/internal/connlimit/trace_test.go
+++ b/internal/connlimit/trace_test.go
@@ -17,20 +17,20 @@
 }
 
 func traceEvictions(seed uint64, d *digest.Digest) {
-	draw := rand.New(rand.NewPCG(seed, 1))
-	limiter := New(4+draw.IntN(6), 2+draw.IntN(6))
+	rng := rand.New(rand.NewPCG(seed, 1))
+	limiter := New(4+rng.IntN(6), 2+rng.IntN(6))
 	startedAt := time.Now()
 	open := []*Slot{}
 	for n := range 120 {
-		time.Sleep(time.Duration(draw.IntN(30)) * time.Millisecond)
-		switch draw.IntN(5) {
+		time.Sleep(time.Duration(rng.IntN(30)) * time.Millisecond)
+		switch rng.IntN(5) {
 		case 0, 1:
 			done := make(chan struct{})
 			timer := time.AfterFunc(300*time.Millisecond, func() { close(done) })
 			slot := limiter.Acquire(done)
 			timer.Stop()
 			if d.Add(n, slot != nil); slot != nil {
-				slot.Attach(State(draw.IntN(4)), func() {
+				slot.Attach(State(rng.IntN(4)), func() {
 					d.Add(n, int64(time.Since(startedAt)))
 					slot.Release()
 				})
@@ -43,11 +43,11 @@
 			}
 		case 3:
 			if len(open) > 0 {
-				open[draw.IntN(len(open))].SetState(State(draw.IntN(4)))
+				open[rng.IntN(len(open))].SetState(State(rng.IntN(4)))
 			}
 		default:
 			if len(open) > 0 {
-				open[draw.IntN(len(open))].Release()
+				open[rng.IntN(len(open))].Release()
 			}
 		}
 		d.Add(limiter.Len(), int64(time.Since(startedAt)))
--- a/internal/httpframing/head.go
+++ b/internal/httpframing/head.go
@@ -35,11 +35,11 @@
 // readLine processes bytes up to the end of a line and returns the rest.
 func (h *Head) readLine(b []byte) []byte {
 	end := bytes.IndexByte(b, '\n')
-	part := b
+	content := b
 	if end >= 0 {
-		part = b[:end]
+		content = b[:end]
 	}
-	h.line = append(h.line, part[:min(len(part), len(transferEncoding)-len(h.line))]...)
+	h.line = append(h.line, content[:min(len(content), len(transferEncoding)-len(h.line))]...)
 	if end < 0 {
 		return nil
 	}
--- a/internal/httpframing/stream.go
+++ b/internal/httpframing/stream.go
@@ -21,19 +21,19 @@
 // start of one line, and the Fields of each complete header until Next returns them. Their number is bounded by the requests
 // that fit into the buffer of the connection's reader. The zero value is ready for use.
 type Stream struct {
-	heads     []Fields // complete headers that Next has not returned yet, oldest first
-	current   Fields   // of the incomplete header
-	started   bool     // a line of the incomplete header has been read
-	line      []byte   // start of the current line, limited to maxLineKept
-	head      int      // bytes of the incomplete header and of empty lines before it, without line feeds
-	remaining int64    // unread bytes of the body, or of the chunk and the line break after it
-	state     parseState
+	headers     []Fields // complete headers that Next has not returned yet, oldest first
+	current     Fields   // of the incomplete header
+	started     bool     // a line of the incomplete header has been read
+	line        []byte   // start of the current line, limited to maxLineKept
+	headerBytes int      // bytes of the incomplete header and of empty lines before it, not counting line feeds
+	remaining   int64    // unread bytes of the body, or of the chunk and the line break after it
+	state       parseState
 }
 
 type parseState uint8
 
 const (
-	inHead parseState = iota
+	inHeader parseState = iota
 	inBody
 	inChunkSize
 	inChunk
@@ -64,53 +64,53 @@
 	n := min(s.remaining, int64(len(b)))
 	s.remaining -= n
 	if s.remaining == 0 {
-		s.bodyRead()
+		s.endBody()
 	}
 	return b[n:]
 }
 
-func (s *Stream) bodyRead() {
+func (s *Stream) endBody() {
 	if s.state == inChunk {
 		s.state = inChunkSize
 	} else {
-		s.state = inHead
+		s.state = inHeader
 	}
 }
 
 // readLine processes bytes up to the end of a line and returns the rest.
 func (s *Stream) readLine(b []byte) []byte {
 	end := bytes.IndexByte(b, '\n')
-	part := b
+	content := b
 	if end >= 0 {
-		part = b[:end]
+		content = b[:end]
 	}
-	s.line = append(s.line, part[:min(len(part), maxLineKept-len(s.line))]...)
-	if s.state == inHead {
-		s.head += len(part)
+	s.line = append(s.line, content[:min(len(content), maxLineKept-len(s.line))]...)
+	if s.state == inHeader {
+		s.headerBytes += len(content)
 	}
 	if end < 0 {
 		return nil
 	}
-	s.lineRead(bytes.TrimSuffix(s.line, []byte("\r")))
+	s.processLine(bytes.TrimSuffix(s.line, []byte("\r")))
 	s.line = s.line[:0]
 	return b[end+1:]
 }
 
-// lineRead processes a complete line, of which only the first maxLineKept bytes are given.
-func (s *Stream) lineRead(line []byte) {
+// processLine processes a complete line, of which only the first maxLineKept bytes are given.
+func (s *Stream) processLine(line []byte) {
 	switch s.state {
 	case inChunkSize:
-		s.chunkSizeRead(line)
+		s.processChunkSize(line)
 	case inTrailer:
 		if len(line) == 0 {
-			s.state = inHead
+			s.state = inHeader
 		}
 	default:
-		s.headLineRead(line)
+		s.processHeaderLine(line)
 	}
 }
 
-func (s *Stream) chunkSizeRead(line []byte) {
+func (s *Stream) processChunkSize(line []byte) {
 	n, ok := parseChunkSize(line)
 	switch {
 	case !ok:
@@ -123,10 +123,10 @@
 	}
 }
 
-func (s *Stream) headLineRead(line []byte) {
+func (s *Stream) processHeaderLine(line []byte) {
 	if len(line) == 0 {
 		if s.started { // ignore empty lines before a request line, as net/http does after a POST
-			s.headRead()
+			s.endHeader()
 		}
 		return
 	}
@@ -144,9 +144,9 @@
 	}
 }
 
-// headRead completes the current header and prepares for what follows it.
-func (s *Stream) headRead() {
-	s.heads = append(s.heads, s.current)
+// endHeader completes the current header and prepares for what follows it.
+func (s *Stream) endHeader() {
+	s.headers = append(s.headers, s.current)
 	switch {
 	case s.current.Lost:
 		s.state = lost
@@ -158,7 +158,7 @@
 	}
 	s.current = Fields{}
 	s.started = false
-	s.head = 0
+	s.headerBytes = 0
 }
 
 // parseChunkSize parses the size in a chunk's first line, ignoring chunk extensions.
@@ -172,23 +172,23 @@
 
 // Begun reports whether any part of a request's header has been received that Next has not returned yet.
 func (s *Stream) Begun() bool {
-	return len(s.heads) > 0 || s.state == inHead && (s.started || len(s.line) > 0)
+	return len(s.headers) > 0 || s.state == inHeader && (s.started || len(s.line) > 0)
 }
 
-// Whole reports whether a complete header has been received that Next has not returned yet.
-func (s *Stream) Whole() bool { return len(s.heads) > 0 }
+// HeaderComplete reports whether a complete header has been received that Next has not returned yet.
+func (s *Stream) HeaderComplete() bool { return len(s.headers) > 0 }
 
-// Head returns the number of bytes received of an incomplete header and of empty lines before it, without
+// PendingHeaderBytes returns the number of bytes received of an incomplete header and of empty lines before it, not counting
 // line feeds.
-func (s *Stream) Head() int { return s.head }
+func (s *Stream) PendingHeaderBytes() int { return s.headerBytes }
 
 // Next returns the Fields of the next request and removes them. It must be called once per request, after its header has
 // been read. It returns Lost if the Stream has found no such header.
 func (s *Stream) Next() Fields {
-	if len(s.heads) == 0 {
+	if len(s.headers) == 0 {
 		return Fields{Lost: true}
 	}
-	next := s.heads[0]
-	s.heads = s.heads[:copy(s.heads, s.heads[1:])]
+	next := s.headers[0]
+	s.headers = s.headers[:copy(s.headers, s.headers[1:])]
 	return next
 }
--- a/internal/httpframing/stream_test.go
+++ b/internal/httpframing/stream_test.go
@@ -16,10 +16,10 @@
 
 // compare parses the bytes of a connection with net/http and with a Stream that gets them in reads of the given size. Both must find
 // the same framing for each request that net/http accepts. It returns the number of requests read completely.
-func compare(t *testing.T, raw []byte, part int) (read int) {
+func compare(t *testing.T, raw []byte, readSize int) (read int) {
 	var s Stream
 	for rest := raw; len(rest) > 0; {
-		n := min(max(1, part), len(rest))
+		n := min(max(1, readSize), len(rest))
 		s.Read(rest[:n])
 		rest = rest[n:]
 	}
@@ -38,14 +38,14 @@
 		}
 		head := raw[from:position()]
 		last = r.Method
-		found := s.Next()
+		got := s.Next()
 		lengths := len(lengthLine.FindAll(head, -1))
 		codings := len(codingLine.FindAll(head, -1))
-		if !found.Lost && (lengths != found.Lengths || codings != found.TransferEncodings) {
-			t.Fatalf("%q has %d Content-Length and %d Transfer-Encoding lines, got %+v", head, lengths, codings, found)
+		if !got.Lost && (lengths != got.Lengths || codings != got.TransferEncodings) {
+			t.Fatalf("%q has %d Content-Length and %d Transfer-Encoding lines, got %+v", head, lengths, codings, got)
 		}
-		if found.Ambiguous() || found.TransferEncodings > 0 && !r.ProtoAtLeast(1, 1) { // the proxy rejects it
-			if found.Lost && lengths == 0 {
+		if got.Ambiguous() || got.TransferEncodings > 0 && !r.ProtoAtLeast(1, 1) { // the proxy rejects it
+			if got.Lost && lengths == 0 {
 				t.Fatalf("framing is lost at %q", head)
 			}
 			return read
@@ -76,9 +76,9 @@
 		"empty line between requests": {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\n1\r\n\r\nPOST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get, 1},
 		"truncated body":              {get + "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 400\r\n\r\n" + get, 1},
 	} {
-		for part := 1; part < len(test.raw)+1; part++ {
-			if got := compare(t, []byte(test.raw), part); got != test.read {
-				t.Errorf("%s, in reads of %d bytes: got %d requests, want %d", name, part, got, test.read)
+		for readSize := 1; readSize < len(test.raw)+1; readSize++ {
+			if got := compare(t, []byte(test.raw), readSize); got != test.read {
+				t.Errorf("%s, in reads of %d bytes: got %d requests, want %d", name, readSize, got, test.read)
 			}
 		}
 	}
@@ -90,5 +90,5 @@
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\nabc\r\n0\r\nA: b\r\n\r\nGET / HTTP/1.1\r\n\r\n"), 1)
 	f.Add([]byte("POST / HTTP/1.1\nTransfer-Encoding:chunked\nContent-Length: 1\n\n0\n\n"), 100)
 	f.Add([]byte("POST / HTTP/1.1\r\nX: y\r\n Content-Length: 1\r\nContent-Length:\r\n 1\r\n\r\n0"), 3)
-	f.Fuzz(func(t *testing.T, raw []byte, part int) { compare(t, raw, part) })
+	f.Fuzz(func(t *testing.T, raw []byte, readSize int) { compare(t, raw, readSize) })
 }
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -187,7 +187,7 @@
 func (c *clientConn) evict() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase == handling || c.framing.Whole() {
+	if c.phase == handling || c.framing.HeaderComplete() {
 		return
 	}
 	c.evicting = true
--- a/internal/proxy/head_limits.go
+++ b/internal/proxy/head_limits.go
@@ -25,7 +25,7 @@
 func (c *clientConn) headTooLong() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.phase == readingHead && c.framing.Head() > c.limits().HeaderBytes+headSlop
+	return c.phase == readingHead && c.framing.PendingHeaderBytes() > c.limits().HeaderBytes+headSlop
 }
 
 // refuseHead answers a head that is too long, and waits for a moment so that the answer isn't lost by a reset.
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -31,16 +31,16 @@
 )
 
 type attempt struct {
-	cancel     context.CancelCauseFunc
-	tracker    WriteTracker // nil if the request's Payload is not one
-	startedAt  time.Time
-	phaseTimer *time.Timer // connect timeout, then read timeout once the response has started
-	state      atomic.Int32
-	answering  atomic.Bool          // the response has started
-	dialed     atomic.Bool          // a dial was started for this attempt
-	conn       atomic.Pointer[conn] // current or last connection; nil before the first
-	reused     atomic.Bool          // conn was used by another attempt before
-	writtenOn  atomic.Pointer[conn] // connection that the request was written on; nil before the first byte
+	cancel          context.CancelCauseFunc
+	tracker         WriteTracker // nil if the request's Payload is not one
+	startedAt       time.Time
+	phaseTimer      *time.Timer // connect timeout, then read timeout once the response has started
+	state           atomic.Int32
+	responseStarted atomic.Bool
+	dialed          atomic.Bool          // a dial was started for this attempt
+	conn            atomic.Pointer[conn] // current or last connection; nil before the first
+	reused          atomic.Bool          // conn was used by another attempt before
+	writtenOn       atomic.Pointer[conn] // connection that the request was written on; nil before the first byte
 
 	// The transport may keep the trace, and with it the attempt, after the attempt has ended. These two are set only
 	// while the attempt runs, so that a large body does not stay reachable.
@@ -85,7 +85,7 @@
 // phaseTimedOut cancels an attempt whose connect or read timeout has expired. An attempt that has been written and
 // has no response yet keeps running until its own timeout.
 func (a *attempt) phaseTimedOut() {
-	if a.answering.Load() {
+	if a.responseStarted.Load() {
 		a.cancel(errReadTimeout)
 	}
 	a.cancelUnsent(errConnectTimeout)
@@ -141,9 +141,10 @@
 	a.request = p.Protocol.NewRequest(to, r, timeout)
 	a.forwarded = r
 	defer func() { a.request, a.forwarded = nil, nil }()
-	connCtx, connected := context.WithCancel(context.WithValue(ctx, attemptKey{}, a)) // canceled once the attempt has a connection or has ended
-	defer connected()
-	trace := p.trace(a, to, timeout, connected)
+	// connCtx is canceled once the attempt has a connection or has ended.
+	connCtx, stopDial := context.WithCancel(context.WithValue(ctx, attemptKey{}, a))
+	defer stopDial()
+	trace := p.trace(a, to, timeout, stopDial)
 	h := p.host(to.Address)
 	defer h.release(a)
 	ctx = httptrace.WithClientTrace(context.WithValue(ctx, attemptKey{}, connCtx), trace)
@@ -162,9 +163,9 @@
 	return outcome
 }
 
-// trace returns the hooks that record an attempt's connection and the start of its response. connected is called when
+// trace returns the hooks that record an attempt's connection and the start of its response. stopDial is called when
 // the attempt has a connection, and ends its wait for a dial.
-func (p *Pool) trace(a *attempt, to dispatch.Host, timeout time.Duration, connected func()) *httptrace.ClientTrace {
+func (p *Pool) trace(a *attempt, to dispatch.Host, timeout time.Duration, stopDial func()) *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			c := info.Conn.(*conn)
@@ -175,7 +176,7 @@
 			if renewer, ok := p.Protocol.(DeadlineRenewer); ok {
 				renewer.RenewDeadline(a.request, timeout-time.Since(a.startedAt))
 			}
-			connected()
+			stopDial()
 		},
 		GotFirstResponseByte: func() {
 			if p.ReadTimeout > 0 {
@@ -183,19 +184,19 @@
 			} else {
 				a.phaseTimer.Stop()
 			}
-			a.answering.Store(true)
+			a.responseStarted.Store(true)
 		},
 	}
 }
 
 func (a *attempt) progress() Progress {
 	switch {
-	case a.answering.Load():
+	case a.responseStarted.Load():
 		return Answering
 	case a.state.Load() == stateWriting: // the last byte may have been written, whatever the transport has reported so far
 		return Written
 	case a.conn.Load() != nil:
-		return PartlyWritten
+		return Connected
 	}
 	return NotConnected
 }
@@ -205,12 +206,12 @@
 func (a *attempt) failureResult(ctx context.Context, err error) decision.Result {
 	failure := Error{Progress: a.progress(), Err: err}
 	cause := context.Cause(ctx)
-	noConnection := errors.Is(cause, errConnectTimeout)
+	connectTimedOut := errors.Is(cause, errConnectTimeout)
 	timedOut := errors.Is(cause, errTimeout)
 	switch {
-	case noConnection && !a.dialed.Load():
+	case connectTimedOut && !a.dialed.Load():
 		return decision.Unsent // the pool's connection limit was reached, which says nothing about the host's health
-	case cause == nil || noConnection || errors.Is(cause, errReadTimeout):
+	case cause == nil || connectTimedOut || errors.Is(cause, errReadTimeout):
 		return failure.result()
 	case failure.Progress < Written && timedOut:
 		return decision.ConnectFailed
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -32,15 +32,15 @@
 	openedAt time.Time
 	attempt  atomic.Pointer[attempt] // last attempt that the transport gave the connection to; nil before the first
 
-	mu          sync.Mutex // guards drained, closed and lastWritten
-	readerWaits sync.Cond  // signaled when drained or closed becomes true
-	drained     bool       // the reader is blocked and has read everything received so far
-	closed      bool
-	lastWritten *attempt // last attempt that waitFresh checked the connection for
+	mu            sync.Mutex // guards drained, closed and lastChecked
+	readerBlocked sync.Cond  // signaled when drained or closed becomes true
+	drained       bool       // the reader is blocked and has read everything received so far
+	closed        bool
+	lastChecked   *attempt // last attempt that waitReusable checked the connection for
 
-	partlyTaken *attempt      // last attempt with a successful write; used only by Write
-	writeLock   chan struct{} // semaphore, held during a write of an attempt with a tracker
-	writeFailed atomic.Bool   // a write under writeLock failed
+	partlyWritten *attempt      // last attempt with a successful write; used only by Write
+	writeLock     chan struct{} // semaphore, held during a write of an attempt with a tracker
+	writeFailed   atomic.Bool   // a write under writeLock failed
 }
 
 func newConn(c net.Conn, slot *connlimit.Slot, observe Observer, to string) (*conn, error) {
@@ -51,7 +51,7 @@
 		writeLock: make(chan struct{}, 1),
 		counter:   observe(to, c.LocalAddr(), c.RemoteAddr()),
 	}
-	wrapped.readerWaits.L = &wrapped.mu
+	wrapped.readerBlocked.L = &wrapped.mu
 	if s, ok := c.(syscall.Conn); ok {
 		raw, err := s.SyscallConn()
 		if err != nil {
@@ -118,8 +118,8 @@
 	return c.readRaw(b)
 }
 
-// readRaw reads and updates drained under mu, so that waitFresh never finds the socket empty because of bytes that were
-// read while drained was still set.
+// readRaw reads and updates drained in one critical section. Otherwise waitReusable could run between the two, see an old
+// value of drained and an empty socket, and miss the bytes that were just read.
 func (c *conn) readRaw(b []byte) (n int, err error) {
 	waitErr := c.raw.Read(func(fd uintptr) bool {
 		c.mu.Lock()
@@ -129,7 +129,7 @@
 		}
 		c.drained = err == syscall.EAGAIN
 		if c.drained {
-			c.readerWaits.Broadcast()
+			c.readerBlocked.Broadcast()
 		}
 		return !c.drained
 	})
@@ -162,10 +162,11 @@
 	return n, err
 }
 
-// beginWrite returns nil if the attempt may be written on this connection: errConnUnusable if the connection is unusable
-// for it, which is then closed, or errCanceledUnsent if the attempt may no longer be written.
+// beginWrite returns nil if the attempt may be written on this connection. It closes the connection and returns
+// errConnUnusable if the connection is not usable for the attempt, and returns errCanceledUnsent if the attempt itself may
+// no longer be written.
 func (c *conn) beginWrite(a *attempt) error {
-	if !c.waitFresh(a) || a.alreadyWrittenOn(c) {
+	if !c.waitReusable(a) || a.alreadyWrittenOn(c) {
 		c.discard()
 		return errConnUnusable
 	}
@@ -184,9 +185,9 @@
 	<-c.writeLock
 	c.counter.BytesWritten(n)
 	if n > 0 {
-		c.partlyTaken = a
+		c.partlyWritten = a
 	}
-	if c.partlyTaken == a && isPeerClosed(err) {
+	if c.partlyWritten == a && isPeerClosed(err) {
 		// The host stopped reading the request, perhaps after sending a response. Report success, so that the transport
 		// goes on to read the response or the end of the connection.
 		a.tracker.Wrote(len(b), nil)
@@ -200,23 +201,23 @@
 	return errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// waitFresh reports whether the connection is open and nothing has been received since the last response. It first waits
+// waitReusable reports whether the connection is open and nothing has been received since the last response. It first waits
 // until the reader has read everything received so far. Once an attempt has been checked, it is not checked again.
-func (c *conn) waitFresh(a *attempt) bool {
+func (c *conn) waitReusable(a *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.lastWritten == a {
+	if c.lastChecked == a {
 		return true
 	}
 	if c.writeFailed.Load() {
 		return false
 	}
 	if c.raw == nil {
-		c.lastWritten = a
+		c.lastChecked = a
 		return !c.closed && !c.pending.Pending()
 	}
 	for !c.drained && !c.closed {
-		c.readerWaits.Wait()
+		c.readerBlocked.Wait()
 	}
 	if c.closed {
 		return false
@@ -225,7 +226,7 @@
 	err := c.raw.Control(func(fd uintptr) {
 		_, _, peekErr = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
-	c.lastWritten = a
+	c.lastChecked = a
 	return err == nil && peekErr == syscall.EAGAIN
 }
 
@@ -245,7 +246,7 @@
 func (c *conn) Close() error {
 	c.mu.Lock()
 	c.closed = true
-	c.readerWaits.Broadcast()
+	c.readerBlocked.Broadcast()
 	c.mu.Unlock()
 	defer c.slot.Release()
 	defer c.counter.Closed()
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -11,23 +11,23 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// endedConn is a connection that the host has closed: reads return io.EOF, and writes return what write returns.
-type endedConn struct {
+// closedConn is a connection that the host has closed: reads return io.EOF, and writes return what write returns.
+type closedConn struct {
 	net.Conn
 	write func(b []byte) (int, error)
 }
 
-func (e endedConn) Read([]byte) (int, error)          { return 0, io.EOF }
-func (e endedConn) Write(b []byte) (int, error)       { return e.write(b) }
-func (e endedConn) Pending() bool                     { return false }
-func (e endedConn) Close() error                      { return nil }
-func (e endedConn) LocalAddr() net.Addr               { return nil }
-func (e endedConn) RemoteAddr() net.Addr              { return nil }
-func (e endedConn) SetReadDeadline(t time.Time) error { return nil }
+func (c closedConn) Read([]byte) (int, error)          { return 0, io.EOF }
+func (c closedConn) Write(b []byte) (int, error)       { return c.write(b) }
+func (c closedConn) Pending() bool                     { return false }
+func (c closedConn) Close() error                      { return nil }
+func (c closedConn) LocalAddr() net.Addr               { return nil }
+func (c closedConn) RemoteAddr() net.Addr              { return nil }
+func (c closedConn) SetReadDeadline(t time.Time) error { return nil }
 
 // A failed write may consume the error of a connection reset, so the next read must not report a clean EOF. A write that fails
 // after part of the request was written must not fail the attempt, as a response may already be waiting.
-func TestOrderlyEnd(t *testing.T) {
+func TestReadAfterFailedWrite(t *testing.T) {
 	for name, test := range map[string]struct {
 		secondWrite func(b []byte) (int, error)
 		writeErr    error
@@ -44,7 +44,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				writes := 0
-				c, err := newConn(endedConn{write: func(b []byte) (int, error) {
+				c, err := newConn(closedConn{write: func(b []byte) (int, error) {
 					if writes++; writes == 1 {
 						return len(b), nil
 					}
@@ -67,7 +67,7 @@
 				qt.Check(t, err, qt.Equals, test.readErr)
 				qt.Check(t, <-done, qt.Equals, test.writeErr)
 				next := &attempt{cancel: func(error) {}, tracker: &recordingTracker{}}
-				if c.writeFailed.Load() && c.waitFresh(next) {
+				if c.writeFailed.Load() && c.waitReusable(next) {
 					t.Error("connection is reusable after a failed write")
 				}
 			})
--- a/internal/upstream/error.go
+++ b/internal/upstream/error.go
@@ -14,10 +14,10 @@
 
 // The values of Progress, in the order in which an attempt reaches them.
 const (
-	NotConnected  Progress = iota
-	PartlyWritten          // has a connection; nothing has been written
-	Written                // writing has begun, so the host may have received the entire request
-	Answering              // the response has started
+	NotConnected Progress = iota
+	Connected             // has a connection; nothing has been written
+	Written               // writing has begun, so the host may have received the entire request
+	Answering             // the response has started
 )
 
 func (p Progress) String() string {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -19,7 +19,7 @@
 	"portflow/internal/router/protocol"
 )
 
-const never = time.Minute // a timeout that no test reaches
+const longTimeout = time.Minute // a timeout that no test reaches
 
 // startHost starts a host and returns its address. For each complete request, it calls act with the number of requests
 // received so far; act reports whether the connection stays open. The host's goroutines end when the test closes the
@@ -56,7 +56,7 @@
 	return l.Addr().String()
 }
 
-func writeAnswer(c net.Conn, status, rest string) bool {
+func writeResponse(c net.Conn, status, rest string) bool {
 	fmt.Fprintf(c, "HTTP/1.1 %s\r\n%s", status, rest)
 	return true
 }
@@ -66,13 +66,13 @@
 		Protocol:       protocol.Protocol{ReportFields: []string{"depth", "mean_ms"}},
 		ConnectTimeout: time.Second / 2,
 		ReadTimeout:    time.Second / 2,
-		IdleTimeout:    never,
+		IdleTimeout:    longTimeout,
 		MaxConns:       maxConns,
 	})
 }
 
-// start forwards a copy of r and returns the attempt and a channel for its outcome.
-func start(p *Pool, address string, r dispatch.Request, timeout time.Duration) (dispatch.Attempt, chan dispatch.Outcome) {
+// forward sends a copy of r and returns the attempt and a channel for its outcome.
+func forward(p *Pool, address string, r dispatch.Request, timeout time.Duration) (dispatch.Attempt, chan dispatch.Outcome) {
 	done := make(chan dispatch.Outcome, 1)
 	r.TraceID = "t"
 	return p.Forward(dispatch.Host{Address: address}, &r, timeout, func(o dispatch.Outcome) { done <- o }), done
@@ -106,9 +106,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
-				return test.status != "" && writeAnswer(c, test.status, test.rest) && test.staysOpen
+				return test.status != "" && writeResponse(c, test.status, test.rest) && test.staysOpen
 			})
-			_, done := start(newPool(4), address, get, never)
+			_, done := forward(newPool(4), address, get, longTimeout)
 			o := <-done
 			if o.Result != test.want || (test.want == decision.Succeeded) != (string(o.Body) == "hi") {
 				t.Errorf("got %v with body %q, want %v", o.Result, o.Body, test.want)
@@ -122,17 +122,17 @@
 
 // Extra bytes after a response must not be read as the response to the next attempt, and a connection that the host has closed
 // while it was idle must not fail an attempt. The requests are sequential, so each one can reuse an idle connection.
-func TestBytesAfterAnAnswer(t *testing.T) {
+func TestExtraBytesAfterResponse(t *testing.T) {
 	for _, extra := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "\xff\x00\r\n\r\n"} {
 		address := startHost(t, func(n int, c net.Conn, r *http.Request, _ string) bool {
 			id := r.Header.Get("X-Trace-Id")
-			return writeAnswer(c, "200 OK", fmt.Sprintf("Content-Length: %d\r\n\r\n%s%s", len(id), id, extra))
+			return writeResponse(c, "200 OK", fmt.Sprintf("Content-Length: %d\r\n\r\n%s%s", len(id), id, extra))
 		})
 		p := newPool(4)
 		for n := range 200 {
 			r, done := get, make(chan dispatch.Outcome, 1)
 			r.TraceID = fmt.Sprint("id", n)
-			p.Forward(dispatch.Host{Address: address}, &r, never, func(o dispatch.Outcome) { done <- o })
+			p.Forward(dispatch.Host{Address: address}, &r, longTimeout, func(o dispatch.Outcome) { done <- o })
 			if o := <-done; o.Result != decision.Succeeded || string(o.Body) != r.TraceID {
 				t.Fatalf("extra bytes %q: got %v with body %q for request %s", extra, o.Result, o.Body, r.TraceID)
 			}
@@ -151,50 +151,50 @@
 	p := newPool(2)
 	for range 6 {
 		address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
-			return writeAnswer(c, "200 OK", "Content-Length: 0\r\n\r\n")
+			return writeResponse(c, "200 OK", "Content-Length: 0\r\n\r\n")
 		})
-		if _, done := start(p, address, get, never); (<-done).Result != decision.Succeeded {
+		if _, done := forward(p, address, get, longTimeout); (<-done).Result != decision.Succeeded {
 			t.Fatal("attempt failed at the connection limit")
 		}
 	}
 }
 
-func TestSilentAndRefused(t *testing.T) {
+func TestTimeoutCancelAndRefusedConnection(t *testing.T) {
 	read := make(chan bool, 1)
 	address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool { read <- true; return true })
 	p := newPool(4)
-	if _, done := start(p, address, get, 50*time.Millisecond); (<-done).Result != decision.TimedOut {
+	if _, done := forward(p, address, get, 50*time.Millisecond); (<-done).Result != decision.TimedOut {
 		t.Error("no timeout for a host that does not respond")
 	}
 	<-read
-	attempt, done := start(p, address, get, never)
+	attempt, done := forward(p, address, get, longTimeout)
 	<-read
 	if attempt.Cancel(); (<-done).Result != decision.Canceled {
 		t.Error("canceled attempt has another result")
 	}
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	l.Close()
-	if _, done := start(p, l.Addr().String(), get, never); (<-done).Result != decision.ConnectFailed {
+	if _, done := forward(p, l.Addr().String(), get, longTimeout); (<-done).Result != decision.ConnectFailed {
 		t.Error("refused connection is not reported as ConnectFailed")
 	}
 }
 
 // http.Transport by default resends a GET, or a request with an Idempotency-Key, if a reused connection breaks. The pool must
 // not let it.
-func TestNothingIsSentAgain(t *testing.T) {
+func TestTransportDoesNotResend(t *testing.T) {
 	for _, r := range []dispatch.Request{get, {Method: "POST", Target: "/accept", IdempotencyKey: "k", Body: []byte("body")},
 		{Method: "POST", Target: "/accept", IdempotencyKey: "k"}} {
 		var received atomic.Int64
 		address := startHost(t, func(n int, c net.Conn, _ *http.Request, _ string) bool {
 			received.Store(int64(n))
-			return n == 1 && writeAnswer(c, "200 OK", "Content-Length: 0\r\n\r\n")
+			return n == 1 && writeResponse(c, "200 OK", "Content-Length: 0\r\n\r\n")
 		})
 		p := newPool(4)
-		_, first := start(p, address, r, never)
+		_, first := forward(p, address, r, longTimeout)
 		if o := <-first; o.Result != decision.Succeeded {
 			t.Fatal(o.Result)
 		}
-		_, second := start(p, address, r, never)
+		_, second := forward(p, address, r, longTimeout)
 		if o := <-second; o.Result != decision.ConnectionReset || received.Load() != 2 {
 			t.Errorf("%s: got %v, and the host received %d requests", r.Method, o.Result, received.Load())
 		}
@@ -213,9 +213,9 @@
 			got = dispatch.Request{Method: in.Method, Target: in.RequestURI, TraceID: in.Header.Get("X-Trace-Id"),
 				IdempotencyKey: in.Header.Get("Idempotency-Key"), Body: []byte(body)}
 			framing = in.TransferEncoding
-			return writeAnswer(c, "200 OK", "Content-Length: 0\r\n\r\n")
+			return writeResponse(c, "200 OK", "Content-Length: 0\r\n\r\n")
 		})
-		_, done := start(newPool(4), address, r, never)
+		_, done := forward(newPool(4), address, r, longTimeout)
 		<-done
 		r.TraceID = "t"
 		if fmt.Sprint(got) != fmt.Sprint(r) || len(framing) > 0 {
@@ -225,18 +225,18 @@
 }
 
 // An attempt that was canceled while it waited for a connection must not be written, even if the transport tries to.
-func TestCanceledUnsentIsNeverWritten(t *testing.T) {
+func TestCanceledUnsentIsNotWritten(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	canceled := &attempt{cancel: func(error) {}}
-	c := &conn{counter: noCounter{}, Conn: near, lastWritten: canceled}
+	c := &conn{counter: noCounter{}, Conn: near, lastChecked: canceled}
 	c.attempt.Store(canceled)
 	canceled.CancelUnsent()
 	n, err := c.Write([]byte("x"))
 	qt.Check(t, n, qt.Equals, 0)
 	qt.Check(t, err, qt.Equals, errCanceledUnsent)
 	sent := &attempt{cancel: func(error) { t.Error("canceled after it was sent") }}
-	c.lastWritten = sent
+	c.lastChecked = sent
 	c.attempt.Store(sent)
 	go far.Read(make([]byte, 1))
 	if _, err := c.Write([]byte("x")); err != nil {
@@ -250,10 +250,10 @@
 	received := make(chan bool, 2)
 	address := startHost(t, func(_ int, _ net.Conn, _ *http.Request, _ string) bool { received <- true; return true })
 	p := newPool(1)
-	first, done := start(p, address, get, never)
+	first, done := forward(p, address, get, longTimeout)
 	<-received
 	p.ConnectTimeout = 10 * time.Millisecond
-	if _, second := start(p, address, get, never); (<-second).Result != decision.Unsent {
+	if _, second := forward(p, address, get, longTimeout); (<-second).Result != decision.Unsent {
 		t.Error("attempt at the connection limit is not reported as Unsent")
 	}
 	first.Cancel()
@@ -263,9 +263,9 @@
 	}
 }
 
-func TestPreconnectedAndClosed(t *testing.T) {
+func TestPreconnect(t *testing.T) {
 	address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
-		return writeAnswer(c, "200 OK", "Content-Length: 0\r\n\r\n")
+		return writeResponse(c, "200 OK", "Content-Length: 0\r\n\r\n")
 	})
 	p := newPool(8)
 	p.Preconnect([]string{address}, 0)
@@ -276,7 +276,7 @@
 	if p.limiter.Len() != maxPreconnected {
 		t.Fatal(p.limiter.Len(), "opened")
 	}
-	_, done := start(p, address, get, never)
+	_, done := forward(p, address, get, longTimeout)
 	if o := <-done; o.Result != decision.Succeeded || p.limiter.Len() != maxPreconnected {
 		t.Error(o.Result, p.limiter.Len())
 	}
@@ -286,39 +286,39 @@
 	}
 }
 
-// usedConn is a connection that reports pending data for every request but its first.
-type usedConn struct {
+// staleConn is a connection that reports pending data for every request but its first.
+type staleConn struct {
 	net.Conn
 	used atomic.Bool
 }
 
-func (c *usedConn) Pending() bool { return c.used.Swap(true) }
+func (c *staleConn) Pending() bool { return c.used.Swap(true) }
 
 // An attempt that waits for a connection may be given one that was opened after the attempt started, was used by another
 // attempt, and has been closed since. That must not fail the attempt; it must try the next connection.
-func TestConnectionEndedAfterAnotherAttempt(t *testing.T) {
+func TestStaleConnectionIsReplaced(t *testing.T) {
 	address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
-		return writeAnswer(c, "200 OK", "Content-Length: 2\r\n\r\nhi")
+		return writeResponse(c, "200 OK", "Content-Length: 2\r\n\r\nhi")
 	})
 	p := newPool(8)
 	var dials atomic.Int64
-	waits, held := make(chan bool), make(chan bool)
+	dialStarted, releaseDial := make(chan bool), make(chan bool)
 	p.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		if dials.Add(1) == 1 {
-			close(waits)
-			<-held
+			close(dialStarted)
+			<-releaseDial
 		}
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return &usedConn{Conn: c}, err
+		return &staleConn{Conn: c}, err
 	}
-	_, first := start(p, address, get, never)
-	<-waits
-	_, second := start(p, address, get, never)
+	_, first := forward(p, address, get, longTimeout)
+	<-dialStarted
+	_, second := forward(p, address, get, longTimeout)
 	if o := <-second; o.Result != decision.Succeeded {
 		t.Error("second attempt has result", o.Result)
 	}
 	if o := <-first; o.Result != decision.Succeeded || dials.Load() != 3 {
 		t.Error("first attempt has result", o.Result, "after", dials.Load(), "dials")
 	}
-	close(held)
+	close(releaseDial)
 }
--- a/internal/upstream/tracker_test.go
+++ b/internal/upstream/tracker_test.go
@@ -55,7 +55,7 @@
 	var received, conns atomic.Int64
 	address := startHost(t, func(_ int, c net.Conn, _ *http.Request, _ string) bool {
 		received.Add(1)
-		return writeAnswer(c, "200 OK", "Content-Length: 2\r\n\r\nhi")
+		return writeResponse(c, "200 OK", "Content-Length: 2\r\n\r\nhi")
 	})
 	p := newPool(4)
 	p.Observe = func(string, net.Addr, net.Addr) ConnCounter {
@@ -66,10 +66,10 @@
 	for n, want := range []struct{ received, conns int64 }{{1, 1}, {2, 2}, {3, 3}} {
 		r := get
 		r.Payload = tracker
-		if _, done := start(p, address, r, never); (<-done).Result != decision.Succeeded || received.Load() != want.received || conns.Load() != want.conns {
+		if _, done := forward(p, address, r, longTimeout); (<-done).Result != decision.Succeeded || received.Load() != want.received || conns.Load() != want.conns {
 			t.Errorf("attempt %d: host received %d requests on %d connections", n, received.Load(), conns.Load())
 		}
-		_, done := start(p, address, get, never) // has no tracker
+		_, done := forward(p, address, get, longTimeout) // has no tracker
 		if (<-done).Result != decision.Succeeded || conns.Load() != want.conns {
 			t.Errorf("request without a tracker after attempt %d: %d connections", n, conns.Load())
 		}
@@ -80,7 +80,7 @@
 	}
 	denied := dispatch.Request{Method: "POST", Target: "/accept", Body: []byte("body"), Payload: &recordingTracker{deny: true}}
 	before := received.Load()
-	if _, done := start(p, address, denied, never); (<-done).Result == decision.Succeeded || received.Load() != before {
+	if _, done := forward(p, address, denied, longTimeout); (<-done).Result == decision.Succeeded || received.Load() != before {
 		t.Error("written although the tracker denied it")
 	}
 }
