--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -30,7 +30,7 @@
 	hosts map[string]*host // by address
 }
 
-// New returns a pool without connections. The caller must call Shutdown when it no longer needs the pool.
+// New returns a pool without connections. Shutdown ends its workers and closes its idle connections.
 func New(options Options) *Pool {
 	p := &Pool{
 		Options: options,
