--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -15,16 +15,16 @@
 const deadlineSlack = int64(20e6)
 
 // writeAnswer gives a request's final answer; known is what was known of its attempts as it was settled.
-func (p *Proxy) writeAnswer(w http.ResponseWriter, s *service, answer dispatch.Answer, call *dispatch.Call, known attempt.Request) {
-	host, _ := answer.Reply.(*reply)
+func (p *Proxy) writeAnswer(w http.ResponseWriter, s *service, answer dispatch.Answer, call *dispatch.Call, attempts attempt.Request) {
+	resp, _ := answer.Reply.(*reply)
 	switch {
-	case answer.Kind == dispatch.Succeeded && host != nil:
-		p.writeReply(w, host)
-	case answer.Kind == dispatch.Rejected && known.MayRefuse():
+	case answer.Kind == dispatch.Succeeded && resp != nil:
+		p.writeReply(w, resp)
+	case answer.Kind == dispatch.Rejected && attempts.MayRefuse():
 		p.refuse(w, apierror.Overloaded, s.retryAfter(call.Deadline))
-	case host != nil && !host.notRun && !attempt.PromisesNotRun(host.status):
-		p.writeReply(w, host)
-	case p.clock() >= call.Deadline-deadlineSlack && known.Execution() == attempt.NotRun:
+	case resp != nil && !resp.notRun && !attempt.PromisesNotRun(resp.status):
+		p.writeReply(w, resp)
+	case p.clock() >= call.Deadline-deadlineSlack && attempts.Execution() == attempt.NotRun:
 		p.refuse(w, apierror.DeadlineExceeded, 0)
 	case p.clock() >= call.Deadline-deadlineSlack:
 		p.refuse(w, apierror.UpstreamTimeout, 0)
@@ -34,10 +34,10 @@
 }
 
 // copyHeader gives an answer a host's header, without the fields that net/http would add.
-func (p *Proxy) copyHeader(w http.ResponseWriter, host *reply) http.Header {
+func (p *Proxy) copyHeader(w http.ResponseWriter, resp *reply) http.Header {
 	p.counters.answered.Add(1)
 	h := w.Header()
-	for name, values := range host.header {
+	for name, values := range resp.header {
 		h[name] = values
 	}
 	for _, name := range []string{"Date", "Content-Type"} {
@@ -52,18 +52,18 @@
 }
 
 // writeReply passes a host's answer on unchanged.
-func (p *Proxy) writeReply(w http.ResponseWriter, host *reply) {
-	h := p.copyHeader(w, host)
-	if !host.bodiless {
-		h["Content-Length"] = []string{strconv.Itoa(len(host.body))}
+func (p *Proxy) writeReply(w http.ResponseWriter, resp *reply) {
+	h := p.copyHeader(w, resp)
+	if !resp.noBody {
+		h["Content-Length"] = []string{strconv.Itoa(len(resp.body))}
 	}
-	w.WriteHeader(host.status)
-	_, _ = w.Write(host.body) // where it fails the client has gone, and net/http ends the connection
+	w.WriteHeader(resp.status)
+	_, _ = w.Write(resp.body) // where it fails the client has gone, and net/http ends the connection
 }
 
-// passStream passes on a long answer, or refuses the request where its client could not tell the answer's end: in HTTP/1.0 an answer
+// forwardStream passes on a long answer, or refuses the request where its client could not tell the answer's end: in HTTP/1.0 an answer
 // without a length ends with its connection, also where that is cut.
-func (p *Proxy) passStream(w http.ResponseWriter, r *http.Request, stream *streamedReply) {
+func (p *Proxy) forwardStream(w http.ResponseWriter, r *http.Request, stream *streamedReply) {
 	if stream.length < 0 && !r.ProtoAtLeast(1, 1) {
 		stream.done <- attempt.ErrUndelimitedBody
 		p.refuse(w, apierror.UpstreamBroken, 0)
@@ -88,7 +88,7 @@
 	stream.done <- err
 	if err != nil {
 		p.counters.refusals[apierror.UpstreamBroken].Add(1)
-		p.counters.cuts.add(cutBroken)
+		p.counters.cuts.add(cutStreamBroken)
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -11,18 +11,18 @@
 	"portflow/internal/cluster/config"
 )
 
-// bodyTimeout is how long a body may take, beside a second for each megabyte of its stated length.
-const bodyTimeout = 5 * time.Second
+// minBodyTimeout is how long a body may take, beside a second for each megabyte of its stated length.
+const minBodyTimeout = 5 * time.Second
 
-// bodyTime is how long a body of this length may take, -1 for one whose length isn't stated.
-func bodyTime(length int64) time.Duration {
-	return bodyTimeout + time.Duration(max(0, length)>>20)*time.Second
+// bodyReadTimeout is how long a body of this length may take, -1 for one whose length isn't stated.
+func bodyReadTimeout(length int64) time.Duration {
+	return minBodyTimeout + time.Duration(max(0, length)>>20)*time.Second
 }
 
 // setBodyDeadline bounds the time of a request's body, also of what net/http reads of it once the request is refused.
 func setBodyDeadline(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength != 0 {
-		http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTime(r.ContentLength)))
+		http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyReadTimeout(r.ContentLength)))
 	}
 }
 
--- a/internal/proxy/body_memory.go
+++ b/internal/proxy/body_memory.go
@@ -27,11 +27,11 @@
 func (p *Proxy) reserveBody(bytes, length int64) bool {
 	limit := p.bodyMemoryLimit(length)
 	for {
-		held := p.heldBodyBytes.Load()
-		if held+bytes > limit {
+		reserved := p.heldBodyBytes.Load()
+		if reserved+bytes > limit {
 			return false
 		}
-		if p.heldBodyBytes.CompareAndSwap(held, held+bytes) {
+		if p.heldBodyBytes.CompareAndSwap(reserved, reserved+bytes) {
 			return true
 		}
 	}
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -18,9 +18,9 @@
 type connPhase uint8
 
 const (
-	readingHead connPhase = iota // the first or the rest of a request's head
-	idling                       // the next request, of which nothing has come
-	handling                     // the handler: its deadlines are its own
+	readingHeader connPhase = iota // the first or the rest of a request's head
+	idle                           // the next request, of which nothing has come
+	handling                       // the handler: its deadlines are its own
 )
 
 func (p connPhase) String() string {
@@ -66,9 +66,9 @@
 		n, err = c.Conn.Read(b)
 	}
 	c.observe(b[:n], len(b))
-	if c.headTooLong() {
-		c.refuseHead()
-		return 0, &net.OpError{Op: "read", Err: errLongHead} // about which net/http writes nothing to the client
+	if c.headerTooLarge() {
+		c.rejectHeader()
+		return 0, &net.OpError{Op: "read", Err: errHeaderTooLarge} // about which net/http writes nothing to the client
 	}
 	return n, err
 }
@@ -76,9 +76,9 @@
 // observe follows the framing of what was read into a buffer of this size.
 func (c *clientConn) observe(read []byte, bufferSize int) {
 	c.mu.Lock()
-	headBegins := len(read) > 0 && (c.phase == idling || c.phase == readingHead && !c.framing.Begun())
-	if headBegins {
-		c.phase = readingHead
+	headerStarted := len(read) > 0 && (c.phase == idle || c.phase == readingHeader && !c.framing.Begun())
+	if headerStarted {
+		c.phase = readingHeader
 		c.evicting = false
 	}
 	if len(read) == 1 && bufferSize == 1 { // the read by which net/http watches for the client's end
@@ -86,14 +86,14 @@
 	}
 	c.framing.Read(read)
 	c.mu.Unlock()
-	if headBegins {
+	if headerStarted {
 		c.slot.SetState(connlimit.StateReading)
 	}
 }
 
 // phaseTimeout is how long the present phase may last by the limits in force; the caller holds the lock.
 func (c *clientConn) phaseTimeout() time.Duration {
-	if c.phase == idling {
+	if c.phase == idle {
 		return time.Duration(c.limits().IdleTimeout)
 	}
 	return time.Duration(c.limits().HeaderTimeout)
@@ -106,22 +106,22 @@
 }
 
 // readDeadline is the deadline to set in place of the one that net/http asks for.
-func (c *clientConn) readDeadline(asked time.Time) time.Time {
+func (c *clientConn) readDeadline(requested time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if c.phase == handling || !asked.After(now) {
-		return asked
+	if c.phase == handling || !requested.After(now) {
+		return requested
 	}
 	c.since = now
 	if c.evicting {
-		return deadlinePassed
+		return pastDeadline
 	}
 	return now.Add(c.phaseTimeout())
 }
 
-// deadlinePassed is a deadline at which a read returns at once.
-var deadlinePassed = time.Unix(1, 0)
+// pastDeadline is a deadline at which a read returns at once.
+var pastDeadline = time.Unix(1, 0)
 
 // extendDeadline reports, at a deadline or where the connection's slot is wanted, whether there is more time: the limits may have
 // been raised since the deadline was set, and a request may have arrived in the moment of the deadline.
@@ -131,8 +131,8 @@
 	if c.phase == handling {
 		return false
 	}
-	if !c.framing.Begun() && c.peek() == bytesWait {
-		c.phase = readingHead
+	if !c.framing.Begun() && c.peek() == peekBytes {
+		c.phase = readingHeader
 		c.since = time.Now()
 		c.evicting = false
 	}
@@ -150,11 +150,11 @@
 func (c *clientConn) deadlineCause() cutCause {
 	switch {
 	case c.evicting:
-		return cutRoom
-	case c.phase == idling:
-		return cutIdle
+		return cutEvicted
+	case c.phase == idle:
+		return cutIdleTimeout
 	}
-	return cutHead
+	return cutHeaderTimeout
 }
 
 // beginRequest begins to handle a request, and returns how it is framed. A nil connection knows nothing of that.
@@ -176,9 +176,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answered = false
-	c.phase = idling
+	c.phase = idle
 	if c.framing.Begun() {
-		c.phase = readingHead
+		c.phase = readingHeader
 	}
 }
 
@@ -191,7 +191,7 @@
 		return
 	}
 	c.evicting = true
-	c.Conn.SetReadDeadline(deadlinePassed)
+	c.Conn.SetReadDeadline(pastDeadline)
 }
 
 // Close ends the connection so that its client can read the last answer, and releases its slot.
--- a/internal/proxy/client_gone_test.go
+++ b/internal/proxy/client_gone_test.go
@@ -191,7 +191,7 @@
 			ms, err := strconv.Atoi(r.Header.Get("Time-Remaining"))
 			qt.Assert(t, err, qt.IsNil)
 			left := (700*time.Millisecond - took).Milliseconds()
-			qt.Check(t, int64(ms) <= left+maxStaleTime && int64(ms) >= left, qt.IsTrue, qt.Commentf("%d stated, %d left", ms, left))
+			qt.Check(t, int64(ms) <= left+maxExcessMillis && int64(ms) >= left, qt.IsTrue, qt.Commentf("%d stated, %d left", ms, left))
 		})
 	}
 }
--- a/internal/proxy/client_peek.go
+++ b/internal/proxy/client_peek.go
@@ -5,16 +5,16 @@
 	"syscall"
 )
 
-// pending is what waits to be read on a connection.
-type pending uint8
+// peekResult is what waits to be read on a connection.
+type peekResult uint8
 
 const (
-	nothingWaits pending = iota // or it can't be found out
-	bytesWait
-	ended // its end, or an error
+	peekNothing peekResult = iota // or it can't be found out
+	peekBytes
+	peekEnd // its end, or an error
 )
 
-func (p pending) String() string {
+func (p peekResult) String() string {
 	return [...]string{"nothing", "bytes", "end"}[p]
 }
 
@@ -27,30 +27,30 @@
 	pipelined := c.pipelined
 	c.pipelined = false
 	c.mu.Unlock()
-	return pipelined && c.peek() == ended
+	return pipelined && c.peek() == peekEnd
 }
 
 // peek looks at what waits to be read, and consumes nothing of it.
-func (c *clientConn) peek() pending {
+func (c *clientConn) peek() peekResult {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return nothingWaits
+		return peekNothing
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
-		return ended
+		return peekEnd
 	}
-	n, received := 0, error(nil)
+	n, recvErr := 0, error(nil)
 	err = raw.Control(func(fd uintptr) {
-		n, _, received = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, recvErr = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	switch {
 	case err != nil:
-		return ended
-	case errors.Is(received, syscall.EAGAIN) || errors.Is(received, syscall.EINTR):
-		return nothingWaits
-	case received != nil || n == 0:
-		return ended
+		return peekEnd
+	case errors.Is(recvErr, syscall.EAGAIN) || errors.Is(recvErr, syscall.EINTR):
+		return peekNothing
+	case recvErr != nil || n == 0:
+		return peekEnd
 	}
-	return bytesWait
+	return peekBytes
 }
--- a/internal/proxy/client_request.go
+++ b/internal/proxy/client_request.go
@@ -54,8 +54,8 @@
 	r.attempts, _ = r.attempts.Apply(e) // only the start of a write can be refused
 }
 
-// rejectAnswer notes that what came is no answer to the present attempt.
-func (r *clientRequest) rejectAnswer(e attempt.Event) {
+// recordInvalidAnswer notes that what came is no answer to the present attempt.
+func (r *clientRequest) recordInvalidAnswer(e attempt.Event) {
 	r.record(e)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,14 +117,14 @@
 func (r *clientRequest) settle() attempt.Request {
 	r.mu.Lock()
 	r.attempts = r.attempts.Settle()
-	known := r.attempts
+	state := r.attempts
 	r.mu.Unlock()
 	for {
 		select {
 		case stream := <-r.streams:
 			stream.done <- errSettled
 		default:
-			return known
+			return state
 		}
 	}
 }
@@ -149,11 +149,11 @@
 	defer r.mu.Unlock()
 	r.bodyMemory.release()
 	r.attempts, _ = r.attempts.Apply(resultEvents[result]) // no write begins by it
-	return knownResult(result, r.attempts.Current().Execution), r.invalidAnswer
+	return reconcileResult(result, r.attempts.Current().Execution), r.invalidAnswer
 }
 
-// knownResult is the result that fits what is known of whether a host has run the request.
-func knownResult(result decision.Result, execution attempt.Execution) decision.Result {
+// reconcileResult is the result that fits what is known of whether a host has run the request.
+func reconcileResult(result decision.Result, execution attempt.Execution) decision.Result {
 	notRun := execution == attempt.NotRun
 	switch result {
 	case decision.ConnectionReset, decision.TimedOut, decision.InvalidAnswer:
--- a/internal/proxy/client_write.go
+++ b/internal/proxy/client_write.go
@@ -23,7 +23,7 @@
 			written += n
 		}
 		if n == 0 {
-			c.cuts.add(cutStalled)
+			c.cuts.add(cutWriteStalled)
 			return written, err
 		}
 		if written == len(b) {
--- a/internal/proxy/cut_cause.go
+++ b/internal/proxy/cut_cause.go
@@ -9,24 +9,24 @@
 type cutCause uint8
 
 const (
-	cutIdle    cutCause = iota // nothing came for idle-timeout-s
-	cutHead                    // a head, or the first byte of a new connection, took longer than header-timeout-s
-	cutRoom                    // its slot was wanted for another connection
-	cutGone                    // the client had closed it, or its sending side, with a request at work
-	cutStalled                 // the client read nothing of its answer
-	cutBroken                  // a long answer broke off at its host, at its timeout, or because the client had gone
-	cutUnread                  // a refused request's body didn't come to its end
+	cutIdleTimeout   cutCause = iota // nothing came for idle-timeout-s
+	cutHeaderTimeout                 // a head, or the first byte of a new connection, took longer than header-timeout-s
+	cutEvicted                       // its slot was wanted for another connection
+	cutClientGone                    // the client had closed it, or its sending side, with a request at work
+	cutWriteStalled                  // the client read nothing of its answer
+	cutStreamBroken                  // a long answer broke off at its host, at its timeout, or because the client had gone
+	cutBodyUnread                    // a refused request's body didn't come to its end
 	cutCauseCount
 )
 
 var cutNames = [cutCauseCount]string{
-	cutIdle:    "idle",
-	cutHead:    "head",
-	cutRoom:    "room",
-	cutGone:    "gone",
-	cutStalled: "stalled",
-	cutBroken:  "broken",
-	cutUnread:  "unread",
+	cutIdleTimeout:   "idle",
+	cutHeaderTimeout: "head",
+	cutEvicted:       "room",
+	cutClientGone:    "gone",
+	cutWriteStalled:  "stalled",
+	cutStreamBroken:  "broken",
+	cutBodyUnread:    "unread",
 }
 
 func (c cutCause) String() string { return cutNames[c] }
--- a/internal/proxy/cut_cause_test.go
+++ b/internal/proxy/cut_cause_test.go
@@ -17,24 +17,24 @@
 	t.Cleanup(func() { close(never) })
 	slow := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) { <-never; return "", false })
 	for why, play := range map[cutCause]func(p *Proxy, c net.Conn){
-		cutIdle: func(p *Proxy, c net.Conn) {
+		cutIdleTimeout: func(p *Proxy, c net.Conn) {
 			setLimits(t, p, `"header-bytes":16384,"body-bytes":1048576,"header-timeout-s":3,"idle-timeout-s":0.05`)
 			io.WriteString(c, virtualRequest)
 			io.Copy(io.Discard, c)
 		},
-		cutHead: func(p *Proxy, c net.Conn) {
+		cutHeaderTimeout: func(p *Proxy, c net.Conn) {
 			setLimits(t, p, `"header-bytes":16384,"body-bytes":1048576,"header-timeout-s":0.05,"idle-timeout-s":15`)
 			io.WriteString(c, virtualRequest) // from the next head on
 			io.ReadFull(c, make([]byte, 12))
 			io.WriteString(c, virtualRequest[:20])
 			io.Copy(io.Discard, c)
 		},
-		cutGone: func(p *Proxy, c net.Conn) {
+		cutClientGone: func(p *Proxy, c net.Conn) {
 			io.WriteString(c, virtualRequest)
 			waitUntil(t, func() bool { return p.openRequests.Load() > 0 })
 			c.Close()
 		},
-		cutUnread: func(p *Proxy, c net.Conn) {
+		cutBodyUnread: func(p *Proxy, c net.Conn) {
 			fmt.Fprintf(c, "POST /nowhere HTTP/1.1\r\nHost: desk.example\r\nContent-Length: 1000000\r\n\r\n")
 			io.ReadFull(c, make([]byte, 12))
 			c.Close()
@@ -42,7 +42,7 @@
 	} {
 		t.Run(why.String(), func(t *testing.T) {
 			host := h
-			if why == cutGone {
+			if why == cutClientGone {
 				host = slow
 			}
 			p, at := startProxy(t, host)
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -44,7 +44,7 @@
 		}
 		s.attemptEnded(to, host, startedAt, o.Result)
 		s.proxy.counters.endings[o.Result].Add(1)
-		if a, ok := o.Reply.(*reply); ok && a.misdirected && host != nil {
+		if resp, ok := o.Reply.(*reply); ok && resp.misdirected && host != nil {
 			s.proxy.markReplaced(to.Name)
 		}
 		done(o)
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -19,7 +19,7 @@
 	defer p.openRequests.Add(-1)
 	conn := clientConnOf(r)
 	p.handle(w, r, conn)
-	conn.answerComplete()
+	conn.markAnswered()
 }
 
 // handle takes a request through its stages: framing, questions about this process, head and route, body, admission, a host. The
@@ -41,7 +41,7 @@
 		w.Header().Set("Content-Length", "0")
 		return
 	}
-	route, timeout, kind := p.checkHead(r, snapshot.routing)
+	route, timeout, kind := p.checkHeader(r, snapshot.routing)
 	if kind != apierror.None {
 		p.refuse(w, kind, 0)
 		return
@@ -94,7 +94,7 @@
 	case stream := <-request.streams:
 		request.settle()
 		s.dispatcher.Post(dispatch.StreamStarted{Call: call})
-		p.passStream(w, r, stream)
+		p.forwardStream(w, r, stream)
 	case <-r.Context().Done(): // also where the client shut only its sending side: an empty answer would look like a success
 		request.settle()
 		p.countClientGone()
@@ -147,5 +147,5 @@
 // countClientGone counts a client that has gone while its request was at work; its connection is ended.
 func (p *Proxy) countClientGone() {
 	p.counters.clientGone.Add(1)
-	p.counters.cuts.add(cutGone)
+	p.counters.cuts.add(cutClientGone)
 }
--- a/internal/proxy/host_protocol.go
+++ b/internal/proxy/host_protocol.go
@@ -26,7 +26,7 @@
 // NewRequest is the client's request as a host gets it. http.Transport retries no request whose body it can't have again.
 func (hostProtocol) NewRequest(to dispatch.Host, r *dispatch.Request, timeout time.Duration) *http.Request {
 	request := r.Payload.(*clientRequest)
-	u, _ := requestTarget(r.Target) // checkHead has refused those that are not ok
+	u, _ := requestTarget(r.Target) // checkHeader has refused those that are not ok
 	u.Scheme, u.Host = "http", to.Address
 	req := &http.Request{
 		Method:        r.Method,
@@ -59,13 +59,13 @@
 	return h
 }
 
-// maxStaleTime is how many milliseconds too many a host may be given.
-const maxStaleTime = 2
+// maxExcessMillis is how many milliseconds too many a host may be given.
+const maxExcessMillis = 2
 
 // RenewDeadline states what time is left once there is a connection, where that took a while.
 func (hostProtocol) RenewDeadline(r *http.Request, timeout time.Duration) {
 	stated := r.Header["Time-Remaining"]
-	if ms, err := strconv.ParseInt(stated[0], 10, 64); err == nil && ms > timeout.Milliseconds()+maxStaleTime {
+	if ms, err := strconv.ParseInt(stated[0], 10, 64); err == nil && ms > timeout.Milliseconds()+maxExcessMillis {
 		stated[0] = milliseconds(timeout)
 	}
 }
@@ -76,36 +76,36 @@
 }
 
 var (
-	errUnboundedFailure = errors.New("a refusal or an error that doesn't end")
-	errSettled          = errors.New("the final answer is given")
+	errFailureTooLarge = errors.New("a refusal or an error that doesn't end")
+	errSettled         = errors.New("the final answer is given")
 )
 
 // ReadAnswer reads a host's answer, and checks that it is one, and the one to this request. A long one is passed on as it comes.
 func (p hostProtocol) ReadAnswer(r *dispatch.Request, resp *http.Response) (dispatch.Outcome, error) {
 	request := r.Payload.(*clientRequest)
 	if !request.hasWritten() {
-		request.rejectAnswer(attempt.WrongID)
+		request.recordInvalidAnswer(attempt.WrongID)
 		return dispatch.Outcome{}, attempt.ErrWrongRequest
 	}
-	event, err := attempt.Classify(request.id, answerHead(resp))
+	event, err := attempt.Classify(request.id, answerFields(resp))
 	if err != nil { // whatever else it says
-		request.rejectAnswer(event)
+		request.recordInvalidAnswer(event)
 		return dispatch.Outcome{}, err
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, p.maxBuffered+1))
 	if err != nil {
-		request.rejectAnswer(attempt.Truncated)
+		request.recordInvalidAnswer(attempt.Truncated)
 		return dispatch.Outcome{}, err
 	}
 	answer := newReply(r.Method, resp, body, event)
 	result := answer.result()
 	if int64(len(body)) > p.maxBuffered {
 		if result != decision.Succeeded {
-			request.rejectAnswer(attempt.UnexpectedBytes)
-			return dispatch.Outcome{}, errUnboundedFailure
+			request.recordInvalidAnswer(attempt.UnexpectedBytes)
+			return dispatch.Outcome{}, errFailureTooLarge
 		}
 		if err := request.stream(answer, resp); err != nil {
-			request.rejectAnswer(attempt.Truncated)
+			request.recordInvalidAnswer(attempt.Truncated)
 			return dispatch.Outcome{}, err
 		}
 	}
@@ -113,8 +113,8 @@
 	return dispatch.Outcome{Result: result, Reply: answer}, nil
 }
 
-// answerHead is what an answer's head says of the request.
-func answerHead(resp *http.Response) attempt.Answer {
+// answerFields is what an answer's head says of the request.
+func answerFields(resp *http.Response) attempt.Answer {
 	return attempt.Answer{
 		Status:  resp.StatusCode,
 		IDs:     resp.Header["Attempt-Id"],
@@ -130,22 +130,22 @@
 		status:      resp.StatusCode,
 		header:      forwardedHeader(resp.Header),
 		body:        body,
-		bodiless:    method == http.MethodHead || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified,
+		noBody:      method == http.MethodHead || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified,
 		notRun:      event != attempt.Answered,
 		misdirected: event == attempt.Misdirected,
 	}
-	if !answer.bodiless || answer.status == http.StatusNoContent {
+	if !answer.noBody || answer.status == http.StatusNoContent {
 		delete(answer.header, "Content-Length")
 	}
 	return answer
 }
 
 // result is what the decision engine makes of an answer.
-func (a *reply) result() decision.Result {
+func (r *reply) result() decision.Result {
 	switch {
-	case a.notRun:
+	case r.notRun:
 		return decision.Rejected
-	case a.status < 500 && !attempt.PromisesNotRun(a.status):
+	case r.status < 500 && !attempt.PromisesNotRun(r.status):
 		return decision.Succeeded
 	}
 	return decision.Failed
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -176,11 +176,11 @@
 // A request that has come by the time that its connection's idle deadline is looked at is read, and the connection is not closed.
 func TestArrivalAtTheIdleDeadline(t *testing.T) {
 	near, far := connPair(t)
-	c := &clientConn{Conn: near, phase: idling, slot: connlimit.New(1, 1).TryAcquire(), limits: func() config.Limits { return config.Limits{HeaderTimeout: 3e9, IdleTimeout: 1} }}
+	c := &clientConn{Conn: near, phase: idle, slot: connlimit.New(1, 1).TryAcquire(), limits: func() config.Limits { return config.Limits{HeaderTimeout: 3e9, IdleTimeout: 1} }}
 	_, err := near.Read(make([]byte, 100)) // the byte that shows it to be up
 	qt.Assert(t, err, qt.IsNil)
 	io.WriteString(far, virtualRequest)
-	waitUntil(t, func() bool { return c.peek() == bytesWait })
+	waitUntil(t, func() bool { return c.peek() == peekBytes })
 	near.SetReadDeadline(time.Unix(1, 0)) // which has passed before the read: the kernel isn't asked any more
 	b := make([]byte, 100)
 	n, err := c.Read(b)
@@ -298,23 +298,23 @@
 		readAll bool // by the time that its place is wanted
 		ends    bool
 	}{
-		"idle":                      {idling, "", false, true},
-		"new":                       {readingHead, "", false, true},
-		"idle, with a request sent": {idling, virtualRequest, false, false},
-		"new, with a request sent":  {readingHead, virtualRequest, false, false},
-		"idle, with a request read": {idling, virtualRequest, true, false},
-		"new, with a request read":  {readingHead, virtualRequest, true, false},
-		"half a head":               {idling, virtualRequest[:20], true, true},
+		"idle":                      {idle, "", false, true},
+		"new":                       {readingHeader, "", false, true},
+		"idle, with a request sent": {idle, virtualRequest, false, false},
+		"new, with a request sent":  {readingHeader, virtualRequest, false, false},
+		"idle, with a request read": {idle, virtualRequest, true, false},
+		"new, with a request read":  {readingHeader, virtualRequest, true, false},
+		"half a head":               {idle, virtualRequest[:20], true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			near, far := connPair(t)
 			near.Read(b) // the byte that shows it to be up
 			r := connlimit.New(1, 1)
 			c := &clientConn{Conn: near, slot: r.TryAcquire(), phase: x.phase, since: time.Now(), limits: func() config.Limits { return config.DefaultLimits }}
-			c.slot.Attach(map[connPhase]connlimit.State{idling: connlimit.StateIdle, readingHead: connlimit.StateNew}[x.phase], c.evict)
+			c.slot.Attach(map[connPhase]connlimit.State{idle: connlimit.StateIdle, readingHeader: connlimit.StateNew}[x.phase], c.evict)
 			io.WriteString(far, x.sent)
 			if x.sent != "" {
-				waitUntil(t, func() bool { return c.peek() == bytesWait })
+				waitUntil(t, func() bool { return c.peek() == peekBytes })
 			}
 			if x.readAll {
 				_, err := c.Read(b)
@@ -381,7 +381,7 @@
 				if x.chunked {
 					io.WriteString(c, "\r\n")
 				}
-				time.Sleep(resetAvoidance / 20) // longer in all than the library would wait
+				time.Sleep(rejectLingerTimeout / 20) // longer in all than the library would wait
 			}
 			if x.chunked {
 				io.WriteString(c, "0\r\n\r\n")
@@ -425,7 +425,7 @@
 func TestEvictedAsAHeadEnds(t *testing.T) {
 	near, far := connPair(t)
 	near.Read(make([]byte, 1)) // the byte that shows it to be up
-	c := &clientConn{Conn: near, slot: connlimit.New(1, 1).TryAcquire(), phase: readingHead, since: time.Now(), limits: func() config.Limits { return config.DefaultLimits }}
+	c := &clientConn{Conn: near, slot: connlimit.New(1, 1).TryAcquire(), phase: readingHeader, since: time.Now(), limits: func() config.Limits { return config.DefaultLimits }}
 	c.observe([]byte(virtualRequest[:20]), 4096)
 	c.evict()
 	c.observe([]byte(virtualRequest[20:]), 4096) // by a read that had returned before
--- a/internal/proxy/linger.go
+++ b/internal/proxy/linger.go
@@ -11,8 +11,8 @@
 // halfCloser is a connection whose sending side can be closed alone.
 type halfCloser interface{ CloseWrite() error }
 
-// answerComplete notes that the connection's present request has its complete answer.
-func (c *clientConn) answerComplete() {
+// markAnswered notes that the connection's present request has its complete answer.
+func (c *clientConn) markAnswered() {
 	if c == nil {
 		return
 	}
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -26,7 +26,7 @@
 		slot.Release()
 		return nil, err
 	}
-	conn := &clientConn{Conn: c, slot: slot, cuts: l.cuts, limits: l.limits, phase: readingHead, since: time.Now()}
+	conn := &clientConn{Conn: c, slot: slot, cuts: l.cuts, limits: l.limits, phase: readingHeader, since: time.Now()}
 	slot.Attach(connlimit.StateNew, conn.evict)
 	return conn, nil
 }
--- a/internal/proxy/reply.go
+++ b/internal/proxy/reply.go
@@ -10,7 +10,7 @@
 	status      int
 	header      http.Header
 	body        []byte
-	bodiless    bool // by its kind; the header may state the length that it would have
+	noBody      bool // by its kind; the header may state the length that it would have
 	notRun      bool // the host says that it has not run the request
 	misdirected bool // another host has the address
 }
--- a/internal/proxy/request_check.go
+++ b/internal/proxy/request_check.go
@@ -28,13 +28,13 @@
 	return r.Method == http.MethodOptions && r.RequestURI == "*"
 }
 
-// checkHead checks a request's head in this order: target and id, size, whether this process serves, route, time that is left. It
+// checkHeader checks a request's head in this order: target and id, size, whether this process serves, route, time that is left. It
 // returns the route and the request's timeout in nanoseconds.
-func (p *Proxy) checkHead(r *http.Request, routing *config.RoutingTable) (route *config.Route, timeout int64, kind apierror.Kind) {
+func (p *Proxy) checkHeader(r *http.Request, routing *config.RoutingTable) (route *config.Route, timeout int64, kind apierror.Kind) {
 	if _, ok := requestTarget(r.RequestURI); !ok || len(r.Header["Attempt-Id"]) > 1 {
 		return nil, 0, apierror.Malformed
 	}
-	if headSize(r) > routing.Limits.HeaderBytes {
+	if headerSize(r) > routing.Limits.HeaderBytes {
 		return nil, 0, apierror.HeaderTooLarge
 	}
 	if !p.ready.Load() || p.refusing.Load() {
--- a/internal/proxy/request_class.go
+++ b/internal/proxy/request_class.go
@@ -53,16 +53,16 @@
 type classTable struct {
 	numbers map[classKey]int
 	keys    []classKey // by number
-	counts  [2]int     // of classes, by idempotence
+	counts  [2]int     // of classes, by idempotenceIndex
 }
 
 // number is the number of a key's class, and whether the class was added for it. Once the table is full, a further key shares the
-// nearest class of its idempotence.
+// nearest class of its idempotenceIndex.
 func (t *classTable) number(k classKey) (n int, added bool) {
 	if n, ok := t.numbers[k]; ok {
 		return n, false
 	}
-	if !t.hasRoom(k) {
+	if !t.hasCapacity(k) {
 		return t.nearest(k), false
 	}
 	if t.numbers == nil {
@@ -71,13 +71,13 @@
 	n = len(t.keys)
 	t.numbers[k] = n
 	t.keys = append(t.keys, k)
-	t.counts[k.idempotence()]++
+	t.counts[k.idempotenceIndex()]++
 	return n, true
 }
 
-// hasRoom reports whether a class may be added for a key. The last one is kept for an idempotence that has none.
-func (t *classTable) hasRoom(k classKey) bool {
-	own, other := t.counts[k.idempotence()], t.counts[1-k.idempotence()]
+// hasCapacity reports whether a class may be added for a key. The last one is kept for an idempotenceIndex that has none.
+func (t *classTable) hasCapacity(k classKey) bool {
+	own, other := t.counts[k.idempotenceIndex()], t.counts[1-k.idempotenceIndex()]
 	reserved := 0
 	if own > 0 && other == 0 {
 		reserved = 1
@@ -85,22 +85,22 @@
 	return len(t.keys) < maxClasses-reserved
 }
 
-// nearest is the class of a key's idempotence that is nearest to it, the first of those as near. A full table has one of each.
+// nearest is the class of a key's idempotenceIndex that is nearest to it, the first of those as near. A full table has one of each.
 func (t *classTable) nearest(k classKey) int {
-	best, least := -1, [3]int64{}
+	best, bestDistance := -1, [3]int64{}
 	for n, other := range t.keys {
 		if other.idempotent != k.idempotent {
 			continue
 		}
-		if d := k.distance(other); best < 0 || slices.Compare(d[:], least[:]) < 0 {
-			best, least = n, d
+		if d := k.distance(other); best < 0 || slices.Compare(d[:], bestDistance[:]) < 0 {
+			best, bestDistance = n, d
 		}
 	}
 	return best
 }
 
-// idempotence is 1 for keys whose requests may run more than once, 0 for others.
-func (k classKey) idempotence() int {
+// idempotenceIndex is 1 for keys whose requests may run more than once, 0 for others.
+func (k classKey) idempotenceIndex() int {
 	if k.idempotent {
 		return 1
 	}
--- a/internal/proxy/route.go
+++ b/internal/proxy/route.go
@@ -7,13 +7,13 @@
 	if len(route.Backends) == 1 {
 		return route.Backends[0].Service
 	}
-	sum := 0.0
+	total := 0.0
 	for _, backend := range route.Backends {
-		sum += backend.Weight
+		total += backend.Weight
 	}
-	left := p.randomFloat() * sum
+	remaining := p.randomFloat() * total
 	for _, backend := range route.Backends {
-		if left -= backend.Weight; left < 0 {
+		if remaining -= backend.Weight; remaining < 0 {
 			return backend.Service
 		}
 	}
