--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -21,15 +21,15 @@
 	case answer.Kind == dispatch.Succeeded && resp != nil:
 		p.writeReply(w, resp)
 	case answer.Kind == dispatch.Rejected && attempts.MayRefuse():
-		p.refuse(w, apierror.Overloaded, s.retryAfter(call.Deadline))
+		p.reject(w, apierror.Overloaded, s.retryAfter(call.Deadline))
 	case resp != nil && !resp.notRun && !attempt.PromisesNotRun(resp.status):
 		p.writeReply(w, resp)
 	case p.clock() >= call.Deadline-deadlineSlack && attempts.Execution() == attempt.NotRun:
-		p.refuse(w, apierror.DeadlineExceeded, 0)
+		p.reject(w, apierror.DeadlineExceeded, 0)
 	case p.clock() >= call.Deadline-deadlineSlack:
-		p.refuse(w, apierror.UpstreamTimeout, 0)
+		p.reject(w, apierror.UpstreamTimeout, 0)
 	default:
-		p.refuse(w, apierror.UpstreamBroken, 0)
+		p.reject(w, apierror.UpstreamBroken, 0)
 	}
 }
 
@@ -66,7 +66,7 @@
 func (p *Proxy) forwardStream(w http.ResponseWriter, r *http.Request, stream *streamedReply) {
 	if stream.length < 0 && !r.ProtoAtLeast(1, 1) {
 		stream.done <- attempt.ErrUndelimitedBody
-		p.refuse(w, apierror.UpstreamBroken, 0)
+		p.reject(w, apierror.UpstreamBroken, 0)
 		return
 	}
 	p.streamReply(w, r, stream)
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -30,11 +30,11 @@
 	bodyRead := r.ContentLength == 0
 	defer func() {
 		if !bodyRead {
-			p.drainRefusedBody(w, r, snapshot.routing.Limits)
+			p.drainRejectedBody(w, r, snapshot.routing.Limits)
 		}
 	}()
 	if kind := checkFraming(r, framing); kind != apierror.None {
-		p.refuse(w, kind, 0)
+		p.reject(w, kind, 0)
 		return
 	}
 	if isServerOptions(r) {
@@ -43,7 +43,7 @@
 	}
 	route, timeout, kind := p.checkHeader(r, snapshot.routing)
 	if kind != apierror.None {
-		p.refuse(w, kind, 0)
+		p.reject(w, kind, 0)
 		return
 	}
 	body, reserved, kind := p.readBody(w, r, snapshot.routing.Limits)
@@ -51,12 +51,12 @@
 	request := newClientRequest(r, route, bodyReservation{total: &p.heldBodyBytes, bytes: reserved, holders: 1})
 	defer request.release()
 	if kind != apierror.None {
-		p.refuse(w, kind, 0)
+		p.reject(w, kind, 0)
 		return
 	}
 	s, kind, retryAfter := p.admit(w, r, snapshot, route)
 	if kind != apierror.None {
-		p.refuse(w, kind, retryAfter)
+		p.reject(w, kind, retryAfter)
 		return
 	}
 	p.awaitAnswer(w, r, conn, s, readRequest{route, request, body, receivedAt + timeout})
--- a/internal/proxy/refusal.go
+++ b/internal/proxy/refusal.go
@@ -7,8 +7,8 @@
 	"portflow/internal/cluster/apierror"
 )
 
-// refuse answers a request by the table of error kinds; a retryAfter of 0 leaves the kind's own.
-func (p *Proxy) refuse(w http.ResponseWriter, kind apierror.Kind, retryAfter time.Duration) {
+// reject answers a request by the table of error kinds; a retryAfter of 0 leaves the kind's own.
+func (p *Proxy) reject(w http.ResponseWriter, kind apierror.Kind, retryAfter time.Duration) {
 	p.counters.refusals[kind].Add(1)
 	response := kind.Response()
 	if retryAfter <= 0 {
--- a/internal/proxy/refused_body.go
+++ b/internal/proxy/refused_body.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	refusedBodyIdleTimeout = 2 * time.Second // for which nothing may come of the body of a refused request
-	netHTTPDrainBytes      = 256 << 10       // of a refused request's body that net/http itself reads before it answers
-	drainBufferBytes       = 8 << 10
+	rejectedBodyIdleTimeout = 2 * time.Second // for which nothing may come of the body of a refused request
+	netHTTPDrainBytes       = 256 << 10       // of a refused request's body that net/http itself reads before it answers
+	drainBufferBytes        = 8 << 10
 )
 
-// drainRefusedBody sends the answer of a request that is refused beside a long body at once, and then reads what still comes of the
+// drainRejectedBody sends the answer of a request that is refused beside a long body at once, and then reads what still comes of the
 // body. net/http would close the connection half a second after the answer, which resets the connection of a client that still
-// sends, and the client may lose the answer. Draining ends once nothing comes for refusedBodyIdleTimeout, or the body's time is up; a
+// sends, and the client may lose the answer. Draining ends once nothing comes for rejectedBodyIdleTimeout, or the body's time is up; a
 // connection that isn't read to its request's end is closed.
-func (p *Proxy) drainRefusedBody(w http.ResponseWriter, r *http.Request, limits config.Limits) {
+func (p *Proxy) drainRejectedBody(w http.ResponseWriter, r *http.Request, limits config.Limits) {
 	if r.ContentLength >= 0 && r.ContentLength <= netHTTPDrainBytes || r.Header.Get("Expect") != "" { // a client that waits for 100 sends nothing
 		return
 	}
@@ -34,7 +34,7 @@
 	deadline := time.Now().Add(bodyReadTimeout(min(r.ContentLength, int64(limits.BodyBytes))))
 	buffer := make([]byte, drainBufferBytes)
 	for {
-		stall := time.Now().Add(refusedBodyIdleTimeout)
+		stall := time.Now().Add(rejectedBodyIdleTimeout)
 		if stall.After(deadline) {
 			stall = deadline
 		}
