--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -14,36 +14,36 @@
 	"portflow/internal/httpframing"
 )
 
-// connPhase is what a client's connection is waiting for.
+// connPhase is the phase of a client's connection. It determines the read deadline.
 type connPhase uint8
 
 const (
-	readingHeader connPhase = iota // the first or the rest of a request's head
-	idle                           // the next request, of which nothing has come
-	handling                       // the handler: its deadlines are its own
+	readingHeader connPhase = iota // new connection, or a request header is incomplete
+	idle                           // between requests; no byte of the next one was received
+	handling                       // the handler is running and sets its own deadlines
 )
 
 func (p connPhase) String() string {
-	return [...]string{"reading head", "idle", "handling"}[p]
+	return [...]string{"reading header", "idle", "handling"}[p]
 }
 
-// clientConn is a client's connection. It replaces the deadlines that net/http sets by those of the limits in force, and follows how
-// requests are framed, which net/http doesn't tell.
+// clientConn is a connection from a client. It replaces the deadlines that net/http sets with those of the current limits, and tracks the
+// framing of requests, which net/http doesn't expose completely.
 type clientConn struct {
 	net.Conn
 	slot   *connlimit.Slot
-	cuts   *cutCounts           // nil where nobody counts
-	limits func() config.Limits // those in force
+	cuts   *cutCounts           // may be nil
+	limits func() config.Limits // returns the current limits
 
-	mu                sync.Mutex // guards what follows
+	mu                sync.Mutex // guards the fields below
 	phase             connPhase
-	since             time.Time // when the phase's deadline was set last
-	idleTimeout       int64     // nanoseconds, as the present request was received
-	evicting          bool      // its slot is wanted for another connection
-	counted           bool      // its end has been counted
-	unfinishedRequest bool      // it is new, or a request on it isn't answered yet
-	answered          bool      // the last request has its complete answer, and the connection is not idle yet
-	pipelined         bool      // something came while a request was at work: net/http no longer watches for the client's end then
+	since             time.Time // start of the current timeout of the phase
+	idleTimeout       int64     // nanoseconds, from the limits when the current request was received
+	evicting          bool      // its slot is needed for another connection
+	counted           bool      // its cut has been counted
+	unfinishedRequest bool      // the connection is new, or a request on it has no complete response yet
+	answered          bool      // the last request has its complete response, and the connection is not idle yet
+	pipelined         bool      // bytes came while a request was handled, so net/http no longer detects a disconnect
 	framing           httpframing.Stream
 }
 
@@ -53,13 +53,13 @@
 	return context.WithValue(ctx, clientConnKey{}, c)
 }
 
-// clientConnOf is the connection of a request, nil where it came by none of this process's listener.
+// clientConnOf returns the connection of a request, or nil if the request didn't come through a limitedListener.
 func clientConnOf(r *http.Request) *clientConn {
 	conn, _ := r.Context().Value(clientConnKey{}).(*clientConn)
 	return conn
 }
 
-// Read reads on past a deadline that no longer holds, and answers a head that is longer than the limits in force.
+// Read implements net.Conn. It continues past a deadline that has been extended, and rejects a request header that exceeds the current limits.
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extendDeadline() {
@@ -68,12 +68,12 @@
 	c.observe(b[:n], len(b))
 	if c.headerTooLarge() {
 		c.rejectHeader()
-		return 0, &net.OpError{Op: "read", Err: errHeaderTooLarge} // about which net/http writes nothing to the client
+		return 0, &net.OpError{Op: "read", Err: errHeaderTooLarge} // net/http sends no response after a read error
 	}
 	return n, err
 }
 
-// observe follows the framing of what was read into a buffer of this size.
+// observe passes bytes to the framing parser; bufferSize is the size of the buffer that they were read into.
 func (c *clientConn) observe(read []byte, bufferSize int) {
 	c.mu.Lock()
 	headerStarted := len(read) > 0 && (c.phase == idle || c.phase == readingHeader && !c.framing.Begun())
@@ -81,7 +81,7 @@
 		c.phase = readingHeader
 		c.evicting = false
 	}
-	if len(read) == 1 && bufferSize == 1 { // the read by which net/http watches for the client's end
+	if len(read) == 1 && bufferSize == 1 { // net/http's background read, which detects a disconnect
 		c.pipelined = true
 	}
 	c.framing.Read(read)
@@ -91,7 +91,7 @@
 	}
 }
 
-// phaseTimeout is how long the present phase may last by the limits in force; the caller holds the lock.
+// phaseTimeout returns the timeout of the current phase by the current limits. The caller holds mu.
 func (c *clientConn) phaseTimeout() time.Duration {
 	if c.phase == idle {
 		return time.Duration(c.limits().IdleTimeout)
@@ -99,13 +99,13 @@
 	return time.Duration(c.limits().HeaderTimeout)
 }
 
-// SetReadDeadline replaces the deadlines of idle connections and of heads, which net/http has from the limits that stood when
-// its server was made, by those of the limits in force.
+// SetReadDeadline implements net.Conn. net/http sets deadlines for headers and idle connections by the limits of when its server was created;
+// SetReadDeadline replaces them with deadlines by the current limits.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	return c.Conn.SetReadDeadline(c.readDeadline(t))
 }
 
-// readDeadline is the deadline to set in place of the one that net/http asks for.
+// readDeadline returns the deadline to set instead of the one that net/http requested.
 func (c *clientConn) readDeadline(requested time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,11 +120,11 @@
 	return now.Add(c.phaseTimeout())
 }
 
-// pastDeadline is a deadline at which a read returns at once.
+// pastDeadline is a deadline that makes reads return at once.
 var pastDeadline = time.Unix(1, 0)
 
-// extendDeadline reports, at a deadline or where the connection's slot is wanted, whether there is more time: the limits may have
-// been raised since the deadline was set, and a request may have arrived in the moment of the deadline.
+// extendDeadline is called when a read has hit its deadline, as it also does on eviction. It sets a later deadline and returns true if the
+// limits have been raised since, or if a request arrived at that moment.
 func (c *clientConn) extendDeadline() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,14 +139,14 @@
 	if deadline := c.since.Add(c.phaseTimeout()); !c.evicting && time.Now().Before(deadline) {
 		return c.Conn.SetReadDeadline(deadline) == nil
 	}
-	if !c.counted { // net/http may read again after a deadline
+	if !c.counted { // net/http may read again after a timeout
 		c.counted = true
 		c.cuts.add(c.deadlineCause())
 	}
 	return false
 }
 
-// deadlineCause is why the connection ends at its read deadline; the caller holds the lock.
+// deadlineCause returns why the connection is closed at its read deadline. The caller holds mu.
 func (c *clientConn) deadlineCause() cutCause {
 	switch {
 	case c.evicting:
@@ -157,7 +157,7 @@
 	return cutHeaderTimeout
 }
 
-// beginRequest begins to handle a request, and returns how it is framed. A nil connection knows nothing of that.
+// beginRequest enters the handling phase and returns the framing of the request, which is zero for a nil connection.
 func (c *clientConn) beginRequest() httpframing.Fields {
 	if c == nil {
 		return httpframing.Fields{}
@@ -171,7 +171,7 @@
 	return c.framing.Next()
 }
 
-// markIdle notes that the connection's request has its answer. The beginning of the next one may have come behind it.
+// markIdle is called when the connection's request has its response. Part of the next request may have been received already.
 func (c *clientConn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,8 +182,9 @@
 	}
 }
 
-// evict ends the connection, whose slot is wanted for another, by its read deadline: then its reader alone decides, and what has
-// come by that moment is served. net/http reports a connection as active only once it has read a complete head.
+// evict closes the connection to free its slot for another one. It only sets a read deadline in the past: the reader then closes the
+// connection, unless a request has arrived in the meantime. The limiter may choose a connection whose request header is complete, because
+// net/http reports it as active only after reading the header; evict leaves it open.
 func (c *clientConn) evict() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,7 +195,7 @@
 	c.Conn.SetReadDeadline(pastDeadline)
 }
 
-// Close ends the connection so that its client can read the last answer, and releases its slot.
+// Close closes the connection in a way that lets the client read the last response, and releases its slot.
 func (c *clientConn) Close() error {
 	defer c.slot.Release()
 	c.linger()
--- a/internal/proxy/client_peek.go
+++ b/internal/proxy/client_peek.go
@@ -5,20 +5,20 @@
 	"syscall"
 )
 
-// peekResult is what waits to be read on a connection.
+// peekResult is the kind of data that is ready to be read on a connection.
 type peekResult uint8
 
 const (
-	peekNothing peekResult = iota // or it can't be found out
+	peekNothing peekResult = iota // nothing, or unknown
 	peekBytes
-	peekEnd // its end, or an error
+	peekEnd // end of stream, or an error
 )
 
 func (p peekResult) String() string {
 	return [...]string{"nothing", "bytes", "end"}[p]
 }
 
-// clientGone reports whether the client went while its request was queued behind another one on its connection.
+// clientGone reports whether the client disconnected while its request was queued behind another one on the connection.
 func (c *clientConn) clientGone() bool {
 	if c == nil {
 		return false
@@ -30,7 +30,7 @@
 	return pipelined && c.peek() == peekEnd
 }
 
-// peek looks at what waits to be read, and consumes nothing of it.
+// peek reports what is ready to be read, without consuming it.
 func (c *clientConn) peek() peekResult {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/proxy/client_request.go
+++ b/internal/proxy/client_request.go
@@ -10,33 +10,33 @@
 	"portflow/internal/upstream"
 )
 
-// clientRequest is a client's request as it is forwarded, and what is known of its attempts at hosts.
+// clientRequest is a client's request and the state of the attempts to forward it to hosts.
 type clientRequest struct {
-	host           string
+	host           string // Host header
 	header         http.Header
-	id             string              // Attempt-Id: of this attempt of the client's
-	attemptCount   int                 // so far; only the decision engine's goroutine uses it
-	hasHomeRegions bool                // it may not go everywhere
-	streams        chan *streamedReply // gets an answer that is too long to be read completely, while no answer is given
+	id             string              // the client's Attempt-Id, empty if it sent none
+	attemptCount   int                 // only the decision engine's goroutine uses it
+	hasHomeRegions bool                // only hosts in certain regions may be used
+	streams        chan *streamedReply // receives a response that is too long to buffer; buffer of 1
 
-	mu            sync.Mutex // guards what follows: the decision engine, the attempt and the client's goroutine use it
+	mu            sync.Mutex // guards the fields below, which the decision engine, the attempt and the client's goroutine share
 	attempts      attempt.Request
-	conns         []any // that it was written on; as many as attempts at most
-	firstConn     [1]any
-	invalidAnswer attempt.Event   // what came in place of an answer to the present attempt, 0 for none
-	bodyMemory    bodyReservation // of its body
+	conns         []any         // connections that the request was written on, at most one per attempt
+	firstConn     [1]any        // backing array of conns for the usual single attempt
+	invalidAnswer attempt.Event // what the current attempt received instead of a valid response, 0 for none
+	bodyMemory    bodyReservation
 }
 
 var _ upstream.WriteTracker = (*clientRequest)(nil)
 
-// release notes that the request's handler is done with it.
+// release releases the handler's reference to the body memory.
 func (r *clientRequest) release() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.bodyMemory.release()
 }
 
-// beginAttempt begins an attempt, and reports whether that is allowed.
+// beginAttempt begins an attempt and reports whether one is allowed.
 func (r *clientRequest) beginAttempt() (ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,14 +47,14 @@
 	return ok
 }
 
-// record applies an event to the present attempt.
+// record applies an event to the current attempt.
 func (r *clientRequest) record(e attempt.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.attempts, _ = r.attempts.Apply(e) // only the start of a write can be refused
+	r.attempts, _ = r.attempts.Apply(e) // ok is false only for WriteStarted
 }
 
-// recordInvalidAnswer notes that what came is no answer to the present attempt.
+// recordInvalidAnswer records that the current attempt received something other than a valid response to it.
 func (r *clientRequest) recordInvalidAnswer(e attempt.Event) {
 	r.record(e)
 	r.mu.Lock()
@@ -62,14 +62,15 @@
 	r.invalidAnswer = e
 }
 
-// WrittenOn reports whether the request was written on this connection before.
+// WrittenOn implements upstream.WriteTracker.
 func (r *clientRequest) WrittenOn(conn any) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Contains(r.conns, conn)
 }
 
-// BeginWrite is asked for permission before a first byte goes to a host. There is none once the final answer is given.
+// BeginWrite implements upstream.WriteTracker. It returns false if the request is settled or the current attempt has already
+// begun writing.
 func (r *clientRequest) BeginWrite(conn any) (ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,8 +83,8 @@
 	return ok
 }
 
-// Wrote notes that so many bytes were written. Which are the last is not known: some may have been all. A write that fails after some
-// were written ends nothing: the host's answer may be there already, and a host closes its connection behind an early one.
+// Wrote implements upstream.WriteTracker. It never records WroteAll, as it doesn't know which bytes are the last. A write that fails after
+// some bytes were written doesn't end the attempt: a host that responds early closes its connection, and the response may have arrived.
 func (r *clientRequest) Wrote(n int, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,25 +96,26 @@
 	}
 }
 
-// hasWritten reports whether bytes of the present attempt have been written: what comes before that answers another request.
+// hasWritten reports whether writing the current attempt has begun. A response that arrives earlier belongs to another request.
 func (r *clientRequest) hasWritten() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.attempts.Current().Phase >= attempt.WriteBegun
 }
 
-// offerStream gives the client's goroutine an answer to pass on, unless the final one is given.
+// offerStream passes a streamed response to the client's goroutine. It returns false if the request is settled.
 func (r *clientRequest) offerStream(stream *streamedReply) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.attempts.Settled {
 		return false
 	}
-	r.streams <- stream // never blocks: one attempt at a time, and one answer to each
+	r.streams <- stream // never blocks: attempts don't overlap, and each has at most one response
 	return true
 }
 
-// settle returns what is known as the final answer is given: nothing is written, and no answer is passed on, after it.
+// settle marks the final response as decided and returns the state of the attempts at that time. Afterwards nothing is written to hosts and
+// no stream is accepted; a stream that is waiting already is ended with errSettled.
 func (r *clientRequest) settle() attempt.Request {
 	r.mu.Lock()
 	r.attempts = r.attempts.Settle()
@@ -129,7 +131,7 @@
 	}
 }
 
-// resultEvents are the events that the results of attempts mean.
+// resultEvents maps the result of an attempt to the event that ends it.
 var resultEvents = [...]attempt.Event{
 	decision.Succeeded:       attempt.Answered,
 	decision.Failed:          attempt.Answered,
@@ -142,17 +144,17 @@
 	decision.InvalidAnswer:   attempt.UnexpectedBytes,
 }
 
-// endAttempt ends the present attempt, and returns its result as the decision engine is to have it, which says no more than is known:
-// the engine retries, and refuses, what surely has not run.
+// endAttempt ends the current attempt and returns the result to report to the decision engine. The engine retries and rejects requests that
+// did not run, so the result must not claim that unless it is certain. invalid is 0 unless something other than a valid response arrived.
 func (r *clientRequest) endAttempt(result decision.Result) (known decision.Result, invalid attempt.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.bodyMemory.release()
-	r.attempts, _ = r.attempts.Apply(resultEvents[result]) // no write begins by it
+	r.attempts, _ = r.attempts.Apply(resultEvents[result]) // ok is false only for WriteStarted
 	return reconcileResult(result, r.attempts.Current().Execution), r.invalidAnswer
 }
 
-// reconcileResult is the result that fits what is known of whether a host has run the request.
+// reconcileResult changes a result that contradicts what is known about whether a host ran the request.
 func reconcileResult(result decision.Result, execution attempt.Execution) decision.Result {
 	notRun := execution == attempt.NotRun
 	switch result {
--- a/internal/proxy/client_write.go
+++ b/internal/proxy/client_write.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Write gives a client that reads nothing of its answer the idle timeout of when its request was received, or of now, whichever is
-// longer. Whenever the client reads a part of it the time begins anew.
+// Write implements net.Conn. It fails if the client reads nothing for writeTimeout; the timeout restarts whenever the client reads part of
+// the response.
 func (c *clientConn) Write(b []byte) (int, error) {
 	written := 0
 	for {
@@ -18,7 +18,7 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return written, err
 		}
-		if n == 0 { // perhaps the deadline had passed before the first attempt, as on a loaded machine
+		if n == 0 { // on a busy machine the deadline may have passed before the first write
 			n = c.writeNow(b[written:])
 			written += n
 		}
@@ -32,7 +32,7 @@
 	}
 }
 
-// writeNow writes what the connection accepts without waiting, whatever its deadline: the runtime doesn't try once that has passed.
+// writeNow writes what the connection accepts without blocking. It bypasses net.Conn, which writes nothing after the deadline.
 func (c *clientConn) writeNow(b []byte) (n int) {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -43,7 +43,7 @@
 		return 0
 	}
 	err = raw.Control(func(fd uintptr) {
-		n, _ = syscall.SendmsgN(int(fd), b, nil, nil, syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL) // an error shows at the next write
+		n, _ = syscall.SendmsgN(int(fd), b, nil, nil, syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL) // the next write returns the error
 	})
 	if err != nil {
 		return 0
@@ -51,7 +51,8 @@
 	return max(0, n)
 }
 
-// writeTimeout is how long a client may read nothing of its answer.
+// writeTimeout returns how long a client may read nothing of its response: the idle timeout from the limits when its request was received, or
+// from the current limits if that is longer.
 func (c *clientConn) writeTimeout() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/cut_cause.go
+++ b/internal/proxy/cut_cause.go
@@ -5,17 +5,17 @@
 	"sync/atomic"
 )
 
-// cutCause is why this process ended a client's connection without an answer, or in the middle of one, or because it was idle.
+// cutCause is the reason why the proxy closed a client's connection without a response, in the middle of one, or while it was idle.
 type cutCause uint8
 
 const (
-	cutIdleTimeout   cutCause = iota // nothing came for idle-timeout-s
-	cutHeaderTimeout                 // a head, or the first byte of a new connection, took longer than header-timeout-s
-	cutEvicted                       // its slot was wanted for another connection
-	cutClientGone                    // the client had closed it, or its sending side, with a request at work
-	cutWriteStalled                  // the client read nothing of its answer
-	cutStreamBroken                  // a long answer broke off at its host, at its timeout, or because the client had gone
-	cutBodyUnread                    // a refused request's body didn't come to its end
+	cutIdleTimeout   cutCause = iota // no request for idle-timeout-s
+	cutHeaderTimeout                 // a request header, or the first byte on a new connection, took longer than header-timeout-s
+	cutEvicted                       // its slot was needed for another connection
+	cutClientGone                    // the client closed it, or its sending side, while a request was handled
+	cutWriteStalled                  // the client read nothing of its response for too long
+	cutStreamBroken                  // a streamed response was truncated by its host, a timeout, or the client's disconnect
+	cutBodyUnread                    // the body of a rejected request didn't end in time, or broke off
 	cutCauseCount
 )
 
@@ -31,17 +31,17 @@
 
 func (c cutCause) String() string { return cutNames[c] }
 
-// cutCounts counts cuts by their cause.
+// cutCounts counts closed connections by cause.
 type cutCounts [cutCauseCount]atomic.Int64
 
-// add counts a cut; a nil cutCounts counts nothing.
+// add does nothing on a nil cutCounts.
 func (c *cutCounts) add(cause cutCause) {
 	if c != nil {
 		c[cause].Add(1)
 	}
 }
 
-// String is the counts that are not zero, each behind a space.
+// String returns the counts that are not zero, each preceded by a space.
 func (c *cutCounts) String() string {
 	var b strings.Builder
 	for cause := range cutCauseCount {
--- a/internal/proxy/head_limits.go
+++ b/internal/proxy/head_limits.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// headerSlop is by how many bytes a head may exceed the limit before its end has come: as many as net/http's buffer has. A head that is
-// complete by then is judged by headerSize.
+// headerSlop is the number of bytes by which an incomplete header may exceed the limit, the size of net/http's buffer. A complete header is
+// checked by its headerSize instead.
 const headerSlop = 4096
 
-// requestLineOverhead is what headerSize counts beside the method, target, host and fields: the version and the separators.
+// requestLineOverhead is the number of bytes that headerSize adds for the HTTP version and separators.
 const requestLineOverhead = 20
 
-// rejectLingerTimeout is how long a refused client that still sends gets to read its answer: a connection that is closed beside unread
-// bytes is reset, and the client may lose the answer by that.
+// rejectLingerTimeout is the time that a client that is still sending gets to read the rejection. Closing a connection with unread bytes
+// resets it, and the client may lose the response.
 const rejectLingerTimeout = 500 * time.Millisecond
 
-var errHeaderTooLarge = errors.New("the head is longer than header-bytes")
+var errHeaderTooLarge = errors.New("request header exceeds header-bytes")
 
-// headerTooLarge reports whether the head that comes in is longer than the limits in force allow.
+// headerTooLarge reports whether an incomplete header exceeds the current limit by more than headerSlop.
 func (c *clientConn) headerTooLarge() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.phase == readingHeader && c.framing.Head() > c.limits().HeaderBytes+headerSlop
 }
 
-// rejectHeader answers a head that is too long, and waits for a moment so that the answer isn't lost by a reset.
+// rejectHeader responds to a header that is too large, and discards input for rejectLingerTimeout so that a reset doesn't destroy the response.
 func (c *clientConn) rejectHeader() {
 	fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
 		http.StatusRequestHeaderFieldsTooLarge, http.StatusText(http.StatusRequestHeaderFieldsTooLarge))
 	c.Conn.SetReadDeadline(time.Now().Add(rejectLingerTimeout))
-	_, _ = io.Copy(io.Discard, c.Conn) // ends at the client's end or the deadline; either way the connection is closed
+	_, _ = io.Copy(io.Discard, c.Conn) // until the client closes or the deadline; the connection is closed in either case
 }
 
-// headerSize is about how many bytes a request's head has.
+// headerSize returns the approximate size of a request's header in bytes, request line included.
 func headerSize(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + requestLineOverhead
 	for name, values := range r.Header {
--- a/internal/proxy/linger.go
+++ b/internal/proxy/linger.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// lingerTimeout is the most time for which a connection is read on after its last answer: its client closes it once it has that.
+// lingerTimeout limits how long a connection is read after its last response, while the client is expected to close it.
 const lingerTimeout = 500 * time.Millisecond
 
-// halfCloser is a connection whose sending side can be closed alone.
+// halfCloser is a connection whose sending side can be closed separately.
 type halfCloser interface{ CloseWrite() error }
 
-// markAnswered notes that the connection's present request has its complete answer.
+// markAnswered records that the response to the current request is complete. It does nothing on a nil connection.
 func (c *clientConn) markAnswered() {
 	if c == nil {
 		return
@@ -21,7 +21,8 @@
 	c.answered = true
 }
 
-// CloseWrite ends the sending side, so that the client sees the end behind all that was written.
+// CloseWrite closes the sending side, so that the client sees the end of the stream after everything that was written. It does nothing if the
+// connection doesn't support that.
 func (c *clientConn) CloseWrite() error {
 	if half, ok := c.Conn.(halfCloser); ok {
 		return half.CloseWrite()
@@ -29,9 +30,9 @@
 	return nil
 }
 
-// linger reads on after the last answer until the client has closed too, and discards what comes. A connection that is closed
-// while bytes wait to be read, as of pipelined requests, is reset, and a reset discards what the client hasn't read of the answer.
-// A connection that is closed for other reasons, between requests or because an answer breaks off, ends at once.
+// linger closes the sending side after the last response, and then discards input until the client closes as well. Closing a connection
+// with unread bytes, such as pipelined requests, would reset it, and the client could lose the part of the response that it hasn't read.
+// Connections that are closed between requests or with a truncated response don't linger.
 func (c *clientConn) linger() {
 	c.mu.Lock()
 	lingers := c.answered
@@ -44,5 +45,5 @@
 		return
 	}
 	c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
-	_, _ = io.Copy(io.Discard, c.Conn) // ends at the client's end or the deadline; either way the connection is closed
+	_, _ = io.Copy(io.Discard, c.Conn) // until the client closes or the deadline; the connection is closed in either case
 }
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -11,12 +11,12 @@
 	"portflow/internal/connlimit"
 )
 
-// limitedListener accepts no more clients' connections than there are slots for.
+// limitedListener accepts a connection only once it has a slot of the limiter.
 type limitedListener struct {
 	net.Listener
 	limiter *connlimit.Limiter
 	cuts    *cutCounts
-	limits  func() config.Limits // those in force
+	limits  func() config.Limits // returns the current limits
 }
 
 func (l *limitedListener) Accept() (net.Conn, error) {
@@ -31,7 +31,7 @@
 	return conn, nil
 }
 
-// backlog is how many connections wait to be accepted; 0 where the listener is not the machine's own.
+// backlog returns the length of the accept queue, or 0 if the listener is not a socket of the operating system.
 func backlog(l net.Listener) int {
 	s, ok := l.(syscall.Conn)
 	if !ok {
@@ -42,9 +42,9 @@
 		return 0
 	}
 	waiting := 0
-	_ = raw.Control(func(fd uintptr) { // fails on a closed listener, at which none waits
+	_ = raw.Control(func(fd uintptr) { // fails on a closed listener, which has no queue
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			waiting = int(info.Unacked) // the length of the accept queue, in the state LISTEN
+			waiting = int(info.Unacked) // the length of the accept queue for a socket in state LISTEN
 		}
 	})
 	return waiting
