--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -11,10 +11,10 @@
 	"portflow/internal/proxy/attempt"
 )
 
-// deadlineSlack is how long before its deadline a request counts as timed out, nanoseconds.
+// deadlineSlack is the time before its deadline, in nanoseconds, from which a request counts as timed out.
 const deadlineSlack = int64(20e6)
 
-// writeAnswer gives a request's final answer; known is what was known of its attempts as it was settled.
+// writeAnswer writes the final response to a request; attempts is the state of its attempts when it was settled.
 func (p *Proxy) writeAnswer(w http.ResponseWriter, s *service, answer dispatch.Answer, call *dispatch.Call, attempts attempt.Request) {
 	resp, _ := answer.Reply.(*reply)
 	switch {
@@ -33,7 +33,7 @@
 	}
 }
 
-// copyHeader gives an answer a host's header, without the fields that net/http would add.
+// copyHeader copies the header of a host's response to w and returns it. A nil Date or Content-Type keeps net/http from adding the field.
 func (p *Proxy) copyHeader(w http.ResponseWriter, resp *reply) http.Header {
 	p.counters.answered.Add(1)
 	h := w.Header()
@@ -51,18 +51,18 @@
 	return h
 }
 
-// writeReply passes a host's answer on unchanged.
+// writeReply forwards a complete response from a host.
 func (p *Proxy) writeReply(w http.ResponseWriter, resp *reply) {
 	h := p.copyHeader(w, resp)
 	if !resp.noBody {
 		h["Content-Length"] = []string{strconv.Itoa(len(resp.body))}
 	}
 	w.WriteHeader(resp.status)
-	_, _ = w.Write(resp.body) // where it fails the client has gone, and net/http ends the connection
+	_, _ = w.Write(resp.body) // on an error the client has disconnected, and net/http closes the connection
 }
 
-// forwardStream passes on a long answer, or refuses the request where its client could not tell the answer's end: in HTTP/1.0 an answer
-// without a length ends with its connection, also where that is cut.
+// forwardStream forwards a streamed response. A response without a length to an HTTP/1.0 client is rejected: it would end when the connection
+// is closed, so the client could not detect truncation.
 func (p *Proxy) forwardStream(w http.ResponseWriter, r *http.Request, stream *streamedReply) {
 	if stream.length < 0 && !r.ProtoAtLeast(1, 1) {
 		stream.done <- attempt.ErrUndelimitedBody
@@ -72,8 +72,8 @@
 	p.streamReply(w, r, stream)
 }
 
-// streamReply passes a long answer on as it comes, while its client is there. One that breaks off ends the connection, so that it
-// doesn't look complete.
+// streamReply copies a streamed response to the client as it arrives, and stops if the client disconnects. If the copy fails, it aborts the
+// connection so that the response doesn't look complete.
 func (p *Proxy) streamReply(w http.ResponseWriter, r *http.Request, stream *streamedReply) {
 	defer context.AfterFunc(r.Context(), stream.stop)()
 	h := p.copyHeader(w, stream.reply)
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -11,25 +11,25 @@
 	"portflow/internal/cluster/config"
 )
 
-// minBodyTimeout is how long a body may take, beside a second for each megabyte of its stated length.
+// minBodyTimeout is the time to read a request body, plus one second for each MiB of its Content-Length.
 const minBodyTimeout = 5 * time.Second
 
-// bodyReadTimeout is how long a body of this length may take, -1 for one whose length isn't stated.
+// bodyReadTimeout returns the time limit for reading a request body. A length of -1 means unknown.
 func bodyReadTimeout(length int64) time.Duration {
 	return minBodyTimeout + time.Duration(max(0, length)>>20)*time.Second
 }
 
-// setBodyDeadline bounds the time of a request's body, also of what net/http reads of it once the request is refused.
+// setBodyDeadline limits the time to read a request body. The limit also covers what net/http reads of it after the request was rejected.
 func setBodyDeadline(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength != 0 {
 		http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyReadTimeout(r.ContentLength)))
 	}
 }
 
-var errNoBodyMemory = errors.New("no memory is left for the request's body")
+var errNoBodyMemory = errors.New("not enough memory left to buffer the request body")
 
-// readBody reads a request's body completely, within the memory that bodies have. It returns how many bytes of that it has
-// reserved, which the caller releases whatever the kind is.
+// readBody reads a request's body completely, within the memory limit for all bodies. reserved is the number of bytes that it has reserved;
+// the caller must release them, also when kind is an error.
 func (p *Proxy) readBody(w http.ResponseWriter, r *http.Request, limits config.Limits) (body []byte, reserved int64, kind apierror.Kind) {
 	if r.ContentLength == 0 {
 		return nil, 0, apierror.None
@@ -50,13 +50,13 @@
 	return body, reserved, apierror.None
 }
 
-// bodyError is the kind of an error of reading a body. The connection ends where there was no memory for it.
+// bodyError returns the kind of an error from reading a body. If there was no memory for the body, it also sets Connection: close.
 func (p *Proxy) bodyError(w http.ResponseWriter, err error) apierror.Kind {
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.Is(err, errNoBodyMemory):
 		p.counters.bodyRefused.Add(1)
-		w.Header()["Connection"] = []string{"close"} // the rest of the body is not waited for
+		w.Header()["Connection"] = []string{"close"} // don't wait for the rest of the body
 		return apierror.Overloaded
 	case errors.As(err, &tooLarge):
 		return apierror.BodyTooLarge
@@ -64,7 +64,7 @@
 	return apierror.Malformed
 }
 
-// readStatedBody reads a body of a stated length.
+// readStatedBody reads a body whose Content-Length is known.
 func (p *Proxy) readStatedBody(from io.Reader, length int64) (body []byte, reserved int64, err error) {
 	if !p.reserveBody(length, length) {
 		return nil, 0, errNoBodyMemory
@@ -74,7 +74,7 @@
 	return body, length, err
 }
 
-// readChunkedBody reads a body of unknown length in chunks, each half as long as all before it, and joins them at its end.
+// readChunkedBody reads a body of unknown length into chunks, each half as long as all earlier ones together, and then concatenates them.
 func (p *Proxy) readChunkedBody(from io.Reader) (body []byte, reserved int64, err error) {
 	var chunks [][]byte
 	total := int64(0)
--- a/internal/proxy/body_memory.go
+++ b/internal/proxy/body_memory.go
@@ -2,19 +2,19 @@
 
 import "sync/atomic"
 
-// A request's body is held completely until the request has its final answer and none of its attempts is in flight, as it may have to
-// be sent to another host. All bodies together have a quarter of the machine's memory, reserved before a body is read; long
-// bodies leave a part of that to short ones, so that a few clients that state long bodies and send nothing don't keep out all others.
-// A body that finds no memory is refused at once.
+// A request body stays in memory until the request has its final response and no attempt is in flight, because a retry needs all of it.
+// All bodies together may use a quarter of the machine's memory, which is reserved before a body is read. Long bodies must leave part of
+// that to short ones, so that a few clients that announce long bodies and send nothing don't block all others. A body that doesn't fit is
+// rejected at once.
 
 const (
-	bodyMemoryDivisor = 4        // of the machine's memory, for all bodies
-	shortBodyDivisor  = 8        // of the bodies' memory, for short bodies alone
-	shortBodyBytes    = 64 << 10 // up to which a body is short
-	firstChunkBytes   = 4 << 10  // reserved first for a body without a stated length
+	bodyMemoryDivisor = 4        // bodies may use 1/4 of the machine's memory
+	shortBodyDivisor  = 8        // 1/8 of the memory for bodies is reserved for short ones
+	shortBodyBytes    = 64 << 10 // maximum length of a short body
+	firstChunkBytes   = 4 << 10  // initial buffer for a body of unknown length
 )
 
-// bodyMemoryLimit is how many bytes all bodies may have together, with one of this length (bytes) among them.
+// bodyMemoryLimit returns the number of bytes that all bodies together may use once a body of this length in bytes is added.
 func (p *Proxy) bodyMemoryLimit(length int64) int64 {
 	limit := int64(p.Settings.MemoryMB) << 20 / bodyMemoryDivisor
 	if length > shortBodyBytes {
@@ -23,7 +23,8 @@
 	return limit
 }
 
-// reserveBody reserves so many bytes for a body, if they are free; length is what the body has, or has by now.
+// reserveBody reserves memory for a body and reports whether there was enough. length is the length of the body, or of what has been read so
+// far plus the new buffer if the length is unknown.
 func (p *Proxy) reserveBody(bytes, length int64) bool {
 	limit := p.bodyMemoryLimit(length)
 	for {
@@ -37,12 +38,12 @@
 	}
 }
 
-// bodyReservation is the memory of a request's body, until the last of its holders releases it: the client's handler, and attempts.
-// Its owner's lock guards it.
+// bodyReservation is the memory reserved for a request's body. It is reference-counted: the client's handler and each attempt hold a
+// reference, and the last release returns the memory. It is guarded by the mu of its clientRequest.
 type bodyReservation struct {
-	total   *atomic.Int64 // of all bodies, bytes
+	total   *atomic.Int64 // bytes reserved for all bodies; nil if nothing is accounted
 	bytes   int64
-	holders int
+	holders int // reference count
 }
 
 func (r *bodyReservation) retain() { r.holders++ }
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -10,10 +10,10 @@
 	"portflow/internal/proxy/attempt"
 )
 
-// forwardCounts counts attempts since the last check of whether this proxy is short of capacity.
+// forwardCounts counts attempts since checkShortage last ran.
 type forwardCounts struct{ all, otherZone, overShare atomic.Int64 }
 
-// outlierOutcomes is what the result of an attempt says of its host.
+// outlierOutcomes maps the result of an attempt to the outcome that outlier detection records for its host.
 var outlierOutcomes = [...]outlier.Outcome{
 	decision.Succeeded:       outlier.Success,
 	decision.Failed:          outlier.Failure,
@@ -26,12 +26,13 @@
 	decision.InvalidAnswer:   outlier.Failure,
 }
 
-// Forward makes an attempt at the host that the decision engine has chosen. Where the request may have run it makes none, and says so.
+// Forward implements dispatch.Upstream. If the request must not be sent again, it makes no attempt and reports decision.Unsent.
 func (s *service) Forward(to dispatch.Host, r *dispatch.Request, timeout time.Duration, done func(dispatch.Outcome)) dispatch.Attempt {
 	request := r.Payload.(*clientRequest)
-	if !request.beginAttempt() { // it may have run, or an attempt is in flight: the engine doesn't ask for that
+	// The request may have run, has an attempt in flight, or is settled. Only the last is expected, just after the client disconnected.
+	if !request.beginAttempt() {
 		s.proxy.counters.withheld.Add(1)
-		go done(dispatch.Outcome{Result: decision.Unsent}) // not from here: the engine is in the middle of a step
+		go done(dispatch.Outcome{Result: decision.Unsent}) // asynchronous, because the engine is in the middle of a step
 		return unsentAttempt{}
 	}
 	host, startedAt := s.attemptStarted(to)
@@ -51,7 +52,7 @@
 	})
 }
 
-// attemptStarted notes an attempt at its host, nil where that is not known any more.
+// attemptStarted records the start of an attempt. host is nil if the host is no longer known.
 func (s *service) attemptStarted(to dispatch.Host) (host *hostState, startedAt int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +72,7 @@
 	return host, startedAt
 }
 
-// countAttempt counts an attempt by how far its host is.
+// countAttempt counts an attempt by the distance of its host.
 func (p *Proxy) countAttempt(to dispatch.Host, request *clientRequest) {
 	p.counters.byDistance[to.Distance].Add(1)
 	p.forwarded.all.Add(1)
@@ -84,7 +85,7 @@
 	}
 }
 
-// attemptEnded notes the result of an attempt.
+// attemptEnded records the end of an attempt. host is what attemptStarted returned and may be nil.
 func (s *service) attemptEnded(to dispatch.Host, host *hostState, startedAt int64, result decision.Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,7 +104,7 @@
 	}
 }
 
-// unsentAttempt is an attempt that was not begun.
+// unsentAttempt is the dispatch.Attempt of a request that was not sent; there is nothing to cancel.
 type unsentAttempt struct{}
 
 func (unsentAttempt) Cancel()       {}
--- a/internal/proxy/forwarded_header.go
+++ b/internal/proxy/forwarded_header.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// hopByHopHeaders are the header fields that concern one connection only (RFC 9110, section 7.6.1).
+// hopByHopHeaders are the header fields that apply to a single connection (RFC 9110, section 7.6.1).
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect"}
 
-// endToEndHeaders are header fields between a client and a host: Connection can't remove them.
+// endToEndHeaders are header fields that a Connection field cannot remove.
 var endToEndHeaders = []string{"Attempt-Id", "Server-Seal", "Request-Not-Run", "Time-Remaining", "Retry-After", "Cache-Control", "Content-Type",
 	"Content-Encoding", "Content-Length"}
 
-// forwardedHeader is a header without the fields that concern one connection only.
+// forwardedHeader returns a copy of a header without hop-by-hop fields, including those that its Connection fields name.
 func forwardedHeader(h http.Header) http.Header {
 	out := h.Clone()
 	for _, options := range h["Connection"] {
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -11,8 +11,8 @@
 	"portflow/internal/proxy/attempt"
 )
 
-// ServeHTTP gives a client's request its one final answer. A panic with http.ErrAbortHandler ends the connection instead, so
-// that an answer that breaks off does not look complete.
+// ServeHTTP implements http.Handler. It either writes the one final response to a client's request, or panics with http.ErrAbortHandler to
+// close the connection, so that a truncated response does not look complete.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.counters.received.Add(1)
 	p.openRequests.Add(1)
@@ -22,8 +22,8 @@
 	conn.markAnswered()
 }
 
-// handle takes a request through its stages: framing, questions about this process, head and route, body, admission, a host. The
-// first check that fails refuses the request, and a body that was not read by then is drained.
+// handle processes a request in stages: framing, OPTIONS *, header and route, body, admission, forwarding. The first check that fails
+// rejects the request, and the body is drained if it has not been read by then.
 func (p *Proxy) handle(w http.ResponseWriter, r *http.Request, conn *clientConn) {
 	receivedAt, snapshot := p.clock(), p.snapshot.Load()
 	framing := beginRequest(w, r, conn)
@@ -62,23 +62,23 @@
 	p.awaitAnswer(w, r, conn, s, readRequest{route, request, body, receivedAt + timeout})
 }
 
-// beginRequest takes a request's framing, and then sets the deadline of its body, which clientConn would replace by that of a head
-// before.
+// beginRequest returns the framing of a request and sets the read deadline of its body. The order matters: until conn.beginRequest is called,
+// clientConn would replace that deadline with the one for headers.
 func beginRequest(w http.ResponseWriter, r *http.Request, conn *clientConn) httpframing.Fields {
 	framing := conn.beginRequest()
 	setBodyDeadline(w, r)
 	return framing
 }
 
-// readRequest is a request that has been checked and read completely.
+// readRequest is a request that has passed all checks, with its complete body.
 type readRequest struct {
 	route    *config.Route
 	request  *clientRequest
 	body     []byte
-	deadline int64 // by the proxy's clock, nanoseconds
+	deadline int64 // nanoseconds, on the proxy's clock
 }
 
-// awaitAnswer gives an admitted request to its service's decision engine, and its client the answer.
+// awaitAnswer passes an admitted request to the decision engine of its service, and writes the response once there is one.
 func (p *Proxy) awaitAnswer(w http.ResponseWriter, r *http.Request, conn *clientConn, s *service, read readRequest) {
 	request := read.request
 	answers := make(dispatch.AnswerChan, 1)
@@ -95,7 +95,7 @@
 		request.settle()
 		s.dispatcher.Post(dispatch.StreamStarted{Call: call})
 		p.forwardStream(w, r, stream)
-	case <-r.Context().Done(): // also where the client shut only its sending side: an empty answer would look like a success
+	case <-r.Context().Done(): // also if the client closed only its sending side; returning normally would send an empty success
 		request.settle()
 		p.countClientGone()
 		s.dispatcher.Post(dispatch.ClientGone{Call: call})
@@ -103,7 +103,8 @@
 	}
 }
 
-// admit chooses the service of a route for one request and checks the caller's quota there; retryAfter is when to come back.
+// admit chooses the service for a request from its route's backends and checks the caller's quota there. retryAfter is the delay before a
+// rejected caller may retry.
 func (p *Proxy) admit(w http.ResponseWriter, r *http.Request, snapshot *routingSnapshot, route *config.Route) (
 	s *service, kind apierror.Kind, retryAfter time.Duration) {
 	s = snapshot.services[p.chooseService(route)]
@@ -118,7 +119,7 @@
 	return s, apierror.None, 0
 }
 
-// newCall is a request as the decision engine gets it.
+// newCall returns a request in the form that the decision engine takes.
 func (s *service) newCall(r *http.Request, read readRequest, answers dispatch.AnswerChan) *dispatch.Call {
 	route := read.route
 	read.request.host = r.Host
@@ -133,7 +134,7 @@
 	}
 }
 
-// newClientRequest is a request whose body has been read, or was refused.
+// newClientRequest returns the state of a request that has had no attempt yet.
 func newClientRequest(r *http.Request, route *config.Route, body bodyReservation) *clientRequest {
 	return &clientRequest{
 		id:             r.Header.Get("Attempt-Id"),
@@ -144,7 +145,7 @@
 	}
 }
 
-// countClientGone counts a client that has gone while its request was at work; its connection is ended.
+// countClientGone counts a client that disconnected while its request was handled.
 func (p *Proxy) countClientGone() {
 	p.counters.clientGone.Add(1)
 	p.counters.cuts.add(cutClientGone)
--- a/internal/proxy/host_protocol.go
+++ b/internal/proxy/host_protocol.go
@@ -15,7 +15,7 @@
 	"portflow/internal/upstream"
 )
 
-// hostProtocol is what hosts are sent and what they answer. Answers of up to maxBuffered bytes are read before they are passed on.
+// hostProtocol is the protocol between the proxy and hosts. Response bodies of up to maxBuffered bytes are buffered, longer ones streamed.
 type hostProtocol struct{ maxBuffered int64 }
 
 var (
@@ -23,10 +23,10 @@
 	_ upstream.DeadlineRenewer = hostProtocol{}
 )
 
-// NewRequest is the client's request as a host gets it. http.Transport retries no request whose body it can't have again.
+// NewRequest implements upstream.Protocol. The body has no GetBody, so that http.Transport can't resend it by itself.
 func (hostProtocol) NewRequest(to dispatch.Host, r *dispatch.Request, timeout time.Duration) *http.Request {
 	request := r.Payload.(*clientRequest)
-	u, _ := requestTarget(r.Target) // checkHeader has refused those that are not ok
+	u, _ := requestTarget(r.Target) // checkHeader has rejected targets that are not ok
 	u.Scheme, u.Host = "http", to.Address
 	req := &http.Request{
 		Method:        r.Method,
@@ -37,20 +37,21 @@
 		ContentLength: int64(len(r.Body)),
 	}
 	if len(r.Body) == 0 && r.Method != http.MethodGet {
-		req.Body = http.NoBody // otherwise it would be sent in chunks
+		req.Body = http.NoBody // otherwise http.Transport would use chunked encoding
 	}
 	return req
 }
 
-// hostHeader is a request's header for a host.
+// hostHeader returns the request header to send to an instance.
 func hostHeader(from http.Header, instance string, timeout time.Duration) http.Header {
 	h := from.Clone()
 	h["Expected-Instance"] = []string{instance}
 	h["Time-Remaining"] = []string{milliseconds(timeout)}
 	if h["User-Agent"] == nil {
-		h["User-Agent"] = nil // none of net/http's own
+		h["User-Agent"] = nil // keeps net/http from adding its own
 	}
-	for _, name := range []string{"Idempotency-Key", "X-Idempotency-Key"} { // in lower case http.Transport retries no request by it
+	// http.Transport retries requests with one of these fields, but doesn't recognize their names in lower case.
+	for _, name := range []string{"Idempotency-Key", "X-Idempotency-Key"} {
 		if v, ok := h[name]; ok {
 			delete(h, name)
 			h[strings.ToLower(name)] = v
@@ -59,10 +60,11 @@
 	return h
 }
 
-// maxExcessMillis is how many milliseconds too many a host may be given.
+// maxExcessMillis is the number of milliseconds by which Time-Remaining may exceed the time left.
 const maxExcessMillis = 2
 
-// RenewDeadline states what time is left once there is a connection, where that took a while.
+// RenewDeadline implements upstream.DeadlineRenewer. It lowers a Time-Remaining that exceeds the time left by more than
+// maxExcessMillis, because the request had to wait for a connection.
 func (hostProtocol) RenewDeadline(r *http.Request, timeout time.Duration) {
 	stated := r.Header["Time-Remaining"]
 	if ms, err := strconv.ParseInt(stated[0], 10, 64); err == nil && ms > timeout.Milliseconds()+maxExcessMillis {
@@ -70,17 +72,18 @@
 	}
 }
 
-// milliseconds is a time as Time-Remaining states it, at least 1.
+// milliseconds formats a duration for Time-Remaining, as at least 1.
 func milliseconds(d time.Duration) string {
 	return strconv.FormatInt(max(1, d.Milliseconds()), 10)
 }
 
 var (
-	errFailureTooLarge = errors.New("a refusal or an error that doesn't end")
-	errSettled         = errors.New("the final answer is given")
+	errFailureTooLarge = errors.New("unsuccessful response exceeds the buffer size")
+	errSettled         = errors.New("request already has its final response")
 )
 
-// ReadAnswer reads a host's answer, and checks that it is one, and the one to this request. A long one is passed on as it comes.
+// ReadAnswer implements upstream.Protocol. It checks that a host's response is valid and belongs to this request. A successful response that
+// exceeds maxBuffered is streamed to the client, and ReadAnswer returns when the stream has ended.
 func (p hostProtocol) ReadAnswer(r *dispatch.Request, resp *http.Response) (dispatch.Outcome, error) {
 	request := r.Payload.(*clientRequest)
 	if !request.hasWritten() {
@@ -88,7 +91,7 @@
 		return dispatch.Outcome{}, attempt.ErrWrongRequest
 	}
 	event, err := attempt.Classify(request.id, answerFields(resp))
-	if err != nil { // whatever else it says
+	if err != nil { // the rest of the response doesn't matter
 		request.recordInvalidAnswer(event)
 		return dispatch.Outcome{}, err
 	}
@@ -113,7 +116,7 @@
 	return dispatch.Outcome{Result: result, Reply: answer}, nil
 }
 
-// answerFields is what an answer's head says of the request.
+// answerFields returns the parts of a response's header that attempt.Classify needs.
 func answerFields(resp *http.Response) attempt.Answer {
 	return attempt.Answer{
 		Status:  resp.StatusCode,
@@ -124,7 +127,7 @@
 	}
 }
 
-// newReply is a host's answer as its client gets it.
+// newReply converts a host's response to the form in which the client gets it.
 func newReply(method string, resp *http.Response, body []byte, event attempt.Event) *reply {
 	answer := &reply{
 		status:      resp.StatusCode,
@@ -140,7 +143,7 @@
 	return answer
 }
 
-// result is what the decision engine makes of an answer.
+// result returns the result that the decision engine gets for a response.
 func (r *reply) result() decision.Result {
 	switch {
 	case r.notRun:
@@ -151,7 +154,7 @@
 	return decision.Failed
 }
 
-// stream offers an answer whose beginning has been read to the client's goroutine, and waits until that has passed it on.
+// stream offers a partly read response to the client's goroutine, and waits until that has forwarded the rest. beginning has what was read.
 func (r *clientRequest) stream(beginning *reply, resp *http.Response) error {
 	stream := &streamedReply{
 		reply:  beginning,
--- a/internal/proxy/refusal.go
+++ b/internal/proxy/refusal.go
@@ -7,7 +7,7 @@
 	"portflow/internal/cluster/apierror"
 )
 
-// reject answers a request by the table of error kinds; a retryAfter of 0 leaves the kind's own.
+// reject responds to a request with the status and headers of an error kind. A retryAfter of 0 means the default of the kind.
 func (p *Proxy) reject(w http.ResponseWriter, kind apierror.Kind, retryAfter time.Duration) {
 	p.counters.refusals[kind].Add(1)
 	response := kind.Response()
@@ -26,8 +26,8 @@
 	w.WriteHeader(response.Status)
 }
 
-// retryAfter is how long a refused client should wait: by the forecast of when the service has room, and at most a third of the time
-// to the request's deadline, as clients wait no longer.
+// retryAfter returns the delay before a client whose request was shed should retry: by the forecast of when the service has capacity, but at
+// most a third of the time to the request's deadline, as clients wait no longer.
 func (s *service) retryAfter(deadline int64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/refused_body.go
+++ b/internal/proxy/refused_body.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	rejectedBodyIdleTimeout = 2 * time.Second // for which nothing may come of the body of a refused request
-	netHTTPDrainBytes       = 256 << 10       // of a refused request's body that net/http itself reads before it answers
+	rejectedBodyIdleTimeout = 2 * time.Second // longest pause within the body of a rejected request
+	netHTTPDrainBytes       = 256 << 10       // net/http itself reads up to this much of an unread body before it responds
 	drainBufferBytes        = 8 << 10
 )
 
-// drainRejectedBody sends the answer of a request that is refused beside a long body at once, and then reads what still comes of the
-// body. net/http would close the connection half a second after the answer, which resets the connection of a client that still
-// sends, and the client may lose the answer. Draining ends once nothing comes for rejectedBodyIdleTimeout, or the body's time is up; a
-// connection that isn't read to its request's end is closed.
+// drainRejectedBody sends the response to a rejected request with a long body at once, and then reads and discards the rest of the body.
+// net/http would close the connection half a second after the response. That resets the connection of a client that is still sending, which
+// may then lose the response. Draining stops when nothing arrives for rejectedBodyIdleTimeout or the body's time limit is reached. The
+// connection is closed unless the end of the body was read.
 func (p *Proxy) drainRejectedBody(w http.ResponseWriter, r *http.Request, limits config.Limits) {
-	if r.ContentLength >= 0 && r.ContentLength <= netHTTPDrainBytes || r.Header.Get("Expect") != "" { // a client that waits for 100 sends nothing
+	// A client that waits for 100 Continue sends no body.
+	if r.ContentLength >= 0 && r.ContentLength <= netHTTPDrainBytes || r.Header.Get("Expect") != "" {
 		return
 	}
 	if r.ContentLength < 0 && w.Header().Get("Connection") != "close" {
-		if _, err := io.CopyN(io.Discard, r.Body, netHTTPDrainBytes); err != nil { // also io.EOF: the body is short
+		if _, err := io.CopyN(io.Discard, r.Body, netHTTPDrainBytes); err != nil { // usually io.EOF: the body is short
 			return
 		}
 	}
 	controller := http.NewResponseController(w)
-	_ = controller.EnableFullDuplex() // net/http's HTTP/1 server always can
-	_ = controller.Flush()            // where it fails, the reads below fail too
+	_ = controller.EnableFullDuplex() // always supported by net/http for HTTP/1
+	_ = controller.Flush()            // if it fails, so do the reads below
 	deadline := time.Now().Add(bodyReadTimeout(min(r.ContentLength, int64(limits.BodyBytes))))
 	buffer := make([]byte, drainBufferBytes)
 	for {
@@ -45,7 +46,7 @@
 		}
 		if err != nil {
 			p.counters.cuts.add(cutBodyUnread)
-			panic(http.ErrAbortHandler) // the rest must not be read as another request
+			panic(http.ErrAbortHandler) // the rest of the body must not be parsed as the next request
 		}
 	}
 }
--- a/internal/proxy/reply.go
+++ b/internal/proxy/reply.go
@@ -5,22 +5,22 @@
 	"net/http"
 )
 
-// reply is a host's answer: complete, or the beginning of a streamed one.
+// reply is a complete response from a host, or the beginning of a streamed one.
 type reply struct {
 	status      int
 	header      http.Header
 	body        []byte
-	noBody      bool // by its kind; the header may state the length that it would have
-	notRun      bool // the host says that it has not run the request
-	misdirected bool // another host has the address
+	noBody      bool // by method or status; the header may still have a Content-Length
+	notRun      bool // the host reported that it did not run the request
+	misdirected bool // another instance uses the address now
 }
 
-// streamedReply is an answer of which only the beginning has been read. Whoever takes it from clientRequest.streams reads the rest and
-// reports the end on done.
+// streamedReply is a response of which only the beginning has been read. Whoever receives it from clientRequest.streams must send one
+// value to done: the result of forwarding the rest, or the reason for not reading it.
 type streamedReply struct {
 	*reply
-	length int64 // -1 where it isn't stated
+	length int64 // -1 if unknown
 	rest   io.Reader
-	stop   func() // ends rest, also while it is read
+	stop   func() // closes rest; may be called during a read
 	done   chan error
 }
--- a/internal/proxy/request_check.go
+++ b/internal/proxy/request_check.go
@@ -12,10 +12,10 @@
 	"portflow/internal/httpframing"
 )
 
-// maxTimeRemaining is the longest Time-Remaining that a client may state, milliseconds.
+// maxTimeRemaining is the maximum Time-Remaining of a client, in milliseconds.
 const maxTimeRemaining = 1e9
 
-// checkFraming refuses a request whose end can be read in two ways; net/http ignores a transfer coding in HTTP/1.0.
+// checkFraming rejects a request whose end is ambiguous. That includes Transfer-Encoding in HTTP/1.0, which net/http ignores.
 func checkFraming(r *http.Request, framing httpframing.Fields) apierror.Kind {
 	if framing.Ambiguous() || framing.TransferEncodings > 0 && !r.ProtoAtLeast(1, 1) {
 		return apierror.Malformed
@@ -23,12 +23,12 @@
 	return apierror.None
 }
 
-// isServerOptions reports whether a request asks about this process and not about a service.
+// isServerOptions reports whether a request is OPTIONS *, which is about the proxy itself and not about a service.
 func isServerOptions(r *http.Request) bool {
 	return r.Method == http.MethodOptions && r.RequestURI == "*"
 }
 
-// checkHeader checks a request's head in this order: target and id, size, whether this process serves, route, time that is left. It
+// checkHeader checks a request in this order: target and Attempt-Id, header size, whether the proxy is serving, route, time remaining. It
 // returns the route and the request's timeout in nanoseconds.
 func (p *Proxy) checkHeader(r *http.Request, routing *config.RoutingTable) (route *config.Route, timeout int64, kind apierror.Kind) {
 	if _, ok := requestTarget(r.RequestURI); !ok || len(r.Header["Attempt-Id"]) > 1 {
@@ -48,20 +48,20 @@
 	return route, timeout, kind
 }
 
-// requestTimeout is the lesser of the route's timeout and the time that the client states to have left, nanoseconds.
+// requestTimeout returns the route's timeout or the client's Time-Remaining, whichever is shorter, in nanoseconds.
 func requestTimeout(r *http.Request, routeTimeout int64) (int64, apierror.Kind) {
 	stated := r.Header.Get("Time-Remaining")
 	if stated == "" {
 		return routeTimeout, apierror.None
 	}
 	milliseconds, err := strconv.ParseFloat(stated, 64)
-	if err != nil || !(milliseconds >= 0) || milliseconds > maxTimeRemaining { // NaN is none
+	if err != nil || !(milliseconds >= 0) || milliseconds > maxTimeRemaining { // negated to reject NaN
 		return 0, apierror.Malformed
 	}
 	return min(routeTimeout, int64(milliseconds*1e6)), apierror.None
 }
 
-// hostName is the name of a Host header without its port, in lower case.
+// hostName returns the host of a Host header in lower case, without the port.
 func hostName(host string) string {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -69,12 +69,12 @@
 	return strings.ToLower(host)
 }
 
-// requestTarget is a request's target as net/http writes it unchanged; ok is false where it can't.
+// requestTarget returns a URL that net/http writes as exactly this request target. ok is false if there is none.
 func requestTarget(raw string) (u *url.URL, ok bool) {
 	if !strings.HasPrefix(raw, "//") {
 		return &url.URL{Opaque: raw}, true
 	}
-	path, query, hasQuery := strings.Cut(raw, "?") // net/http puts a scheme before it where it is opaque
+	path, query, hasQuery := strings.Cut(raw, "?") // as Opaque it would get a scheme from net/http
 	plain, err := url.PathUnescape(path)
 	u = &url.URL{Path: plain, RawPath: path, RawQuery: query, ForceQuery: hasQuery && query == ""}
 	return u, err == nil && u.RequestURI() == raw
--- a/internal/proxy/request_class.go
+++ b/internal/proxy/request_class.go
@@ -9,18 +9,18 @@
 	"portflow/internal/dispatch"
 )
 
-// classKey is what the decision engine knows of a route; routes with equal keys share a class.
+// classKey has the properties of a route that the decision engine uses. Routes with equal keys share a request class.
 type classKey struct {
 	idempotent bool
 	timeout    int64 // nanoseconds
-	target     int64 // latency, nanoseconds
+	target     int64 // latency target, nanoseconds
 	priority   int
 }
 
-// lateValue is the value of an answer after its latency target, as a fraction of its value in time.
+// lateValue is the value of a response after its latency target, as a fraction of its value within the target.
 const lateValue = 0.3
 
-// requestClass is the class of a key, whose value halves with each step of priority.
+// requestClass returns the request class for a key. The value of a request halves with each priority step.
 func (k classKey) requestClass() decision.RequestClass {
 	c := decision.RequestClass{
 		LatencyTarget: k.target,
@@ -35,7 +35,7 @@
 	return c
 }
 
-// distance is how far two keys lie apart: by priority, then by the latency target, then by the timeout.
+// distance returns the differences of two keys in priority, latency target and timeout, to be compared in this order.
 func (k classKey) distance(other classKey) [3]int64 {
 	return [3]int64{
 		difference(int64(k.priority), int64(other.priority)),
@@ -46,18 +46,18 @@
 
 func difference(a, b int64) int64 { return max(a-b, b-a) }
 
-// maxClasses is how many classes a service may have: the decision engine drops none, and each costs it memory and time.
+// maxClasses is the maximum number of classes of a service. The decision engine never drops a class, and each costs it memory and time.
 const maxClasses = 256
 
-// classTable numbers the classes of a service in the order in which they were added.
+// classTable numbers the request classes of a service in the order in which they were added.
 type classTable struct {
 	numbers map[classKey]int
 	keys    []classKey // by number
-	counts  [2]int     // of classes, by idempotenceIndex
+	counts  [2]int     // number of classes, by idempotenceIndex
 }
 
-// number is the number of a key's class, and whether the class was added for it. Once the table is full, a further key shares the
-// nearest class of its idempotenceIndex.
+// number returns the class number for a key and whether the class was added for it. Once the table is full, a new key gets the nearest class
+// with the same idempotence.
 func (t *classTable) number(k classKey) (n int, added bool) {
 	if n, ok := t.numbers[k]; ok {
 		return n, false
@@ -75,7 +75,8 @@
 	return n, true
 }
 
-// hasCapacity reports whether a class may be added for a key. The last one is kept for an idempotenceIndex that has none.
+// hasCapacity reports whether a class may be added for a key. While all classes have the idempotence of the key, the last number is reserved
+// for a class of the other kind.
 func (t *classTable) hasCapacity(k classKey) bool {
 	own, other := t.counts[k.idempotenceIndex()], t.counts[1-k.idempotenceIndex()]
 	reserved := 0
@@ -85,7 +86,8 @@
 	return len(t.keys) < maxClasses-reserved
 }
 
-// nearest is the class of a key's idempotenceIndex that is nearest to it, the first of those as near. A full table has one of each.
+// nearest returns the class with the least distance to a key among those with its idempotence, the first one on a tie. A full table has at
+// least one class of each kind.
 func (t *classTable) nearest(k classKey) int {
 	best, bestDistance := -1, [3]int64{}
 	for n, other := range t.keys {
@@ -99,7 +101,7 @@
 	return best
 }
 
-// idempotenceIndex is 1 for keys whose requests may run more than once, 0 for others.
+// idempotenceIndex returns 1 if requests with this key are idempotent, 0 otherwise.
 func (k classKey) idempotenceIndex() int {
 	if k.idempotent {
 		return 1
@@ -107,9 +109,9 @@
 	return 0
 }
 
-// classOf is the number of a route's class at the decision engine.
+// classOf returns the class number that the decision engine uses for a route, and adds the class if it is new.
 func (s *service) classOf(r *config.Route) int {
-	s.classMu.Lock() // until the class is posted: whoever finds its number posts a request after it
+	s.classMu.Lock() // held until the class is posted, so that no request with its number is posted earlier
 	defer s.classMu.Unlock()
 	k := classKey{r.Idempotent, r.Timeout, r.LatencyTarget, r.Priority}
 	n, added := s.classes.number(k)
--- a/internal/proxy/route.go
+++ b/internal/proxy/route.go
@@ -2,7 +2,7 @@
 
 import "portflow/internal/cluster/config"
 
-// chooseService draws a route's service for one request, by the weights of its backends.
+// chooseService chooses a service of the route at random, by the weights of its backends.
 func (p *Proxy) chooseService(route *config.Route) string {
 	if len(route.Backends) == 1 {
 		return route.Backends[0].Service
@@ -20,7 +20,7 @@
 	return route.Backends[0].Service
 }
 
-// randomFloat draws a number from [0, 1).
+// randomFloat returns a random number in [0, 1).
 func (p *Proxy) randomFloat() float64 {
 	p.randomMu.Lock()
 	defer p.randomMu.Unlock()
