--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// copyHeader copies the header of a host's response to w and returns it. A nil Date or Content-Type keeps net/http from adding the field.
+// copyHeader copies the header of a host's response to w and returns w's header. A nil Date or Content-Type keeps net/http from adding the field.
 func (p *Proxy) copyHeader(w http.ResponseWriter, resp *reply) http.Header {
 	p.counters.answered.Add(1)
 	h := w.Header()
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -39,7 +39,7 @@
 	}
 	var err error
 	if r.ContentLength > 0 {
-		body, reserved, err = p.readStatedBody(r.Body, r.ContentLength)
+		body, reserved, err = p.readSizedBody(r.Body, r.ContentLength)
 	} else {
 		body, reserved, err = p.readChunkedBody(http.MaxBytesReader(w, r.Body, int64(limits.BodyBytes)))
 	}
@@ -64,8 +64,8 @@
 	return apierror.Malformed
 }
 
-// readStatedBody reads a body whose Content-Length is known.
-func (p *Proxy) readStatedBody(from io.Reader, length int64) (body []byte, reserved int64, err error) {
+// readSizedBody reads a body whose Content-Length is known.
+func (p *Proxy) readSizedBody(from io.Reader, length int64) (body []byte, reserved int64, err error) {
 	if !p.reserveBody(length, length) {
 		return nil, 0, errNoBodyMemory
 	}
