--- a/internal/proxy/route.go
+++ b/internal/proxy/route.go
@@ -2,25 +2,25 @@
 
 import "portflow/internal/cluster/config"
 
-// chooseService draws a route's service for one request, by the weights of its backends.
+// chooseService chooses a service of the route at random, by the weights of its backends.
 func (p *Proxy) chooseService(route *config.Route) string {
 	if len(route.Backends) == 1 {
 		return route.Backends[0].Service
 	}
-	sum := 0.0
+	total := 0.0
 	for _, backend := range route.Backends {
-		sum += backend.Weight
+		total += backend.Weight
 	}
-	left := p.randomFloat() * sum
+	remaining := p.randomFloat() * total
 	for _, backend := range route.Backends {
-		if left -= backend.Weight; left < 0 {
+		if remaining -= backend.Weight; remaining < 0 {
 			return backend.Service
 		}
 	}
 	return route.Backends[0].Service
 }
 
-// randomFloat draws a number from [0, 1).
+// randomFloat returns a random number in [0, 1).
 func (p *Proxy) randomFloat() float64 {
 	p.randomMu.Lock()
 	defer p.randomMu.Unlock()
