--- a/internal/control/server/calls.go
+++ b/internal/control/server/calls.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// listen opens the HTTP ports of this process. The function that it returns begins to serve them; closeAtEnd ends that.
+// listen opens the HTTP ports of this process. The function that it returns begins to serve them; closeOnDone ends that.
 func (s *Server) listen() (serve func(), err error) {
 	s.rpc = rpc.New(append(s.clientCalls(), s.membershipCalls()...)...)
 	router := chi.NewRouter()
@@ -81,7 +81,7 @@
 	}, nil
 }
 
-// serveHTTP serves one port, until closeAtEnd closes the HTTP server.
+// serveHTTP serves one port, until closeOnDone closes the HTTP server.
 func (s *Server) serveHTTP(listener net.Listener) {
 	if err := s.httpServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) && s.ctx.Err() == nil {
 		klog.ErrorS(err, "http server", "address", listener.Addr())
--- a/internal/control/server/consensus.go
+++ b/internal/control/server/consensus.go
@@ -45,7 +45,7 @@
 	if effects.Changed {
 		s.subscriptions.notify()
 	}
-	s.noteStatusChange()
+	s.announceStatusChange()
 	if event.PeerLost || event.Peer != nil || node.Membership().Epoch != epoch { // a loss may be over before the next tick
 		s.updateTolerance()
 	}
@@ -198,8 +198,8 @@
 	s.calls.remove(tag)
 }
 
-// noteStatusChange is the one place where a change of this process's status is noted. The caller holds mu.
-func (s *Server) noteStatusChange() {
+// announceStatusChange is the one place where a change of this process's status is noted. The caller holds mu.
+func (s *Server) announceStatusChange() {
 	status := s.state.Status()
 	if status == s.lastStatus {
 		return
--- a/internal/control/server/departures.go
+++ b/internal/control/server/departures.go
@@ -5,17 +5,17 @@
 // departures are the hosts that leave and send heartbeats here. A host that leaves is answered once a majority of the members has
 // acknowledged the update that says so. The server's mu guards it.
 type departures struct {
-	pending  map[string]uint64 // by host ID, the number of the update that a majority hasn't acknowledged yet
-	notified map[string]bool   // by host ID, departures from here that a majority has acknowledged
-	changed  chan struct{}     // closed, and replaced, when a member acknowledges updates while a departure is pending
+	pending   map[string]uint64 // by host ID, the number of the update that a majority hasn't acknowledged yet
+	completed map[string]bool   // by host ID, departures from here that a majority has acknowledged
+	changed   chan struct{}     // closed, and replaced, when a member acknowledges updates while a departure is pending
 }
 
 func newDepartures() departures {
-	return departures{pending: map[string]uint64{}, notified: map[string]bool{}, changed: make(chan struct{})}
+	return departures{pending: map[string]uint64{}, completed: map[string]bool{}, changed: make(chan struct{})}
 }
 
-// isKnown reports whether a host's departure was published from here already.
-func (d *departures) isKnown(id string) bool { return d.isPending(id) || d.notified[id] }
+// isPublished reports whether a host's departure was published from here already.
+func (d *departures) isPublished(id string) bool { return d.isPending(id) || d.completed[id] }
 
 func (d *departures) isPending(id string) bool {
 	_, pending := d.pending[id]
@@ -25,7 +25,7 @@
 // begin notes that a host's departure was published with this update.
 func (d *departures) begin(id string, update uint64) {
 	d.pending[id] = update
-	delete(d.notified, id)
+	delete(d.completed, id)
 }
 
 // resolve reports whether nothing is left to wait for: a departure that is pending is complete once a majority has acknowledged
@@ -39,12 +39,12 @@
 		return false
 	}
 	delete(d.pending, id)
-	d.notified[id] = true
+	d.completed[id] = true
 	return true
 }
 
-// acknowledged has those who wait look again, as a member has acknowledged updates.
-func (d *departures) acknowledged() {
+// notifyWaiters has those who wait look again, as a member has acknowledged updates.
+func (d *departures) notifyWaiters() {
 	if len(d.pending) > 0 {
 		close(d.changed)
 		d.changed = make(chan struct{})
@@ -54,5 +54,5 @@
 // forget drops hosts that are not known any more, which bounds both maps.
 func (d *departures) forget(expired func(id string) bool) {
 	maps.DeleteFunc(d.pending, func(id string, _ uint64) bool { return expired(id) })
-	maps.DeleteFunc(d.notified, func(id string, _ bool) bool { return expired(id) })
+	maps.DeleteFunc(d.completed, func(id string, _ bool) bool { return expired(id) })
 }
--- a/internal/control/server/departures_test.go
+++ b/internal/control/server/departures_test.go
@@ -16,14 +16,14 @@
 	c := qt.New(t)
 	d := newDepartures()
 	c.Check(d.resolve("h1", ackedUpTo(0)), qt.IsTrue, qt.Commentf("of a host that doesn't leave there is nothing to wait for"))
-	c.Check(d.isKnown("h1"), qt.IsFalse)
+	c.Check(d.isPublished("h1"), qt.IsFalse)
 	d.begin("h1", 7)
 	c.Check(d.isPending("h1"), qt.IsTrue)
 	c.Check(d.resolve("h1", ackedUpTo(6)), qt.IsFalse)
 	c.Check(d.isPending("h1"), qt.IsTrue)
 	c.Check(d.resolve("h1", ackedUpTo(7)), qt.IsTrue)
 	c.Check(d.isPending("h1"), qt.IsFalse)
-	c.Check(d.isKnown("h1"), qt.IsTrue)
+	c.Check(d.isPublished("h1"), qt.IsTrue)
 	d.begin("h1", 9)
 	c.Check(d.resolve("h1", ackedUpTo(8)), qt.IsFalse, qt.Commentf("published again, it waits for the new update"))
 }
@@ -33,10 +33,10 @@
 	c := qt.New(t)
 	d := newDepartures()
 	first := d.changed
-	d.acknowledged()
+	d.notifyWaiters()
 	c.Check(d.changed, qt.Equals, first)
 	d.begin("h1", 1)
-	d.acknowledged()
+	d.notifyWaiters()
 	c.Check(d.changed, qt.Not(qt.Equals), first)
 	_, open := <-first
 	c.Check(open, qt.IsFalse)
@@ -53,5 +53,5 @@
 	d.resolve("complete", ackedUpTo(1))
 	d.forget(func(id string) bool { return id == "gone-pending" || id == "gone-complete" })
 	c.Check(d.pending, qt.DeepEquals, map[string]uint64{"pending": 1})
-	c.Check(d.notified, qt.DeepEquals, map[string]bool{"complete": true})
+	c.Check(d.completed, qt.DeepEquals, map[string]bool{"complete": true})
 }
--- a/internal/control/server/diskwriter_test.go
+++ b/internal/control/server/diskwriter_test.go
@@ -105,9 +105,9 @@
 	c.Check(done, qt.DeepEquals, []string{"a", "b"})
 	c.Check(itemStore.Syncs.Load()-syncs, qt.Equals, int64(1))
 	c.Assert(itemStore.Close(), qt.IsNil)
-	again, items, _, complete, err := store.Open(disk)
+	reopenedStore, items, _, complete, err := store.Open(disk)
 	c.Assert(err, qt.IsNil)
-	defer again.Close()
+	defer reopenedStore.Close()
 	c.Check(items, qt.HasLen, 2)
 	c.Check(complete, qt.IsTrue)
 }
--- a/internal/control/server/golden_test.go
+++ b/internal/control/server/golden_test.go
@@ -73,15 +73,15 @@
 	if err := itemStore.Write(set.All(), encodeHardState(hardState), true); err != nil {
 		t.Fatal(err)
 	}
-	if again, itemsAgain, recordsAgain, _, err := reopened(t, itemStore, dir, disk.Close); err != nil || !reflect.DeepEqual(itemsAgain, items) || !reflect.DeepEqual(recordsAgain, records) {
-		t.Errorf("written again it holds %d items and %q, %v", len(itemsAgain), recordsAgain, err)
+	if reopenedStore, reopenedItems, reopenedRecords, _, err := reopen(t, itemStore, dir, disk.Close); err != nil || !reflect.DeepEqual(reopenedItems, items) || !reflect.DeepEqual(reopenedRecords, records) {
+		t.Errorf("written again it holds %d items and %q, %v", len(reopenedItems), reopenedRecords, err)
 	} else {
-		again.Close()
+		reopenedStore.Close()
 	}
 }
 
-// reopened closes a store and its disk, and opens both again.
-func reopened(t *testing.T, itemStore *store.Store, dir string, closeDisk func() error) (*store.Store, []config.Item, map[string][]byte, bool, error) {
+// reopen closes a store and its disk, and opens both again.
+func reopen(t *testing.T, itemStore *store.Store, dir string, closeDisk func() error) (*store.Store, []config.Item, map[string][]byte, bool, error) {
 	t.Helper()
 	if err := itemStore.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/control/server/hosts.go
+++ b/internal/control/server/hosts.go
@@ -145,7 +145,7 @@
 // process knows only from another that it does: that one may be cut off, and have reached nobody else. The caller holds mu.
 func (s *Server) announceInstance(host instance.Instance, changed bool) {
 	leaving := host.State != instance.Ready
-	if !changed && (!leaving || s.departures.isKnown(host.ID)) {
+	if !changed && (!leaving || s.departures.isPublished(host.ID)) {
 		return
 	}
 	s.state.PublishInstance(host, true)
--- a/internal/control/server/peers.go
+++ b/internal/control/server/peers.go
@@ -76,7 +76,7 @@
 	for _, ip := range s.state.MemberIPs() {
 		ips[ip] = true
 	}
-	s.wantedPeers = ips
+	s.knownPeers = ips
 	for ip := range ips {
 		s.addPeer(ip)
 	}
@@ -127,7 +127,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	conn.cancelDial = cancel
-	if failures > maxDialFailures && !s.wantedPeers[conn.ip] {
+	if failures > maxDialFailures && !s.knownPeers[conn.ip] {
 		delete(s.peers, conn.ip)
 		return false
 	}
--- a/internal/control/server/proxysnapshots.go
+++ b/internal/control/server/proxysnapshots.go
@@ -26,7 +26,7 @@
 		return snapshot, transfer
 	}
 	if snapshot == nil {
-		snapshot = cache.ByName(now, sub.received.Name, header.Incarnation, log)
+		snapshot = cache.ByName(now, sub.progress.Name, header.Incarnation, log)
 	}
 	if snapshot == nil {
 		snapshot = cache.Newest(now, header.Incarnation, log)
@@ -45,7 +45,7 @@
 		sub.stream.Close(snapshot.Err)
 		return snapshot, nil
 	}
-	return snapshot, update.NewTransfer(snapshot.Snapshot, *sub.received)
+	return snapshot, update.NewTransfer(snapshot.Snapshot, *sub.progress)
 }
 
 // scheduleEviction evicts idle snapshots now and then, as long as any is cached and ctx has not ended. The caller holds mu.
--- a/internal/control/server/rollouts.go
+++ b/internal/control/server/rollouts.go
@@ -80,17 +80,17 @@
 		return
 	}
 	now := s.clock()
-	today, agreed := s.wallClock()
+	wallTime, agreed := s.wallClock()
 	for _, item := range s.state.Set.Live(config.KindRollouts) {
 		ro := rollout.FromItem(item)
 		if agreed {
-			s.state.RolloutAges.AdjustToWallClock(now, today, ro)
+			s.state.RolloutAges.AdjustToWallClock(now, wallTime, ro)
 		}
 		if ro.VisibleState() != rollout.Running || s.pendingDecisions[ro.ID()] {
 			continue
 		}
 		ro = s.state.RolloutAges.Localize(now, ro)
-		if op, due := s.rolloutDecision(now, today, ro); due {
+		if op, due := s.rolloutDecision(now, wallTime, ro); due {
 			s.pendingDecisions[ro.ID()] = true
 			go s.submitRolloutDecision(ro, op)
 		}
@@ -99,7 +99,7 @@
 
 // rolloutDecision is the operation that a running rollout needs now, if any. The control processes take turns, so that one proposes and
 // the others see what it decided. The caller holds mu.
-func (s *Server) rolloutDecision(now, today int64, ro rollout.Rollout) (op operation.Operation, due bool) {
+func (s *Server) rolloutDecision(now, wallTime int64, ro rollout.Rollout) (op operation.Operation, due bool) {
 	op = operation.Operation{Name: ro.Service, Expected: ro.Number}
 	if ro.Switching {
 		op.Kind = operation.CompleteSwitch
@@ -107,7 +107,7 @@
 	}
 	op.Kind = operation.EndRollout
 	op.Outcome = rollout.Decide(now, ro, s.votesOn(ro), s.state.ReadyProxies(), s.precedingPeers())
-	op.SubmittedAt = today
+	op.SubmittedAt = wallTime
 	return op, op.Outcome != rollout.Running
 }
 
--- a/internal/control/server/server.go
+++ b/internal/control/server/server.go
@@ -76,7 +76,7 @@
 	lastStatus  registry.Status
 
 	peers         map[string]*peerConn // by IP, other control processes that this one dials
-	wantedPeers   map[string]bool      // by IP, control processes that gossip, the settings or the members name
+	knownPeers    map[string]bool      // by IP, control processes that gossip, the settings or the members name
 	subscriptions subscriptions
 	calls         pendingCalls
 	departures    departures
@@ -122,7 +122,7 @@
 	go s.discoverPeers()
 	go s.runTicker()
 	serveHTTP()
-	go s.closeAtEnd(listener, itemStore)
+	go s.closeOnDone(listener, itemStore)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	klog.InfoS("control server started", "node", s.Settings.Name, "zone", s.Settings.Zone, "items", len(items), "new_disk", created,
@@ -168,7 +168,7 @@
 	}
 }
 
-// startDiskWriter starts the goroutine that writes to the store; closeAtEnd stops it.
+// startDiskWriter starts the goroutine that writes to the store; closeOnDone stops it.
 func (s *Server) startDiskWriter(itemStore *store.Store) {
 	s.writer = newDiskWriter(itemStore, func(err error) {
 		s.writeFailures.Add(1) // atomic, as mu may be held
@@ -196,8 +196,8 @@
 	return listener, nil
 }
 
-// closeAtEnd closes what the server has opened, once ctx ends.
-func (s *Server) closeAtEnd(listener net.Listener, itemStore *store.Store) {
+// closeOnDone closes what the server has opened, once ctx ends.
+func (s *Server) closeOnDone(listener net.Listener, itemStore *store.Store) {
 	<-s.ctx.Done()
 	listener.Close()
 	s.httpServer.Close()
--- a/internal/control/server/shutdown.go
+++ b/internal/control/server/shutdown.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	maxLeaveTime      = 4 * time.Second
+	maxLeaveTimeout   = 4 * time.Second
 	leavePollInterval = 50 * time.Millisecond
 )
 
 // Leave ends this process's part in the cluster, on SIGTERM: it takes no more calls, completes those in progress, and has itself
-// voted out where the other members tolerate more losses without it than with a member that is gone. It returns within maxLeaveTime
+// voted out where the other members tolerate more losses without it than with a member that is gone. It returns within maxLeaveTimeout
 // or half of the grace period, whichever is shorter. The caller ends the context that Start was given afterwards.
 func (s *Server) Leave() {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(s.ctx, s.leaveTime())
+	ctx, cancel := context.WithTimeout(s.ctx, s.leaveTimeout())
 	defer cancel()
 	s.stopCalls()
 	poll(ctx, func() bool { return !s.hasPendingCalls() })
 	submitted := s.submitRemoval(ctx)
-	poll(ctx, s.removalKnown)
+	poll(ctx, s.removalAcknowledged)
 	s.logLeave(submitted, time.Since(began))
 	s.LogCounters()
 }
 
-func (s *Server) leaveTime() time.Duration {
+func (s *Server) leaveTimeout() time.Duration {
 	if half := time.Duration(s.Settings.Terms.Grace) / 2; half > 0 {
-		return min(maxLeaveTime, half)
+		return min(maxLeaveTimeout, half)
 	}
-	return maxLeaveTime
+	return maxLeaveTimeout
 }
 
 func (s *Server) stopCalls() {
@@ -114,8 +114,8 @@
 	return without >= 1 && without > with
 }
 
-// removalKnown reports whether a majority of the members knows this process's list of members, or this process still is one of them.
-func (s *Server) removalKnown() bool {
+// removalAcknowledged reports whether a majority of the members knows this process's list of members, or this process still is one of them.
+func (s *Server) removalAcknowledged() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := s.state.Node.Membership()
--- a/internal/control/server/status.go
+++ b/internal/control/server/status.go
@@ -198,11 +198,11 @@
 	return unacked
 }
 
-func valueOr(values map[string]int, key string, otherwise int) int {
+func valueOr(values map[string]int, key string, fallback int) int {
 	if value, exists := values[key]; exists {
 		return value
 	}
-	return otherwise
+	return fallback
 }
 
 func (s *Server) instanceStatuses(now int64) (statuses []InstanceStatus) {
--- a/internal/control/server/subscribers.go
+++ b/internal/control/server/subscribers.go
@@ -29,23 +29,23 @@
 }
 
 // notify wakes all that wait for updates.
-func (l *subscriptions) notify() {
-	close(l.updated)
-	l.updated = make(chan struct{})
+func (s *subscriptions) notify() {
+	close(s.updated)
+	s.updated = make(chan struct{})
 }
 
-func (l *subscriptions) add(sub *subscriber) { l.subscribers[sub] = true }
+func (s *subscriptions) add(sub *subscriber) { s.subscribers[sub] = true }
 
-func (l *subscriptions) remove(sub *subscriber) {
-	delete(l.subscribers, sub)
-	if l.peerStreams[sub.identity.IP] == sub.stream {
-		delete(l.peerStreams, sub.identity.IP)
+func (s *subscriptions) remove(sub *subscriber) {
+	delete(s.subscribers, sub)
+	if s.peerStreams[sub.identity.IP] == sub.stream {
+		delete(s.peerStreams, sub.identity.IP)
 	}
 }
 
 // closeAll ends all subscriptions; each is removed by its own goroutine.
-func (l *subscriptions) closeAll(cause error) {
-	for sub := range l.subscribers {
+func (s *subscriptions) closeAll(cause error) {
+	for sub := range s.subscribers {
 		sub.stream.Close(cause)
 	}
 }
@@ -58,7 +58,7 @@
 	identity         update.Hello      // as its hello has it; zero before
 	proxy            update.Proxy      // as it was announced; zero for a control process
 	acked            uint64            // number of the last update that it has acknowledged
-	received         *update.Progress  // what it has of a snapshot; nil where it takes no chunks
+	progress         *update.Progress  // what it has of a snapshot; nil where it takes no chunks
 	chunkAcked       chan struct{}     // has room for one: a chunk was acknowledged
 	provisional      bool              // a proxy that still receives updates from another process, until it announces itself
 	bytesAtLastCheck int64             // that had come when reclaimProxies looked at it
@@ -106,14 +106,14 @@
 	if sub.proxy.Name == "" {
 		return
 	}
-	gone := sub.proxy
-	current := s.state.Proxies[gone.Name]
-	if current.RegisteredAt != gone.RegisteredAt || current.Owner != s.Settings.Name { // it has subscribed again, here or elsewhere
+	terminated := sub.proxy
+	current := s.state.Proxies[terminated.Name]
+	if current.RegisteredAt != terminated.RegisteredAt || current.Owner != s.Settings.Name { // it has subscribed again, here or elsewhere
 		return
 	}
-	gone.Gone = true
-	gone.Revision = current.Revision + 1
-	s.state.PublishProxy(gone, true)
+	terminated.Gone = true
+	terminated.Revision = current.Revision + 1
+	s.state.PublishProxy(terminated, true)
 	s.subscriptions.notify()
 }
 
@@ -150,8 +150,8 @@
 		for service, observations := range msg.Outliers {
 			s.outliers.AddReport(s.clock(), sub.proxy.Name, service, observations)
 		}
-	case msg.Progress != nil && sub.received != nil:
-		sub.received = msg.Progress
+	case msg.Progress != nil && sub.progress != nil:
+		sub.progress = msg.Progress
 		select {
 		case sub.chunkAcked <- struct{}{}:
 		default:
@@ -159,7 +159,7 @@
 	case msg.Ack != 0:
 		sub.acked = max(sub.acked, msg.Ack)
 		if isControl {
-			s.departures.acknowledged()
+			s.departures.notifyWaiters()
 		}
 	case msg.Consensus != nil && isControl:
 		s.handleConsensusMessage(sub.identity.IP, msg.Consensus)
@@ -170,7 +170,7 @@
 func (s *Server) handleSubscriberHello(sub *subscriber, msg update.Message) {
 	hello := *msg.Hello
 	if sub.identity.IP == "" && !hello.Control {
-		sub.received = msg.Progress
+		sub.progress = msg.Progress
 		sub.provisional = msg.StatusOnly
 	}
 	select {
--- a/internal/control/server/ticker.go
+++ b/internal/control/server/ticker.go
@@ -29,17 +29,17 @@
 		}
 		s.tick(round)
 		s.advanceRollouts()
-		if isLast(round, expireTicks) {
+		if isPeriodEnd(round, expireTicks) {
 			s.expireState()
 		}
-		if isLast(round, logTicks) {
+		if isPeriodEnd(round, logTicks) {
 			s.LogCounters()
 		}
 	}
 }
 
-// isLast reports whether a round is the last one of a period of so many ticks.
-func isLast(round, period int) bool { return round%period == period-1 }
+// isPeriodEnd reports whether a round is the last one of a period of so many ticks.
+func isPeriodEnd(round, period int) bool { return round%period == period-1 }
 
 // tick finds silent hosts and lost proxies, steps the consensus node, and deals with quotas and outliers.
 func (s *Server) tick(round int) {
@@ -49,7 +49,7 @@
 	if s.state.Tick(s.clock()) {
 		s.subscriptions.notify()
 	}
-	if isLast(round, ticksPerSecond) {
+	if isPeriodEnd(round, ticksPerSecond) {
 		s.reclaimProxies()
 		s.departures.forget(func(id string) bool { return s.state.Instances.Lookup(id).ID == "" })
 	}
@@ -58,7 +58,7 @@
 	s.updateTolerance()
 	s.allocateQuotas(round)
 	s.ejectOutliers()
-	s.noteStatusChange()
+	s.announceStatusChange()
 }
 
 // checkHeartbeats publishes hosts that have become silent; the caller holds mu.
--- a/internal/control/server/updates.go
+++ b/internal/control/server/updates.go
@@ -137,14 +137,14 @@
 	u.resume()
 	changes, available := s.state.Updates.After(u.sentUpTo)
 	batch := registry.Filter(changes, u.identity.Control)
-	takesChunks := u.sub.received != nil
-	if takesChunks && update.EstimateSize(batch) > update.MaxBatchBytes {
+	acceptsChunks := u.sub.progress != nil
+	if acceptsChunks && update.EstimateSize(batch) > update.MaxBatchBytes {
 		available = false
 	}
 	switch {
 	case u.following && available:
 		u.sendBatch(batch, at)
-	case !takesChunks:
+	case !acceptsChunks:
 		u.sendSnapshot(at)
 	default:
 		u.following = false
@@ -216,7 +216,7 @@
 		u.awaited = snapshot.Name
 		return snapshot.Done
 	}
-	chunks, complete := u.transfer.Next(*u.sub.received)
+	chunks, complete := u.transfer.Next(*u.sub.progress)
 	for _, chunk := range chunks {
 		u.sub.stream.SendFrame(chunk)
 	}
