--- a/internal/control/server/calls.go
+++ b/internal/control/server/calls.go
@@ -22,19 +22,19 @@
 
 const (
 	maxSmallBody = 4 << 10 // bytes
-	maxLargeBody = 8 << 20 // bytes, of a configuration: some ten thousand routes
+	maxLargeBody = 8 << 20 // bytes; a configuration with about ten thousand routes
 
-	// callTimeout is short, as callers go on to the next process after a second of silence.
+	// callTimeout is short because callers move on to the next control process after one second without an answer.
 	callTimeout = 850 * time.Millisecond
 
 	headerTimeout  = 2 * time.Second
 	idleTimeout    = 30 * time.Second
 	maxHeaderBytes = 16 << 10
 
-	maxDirectoryLifetime = 2.0 // seconds, for which clients may use the addresses that they are given
+	maxDirectoryLifetime = 2.0 // seconds for which clients may use the addresses in an answer
 )
 
-// clientCalls are the calls of hosts and operators, apart from those of membershipCalls.
+// clientCalls returns the calls of hosts and operators, except those in membershipCalls.
 func (s *Server) clientCalls() []rpc.Call {
 	return []rpc.Call{
 		{Name: "instances.heartbeat", MaxBody: maxSmallBody, Handle: s.handleHeartbeat},
@@ -51,7 +51,7 @@
 	}
 }
 
-// listen opens the HTTP ports of this process. The function that it returns begins to serve them; closeOnDone ends that.
+// listen opens the HTTP ports of this process. The returned function starts to serve them; closeOnDone stops that.
 func (s *Server) listen() (serve func(), err error) {
 	s.rpc = rpc.New(append(s.clientCalls(), s.membershipCalls()...)...)
 	router := chi.NewRouter()
@@ -81,28 +81,29 @@
 	}, nil
 }
 
-// serveHTTP serves one port, until closeOnDone closes the HTTP server.
+// serveHTTP serves one port until closeOnDone closes the HTTP server.
 func (s *Server) serveHTTP(listener net.Listener) {
 	if err := s.httpServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) && s.ctx.Err() == nil {
 		klog.ErrorS(err, "http server", "address", listener.Addr())
 	}
 }
 
-// handleResolve answers clients that ask for the addresses of proxies.
+// handleResolve answers clients that resolve the addresses of proxies.
 func (s *Server) handleResolve(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	addresses := s.proxyAddresses(query.Get("zone-name"), query.Get("region-name"))
 	if len(addresses) == 0 {
 		resp := apierror.Unavailable.Response()
 		w.Header().Set("Retry-After", apierror.RetryAfter(resp.RetryAfter))
-		rpc.WriteJSON(w, resp.Status, map[string]string{"error": resp.Name, "reason": "no router is ready"})
+		rpc.WriteJSON(w, resp.Status, map[string]string{"error": resp.Name, "reason": "no proxy is ready"})
 		return
 	}
 	lifetime := min(maxDirectoryLifetime, float64(s.Settings.Terms.Lifetime)/1e9)
 	rpc.WriteJSON(w, http.StatusOK, map[string]any{"addresses": addresses, "lifetime-s": lifetime})
 }
 
-// proxyAddresses are the addresses of the nearest ready proxies; none where this process isn't ready, as what it knows is old.
+// proxyAddresses returns the addresses of the nearest ready proxies, or none while this process isn't ready, because its state may be
+// outdated.
 func (s *Server) proxyAddresses(zone, region string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +113,7 @@
 	return s.state.Addresses(zone, region, s.Settings.ZoneRegions)
 }
 
-// handleModify changes the configuration, all of it or nothing.
+// handleModify applies a configuration change atomically.
 func (s *Server) handleModify(ctx context.Context, _ string, body []byte) (any, error) {
 	items, err := config.ParseChange(body)
 	if err != nil {
@@ -124,7 +125,7 @@
 	return map[string]any{}, nil
 }
 
-// handleRead answers with all items of the configuration, as of the call or later.
+// handleRead returns all items of the configuration. A quorum read ensures that they are no older than the call.
 func (s *Server) handleRead(ctx context.Context, _ string, _ []byte) (any, error) {
 	if err := s.confirmLatest(ctx); err != nil {
 		return nil, err
@@ -143,10 +144,10 @@
 	return nil, s.setEvacuation(ctx, zone, false)
 }
 
-// setEvacuation begins or ends the evacuation of a zone.
+// setEvacuation starts or ends the evacuation of a zone.
 func (s *Server) setEvacuation(ctx context.Context, zone string, active bool) error {
 	if _, ok := s.Settings.ZoneRegions[zone]; !ok {
-		return apierror.New(apierror.NotFound, "of: no zone %q", zone)
+		return apierror.New(apierror.NotFound, "of: unknown zone %q", zone)
 	}
 	return s.submit(ctx, operation.Operation{Kind: operation.Evacuate, Name: zone, Active: active})
 }
--- a/internal/control/server/consensus.go
+++ b/internal/control/server/consensus.go
@@ -16,13 +16,13 @@
 	"portflow/internal/control/registry"
 )
 
-// busyTickInterval is the time between ticks of the consensus node while something of it is in progress.
+// busyTickInterval is the interval between ticks of the consensus node while it is busy.
 const busyTickInterval = 50 * time.Millisecond
 
 // errStateReplaced ends subscriptions whose subscribers need a snapshot.
-var errStateReplaced = errors.New("the set was taken over")
+var errStateReplaced = errors.New("state was replaced; a snapshot is required")
 
-// stepNode gives the consensus node an event and carries out its effects. The caller holds mu.
+// stepNode passes an event to the consensus node and performs the resulting effects. The caller holds mu.
 func (s *Server) stepNode(event consensus.Event) {
 	event.Now, event.Random = s.clock(), s.random.Float64()
 	node := s.state.Node
@@ -34,7 +34,7 @@
 	for _, answer := range effects.Answers {
 		s.calls.resolve(answer)
 	}
-	s.state.Publish(s.clock(), effects.Updated, caughtUp) // before it had caught up, changes may be from before it started
+	s.state.Publish(s.clock(), effects.Updated, caughtUp) // changes applied during catch-up may predate the start of this process
 	recovered := applied > 0 && node.Applied() >= applied+consensus.RecoveryIndexJump
 	if effects.Replaced || recovered {
 		s.restartSubscriptions()
@@ -46,14 +46,14 @@
 		s.subscriptions.notify()
 	}
 	s.announceStatusChange()
-	if event.PeerLost || event.Peer != nil || node.Membership().Epoch != epoch { // a loss may be over before the next tick
+	if event.PeerLost || event.Peer != nil || node.Membership().Epoch != epoch { // the next tick may miss a short loss
 		s.updateTolerance()
 	}
 	s.scheduleBusyTick()
 }
 
-// saveEffects has the disk writer save what the consensus node asks for, and sends afterwards what must not be sent before. The
-// caller holds mu.
+// saveEffects queues the writes that the consensus node requests. The messages in SendAfterSync are sent only after these writes have
+// been fsynced. The caller holds mu.
 func (s *Server) saveEffects(effects consensus.Effects) {
 	if effects.HardState == nil || s.diskBehind {
 		return
@@ -65,13 +65,15 @@
 		records: encodeHardState(*effects.HardState),
 		done:    func() { s.sendAfterSync(synced) },
 	}
-	if !s.writer.enqueue(job) { // the disk hangs: it stays consistent as of one index, and gets nothing until it can get everything
+	// If the disk is stalled, all writes are skipped until rewriteDisk has queued the complete state. The disk thus stays consistent
+	// as of one index.
+	if !s.writer.enqueue(job) {
 		s.diskBehind = true
 		s.state.Node.SetMuted(true)
 	}
 }
 
-// sendAfterSync is called by the disk writer's goroutine, without mu.
+// sendAfterSync sends messages that depend on a completed fsync. The disk writer's goroutine calls it without mu.
 func (s *Server) sendAfterSync(messages map[string][]consensus.Message) {
 	if len(messages) == 0 {
 		return
@@ -81,14 +83,14 @@
 	s.sendMessages(messages)
 }
 
-// restartSubscriptions ends all subscriptions: what isn't in the state any more can't be sent as a change, so that subscribers must
-// take a snapshot. The caller holds mu.
+// restartSubscriptions ends all subscriptions and changes the incarnation, so that every subscriber receives a snapshot: entries that
+// disappeared when the state was replaced can't be sent as updates. The caller holds mu.
 func (s *Server) restartSubscriptions() {
 	s.incarnation += "+"
 	s.subscriptions.closeAll(errStateReplaced)
 }
 
-// scheduleBusyTick steps the consensus node again soon while it is busy. The timer's function does nothing once ctx has ended. The
+// scheduleBusyTick schedules another tick of the consensus node if it is busy. The timer function does nothing once ctx has ended. The
 // caller holds mu.
 func (s *Server) scheduleBusyTick() {
 	if !s.state.Node.Busy() || s.tickScheduled {
@@ -105,7 +107,8 @@
 	})
 }
 
-// sendMessages sends the consensus node's messages. What can't be sent is lost, as it may be on the network. The caller holds mu.
+// sendMessages sends messages of the consensus node. Messages to a process without a stream are dropped: Paxos tolerates lost messages.
+// The caller holds mu.
 func (s *Server) sendMessages(messages map[string][]consensus.Message) {
 	for ip, toPeer := range messages {
 		for _, message := range toPeer {
@@ -127,8 +130,8 @@
 	}
 }
 
-// streamTo is the stream to another control process: the one that this process dialled or, until that is up, the one that the other
-// dialled. It is nil without any. The caller holds mu.
+// streamTo returns the stream to another control process: the one that this process dialled or, until that is established, the one
+// that the other process dialled; nil if there is neither. The caller holds mu.
 func (s *Server) streamTo(ip string) *stream.Conn[update.Message] {
 	if conn := s.peers[ip]; conn != nil && conn.stream != nil {
 		return conn.stream
@@ -136,7 +139,7 @@
 	return s.subscriptions.peerStreams[ip]
 }
 
-// handleConsensusMessage gives the consensus node a message from another control process. The caller holds mu.
+// handleConsensusMessage steps the consensus node with a message from another control process. The caller holds mu.
 func (s *Server) handleConsensusMessage(from string, raw []byte) {
 	var message consensus.Message
 	if err := json.Unmarshal(raw, &message); err != nil {
@@ -146,18 +149,20 @@
 	s.stepNode(consensus.Event{From: from, Message: &message})
 }
 
-// submit proposes an operation to the voters. It returns once the operation is applied and kept by a majority, or is refused for
-// good, or the context ends: then its outcome is unknown, and decided soon.
+// submit proposes an operation to the voting members. It returns nil once the operation has been applied and stored by a majority, and
+// an error once it is rejected for good. If ctx ends or callTimeout expires first, the outcome is unknown at that time; it is decided
+// soon afterwards.
 func (s *Server) submit(ctx context.Context, op operation.Operation) error {
 	return s.await(ctx, consensus.Event{Operation: &op})
 }
 
-// confirmLatest waits until this process has applied all that was decided when it was called, as a majority of the members confirms.
+// confirmLatest performs a quorum read: it returns nil once this process has applied everything that had been committed when the call
+// began.
 func (s *Server) confirmLatest(ctx context.Context) error {
 	return s.await(ctx, consensus.Event{Read: true})
 }
 
-// await gives the consensus node an event that has an answer, and waits for it until callTimeout.
+// await passes an event that has an answer to the consensus node and waits for the answer, at most for callTimeout.
 func (s *Server) await(ctx context.Context, event consensus.Event) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -170,9 +175,9 @@
 	case answer := <-result:
 		return answer.Err()
 	case <-ctx.Done():
-		return apierror.Wrap(apierror.Unavailable, ctx.Err(), "not yet known to more than half of the core")
+		return apierror.Wrap(apierror.Unavailable, ctx.Err(), "not confirmed by a majority of the voting members in time")
 	case <-s.ctx.Done():
-		return apierror.Wrap(apierror.Unavailable, s.ctx.Err(), "this process ends")
+		return apierror.Wrap(apierror.Unavailable, s.ctx.Err(), "this process is shutting down")
 	}
 }
 
@@ -180,7 +185,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	check := s.checkReady
-	if event.Operation != nil && event.Operation.Kind == operation.ChangeMembers { // a process that leaves submits its own removal
+	if event.Operation != nil && event.Operation.Kind == operation.ChangeMembers { // also during shutdown, when a process submits its own removal
 		check = s.checkQuorum
 	}
 	if err := check(); err != nil {
@@ -198,7 +203,7 @@
 	s.calls.remove(tag)
 }
 
-// announceStatusChange is the one place where a change of this process's status is noted. The caller holds mu.
+// announceStatusChange logs a change of this process's status and notifies subscribers. The caller holds mu.
 func (s *Server) announceStatusChange() {
 	status := s.state.Status()
 	if status == s.lastStatus {
@@ -209,18 +214,18 @@
 	s.subscriptions.notify()
 }
 
-// checkReady returns an apierror.Unavailable error where this process may not take calls. The caller holds mu.
+// checkReady returns an apierror.Unavailable error if this process must not serve calls. The caller holds mu.
 func (s *Server) checkReady() error {
 	if s.stopping {
-		return apierror.New(apierror.Unavailable, "this process ends")
+		return apierror.New(apierror.Unavailable, "this process is shutting down")
 	}
 	return s.checkQuorum()
 }
 
-// checkQuorum returns an apierror.Unavailable error where this process doesn't reach a majority. The caller holds mu.
+// checkQuorum returns an apierror.Unavailable error if this process has not caught up or has no quorum. The caller holds mu.
 func (s *Server) checkQuorum() error {
 	if status := s.state.Status(); status != registry.HasQuorum {
-		return apierror.New(apierror.Unavailable, "this process is %v: %v, down %v", status, s.state.Node, s.state.Node.Unreachable())
+		return apierror.New(apierror.Unavailable, "this process is %v: %v, unreachable members %v", status, s.state.Node, s.state.Node.Unreachable())
 	}
 	return nil
 }
--- a/internal/control/server/departures_test.go
+++ b/internal/control/server/departures_test.go
@@ -10,12 +10,12 @@
 	return func(number uint64) bool { return number <= acked }
 }
 
-// A departure is pending until a majority has acknowledged its own update, and stays known afterwards, so that it isn't published
-// again.
+// A departure is pending until a majority has acknowledged its own update. Afterwards it still counts as published, so that it isn't
+// published again.
 func TestDepartureResolves(t *testing.T) {
 	c := qt.New(t)
 	d := newDepartures()
-	c.Check(d.resolve("h1", ackedUpTo(0)), qt.IsTrue, qt.Commentf("of a host that doesn't leave there is nothing to wait for"))
+	c.Check(d.resolve("h1", ackedUpTo(0)), qt.IsTrue, qt.Commentf("a host that doesn't leave has no pending departure"))
 	c.Check(d.isPublished("h1"), qt.IsFalse)
 	d.begin("h1", 7)
 	c.Check(d.isPending("h1"), qt.IsTrue)
@@ -25,10 +25,10 @@
 	c.Check(d.isPending("h1"), qt.IsFalse)
 	c.Check(d.isPublished("h1"), qt.IsTrue)
 	d.begin("h1", 9)
-	c.Check(d.resolve("h1", ackedUpTo(8)), qt.IsFalse, qt.Commentf("published again, it waits for the new update"))
+	c.Check(d.resolve("h1", ackedUpTo(8)), qt.IsFalse, qt.Commentf("published again: pending until the new update is acknowledged"))
 }
 
-// Acknowledgements wake those who wait, and only while somebody can be waiting.
+// An acknowledgement wakes waiting goroutines only while a departure is pending.
 func TestDepartureAcknowledged(t *testing.T) {
 	c := qt.New(t)
 	d := newDepartures()
@@ -42,7 +42,7 @@
 	c.Check(open, qt.IsFalse)
 }
 
-// Hosts that are not known any more are forgotten, whether their departure was complete or not; others stay.
+// Expired hosts are dropped whether or not their departure was complete; others stay.
 func TestDepartureForget(t *testing.T) {
 	c := qt.New(t)
 	d := newDepartures()
--- a/internal/control/server/diskwriter.go
+++ b/internal/control/server/diskwriter.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	maxQueuedWrites = 1024                   // jobs that may wait for the disk
-	writeRetryDelay = 200 * time.Millisecond // between attempts at a write that the disk refuses
+	maxQueuedWrites = 1024                   // jobs
+	writeRetryDelay = 200 * time.Millisecond // after a failed write
 )
 
-var errQueueFull = errors.New("too many writes wait for the disk")
+var errQueueFull = errors.New("disk write queue is full")
 
-// writeJob is one change of what is on disk.
+// writeJob is one change to the data on disk.
 type writeJob struct {
 	items      []config.Item
 	removed    []config.Key
 	records    map[string][]byte
-	complete   bool   // the disk then holds all that this process has
+	complete   bool   // afterwards the disk holds the complete state of this process
 	replaceAll bool   // all other items are removed
-	done       func() // called once the job is synced, by the disk writer's goroutine
+	done       func() // called by the disk writer's goroutine after the job has been fsynced
 }
 
-// diskWriter writes to the store, one synced write after another; jobs that come meanwhile go into the next write together. Its
-// goroutine is run, which ends when stop is closed.
+// diskWriter performs one fsynced write to the store at a time. Jobs queued during a write are merged into the next one. Its goroutine
+// executes run and ends when stop is closed.
 type diskWriter struct {
 	store       *store.Store
 	queue       chan writeJob
@@ -45,7 +45,7 @@
 	}
 }
 
-// enqueue takes a job without waiting. It reports false where too many jobs wait for the disk.
+// enqueue queues a job without blocking. It reports false if the queue is full.
 func (w *diskWriter) enqueue(job writeJob) bool {
 	select {
 	case w.queue <- job:
@@ -56,7 +56,7 @@
 	}
 }
 
-// idle reports whether no job waits for the disk.
+// idle reports whether the queue is empty. A write may still be in progress.
 func (w *diskWriter) idle() bool { return len(w.queue) == 0 }
 
 func (w *diskWriter) run() {
@@ -71,7 +71,7 @@
 	}
 }
 
-// nextBatch waits for a job and returns it with all that are queued behind it; nil once the writer is stopped.
+// nextBatch waits for a job and returns it with all jobs queued behind it, or nil once the writer is stopped.
 func (w *diskWriter) nextBatch() (batch []writeJob) {
 	select {
 	case job := <-w.queue:
@@ -90,7 +90,7 @@
 	return batch
 }
 
-// mergeJobs makes one job that has the effect of all jobs in their order. It has no done.
+// mergeJobs returns one job with the same effect as the jobs in batch applied in order. Its done is nil.
 func mergeJobs(batch []writeJob) writeJob {
 	merged := writeJob{records: map[string][]byte{}}
 	items := map[config.Key]config.Item{}
@@ -117,7 +117,7 @@
 	return merged
 }
 
-// writeWithRetry attempts a write until the disk takes it. It reports false where the writer is stopped before.
+// writeWithRetry repeats a write until it succeeds. It reports false if the writer is stopped first.
 func (w *diskWriter) writeWithRetry(job writeJob) bool {
 	for {
 		err := w.write(job)
--- a/internal/control/server/diskwriter_test.go
+++ b/internal/control/server/diskwriter_test.go
@@ -18,7 +18,7 @@
 	return config.Item{Kind: config.KindEvacuations, Name: name, Version: version, Body: json.RawMessage(`{"begun":true}`)}
 }
 
-// The merged job leaves what the jobs one after another would have left.
+// A merged job has the same effect as its jobs in order.
 func TestMergeJobs(t *testing.T) {
 	a1, a2, b1 := testItem("a", 1), testItem("a", 2), testItem("b", 1)
 	record := func(value string) map[string][]byte { return map[string][]byte{"node": []byte(value)} }
@@ -26,7 +26,7 @@
 		jobs []writeJob
 		want writeJob
 	}{
-		"the last version of an item counts": {
+		"the last version of an item wins": {
 			jobs: []writeJob{{items: []config.Item{a1, b1}}, {items: []config.Item{a2}}},
 			want: writeJob{items: []config.Item{a2, b1}},
 		},
@@ -38,15 +38,15 @@
 			jobs: []writeJob{{removed: []config.Key{a1.Key()}}, {items: []config.Item{a2}}},
 			want: writeJob{items: []config.Item{a2}},
 		},
-		"a replacement drops what came before it": {
+		"a replacement discards earlier jobs": {
 			jobs: []writeJob{{items: []config.Item{a1}, removed: []config.Key{b1.Key()}}, {items: []config.Item{b1}, replaceAll: true}},
 			want: writeJob{items: []config.Item{b1}, replaceAll: true},
 		},
-		"what comes after a replacement is added to it": {
+		"jobs after a replacement are added to it": {
 			jobs: []writeJob{{items: []config.Item{b1}, replaceAll: true}, {items: []config.Item{a2}, removed: []config.Key{b1.Key()}}},
 			want: writeJob{items: []config.Item{a2}, removed: []config.Key{b1.Key()}, replaceAll: true},
 		},
-		"the last record counts, and complete stays": {
+		"the last record wins, and complete stays set": {
 			jobs: []writeJob{{records: record("1"), complete: true}, {records: record("2")}},
 			want: writeJob{records: record("2"), complete: true},
 		},
@@ -67,7 +67,7 @@
 	}
 }
 
-// A disk that hangs makes enqueue refuse further jobs instead of waiting, and says so.
+// While the disk is stalled and the queue is full, enqueue rejects jobs without blocking and reports an error.
 func TestEnqueueFull(t *testing.T) {
 	c := qt.New(t)
 	var reported []error
@@ -82,13 +82,13 @@
 	c.Check(errors.Is(reported[0], errQueueFull), qt.IsTrue)
 }
 
-// Jobs that wait together are written together, in one batch, and each is reported done once it is on disk, in their order.
+// Queued jobs are written with one fsync, and their done functions are called in order afterwards.
 func TestDiskWriterRun(t *testing.T) {
 	c := qt.New(t)
 	disk := storage.NewMemStorage()
 	itemStore, _, _, _, err := store.Open(disk)
 	c.Assert(err, qt.IsNil)
-	w := newDiskWriter(itemStore, func(err error) { t.Errorf("unexpected: %v", err) })
+	w := newDiskWriter(itemStore, func(err error) { t.Errorf("unexpected error: %v", err) })
 	syncs := itemStore.Syncs.Load()
 	var done []string
 	finished := make(chan struct{})
--- a/internal/control/server/golden_test.go
+++ b/internal/control/server/golden_test.go
@@ -25,12 +25,12 @@
 		t.Fatal(err)
 	}
 	if got := encodeHardState(d); len(got) != 1 || !bytes.Equal(got["node"], want) {
-		t.Errorf("the record is %q, not %q", got, want)
+		t.Errorf("record: got %q, want %q", got, want)
 	}
 }
 
-// A control process that starts on an earlier release's disk goes on from where that one was: the same member, at the same
-// index, with its vote, and with all items.
+// A control process that starts on the disk of an earlier release continues as the same member, at the same index, with the same vote and
+// all items.
 func TestGoldenDisk(t *testing.T) {
 	dir, image := t.TempDir(), "../../golden/testdata/golden/disk/image"
 	files, err := os.ReadDir(image)
@@ -62,25 +62,25 @@
 	want := consensus.HardState{DiskID: "disk-1", Applied: 13, Promised: consensus.Ballot{Number: 7, Proposer: "life-3"}, Accepted: consensus.Ballot{Number: 6, Proposer: "life-2"}, AcceptedIndex: 14,
 		AcceptedValue: []config.Item{vote}, Founders: []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}}
 	if created || len(removed) > 0 || !reflect.DeepEqual(hardState, want) {
-		t.Errorf("it starts with %+v, created %v, removed %v", hardState, created, removed)
+		t.Errorf("got hard state %+v, created %v, removed %v", hardState, created, removed)
 	}
 	if list := membership.FromSet(set); list.Epoch != 2 || !list.Contains("10.0.0.1", "disk-1") {
-		t.Errorf("the members are %+v", list)
+		t.Errorf("unexpected members %+v", list)
 	}
 	if !reflect.DeepEqual(set.All(), items) {
-		t.Errorf("of %d items there are %d", len(items), set.Len())
+		t.Errorf("the items in the set differ from those on disk: %d items on disk, %d in the set", len(items), set.Len())
 	}
 	if err := itemStore.Write(set.All(), encodeHardState(hardState), true); err != nil {
 		t.Fatal(err)
 	}
 	if reopenedStore, reopenedItems, reopenedRecords, _, err := reopen(t, itemStore, dir, disk.Close); err != nil || !reflect.DeepEqual(reopenedItems, items) || !reflect.DeepEqual(reopenedRecords, records) {
-		t.Errorf("written again it holds %d items and %q, %v", len(reopenedItems), reopenedRecords, err)
+		t.Errorf("after another write and reopening: got %d items, records %q, error %v", len(reopenedItems), reopenedRecords, err)
 	} else {
 		reopenedStore.Close()
 	}
 }
 
-// reopen closes a store and its disk, and opens both again.
+// reopen closes a store and its disk and opens both again.
 func reopen(t *testing.T, itemStore *store.Store, dir string, closeDisk func() error) (*store.Store, []config.Item, map[string][]byte, bool, error) {
 	t.Helper()
 	if err := itemStore.Close(); err != nil {
--- a/internal/control/server/hardstate.go
+++ b/internal/control/server/hardstate.go
@@ -10,21 +10,21 @@
 	"portflow/internal/control/membership"
 )
 
-// nodeRecord is the key of the consensus node's record on disk, beside the items.
+// nodeRecord is the key of the consensus node's record on disk, which is stored along with the items.
 const nodeRecord = "node"
 
 func encodeHardState(hardState consensus.HardState) map[string][]byte {
 	raw, err := json.Marshal(hardState)
-	if err != nil { // impossible: it holds items that were read as JSON
+	if err != nil { // can't happen: its items were decoded from JSON
 		panic(err)
 	}
 	return map[string][]byte{nodeRecord: raw}
 }
 
-// loadHardState is what the consensus node starts with: the record on disk, or a new one where the disk is new, incomplete or
-// damaged. A process with a new record is no member until it is voted in; only at the first start it may be a founder. A disk of a
-// release before consensus names the founders by items of their own. removed are items that must not stay on disk; created says
-// that the record is new.
+// loadHardState returns the hard state that the consensus node starts with: the record on disk, or a new one if the disk is new,
+// incomplete or damaged. A process with a new record becomes a voting member only once the members add it, unless it is a founder. The
+// founders are taken from the settings at the cluster's first start, or from the items in which releases without consensus listed the
+// members. removed holds the items to delete from disk; created reports whether the record is new.
 func (s *Server) loadHardState(items []config.Item, records map[string][]byte, complete, damaged bool) (
 	hardState consensus.HardState, set *config.Set, removed []config.Key, created bool,
 ) {
@@ -44,7 +44,7 @@
 	return hardState, set, removed, true
 }
 
-// loadItems makes the set of the items on disk, apart from those by which earlier releases named the members.
+// loadItems builds the set from the items on disk, except those in which releases without consensus listed the members.
 func loadItems(items []config.Item) (set *config.Set, formerMembers []string, removed []config.Key) {
 	set = config.NewSet()
 	for _, item := range items {
@@ -58,13 +58,13 @@
 	return set, formerMembers, append(removed, set.TakeEvicted()...)
 }
 
-// decodeHardState reports whether the records hold a usable hard state.
+// decodeHardState decodes the node record and reports whether it is usable.
 func decodeHardState(records map[string][]byte, hardState *consensus.HardState) bool {
 	raw, exists := records[nodeRecord]
 	return exists && json.Unmarshal(raw, hardState) == nil && hardState.DiskID != ""
 }
 
-// founders are the first members: those that the settings name as seeds or, without any, this process.
+// founders returns the IP addresses of the first members: the seeds in the settings or, if there are none, this process.
 func (s *Server) founders() (ips []string) {
 	for _, seed := range s.Settings.SeedNodes {
 		if host, _, err := net.SplitHostPort(seed); err == nil && !slices.Contains(ips, host) {
@@ -77,7 +77,7 @@
 	return ips
 }
 
-// rewriteDisk writes everything to a disk that has missed a write, once it takes writes again. The caller holds mu.
+// rewriteDisk rewrites the complete state after a write was dropped, once the write queue is empty again. The caller holds mu.
 func (s *Server) rewriteDisk() {
 	if !s.diskBehind || !s.writer.idle() {
 		return
--- a/internal/control/server/hardstate_test.go
+++ b/internal/control/server/hardstate_test.go
@@ -10,8 +10,8 @@
 	"portflow/internal/control/consensus"
 )
 
-// Only a process that is sure to be among the first members gets founders: on a new disk at the first start, or on a complete disk of a
-// release before consensus. A disk that is damaged, incomplete or lost makes it a newcomer with another disk ID.
+// A process gets founders only on a new disk at the first start, or on a complete disk of a release without consensus. With a damaged,
+// incomplete or lost disk it gets a new disk ID and no founders, so that it can't vote twice.
 func TestLoadHardState(t *testing.T) {
 	seeds := []string{"10.0.0.3:9", "10.0.0.2:9", "10.0.0.3:9"}
 	record := encodeHardState(consensus.HardState{DiskID: "disk-1", Applied: 4})
@@ -25,17 +25,17 @@
 		wantID            string
 		wantFounders      []string
 	}{
-		"a record on an intact disk":             {records: record, complete: true, wantID: "disk-1"},
-		"a record on a damaged disk":             {records: record, complete: true, damaged: true, wantID: "life"},
-		"a record on an incomplete disk":         {records: record, wantID: "life"},
-		"a record that can't be read":            {records: map[string][]byte{nodeRecord: []byte("{")}, complete: true, wantID: "life"},
-		"a record without an ID":                 {records: map[string][]byte{nodeRecord: []byte("{}")}, complete: true, wantID: "life"},
-		"the first start, with seeds":            {firstStart: true, seeds: seeds, wantID: "life", wantFounders: []string{"10.0.0.2", "10.0.0.3"}},
-		"the first start, alone":                 {firstStart: true, wantID: "life", wantFounders: []string{"10.0.0.1"}},
-		"the first start, on a damaged disk":     {firstStart: true, seeds: seeds, damaged: true, wantID: "life"},
-		"a later start on a lost disk":           {seeds: seeds, wantID: "life"},
-		"a disk of before consensus":             {items: former, complete: true, wantID: "life", wantFounders: []string{"10.0.0.8", "10.0.0.9"}},
-		"an incomplete disk of before consensus": {items: former, wantID: "life"},
+		"a record on an intact disk":           {records: record, complete: true, wantID: "disk-1"},
+		"a record on a damaged disk":           {records: record, complete: true, damaged: true, wantID: "life"},
+		"a record on an incomplete disk":       {records: record, wantID: "life"},
+		"a record that can't be read":          {records: map[string][]byte{nodeRecord: []byte("{")}, complete: true, wantID: "life"},
+		"a record without an ID":               {records: map[string][]byte{nodeRecord: []byte("{}")}, complete: true, wantID: "life"},
+		"first start, with seeds":              {firstStart: true, seeds: seeds, wantID: "life", wantFounders: []string{"10.0.0.2", "10.0.0.3"}},
+		"first start, without seeds":           {firstStart: true, wantID: "life", wantFounders: []string{"10.0.0.1"}},
+		"first start, on a damaged disk":       {firstStart: true, seeds: seeds, damaged: true, wantID: "life"},
+		"a later start on a lost disk":         {seeds: seeds, wantID: "life"},
+		"a disk without consensus":             {items: former, complete: true, wantID: "life", wantFounders: []string{"10.0.0.8", "10.0.0.9"}},
+		"an incomplete disk without consensus": {items: former, wantID: "life"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/control/server/hosts.go
+++ b/internal/control/server/hosts.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// leaveAckTimeout is how long a host that leaves waits for its answer at most: it goes on to the next process after a second.
+	// leaveAckTimeout limits the wait of a leaving host, which moves on to the next control process after one second.
 	leaveAckTimeout = 700 * time.Millisecond
 
 	maxHostIDBytes = 256
@@ -21,12 +21,12 @@
 
 func checkHostID(id string) error {
 	if id == "" || len(id) > maxHostIDBytes {
-		return apierror.New(apierror.Malformed, "of: no id")
+		return apierror.New(apierror.Malformed, "of: the host ID must have 1 to 256 bytes")
 	}
 	return nil
 }
 
-// handleHeartbeat takes a host's heartbeat. The answer may name another control process to which the next one should go.
+// handleHeartbeat handles a host's heartbeat. The answer may redirect the host to another control process.
 func (s *Server) handleHeartbeat(ctx context.Context, id string, body []byte) (any, error) {
 	if err := checkHostID(id); err != nil {
 		return nil, err
@@ -38,13 +38,13 @@
 	now := s.clock()
 	host, err := instance.ParseHeartbeat(id, tree, now)
 	if err != nil {
-		return nil, apierror.Wrap(apierror.Malformed, err, "the beat of %s", id)
+		return nil, apierror.Wrap(apierror.Malformed, err, "heartbeat of host %s", id)
 	}
 	redirect, leaving, err := s.acceptHeartbeat(now, host)
 	if err != nil {
 		return nil, err
 	}
-	if leaving { // few hosts are, and the others need no timer
+	if leaving { // rare; other heartbeats need no timer
 		if err := s.awaitMajorityAck(ctx, id); err != nil {
 			return nil, err
 		}
@@ -55,9 +55,9 @@
 	return map[string]string{}, nil
 }
 
-// acceptHeartbeat updates and publishes a host. It returns the address that the next heartbeat should go to, empty for this process's,
-// and whether the host's departure is pending. Where this process reaches no majority, nobody would receive what it publishes: it
-// returns an error, and the host goes on to another process.
+// acceptHeartbeat updates a host and publishes it if it has changed. It returns the address for the next heartbeat, empty for this
+// process, and whether the host's departure is pending. Without a quorum it returns an error, since nobody would receive the updates of
+// this process; the host then moves on to another one.
 func (s *Server) acceptHeartbeat(now int64, heartbeat instance.Instance) (redirect string, leaving bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,9 +70,9 @@
 	return s.controlForZone(host.Zone), s.departures.isPending(heartbeat.ID), nil
 }
 
-// acceptsHeartbeats reports whether another control process accepts heartbeats, by its last status. One that starts, has no quorum or
-// leaves refuses them, and a host that is sent there comes back by way of any other process, each time with an update to all. The
-// caller holds mu.
+// acceptsHeartbeats reports whether another control process accepts heartbeats according to its last status. A process that is catching
+// up, has no quorum or is shutting down rejects them. A host redirected there would return through another process, and each move is
+// published to all subscribers. The caller holds mu.
 func (s *Server) acceptsHeartbeats(ip string) bool {
 	peer, conn := s.state.Peers[ip], s.peers[ip]
 	if peer == nil || conn == nil || conn.stream == nil {
@@ -81,8 +81,8 @@
 	return peer.Status.Complete && peer.Status.HasQuorum && !peer.Status.Leaving
 }
 
-// controlForZone is the address of the control process to which a zone's hosts should send heartbeats, empty for this one's. The caller
-// holds mu.
+// controlForZone returns the address of the control process to which the hosts of a zone should send heartbeats: the available member
+// in that zone with the lowest IP address. It returns "" for this process. The caller holds mu.
 func (s *Server) controlForZone(zone string) string {
 	if zone == s.Settings.Zone {
 		return ""
@@ -96,11 +96,11 @@
 	if lowest == "" {
 		return ""
 	}
-	_, port, _ := net.SplitHostPort(s.Settings.ListenAddresses["control"]) // checked with the settings
+	_, port, _ := net.SplitHostPort(s.Settings.ListenAddresses["control"]) // validated with the settings
 	return net.JoinHostPort(lowest, port)
 }
 
-// proposeInitialVersion makes the version of a service's first host its stable version. The caller holds mu.
+// proposeInitialVersion submits the version of a service's first host as the stable version of the service. The caller holds mu.
 func (s *Server) proposeInitialVersion(host instance.Instance) {
 	_, known := s.state.Set.Lookup(config.Key{Kind: config.KindStableVersions, Name: host.Service})
 	if known || s.pendingVersions[host.Service] {
@@ -110,16 +110,16 @@
 	go s.setInitialVersion(host.Service, host.Version)
 }
 
-// setInitialVersion submits a service's first version; it ends with the operation.
+// setInitialVersion submits a service's initial version. It runs in its own goroutine, which ends with the operation.
 func (s *Server) setInitialVersion(service, version string) {
 	op := operation.Operation{Kind: operation.SetInitialVersion, Name: service, Version: version}
-	_ = s.submit(s.ctx, op) // the next heartbeat submits it again where it is missing
+	_ = s.submit(s.ctx, op) // after a failure, the next heartbeat submits it again
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.pendingVersions, service)
 }
 
-// handleLeave takes a host out of service.
+// handleLeave deregisters a host. It answers once a majority of the members has acknowledged that.
 func (s *Server) handleLeave(ctx context.Context, id string, _ []byte) (any, error) {
 	if err := checkHostID(id); err != nil {
 		return nil, err
@@ -141,8 +141,9 @@
 	return nil
 }
 
-// announceInstance publishes a host that sends heartbeats here and has changed. One that leaves is published once more where this
-// process knows only from another that it does: that one may be cut off, and have reached nobody else. The caller holds mu.
+// announceInstance publishes a host that sends heartbeats here if it has changed. A leaving host is published again if this process
+// learned of its departure only from another control process, which may have been partitioned before it notified anyone else. The
+// caller holds mu.
 func (s *Server) announceInstance(host instance.Instance, changed bool) {
 	leaving := host.State != instance.Ready
 	if !changed && (!leaving || s.departures.isPublished(host.ID)) {
@@ -155,9 +156,9 @@
 	s.subscriptions.notify()
 }
 
-// awaitMajorityAck waits until a majority of the members, this process included, has acknowledged the departure of a host. The host
-// ends on the answer, so proxies that subscribe to any of them must get to know it, and a process that was cut off a moment ago
-// doesn't know that yet: it must not answer. Updates about other hosts wait for nobody.
+// awaitMajorityAck waits until a majority of the members, including this process, has acknowledged the departure of a host. The host
+// terminates after the answer, so proxies subscribed to any of these members must learn of the departure first, and a process that does
+// not know yet that it is partitioned must not answer. Other updates about hosts don't wait for acknowledgements.
 func (s *Server) awaitMajorityAck(ctx context.Context, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, leaveAckTimeout)
 	defer cancel()
@@ -169,19 +170,20 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return apierror.Wrap(apierror.Unavailable, ctx.Err(), "of: %s leaves, and more than half of the core haven't heard of it yet", id)
+			return apierror.Wrap(apierror.Unavailable, ctx.Err(), "of: the departure of %s has not been acknowledged by a majority of the voting members yet", id)
 		}
 	}
 }
 
-// resolveDeparture reports whether a host's departure is complete, and else when to look again.
+// resolveDeparture reports whether a host's departure is complete. If not, changed is closed when it should be called again.
 func (s *Server) resolveDeparture(id string) (complete bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.departures.resolve(id, s.majorityAcked), s.departures.changed
 }
 
-// majorityAcked reports whether a majority of the members has acknowledged all updates up to a number. The caller holds mu.
+// majorityAcked reports whether a majority of the members, including this process, has acknowledged all updates up to number. The caller
+// holds mu.
 func (s *Server) majorityAcked(number uint64) bool {
 	acks := map[string]string{s.Settings.IP: s.state.Self.ID}
 	for sub := range s.subscriptions.subscribers {
--- a/internal/control/server/memberchange.go
+++ b/internal/control/server/memberchange.go
@@ -10,16 +10,16 @@
 	"portflow/internal/control/operation"
 )
 
-// changePlan is the operation that a change of the members takes, while it is made.
+// changePlan builds the operation for a membership change.
 type changePlan struct {
 	server   *Server
-	list     membership.List     // the members before
-	learners []membership.Member // the control processes that may be added
+	list     membership.List     // current members
+	learners []membership.Member // control processes that may be added
 	op       operation.Operation
 }
 
-// planChange makes the operation that a change of the members takes, and says what the members tolerate before and after it. Where the
-// change is in force already, the operation changes nothing.
+// planChange returns the operation for a membership change and the losses that the members tolerate before and after it. If the change is
+// already in force, the operation adds, removes and excludes nobody.
 func (s *Server) planChange(change CoreChange) (operation.Operation, CoreChangeResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,7 +35,7 @@
 	}
 	next := list.Change(plan.op.Add, plan.op.Remove)
 	if next.Epoch == list.Epoch && len(list.Members) == len(plan.op.Remove) {
-		return operation.Operation{}, CoreChangeResult{}, apierror.New(apierror.Invalid, "the last member can't go")
+		return operation.Operation{}, CoreChangeResult{}, apierror.New(apierror.Invalid, "the last voting member can't be removed")
 	}
 	result := CoreChangeResult{
 		Epoch:   list.Epoch,
@@ -55,10 +55,10 @@
 	case replaceMember:
 		return p.replace(change.Member, change.Replacement)
 	}
-	return apierror.New(apierror.Invalid, "do: %q is not remove, add or replace", change.Action)
+	return apierror.New(apierror.Invalid, "do: unknown action %q; must be remove, add or replace", change.Action)
 }
 
-// remove takes a member off the list, and excludes it or a learner. One that is excluded already stays so.
+// remove removes and excludes a member, or excludes a learner. A process that is already excluded stays excluded.
 func (p *changePlan) remove(ref string) error {
 	if member, ok := findMember(p.list.Members, ref); ok {
 		p.op.Remove = []string{member.IP}
@@ -75,23 +75,23 @@
 	return nil
 }
 
-// add adds a learner, unless it is an available member already.
+// add adds a learner. It does nothing if ref is an available member.
 func (p *changePlan) add(ref string) error {
 	if member, ok := findMember(p.list.Members, ref); ok && p.server.isAvailable(member) {
 		return nil
 	}
 	learner, ok := findMember(p.learners, ref)
 	if !ok {
-		return apierror.New(apierror.NotFound, "%s is not heard: start it, with a seed that is up", ref)
+		return apierror.New(apierror.NotFound, "%s is not connected: start it with a running control process as seed", ref)
 	}
 	if status := p.server.describe(learner); !status.CaughtUp {
-		return apierror.New(apierror.Unavailable, "%s doesn't hold the whole state yet: number %d of %d", ref, status.Index, p.server.state.Node.Applied())
+		return apierror.New(apierror.Unavailable, "%s has not caught up yet: index %d of %d", ref, status.Index, p.server.state.Node.Applied())
 	}
 	p.op.Add = append(p.op.Add, learner)
 	return nil
 }
 
-// replace adds a learner and excludes a member, in one step. With the member removed already it adds alone.
+// replace adds a learner and removes and excludes a member in one operation. If the member was removed before, it only adds the learner.
 func (p *changePlan) replace(ref, replacement string) error {
 	old, isMember := findMember(p.list.Members, ref)
 	_, isExcluded := findMember(p.list.Excluded, ref)
@@ -106,7 +106,7 @@
 	}
 	p.op.Exclude = []membership.Member{old}
 	sameIP := func(member membership.Member) bool { return member.IP == old.IP }
-	if !slices.ContainsFunc(p.op.Add, sameIP) { // the list has one member for an IP
+	if !slices.ContainsFunc(p.op.Add, sameIP) { // the added member replaces the one with the same IP address
 		p.op.Remove = []string{old.IP}
 	}
 	return nil
--- a/internal/control/server/memberchange_test.go
+++ b/internal/control/server/memberchange_test.go
@@ -16,7 +16,7 @@
 	"portflow/internal/control/membership"
 )
 
-// testMember is the control process with this number. Its zone is its own.
+// testMember returns the control process with number n, in a zone of its own.
 func testMember(n int) membership.Member {
 	return membership.Member{IP: fmt.Sprint("10.0.0.", n), ID: fmt.Sprint("disk-", n), Name: fmt.Sprint("n", n), Zone: fmt.Sprint("z", n)}
 }
@@ -29,8 +29,8 @@
 	return membership.List{}.Change(all, nil)
 }
 
-// newTestServer is control process 1 of so many members, with the state of index 1 and without disk, network or goroutines. Its time is
-// 1 s and stands still. No other process is connected.
+// newTestServer returns control process 1 of the given number of members, at index 1, without disk, network or goroutines. Its clock is
+// fixed at 1 s. No other process is connected.
 func newTestServer(members int) *Server {
 	self := testMember(1)
 	s := newServer(context.Background(), Options{
@@ -44,33 +44,33 @@
 	return s
 }
 
-// connectPeer makes another control process connected, with this status.
+// connectPeer registers another control process as connected, with the given status.
 func connectPeer(s *Server, member membership.Member, status update.Status) {
 	s.peers[member.IP] = &peerConn{ip: member.IP, member: member}
 	s.state.UpdatePeer(member.IP, status)
 }
 
-// Of members 1, 2 and 3, 3 is down. 4 is a learner that has caught up, 5 one that hasn't.
+// Processes 1, 2 and 3 are members, of which 3 is down. Learner 4 has caught up, learner 5 has not.
 func TestPlanChange(t *testing.T) {
 	for name, test := range map[string]struct {
 		change               CoreChange
-		add, remove, exclude string // IPs' last numbers
+		add, remove, exclude string // last numbers of the IP addresses
 		wantTolerates        [2]int
 		wantError            apierror.Kind
 	}{
-		"remove a member that is down": {change: CoreChange{Action: "remove", Member: "n3"}, remove: "3", exclude: "3", wantTolerates: [2]int{0, 0}},
-		"remove a member that is up":   {change: CoreChange{Action: "remove", Member: "10.0.0.2"}, remove: "2", exclude: "2", wantTolerates: [2]int{0, -1}},
-		"remove a learner":             {change: CoreChange{Action: "remove", Member: "n4"}, exclude: "4"},
-		"remove nobody":                {change: CoreChange{Action: "remove", Member: "n9"}, wantError: apierror.NotFound},
-		"add a learner":                {change: CoreChange{Action: "add", Member: "n4"}, add: "4", wantTolerates: [2]int{0, 0}},
-		"add one that lacks changes":   {change: CoreChange{Action: "add", Member: "n5"}, wantError: apierror.Unavailable},
-		"add a member that is up":      {change: CoreChange{Action: "add", Member: "n2"}},
-		"add a member that is down":    {change: CoreChange{Action: "add", Member: "n3"}, wantError: apierror.NotFound},
-		"replace one that is down":     {change: CoreChange{Action: "replace", Member: "n3", Replacement: "n4"}, add: "4", remove: "3", exclude: "3", wantTolerates: [2]int{0, 1}},
-		"replace it by a member":       {change: CoreChange{Action: "replace", Member: "n3", Replacement: "n2"}, remove: "3", exclude: "3"},
-		"replace by one not connected": {change: CoreChange{Action: "replace", Member: "n3", Replacement: "n9"}, wantError: apierror.NotFound},
-		"replace nobody":               {change: CoreChange{Action: "replace", Member: "n9", Replacement: "n4"}, wantError: apierror.NotFound},
-		"no action":                    {change: CoreChange{Action: "swap", Member: "n3"}, wantError: apierror.Invalid},
+		"remove a member that is down":     {change: CoreChange{Action: "remove", Member: "n3"}, remove: "3", exclude: "3", wantTolerates: [2]int{0, 0}},
+		"remove a member that is up":       {change: CoreChange{Action: "remove", Member: "10.0.0.2"}, remove: "2", exclude: "2", wantTolerates: [2]int{0, -1}},
+		"remove a learner":                 {change: CoreChange{Action: "remove", Member: "n4"}, exclude: "4"},
+		"remove an unknown process":        {change: CoreChange{Action: "remove", Member: "n9"}, wantError: apierror.NotFound},
+		"add a learner":                    {change: CoreChange{Action: "add", Member: "n4"}, add: "4", wantTolerates: [2]int{0, 0}},
+		"add a learner that lacks changes": {change: CoreChange{Action: "add", Member: "n5"}, wantError: apierror.Unavailable},
+		"add a member that is up":          {change: CoreChange{Action: "add", Member: "n2"}},
+		"add a member that is down":        {change: CoreChange{Action: "add", Member: "n3"}, wantError: apierror.NotFound},
+		"replace a member that is down":    {change: CoreChange{Action: "replace", Member: "n3", Replacement: "n4"}, add: "4", remove: "3", exclude: "3", wantTolerates: [2]int{0, 1}},
+		"replace by a member":              {change: CoreChange{Action: "replace", Member: "n3", Replacement: "n2"}, remove: "3", exclude: "3"},
+		"replace by one not connected":     {change: CoreChange{Action: "replace", Member: "n3", Replacement: "n9"}, wantError: apierror.NotFound},
+		"replace an unknown process":       {change: CoreChange{Action: "replace", Member: "n9", Replacement: "n4"}, wantError: apierror.NotFound},
+		"unknown action":                   {change: CoreChange{Action: "swap", Member: "n3"}, wantError: apierror.Invalid},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -103,7 +103,7 @@
 	return strings.Join(numbers, " ")
 }
 
-// A member that has come back with a new disk takes its own place: the old disk is excluded, and the IP isn't removed.
+// A member that returned with a new disk can replace itself: the old disk is excluded, and the IP address isn't removed.
 func TestPlanReplaceSameIP(t *testing.T) {
 	c := qt.New(t)
 	s := newTestServer(3)
@@ -117,7 +117,7 @@
 	c.Check(op.Exclude, qt.DeepEquals, []membership.Member{testMember(3)})
 }
 
-// The last member stays.
+// The last member can't be removed.
 func TestPlanRemoveLast(t *testing.T) {
 	c := qt.New(t)
 	_, _, err := newTestServer(1).planChange(CoreChange{Action: "remove", Member: "n1"})
@@ -125,8 +125,8 @@
 	c.Check(apierror.KindOf(err), qt.Equals, apierror.Invalid)
 }
 
-// A change that leaves no majority connected is refused whatever is forced; one that leaves no tolerance only with force, unless there
-// was none before.
+// A change that leaves no connected majority is rejected even with force. One that leaves no tolerance for losses requires force, unless
+// there was none before.
 func TestCheckTolerance(t *testing.T) {
 	for _, test := range []struct {
 		before, after int
@@ -145,7 +145,8 @@
 	}
 }
 
-// A process that ends is voted out of an even number of members, not of an odd one, and never where no loss is tolerated afterwards.
+// A process that shuts down is removed from an even number of members, not from an odd one, and never if no loss would be tolerated
+// afterwards.
 func TestRemovalUseful(t *testing.T) {
 	leaving := testMember(1).IP
 	for size, want := range map[int]bool{1: false, 2: false, 3: false, 4: true, 5: false, 6: true} {
--- a/internal/control/server/membership.go
+++ b/internal/control/server/membership.go
@@ -15,70 +15,70 @@
 	"portflow/internal/control/rpc"
 )
 
-// CoreStatus is the membership of the control processes as one of them sees it. Times are seconds.
+// CoreStatus is the membership of the control processes as one of them sees it. Durations are in seconds.
 type CoreStatus struct {
 	Node           string        `json:"node"`
 	Status         string        `json:"standing"`
-	Current        bool          `json:"current"` // a majority of the members has confirmed that nothing newer was decided
+	Current        bool          `json:"current"` // a quorum read confirmed that the answer is up to date
 	Epoch          uint64        `json:"epoch"`
-	Index          uint64        `json:"number"` // of the last change that is applied here
+	Index          uint64        `json:"number"` // last log index applied by this process
 	Members        []CoreMember  `json:"members"`
-	Learners       []CoreMember  `json:"learners"` // connected, and not members
-	Excluded       []CoreMember  `json:"held"`     // removed by an operator: never voted in again with these disks but by an operator
-	Tolerates      int           `json:"bears"`    // further members that may be lost; below 0 no operation is possible
+	Learners       []CoreMember  `json:"learners"` // connected control processes that don't vote
+	Excluded       []CoreMember  `json:"held"`     // removed by an operator; with the same disk, only an operator can add them again
+	Tolerates      int           `json:"bears"`    // further members that may be lost; negative without a quorum
 	ToleratedZones []string      `json:"bears_zones"`
 	Tolerance      CoreTolerance `json:"margin"`
 }
 
-// CoreMember is a control process.
+// CoreMember is a control process, a voting member or not, as another one or itself sees it.
 type CoreMember struct {
 	IP            string  `json:"ip"`
 	Name          string  `json:"name"`
 	Zone          string  `json:"zone"`
-	DiskID        string  `json:"disk"` // its ID
+	DiskID        string  `json:"disk"` // ID of its disk; a process with a new disk is a new member
 	Heard         bool    `json:"heard"`
-	SilentSeconds float64 `json:"silent"` // how long it has not been connected
+	SilentSeconds float64 `json:"silent"` // time since it was last connected
 	CaughtUp      bool    `json:"whole"`
 	Leaving       bool    `json:"leaving"`
 	Epoch         uint64  `json:"epoch"`
 	Index         uint64  `json:"number"`
 }
 
-// CoreTolerance is since when the members tolerate fewer losses than before, and how long that took the last time, as this process
-// has seen it since it started.
+// CoreTolerance describes the present and the last reduction of the number of losses that the members tolerate, as observed by this
+// process since it started.
 type CoreTolerance struct {
-	Baseline     int      `json:"level"` // members that could be lost before
-	Lost         []string `json:"lost"`  // IPs of members that are not connected since
-	SinceSeconds float64  `json:"since"` // how long ago the loss came, 0 for none
-	LastSeconds  float64  `json:"last"`  // how long it took after the last loss until the tolerance was restored
+	Baseline     int      `json:"level"` // tolerated losses before the reduction
+	Lost         []string `json:"lost"`  // IP addresses of the members that are unavailable during it
+	SinceSeconds float64  `json:"since"` // age of the reduction, 0 if there is none
+	LastSeconds  float64  `json:"last"`  // duration of the last reduction that ended
 }
 
-// CoreChange asks for a change of the members.
+// CoreChange requests a change of the voting members.
 type CoreChange struct {
 	Action      string `json:"do"`   // remove, add or replace
-	Member      string `json:"who"`  // an IP or a name
-	Replacement string `json:"with"` // that is added in its place
+	Member      string `json:"who"`  // IP address or name
+	Replacement string `json:"with"` // IP address or name of the learner to add; for replace only
 	DryRun      bool   `json:"dry"`
 	Force       bool   `json:"force"`
 }
 
-// CoreChangeResult is what the members tolerate before and after a change.
+// CoreChangeResult reports the members and the losses that they tolerate before and after a CoreChange.
 type CoreChangeResult struct {
-	Done           bool        `json:"done"` // it is in force; otherwise it was a dry run
+	Done           bool        `json:"done"` // the change is in force; false for a dry run
 	Epoch          uint64      `json:"epoch"`
-	Members        []string    `json:"members"` // names, afterwards
+	Members        []string    `json:"members"` // names, after the change
 	Tolerates      [2]int      `json:"bears"`   // before and after
-	ToleratedZones [2][]string `json:"zones"`   // each of which alone may be lost, before and after
+	ToleratedZones [2][]string `json:"zones"`   // zones of which any one may be lost, before and after
 }
 
-// Actions of a CoreChange.
+// Values of CoreChange.Action.
 const (
 	removeMember  = "remove"
 	addMember     = "add"
 	replaceMember = "replace"
 )
 
-// membershipCalls are the operators' calls that are about the members themselves.
+// membershipCalls returns the operators' calls that read or change the voting members.
 func (s *Server) membershipCalls() []rpc.Call {
 	return []rpc.Call{
 		{Name: "core.read", MaxBody: maxSmallBody, Handle: s.handleCoreRead},
@@ -87,7 +87,7 @@
 	}
 }
 
-// unavailable are the IPs of those members of a list that can't be counted on: not connected, connected with another disk, or leaving.
+// unavailable returns the IP addresses of the members in list that are disconnected, connected with a different disk, or shutting down.
 // The caller holds mu.
 func (s *Server) unavailable(list membership.List) (ips []string) {
 	for _, member := range list.Members {
@@ -106,7 +106,7 @@
 	return peer != nil && !peer.Status.Leaving
 }
 
-// connectedPeer is a control process that is connected, with the disk that the member is known by; nil for none. The caller holds mu.
+// connectedPeer returns the connected control process that has the member's IP address and disk, or nil. The caller holds mu.
 func (s *Server) connectedPeer(member membership.Member) *registry.Peer {
 	peer, conn := s.state.Peers[member.IP], s.peers[member.IP]
 	if peer == nil || conn == nil || conn.member.ID != member.ID {
@@ -115,7 +115,7 @@
 	return peer
 }
 
-// updateTolerance follows how many losses the members tolerate. The caller holds mu.
+// updateTolerance tracks how many losses the members tolerate, and logs when that is reduced or restored. The caller holds mu.
 func (s *Server) updateTolerance() {
 	list := s.state.Node.Membership()
 	switch began, restored := s.tolerance.Observe(s.clock(), list, s.unavailable(list)); {
@@ -126,7 +126,8 @@
 	}
 }
 
-// learners are the control processes that are connected and no members, by IP. The caller holds mu.
+// learners returns the connected control processes, including this one, that are not voting members, sorted by IP address. The caller
+// holds mu.
 func (s *Server) learners() (learners []membership.Member) {
 	list := s.state.Node.Membership()
 	for ip := range s.state.Peers {
@@ -145,7 +146,7 @@
 	return membership.Member{IP: s.Settings.IP, ID: s.state.Self.ID, Name: s.Settings.Name, Zone: s.Settings.Zone}
 }
 
-// describe is the state of a control process, as far as it is known here. The caller holds mu.
+// describe returns the state of a control process as known to this one. The caller holds mu.
 func (s *Server) describe(member membership.Member) CoreMember {
 	status := CoreMember{IP: member.IP, Name: member.Name, Zone: member.Zone, DiskID: member.ID}
 	if member.IP == s.Settings.IP && member.ID == s.state.Self.ID {
@@ -174,7 +175,7 @@
 	return lo.Map(members, func(member membership.Member, _ int) CoreMember { return s.describe(member) })
 }
 
-// handleCoreRead answers with the members as this process sees them, whatever its status.
+// handleCoreRead returns the membership as this process sees it, whatever its status.
 func (s *Server) handleCoreRead(ctx context.Context, _ string, _ []byte) (any, error) {
 	err := s.confirmLatest(ctx)
 	s.mu.Lock()
@@ -202,16 +203,16 @@
 	return status, nil
 }
 
-// findMember finds a control process by its IP or its name.
+// findMember finds a control process by its IP address or name.
 func findMember(members []membership.Member, ref string) (membership.Member, bool) {
 	return lo.Find(members, func(member membership.Member) bool { return member.IP == ref || member.Name == ref })
 }
 
-// handleCoreChange changes the members, or says what a change would do.
+// handleCoreChange changes the voting members or, for a dry run, reports the effects of a change.
 func (s *Server) handleCoreChange(ctx context.Context, _ string, body []byte) (any, error) {
 	var change CoreChange
 	if err := json.Unmarshal(body, &change); err != nil {
-		return nil, apierror.Wrap(apierror.Malformed, err, "the change of members")
+		return nil, apierror.Wrap(apierror.Malformed, err, "membership change request")
 	}
 	if err := s.confirmLatest(ctx); err != nil {
 		return nil, err
@@ -236,14 +237,15 @@
 	return result, nil
 }
 
-// checkTolerance refuses a change that leaves too few members connected.
+// checkTolerance rejects a change that leaves too few members connected. Force permits a change after which no loss is tolerated, but not
+// one after which there is no quorum.
 func checkTolerance(result CoreChangeResult, force bool) error {
 	before, after := result.Tolerates[0], result.Tolerates[1]
 	switch {
 	case after < 0:
-		return apierror.New(apierror.Invalid, "of the members that this leaves more than half aren't heard, so it can't be taken over; bring them back, or see pilot core recover")
+		return apierror.New(apierror.Invalid, "without a connected majority of the remaining members the change can't be committed; reconnect members, or see portflowctl core recover")
 	case after < 1 && after < before && !force:
-		return apierror.New(apierror.Invalid, "the core would bear no loss afterwards, and bears %d now; --force does it all the same", before)
+		return apierror.New(apierror.Invalid, "the voting members would tolerate no loss afterwards, and tolerate %d now; use --force to make the change anyway", before)
 	}
 	return nil
 }
--- a/internal/control/server/outliers.go
+++ b/internal/control/server/outliers.go
@@ -10,8 +10,8 @@
 	"portflow/internal/control/registry"
 )
 
-// ejectOutliers ejects hosts that proxies have seen do much worse than others. It does nothing while no proxy has reported anything.
-// The caller holds mu.
+// ejectOutliers ejects hosts that perform much worse than others according to the proxies' reports. It does nothing while there are no
+// reports, or without a quorum. The caller holds mu.
 func (s *Server) ejectOutliers() {
 	if s.outliers.Idle() || s.state.Status() != registry.HasQuorum {
 		return
@@ -24,8 +24,8 @@
 	}
 }
 
-// ejectionCandidates are the ready hosts that send heartbeats here, but for those whose version a running rollout introduces: the
-// votes decide on that. The caller holds mu.
+// ejectionCandidates returns the ready hosts that send heartbeats here, except those with the target version of a running rollout: the
+// proxies' votes decide on that version. The caller holds mu.
 func (s *Server) ejectionCandidates() (candidates []outlier.Candidate) {
 	targets := s.rolloutTargets()
 	for _, host := range s.state.Instances.Owned() {
@@ -40,7 +40,7 @@
 	return candidates
 }
 
-// rolloutTargets are the versions that running rollouts introduce, by service. The caller holds mu.
+// rolloutTargets returns the target versions of running rollouts, by service. The caller holds mu.
 func (s *Server) rolloutTargets() map[string]string {
 	targets := map[string]string{}
 	for _, item := range s.state.Set.Live(config.KindRollouts) {
--- a/internal/control/server/peers.go
+++ b/internal/control/server/peers.go
@@ -22,30 +22,31 @@
 	dialTimeout     = time.Second
 	minRedialDelay  = 50 * time.Millisecond
 	maxRedialDelay  = time.Second
-	maxDialFailures = 600 // of a process that nothing names any more, a second or two each, before it is given up
+	maxDialFailures = 600 // consecutive failures, one to two seconds each, after which a process that nothing lists any more is dropped
 
 	initialDiscoveryInterval = 100 * time.Millisecond
-	discoveryInterval        = time.Second // once initialDiscoveryRounds are over
+	discoveryInterval        = time.Second // after initialDiscoveryRounds
 	initialDiscoveryRounds   = 50
 )
 
-// errUpdateGap ends a peer connection whose next update isn't the one expected; the next connection begins with a snapshot.
-var errUpdateGap = errors.New("news does not follow")
+// errUpdateGap ends a peer connection on which updates are missing. The next connection resumes after the last update that was applied,
+// or with a snapshot if that is impossible.
+var errUpdateGap = errors.New("gap in the sequence of updates")
 
-// peerConn is the connection that this process dials to another control process. Its fields but ip and redial are guarded by the
-// server's mu.
+// peerConn is the connection that this process dials to another control process. The server's mu guards its fields, except ip and
+// redial.
 type peerConn struct {
 	ip           string
 	name         string
 	member       membership.Member
-	stream       *stream.Conn[update.Message] // nil while there is none, or the other's hello hasn't come
+	stream       *stream.Conn[update.Message] // nil without a connection and before the other process's hello
 	subscription update.Subscription
 	clockOffset  update.ClockOffset
-	cancelDial   func()        // ends the attempt in progress
-	redial       chan struct{} // has room for one: ends the delay before the next attempt
+	cancelDial   func()        // cancels the dial attempt in progress
+	redial       chan struct{} // has capacity 1; a value ends the delay before the next attempt
 }
 
-// discoverPeers looks for the other control processes and has each dialled, until ctx ends.
+// discoverPeers looks for other control processes at intervals and dials them, until ctx ends.
 func (s *Server) discoverPeers() {
 	for round := 0; s.ctx.Err() == nil; round++ {
 		s.dialPeers()
@@ -60,7 +61,7 @@
 	}
 }
 
-// dialPeers has all processes dialled that gossip, the settings or the members name.
+// dialPeers starts to dial all control processes listed by gossip, the settings or the member list.
 func (s *Server) dialPeers() {
 	ips := map[string]bool{}
 	for _, found := range s.gossip.Members() {
@@ -82,9 +83,9 @@
 	}
 }
 
-// addPeer has another control process dialled, if it isn't yet. It is called also for a process that subscribes here, whose hello may
-// be the only sign of it: among many proxies gossip's partial view forgets it before it is looked at, and it would be no member
-// until gossip names it again. The caller holds mu.
+// addPeer starts to dial another control process if that isn't being done already. It is also called for a process that subscribes here,
+// since its hello may be the only sign of it: with many proxies, gossip's partial view may drop a process before dialPeers reads the
+// view, and the process could not join until gossip lists it again. The caller holds mu.
 func (s *Server) addPeer(ip string) {
 	if ip == "" || ip == s.Settings.IP || s.peers[ip] != nil {
 		return
@@ -94,7 +95,7 @@
 	go s.maintainPeer(conn)
 }
 
-// maintainPeer keeps a connection to another control process, until ctx ends or that process is given up.
+// maintainPeer maintains a connection to another control process until ctx ends or that process is dropped.
 func (s *Server) maintainPeer(conn *peerConn) {
 	for failures := 0; s.ctx.Err() == nil; failures++ {
 		ctx, cancel := context.WithTimeout(s.ctx, dialTimeout)
@@ -116,13 +117,13 @@
 	}
 }
 
-// redialDelay doubles with each failure in a row.
+// redialDelay returns the delay before the next attempt. It doubles with each consecutive failure, up to maxRedialDelay.
 func redialDelay(failures int) time.Duration {
 	return min(maxRedialDelay, minRedialDelay<<min(failures, 5))
 }
 
-// beginDial notes how the attempt is ended. It reports false where the process is given up: should it come back, it dials this one,
-// and is added again.
+// beginDial records the function that cancels the attempt. It reports false if the process is dropped; one that returns later dials
+// this process and is added again.
 func (s *Server) beginDial(conn *peerConn, cancel func(), failures int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,12 +135,12 @@
 	return true
 }
 
-// runPeer subscribes to another control process on one connection, until that ends.
+// runPeer subscribes to another control process over one connection, until the connection ends.
 func (s *Server) runPeer(conn *peerConn, netConn net.Conn) {
 	peerStream := stream.Open[update.Message](netConn, stream.ControlKeepalive)
 	stop := context.AfterFunc(s.ctx, func() { peerStream.Close(s.ctx.Err()) })
 	defer stop()
-	hello := s.state.Self // never changes
+	hello := s.state.Self // immutable, so mu is not needed
 	s.mu.Lock()
 	hello.Incarnation = conn.subscription.Incarnation
 	hello.Offset = conn.subscription.Offset
@@ -150,7 +151,7 @@
 	s.peerLost(conn, peerStream, err)
 }
 
-// peerLost notes that a stream to another control process has ended.
+// peerLost handles the end of a stream to another control process.
 func (s *Server) peerLost(conn *peerConn, peerStream *stream.Conn[update.Message], cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,8 +165,8 @@
 	s.stepNode(consensus.Event{PeerLost: true, From: conn.ip})
 }
 
-// peerDialled notes the stream on which another control process subscribes here: that process is up, so this one dials it at once.
-// The caller holds mu.
+// peerDialled records the stream on which another control process subscribes here. Since that process is up, this one dials it without
+// further delay. The caller holds mu.
 func (s *Server) peerDialled(ip string, peerStream *stream.Conn[update.Message]) {
 	s.subscriptions.peerStreams[ip] = peerStream
 	conn := s.peers[ip]
@@ -181,14 +182,14 @@
 	}
 }
 
-// handlePeerMessage takes a message of another control process, on the stream that this one dialled.
+// handlePeerMessage handles a message from another control process on a stream that this process dialled.
 func (s *Server) handlePeerMessage(conn *peerConn, peerStream *stream.Conn[update.Message], msg update.Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case msg.Hello != nil:
 		s.handlePeerHello(conn, peerStream, *msg.Hello)
-	case conn.stream != peerStream: // nothing counts before the hello
+	case conn.stream != peerStream: // messages before the hello are ignored
 	case msg.Status != nil:
 		s.handlePeerStatus(conn, msg)
 	case msg.Batch != nil:
@@ -246,8 +247,8 @@
 	conn.stream.Send(update.Message{Ack: batch.To})
 }
 
-// wallClock is the time of day, nanoseconds since 1970, as the clocks of the members have it, and whether a majority of them agrees on
-// it. It is for people to read, and for rollouts that no process has seen begin. The caller holds mu.
+// wallClock returns the wall clock time in Unix nanoseconds according to the clocks of the members, and whether a majority of them
+// agrees on it. It is used for display, and for rollouts whose start no running process has observed. The caller holds mu.
 func (s *Server) wallClock() (now int64, agreed bool) {
 	list := s.state.Node.Membership()
 	offsets := []int64{}
@@ -261,5 +262,5 @@
 	return rollout.WallClock(s.clock(), offsets, len(list.Members))
 }
 
-// sameIncarnation reports whether two incarnations are of one process that has run on; see Server.incarnation.
+// sameIncarnation reports whether two incarnations belong to the same run of a process; see Server.incarnation.
 func sameIncarnation(a, b string) bool { return strings.TrimRight(a, "+") == strings.TrimRight(b, "+") }
--- a/internal/control/server/peers_test.go
+++ b/internal/control/server/peers_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// The marks behind an incarnation don't make it another process's.
+// A "+" suffix does not change which run of a process an incarnation belongs to.
 func TestSameIncarnation(t *testing.T) {
 	c := qt.New(t)
 	c.Check(sameIncarnation("a1-7", "a1-7"), qt.IsTrue)
--- a/internal/control/server/pendingcalls_test.go
+++ b/internal/control/server/pendingcalls_test.go
@@ -8,7 +8,7 @@
 	"portflow/internal/control/consensus"
 )
 
-// An answer goes to the call with its tag, once, and never blocks: not when it comes twice, nor when nobody waits any more.
+// An answer is delivered once, to the call with its tag. Duplicate answers and answers to removed calls don't block.
 func TestPendingCalls(t *testing.T) {
 	c := qt.New(t)
 	p := newPendingCalls()
@@ -26,5 +26,5 @@
 	c.Check(len(thirdResult), qt.Equals, 0)
 	c.Check(p.len(), qt.Equals, 1)
 	next, _ := p.add()
-	c.Check(next > third, qt.IsTrue, qt.Commentf("tags aren't used again"))
+	c.Check(next > third, qt.IsTrue, qt.Commentf("tags are not reused"))
 }
--- a/internal/control/server/proxysnapshots.go
+++ b/internal/control/server/proxysnapshots.go
@@ -7,18 +7,18 @@
 	"portflow/internal/cluster/update"
 )
 
-// evictInterval is the time between two looks for snapshots that no proxy asks for any more.
+// evictInterval is the interval between evictions of snapshots that no proxy requests any more.
 const evictInterval = 10 * time.Second
 
-// proxySnapshots are the snapshots that proxies are sent in chunks. The server's mu guards it.
+// proxySnapshots holds the snapshots that are sent to proxies in chunks. The server's mu guards it.
 type proxySnapshots struct {
 	cache             update.SnapshotCache
 	evictionScheduled bool
 }
 
-// snapshotFor is the snapshot that a proxy is to be sent. The transfer of it is nil while it is being encoded. A snapshot that is being
-// sent or awaited is kept to as long as it is cached, then one of which the proxy has a part, then the newest; without any a new one
-// is encoded, by a goroutine that ends with that. The caller holds mu.
+// snapshotFor returns the snapshot to send to a proxy and its transfer, which is nil until the snapshot has been encoded. It selects the
+// awaited snapshot as long as that is cached, else the one that the proxy has received in part, else the newest. If there is none, it
+// starts a goroutine that encodes a new one and then ends. If the encoding failed, it closes the proxy's stream. The caller holds mu.
 func (s *Server) snapshotFor(sub *subscriber, awaited string, transfer *update.Transfer, header update.SnapshotHeader) (*update.PendingSnapshot, *update.Transfer) {
 	now, log, cache := s.clock(), s.state.Updates, &s.proxySnapshots.cache
 	snapshot := cache.ByName(now, awaited, header.Incarnation, log)
@@ -48,7 +48,7 @@
 	return snapshot, update.NewTransfer(snapshot.Snapshot, *sub.progress)
 }
 
-// scheduleEviction evicts idle snapshots now and then, as long as any is cached and ctx has not ended. The caller holds mu.
+// scheduleEviction evicts idle snapshots every evictInterval as long as any is cached and ctx has not ended. The caller holds mu.
 func (s *Server) scheduleEviction() {
 	if s.proxySnapshots.evictionScheduled {
 		return
--- a/internal/control/server/quotas.go
+++ b/internal/control/server/quotas.go
@@ -8,19 +8,19 @@
 	"portflow/internal/quota"
 )
 
-// loadTicks is the number of ticks between two announcements of loads and capacities.
+// loadTicks is the number of ticks between announcements of loads and capacities.
 const loadTicks = ticksPerSecond
 
 // quotaAllocation allocates callers' quotas to the proxies that subscribe here. The server's mu guards it.
 type quotaAllocation struct {
 	allocator *quota.Allocator
-	checksum  uint64 // of the quotas and services that the allocator has
-	announced bool   // the other control processes were sent usage the last time
+	checksum  uint64 // checksum of the quotas and services last passed to allocator
+	announced bool   // the usage last sent to the other control processes was not empty
 }
 
 func newQuotaAllocation() quotaAllocation { return quotaAllocation{allocator: quota.NewAllocator()} }
 
-// update gives the allocator the configured quotas where they have changed.
+// update passes the configured quotas to the allocator if they have changed.
 func (q *quotaAllocation) update(set *config.Set) {
 	if checksum := set.QuotaChecksum(); checksum != q.checksum {
 		q.checksum = checksum
@@ -28,7 +28,8 @@
 	}
 }
 
-// usage is what this zone's proxies ask for, and whether the other control processes are to be sent it: also, once, that it is empty.
+// usage returns the usage and the loads reported by this zone's proxies. announce reports whether to send the usage to the other control
+// processes; they are sent an empty one only once.
 func (q *quotaAllocation) usage() (usage []quota.ZoneUsage, loads []quota.Load, announce bool) {
 	usage, loads = q.allocator.Usage()
 	announce = len(usage) > 0 || q.announced
@@ -36,7 +37,7 @@
 	return usage, loads, announce
 }
 
-// handleQuotaReport takes a proxy's report of its callers' usage. The caller holds mu.
+// handleQuotaReport handles a proxy's report of its callers' usage. The caller holds mu.
 func (s *Server) handleQuotaReport(proxy string, report update.QuotaUpdate) {
 	now := s.clock()
 	allocator := s.quotas.allocator
@@ -46,8 +47,8 @@
 	}
 }
 
-// allocateQuotas allocates callers' quotas to the proxies that subscribe here, and sends the other control processes what these
-// proxies ask for; round counts the ticks. Without quotas it does nothing but look for them. The caller holds mu.
+// allocateQuotas allocates callers' quotas to the proxies that subscribe here and sends the usage of these proxies to the other control
+// processes. round counts the ticks. It does nothing while no quotas are configured. The caller holds mu.
 func (s *Server) allocateQuotas(round int) {
 	s.quotas.update(s.state.Set)
 	allocator := s.quotas.allocator
@@ -61,7 +62,7 @@
 		}
 	}
 	var allocations map[string][]quota.Allocation
-	if s.state.Status() == registry.HasQuorum { // without quorum, what was allocated ends with its lease
+	if s.state.Status() == registry.HasQuorum { // without a quorum, allocations expire with their leases
 		allocations = allocator.Allocate(s.clock())
 	}
 	var capacities map[string]float64
@@ -83,7 +84,7 @@
 	}
 }
 
-// slotsByService are the slots of all ready hosts. The caller holds mu.
+// slotsByService returns the total slots of the ready hosts of each service. The caller holds mu.
 func (s *Server) slotsByService() map[string]int {
 	slots := map[string]int{}
 	for _, host := range s.state.Instances.All() {
--- a/internal/control/server/quotas_test.go
+++ b/internal/control/server/quotas_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The other control processes are sent once that no usage is left, and then nothing more.
+// An empty usage is sent to the other control processes only once.
 func TestUsageAnnouncedOnceEmpty(t *testing.T) {
 	c := qt.New(t)
 	q := newQuotaAllocation()
--- a/internal/control/server/recovery.go
+++ b/internal/control/server/recovery.go
@@ -11,7 +11,7 @@
 	"portflow/internal/control/consensus"
 )
 
-// CoreRecovery is what a recovery may lose, and the phrase that confirms it; or that it is done.
+// CoreRecovery reports that a recovery is done or, before that, what it may lose and the phrase that confirms it.
 type CoreRecovery struct {
 	Done          bool     `json:"done"`
 	Node          string   `json:"node"`
@@ -19,18 +19,18 @@
 	Losses        []string `json:"losses"`
 }
 
-// recoveryRequest asks for a recovery, or with an empty phrase for what it may lose.
+// recoveryRequest requests a recovery or, with an empty phrase, what it may lose.
 type recoveryRequest struct {
 	Confirm string `json:"confirm"`
-	Force   bool   `json:"force"` // also where another process has applied more
+	Force   bool   `json:"force"` // even if another process has applied a higher index
 }
 
-// handleCoreRecover makes this process the only member, where a majority of the members never comes back. Without the phrase that
-// confirms it, it answers with what may be lost, and the phrase.
+// handleCoreRecover makes this process the only voting member, for use when a majority of the members is lost permanently. Without the
+// confirmation phrase it changes nothing, and returns what may be lost and the phrase.
 func (s *Server) handleCoreRecover(ctx context.Context, _ string, body []byte) (any, error) {
 	var request recoveryRequest
 	if err := json.Unmarshal(body, &request); err != nil {
-		return nil, apierror.Wrap(apierror.Malformed, err, "the recovery")
+		return nil, apierror.Wrap(apierror.Malformed, err, "recovery request")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +39,7 @@
 		Node:          s.Settings.Name,
 		ConfirmPhrase: fmt.Sprintf("epoch %d number %d", node.Membership().Epoch, node.Applied()),
 	}
-	if request.Confirm != "" && request.Confirm == s.recoveryPhrase { // the same request once more
+	if request.Confirm != "" && request.Confirm == s.recoveryPhrase { // repeated request
 		return s.awaitRecoverySaved(ctx, result)
 	}
 	if err := s.checkRecoverable(request.Force); err != nil {
@@ -50,7 +50,7 @@
 		return result, nil
 	}
 	if request.Confirm != result.ConfirmPhrase {
-		return nil, apierror.New(apierror.Invalid, "confirm: %q, and it would be from %q", request.Confirm, result.ConfirmPhrase)
+		return nil, apierror.New(apierror.Invalid, "confirm: got %q, want %q", request.Confirm, result.ConfirmPhrase)
 	}
 	klog.InfoS("recovery", "from", result.ConfirmPhrase, "losses", result.Losses)
 	s.stepNode(consensus.Event{Recover: true})
@@ -58,49 +58,50 @@
 	return s.awaitRecoverySaved(ctx, result)
 }
 
-// checkRecoverable refuses a recovery where there is nothing to recover, or this process is not the one to do it. The caller holds mu.
+// checkRecoverable rejects a recovery if there is nothing to recover or this process can't be the one that is kept. With force, it does
+// not matter whether another process has applied a higher index. The caller holds mu.
 func (s *Server) checkRecoverable(force bool) error {
 	node := s.state.Node
 	switch {
 	case node.Applied() == 0:
-		return apierror.New(apierror.Invalid, "%s holds no state", s.Settings.Name)
+		return apierror.New(apierror.Invalid, "%s has no state to recover from", s.Settings.Name)
 	case node.HasQuorum():
-		return apierror.New(apierror.Invalid, "more than half of the members are heard: nothing is to be recovered; see pilot core remove")
+		return apierror.New(apierror.Invalid, "a majority of the voting members is connected, so there is nothing to recover; see portflowctl core remove")
 	case s.diskBehind || s.stopping:
-		return apierror.New(apierror.Unavailable, "%s can't take it on: its disk hangs, or it ends", s.Settings.Name)
+		return apierror.New(apierror.Unavailable, "%s can't recover: its disk is stalled, or it is shutting down", s.Settings.Name)
 	}
 	if force {
 		return nil
 	}
 	for ip, peer := range s.state.Peers {
 		if peer.Status.Number > node.Applied() {
-			return apierror.New(apierror.Invalid, "%s has number %d, this process %d: recover there, or --force", ip, peer.Status.Number, node.Applied())
+			return apierror.New(apierror.Invalid, "%s has applied index %d, this process %d: recover there, or use --force", ip, peer.Status.Number, node.Applied())
 		}
 	}
 	return nil
 }
 
-// recoveryLosses is what a recovery may lose, one sentence each. The caller holds mu.
+// recoveryLosses returns descriptions of what a recovery may lose. The caller holds mu.
 func (s *Server) recoveryLosses() []string {
 	node := s.state.Node
-	losses := []string{fmt.Sprintf("what was confirmed after number %d and only silent members hold", node.Applied())}
+	losses := []string{fmt.Sprintf("changes committed after index %d that only disconnected members have", node.Applied())}
 	for _, member := range node.Membership().Members {
 		if status := s.describe(member); !status.Heard {
-			losses = append(losses, fmt.Sprintf("the vote and the disk of %s, %s, in %s, silent for %.0f s", member.Name, member.IP, member.Zone, status.SilentSeconds))
+			losses = append(losses, fmt.Sprintf("the vote and the disk of %s, %s, in zone %s, disconnected for %.0f s", member.Name, member.IP, member.Zone, status.SilentSeconds))
 		}
 	}
 	if !node.IsMember() {
-		losses = append(losses, "this process was no member of the last list that it knows: others may have gone on without it")
+		losses = append(losses, "this process is not in the last member list that it knows: the members may have continued without it")
 	}
 	return losses
 }
 
-// awaitRecoverySaved answers once the recovery is on disk. The caller holds mu, which is released while it waits.
+// awaitRecoverySaved answers once the recovery has been fsynced. The caller holds mu, which is released during the wait.
 func (s *Server) awaitRecoverySaved(ctx context.Context, result CoreRecovery) (any, error) {
 	saved := make(chan struct{})
 	job := writeJob{records: encodeHardState(s.state.Node.HardState()), done: func() { close(saved) }}
 	if s.diskBehind || !s.writer.enqueue(job) {
-		return nil, apierror.New(apierror.Unavailable, "it isn't on disk yet")
+		return nil, apierror.New(apierror.Unavailable, "the recovery is not on disk yet")
 	}
 	s.mu.Unlock()
 	defer s.mu.Lock()
@@ -109,7 +110,7 @@
 	select {
 	case <-saved:
 	case <-ctx.Done():
-		return nil, apierror.Wrap(apierror.Unavailable, ctx.Err(), "it isn't on disk yet")
+		return nil, apierror.Wrap(apierror.Unavailable, ctx.Err(), "the recovery is not on disk yet")
 	}
 	result.Done = true
 	return result, nil
--- a/internal/control/server/recovery_test.go
+++ b/internal/control/server/recovery_test.go
@@ -11,7 +11,7 @@
 	"portflow/internal/cluster/update"
 )
 
-// A recovery without the right phrase changes nothing: it answers with what may be lost, or why it is refused.
+// A recovery request without the correct phrase changes nothing: the answer has the possible losses or the reason for the rejection.
 func TestRecoveryUnconfirmed(t *testing.T) {
 	c := qt.New(t)
 	s := newTestServer(3)
@@ -31,7 +31,7 @@
 
 	connectPeer(s, testMember(4), update.Status{Number: 2})
 	_, err = recoverWith("", false)
-	c.Check(apierror.KindOf(err), qt.Equals, apierror.Invalid, qt.Commentf("another process has applied more"))
+	c.Check(apierror.KindOf(err), qt.Equals, apierror.Invalid, qt.Commentf("another process has applied a higher index"))
 	_, err = recoverWith("", true)
 	c.Check(err, qt.IsNil)
 
--- a/internal/control/server/rollouts.go
+++ b/internal/control/server/rollouts.go
@@ -15,10 +15,10 @@
 	"portflow/internal/control/rpc"
 )
 
-// maxRolloutSeconds is the longest duration of a rollout.
+// maxRolloutSeconds is the maximum duration of a rollout.
 const maxRolloutSeconds = 24 * 60 * 60
 
-// handleRolloutBegin begins to move a service to a version.
+// handleRolloutBegin starts a rollout of a service to a target version.
 func (s *Server) handleRolloutBegin(ctx context.Context, _ string, body []byte) (any, error) {
 	tree, err := rpc.ParseObject(body)
 	if err != nil {
@@ -33,13 +33,13 @@
 		RetryWindow:   s.Settings.Terms.Acknowledge,
 	}
 	if err := reader.Err(); err != nil {
-		return nil, apierror.Wrap(apierror.Invalid, err, "the order is invalid")
+		return nil, apierror.Wrap(apierror.Invalid, err, "invalid rollout request")
 	}
 	s.addRolloutTimes(&op)
 	return nil, s.submit(ctx, op)
 }
 
-// addRolloutTimes adds the time of day, and how long this process has known the service's current rollout.
+// addRolloutTimes sets the wall clock time and, if the service has a rollout, its number and its age as known to this process.
 func (s *Server) addRolloutTimes(op *operation.Operation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +57,7 @@
 	return config.Key{Kind: config.KindRollouts, Name: service}
 }
 
-// handleRolloutRead answers with the state of a service's last rollout.
+// handleRolloutRead returns the state of a service's last rollout.
 func (s *Server) handleRolloutRead(ctx context.Context, service string, _ []byte) (any, error) {
 	if err := s.confirmLatest(ctx); err != nil {
 		return nil, err
@@ -97,8 +97,8 @@
 	}
 }
 
-// rolloutDecision is the operation that a running rollout needs now, if any. The control processes take turns, so that one proposes and
-// the others see what it decided. The caller holds mu.
+// rolloutDecision returns the operation that a running rollout needs now, and whether one is due. Members with more preceding peers wait
+// longer, so that usually one submits the operation and the others see its result. The caller holds mu.
 func (s *Server) rolloutDecision(now, wallTime int64, ro rollout.Rollout) (op operation.Operation, due bool) {
 	op = operation.Operation{Name: ro.Service, Expected: ro.Number}
 	if ro.Switching {
@@ -111,7 +111,7 @@
 	return op, op.Outcome != rollout.Running
 }
 
-// votesOn are the proxies' votes on a rollout, in no order. The caller holds mu.
+// votesOn returns the proxies' votes on a rollout, in no particular order. The caller holds mu.
 func (s *Server) votesOn(ro rollout.Rollout) (votes []update.Vote) {
 	for key, vote := range s.state.Votes {
 		if key.Service == ro.Service && vote.Number == ro.Number {
@@ -121,7 +121,7 @@
 	return votes
 }
 
-// precedingPeers is how many connected members come before this one in the order of their IPs. The caller holds mu.
+// precedingPeers returns the number of connected members whose IP addresses sort before this process's. The caller holds mu.
 func (s *Server) precedingPeers() (count int) {
 	for _, ip := range s.state.VotingPeers() {
 		if ip < s.Settings.IP {
@@ -131,8 +131,8 @@
 	return count
 }
 
-// submitRolloutDecision submits a decision on a rollout and ends with it. The operation has the rollout's number, so that only the first
-// decision counts; where it fails, the next tick submits it again.
+// submitRolloutDecision submits a decision on a rollout. It runs in its own goroutine, which ends with the operation. The operation
+// contains the rollout's number, so that only the first decision has an effect. After a failure, a later tick submits it again.
 func (s *Server) submitRolloutDecision(ro rollout.Rollout, op operation.Operation) {
 	if err := s.submit(s.ctx, op); err != nil {
 		klog.InfoS("rollout not ended yet", "service", ro.Service, "order", op.Kind, "to", op.Outcome, "why", err)
--- a/internal/control/server/server.go
+++ b/internal/control/server/server.go
@@ -1,13 +1,13 @@
-// Package server runs a control process. It owns the process's connections, its HTTP ports, its disk and its goroutines: hosts send
-// heartbeats and operators send calls over HTTP, proxies and other control processes subscribe to updates over streams, and what
-// the voters decide is written to disk.
+// Package server runs a control process: it owns the process's connections, HTTP ports, disk and goroutines. Hosts send heartbeats and
+// operators send calls over HTTP, proxies and other control processes subscribe to updates over streams, and the replicated
+// configuration is written to disk.
 //
-// It decides nothing itself. What a control process knows is registry.State, what the voters agree on is consensus.Node, and the
-// decisions on rollouts, outliers and quotas are those of packages rollout, outlier and quota. This package feeds them with events,
-// the time and chance, and carries out what they ask for.
+// The package contains no decision logic. registry.State holds what the process knows, consensus.Node replicates the configuration,
+// and packages rollout, outlier and quota decide on rollouts, ejections and quotas. This package passes them events, the time and
+// random numbers, and performs the I/O that they request.
 //
-// Begin with Server and Start; then consensus.go, which steps the consensus node, calls.go, which lists the calls, and updates.go,
-// which sends subscribers what has changed.
+// Start with Server and Start. consensus.go steps the consensus node, calls.go lists the HTTP calls, and updates.go sends updates to
+// subscribers.
 package server
 
 import (
@@ -40,62 +40,62 @@
 	"portflow/internal/random"
 )
 
-// Options are how a control process runs.
+// Options configure a control process.
 type Options struct {
 	Settings   settings.Settings
-	MinPerZone int // control processes in each zone, as the deploy file has it
+	MinPerZone int // number of voting members that a zone keeps at least when silent members are removed
 	Network    network.Network
 	Storage    storage.Storage
 	Seed       uint64
-	Clock      dispatch.Clock // nanoseconds since 1970, never back; nil for this machine's clock, anchored once
+	Clock      dispatch.Clock // monotonic, in Unix nanoseconds; nil for dispatch.NewClock
 }
 
 // Server is a running control process.
 //
-// Its fields above mu are set before the first goroutine starts and don't change afterwards; what they refer to is safe for
-// concurrent use. Every goroutine of the server ends when ctx ends, unless it says otherwise.
+// The fields above mu are set before the first goroutine starts and are not reassigned; what they refer to is safe for concurrent use.
+// Unless documented otherwise, every goroutine of the server ends when ctx is cancelled.
 type Server struct {
 	Options
 	ctx           context.Context
 	cancel        context.CancelFunc
-	clock         dispatch.Clock // anchored once, so that a step of the time of day changes nothing
-	writeFailures atomic.Int64   // writes that the disk has refused
+	clock         dispatch.Clock // monotonic, so steps of the wall clock have no effect
+	writeFailures atomic.Int64   // errors reported by the disk writer
 	writer        *diskWriter
 	gossip        *gossip.Gossiper
 	httpServer    *http.Server
 	rpc           *rpc.Server
 
-	// mu guards everything below, with all that it refers to: the state, the consensus node in it, and the fields of every subscriber
-	// and peerConn that don't say otherwise. It is never held while something blocks: streams and the disk writer queue what they
-	// are given.
+	// mu guards the fields below and everything they refer to: the state with its consensus node, and the fields of each subscriber
+	// and peerConn unless documented otherwise. It is never held during a blocking operation: streams and the disk writer queue what
+	// they are passed.
 	mu          sync.Mutex
 	state       *registry.State
-	incarnation string // names this run of the process; a "+" is added when its updates can't be followed any more
+	incarnation string // identifies this run of the process; a "+" is appended whenever subscribers can't resume and need a snapshot
 	random      random.Source
-	stopping    bool // the process leaves: it takes no more calls
+	stopping    bool // graceful shutdown has begun: no more calls are accepted
 	lastStatus  registry.Status
 
-	peers         map[string]*peerConn // by IP, other control processes that this one dials
-	knownPeers    map[string]bool      // by IP, control processes that gossip, the settings or the members name
+	peers         map[string]*peerConn // by IP address; other control processes that this one dials
+	knownPeers    map[string]bool      // by IP address; control processes listed by gossip, the settings or the member list
 	subscriptions subscriptions
 	calls         pendingCalls
 	departures    departures
 
 	tickScheduled bool // a tick of the consensus node is due within busyTickInterval
-	diskBehind    bool // the disk has missed a write, and must be rewritten
+	diskBehind    bool // a write was dropped: nothing more is written until rewriteDisk has queued the complete state
 
-	tolerance      membership.Tolerance // losses that the voters still tolerate, as seen from here
-	recoveryPhrase string               // what an operator confirmed when this process was made the only member
+	tolerance      membership.Tolerance // losses that the voting members still tolerate, as seen by this process
+	recoveryPhrase string               // phrase that confirmed the last forced recovery on this process
 
-	pendingDecisions  map[string]bool // by rollout ID, rollouts for which this process submits a decision now
-	pendingVersions   map[string]bool // services whose first version this process submits now
+	pendingDecisions  map[string]bool // by rollout ID; rollouts for which this process is submitting a decision
+	pendingVersions   map[string]bool // by service; services whose initial version this process is submitting
 	outliers          *outlier.Detector
 	quotas            quotaAllocation
 	operatorSnapshots operatorSnapshots
 	proxySnapshots    proxySnapshots
 }
 
-// Start runs a control process until the context ends.
+// Start starts a control process and returns once its ports are open. The process runs until parent is cancelled.
 func Start(parent context.Context, opts Options) (*Server, error) {
 	began := time.Now()
 	itemStore, items, records, complete, err := store.Open(opts.Storage)
@@ -130,7 +130,7 @@
 	return s, nil
 }
 
-// newServer makes a server that has no state, disk or network yet.
+// newServer returns a server without state, disk or network.
 func newServer(parent context.Context, opts Options) *Server {
 	ctx, cancel := context.WithCancel(parent)
 	startedAt := strconv.FormatInt(time.Now().UnixNano(), 36)
@@ -156,7 +156,7 @@
 	return s
 }
 
-// initState makes the state from what the disk held.
+// initState creates the state from the data on disk.
 func (s *Server) initState(hardState consensus.HardState, set *config.Set) {
 	cfg := s.Settings
 	member := membership.Member{IP: cfg.IP, ID: hardState.DiskID, Name: cfg.Name, Zone: cfg.Zone}
@@ -177,7 +177,7 @@
 	go s.writer.run()
 }
 
-// startGossip opens the internal port, for streams and for gossip's packets, and makes the gossiper. It returns the listener for streams.
+// startGossip opens the internal port for streams and gossip packets and creates the gossiper. It returns the listener for streams.
 func (s *Server) startGossip() (net.Listener, error) {
 	cfg := s.Settings
 	address := net.JoinHostPort(cfg.IP, strconv.Itoa(cfg.InternalPorts[0]))
@@ -196,29 +196,29 @@
 	return listener, nil
 }
 
-// closeOnDone closes what the server has opened, once ctx ends.
+// closeOnDone waits for ctx to end, then closes the ports and the store and stops the disk writer.
 func (s *Server) closeOnDone(listener net.Listener, itemStore *store.Store) {
 	<-s.ctx.Done()
 	listener.Close()
 	s.httpServer.Close()
 	close(s.writer.stop)
-	_ = itemStore.Close() // every write that was confirmed is synced already
+	_ = itemStore.Close() // every acknowledged write has already been fsynced
 }
 
-// abort ends a server that could not be started, and returns the cause.
+// abort cancels the context of a server that failed to start. It returns err.
 func (s *Server) abort(err error) error {
 	s.cancel()
 	return err
 }
 
-// Status is how far this process can be relied on.
+// Status returns whether this process has caught up and has a quorum.
 func (s *Server) Status() registry.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.Status()
 }
 
-// Seeds are the control processes that the settings file names, other than this one.
+// Seeds returns the control processes listed as seeds in the settings, except this one.
 func Seeds(cfg settings.Settings) (seeds []gossip.Member) {
 	for _, address := range cfg.SeedNodes {
 		if host, _, err := net.SplitHostPort(address); err == nil && host != cfg.IP {
@@ -228,7 +228,7 @@
 	return seeds
 }
 
-// LogCounters writes the counters as one log entry.
+// LogCounters logs the status and all counters as one entry.
 func (s *Server) LogCounters() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/server/shutdown.go
+++ b/internal/control/server/shutdown.go
@@ -15,9 +15,9 @@
 	leavePollInterval = 50 * time.Millisecond
 )
 
-// Leave ends this process's part in the cluster, on SIGTERM: it takes no more calls, completes those in progress, and has itself
-// voted out where the other members tolerate more losses without it than with a member that is gone. It returns within maxLeaveTimeout
-// or half of the grace period, whichever is shorter. The caller ends the context that Start was given afterwards.
+// Leave shuts this process down gracefully, on SIGTERM: it accepts no more calls, completes those in progress, and removes itself from the
+// voting members if the others tolerate more losses without it than with it as a lost member. It returns within maxLeaveTimeout or half
+// of the grace period, whichever is shorter. The caller must cancel the context passed to Start afterwards.
 func (s *Server) Leave() {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(s.ctx, s.leaveTimeout())
@@ -44,7 +44,8 @@
 	s.subscriptions.notify()
 }
 
-// submitRemoval has this process voted out, as long as that is useful. It returns how often it was submitted.
+// submitRemoval submits the removal of this process from the voting members until that succeeds, is no longer useful, or ctx ends. It
+// returns the number of submissions.
 func (s *Server) submitRemoval(ctx context.Context) (submitted int) {
 	for {
 		op, useful := s.selfRemoval()
@@ -58,7 +59,7 @@
 	}
 }
 
-// poll returns once a condition holds, or the context ends.
+// poll returns once condition returns true or ctx ends.
 func poll(ctx context.Context, condition func() bool) {
 	for {
 		if condition() || !pause(ctx) {
@@ -67,7 +68,7 @@
 	}
 }
 
-// pause waits until the next look. It reports false once the context ends.
+// pause waits for leavePollInterval. It reports false if ctx ends first.
 func pause(ctx context.Context) bool {
 	select {
 	case <-time.After(leavePollInterval):
@@ -92,9 +93,9 @@
 	return s.calls.len() > 0
 }
 
-// selfRemoval is the operation that votes this process out, and whether the others then tolerate at least one loss, and more than with
-// this process a member that is gone. So an even number of members becomes an odd one, and an odd one stays as it is: a further vote
-// gains nothing then, and where all processes are ended, no more than one or two are ever voted out.
+// selfRemoval returns the operation that removes this process from the voting members. It is useful if the others then tolerate at least
+// one loss, and more losses than with this process as a lost member. An even number of members thus becomes odd, while an odd number
+// stays: a smaller list would tolerate no more. If all processes are shut down, only one or two are removed.
 func (s *Server) selfRemoval() (op operation.Operation, useful bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,14 +108,15 @@
 	return op, removalUseful(list, next, s.unavailable(list), s.unavailable(next))
 }
 
-// removalUseful compares what two lists of members tolerate, each with those of it that are unavailable.
+// removalUseful compares the losses that two member lists tolerate, given the unavailable members of each.
 func removalUseful(list, next membership.List, unavailable, nextUnavailable []string) bool {
 	with, _ := list.Tolerates(unavailable)
 	without, _ := next.Tolerates(nextUnavailable)
 	return without >= 1 && without > with
 }
 
-// removalAcknowledged reports whether a majority of the members knows this process's list of members, or this process still is one of them.
+// removalAcknowledged reports whether a majority of the members has reached the epoch of this process's member list, or this process is
+// still a member.
 func (s *Server) removalAcknowledged() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/server/snapshots.go
+++ b/internal/control/server/snapshots.go
@@ -12,22 +12,22 @@
 	"portflow/internal/control/snapshot"
 )
 
-// restoreTimeout is how long it is attempted to put a received snapshot in force.
+// restoreTimeout limits the attempts to apply an uploaded snapshot.
 const restoreTimeout = 15 * time.Second
 
-// operatorSnapshots are the snapshots that operators read and restore. The server's mu guards it.
+// operatorSnapshots holds the snapshots that operators read and restore. The server's mu guards it.
 type operatorSnapshots struct {
-	cache    snapshot.Cache  // snapshots that are being read
-	upload   snapshot.Upload // the one that is being restored
-	restores int             // restores that this process has begun since it started
+	cache    snapshot.Cache  // snapshots being read
+	upload   snapshot.Upload // snapshot being uploaded and restored
+	restores int             // number of restores begun since this process started
 }
 
-// handleSnapshot answers with a chunk of a consistent snapshot, as of an index that a majority of the members has confirmed.
+// handleSnapshot returns a chunk of a consistent snapshot. A new snapshot is created after a quorum read.
 func (s *Server) handleSnapshot(ctx context.Context, _ string, body []byte) (any, error) {
 	var req snapshot.ReadRequest
 	if len(body) > 0 {
 		if err := json.Unmarshal(body, &req); err != nil {
-			return nil, apierror.Wrap(apierror.Malformed, err, "the body is no table")
+			return nil, apierror.Wrap(apierror.Malformed, err, "snapshot request")
 		}
 	}
 	if req.Snapshot == "" {
@@ -43,7 +43,7 @@
 	return s.operatorSnapshots.cache.Serve(s.clock(), req, s.snapshotItems)
 }
 
-// snapshotItems are all items without their history, and the epoch and index as of which they are. The caller holds mu.
+// snapshotItems returns all items without their history, and the epoch and index that they correspond to. The caller holds mu.
 func (s *Server) snapshotItems() (items []config.Item, epoch, index uint64) {
 	items = s.state.Set.All()
 	for i := range items {
@@ -52,12 +52,12 @@
 	return items, s.state.Node.Membership().Epoch, s.state.Node.Applied()
 }
 
-// handleRestore takes a chunk of a snapshot. With the last one the snapshot is put in force, at one index under a new epoch; sent
-// again, that chunk is answered with what became of it.
+// handleRestore handles a chunk of an uploaded snapshot. The last chunk starts the restore, which applies the snapshot at one index under
+// a new epoch; when that chunk is sent again, the answer reports the outcome.
 func (s *Server) handleRestore(_ context.Context, _ string, body []byte) (any, error) {
 	var req snapshot.RestoreRequest
 	if err := json.Unmarshal(body, &req); err != nil {
-		return nil, apierror.Wrap(apierror.Malformed, err, "the body is no table")
+		return nil, apierror.Wrap(apierror.Malformed, err, "restore request")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,7 +68,7 @@
 	resp, items, header, err := upload.AddChunk(s.clock(), req.Chunk)
 	if size := config.EncodedSizeBound(items); err == nil && size > operation.MaxValueBytes {
 		upload.Finish(header, false)
-		return nil, apierror.New(apierror.BodyTooLarge, "chunk: the snapshot has %d bytes, of at most %d that are restored at once", size, operation.MaxValueBytes)
+		return nil, apierror.New(apierror.BodyTooLarge, "chunk: the snapshot has %d bytes; at most %d can be restored", size, operation.MaxValueBytes)
 	}
 	if err == nil && items != nil {
 		go s.restore(items, header)
@@ -76,14 +76,15 @@
 	return resp, err
 }
 
-// restore puts a complete snapshot in force. Its goroutine ends with that, after restoreTimeout, or with ctx.
+// restore applies a complete snapshot. It runs in its own goroutine, which ends once the snapshot is applied or rejected, after
+// restoreTimeout, or when ctx ends.
 func (s *Server) restore(items []config.Item, header snapshot.Header) {
 	ctx, cancel := context.WithTimeout(s.ctx, restoreTimeout)
 	defer cancel()
 	op := operation.Operation{Kind: operation.RestoreSnapshot, Items: items, Version: s.nextRestoreName()}
-	err := apierror.New(apierror.Unavailable, "not begun")
+	err := apierror.New(apierror.Unavailable, "restore has not begun")
 	for err != nil && ctx.Err() == nil && apierror.KindOf(err) == apierror.Unavailable {
-		op.Expected = s.epoch() // a copy of an earlier attempt has no effect once the epoch has changed
+		op.Expected = s.epoch() // delayed copies of earlier attempts have no effect once the epoch has changed
 		err = s.submit(ctx, op)
 	}
 	s.mu.Lock()
@@ -91,7 +92,7 @@
 	s.operatorSnapshots.upload.Finish(header, err == nil)
 }
 
-// nextRestoreName is a name that no other restore of this cluster has.
+// nextRestoreName returns a name that no other restore in the cluster has.
 func (s *Server) nextRestoreName() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +101,7 @@
 	return name
 }
 
-// epoch is the members' epoch.
+// epoch returns the epoch of the member list.
 func (s *Server) epoch() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/server/status.go
+++ b/internal/control/server/status.go
@@ -14,52 +14,52 @@
 	"portflow/internal/quota"
 )
 
-// ClusterStatus is the cluster as one control process sees it. Times are seconds.
+// ClusterStatus is the cluster as one control process sees it. Durations are in seconds.
 type ClusterStatus struct {
 	Node           string                           `json:"node"`
 	Status         string                           `json:"standing"`
-	Current        bool                             `json:"current"` // a majority of the members has confirmed that nothing newer was decided
+	Current        bool                             `json:"current"` // a quorum read confirmed that the answer is up to date
 	Voters         []VoterStatus                    `json:"core"`
 	Proxies        []ProxyStatus                    `json:"routers"`
 	Instances      []InstanceStatus                 `json:"hosts"`
 	Rollouts       []RolloutStatus                  `json:"rollouts"`
 	Quotas         []quota.Status                   `json:"shares,omitempty"`
-	Callers        map[string][]quota.CallerHistory `json:"callers,omitempty"` // by service: the last hour, of the proxies that subscribe here
+	Callers        map[string][]quota.CallerHistory `json:"callers,omitempty"` // by service; the last hour, as reported by the proxies that subscribe here
 	Evacuated      []string                         `json:"evacuated"`
-	Overridden     []string                         `json:"yielding"` // items of the configuration that are not in force, with the reason
+	Overridden     []string                         `json:"yielding"` // configuration items that are not in force, with the reason
 	Items          int                              `json:"items"`
-	HighestVersion uint64                           `json:"highest"` // version of any item of the configuration, deleted ones too
+	HighestVersion uint64                           `json:"highest"` // highest version of any configuration item, including deleted ones
 	LastUpdate     uint64                           `json:"news"`
 	Syncs          int64                            `json:"syncs"`
-	Epoch          uint64                           `json:"epoch"`       // of the members
-	Index          uint64                           `json:"number"`      // of the last change that is applied here
-	Tolerates      int                              `json:"bears"`       // further members that may be lost; below 0 no operation is possible
-	ToleratedZones []string                         `json:"bears_zones"` // zones, each of which alone may be lost
+	Epoch          uint64                           `json:"epoch"`       // of the member list
+	Index          uint64                           `json:"number"`      // last log index applied by this process
+	Tolerates      int                              `json:"bears"`       // further members that may be lost; negative without a quorum
+	ToleratedZones []string                         `json:"bears_zones"` // zones of which any one may be lost
 }
 
-// VoterStatus is a control process, this one or another.
+// VoterStatus is a control process, a voting member or a connected learner.
 type VoterStatus struct {
 	IP            string  `json:"ip"`
 	Name          string  `json:"name"`
 	Zone          string  `json:"zone"`
 	Heard         bool    `json:"heard"`
 	CaughtUp      bool    `json:"whole"`
-	UpToDate      bool    `json:"same"`   // it has applied the same changes
-	Member        bool    `json:"member"` // it is a voter
-	SilentSeconds float64 `json:"silent"` // how long it has not been connected
+	UpToDate      bool    `json:"same"`   // it has applied the same log index as the answering process
+	Member        bool    `json:"member"` // it is a voting member
+	SilentSeconds float64 `json:"silent"` // time since it was last connected
 }
 
-// ProxyStatus is a proxy.
+// ProxyStatus is a proxy as one control process sees it.
 type ProxyStatus struct {
 	Name           string `json:"name"`
 	Zone           string `json:"zone"`
 	Ready          bool   `json:"ready"`
-	Number         int    `json:"number"` // its rank by name among those that are ready, -1 for none
+	Number         int    `json:"number"` // rank by name among the ready proxies, -1 if it is not ready
 	Owner          string `json:"owner"`
-	UnackedUpdates int    `json:"behind"` // updates that it has not acknowledged, -1 where it subscribes elsewhere
+	UnackedUpdates int    `json:"behind"` // updates that it has not acknowledged, -1 if it subscribes to another control process
 }
 
-// InstanceStatus is an instance of a service, on a host.
+// InstanceStatus is an instance of a service; WarmupSeconds is the remaining time.
 type InstanceStatus struct {
 	ID            string  `json:"id"`
 	Service       string  `json:"service"`
@@ -70,30 +70,30 @@
 	Owner         string  `json:"owner"`
 }
 
-// RolloutStatus is a rollout, with the votes that count now.
+// RolloutStatus is a rollout with the proxies' unexpired votes.
 type RolloutStatus struct {
 	Service     string         `json:"service"`
 	From        string         `json:"from"`
 	Target      string         `json:"target"`
 	State       string         `json:"state"`
-	LeftSeconds float64        `json:"left"` // of its duration
+	LeftSeconds float64        `json:"left"` // remaining part of its duration
 	Votes       []string       `json:"votes"`
-	Proxies     []ProxyMetrics `json:"judges"` // those that subscribe here, with the last evidence that they sent
+	Proxies     []ProxyMetrics `json:"judges"` // proxies that subscribe here, with their last evidence
 }
 
-// ProxyMetrics is the evidence that a proxy votes by. The first of each pair is about failures, the second about response times.
+// ProxyMetrics is the evidence for a proxy's vote. In each pair, the first value is about failures and the second about response times.
 type ProxyMetrics struct {
 	Proxy      string     `json:"router"`
-	AgeSeconds float64    `json:"age"` // of the evidence, seconds
+	AgeSeconds float64    `json:"age"` // age of the evidence
 	Outcomes   [2]float64 `json:"outcomes"`
 	Excess     [2]float64 `json:"excess"`
 	Error      [2]float64 `json:"error"`
 	Threshold  [2]float64 `json:"threshold"`
-	Exposure   float64    `json:"exposure"` // requests that it may still send to the target version at once
+	Exposure   float64    `json:"exposure"` // requests that the proxy may send to the target version at once
 }
 
-// handleClusterRead answers with what this process knows, whatever its status: an operator needs it most when little works. Where a
-// majority of the members doesn't confirm that it is the latest, the answer says so.
+// handleClusterRead returns the cluster as known to this process, whatever its status, since operators need it most during failures. The
+// answer says whether a quorum read confirmed that it is up to date.
 func (s *Server) handleClusterRead(ctx context.Context, _ string, _ []byte) (any, error) {
 	err := s.confirmLatest(ctx)
 	s.mu.Lock()
@@ -101,7 +101,7 @@
 	return s.clusterStatus(s.clock(), err == nil), nil
 }
 
-// clusterStatus is the complete answer. The caller holds mu, as for all parts of it below.
+// clusterStatus returns the answer of handleClusterRead. The caller holds mu, also for the functions below that return parts of it.
 func (s *Server) clusterStatus(now int64, confirmed bool) ClusterStatus {
 	node := s.state.Node
 	status := ClusterStatus{
@@ -132,7 +132,7 @@
 	return status
 }
 
-// voterStatuses are the members, and the connected control processes that are none, by name.
+// voterStatuses returns the voting members and the connected learners, sorted by name.
 func (s *Server) voterStatuses(now int64) (statuses []VoterStatus) {
 	node := s.state.Node
 	list, silent := node.Membership(), node.SilentFor(now)
@@ -164,7 +164,7 @@
 	return statuses
 }
 
-// proxyStatuses are the proxies that are not gone, by name.
+// proxyStatuses returns the proxies that are not marked as gone, sorted by name.
 func (s *Server) proxyStatuses() (statuses []ProxyStatus) {
 	rank := map[string]int{}
 	for i, proxy := range s.state.ReadyProxies() {
@@ -188,7 +188,7 @@
 	return statuses
 }
 
-// unackedUpdates is how many updates each subscriber has not acknowledged, by its name.
+// unackedUpdates returns the number of updates that each subscriber has not acknowledged, by subscriber name.
 func (s *Server) unackedUpdates() map[string]int {
 	last := s.state.Updates.Last()
 	unacked := map[string]int{}
@@ -220,7 +220,7 @@
 	return statuses
 }
 
-// instanceState is an instance's state as operators read it.
+// instanceState returns the state of an instance as shown to operators.
 func instanceState(now int64, host instance.Instance, ejection outlier.Ejection) string {
 	state := host.State.String()
 	if host.Unresponsive {
@@ -257,7 +257,7 @@
 	return statuses
 }
 
-// describeVotes are the votes on a rollout that count now, sorted.
+// describeVotes returns the unexpired votes on a rollout as text, sorted.
 func (s *Server) describeVotes(now int64, ro rollout.Rollout) (votes []string) {
 	for _, vote := range s.votesOn(ro) {
 		if now-vote.ReceivedAt <= rollout.VoteLifetime {
@@ -268,7 +268,7 @@
 	return votes
 }
 
-// proxyMetrics is the last evidence of each proxy on a rollout, by its name.
+// proxyMetrics returns the last evidence of each proxy on a rollout, sorted by proxy name.
 func (s *Server) proxyMetrics(now int64, ro rollout.Rollout) (metrics []ProxyMetrics) {
 	for key, report := range s.state.Metrics {
 		if key.Service != ro.Service || report.Number != ro.Number {
@@ -298,5 +298,5 @@
 	return zones
 }
 
-// seconds converts nanoseconds.
+// seconds converts nanoseconds to seconds.
 func seconds(nanos int64) float64 { return float64(nanos) / 1e9 }
--- a/internal/control/server/status_test.go
+++ b/internal/control/server/status_test.go
@@ -9,7 +9,7 @@
 	"portflow/internal/cluster/outlier"
 )
 
-// Operators read these texts, and scripts of theirs: they don't change.
+// Operators and their scripts read these texts, so they must not change.
 func TestInstanceState(t *testing.T) {
 	ejection := outlier.Ejection{EjectedUntil: 10, ProbationUntil: 20}
 	for _, test := range []struct {
--- a/internal/control/server/subscribers.go
+++ b/internal/control/server/subscribers.go
@@ -10,14 +10,14 @@
 	"portflow/internal/cluster/update"
 )
 
-// acceptRetryDelay is the time before the next attempt to accept a connection after one that failed.
+// acceptRetryDelay is the delay after an error of Accept.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// subscriptions are the proxies and control processes that receive updates from here. The server's mu guards it.
+// subscriptions holds the proxies and control processes that receive updates from this process. The server's mu guards it.
 type subscriptions struct {
 	subscribers map[*subscriber]bool
-	peerStreams map[string]*stream.Conn[update.Message] // by IP, those of subscribers that are control processes
-	updated     chan struct{}                           // closed, and replaced, when there are new updates
+	peerStreams map[string]*stream.Conn[update.Message] // by IP address; streams of the subscribers that are control processes
+	updated     chan struct{}                           // closed and replaced when there are new updates
 }
 
 func newSubscriptions() subscriptions {
@@ -28,7 +28,7 @@
 	}
 }
 
-// notify wakes all that wait for updates.
+// notify wakes all goroutines that wait for updates.
 func (s *subscriptions) notify() {
 	close(s.updated)
 	s.updated = make(chan struct{})
@@ -43,28 +43,27 @@
 	}
 }
 
-// closeAll ends all subscriptions; each is removed by its own goroutine.
+// closeAll closes the streams of all subscribers; serveSubscriber then removes each of them.
 func (s *subscriptions) closeAll(cause error) {
 	for sub := range s.subscribers {
 		sub.stream.Close(cause)
 	}
 }
 
-// subscriber is a proxy or a control process that receives updates. Its fields but stream and the channels are guarded by the
-// server's mu.
+// subscriber is a proxy or a control process that receives updates. The server's mu guards its fields, except stream and the channels.
 type subscriber struct {
 	stream           *stream.Conn[update.Message]
-	helloReceived    chan update.Hello // has room for one
-	identity         update.Hello      // as its hello has it; zero before
-	proxy            update.Proxy      // as it was announced; zero for a control process
+	helloReceived    chan update.Hello // has capacity 1
+	identity         update.Hello      // its hello; zero before that
+	proxy            update.Proxy      // as last announced; zero before that and for a control process
 	acked            uint64            // number of the last update that it has acknowledged
-	progress         *update.Progress  // what it has of a snapshot; nil where it takes no chunks
-	chunkAcked       chan struct{}     // has room for one: a chunk was acknowledged
-	provisional      bool              // a proxy that still receives updates from another process, until it announces itself
-	bytesAtLastCheck int64             // that had come when reclaimProxies looked at it
+	progress         *update.Progress  // the part of a snapshot that it has received; nil if it doesn't accept chunks
+	chunkAcked       chan struct{}     // has capacity 1; a value means that a chunk was acknowledged
+	provisional      bool              // a proxy that still receives updates from another control process, until it announces itself
+	bytesAtLastCheck int64             // bytes received up to the last run of reclaimProxies
 }
 
-// acceptConnections accepts streams of proxies and of other control processes, until ctx ends.
+// acceptConnections accepts connections from proxies and other control processes until ctx ends.
 func (s *Server) acceptConnections(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -79,12 +78,12 @@
 	}
 }
 
-// serveSubscriber serves one stream until it ends; ctx ends it too.
+// serveSubscriber serves one stream until it ends. The stream is closed when ctx ends.
 func (s *Server) serveSubscriber(conn net.Conn) {
-	subStream := stream.Open[update.Message](conn, stream.ProxyKeepalive) // until its hello says that it is a control process
+	subStream := stream.Open[update.Message](conn, stream.ProxyKeepalive) // changed if the hello comes from a control process
 	stop := context.AfterFunc(s.ctx, func() { subStream.Close(s.ctx.Err()) })
 	defer stop()
-	self := s.state.Self // never changes
+	self := s.state.Self // immutable, so mu is not needed
 	self.Now = s.clock()
 	subStream.Send(update.Message{Hello: &self})
 	sub := &subscriber{stream: subStream, helloReceived: make(chan update.Hello, 1), chunkAcked: make(chan struct{}, 1)}
@@ -92,11 +91,11 @@
 	s.mu.Lock()
 	s.subscriptions.add(sub)
 	s.mu.Unlock()
-	_ = subStream.Run(func(msg update.Message) { s.handleSubscriberMessage(sub, msg) }) // the subscriber logs why, and dials again
+	_ = subStream.Run(func(msg update.Message) { s.handleSubscriberMessage(sub, msg) }) // the subscriber logs the error and dials again
 	s.subscriberLost(sub)
 }
 
-// subscriberLost notes that a subscriber's stream has ended.
+// subscriberLost handles the end of a subscriber's stream. It publishes a proxy as gone unless that has subscribed again.
 func (s *Server) subscriberLost(sub *subscriber) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +107,7 @@
 	}
 	terminated := sub.proxy
 	current := s.state.Proxies[terminated.Name]
-	if current.RegisteredAt != terminated.RegisteredAt || current.Owner != s.Settings.Name { // it has subscribed again, here or elsewhere
+	if current.RegisteredAt != terminated.RegisteredAt || current.Owner != s.Settings.Name { // subscribed again, here or to another control process
 		return
 	}
 	terminated.Gone = true
@@ -117,8 +116,8 @@
 	s.subscriptions.notify()
 }
 
-// reclaimProxies announces proxies again that send to this process and are taken for gone, or for another's, elsewhere. The caller
-// holds mu.
+// reclaimProxies announces those proxies again that keep sending to this process but are registered as gone or as owned by another
+// control process. The caller holds mu.
 func (s *Server) reclaimProxies() {
 	for sub := range s.subscriptions.subscribers {
 		received := sub.stream.BytesRead.Load()
@@ -131,7 +130,7 @@
 	}
 }
 
-// handleSubscriberMessage takes a message of a subscriber. What is of no kind that the subscriber may send is ignored.
+// handleSubscriberMessage handles a message from a subscriber. Kinds of messages that the subscriber may not send are ignored.
 func (s *Server) handleSubscriberMessage(sub *subscriber, msg update.Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,7 +165,7 @@
 	}
 }
 
-// handleSubscriberHello notes who a subscriber is; the caller holds mu.
+// handleSubscriberHello records the identity of a subscriber. The caller holds mu.
 func (s *Server) handleSubscriberHello(sub *subscriber, msg update.Message) {
 	hello := *msg.Hello
 	if sub.identity.IP == "" && !hello.Control {
@@ -190,14 +189,14 @@
 	sub.stream.SetKeepalive(stream.ControlKeepalive)
 	s.addPeer(hello.IP)
 	s.peerDialled(hello.IP, sub.stream)
-	// otherwise it receives a snapshot, in which no proxy is gone
+	// A peer that resumes may have marked this process's proxies as gone. Any other peer receives a snapshot, which restores them.
 	if hello.Incarnation != "" && sameIncarnation(hello.Incarnation, s.incarnation) {
 		s.state.ReannounceProxies()
 		s.subscriptions.notify()
 	}
 }
 
-// handleProxy takes a proxy's own announcement of its state; the caller holds mu.
+// handleProxy handles a proxy's announcement of its state. The caller holds mu.
 func (s *Server) handleProxy(sub *subscriber, proxy update.Proxy) {
 	proxy.Name = sub.identity.Name
 	proxy.Owner = s.Settings.Name
@@ -208,7 +207,7 @@
 	s.subscriptions.notify()
 }
 
-// handleVotes takes a proxy's votes on rollouts; the caller holds mu.
+// handleVotes handles a proxy's votes on rollouts. The caller holds mu.
 func (s *Server) handleVotes(proxy string, votes []update.Vote) {
 	for _, vote := range votes {
 		vote.Proxy = proxy
--- a/internal/control/server/ticker.go
+++ b/internal/control/server/ticker.go
@@ -9,15 +9,15 @@
 	"portflow/internal/control/registry"
 )
 
-// Periods of the ticker's work.
+// Intervals of periodic work; logTicks and expireTicks are numbers of ticks.
 const (
 	tickInterval   = 200 * time.Millisecond
 	ticksPerSecond = int(time.Second / tickInterval)
-	logTicks       = 10 * ticksPerSecond // between two entries of the counters
-	expireTicks    = 60 * ticksPerSecond // between two clean-ups of the state
+	logTicks       = 10 * ticksPerSecond // between two log entries with the counters
+	expireTicks    = 60 * ticksPerSecond // between two removals of expired state
 )
 
-// runTicker does what is due by time alone, until ctx ends.
+// runTicker performs periodic work until ctx ends.
 func (s *Server) runTicker() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -38,10 +38,10 @@
 	}
 }
 
-// isPeriodEnd reports whether a round is the last one of a period of so many ticks.
+// isPeriodEnd reports whether round is the last tick of a period, given in ticks.
 func isPeriodEnd(round, period int) bool { return round%period == period-1 }
 
-// tick finds silent hosts and lost proxies, steps the consensus node, and deals with quotas and outliers.
+// tick detects unresponsive hosts and lost proxies, steps the consensus node, allocates quotas and ejects outliers.
 func (s *Server) tick(round int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,7 +61,7 @@
 	s.announceStatusChange()
 }
 
-// checkHeartbeats publishes hosts that have become silent; the caller holds mu.
+// checkHeartbeats publishes hosts whose heartbeats are overdue. The caller holds mu.
 func (s *Server) checkHeartbeats() {
 	hasQuorum := s.state.Status() == registry.HasQuorum
 	for _, host := range s.state.Instances.CheckHeartbeats(s.clock(), hasQuorum) {
--- a/internal/control/server/updates.go
+++ b/internal/control/server/updates.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	statusInterval       = 3 * time.Second // between statuses where nothing changes
-	statusChangeInterval = 200 * time.Millisecond
-	rolloutAnnounceTime  = int64(time.Hour)      // nanoseconds, for which other control processes are sent when a rollout began
-	batchInterval        = 40 * time.Millisecond // at least between two batches: changes that come close together are sent together
-	maxSkippedUpdates    = registry.MaxUpdates / 4
+	statusInterval       = 3 * time.Second         // between statuses without a change
+	statusChangeInterval = 200 * time.Millisecond  // between a status and a later change that is not urgent
+	rolloutAnnounceTime  = int64(time.Hour)        // nanoseconds for which a rollout's start is announced to other control processes
+	batchInterval        = 40 * time.Millisecond   // minimum time between batches, so that changes in quick succession share one
+	maxSkippedUpdates    = registry.MaxUpdates / 4 // updates filtered out for a subscriber after which it is sent an empty batch
 )
 
-// updateSender sends one subscriber its updates; see Server.sendUpdates. Its fields are its goroutine's alone.
+// updateSender sends updates to one subscriber; see Server.sendUpdates. Only the goroutine of sendUpdates accesses its fields.
 type updateSender struct {
 	server       *Server
 	sub          *subscriber
-	identity     update.Hello // of the subscriber; its Incarnation is cleared once the Offset in it is of no use
-	sentUpTo     uint64       // number of the last update that was sent, or didn't have to be
-	following    bool         // the subscriber has everything up to sentUpTo
+	identity     update.Hello // the subscriber's hello; its Incarnation is cleared once the subscriber can't resume from its Offset
+	sentUpTo     uint64       // number of the last update that was sent or filtered out
+	following    bool         // the subscriber has been sent everything up to sentUpTo
 	sentStatus   update.Status
 	statusSentAt time.Time
 	clockSentAt  time.Time
 	batchSentAt  time.Time
-	transfer     *update.Transfer // the snapshot that is being sent, nil for none
-	awaited      string           // name of the snapshot that was sent or awaited last
+	transfer     *update.Transfer // the snapshot being sent; nil if there is none
+	awaited      string           // name of the last snapshot that was sent or whose encoding was awaited
 }
 
-// position is how far the state is that a message is made from.
+// position identifies the state that a message is built from: the number of the last update, the epoch and the applied log index.
 type position struct{ last, epoch, index uint64 }
 
-// sendUpdates sends a subscriber what changes, until its stream ends. Everything that has changed goes into one batch. A subscriber
-// that can't be sent changes alone, or for which they would be more than a snapshot, is sent a snapshot: a proxy in chunks, and then
-// the changes since in one batch, with which it puts everything in force at once.
+// sendUpdates sends updates to a subscriber until its stream ends. All pending changes go into one batch. A subscriber that lacks changes
+// which are no longer available is sent a snapshot instead; so is one that accepts chunks and whose batch would exceed
+// update.MaxBatchBytes. Such a subscriber receives the snapshot in chunks, then one batch with the changes since, and applies everything
+// at once; any other receives the snapshot as a single batch.
 func (s *Server) sendUpdates(sub *subscriber) {
 	sender := updateSender{server: s, sub: sub}
 	select {
@@ -57,7 +58,7 @@
 	}
 }
 
-// awaitBatchInterval waits until the next batch may be sent. It reports false once the stream has ended.
+// awaitBatchInterval waits until the next batch may be sent. It reports false if the stream has ended.
 func (u *updateSender) awaitBatchInterval() bool {
 	if pause := batchInterval - time.Since(u.batchSentAt); pause > 0 {
 		select {
@@ -74,8 +75,8 @@
 	}
 }
 
-// sendAvailable sends what there is to send now. It returns when to look again: on new updates, once a snapshot is encoded (nil where
-// none is awaited), or after a time.
+// sendAvailable sends everything that is due. It returns when to call it again: when updated is closed by new updates, when snapshotReady
+// is closed because the awaited snapshot has been encoded (nil if none is awaited), or after wait.
 func (u *updateSender) sendAvailable() (updated, snapshotReady <-chan struct{}, wait time.Duration) {
 	s := u.server
 	s.mu.Lock()
@@ -85,7 +86,7 @@
 	status.Leaving = s.stopping && u.identity.Control
 	at := position{last: s.state.Updates.Last(), epoch: status.Epoch, index: status.Number}
 	if !u.identity.Control {
-		status.Sum, status.Epoch, status.Number = 0, 0, 0 // of no use to a proxy
+		status.Sum, status.Epoch, status.Number = 0, 0, 0 // not used by proxies
 	}
 	if u.statusDue(status, time.Now()) {
 		u.sendStatus(status)
@@ -93,13 +94,14 @@
 	if u.identity.Control || status.Complete && !u.sub.provisional {
 		snapshotReady = u.sendChanges(at)
 	}
-	if status != u.sentStatus { // another one was sent just now: this one must follow soon
+	if status != u.sentStatus { // held back by statusDue because another one was sent recently
 		return updated, snapshotReady, statusChangeInterval
 	}
 	return updated, snapshotReady, statusInterval
 }
 
-// statusDue reports whether a status is to be sent. A proxy is sent each change at once, a control process those that matter at once.
+// statusDue reports whether to send a status. A proxy is sent each change immediately. A control process is sent urgent changes
+// immediately and others once statusChangeInterval has passed since the last status.
 func (u *updateSender) statusDue(status update.Status, now time.Time) bool {
 	age := now.Sub(u.statusSentAt)
 	if age >= statusInterval {
@@ -113,11 +115,11 @@
 	return !u.identity.Control || urgent || age > statusChangeInterval
 }
 
-// sendStatus sends a status; a proxy isn't sent one that it has. The caller holds mu.
+// sendStatus sends a status, except to a proxy that already has it. The caller holds mu.
 func (u *updateSender) sendStatus(status update.Status) {
 	if status != u.sentStatus || u.identity.Control {
 		msg := update.Message{Status: &status}
-		if time.Since(u.clockSentAt) >= statusInterval { // not with each change, as each operation would cost these bytes
+		if time.Since(u.clockSentAt) >= statusInterval { // not in every status, as that would add to the traffic of each operation
 			msg.Now = u.server.clock()
 			u.clockSentAt = time.Now()
 			if u.identity.Control {
@@ -130,8 +132,8 @@
 	u.statusSentAt = time.Now()
 }
 
-// sendChanges sends the changes since the last batch, or a snapshot. It returns a channel that is closed once the snapshot that is to be
-// sent is encoded, nil for none. The caller holds mu.
+// sendChanges sends the changes since the last batch, or a snapshot. If the snapshot is still being encoded, it returns a channel that is
+// closed once that is done, otherwise nil. The caller holds mu.
 func (u *updateSender) sendChanges(at position) (snapshotReady <-chan struct{}) {
 	s := u.server
 	u.resume()
@@ -154,7 +156,7 @@
 	return nil
 }
 
-// resume has a subscriber that has subscribed before go on where it was, if all changes since are available.
+// resume lets a subscriber that reconnects continue after its Offset if all updates since are still available.
 func (u *updateSender) resume() {
 	if u.following || u.transfer != nil || u.identity.Incarnation != u.server.incarnation {
 		return
@@ -165,8 +167,8 @@
 	}
 }
 
-// sendBatch sends changes. Where none of them is for this subscriber, their numbers are sent with the next batch, unless that takes
-// long.
+// sendBatch sends changes up to the given position. If there are none for this subscriber, it sends nothing until more than
+// maxSkippedUpdates updates have been filtered out; the next batch covers their numbers.
 func (u *updateSender) sendBatch(changes []update.Change, at position) {
 	if len(changes) == 0 && at.last-u.sentUpTo <= maxSkippedUpdates {
 		return
@@ -187,7 +189,7 @@
 	u.batchSentAt = time.Now()
 }
 
-// sendSnapshot sends a snapshot in one batch.
+// sendSnapshot sends a snapshot as a single batch.
 func (u *updateSender) sendSnapshot(at position) {
 	s := u.server
 	batch := update.Batch{
@@ -203,8 +205,8 @@
 	u.following = true
 }
 
-// sendChunks sends the next chunks of a snapshot and, after the last one, the changes since. It returns a channel that is closed once the
-// snapshot is encoded, nil where it is.
+// sendChunks sends the next chunks of a snapshot and, after the last one, the changes since. If the snapshot is still being encoded, it
+// returns a channel that is closed once that is done, otherwise nil.
 func (u *updateSender) sendChunks(at position) (snapshotReady <-chan struct{}) {
 	s := u.server
 	if u.transfer != nil {
@@ -226,10 +228,10 @@
 	return nil
 }
 
-// sendChangesSince sends the batch that completes a snapshot, which holds all updates up to a number.
+// sendChangesSince sends the batch that completes a snapshot: all changes after snapshotEnd, the last update in the snapshot.
 func (u *updateSender) sendChangesSince(snapshotEnd uint64, at position) {
 	s := u.server
-	changes, _ := s.state.Updates.After(snapshotEnd) // available, or the snapshot would not have been sent any more
+	changes, _ := s.state.Updates.After(snapshotEnd) // available, since the cache returns only snapshots for which they are
 	batch := update.Batch{
 		Incarnation: s.incarnation,
 		From:        snapshotEnd,
--- a/internal/control/server/updates_test.go
+++ b/internal/control/server/updates_test.go
@@ -9,8 +9,8 @@
 	"portflow/internal/cluster/update"
 )
 
-// A proxy is sent every change of the status at once. A control process is sent at once what changes whether this one can be relied
-// on, and the position after a while. Both are sent a status now and then without any change.
+// A proxy is sent every status change immediately. A control process is sent urgent changes immediately and a new position after
+// statusChangeInterval. Both are sent an unchanged status after statusInterval.
 func TestStatusDue(t *testing.T) {
 	sent := update.Status{Complete: true, Member: true, HasQuorum: true, Number: 5}
 	moved, lost, leaving := sent, sent, sent
@@ -23,15 +23,15 @@
 		age     time.Duration
 		want    bool
 	}{
-		"unchanged, to a proxy":                      {false, sent, statusInterval - 1, false},
-		"unchanged for long, to a proxy":             {false, sent, statusInterval, true},
-		"changed, to a proxy":                        {false, lost, 0, true},
-		"unchanged, to a control process":            {true, sent, statusInterval - 1, false},
-		"unchanged for long, to a control process":   {true, sent, statusInterval, true},
-		"further position, to a control process":     {true, moved, statusChangeInterval, false},
-		"further position for a while, to control":   {true, moved, statusChangeInterval + 1, true},
-		"quorum lost, to a control process":          {true, lost, 0, true},
-		"about to leave, to another control process": {true, leaving, 0, true},
+		"unchanged, to a proxy":                              {false, sent, statusInterval - 1, false},
+		"unchanged for statusInterval, to a proxy":           {false, sent, statusInterval, true},
+		"changed, to a proxy":                                {false, lost, 0, true},
+		"unchanged, to a control process":                    {true, sent, statusInterval - 1, false},
+		"unchanged for statusInterval, to a control process": {true, sent, statusInterval, true},
+		"new position, to a control process":                 {true, moved, statusChangeInterval, false},
+		"new position for a while, to a control process":     {true, moved, statusChangeInterval + 1, true},
+		"quorum lost, to a control process":                  {true, lost, 0, true},
+		"about to leave, to another control process":         {true, leaving, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
--- a/internal/lab/simulation/core_test.go
+++ b/internal/lab/simulation/core_test.go
@@ -61,9 +61,9 @@
 			status              int
 		}{
 			{"remove", "nobody", "", "no member or learner", 404},
-			{"add", "nobody", "", "is not heard", 404},
-			{"replace", name, "nobody", "is not heard", 404},
-			{"burn", name, "", "not remove, add or replace", 400},
+			{"add", "nobody", "", "is not connected", 404},
+			{"replace", name, "nobody", "is not connected", 404},
+			{"burn", name, "", "must be remove, add or replace", 400},
 		} {
 			_, status, raw := cluster.changeCore(1, x.do, x.who, x.with, false, false)
 			c.Check(status, qt.Equals, x.status, qt.Commentf("%s", raw))
@@ -77,7 +77,7 @@
 	withControls(t, 3, 4, func(c *qt.C, cluster *Cluster) {
 		_, status, raw := cluster.changeCore(0, "remove", cluster.Controls[2].Settings.IP, "", false, false)
 		c.Check(status, qt.Equals, 400)
-		c.Check(string(raw), qt.Contains, "would bear no loss")
+		c.Check(string(raw), qt.Contains, "would tolerate no loss")
 		out, status, _ := cluster.changeCore(0, "remove", cluster.Controls[2].Settings.IP, "", false, true)
 		c.Check(status, qt.Equals, 200)
 		c.Check(out.Tolerates, qt.Equals, [2]int{1, 0})
@@ -92,7 +92,7 @@
 		time.Sleep(2 * time.Second)
 		_, status, raw := cluster.changeCore(0, "remove", cluster.Controls[2].Settings.IP, "", false, true)
 		c.Check(status, qt.Equals, 400)
-		c.Check(string(raw), qt.Contains, "can't be taken over")
+		c.Check(string(raw), qt.Contains, "can't be committed")
 		_, status, _ = cluster.changeCore(0, "remove", cluster.Controls[1].Settings.IP, "", false, true)
 		c.Check(status, qt.Equals, 200) // the lost one goes: two of two
 	})
--- a/internal/lab/simulation/corerecovery_test.go
+++ b/internal/lab/simulation/corerecovery_test.go
@@ -23,7 +23,7 @@
 			time.Sleep(time.Second)
 			status, raw := cluster.callOne(4, "core.recover", map[string]any{"confirm": ""})
 			c.Check(status, qt.Equals, 400)
-			c.Check(string(raw), qt.Contains, "more than half of the members are heard")
+			c.Check(string(raw), qt.Contains, "a majority of the voting members is connected")
 			for _, node := range cluster.Controls[:4] {
 				node.Kill()
 			}
