--- a/internal/control/server/membership.go
+++ b/internal/control/server/membership.go
@@ -120,9 +120,9 @@
 	list := s.state.Node.Membership()
 	switch began, restored := s.tolerance.Observe(s.clock(), list, s.unavailable(list)); {
 	case began:
-		klog.InfoS("margin lost", "bears", s.tolerance.Current, "before", s.tolerance.Baseline, "lost", s.tolerance.Lost, "epoch", list.Epoch)
+		klog.InfoS("loss tolerance reduced", "bears", s.tolerance.Current, "before", s.tolerance.Baseline, "lost", s.tolerance.Lost, "epoch", list.Epoch)
 	case restored:
-		klog.InfoS("margin restored", "after_ms", s.tolerance.LastOutage/1e6, "bears", s.tolerance.Current, "epoch", list.Epoch, "of", len(list.Members))
+		klog.InfoS("loss tolerance restored", "after_ms", s.tolerance.LastOutage/1e6, "bears", s.tolerance.Current, "epoch", list.Epoch, "of", len(list.Members))
 	}
 }
 
--- a/internal/control/server/rollouts.go
+++ b/internal/control/server/rollouts.go
@@ -135,7 +135,7 @@
 // contains the rollout's number, so that only the first decision has an effect. After a failure, a later tick submits it again.
 func (s *Server) submitRolloutDecision(ro rollout.Rollout, op operation.Operation) {
 	if err := s.submit(s.ctx, op); err != nil {
-		klog.InfoS("rollout not ended yet", "service", ro.Service, "order", op.Kind, "to", op.Outcome, "why", err)
+		klog.InfoS("rollout end not committed; retrying", "service", ro.Service, "order", op.Kind, "to", op.Outcome, "why", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
