--- a/internal/control/server/consensus.go
+++ b/internal/control/server/consensus.go
@@ -185,7 +185,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	check := s.checkReady
-	if event.Operation != nil && event.Operation.Kind == operation.ChangeMembers { // also during shutdown, when a process submits its own removal
+	if event.Operation != nil && event.Operation.Kind == operation.ChangeMembers { // a process that is shutting down may submit its own removal
 		check = s.checkQuorum
 	}
 	if err := check(); err != nil {
--- a/internal/control/server/membership.go
+++ b/internal/control/server/membership.go
@@ -30,7 +30,7 @@
 	Tolerance      CoreTolerance `json:"margin"`
 }
 
-// CoreMember is a control process, a voting member or not, as another one or itself sees it.
+// CoreMember is a control process, voting or not, as the answering process sees it.
 type CoreMember struct {
 	IP            string  `json:"ip"`
 	Name          string  `json:"name"`
@@ -44,12 +44,12 @@
 	Index         uint64  `json:"number"`
 }
 
-// CoreTolerance describes the present and the last reduction of the number of losses that the members tolerate, as observed by this
-// process since it started.
+// CoreTolerance describes the ongoing reduction of the number of losses that the members tolerate, and the last one that ended, as
+// observed by the answering process since it started.
 type CoreTolerance struct {
-	Baseline     int      `json:"level"` // tolerated losses before the reduction
+	Baseline     int      `json:"level"` // tolerated losses before the ongoing reduction, or at present if there is none
 	Lost         []string `json:"lost"`  // IP addresses of the members that are unavailable during it
-	SinceSeconds float64  `json:"since"` // age of the reduction, 0 if there is none
+	SinceSeconds float64  `json:"since"` // age of the ongoing reduction, 0 if there is none
 	LastSeconds  float64  `json:"last"`  // duration of the last reduction that ended
 }
 
@@ -115,7 +115,7 @@
 	return peer
 }
 
-// updateTolerance tracks how many losses the members tolerate, and logs when that is reduced or restored. The caller holds mu.
+// updateTolerance tracks how many losses the members tolerate and logs reductions and their ends. The caller holds mu.
 func (s *Server) updateTolerance() {
 	list := s.state.Node.Membership()
 	switch began, restored := s.tolerance.Observe(s.clock(), list, s.unavailable(list)); {
@@ -126,8 +126,8 @@
 	}
 }
 
-// learners returns the connected control processes, including this one, that are not voting members, sorted by IP address. The caller
-// holds mu.
+// learners returns the control processes that are not voting members, among this one and the connected ones, sorted by IP address. The
+// caller holds mu.
 func (s *Server) learners() (learners []membership.Member) {
 	list := s.state.Node.Membership()
 	for ip := range s.state.Peers {
--- a/internal/control/server/recovery.go
+++ b/internal/control/server/recovery.go
@@ -50,7 +50,7 @@
 		return result, nil
 	}
 	if request.Confirm != result.ConfirmPhrase {
-		return nil, apierror.New(apierror.Invalid, "confirm: got %q, want %q", request.Confirm, result.ConfirmPhrase)
+		return nil, apierror.New(apierror.Invalid, "confirm: the phrase is %q, expected %q", request.Confirm, result.ConfirmPhrase)
 	}
 	klog.InfoS("recovery", "from", result.ConfirmPhrase, "losses", result.Losses)
 	s.stepNode(consensus.Event{Recover: true})
@@ -58,8 +58,8 @@
 	return s.awaitRecoverySaved(ctx, result)
 }
 
-// checkRecoverable rejects a recovery if there is nothing to recover or this process can't be the one that is kept. With force, it does
-// not matter whether another process has applied a higher index. The caller holds mu.
+// checkRecoverable rejects a recovery if there is nothing to recover, if this process is shutting down or its disk is stalled, or, unless
+// force is set, if a connected process has applied a higher index. The caller holds mu.
 func (s *Server) checkRecoverable(force bool) error {
 	node := s.state.Node
 	switch {
--- a/internal/control/server/status.go
+++ b/internal/control/server/status.go
@@ -59,7 +59,7 @@
 	UnackedUpdates int    `json:"behind"` // updates that it has not acknowledged, -1 if it subscribes to another control process
 }
 
-// InstanceStatus is an instance of a service; WarmupSeconds is the remaining time.
+// InstanceStatus is an instance of a service. WarmupSeconds is the remaining warm-up time, 0 if there is none.
 type InstanceStatus struct {
 	ID            string  `json:"id"`
 	Service       string  `json:"service"`
--- a/internal/control/server/ticker.go
+++ b/internal/control/server/ticker.go
@@ -9,12 +9,12 @@
 	"portflow/internal/control/registry"
 )
 
-// Intervals of periodic work; logTicks and expireTicks are numbers of ticks.
+// Intervals of periodic work; logTicks and expireTicks are in ticks.
 const (
 	tickInterval   = 200 * time.Millisecond
 	ticksPerSecond = int(time.Second / tickInterval)
-	logTicks       = 10 * ticksPerSecond // between two log entries with the counters
-	expireTicks    = 60 * ticksPerSecond // between two removals of expired state
+	logTicks       = 10 * ticksPerSecond // between log entries with the counters
+	expireTicks    = 60 * ticksPerSecond // between removals of expired state
 )
 
 // runTicker performs periodic work until ctx ends.
--- a/internal/control/server/updates.go
+++ b/internal/control/server/updates.go
@@ -10,10 +10,10 @@
 
 const (
 	statusInterval       = 3 * time.Second         // between statuses without a change
-	statusChangeInterval = 200 * time.Millisecond  // between a status and a later change that is not urgent
+	statusChangeInterval = 200 * time.Millisecond  // minimum time between statuses to a control process, except for urgent changes
 	rolloutAnnounceTime  = int64(time.Hour)        // nanoseconds for which a rollout's start is announced to other control processes
 	batchInterval        = 40 * time.Millisecond   // minimum time between batches, so that changes in quick succession share one
-	maxSkippedUpdates    = registry.MaxUpdates / 4 // updates filtered out for a subscriber after which it is sent an empty batch
+	maxSkippedUpdates    = registry.MaxUpdates / 4 // consecutive updates that may be filtered out before an empty batch is sent
 )
 
 // updateSender sends updates to one subscriber; see Server.sendUpdates. Only the goroutine of sendUpdates accesses its fields.
@@ -34,10 +34,10 @@
 // position identifies the state that a message is built from: the number of the last update, the epoch and the applied log index.
 type position struct{ last, epoch, index uint64 }
 
-// sendUpdates sends updates to a subscriber until its stream ends. All pending changes go into one batch. A subscriber that lacks changes
-// which are no longer available is sent a snapshot instead; so is one that accepts chunks and whose batch would exceed
-// update.MaxBatchBytes. Such a subscriber receives the snapshot in chunks, then one batch with the changes since, and applies everything
-// at once; any other receives the snapshot as a single batch.
+// sendUpdates sends updates to a subscriber until its stream ends. All pending changes go into one batch. If changes that the subscriber
+// lacks are no longer available, it is sent a snapshot: a control process as a single batch, a proxy that accepts chunks in chunks,
+// followed by one batch with the changes since, with which the proxy applies everything at once. A proxy that accepts chunks is also
+// sent a snapshot if its batch would exceed update.MaxBatchBytes.
 func (s *Server) sendUpdates(sub *subscriber) {
 	sender := updateSender{server: s, sub: sub}
 	select {
