--- a/internal/control/server/ticker.go
+++ b/internal/control/server/ticker.go
@@ -9,15 +9,15 @@
 	"portflow/internal/control/registry"
 )
 
-// Periods of the ticker's work.
+// Intervals of periodic work; logTicks and expireTicks are in ticks.
 const (
 	tickInterval   = 200 * time.Millisecond
 	ticksPerSecond = int(time.Second / tickInterval)
-	logTicks       = 10 * ticksPerSecond // between two entries of the counters
-	expireTicks    = 60 * ticksPerSecond // between two clean-ups of the state
+	logTicks       = 10 * ticksPerSecond // between log entries with the counters
+	expireTicks    = 60 * ticksPerSecond // between removals of expired state
 )
 
-// runTicker does what is due by time alone, until ctx ends.
+// runTicker performs periodic work until ctx ends.
 func (s *Server) runTicker() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -29,19 +29,19 @@
 		}
 		s.tick(round)
 		s.advanceRollouts()
-		if isLast(round, expireTicks) {
+		if isPeriodEnd(round, expireTicks) {
 			s.expireState()
 		}
-		if isLast(round, logTicks) {
+		if isPeriodEnd(round, logTicks) {
 			s.LogCounters()
 		}
 	}
 }
 
-// isLast reports whether a round is the last one of a period of so many ticks.
-func isLast(round, period int) bool { return round%period == period-1 }
+// isPeriodEnd reports whether round is the last tick of a period, given in ticks.
+func isPeriodEnd(round, period int) bool { return round%period == period-1 }
 
-// tick finds silent hosts and lost proxies, steps the consensus node, and deals with quotas and outliers.
+// tick detects unresponsive hosts and lost proxies, steps the consensus node, allocates quotas and ejects outliers.
 func (s *Server) tick(round int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +49,7 @@
 	if s.state.Tick(s.clock()) {
 		s.subscriptions.notify()
 	}
-	if isLast(round, ticksPerSecond) {
+	if isPeriodEnd(round, ticksPerSecond) {
 		s.reclaimProxies()
 		s.departures.forget(func(id string) bool { return s.state.Instances.Lookup(id).ID == "" })
 	}
@@ -58,10 +58,10 @@
 	s.updateTolerance()
 	s.allocateQuotas(round)
 	s.ejectOutliers()
-	s.noteStatusChange()
+	s.announceStatusChange()
 }
 
-// checkHeartbeats publishes hosts that have become silent; the caller holds mu.
+// checkHeartbeats publishes hosts whose heartbeats are overdue. The caller holds mu.
 func (s *Server) checkHeartbeats() {
 	hasQuorum := s.state.Status() == registry.HasQuorum
 	for _, host := range s.state.Instances.CheckHeartbeats(s.clock(), hasQuorum) {
