--- a/internal/control/rpc/rpc.go
+++ b/internal/control/rpc/rpc.go
@@ -63,11 +63,11 @@
 }
 
 // bodyTimeout is how long a call's body may take, apart from a second for each megabyte of its stated length.
-const bodyTimeout = 3 * time.Second
+const baseBodyTimeout = 3 * time.Second
 
 // bodyTime is how long a body of this stated length (-1 for none) may take. A length beyond maxBody adds nothing.
-func bodyTime(length, maxBody int64) time.Duration {
-	return bodyTimeout + time.Duration(max(0, min(length, maxBody)))*time.Second>>20
+func bodyTimeout(length, maxBody int64) time.Duration {
+	return baseBodyTimeout + time.Duration(max(0, min(length, maxBody)))*time.Second>>20
 }
 
 // readErrorKind is the kind of error of a body that could not be read: incomplete after a timeout or where the connection broke off,
@@ -117,7 +117,7 @@
 // readBody reads a call's body, within its bound of bytes and its time.
 func readBody(w http.ResponseWriter, r *http.Request, call Call) ([]byte, error) {
 	controller := http.NewResponseController(w)
-	controller.SetReadDeadline(time.Now().Add(bodyTime(r.ContentLength, call.MaxBody)))
+	controller.SetReadDeadline(time.Now().Add(bodyTimeout(r.ContentLength, call.MaxBody)))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, call.MaxBody))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
--- a/internal/control/rpc/rpc_test.go
+++ b/internal/control/rpc/rpc_test.go
@@ -16,18 +16,18 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// oneConn is a listener for one connection.
-type oneConn chan net.Conn
+// singleConnListener is a listener for one connection.
+type singleConnListener chan net.Conn
 
-func (l oneConn) Accept() (net.Conn, error) {
+func (l singleConnListener) Accept() (net.Conn, error) {
 	if c, ok := <-l; ok {
 		return c, nil
 	}
 	return nil, net.ErrClosed
 }
 
-func (l oneConn) Close() error   { return nil }
-func (l oneConn) Addr() net.Addr { return &net.UnixAddr{} }
+func (l singleConnListener) Close() error   { return nil }
+func (l singleConnListener) Addr() net.Addr { return &net.UnixAddr{} }
 
 // halfClosed is a connection on which nothing comes after what was sent.
 type halfClosed struct {
@@ -44,7 +44,7 @@
 
 // A body that comes too slowly or breaks off is answered 408 and not run, so that its sender goes on; one that is malformed is
 // answered 400. The time allowed grows with the stated length, up to the most bytes of the call.
-func TestBodiesThatAreNotComplete(t *testing.T) {
+func TestIncompleteBodies(t *testing.T) {
 	length := func(n int) string { return fmt.Sprint("Content-Length: ", n) }
 	large := strings.Repeat(" ", 8*megabyte-2) + "{}"
 	for name, x := range map[string]struct {
@@ -72,24 +72,24 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := quicktest.New(t)
 				ran := 0
-				desk := New(Call{Name: "set", MaxBody: 8 * megabyte, Handle: func(_ context.Context, _ string, body []byte) (any, error) {
+				rpcServer := New(Call{Name: "set", MaxBody: 8 * megabyte, Handle: func(_ context.Context, _ string, body []byte) (any, error) {
 					ran++
 					return nil, func() error { _, err := ParseObject(body); return err }()
 				}})
 				mux := chi.NewRouter()
-				desk.Mount(mux)
-				near, far := net.Pipe()
+				rpcServer.Mount(mux)
+				serverConn, clientConn := net.Pipe()
 				request := fmt.Sprintf("POST /-/rpc?call=set HTTP/1.1\r\nHost: control\r\n%s\r\n\r\n%s", x.header, x.begin)
-				conn := near
+				conn := serverConn
 				if x.breaks {
-					conn = halfClosed{near, strings.NewReader(request)}
+					conn = halfClosed{serverConn, strings.NewReader(request)}
 				}
-				l := make(oneConn, 1)
+				l := make(singleConnListener, 1)
 				l <- conn
 				close(l)
 				server := &http.Server{Handler: mux}
 				go server.Serve(l)
-				defer far.Close()
+				defer clientConn.Close()
 				sent := make(chan bool)
 				defer func() { <-sent }()
 				go func() {
@@ -97,18 +97,18 @@
 					if x.breaks {
 						return
 					}
-					io.WriteString(far, request)
+					io.WriteString(clientConn, request)
 					time.Sleep(x.pause)
-					io.WriteString(far, x.end)
+					io.WriteString(clientConn, x.end)
 				}()
-				answer, err := http.ReadResponse(bufio.NewReader(far), nil)
+				resp, err := http.ReadResponse(bufio.NewReader(clientConn), nil)
 				c.Assert(err, quicktest.IsNil)
-				io.Copy(io.Discard, answer.Body)
-				c.Check(answer.StatusCode, quicktest.Equals, x.status)
-				c.Check(desk.Counts(), quicktest.DeepEquals, map[string]int64{x.counted: 1})
+				io.Copy(io.Discard, resp.Body)
+				c.Check(resp.StatusCode, quicktest.Equals, x.status)
+				c.Check(rpcServer.Counts(), quicktest.DeepEquals, map[string]int64{x.counted: 1})
 				if x.status == 408 {
 					c.Check(ran, quicktest.Equals, 0)
-					c.Check(answer.Close, quicktest.IsTrue)
+					c.Check(resp.Close, quicktest.IsTrue)
 				}
 			})
 		})
--- a/internal/control/snapshot/snapshot_test.go
+++ b/internal/control/snapshot/snapshot_test.go
@@ -32,7 +32,7 @@
 	return set.All()
 }
 
-func head(c testing.TB, all []config.Item, number uint64) Header {
+func newHeader(c testing.TB, all []config.Item, number uint64) Header {
 	h, err := NewHeader(all, 3, number)
 	qt.Assert(c, err, qt.IsNil)
 	return h
@@ -49,47 +49,47 @@
 }
 
 // What is encoded is decoded as it was, whatever its size, in bounded chunks, and the header identifies it.
-func TestRound(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	for _, n := range []int{0, 1, 2, 700, 5000} {
 		c := qt.New(t)
 		all := items(n)
-		h := head(c, all, 41)
-		var g Assembler
+		h := newHeader(c, all, 41)
+		var assembler Assembler
 		got := []config.Item{}
 		for _, raw := range chunks(all, h) {
 			c.Check(len(raw) <= MaxChunkBytes, qt.IsTrue)
-			c.Check(g.Done(), qt.IsFalse)
-			added, err := g.Add(raw)
+			c.Check(assembler.Done(), qt.IsFalse)
+			added, err := assembler.Add(raw)
 			c.Assert(err, qt.IsNil)
 			got = append(got, added...)
 		}
-		c.Check(g.Done(), qt.IsTrue)
+		c.Check(assembler.Done(), qt.IsTrue)
 		c.Check(got, qt.DeepEquals, all)
-		same, _ := g.Header()
+		same, _ := assembler.Header()
 		c.Check(same, qt.Equals, h)
 		c.Check(same.Epoch, qt.Equals, uint64(3))
-		c.Check(h.OlderThan(head(c, all, 42)), qt.IsTrue)
+		c.Check(h.OlderThan(newHeader(c, all, 42)), qt.IsTrue)
 	}
 }
 
 // Random transfers: chunks that are repeated, early, damaged or of another snapshot change nothing; a transfer that goes on from what it
 // has ends complete, and is not done before.
-func TestBrokenTransfers(t *testing.T) {
+func TestUnreliableTransfers(t *testing.T) {
 	all, other := items(3000), items(2999)
-	h, x := head(t, all, 7), head(t, other, 8)
+	h, x := newHeader(t, all, 7), newHeader(t, other, 8)
 	good, foreign := chunks(all, h), chunks(other, x)
-	begins := map[int]int{} // by where a chunk begins: which it is
+	chunkAt := map[int]int{} // by where a chunk begins: which it is
 	for from, at := 0, 0; from < len(all); at++ {
-		begins[from] = at
+		chunkAt[from] = at
 		_, from, _ = EncodeChunk(all, h, from)
 	}
 	for seed := range uint64(100) {
 		c := qt.New(t)
 		draw := rand.New(rand.NewPCG(seed, 5))
-		var g Assembler
+		var assembler Assembler
 		var got []config.Item
-		for step := 0; !g.Done() && step < 1000; step++ {
-			raw := good[begins[g.Received()]] // the one that follows
+		for step := 0; !assembler.Done() && step < 1000; step++ {
+			raw := good[chunkAt[assembler.Received()]] // the one that follows
 			switch draw.IntN(6) {
 			case 0:
 				raw = good[draw.IntN(len(good))]
@@ -99,16 +99,16 @@
 			case 2:
 				raw = raw[:draw.IntN(len(raw))]
 			case 3:
-				if _, begun := g.Header(); begun {
+				if _, begun := assembler.Header(); begun {
 					raw = foreign[draw.IntN(len(foreign))]
 				}
 			}
-			added, err := g.Add(raw)
+			added, err := assembler.Add(raw)
 			if err != nil {
 				c.Assert(added, qt.HasLen, 0)
 			}
 			got = append(got, added...)
-			c.Assert(g.Received(), qt.Equals, len(got))
+			c.Assert(assembler.Received(), qt.Equals, len(got))
 		}
 		again, err := NewHeader(got, h.Epoch, h.Index)
 		c.Assert(err, qt.IsNil)
@@ -117,17 +117,17 @@
 }
 
 // Chunks that are each good, but not of one snapshot, are refused by the checksum of all items, the order and the count.
-func TestNotOneSnapshot(t *testing.T) {
+func TestInconsistentChunks(t *testing.T) {
 	c := qt.New(t)
 	all := items(3000)
-	h := head(c, all, 7)
+	h := newHeader(c, all, 7)
 	good := chunks(all, h)
 	c.Assert(len(good) > 2, qt.IsTrue)
 	changed := append([]config.Item(nil), all...)
 	changed[len(changed)-1].Version++
 	for name, x := range map[string]struct {
-		raws [][]byte
-		says string
+		raws    [][]byte
+		wantErr string
 	}{
 		"an item of another number": {append(append([][]byte(nil), good[:len(good)-1]...), chunks(changed, h)[len(good)-1]), "the sum over all items.*"},
 		"out of order": {[][]byte{func() []byte {
@@ -136,24 +136,24 @@
 		}()}, ".*out of order"},
 		"across":    {[][]byte{good[0], func() []byte { raw, _, _ := EncodeChunk(all, h, 9); return raw }()}, ".*does not follow.*"},
 		"too early": {good[1:], ".*does not follow.*"},
-		"other":     {[][]byte{good[0], chunks(all, head(c, all, 8))[1]}, ".*another snapshot.*"},
+		"other":     {[][]byte{good[0], chunks(all, newHeader(c, all, 8))[1]}, ".*another snapshot.*"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var g Assembler
+			var assembler Assembler
 			var err error
 			for _, raw := range x.raws {
-				if _, err = g.Add(raw); err != nil {
+				if _, err = assembler.Add(raw); err != nil {
 					break
 				}
 			}
-			qt.Check(t, err, qt.ErrorMatches, x.says)
-			qt.Check(t, g.Done(), qt.IsFalse)
+			qt.Check(t, err, qt.ErrorMatches, x.wantErr)
+			qt.Check(t, assembler.Done(), qt.IsFalse)
 		})
 	}
 }
 
 // Items beyond the bounds are refused by name, before any chunk is encoded.
-func TestBounds(t *testing.T) {
+func TestHeaderLimits(t *testing.T) {
 	c := qt.New(t)
 	_, err := NewHeader([]config.Item{{Kind: "routes", Name: "long", Body: make([]byte, maxItemBytes)}}, 1, 1)
 	c.Check(err, qt.ErrorMatches, "routes long: .* bytes, of at most .*")
@@ -170,18 +170,18 @@
 }
 
 // Any bytes: no crash, no more memory than the bounds allow, and what is accepted encodes to what came.
-func FuzzTake(f *testing.F) {
+func FuzzAssembler(f *testing.F) {
 	for _, n := range []int{0, 1, 9} {
 		all := items(n)
-		for _, raw := range chunks(all, head(f, all, 4)) {
+		for _, raw := range chunks(all, newHeader(f, all, 4)) {
 			f.Add(raw, uint16(8), byte(1))
 		}
 	}
 	f.Fuzz(func(t *testing.T, raw []byte, at uint16, x byte) {
 		for range 2 { // as it is, and with a right sum of the chunk
-			var g Assembler
-			got, err := g.Add(raw)
-			if h, begun := g.Header(); err == nil && begun && g.Done() {
+			var assembler Assembler
+			got, err := assembler.Add(raw)
+			if h, begun := assembler.Header(); err == nil && begun && assembler.Done() {
 				again, err := NewHeader(got, h.Epoch, h.Index)
 				if err != nil || again != h {
 					t.Fatalf("taken %v, laid out %v: %v", h, again, err)
@@ -213,34 +213,34 @@
 	}
 	all := set.All()
 	began := time.Now()
-	h := head(c, all, 10000)
+	h := newHeader(c, all, 10000)
 	took := time.Since(began)
-	var g Assembler
+	var assembler Assembler
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
-	before, peak, made := m.HeapAlloc, uint64(0), m.TotalAlloc
-	bytes, most, n := 0, 0, 0
+	before, peak, allocated := m.HeapAlloc, uint64(0), m.TotalAlloc
+	bytes, longest, n := 0, 0, 0
 	began = time.Now()
 	for from, done := 0, false; !done; n++ {
 		var raw []byte
 		raw, from, done = EncodeChunk(all, h, from)
-		_, err := g.Add(raw)
+		_, err := assembler.Add(raw)
 		c.Assert(err, qt.IsNil)
-		bytes, most = bytes+len(raw), max(most, len(raw))
+		bytes, longest = bytes+len(raw), max(longest, len(raw))
 		if n%10 == 0 {
 			runtime.GC()
 			runtime.ReadMemStats(&m)
 			peak = max(peak, m.HeapAlloc-min(before, m.HeapAlloc))
 		}
 	}
-	c.Check(g.Done(), qt.IsTrue)
+	c.Check(assembler.Done(), qt.IsTrue)
 	runtime.ReadMemStats(&m)
-	each := (m.TotalAlloc - made) / uint64(n) // made and given up, by both sides
-	c.Logf("%d items: head %v, %d chunks in %v, %d bytes in all, %d the longest, %d KB held between them, %d KB made for each", len(all), took, n, time.Since(began), bytes, most, peak>>10, each>>10)
-	c.Check(each < 3<<20, qt.IsTrue)
+	perChunk := (m.TotalAlloc - allocated) / uint64(n) // made and given up, by both sides
+	c.Logf("%d items: head %v, %d chunks in %v, %d bytes in all, %d the longest, %d KB held between them, %d KB made for each", len(all), took, n, time.Since(began), bytes, longest, peak>>10, perChunk>>10)
+	c.Check(perChunk < 3<<20, qt.IsTrue)
 	c.Check(peak < 2<<20, qt.IsTrue, qt.Commentf("%d bytes", peak))
-	c.Check(most < 64<<10, qt.IsTrue)
+	c.Check(longest < 64<<10, qt.IsTrue)
 	runtime.KeepAlive(all)
 	runtime.KeepAlive(set)
 }
@@ -249,37 +249,37 @@
 // the reader starts again. No more than two are kept, none longer than 30 s after it was last used.
 func TestCache(t *testing.T) {
 	c := qt.New(t)
-	var s Cache
+	var cache Cache
 	all, number := items(3000), uint64(5)
-	present := func() ([]config.Item, uint64, uint64) { return all, 3, number }
-	first, err := s.Serve(0, ReadRequest{}, present)
+	current := func() ([]config.Item, uint64, uint64) { return all, 3, number }
+	first, err := cache.Serve(0, ReadRequest{}, current)
 	c.Assert(err, qt.IsNil)
 	old := all
 	all, number = items(2000), 6
-	var g Assembler
-	got, err := g.Add(first.Chunk)
+	var assembler Assembler
+	got, err := assembler.Add(first.Chunk)
 	c.Assert(err, qt.IsNil)
-	for p := first; !p.Done; {
-		p, err = s.Serve(int64(time.Second), ReadRequest{Snapshot: first.Snapshot, FirstItem: p.NextItem}, present)
+	for resp := first; !resp.Done; {
+		resp, err = cache.Serve(int64(time.Second), ReadRequest{Snapshot: first.Snapshot, FirstItem: resp.NextItem}, current)
 		c.Assert(err, qt.IsNil)
-		added, err := g.Add(p.Chunk)
+		added, err := assembler.Add(resp.Chunk)
 		c.Assert(err, qt.IsNil)
 		got = append(got, added...)
 	}
-	c.Check(g.Done(), qt.IsTrue)
+	c.Check(assembler.Done(), qt.IsTrue)
 	c.Check(got, qt.DeepEquals, old)
 
-	_, err = s.Serve(int64(40*time.Second), ReadRequest{Snapshot: first.Snapshot, FirstItem: 100}, present)
+	_, err = cache.Serve(int64(40*time.Second), ReadRequest{Snapshot: first.Snapshot, FirstItem: 100}, current)
 	c.Check(apierror.KindOf(err), qt.Equals, apierror.NotFound)
 	all, number = old, 5
-	_, err = s.Serve(int64(40*time.Second), ReadRequest{Snapshot: first.Snapshot, FirstItem: 100}, present)
+	_, err = cache.Serve(int64(40*time.Second), ReadRequest{Snapshot: first.Snapshot, FirstItem: 100}, current)
 	c.Check(err, qt.IsNil)
-	_, err = s.Serve(int64(40*time.Second), ReadRequest{FirstItem: 3001}, present)
+	_, err = cache.Serve(int64(40*time.Second), ReadRequest{FirstItem: 3001}, current)
 	c.Check(apierror.KindOf(err), qt.Equals, apierror.Invalid)
 	for number = range 9 {
-		_, err = s.Serve(int64(41*time.Second), ReadRequest{}, present)
+		_, err = cache.Serve(int64(41*time.Second), ReadRequest{}, current)
 		c.Assert(err, qt.IsNil)
-		c.Check(len(s.snapshots) <= maxCached, qt.IsTrue)
+		c.Check(len(cache.snapshots) <= maxCached, qt.IsTrue)
 	}
 }
 
@@ -288,52 +288,52 @@
 func TestUpload(t *testing.T) {
 	c := qt.New(t)
 	all, other := items(3000), items(10)
-	h, x := head(c, all, 7), head(c, other, 8)
+	h, x := newHeader(c, all, 7), newHeader(c, other, 8)
 	raws := chunks(all, h)
-	var d Upload
-	l, _, _, err := d.AddChunk(1, raws[1])
+	var upload Upload
+	resp, _, _, err := upload.AddChunk(1, raws[1])
 	c.Assert(err, qt.IsNil)
-	c.Check(l.ReceivedItems, qt.Equals, 0)
-	l, _, _, err = d.AddChunk(1, raws[0])
+	c.Check(resp.ReceivedItems, qt.Equals, 0)
+	resp, _, _, err = upload.AddChunk(1, raws[0])
 	c.Assert(err, qt.IsNil)
-	had := l.ReceivedItems
-	l, _, _, _ = d.AddChunk(2, raws[2])
-	c.Check(l, qt.Equals, RestoreResponse{Snapshot: h.String(), ReceivedItems: had})
-	_, _, _, err = d.AddChunk(3, chunks(other, x)[0])
+	received := resp.ReceivedItems
+	resp, _, _, _ = upload.AddChunk(2, raws[2])
+	c.Check(resp, qt.Equals, RestoreResponse{Snapshot: h.String(), ReceivedItems: received})
+	_, _, _, err = upload.AddChunk(3, chunks(other, x)[0])
 	c.Check(apierror.KindOf(err), qt.Equals, apierror.InProgress)
-	_, _, _, err = d.AddChunk(3, raws[1][:40])
+	_, _, _, err = upload.AddChunk(3, raws[1][:40])
 	c.Check(apierror.KindOf(err), qt.Equals, apierror.Invalid)
 	var got []config.Item
 	for _, raw := range raws[1:] {
 		c.Assert(got, qt.HasLen, 0)
-		if l, got, _, err = d.AddChunk(4, raw); err != nil {
+		if resp, got, _, err = upload.AddChunk(4, raw); err != nil {
 			t.Fatal(err)
 		}
 	}
 	c.Check(got, qt.DeepEquals, all)
-	c.Check(l, qt.Equals, RestoreResponse{Snapshot: h.String(), ReceivedItems: len(all)})
-	l, got, _, err = d.AddChunk(5, raws[len(raws)-1]) // no outcome is noted yet
+	c.Check(resp, qt.Equals, RestoreResponse{Snapshot: h.String(), ReceivedItems: len(all)})
+	resp, got, _, err = upload.AddChunk(5, raws[len(raws)-1]) // no outcome is noted yet
 	c.Assert(err, qt.IsNil)
 	c.Check(got, qt.HasLen, 0)
-	c.Check(l.InForce, qt.IsFalse)
-	c.Check(l.ReceivedItems, qt.Equals, len(all))
-	d.Finish(x, true) // of another
-	d.Finish(h, true)
-	l, got, _, err = d.AddChunk(5, raws[len(raws)-1])
+	c.Check(resp.InForce, qt.IsFalse)
+	c.Check(resp.ReceivedItems, qt.Equals, len(all))
+	upload.Finish(x, true) // of another
+	upload.Finish(h, true)
+	resp, got, _, err = upload.AddChunk(5, raws[len(raws)-1])
 	c.Assert(err, qt.IsNil)
 	c.Check(got, qt.HasLen, 0)
-	c.Check(l, qt.Equals, RestoreResponse{Snapshot: h.String(), ReceivedItems: len(all), InForce: true})
-	d.Finish(h, false)
-	l, _, _, _ = d.AddChunk(6, raws[len(raws)-1]) // it did not come into force: all again
-	c.Check(l.ReceivedItems, qt.Equals, 0)
-	d.AddChunk(6, raws[0])
-	l, got, _, err = d.AddChunk(6+int64(idleTimeout)+1, chunks(other, x)[0]) // the first was given up
+	c.Check(resp, qt.Equals, RestoreResponse{Snapshot: h.String(), ReceivedItems: len(all), InForce: true})
+	upload.Finish(h, false)
+	resp, _, _, _ = upload.AddChunk(6, raws[len(raws)-1]) // it did not come into force: all again
+	c.Check(resp.ReceivedItems, qt.Equals, 0)
+	upload.AddChunk(6, raws[0])
+	resp, got, _, err = upload.AddChunk(6+int64(idleTimeout)+1, chunks(other, x)[0]) // the first was given up
 	c.Assert(err, qt.IsNil)
 	c.Check(got, qt.HasLen, len(other))
-	c.Check(l.Snapshot, qt.Equals, x.String())
+	c.Check(resp.Snapshot, qt.Equals, x.String())
 }
 
-func TestValid(t *testing.T) {
+func TestValidateItem(t *testing.T) {
 	c := qt.New(t)
 	c.Check(ValidateItem(config.Item{Kind: config.KindRoutes, Name: "r", Deleted: true}), qt.IsNil)
 	c.Check(ValidateItem(config.Item{Kind: config.KindCore, Name: "10.1.0.1", Body: []byte(`{"name":"a"}`)}), qt.IsNil)
--- a/internal/control/snapshot/trace_test.go
+++ b/internal/control/snapshot/trace_test.go
@@ -16,7 +16,7 @@
 	digest.Pin(t, 6, []string{"3b0e77edce7fa610", "6c990500b456623e", "d4659259a1b752fc", "482b3953e7de6d29"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
 		all, number := items(900), uint64(5)
-		present := func() ([]config.Item, uint64, uint64) { return all, 3, number }
+		current := func() ([]config.Item, uint64, uint64) { return all, 3, number }
 		var cache Cache
 		var upload Upload
 		var req ReadRequest
@@ -27,7 +27,7 @@
 			if draw.IntN(12) == 0 {
 				all, number = items(600+draw.IntN(3)*150), number+1
 			}
-			chunk, err := cache.Serve(now, req, present)
+			chunk, err := cache.Serve(now, req, current)
 			d.Add(chunk, err, apierror.KindOf(err))
 			if err != nil || chunk.Done {
 				req = ReadRequest{}
--- a/internal/control/store/bench_test.go
+++ b/internal/control/store/bench_test.go
@@ -47,8 +47,8 @@
 	return bytes
 }
 
-// bareSyncs returns how long as many syncs of a plain file take that grows by as much, for comparison; sorted.
-func bareSyncs(t testing.TB, folder string) (took []time.Duration) {
+// plainFileSyncs returns how long as many syncs of a plain file take that grows by as much, for comparison; sorted.
+func plainFileSyncs(t testing.TB, folder string) (took []time.Duration) {
 	f, err := os.Create(filepath.Join(folder, "bare"))
 	qt.Assert(t, err, qt.IsNil)
 	defer os.Remove(f.Name())
@@ -86,7 +86,7 @@
 		}
 		b.ReportMetric(float64(time.Since(began).Milliseconds()), "ms-all-items")
 		loaded, most := sizeOf(b, folder), int64(0)
-		draw := rand.New(rand.NewPCG(1, 1))
+		rng := rand.New(rand.NewPCG(1, 1))
 		var took []time.Duration
 		compactions := func() (n int) {
 			for level := range 3 {
@@ -97,37 +97,37 @@
 			}
 			return n
 		}
-		last, turns := compactions(), 0
-		var turning []time.Duration
+		last, compacted := compactions(), 0
+		var duringCompaction []time.Duration
 		for n := range manyChanges {
-			i := route(draw.IntN(manyRoutes), uint64(n+2))
+			i := route(rng.IntN(manyRoutes), uint64(n+2))
 			if n%3 > 0 {
-				i = quota(draw.IntN(manyQuotas), uint64(n+2))
+				i = quota(rng.IntN(manyQuotas), uint64(n+2))
 			}
 			began := time.Now()
 			err := store.Write([]config.Item{i}, map[string][]byte{"number": fmt.Append(nil, n), "acceptor": bytes.Repeat([]byte("a"), 300)}, false)
 			qt.Assert(b, err, qt.IsNil)
 			took = append(took, time.Since(began))
 			if now := compactions(); now != last { // files were made or went during this write, or right before it
-				last, turns = now, turns+1
-				turning = append(turning, took[n])
+				last, compacted = now, compacted+1
+				duringCompaction = append(duringCompaction, took[n])
 			}
 			if n%100 == 0 {
 				most = max(most, sizeOf(b, folder))
 			}
 		}
-		bare := bareSyncs(b, folder)
+		bare := plainFileSyncs(b, folder)
 		slices.Sort(took)
-		slices.Sort(turning)
+		slices.Sort(duringCompaction)
 		ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 		b.ReportMetric(ms(took[len(took)/2]), "ms-p50")
 		b.ReportMetric(ms(took[len(took)*99/100]), "ms-p99")
 		b.ReportMetric(ms(took[len(took)-1]), "ms-worst")
 		b.ReportMetric(ms(bare[len(bare)*99/100]), "ms-p99-bare")
 		b.ReportMetric(ms(bare[len(bare)-1]), "ms-worst-bare")
-		b.ReportMetric(float64(turns), "compactions")
-		if turns > 0 {
-			b.ReportMetric(ms(turning[turns-1]), "ms-worst-compacting")
+		b.ReportMetric(float64(compacted), "compactions")
+		if compacted > 0 {
+			b.ReportMetric(ms(duringCompaction[compacted-1]), "ms-worst-compacting")
 		}
 		b.ReportMetric(float64(loaded)/1e6, "MB-loaded")
 		b.ReportMetric(float64(max(most, sizeOf(b, folder)))/1e6, "MB-most")
--- a/internal/control/store/damage.go
+++ b/internal/control/store/damage.go
@@ -13,8 +13,8 @@
 	return scan.damaged()
 }
 
-// versionLogDamaged is Damaged for a manifest file, which has the same format and is synced as a journal is.
-func versionLogDamaged(file []byte) bool {
+// manifestDamaged is Damaged for a manifest file, which has the same format and is synced as a journal is.
+func manifestDamaged(file []byte) bool {
 	scan := logScan{file: file, isComplete: isCompleteEdit, minZeros: minUnwritten}
 	return scan.damaged()
 }
@@ -51,7 +51,7 @@
 			if s.damagedBefore(start+at, kind) {
 				return true
 			}
-			if beginsRecord(kind) {
+			if startsRecord(kind) {
 				s.record = s.record[:0]
 			}
 			s.record = append(s.record, block[at+chunkHeaderSize:at+length]...)
@@ -75,7 +75,7 @@
 		return false
 	}
 	s.torn = s.torn || s.unwritten(s.damagedAt, chunk)
-	return !s.torn || beginsRecord(kind)
+	return !s.torn || startsRecord(kind)
 }
 
 // endDamaged reports whether the bad bytes at the end of the file, if any, are damage and not a torn record.
@@ -94,7 +94,7 @@
 		return true // it exceeds the end of its block
 	}
 	var record []byte
-	if !beginsRecord(rest[typeOffset]) {
+	if !startsRecord(rest[typeOffset]) {
 		record = s.record
 	}
 	return s.isComplete(append(bytes.Clone(record), rest[chunkHeaderSize:]...))
--- a/internal/control/store/damage_test.go
+++ b/internal/control/store/damage_test.go
@@ -51,7 +51,7 @@
 
 // Of the last record a power loss leaves the beginning, or sectors that were never written; a record that is there to its end and bad
 // is damaged, also where its length is.
-func TestTheLastRecord(t *testing.T) {
+func TestDamageInLastRecord(t *testing.T) {
 	_, _, raw := smallStore(t, 5)
 	last := 0
 	for at := 0; at < len(raw); {
@@ -96,7 +96,7 @@
 			return
 		}
 		Damaged(b)
-		versionLogDamaged(b)
+		manifestDamaged(b)
 		for _, file := range []storage.FileType{storage.TypeJournal, storage.TypeManifest} {
 			s, fd, _ := smallStore(t, 4)
 			if file == storage.TypeManifest {
@@ -115,11 +115,11 @@
 			return
 		}
 		s, fd, good := smallStore(t, 4)
-		place := int(at) % len(good)
-		if place == len(good)-1 && good[place] == x { // reads as a write that did not come through
+		offset := int(at) % len(good)
+		if offset == len(good)-1 && good[offset] == x { // reads as a write that did not come through
 			return
 		}
-		good[place] ^= x
+		good[offset] ^= x
 		w, err := s.Create(fd)
 		qt.Assert(t, err, qt.IsNil)
 		w.Write(good)
@@ -130,7 +130,7 @@
 		}
 		defer store.Close()
 		if complete && (len(items) != 3 || !bytes.Equal(records["number"], []byte{3})) {
-			t.Fatalf("byte %d ^ %x: %d items, %v, said to be complete", place, x, len(items), records)
+			t.Fatalf("byte %d ^ %x: %d items, %v, said to be complete", offset, x, len(items), records)
 		}
 	})
 }
--- a/internal/control/store/logformat.go
+++ b/internal/control/store/logformat.go
@@ -46,8 +46,8 @@
 	return int(binary.LittleEndian.Uint16(chunk[lengthOffset:]))
 }
 
-// beginsRecord reports whether a chunk of a type is the first one of a record.
-func beginsRecord(kind byte) bool { return kind <= firstType }
+// startsRecord reports whether a chunk of a type is the first one of a record.
+func startsRecord(kind byte) bool { return kind <= firstType }
 
 // fieldReader reads the fields of a record.
 type fieldReader struct{ rest []byte }
--- a/internal/control/store/marker.go
+++ b/internal/control/store/marker.go
@@ -60,7 +60,7 @@
 			return false, fmt.Errorf("%v: %w", file, err)
 		}
 		if file.Type == storage.TypeManifest {
-			damaged = damaged || versionLogDamaged(raw)
+			damaged = damaged || manifestDamaged(raw)
 		} else {
 			damaged = damaged || Damaged(raw)
 		}
