--- a/internal/control/store/bench_test.go
+++ b/internal/control/store/bench_test.go
@@ -17,7 +17,7 @@
 	"portflow/internal/cluster/config"
 )
 
-// The size that the design is made for.
+// The largest configuration that the design targets, and the number of changes written to it.
 const (
 	manyRoutes  = 3200
 	manyQuotas  = 33000
@@ -47,7 +47,7 @@
 	return bytes
 }
 
-// plainFileSyncs returns how long as many syncs of a plain file take that grows by as much, for comparison; sorted.
+// plainFileSyncs is the baseline: it returns the sorted durations of manyChanges appends to a plain file, each fsynced.
 func plainFileSyncs(t testing.TB, folder string) (took []time.Duration) {
 	f, err := os.Create(filepath.Join(folder, "bare"))
 	qt.Assert(t, err, qt.IsNil)
@@ -63,9 +63,9 @@
 	return took
 }
 
-// BenchmarkAtSize writes the size that the design is made for and then ten thousand changes, one synced write each, to a real disk. It
-// reports how long writes took, how many of them began while the database compacted, the size on disk, and how long the next start
-// takes. Bounded: go test -bench AtSize -benchtime 1x ./internal/control/store; TMPDIR chooses the disk.
+// BenchmarkAtSize writes the largest configuration that the design targets and then manyChanges changes, one synced write each, to a real
+// disk. It reports the latency of the writes, how many of them coincided with a compaction, the size on disk, and the time to open and to
+// reopen the store. Run it with -benchtime 1x; TMPDIR selects the disk.
 func BenchmarkAtSize(b *testing.B) {
 	for range b.N {
 		folder := b.TempDir()
@@ -108,7 +108,7 @@
 			err := store.Write([]config.Item{i}, map[string][]byte{"number": fmt.Append(nil, n), "acceptor": bytes.Repeat([]byte("a"), 300)}, false)
 			qt.Assert(b, err, qt.IsNil)
 			took = append(took, time.Since(began))
-			if now := compactions(); now != last { // files were made or went during this write, or right before it
+			if now := compactions(); now != last { // tables were created or removed during this write or just before it
 				last, compacted = now, compacted+1
 				duringCompaction = append(duringCompaction, took[n])
 			}
--- a/internal/control/store/damage.go
+++ b/internal/control/store/damage.go
@@ -2,35 +2,35 @@
 
 import "bytes"
 
-// Damaged reports whether a journal has bad bytes in a record that was synced.
+// Damaged reports whether a journal is corrupted, as opposed to ending in a torn write.
 //
-// Each write is synced before the next one begins, so that a power loss can only tear the last record: what is bad before another
-// record was damaged later. Of the last record a power loss leaves the beginning, or sectors that were never written, which read as
-// zeros; a record that is there to its end, and bad, was damaged too. What may be either is taken for damage, which costs a catch-up,
-// unless the last byte is zero.
+// Each record is fsynced before the next one is written, so a power loss can tear only the last record. Invalid bytes before a later
+// record are therefore corruption. A torn record either is cut short or has sectors that were never written and read as zeros; a last
+// record that is present to its end but invalid is corrupted too. Ambiguous cases count as corruption, which costs a catch-up from
+// other control processes, unless the last byte of the journal is zero.
 func Damaged(journal []byte) bool {
 	scan := logScan{file: journal, isComplete: isCompleteBatch, minZeros: 1}
 	return scan.damaged()
 }
 
-// manifestDamaged is Damaged for a manifest file, which has the same format and is synced as a journal is.
-func manifestDamaged(file []byte) bool {
+// versionLogDamaged is like Damaged for a manifest file, which has the same format and whose records are also fsynced one by one.
+func versionLogDamaged(file []byte) bool {
 	scan := logScan{file: file, isComplete: isCompleteEdit, minZeros: minUnwritten}
 	return scan.damaged()
 }
 
-// logScan looks for damage in a file of the log format.
+// logScan checks a file of the LevelDB log format for corruption.
 type logScan struct {
 	file       []byte
-	isComplete func([]byte) bool // whether bytes are a record to its end, which its beginning is not
-	minZeros   int               // zeros at the end of the file that are no part of a record
+	isComplete func([]byte) bool // reports whether the bytes are an entire record; false for a prefix of one
+	minZeros   int               // minimum number of zeros at the end of the file that count as never written
 
-	record    []byte // the valid chunks of the record that is not at its end
-	damagedAt int    // offset of the first bad byte, -1 if there is none
-	torn      bool   // the bad bytes were never written
+	record    []byte // data of the current record, from the valid chunks read so far
+	damagedAt int    // offset of the first invalid byte, -1 if none was found
+	torn      bool   // some of the invalid bytes were never written
 }
 
-// damaged reads the file once.
+// damaged scans the file once, block by block.
 func (s *logScan) damaged() bool {
 	s.damagedAt = -1
 	for start := 0; start < len(s.file); start += blockSize {
@@ -41,7 +41,8 @@
 	return s.endDamaged()
 }
 
-// blockDamaged reads the block at an offset. It reports whether a valid chunk follows on bad bytes that are no torn record.
+// blockDamaged scans the block at offset start. It reports whether a valid chunk follows invalid bytes that a torn write does not
+// explain.
 func (s *logScan) blockDamaged(start int) bool {
 	block := s.file[start:min(start+blockSize, len(s.file))]
 	for at := 0; at < len(block); {
@@ -56,7 +57,7 @@
 			}
 			s.record = append(s.record, block[at+chunkHeaderSize:at+length]...)
 			at += length
-		case len(block)-at < chunkHeaderSize && len(block) == blockSize: // the trailer of a block
+		case len(block)-at < chunkHeaderSize && len(block) == blockSize: // block trailer
 			at = len(block)
 		default: // the next chunk may begin at any byte
 			if s.damagedAt < 0 {
@@ -68,8 +69,8 @@
 	return false
 }
 
-// damagedBefore reports whether bad bytes before a valid chunk show damage. They don't if they were never written, and the chunk is
-// a later one of the same record.
+// damagedBefore reports whether the invalid bytes before the valid chunk at offset chunk are corruption. They are not if some of them
+// were never written and the chunk continues a record: then the last write is torn in its middle.
 func (s *logScan) damagedBefore(chunk int, kind byte) bool {
 	if s.damagedAt < 0 {
 		return false
@@ -78,7 +79,7 @@
 	return !s.torn || startsRecord(kind)
 }
 
-// endDamaged reports whether the bad bytes at the end of the file, if any, are damage and not a torn record.
+// endDamaged reports whether the invalid bytes at the end of the file, if any, are corruption rather than a torn record.
 func (s *logScan) endDamaged() bool {
 	if s.damagedAt < 0 || s.torn || s.unwritten(s.damagedAt, len(s.file)) {
 		return false
@@ -88,10 +89,10 @@
 		return false
 	}
 	if chunkHeaderSize+dataLength(rest) <= len(rest) {
-		return true // the chunk is there to its end
+		return true // the entire chunk is present
 	}
 	if s.damagedAt/blockSize != (len(s.file)-1)/blockSize {
-		return true // it exceeds the end of its block
+		return true // by its length, the chunk crosses a block boundary
 	}
 	var record []byte
 	if !startsRecord(rest[typeOffset]) {
@@ -101,11 +102,12 @@
 }
 
 const (
-	sectorSize   = 512 // bytes that a disk writes completely or not at all
-	minUnwritten = 8   // zeros that are no part of a number in a record
+	sectorSize   = 512 // bytes that a disk writes atomically
+	minUnwritten = 8   // minimum length of a zeroed range that counts as never written; no number in a record has as many zeros
 )
 
-// unwritten reports whether a part of the bytes that lies in one sector is all zeros, or the file ends with enough of them.
+// unwritten reports whether some of the bytes from start to end were never written. It takes that for granted if the bytes that lie in
+// one sector are at least minUnwritten and all zero, or if the range reaches the end of the file and ends with minZeros zeros.
 func (s *logScan) unwritten(start, end int) bool {
 	for at := start; at < end; {
 		next := min(end, at-at%sectorSize+sectorSize)
--- a/internal/control/store/damage_test.go
+++ b/internal/control/store/damage_test.go
@@ -14,7 +14,7 @@
 	"portflow/internal/cluster/config"
 )
 
-// smallStore is a storage in memory with a few writes in its journal.
+// smallStore returns an in-memory storage whose journal has the given number of writes, and the descriptor and contents of the journal.
 func smallStore(t testing.TB, writes int) (storage.Storage, storage.FileDesc, []byte) {
 	s := storage.NewMemStorage()
 	store, _, _, _, err := Open(s)
@@ -38,7 +38,7 @@
 	return raw
 }
 
-// encodeJournal encodes records as full chunks.
+// encodeJournal encodes each record as one full chunk.
 func encodeJournal(records ...[]byte) (b []byte) {
 	for _, r := range records {
 		sum := crc32.Checksum(append([]byte{fullType}, r...), castagnoli)
@@ -49,8 +49,8 @@
 	return b
 }
 
-// Of the last record a power loss leaves the beginning, or sectors that were never written; a record that is there to its end and bad
-// is damaged, also where its length is.
+// A last record that is truncated or has unwritten sectors is a torn write; one that is present to its end but invalid is corrupted, even
+// if the invalid field is its length.
 func TestDamageInLastRecord(t *testing.T) {
 	_, _, raw := smallStore(t, 5)
 	last := 0
@@ -67,24 +67,25 @@
 		b    []byte
 		want bool
 	}{
-		"good":                       {raw, false},
-		"cut in its head":            {raw[:last+5], false},
-		"cut after its head":         {raw[:last+chunkHeaderSize], false},
-		"cut before its end":         {raw[:len(raw)-1], false},
-		"a bad sum":                  {bad(last, 1), true},
-		"a longer length":            {bad(last+4, 0x80), true},
-		"a shorter length":           {bad(last+4, 1), true},
-		"a length over the block":    {bad(last+5, 0xff), true},
-		"a bad kind":                 {bad(last+6, 0xf0), true},
-		"a bad byte":                 {bad(len(raw)-2, 4), true},
-		"zeros to the end":           {append(bytes.Clone(raw[:last+20]), make([]byte, len(raw)-last-20)...), false},
-		"bad, and a good one behind": {append(bad(last, 1), raw[:40]...), true},
+		"good":                              {raw, false},
+		"truncated in its header":           {raw[:last+5], false},
+		"truncated after its header":        {raw[:last+chunkHeaderSize], false},
+		"truncated before its end":          {raw[:len(raw)-1], false},
+		"invalid checksum":                  {bad(last, 1), true},
+		"length too large":                  {bad(last+4, 0x80), true},
+		"length too small":                  {bad(last+4, 1), true},
+		"length beyond the block":           {bad(last+5, 0xff), true},
+		"invalid chunk type":                {bad(last+6, 0xf0), true},
+		"flipped bit in the data":           {bad(len(raw)-2, 4), true},
+		"zeros to the end":                  {append(bytes.Clone(raw[:last+20]), make([]byte, len(raw)-last-20)...), false},
+		"invalid record before a valid one": {append(bad(last, 1), raw[:40]...), true},
 	} {
 		t.Run(name, func(t *testing.T) { qt.Check(t, Damaged(x.b), qt.Equals, x.want) })
 	}
 }
 
-// Any bytes for a journal: the reader neither crashes nor takes a good journal with one bad byte for complete.
+// Arbitrary bytes as a journal or manifest file must not crash the reader. A valid journal with one corrupted byte must not be reported as
+// complete with items or records missing.
 func FuzzJournal(f *testing.F) {
 	_, _, raw := smallStore(f, 4)
 	f.Add(raw, uint16(3), byte(1))
@@ -96,13 +97,13 @@
 			return
 		}
 		Damaged(b)
-		manifestDamaged(b)
+		versionLogDamaged(b)
 		for _, file := range []storage.FileType{storage.TypeJournal, storage.TypeManifest} {
 			s, fd, _ := smallStore(t, 4)
 			if file == storage.TypeManifest {
 				fd, _ = s.GetMeta()
 			}
-			w, err := s.Create(fd) // in the place of the good one
+			w, err := s.Create(fd) // replaces the valid file
 			qt.Assert(t, err, qt.IsNil)
 			w.Write(b)
 			w.Close()
@@ -116,7 +117,7 @@
 		}
 		s, fd, good := smallStore(t, 4)
 		offset := int(at) % len(good)
-		if offset == len(good)-1 && good[offset] == x { // reads as a write that did not come through
+		if offset == len(good)-1 && good[offset] == x { // indistinguishable from a torn write
 			return
 		}
 		good[offset] ^= x
@@ -130,7 +131,7 @@
 		}
 		defer store.Close()
 		if complete && (len(items) != 3 || !bytes.Equal(records["number"], []byte{3})) {
-			t.Fatalf("byte %d ^ %x: %d items, %v, said to be complete", offset, x, len(items), records)
+			t.Fatalf("byte %d ^ %x: %d items, records %v, but reported as complete", offset, x, len(items), records)
 		}
 	})
 }
--- a/internal/control/store/folder.go
+++ b/internal/control/store/folder.go
@@ -9,7 +9,7 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// OpenDir opens a directory as the storage of a store. Only one process can have it open.
+// OpenDir opens a directory as the backend of a Store, and creates it if it does not exist. Only one process at a time can have it open.
 func OpenDir(path string) (storage.Storage, error) {
 	s, err := storage.OpenFile(path, false)
 	if err != nil {
@@ -18,18 +18,18 @@
 	return &dirSyncStorage{Storage: s, syncDir: func() error { return syncDirectory(path) }}, nil
 }
 
-// dirSyncStorage makes the names of files durable. Until the directory itself is synced, a power loss may take a file that was synced,
-// and bring back one that was removed. The database syncs the directory only with a manifest file: it writes synced data to a new journal
-// before that, and a synced manifest file may name a table whose name is lost.
+// dirSyncStorage makes directory entries durable. Until the directory itself is fsynced, a power loss may lose a file whose contents
+// were fsynced, or bring back one that was removed. The database fsyncs the directory only after a manifest file. That is too late for a
+// new journal, which may already have fsynced records, and for a new table, to which the fsynced manifest file already refers.
 type dirSyncStorage struct {
 	storage.Storage
-	syncDir func() error // syncs the directory
+	syncDir func() error // fsyncs the directory
 }
 
 var _ storage.Storage = (*dirSyncStorage)(nil)
 
-// Create creates a file and makes its name durable before anything is written to it. The name of a manifest file is durable once the
-// database has synced the manifest file.
+// Create creates a file and fsyncs the directory before anything is written to the file. For a manifest file the database itself fsyncs
+// the directory, with each fsync of the file.
 func (s *dirSyncStorage) Create(fd storage.FileDesc) (storage.Writer, error) {
 	w, err := s.Storage.Create(fd)
 	if err != nil || fd.Type == storage.TypeManifest {
@@ -37,13 +37,13 @@
 	}
 	if err := s.syncDir(); err != nil {
 		_ = w.Close() // nothing was written to it
-		return nil, fmt.Errorf("%v: syncing its folder: %w", fd, err)
+		return nil, fmt.Errorf("%v: syncing the directory: %w", fd, err)
 	}
 	return w, nil
 }
 
-// Remove removes a file. The database tolerates it if one of its own files is back after a power loss; the damage marker must not be,
-// as a disk with it counts as lost.
+// Remove removes a file. The database tolerates that one of its own files reappears after a power loss, so only the removal of the damage
+// marker is fsynced: were it to reappear, a disk that has caught up would count as incomplete again.
 func (s *dirSyncStorage) Remove(fd storage.FileDesc) error {
 	err := s.Storage.Remove(fd)
 	if err != nil || fd != damageMarker {
@@ -52,7 +52,7 @@
 	return s.syncDir()
 }
 
-// syncDirectory syncs a directory. File systems that can't sync one say so by EINVAL.
+// syncDirectory fsyncs a directory. It ignores EINVAL, which file systems return that can't fsync directories.
 func syncDirectory(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/control/store/folder_test.go
+++ b/internal/control/store/folder_test.go
@@ -14,21 +14,21 @@
 	"portflow/internal/cluster/config"
 )
 
-// unsyncedEntries is a directory that records which names a power loss may take: of files that were created or removed since the
-// directory was last synced.
+// unsyncedEntries wraps the storage of a directory and tracks the directory entries that a power loss may undo: those of files created or
+// removed since the directory was last fsynced.
 type unsyncedEntries struct {
 	storage.Storage
 	path string
 
-	mu             sync.Mutex
-	created        map[storage.FileDesc]bool
-	removed        map[string][]byte // by file name, what it held
-	journals       int               // that were made
-	onManifestSync func()            // after a manifest file was synced, before the folder is
-	tableGate      chan struct{}     // tables are made once it is closed; nil for at once
+	mu            sync.Mutex
+	created       map[storage.FileDesc]bool
+	removed       map[string][]byte // contents by file name
+	journals      int               // number of journals created
+	beforeDirSync func()            // called after a manifest file was fsynced and before the directory is; may be nil
+	tableGate     chan struct{}     // if not nil, creating a table blocks until it is closed
 }
 
-// openUnsynced opens a directory by OpenDir, with the syncs of the directory recorded.
+// openUnsynced opens a directory with OpenDir and tracks its unsynced entries. The second result is the backend to pass to Open.
 func openUnsynced(t *testing.T, path string) (*unsyncedEntries, storage.Storage) {
 	s, err := OpenDir(path)
 	qt.Assert(t, err, qt.IsNil)
@@ -68,7 +68,7 @@
 	}
 	w, err := u.Storage.Create(fd)
 	if fd.Type == storage.TypeManifest && err == nil {
-		w = &manifestWriter{w, u}
+		w = &syncHookWriter{w, u}
 	}
 	return w, err
 }
@@ -88,29 +88,29 @@
 	return err
 }
 
-// manifestWriter writes a manifest file, which the database syncs with its directory.
-type manifestWriter struct {
+// syncHookWriter writes a manifest file. The file storage of the database fsyncs the directory after each fsync of a manifest file.
+type syncHookWriter struct {
 	storage.Writer
 	u *unsyncedEntries
 }
 
-func (w *manifestWriter) Sync() error {
+func (w *syncHookWriter) Sync() error {
 	err := w.Writer.Sync()
-	if w.u.onManifestSync != nil {
-		w.u.onManifestSync()
+	if w.u.beforeDirSync != nil {
+		w.u.beforeDirSync()
 	}
 	w.u.markSynced()
 	return err
 }
 
-// fileName returns the database's name of a file.
+// fileName returns the name that the file storage of the database gives to a file.
 func fileName(fd storage.FileDesc) string {
 	return fmt.Sprintf("%06d.%s", fd.Num, map[storage.FileType]string{
 		storage.TypeJournal: "log", storage.TypeTable: "ldb", storage.TypeTemp: "tmp"}[fd.Type])
 }
 
-// powerLoss returns a copy of the directory as a power loss may leave it: without the names that were created, and with those that were
-// removed, since it was last synced.
+// powerLoss returns the path of a copy of the directory as a power loss may leave it: without the files created and with the files removed
+// since the directory was last fsynced.
 func (u *unsyncedEntries) powerLoss(t *testing.T) string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -135,7 +135,7 @@
 	return path
 }
 
-// reopened returns what a store in a folder holds at the next start.
+// reopenDir opens the store in a directory as the next start would, and returns the names of its items.
 func reopenDir(t *testing.T, path string) (names map[string]bool, complete, repaired bool) {
 	s, err := OpenDir(path)
 	qt.Assert(t, err, qt.IsNil)
@@ -150,20 +150,20 @@
 	return names, complete, store.Repaired
 }
 
-// long returns an item of a tenth of a megabyte.
+// largeItem returns an item of about 100 kB.
 func largeItem(n int) config.Item {
 	body := fmt.Sprintf(`{"a":"%0100000d"}`, n)
 	return config.Item{Kind: config.KindRoutes, Name: fmt.Sprint("r", n), Version: 1, Body: []byte(body)}
 }
 
-// Writes that returned outlast a power loss right after the database has begun a new journal, before it has synced the directory by itself.
+// Acknowledged writes must survive a power loss right after the database started a new journal and before it fsyncs the directory itself.
 func TestNewJournalSurvivesPowerLoss(t *testing.T) {
 	c := qt.New(t)
 	u, s := openUnsynced(t, t.TempDir())
 	store, _, _, _, err := Open(s)
 	c.Assert(err, qt.IsNil)
 	u.mu.Lock()
-	u.tableGate, u.journals = make(chan struct{}), 0 // as on a slow disk
+	u.tableGate, u.journals = make(chan struct{}), 0 // delays tables, as a slow disk does
 	u.mu.Unlock()
 	written := 0
 	for ; u.journals == 0; written++ {
@@ -180,16 +180,16 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// A power loss between the sync of the manifest file and that of the directory does no damage.
+// A power loss between the fsyncs of the manifest file and of the directory must not lose a table that the manifest file refers to.
 func TestNewTableSurvivesPowerLoss(t *testing.T) {
 	c := qt.New(t)
 	u, s := openUnsynced(t, t.TempDir())
 	store, _, _, _, err := Open(s)
 	c.Assert(err, qt.IsNil)
 	var images []string
-	u.onManifestSync = func() { images = append(images, u.powerLoss(t)) }
+	u.beforeDirSync = func() { images = append(images, u.powerLoss(t)) }
 	c.Assert(store.Write([]config.Item{largeItem(0)}, nil, true), qt.IsNil)
-	var many []config.Item // over what the store takes in one write of its journal
+	var many []config.Item // larger than the write buffer, so that the database writes them to a table
 	for n := range 15 {
 		many = append(many, largeItem(n+1))
 	}
@@ -202,7 +202,7 @@
 	}
 }
 
-// The damage marker of a disk that has caught up isn't back after a power loss: the disk would count as lost once more.
+// Once the state is complete again, the removal of the damage marker must survive a power loss.
 func TestDamageMarkerStaysRemoved(t *testing.T) {
 	c := qt.New(t)
 	u, s := openUnsynced(t, t.TempDir())
@@ -216,7 +216,7 @@
 	c.Assert(store.Close(), qt.IsNil)
 }
 
-// If the sync of the directory fails as the database begins a new journal, that write is an error; the same write once more succeeds and lasts.
+// If the fsync of the directory fails when the database starts a new journal, the write fails, and its retry succeeds and is durable.
 func TestDirectorySyncFailure(t *testing.T) {
 	c := qt.New(t)
 	u, s := openUnsynced(t, t.TempDir())
@@ -232,7 +232,7 @@
 		defer u.mu.Unlock()
 		if u.journals == 1 && injected == 0 {
 			injected++
-			return fmt.Errorf("the disk refuses")
+			return fmt.Errorf("injected directory sync failure")
 		}
 		u.mu.Unlock()
 		err := origSync()
--- a/internal/control/store/logformat.go
+++ b/internal/control/store/logformat.go
@@ -5,9 +5,9 @@
 	"hash/crc32"
 )
 
-// The LevelDB log format (doc/log_format.md of LevelDB), which a journal and a manifest file have: blocks of 32 KB that hold chunks, each a
-// masked CRC-32C of four bytes, a length of two bytes, a type and the data. A record is one full chunk, or a first, any number of
-// middle ones and a last one.
+// The LevelDB log format (doc/log_format.md of LevelDB), used by each journal and manifest file. A file consists of 32 KB blocks of chunks.
+// A chunk has a masked CRC-32C (4 bytes), the length of its data (2 bytes), a type (1 byte) and the data. A record is either one full
+// chunk, or a first chunk, any number of middle chunks and a last chunk.
 const (
 	blockSize       = 32 << 10
 	chunkHeaderSize = 7
@@ -21,10 +21,10 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// maskCRC returns a checksum as it is stored: LevelDB masks it, as the CRC of data that holds its own CRC is a poor one.
+// maskCRC returns a checksum in its stored form. LevelDB masks CRCs because the CRC of data that embeds CRCs is weak.
 func maskCRC(sum uint32) uint32 { return (sum>>15 | sum<<17) + crcMaskDelta }
 
-// readChunk returns the type of the chunk at the beginning of b, and its length with the header; 0 if there is no valid chunk.
+// readChunk returns the type of the chunk at the beginning of b and its length including the header. Both are 0 if the chunk is invalid.
 func readChunk(b []byte) (kind byte, length int) {
 	if len(b) < chunkHeaderSize {
 		return 0, 0
@@ -41,18 +41,18 @@
 	return kind, length
 }
 
-// dataLength returns the length of a chunk's data, by its header.
+// dataLength returns the length of the data according to the chunk's header.
 func dataLength(chunk []byte) int {
 	return int(binary.LittleEndian.Uint16(chunk[lengthOffset:]))
 }
 
-// startsRecord reports whether a chunk of a type is the first one of a record.
+// startsRecord reports whether a chunk of this type is the first one of a record.
 func startsRecord(kind byte) bool { return kind <= firstType }
 
-// fieldReader reads the fields of a record.
+// fieldReader reads consecutive fields of a record.
 type fieldReader struct{ rest []byte }
 
-// number reads a number of variable length.
+// number reads a uvarint.
 func (r *fieldReader) number() (n uint64, ok bool) {
 	n, size := binary.Uvarint(r.rest)
 	if size <= 0 {
@@ -62,7 +62,7 @@
 	return n, true
 }
 
-// skipBytes reads bytes with their length before them.
+// skipBytes skips a length-prefixed byte string. It returns false if the string is incomplete.
 func (r *fieldReader) skipBytes() bool {
 	n, ok := r.number()
 	if !ok || n > uint64(len(r.rest)) {
@@ -72,15 +72,15 @@
 	return true
 }
 
-// The format of a batch of writes, which is a record of a journal: a sequence number of eight bytes, a count of four, and for each
-// write its kind, the length of the key, the key, and unless it is a deletion the length of the value and the value.
+// A journal record is a batch of writes: a sequence number (8 bytes), the number of writes (4 bytes), and for each write its kind
+// (1 byte), the length-prefixed key and, for a put, the length-prefixed value.
 const (
 	batchHeaderSize  = 12
 	batchCountOffset = 8
 	batchKindPut     = 1
 )
 
-// isCompleteBatch reports whether b has all bytes of a batch; more bytes may follow.
+// isCompleteBatch reports whether b begins with an entire batch.
 func isCompleteBatch(b []byte) bool {
 	if len(b) < batchHeaderSize {
 		return false
@@ -103,8 +103,8 @@
 	return true
 }
 
-// editFields are the fields of a version edit, which is a record of a manifest file, by their tags. Each has its parts: n for a number, b
-// for bytes with their length before them (LevelDB's db/version_edit.cc).
+// editFields describes the fields of a version edit, the record of a manifest file (LevelDB's db/version_edit.cc), by tag. Each letter is
+// one component of the field: n is a uvarint, b a length-prefixed byte string.
 var editFields = map[uint64]string{
 	1: "b",     // comparator
 	2: "n",     // journal
@@ -116,7 +116,7 @@
 	9: "n",     // previous journal
 }
 
-// isCompleteEdit reports whether b is a version edit and nothing more.
+// isCompleteEdit reports whether b is an entire version edit without trailing bytes.
 func isCompleteEdit(b []byte) bool {
 	if len(b) == 0 {
 		return false
--- a/internal/control/store/marker.go
+++ b/internal/control/store/marker.go
@@ -8,18 +8,17 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// damageMarker is a file that says that the disk was found damaged and has not held the complete state since. The database leaves
-// files of this type alone.
+// damageMarker is a file that exists from when corruption was found until the disk holds the complete state again. The database leaves
+// existing files of this type alone.
 var damageMarker = storage.FileDesc{Type: storage.TypeTemp, Num: 1 << 30}
 
-// damageMarkerText is what the file holds.
 const damageMarkerText = "spoilt\n"
 
-// putDamageMarker writes the marker, synced.
+// putDamageMarker writes and fsyncs the damage marker.
 func putDamageMarker(backend storage.Storage) error {
 	w, err := backend.Create(damageMarker)
 	if err != nil {
-		return fmt.Errorf("marking: %w", err)
+		return fmt.Errorf("writing the damage marker: %w", err)
 	}
 	if _, err = io.WriteString(w, damageMarkerText); err == nil {
 		err = w.Sync()
@@ -28,12 +27,12 @@
 		err = closeErr
 	}
 	if err != nil {
-		return fmt.Errorf("marking: %w", err)
+		return fmt.Errorf("writing the damage marker: %w", err)
 	}
 	return nil
 }
 
-// removeDamageMarker removes the marker; it is no error if there is none.
+// removeDamageMarker removes the damage marker. It returns nil if there is none.
 func removeDamageMarker(backend storage.Storage) error {
 	if err := backend.Remove(damageMarker); err != nil && !os.IsNotExist(err) {
 		return fmt.Errorf("removing the damage marker: %w", err)
@@ -41,14 +40,16 @@
 	return nil
 }
 
-// maxJournalBytes bounds what is read of a journal: the database begins another one at a megabyte and the write that exceeds it.
+// maxJournalBytes limits how much of a journal or manifest file is read. The database starts a new journal when its write buffer, of
+// 1 MiB, is full, so that a journal exceeds that by one write at most.
 const maxJournalBytes = 32 << 20
 
-// findDamage looks for damaged journals and any manifest file, which the database would pass over silently, and for the marker.
+// findDamage reports whether a journal or a manifest file is corrupted, or the damage marker exists. The database itself skips corrupted
+// records silently.
 func findDamage(backend storage.Storage) (damaged bool, err error) {
 	files, err := backend.List(storage.TypeJournal | storage.TypeManifest | storage.TypeTemp)
 	if err != nil {
-		return false, fmt.Errorf("listing: %w", err)
+		return false, fmt.Errorf("listing files: %w", err)
 	}
 	for _, file := range files {
 		if file.Type == storage.TypeTemp {
@@ -60,7 +61,7 @@
 			return false, fmt.Errorf("%v: %w", file, err)
 		}
 		if file.Type == storage.TypeManifest {
-			damaged = damaged || manifestDamaged(raw)
+			damaged = damaged || versionLogDamaged(raw)
 		} else {
 			damaged = damaged || Damaged(raw)
 		}
--- a/internal/control/store/open.go
+++ b/internal/control/store/open.go
@@ -25,9 +25,9 @@
 	syncWrite = &opt.WriteOptions{Sync: true}
 )
 
-// Open opens the store in a storage, and returns the items and records in it. Where something on the disk is damaged, the rest is
-// returned and Repaired is set; then complete is false until a write says that the disk holds the complete state again. An error
-// means that the disk can't be read, or refuses the repair.
+// Open opens or creates the store in backend and returns its items and records, whose bytes the caller must not change. If data on disk
+// is corrupted, Open returns the rest and sets Repaired; complete is then false, also after later starts, until a write declares the
+// state complete again. Open fails if the disk can't be read or the repair can't be written.
 func Open(backend storage.Storage) (store *Store, items []config.Item, records map[string][]byte, complete bool, err error) {
 	store = &Store{
 		backend: backend,
@@ -61,15 +61,15 @@
 	store.Repaired = store.Repaired || err != nil
 	if store.Repaired {
 		if err := store.repair(unreadable); err != nil {
-			_ = store.db.Close() // the error of the repair says more
+			_ = store.db.Close() // report the repair's error instead
 			return nil, nil, nil, false, fmt.Errorf("store: repairing: %w", err)
 		}
 	}
 	return store, items, records, store.complete, nil
 }
 
-// openDB opens the database; repaired says that something on the disk is damaged. Opening rewrites the journals, and with them the
-// traces of damage, so that the marker must be on the disk before.
+// openDB opens the database. repaired reports whether corruption or the damage marker was found. Opening replaces the journals and so
+// destroys the evidence of corruption; the damage marker must be fsynced before that.
 func openDB(backend storage.Storage) (db *leveldb.DB, repaired bool, err error) {
 	if repaired, err = findDamage(backend); err != nil {
 		return nil, false, err
@@ -89,7 +89,8 @@
 	return db, repaired, err
 }
 
-// repair removes unreadable rows, and the row that says that the state is complete, which the next start would believe.
+// repair deletes the unreadable rows and the completeKey row, so that the next start does not take the state for complete. The damage
+// marker is fsynced first.
 func (s *Store) repair(unreadable *leveldb.Batch) error {
 	s.complete = false
 	s.damageMarked = true
@@ -100,7 +101,7 @@
 	return s.db.Write(unreadable, syncWrite)
 }
 
-// forEachRow calls visit for each row, in the order of keys. The bytes are valid until visit returns.
+// forEachRow calls visit for each row in key order. raw is valid only until visit returns.
 func forEachRow(db *leveldb.DB, visit func(key string, raw []byte)) error {
 	it := db.NewIterator(nil, nil)
 	defer it.Release()
@@ -110,16 +111,16 @@
 	return it.Error()
 }
 
-// reopen opens the database again after a refused write. The database takes no write after one, and would give the next one the
-// number of the refused one, so that the next start would pass over it. Where the disk differs from what was written before, reopen
-// adds the difference to the batch.
+// reopen reopens the database after a failed write. The database accepts no write after that; if it did, the next write would reuse the
+// sequence number of the failed one, and recovery would skip it. Where the rows on disk differ from those last written successfully,
+// reopen adds to batch what restores them. The caller holds lock.
 func (s *Store) reopen(batch *leveldb.Batch) error {
 	db, repaired, err := openDB(s.backend)
 	if err != nil {
 		return err
 	}
 	if err := s.addDifference(db, batch); err != nil {
-		_ = db.Close() // the error before says more
+		_ = db.Close() // report the error of addDifference instead
 		return err
 	}
 	s.db = db
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// addDifference adds to a batch what makes the rows of a database those that were written before.
+// addDifference adds to batch the puts and deletions that restore the last successfully written rows.
 func (s *Store) addDifference(db *leveldb.DB, batch *leveldb.Batch) error {
 	missing, err := s.writtenRows()
 	if err != nil {
@@ -150,7 +151,7 @@
 	return nil
 }
 
-// writtenRows returns the rows that the disk is to hold.
+// writtenRows returns the last successfully written rows, by key.
 func (s *Store) writtenRows() (map[string][]byte, error) {
 	rows := make(map[string][]byte, len(s.items)+len(s.records)+1)
 	for key, i := range s.items {
--- a/internal/control/store/replace_test.go
+++ b/internal/control/store/replace_test.go
@@ -8,7 +8,7 @@
 	"portflow/internal/cluster/config"
 )
 
-// Removed items leave the disk in the step that writes others, and are not there at the next start.
+// Replace writes and removes items in a single synced write, and removed items do not return when the store is opened again.
 func TestReplace(t *testing.T) {
 	c := qt.New(t)
 	s, _, _ := smallStore(c, 3)
--- a/internal/control/store/store.go
+++ b/internal/control/store/store.go
@@ -1,10 +1,10 @@
-// Package store owns what a control process keeps on its disk: the configuration items and the records of its consensus node, in
-// a goleveldb database. A write has lasted, synced, when its method returns without an error.
+// Package store persists the state of a control process in a goleveldb database: the configuration items and the records of its
+// consensus node. A write is fsynced when its method returns nil.
 //
-// The package never decides what is written, or in which order, and it repairs no contents: where bytes are lost, it says that the
-// state on the disk is not complete, and the caller gets the rest from other control processes.
+// The package does not decide what is written, or in which order, and it does not restore lost data: after corruption it reports the
+// state as incomplete, and the caller gets the missing part from other control processes.
 //
-// Begin reading at Open and Store.Replace. What a refused write leaves is mended by Store.reopen; how damage is found is in damage.go.
+// Start reading at Open and Store.Replace. Store.reopen recovers from a failed write; damage.go detects corruption.
 package store
 
 import (
@@ -19,47 +19,47 @@
 	"portflow/internal/cluster/config"
 )
 
-// Store is an open store. It is safe for concurrent use; its methods wait for the disk. It knows what the disk is to hold: the
-// items, whose bodies it shares with the caller and never changes, and the records.
+// Store is an open store. It is safe for concurrent use; its methods block on disk I/O. It keeps in memory what was last written
+// successfully. The caller must not change the bodies of items or the records after it has passed them to a method.
 type Store struct {
-	Syncs    atomic.Int64 // writes that waited for the disk
-	Reopened atomic.Int64 // times that the database was opened again after a refused write
-	Repaired bool         // Open found damage; doesn't change after it
+	Syncs    atomic.Int64 // synced writes, including failed ones
+	Reopened atomic.Int64 // times the database was reopened after a failed write
+	Repaired bool         // Open found corruption or the damage marker; constant after Open
 
-	// lock guards the fields below. It is a channel of one place, as its holder waits for the disk: goroutines that wait for a mutex
-	// would keep the virtual time of tests from passing.
+	// lock guards the fields below. It is a channel with one slot instead of a sync.Mutex because its holder blocks on disk I/O: a
+	// goroutine that waits for a mutex is not durably blocked in the sense of testing/synctest, and would stop the virtual time of tests.
 	lock         chan struct{}
 	backend      storage.Storage
-	db           *leveldb.DB // nil after a refused write
+	db           *leveldb.DB // nil after a failed write and after Close
 	closed       bool
-	damageMarked bool // the damage marker is on the disk
-	items        map[config.Key]config.Item
-	records      map[string][]byte
-	complete     bool // the disk holds the complete state
+	damageMarked bool                       // the damage marker is on disk
+	items        map[config.Key]config.Item // last successfully written
+	records      map[string][]byte          // last successfully written, by name
+	complete     bool                       // the disk holds the complete state
 }
 
-// The keys of rows: items and records by a prefix, and one row that says that this disk has held the complete state since its last
-// damage.
+// Row keys. Items and records have a prefix each. The row completeKey is written once the disk holds the complete state, and deleted when
+// corruption is found.
 const (
 	itemPrefix   = "i/"
 	recordPrefix = "c/"
 	completeKey  = "w"
 )
 
-// completeValue is the value of the row completeKey.
 var completeValue = []byte{1}
 
-// ErrClosed is returned by writes to a store that was closed.
+// ErrClosed is returned by writes after Close.
 var ErrClosed = errors.New("store: closed")
 
 func rowKey(k config.Key) string { return itemPrefix + k.Kind + "/" + k.Name }
 
-// Write is Replace without removed items.
+// Write is Replace with no items to remove.
 func (s *Store) Write(items []config.Item, records map[string][]byte, complete bool) error {
 	return s.Replace(items, nil, records, complete)
 }
 
-// Rewrite is Replace of all items: those that aren't among the given ones are removed.
+// Rewrite replaces all items: it removes those that are not among the given ones. Its write is otherwise that of Replace. It is not
+// atomic with concurrent writes: an item that another write adds meanwhile may remain.
 func (s *Store) Rewrite(items []config.Item, records map[string][]byte, complete bool) error {
 	wanted := make(map[config.Key]bool, len(items))
 	for _, i := range items {
@@ -76,7 +76,7 @@
 	return s.Replace(items, removed, records, complete)
 }
 
-// RemoveUnknown removes those of the items that aren't known any more, as evicted tombstones.
+// RemoveUnknown removes the given items for which known returns false, for example evicted tombstones. It writes nothing if all are known.
 func (s *Store) RemoveUnknown(items []config.Item, known func(config.Key) bool) error {
 	var unknown []config.Key
 	for _, i := range items {
@@ -90,9 +90,9 @@
 	return s.Replace(nil, unknown, nil, false)
 }
 
-// Replace writes items and records, and removes items, in one synced step. A record of nil is removed. complete says that the disk
-// holds the complete state with this step; false leaves it as it is. After an error the disk holds either all of the step or
-// nothing; the next write opens the database again, restores what was written before, and adds its own step.
+// Replace writes items and records and removes items in one atomic, fsynced batch. A nil record is removed. complete declares that the
+// disk holds the complete state once the batch is written; false leaves the flag unchanged. If the write fails, the disk has either the
+// entire batch or nothing of it; the next write reopens the database, restores the state before the failed batch and adds its own batch.
 func (s *Store) Replace(items []config.Item, removed []config.Key, records map[string][]byte, complete bool) error {
 	s.lock <- struct{}{}
 	defer func() { <-s.lock }()
@@ -102,7 +102,7 @@
 	batch := new(leveldb.Batch)
 	if s.db == nil {
 		if err := s.reopen(batch); err != nil {
-			return fmt.Errorf("store: opening again: %w", err)
+			return fmt.Errorf("store: reopening the database: %w", err)
 		}
 	}
 	if err := fillBatch(batch, items, removed, records, complete); err != nil {
@@ -110,19 +110,19 @@
 	}
 	s.Syncs.Add(1)
 	if err := s.db.Write(batch, syncWrite); err != nil {
-		_ = s.db.Close() // the error of the write says more
+		_ = s.db.Close() // report the write's error instead
 		s.db = nil
 		return fmt.Errorf("store: %w", err)
 	}
 	s.noteWritten(items, removed, records, complete)
 	if s.damageMarked && s.complete {
-		// A marker that can't be removed only costs a catch-up at the next start; the next write tries again.
+		// If the marker can't be removed, the next write retries; a restart before that only costs another catch-up.
 		s.damageMarked = removeDamageMarker(s.backend) != nil
 	}
 	return nil
 }
 
-// fillBatch adds a step to a batch.
+// fillBatch adds the puts and deletions of a Replace to batch.
 func fillBatch(batch *leveldb.Batch, items []config.Item, removed []config.Key, records map[string][]byte, complete bool) error {
 	for _, key := range removed {
 		batch.Delete([]byte(rowKey(key)))
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// noteWritten notes what the disk holds after a step.
+// noteWritten updates the state in memory after a successful write. The caller holds lock.
 func (s *Store) noteWritten(items []config.Item, removed []config.Key, records map[string][]byte, complete bool) {
 	for _, key := range removed {
 		delete(s.items, key)
@@ -165,7 +165,7 @@
 	s.complete = s.complete || complete
 }
 
-// Close closes the store; later writes return ErrClosed. It waits for a write that is under way.
+// Close waits for a write in progress and closes the database, but not the backend. Later writes return ErrClosed.
 func (s *Store) Close() error {
 	s.lock <- struct{}{}
 	defer func() { <-s.lock }()
