--- a/internal/control/snapshot/assembler.go
+++ b/internal/control/snapshot/assembler.go
@@ -11,36 +11,36 @@
 	"portflow/internal/cluster/config"
 )
 
-// The errors of Assembler.Add for a valid chunk that doesn't fit; other errors say what is wrong with its bytes.
+// Errors of Assembler.Add for a valid chunk that can't be added. All other errors mean that the chunk itself is invalid.
 var (
-	ErrOtherSnapshot = errors.New("a chunk of another snapshot")
-	ErrGap           = errors.New("the chunk does not follow")
-	ErrChecksum      = errors.New("the sum over all items is not the head's")
+	ErrOtherSnapshot = errors.New("the chunk belongs to another snapshot")
+	ErrGap           = errors.New("the chunk does not follow the items received")
+	ErrChecksum      = errors.New("the checksum of all items does not match the header")
 )
 
-// Assembler receives the chunks of a snapshot in their order and checks them. It holds no items. The zero value receives the
-// snapshot that its first chunk is of. It is not safe for concurrent use.
+// Assembler verifies the chunks of one snapshot, which must be added in order. It does not keep the items. The zero value is ready to
+// use and accepts the snapshot that its first chunk belongs to. It is not safe for concurrent use.
 type Assembler struct {
 	header   Header
 	started  bool
-	received int // items
-	bytes    int // of these items, encoded
+	received int // number of items received
+	bytes    int // encoded size of the items received
 	lastKey  config.Key
-	digest   hash.Hash // of the header's numbers and the items received
+	digest   hash.Hash // SHA-256 of the header's numbers and the items received
 	done     bool
 }
 
-// Header returns the header of the snapshot, and whether a chunk was received.
+// Header returns the header of the snapshot. It is the zero value until the first chunk was added; started is false until then.
 func (a *Assembler) Header() (header Header, started bool) { return a.header, a.started }
 
-// Received returns how many items were received: the next chunk begins with the item of this index.
+// Received returns the number of items received, which is also the index of the first item of the next chunk.
 func (a *Assembler) Received() int { return a.received }
 
-// Done reports whether all items were received and have the checksum of the header.
+// Done reports whether all items were received and their checksum matches the header.
 func (a *Assembler) Done() bool { return a.done }
 
-// Add receives a chunk and returns its items in their order; none for a chunk that was received before. After an error nothing has
-// changed, and the right chunk may follow. The items must not be used before Done.
+// Add verifies an encoded chunk and returns its items in key order, or no items if the chunk was added before. On error the Assembler is
+// unchanged, and the correct chunk can still be added. The items must not be used until Done reports true.
 func (a *Assembler) Add(raw []byte) ([]config.Item, error) {
 	c, err := decodeChunk(raw)
 	if err != nil {
@@ -53,7 +53,7 @@
 	case a.started && end <= a.received && (a.done || c.first < a.received):
 		return nil, nil
 	case c.first != a.received:
-		return nil, fmt.Errorf("%w: it begins with item %d, %d are there", ErrGap, c.first, a.received)
+		return nil, fmt.Errorf("%w: it begins with item %d, want item %d", ErrGap, c.first, a.received)
 	case a.bytes+len(c.encoded) > MaxBytes:
 		return nil, fmt.Errorf("snapshot: more than %d bytes of items", MaxBytes)
 	}
@@ -78,7 +78,7 @@
 	return c.items, nil
 }
 
-// checkOrder checks that the items of the next chunk follow in the order of keys, and returns the last key.
+// checkOrder checks that the keys of the next chunk continue in ascending order, and returns the last key.
 func (a *Assembler) checkOrder(c chunk) (lastKey config.Key, err error) {
 	lastKey = a.lastKey
 	for n, i := range c.items {
@@ -90,8 +90,8 @@
 	return lastKey, nil
 }
 
-// extendDigest returns the digest with the items of the next chunk. It doesn't change the assembler's own, as the chunk may be
-// refused.
+// extendDigest returns the digest extended by the items of the next chunk. It leaves a.digest unchanged, as Add may still reject the
+// chunk.
 func (a *Assembler) extendDigest(c chunk) (hash.Hash, error) {
 	digest := c.header.newHash()
 	if a.started {
@@ -104,7 +104,7 @@
 	return digest, nil
 }
 
-// cloneHash returns a copy of a SHA-256 that goes on by itself.
+// cloneHash returns an independent copy of a SHA-256 hash.
 func cloneHash(digest hash.Hash) (hash.Hash, error) {
 	state, err := digest.(encoding.BinaryMarshaler).MarshalBinary()
 	if err != nil {
--- a/internal/control/snapshot/cache.go
+++ b/internal/control/snapshot/cache.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	maxCached   = 2                // snapshots that a Cache keeps
-	idleTimeout = 30 * time.Second // after the last request of a transfer, when it is taken for abandoned
+	maxCached   = 2                // maximum number of snapshots in a Cache
+	idleTimeout = 30 * time.Second // a transfer without a request for this long counts as abandoned
 )
 
-// Cache keeps the snapshots that are being read, at most maxCached of them. It is not safe for concurrent use. Times are nanoseconds
-// of one clock.
+// Cache keeps the snapshots that are being read, at most maxCached of them, so that a reader can complete a transfer while the
+// configuration changes. The zero value is empty and ready to use. It is not safe for concurrent use. Times are in nanoseconds; all must
+// come from the same clock.
 type Cache struct{ snapshots map[string]*cachedSnapshot }
 
 type cachedSnapshot struct {
@@ -22,10 +23,10 @@
 	lastUsedAt int64
 }
 
-// Serve answers a request for a chunk. current returns the items of the set in the order of their keys, with the epoch and the
-// index; the items share their bodies with the set's, so that a snapshot costs some 90 bytes an item. The rest of a snapshot that is
-// not kept any more can be read from any process whose set is still the same; else the error is of kind NotFound, and the reader
-// must start again.
+// Serve returns the requested chunk. It calls current for the current items in key order, with their epoch and index, if the requested
+// snapshot is not cached. A cached snapshot shares the bodies of its items with the configuration, so that it costs only about 90 bytes
+// an item. A snapshot that is not cached can still be served while the current items are the same, also by another process; otherwise the
+// error is of kind NotFound and the reader must start over.
 func (c *Cache) Serve(now int64, req ReadRequest, current func() (items []config.Item, epoch, index uint64)) (ReadResponse, error) {
 	c.expire(now)
 	entry := c.snapshots[req.Snapshot]
@@ -36,7 +37,7 @@
 		}
 	}
 	if req.FirstItem < 0 || req.FirstItem > len(entry.items) {
-		return ReadResponse{}, apierror.New(apierror.Invalid, "from: %d of %d items", req.FirstItem, len(entry.items))
+		return ReadResponse{}, apierror.New(apierror.Invalid, "from: item %d is out of range: the snapshot has %d items", req.FirstItem, len(entry.items))
 	}
 	entry.lastUsedAt = now
 	raw, next, done := EncodeChunk(entry.items, entry.header, req.FirstItem)
@@ -58,15 +59,15 @@
 	}
 }
 
-// open returns a snapshot of the current items, which must be the one of a name unless it is empty.
+// open returns a snapshot of the current items, and caches it. If name is not empty, the snapshot must have this name.
 func (c *Cache) open(name string, current func() (items []config.Item, epoch, index uint64)) (*cachedSnapshot, error) {
 	items, epoch, index := current()
 	header, err := NewHeader(items, epoch, index)
 	if err != nil {
-		return nil, apierror.Wrap(apierror.BodyTooLarge, err, "the snapshot can't be laid out")
+		return nil, apierror.Wrap(apierror.BodyTooLarge, err, "the snapshot can't be created")
 	}
 	if name != "" && name != header.String() {
-		return nil, apierror.New(apierror.NotFound, "snapshot: %q is gone, %q stands", name, header)
+		return nil, apierror.New(apierror.NotFound, "snapshot: %q is not available any more, the current one is %q", name, header)
 	}
 	entry := c.snapshots[header.String()]
 	if entry == nil {
@@ -76,7 +77,7 @@
 	return entry, nil
 }
 
-// add adds a snapshot, in place of the least recently used one if there are too many.
+// add caches a snapshot, and evicts the least recently used one if the cache is full.
 func (c *Cache) add(entry *cachedSnapshot) {
 	if c.snapshots == nil {
 		c.snapshots = map[string]*cachedSnapshot{}
@@ -87,7 +88,7 @@
 	c.snapshots[entry.header.String()] = entry
 }
 
-// leastRecentlyUsed returns the name of the snapshot that was used the longest ago; of several, the first by name.
+// leastRecentlyUsed returns the name of the least recently used snapshot; ties go to the first by name.
 func (c *Cache) leastRecentlyUsed() (oldest string) {
 	for name, entry := range c.snapshots {
 		if oldest == "" {
--- a/internal/control/snapshot/chunk.go
+++ b/internal/control/snapshot/chunk.go
@@ -1,9 +1,9 @@
-// Package snapshot owns the form in which a complete configuration is transferred and stored: the items as of one epoch and index,
-// in the order of their keys, in bounded chunks, each with a checksum, and one checksum of all items. A reader that has some of the
-// chunks can get the rest from another process that holds the same items.
+// Package snapshot implements the format in which a complete configuration is transferred and stored: the items as of one epoch and
+// index, in key order, split into chunks of limited size. Each chunk has a checksum, and the header has one of all items. A reader that
+// has some of the chunks can get the rest from another process that has the same items.
 //
-// The package does no input or output, reads no clock and starts no goroutine; it never decides whether a restored snapshot comes
-// into force. Begin reading at Header and EncodeChunk; Cache serves snapshots, Assembler and Upload receive them.
+// The package does no I/O, reads no clock and starts no goroutine; it does not decide whether a restored snapshot is applied. Start
+// reading at Header and EncodeChunk. Cache serves snapshots; Assembler and Upload receive them.
 package snapshot
 
 import (
@@ -20,27 +20,28 @@
 )
 
 const (
-	// MaxItems is how many items a snapshot may have. A chunk that claims more is refused before memory is allocated for it.
+	// MaxItems is the maximum number of items in a snapshot. A chunk that claims more is rejected before memory is allocated for it.
 	MaxItems = 1 << 20
-	// MaxBytes is how many bytes all items together may have, encoded; 36,200 items take 9 MB.
+	// MaxBytes is the maximum size of all encoded items together, before compression; 36,200 items take 9 MB.
 	MaxBytes = 64 << 20
-	// MaxChunkBytes is the maximum length of a chunk, in bytes.
+	// MaxChunkBytes is the maximum size of an encoded chunk.
 	MaxChunkBytes = chunkBytes + maxItemBytes + 1<<10
 
-	chunkBytes    = 64 << 10 // of encoded items, before compression; the last item may exceed it
-	maxItemBytes  = 1 << 20  // of one encoded item
-	checksumBytes = 4        // of the CRC-32C that ends a chunk
+	chunkBytes    = 64 << 10 // a chunk ends with the item that reaches this encoded size, before compression
+	maxItemBytes  = 1 << 20  // maximum size of one encoded item
+	checksumBytes = 4        // size of the CRC-32C at the end of a chunk
 )
 
-// magic begins each chunk.
+// magic is the prefix of each chunk.
 var magic = []byte("pfsd1\n")
 
-// IsChunk reports whether bytes begin as a chunk does.
+// IsChunk reports whether b begins like an encoded chunk. It verifies nothing else.
 func IsChunk(b []byte) bool { return bytes.HasPrefix(b, magic) }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// appendItem appends an item, encoded.
+// appendItem appends the encoding of an item: the length-prefixed kind and name, the version, the deletion flag and the length-prefixed
+// body, with uvarints for numbers and lengths.
 func appendItem(b []byte, i config.Item) []byte {
 	for _, text := range []string{i.Kind, i.Name} {
 		b = binary.AppendUvarint(b, uint64(len(text)))
@@ -56,8 +57,9 @@
 	return append(b, i.Body...)
 }
 
-// EncodeChunk returns the chunk of a snapshot that begins with the item at from, the index of the item that the next chunk begins
-// with, and whether this is the last chunk. The header must be the one of the items. It allocates no more than one chunk.
+// EncodeChunk encodes the chunk that begins with the item at index from. next is the index of the first item of the next chunk; done
+// reports whether this chunk is the last. items must be all items of the snapshot, and header the result of NewHeader for them.
+// EncodeChunk needs memory for one chunk only.
 func EncodeChunk(items []config.Item, header Header, from int) (raw []byte, next int, done bool) {
 	from = max(0, min(from, len(items)))
 	var encoded []byte
@@ -72,7 +74,7 @@
 	return appendChecksum(appendCompressed(raw, encoded)), next, next == len(items)
 }
 
-// appendCompressed appends data by DEFLATE (RFC 1951). Compressing into memory fails only by a wrong level.
+// appendCompressed appends data compressed with DEFLATE (RFC 1951). In memory that fails only for an invalid compression level.
 func appendCompressed(raw, data []byte) []byte {
 	buffer := bytes.NewBuffer(raw)
 	w, err := flate.NewWriter(buffer, flate.BestSpeed)
@@ -89,10 +91,10 @@
 	return binary.BigEndian.AppendUint32(raw, crc32.Checksum(raw, castagnoli))
 }
 
-// decoder reads fields from bytes. After the first field that is invalid it reads zero values.
+// decoder reads consecutive fields. After the first invalid field it returns zero values only.
 type decoder struct {
 	rest    []byte
-	problem string // with the first invalid field; "" if there is none
+	problem string // describes the first invalid field; "" if there is none
 }
 
 func (d *decoder) fail(problem string) {
@@ -102,27 +104,27 @@
 	}
 }
 
-// number reads a number of variable length, at most limit.
+// number reads a uvarint of at most limit.
 func (d *decoder) number(field string, limit uint64) uint64 {
 	n, size := binary.Uvarint(d.rest)
 	switch {
 	case d.problem != "":
 		return 0
 	case size <= 0:
-		d.fail(field + ": cut short")
+		d.fail(field + ": truncated data")
 		return 0
 	case n > limit:
-		d.fail(fmt.Sprintf("%s: %d, of at most %d", field, n, limit))
+		d.fail(fmt.Sprintf("%s: %d exceeds the maximum of %d", field, n, limit))
 		return 0
 	}
 	d.rest = d.rest[size:]
 	return n
 }
 
-// bytes reads n bytes; they share memory with what is read.
+// bytes reads n bytes. The result is a subslice of the decoder's input.
 func (d *decoder) bytes(field string, n int) []byte {
 	if n > len(d.rest) {
-		d.fail(field + ": cut short")
+		d.fail(field + ": truncated data")
 		return nil
 	}
 	b := d.rest[:n]
@@ -130,13 +132,13 @@
 	return b
 }
 
-// text reads a text with its length before it.
+// text reads a length-prefixed string.
 func (d *decoder) text(field string) string {
 	length := int(d.number(field, maxItemBytes))
 	return string(d.bytes(field, length))
 }
 
-// item reads an item; it shares no memory with what is read.
+// item reads an item, which shares no memory with the decoder's input.
 func (d *decoder) item() config.Item {
 	item := config.Item{
 		Kind:    d.text("kind"),
@@ -150,7 +152,7 @@
 	}
 	item.Body = bytes.Clone(d.bytes("body", length))
 	if d.problem == "" && !json.Valid(item.Body) {
-		d.fail("body: no JSON")
+		d.fail("body: invalid JSON")
 	}
 	return item
 }
@@ -160,9 +162,9 @@
 // chunk is a decoded chunk.
 type chunk struct {
 	header  Header
-	first   int // index of the first item
+	first   int // index of the first item within the snapshot
 	items   []config.Item
-	encoded []byte // the items, encoded
+	encoded []byte // the items as encoded, decompressed
 }
 
 // decodeChunk decodes a chunk. The items share no memory with raw.
@@ -176,7 +178,7 @@
 
 func decodeChecked(raw []byte) (c chunk, err error) {
 	if len(raw) > MaxChunkBytes {
-		return c, fmt.Errorf("a chunk of %d bytes, of at most %d", len(raw), MaxChunkBytes)
+		return c, fmt.Errorf("a chunk of %d bytes exceeds the maximum of %d", len(raw), MaxChunkBytes)
 	}
 	if len(raw) < len(magic)+checksumBytes || !IsChunk(raw) {
 		return c, errors.New("these are other bytes")
@@ -197,7 +199,7 @@
 		return c, errors.New(dec.problem)
 	}
 	if c.first+count > c.header.Items || count == 0 && c.header.Items > 0 || count > length {
-		return c, fmt.Errorf("%d items from %d on, of %d, in %d bytes", count, c.first, c.header.Items, length)
+		return c, fmt.Errorf("invalid range: %d items from item %d, in a snapshot of %d items, in %d bytes", count, c.first, c.header.Items, length)
 	}
 	if c.encoded, err = decompress(dec.rest, length); err != nil {
 		return c, err
@@ -206,20 +208,20 @@
 	return c, err
 }
 
-// decompress returns the data of a length that is compressed in all bytes of raw.
+// decompress decompresses raw. It fails unless the result has exactly length bytes and the compressed data ends where raw ends.
 func decompress(raw []byte, length int) ([]byte, error) {
 	compressed := bytes.NewReader(raw)
 	data, err := io.ReadAll(io.LimitReader(flate.NewReader(compressed), int64(length)+1))
 	if err != nil {
-		return nil, fmt.Errorf("the packed items are not %d bytes: %w", length, err)
+		return nil, fmt.Errorf("decompressing %d bytes of items: %w", length, err)
 	}
 	if len(data) != length || compressed.Len() > 0 {
-		return nil, fmt.Errorf("the packed items are not %d bytes: <nil>", length)
+		return nil, fmt.Errorf("the compressed items don't decompress to exactly %d bytes", length)
 	}
 	return data, nil
 }
 
-// decodeItems decodes the items of a chunk, the first of which is the snapshot's item at first.
+// decodeItems decodes count items, which must fill encoded. first is the index of the first one within the snapshot, for errors.
 func decodeItems(encoded []byte, first, count int) (items []config.Item, err error) {
 	dec := &decoder{rest: encoded}
 	for n := range count {
@@ -230,7 +232,7 @@
 		items = append(items, item)
 	}
 	if len(dec.rest) > 0 {
-		return nil, fmt.Errorf("%d bytes after the last item of a chunk", len(dec.rest))
+		return nil, fmt.Errorf("%d trailing bytes after the last item of a chunk", len(dec.rest))
 	}
 	return items, nil
 }
--- a/internal/control/snapshot/header.go
+++ b/internal/control/snapshot/header.go
@@ -12,25 +12,25 @@
 
 // Header identifies a snapshot.
 type Header struct {
-	Epoch, Index uint64 // of the voting members, and of the last change that is in it
-	Items        int
-	Checksum     [sha256.Size]byte // SHA-256 of the numbers above and all items, encoded
+	Epoch, Index uint64            // epoch of the member list, and log index of the last change in the snapshot
+	Items        int               // number of items
+	Checksum     [sha256.Size]byte // SHA-256 of the encodings of the numbers above and all items
 }
 
-// String returns the name of the snapshot. Two snapshots of one name hold the same items.
+// String returns the name of the snapshot, which contains a prefix of the checksum. Snapshots with the same name have the same items.
 func (h Header) String() string { return fmt.Sprintf("%d.%d.%x", h.Epoch, h.Index, h.Checksum[:8]) }
 
-// OlderThan reports whether h is of an earlier state than o.
+// OlderThan reports whether h has a lower epoch than o, or the same epoch and a lower index.
 func (h Header) OlderThan(o Header) bool {
 	return h.Epoch < o.Epoch || h.Epoch == o.Epoch && h.Index < o.Index
 }
 
-// NewHeader returns the header of a snapshot of items. The items must be in the order of their keys, as Set.All returns them, each
-// once, and within the bounds; an error names the item.
+// NewHeader returns the header of a snapshot of items. It fails if the keys are not in strictly ascending order, as returned by Set.All,
+// or a size limit is exceeded.
 func NewHeader(items []config.Item, epoch, index uint64) (Header, error) {
 	header := Header{Epoch: epoch, Index: index, Items: len(items)}
 	if len(items) > MaxItems {
-		return header, fmt.Errorf("%d items, of at most %d", len(items), MaxItems)
+		return header, fmt.Errorf("%d items exceed the maximum of %d", len(items), MaxItems)
 	}
 	digest := header.newHash()
 	total := 0
@@ -41,7 +41,7 @@
 		}
 		encoded = appendItem(encoded[:0], item)
 		if len(encoded) > maxItemBytes {
-			return header, fmt.Errorf("%s %s: %d bytes, of at most %d", item.Kind, item.Name, len(encoded), maxItemBytes)
+			return header, fmt.Errorf("%s %s: %d bytes exceed the maximum of %d", item.Kind, item.Name, len(encoded), maxItemBytes)
 		}
 		total += len(encoded)
 		if total > MaxBytes {
@@ -53,21 +53,21 @@
 	return header, nil
 }
 
-// newHash returns a hash that has the header's numbers; all items, encoded, are to be added.
+// newHash returns the hash for Checksum with the header's numbers written to it. The caller writes all encoded items.
 func (h Header) newHash() hash.Hash {
 	digest := sha256.New()
 	digest.Write(h.appendNumbers(nil))
 	return digest
 }
 
-// appendNumbers appends the header without its checksum, encoded.
+// appendNumbers appends the encoding of the header without its checksum.
 func (h Header) appendNumbers(b []byte) []byte {
 	b = binary.AppendUvarint(b, h.Epoch)
 	b = binary.AppendUvarint(b, h.Index)
 	return binary.AppendUvarint(b, uint64(h.Items))
 }
 
-// isBefore reports whether a key comes before another in a snapshot: by kind, then by name.
+// isBefore reports whether a sorts before b in a snapshot: by kind, then by name.
 func isBefore(a, b config.Key) bool {
 	if c := strings.Compare(a.Kind, b.Kind); c != 0 {
 		return c < 0
--- a/internal/control/snapshot/snapshot_test.go
+++ b/internal/control/snapshot/snapshot_test.go
@@ -38,7 +38,7 @@
 	return h
 }
 
-// chunks returns all chunks of a snapshot.
+// chunks returns all chunks of a snapshot, in order.
 func chunks(all []config.Item, h Header) (raws [][]byte) {
 	for from, done := 0, false; !done; {
 		var raw []byte
@@ -48,7 +48,7 @@
 	return raws
 }
 
-// What is encoded is decoded as it was, whatever its size, in bounded chunks, and the header identifies it.
+// Snapshots of all sizes must survive encoding and decoding unchanged, in chunks of at most MaxChunkBytes.
 func TestRoundTrip(t *testing.T) {
 	for _, n := range []int{0, 1, 2, 700, 5000} {
 		c := qt.New(t)
@@ -72,13 +72,13 @@
 	}
 }
 
-// Random transfers: chunks that are repeated, early, damaged or of another snapshot change nothing; a transfer that goes on from what it
-// has ends complete, and is not done before.
+// Repeated, early, corrupted and foreign chunks must not change the Assembler: a transfer that continues at Received must complete with
+// all items and the right checksum.
 func TestUnreliableTransfers(t *testing.T) {
 	all, other := items(3000), items(2999)
 	h, x := newHeader(t, all, 7), newHeader(t, other, 8)
 	good, foreign := chunks(all, h), chunks(other, x)
-	chunkAt := map[int]int{} // by where a chunk begins: which it is
+	chunkAt := map[int]int{} // index of a chunk, by the index of its first item
 	for from, at := 0, 0; from < len(all); at++ {
 		chunkAt[from] = at
 		_, from, _ = EncodeChunk(all, h, from)
@@ -89,7 +89,7 @@
 		var assembler Assembler
 		var got []config.Item
 		for step := 0; !assembler.Done() && step < 1000; step++ {
-			raw := good[chunkAt[assembler.Received()]] // the one that follows
+			raw := good[chunkAt[assembler.Received()]] // the next chunk
 			switch draw.IntN(6) {
 			case 0:
 				raw = good[draw.IntN(len(good))]
@@ -116,7 +116,7 @@
 	}
 }
 
-// Chunks that are each good, but not of one snapshot, are refused by the checksum of all items, the order and the count.
+// Valid chunks that do not form one snapshot must be rejected.
 func TestInconsistentChunks(t *testing.T) {
 	c := qt.New(t)
 	all := items(3000)
@@ -129,14 +129,14 @@
 		raws    [][]byte
 		wantErr string
 	}{
-		"an item of another number": {append(append([][]byte(nil), good[:len(good)-1]...), chunks(changed, h)[len(good)-1]), "the sum over all items.*"},
+		"item with another version": {append(append([][]byte(nil), good[:len(good)-1]...), chunks(changed, h)[len(good)-1]), "the checksum of all items.*"},
 		"out of order": {[][]byte{func() []byte {
 			raw, _, _ := EncodeChunk([]config.Item{all[1], all[0]}, h, 0)
 			return raw
 		}()}, ".*out of order"},
-		"across":    {[][]byte{good[0], func() []byte { raw, _, _ := EncodeChunk(all, h, 9); return raw }()}, ".*does not follow.*"},
-		"too early": {good[1:], ".*does not follow.*"},
-		"other":     {[][]byte{good[0], chunks(all, newHeader(c, all, 8))[1]}, ".*another snapshot.*"},
+		"across":      {[][]byte{good[0], func() []byte { raw, _, _ := EncodeChunk(all, h, 9); return raw }()}, ".*does not follow.*"},
+		"after a gap": {good[1:], ".*does not follow.*"},
+		"other":       {[][]byte{good[0], chunks(all, newHeader(c, all, 8))[1]}, ".*another snapshot.*"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var assembler Assembler
@@ -152,11 +152,11 @@
 	}
 }
 
-// Items beyond the bounds are refused by name, before any chunk is encoded.
+// NewHeader must reject items that exceed a limit or are out of order, and name the item.
 func TestHeaderLimits(t *testing.T) {
 	c := qt.New(t)
 	_, err := NewHeader([]config.Item{{Kind: "routes", Name: "long", Body: make([]byte, maxItemBytes)}}, 1, 1)
-	c.Check(err, qt.ErrorMatches, "routes long: .* bytes, of at most .*")
+	c.Check(err, qt.ErrorMatches, "routes long: .* bytes exceed the maximum of .*")
 	_, err = NewHeader([]config.Item{{Kind: "routes", Name: "b"}, {Kind: "routes", Name: "a"}}, 1, 1)
 	c.Check(err, qt.ErrorMatches, "routes a: out of order")
 	_, err = NewHeader([]config.Item{{Kind: "routes", Name: "b"}, {Kind: "routes", Name: "b"}}, 1, 1)
@@ -169,7 +169,7 @@
 	c.Check(err, qt.ErrorMatches, "more than .* bytes of items")
 }
 
-// Any bytes: no crash, no more memory than the bounds allow, and what is accepted encodes to what came.
+// Arbitrary bytes must not crash Add, and the items of an accepted snapshot must have the header that was received.
 func FuzzAssembler(f *testing.F) {
 	for _, n := range []int{0, 1, 9} {
 		all := items(n)
@@ -178,13 +178,13 @@
 		}
 	}
 	f.Fuzz(func(t *testing.T, raw []byte, at uint16, x byte) {
-		for range 2 { // as it is, and with a right sum of the chunk
+		for range 2 { // first the input itself, then a modified one with a valid checksum
 			var assembler Assembler
 			got, err := assembler.Add(raw)
 			if h, begun := assembler.Header(); err == nil && begun && assembler.Done() {
 				again, err := NewHeader(got, h.Epoch, h.Index)
 				if err != nil || again != h {
-					t.Fatalf("taken %v, laid out %v: %v", h, again, err)
+					t.Fatalf("received header %v, header of its items %v: %v", h, again, err)
 				}
 			}
 			if len(raw) < 10 {
@@ -197,7 +197,7 @@
 	})
 }
 
-// At 3,200 routes and 33,000 quotas a transfer costs neither side more than a chunk at once, beside the items themselves.
+// A transfer of 3,200 routes and 33,000 quotas must need little more memory at a time than a chunk, in addition to the items.
 func TestAtSize(t *testing.T) {
 	c := qt.New(t)
 	set := config.NewSet()
@@ -236,17 +236,17 @@
 	}
 	c.Check(assembler.Done(), qt.IsTrue)
 	runtime.ReadMemStats(&m)
-	perChunk := (m.TotalAlloc - allocated) / uint64(n) // made and given up, by both sides
-	c.Logf("%d items: head %v, %d chunks in %v, %d bytes in all, %d the longest, %d KB held between them, %d KB made for each", len(all), took, n, time.Since(began), bytes, longest, peak>>10, perChunk>>10)
+	perChunk := (m.TotalAlloc - allocated) / uint64(n) // bytes allocated by both sides
+	c.Logf("%d items: header in %v, %d chunks in %v, %d bytes in total, longest chunk %d bytes, peak heap growth %d KB, %d KB allocated per chunk", len(all), took, n, time.Since(began), bytes, longest, peak>>10, perChunk>>10)
 	c.Check(perChunk < 3<<20, qt.IsTrue)
-	c.Check(peak < 2<<20, qt.IsTrue, qt.Commentf("%d bytes", peak))
+	c.Check(peak < 2<<20, qt.IsTrue, qt.Commentf("heap grew by %d bytes", peak))
 	c.Check(longest < 64<<10, qt.IsTrue)
 	runtime.KeepAlive(all)
 	runtime.KeepAlive(set)
 }
 
-// A snapshot is served to its end though the set changes; one that is gone is served by any process whose set is the same, else
-// the reader starts again. No more than two are kept, none longer than 30 s after it was last used.
+// A reader must be able to complete a cached snapshot while the items change. An expired snapshot is served only if the current items are
+// the same, and the cache never exceeds maxCached.
 func TestCache(t *testing.T) {
 	c := qt.New(t)
 	var cache Cache
@@ -283,8 +283,8 @@
 	}
 }
 
-// The chunks of a restore may come in any order and again; each answer says where to go on, the items are returned once, and a chunk that
-// is sent again after they came into force is answered so. Another restore is refused until the first has been idle.
+// Out-of-order and repeated chunks of a restore must not be added, the items must be returned only once, and a chunk retransmitted after
+// Finish must get the outcome. Another restore must be rejected until the first one was idle for idleTimeout.
 func TestUpload(t *testing.T) {
 	c := qt.New(t)
 	all, other := items(3000), items(10)
@@ -312,22 +312,22 @@
 	}
 	c.Check(got, qt.DeepEquals, all)
 	c.Check(resp, qt.Equals, RestoreResponse{Snapshot: h.String(), ReceivedItems: len(all)})
-	resp, got, _, err = upload.AddChunk(5, raws[len(raws)-1]) // no outcome is noted yet
+	resp, got, _, err = upload.AddChunk(5, raws[len(raws)-1]) // before Finish
 	c.Assert(err, qt.IsNil)
 	c.Check(got, qt.HasLen, 0)
 	c.Check(resp.InForce, qt.IsFalse)
 	c.Check(resp.ReceivedItems, qt.Equals, len(all))
-	upload.Finish(x, true) // of another
+	upload.Finish(x, true) // another snapshot: ignored
 	upload.Finish(h, true)
 	resp, got, _, err = upload.AddChunk(5, raws[len(raws)-1])
 	c.Assert(err, qt.IsNil)
 	c.Check(got, qt.HasLen, 0)
 	c.Check(resp, qt.Equals, RestoreResponse{Snapshot: h.String(), ReceivedItems: len(all), InForce: true})
 	upload.Finish(h, false)
-	resp, _, _, _ = upload.AddChunk(6, raws[len(raws)-1]) // it did not come into force: all again
+	resp, _, _, _ = upload.AddChunk(6, raws[len(raws)-1]) // not applied: starts over
 	c.Check(resp.ReceivedItems, qt.Equals, 0)
 	upload.AddChunk(6, raws[0])
-	resp, got, _, err = upload.AddChunk(6+int64(idleTimeout)+1, chunks(other, x)[0]) // the first was given up
+	resp, got, _, err = upload.AddChunk(6+int64(idleTimeout)+1, chunks(other, x)[0]) // the first restore has timed out
 	c.Assert(err, qt.IsNil)
 	c.Check(got, qt.HasLen, len(other))
 	c.Check(resp.Snapshot, qt.Equals, x.String())
--- a/internal/control/snapshot/trace_test.go
+++ b/internal/control/snapshot/trace_test.go
@@ -10,8 +10,8 @@
 	"portflow/internal/testing/digest"
 )
 
-// Snapshots that are read chunk by chunk while the set changes, and restores whose chunks come in random order, damaged or of another
-// snapshot, are pinned by digests. Chunks are recorded as their bytes; the texts of errors count.
+// TestTrace pins the behaviour of Cache and Upload by digests: snapshots are read chunk by chunk while the items change, and restored from
+// chunks that may be repeated, corrupted or from another snapshot. The digests include the bytes of chunks and the texts of errors.
 func TestTrace(t *testing.T) {
 	digest.Pin(t, 6, []string{"3b0e77edce7fa610", "6c990500b456623e", "d4659259a1b752fc", "482b3953e7de6d29"}, func(seed uint64, d *digest.Digest) {
 		draw := rand.New(rand.NewPCG(seed, 1))
--- a/internal/control/snapshot/upload.go
+++ b/internal/control/snapshot/upload.go
@@ -9,18 +9,20 @@
 	"portflow/internal/cluster/settings"
 )
 
-// Upload receives one snapshot that an operator restores. It is not safe for concurrent use. Times are nanoseconds of one clock.
+// Upload receives a snapshot that an operator restores, one snapshot at a time. The zero value is ready to use. It is not safe for
+// concurrent use. Times are in nanoseconds; all must come from the same clock.
 type Upload struct {
 	assembler   Assembler
-	items       []config.Item
-	lastChunkAt int64
-	delivered   Header // of the last snapshot whose items were returned
-	inForce     bool   // whether these came into force
+	items       []config.Item // received so far
+	lastChunkAt int64         // when the last chunk of the snapshot was received
+	delivered   Header        // header of the last snapshot whose items AddChunk returned; zeroed if it was not applied
+	inForce     bool          // whether the snapshot of delivered was applied
 }
 
-// AddChunk receives a chunk. With the last one it returns all items and the header, once: the caller has them come into force, and
-// calls Finish with the outcome. A chunk that doesn't follow is no error: the response says which item to go on with. A chunk of
-// another snapshot is refused by an error of kind InProgress, until no chunk has come for 30 s.
+// AddChunk adds an encoded chunk. With the last one it returns all items and the header, once; the caller then applies the items and
+// calls Finish with the outcome. A chunk that does not follow the items received is not an error: the response has the index of the item to
+// continue with. While a restore is in progress, a chunk of another snapshot is rejected with an error of kind InProgress; that ends
+// when no chunk was received for idleTimeout.
 func (u *Upload) AddChunk(now int64, raw []byte) (resp RestoreResponse, items []config.Item, header Header, err error) {
 	if now-u.lastChunkAt > int64(idleTimeout) {
 		u.reset()
@@ -32,7 +34,7 @@
 	added, err := u.assembler.Add(raw)
 	switch {
 	case errors.Is(err, ErrOtherSnapshot):
-		return resp, nil, header, apierror.Wrap(apierror.InProgress, err, "another restore is under way")
+		return resp, nil, header, apierror.Wrap(apierror.InProgress, err, "another restore is in progress")
 	case errors.Is(err, ErrChecksum):
 		u.reset()
 		return resp, nil, header, apierror.Wrap(apierror.Invalid, err, "chunk")
@@ -41,7 +43,7 @@
 		return resp, nil, header, apierror.Wrap(apierror.Invalid, err, "chunk")
 	}
 	header, started := u.assembler.Header()
-	if !started { // the first chunk has not come yet
+	if !started { // the first chunk is still missing
 		return resp, nil, header, nil
 	}
 	u.lastChunkAt = now
@@ -56,7 +58,8 @@
 	return resp, items, header, nil
 }
 
-// wasDelivered reports whether a chunk is sent again, of the snapshot whose items were returned, and none of another has begun.
+// wasDelivered reports whether raw is a retransmitted chunk of the snapshot whose items were returned last, and no other restore has
+// started since. If so, it returns the header of that snapshot.
 func (u *Upload) wasDelivered(raw []byte) (header Header, again bool) {
 	if _, started := u.assembler.Header(); started {
 		return Header{}, false
@@ -65,8 +68,8 @@
 	return c.header, err == nil && c.header == u.delivered
 }
 
-// Finish notes the outcome of a snapshot whose items were returned. If it came into force, a last chunk that is sent again is answered
-// so; if it did not, all its chunks are expected again.
+// Finish records whether the snapshot whose items AddChunk returned was applied. If it was, a retransmitted chunk gets a response that
+// says so; if not, the snapshot has to be uploaded again from its first chunk.
 func (u *Upload) Finish(header Header, inForce bool) {
 	if header != u.delivered {
 		return
@@ -77,11 +80,11 @@
 	}
 }
 
-// reset forgets the chunks that were received.
+// reset discards the chunks received so far.
 func (u *Upload) reset() { *u = Upload{delivered: u.delivered, inForce: u.inForce} }
 
-// ValidateItem checks an item of a snapshot as control checks the items of a change. The error names the item, the field and the
-// reason.
+// ValidateItem applies the checks that control applies to the items of a configuration change. The error names the item, and each
+// invalid field with the reason. Deleted items and kinds other than routes, services, quotas and limits only need a kind and a name.
 func ValidateItem(i config.Item) error {
 	r := settings.NewReader(i.Tree())
 	switch {
