--- a/internal/control/rpc/rpc.go
+++ b/internal/control/rpc/rpc.go
@@ -1,6 +1,6 @@
-// Package rpc serves calls over HTTP: POST /-/rpc?call=NAME&of=SUBJECT with a JSON body. It owns the reading of bodies within their
-// bounds, the form of answers and errors (package apierror has the kinds), and the counts. It never decides what a call does: that is
-// its handler's. Begin with Call and Server.
+// Package rpc serves calls over HTTP: POST /-/rpc?call=NAME&of=SUBJECT with a JSON body. It reads bodies within their size and time
+// limits, encodes results and errors (package apierror defines the kinds) and counts calls. What a call does is up to its Handler. Start
+// reading at Call and Server.
 package rpc
 
 import (
@@ -21,28 +21,28 @@
 	"portflow/internal/cluster/apierror"
 )
 
-// Handler carries out a call about a subject, which may be empty. The answer is encoded as JSON, nil for none; errors are answered by
-// their kind, see apierror.KindOf.
+// Handler executes a call. subject is the "of" parameter of the request and may be empty. The result is encoded as JSON; a nil result
+// gives an empty body. An error is sent with the HTTP status of its kind, see apierror.KindOf.
 type Handler func(ctx context.Context, subject string, body []byte) (any, error)
 
-// Call is one call and its handler.
+// Call defines a call that a Server accepts.
 type Call struct {
-	Name    string
-	MaxBody int64 // bytes of the body
-	Handle  Handler
+	Name    string  // value of the "call" parameter of a request
+	MaxBody int64   // maximum size of the request body in bytes
+	Handle  Handler // may be called concurrently
 }
 
 // Server serves calls and counts them. It is safe for concurrent use.
 type Server struct {
-	Panics atomic.Int64 // of handlers; each is answered with 500
+	Panics atomic.Int64 // panics of handlers; each gets a response with status 500
 
-	calls map[string]Call // by name; never changes
+	calls map[string]Call // by name; immutable
 
 	mu     sync.Mutex       // guards counts
-	counts map[string]int64 // by call and kind of error
+	counts map[string]int64 // see Counts
 }
 
-// New makes a server for calls.
+// New returns a server for the given calls. If several have the same name, the last one is used.
 func New(calls ...Call) *Server {
 	return &Server{
 		calls:  lo.KeyBy(calls, func(call Call) string { return call.Name }),
@@ -50,7 +50,7 @@
 	}
 }
 
-// Mount adds the server to a router, with answers for all other paths and methods.
+// Mount registers the server at /-/rpc, and its error responses for all paths and methods that r does not route otherwise.
 func (s *Server) Mount(r chi.Router) {
 	r.Post("/-/rpc", s.handle)
 	r.NotFound(func(w http.ResponseWriter, r *http.Request) {
@@ -62,16 +62,17 @@
 	})
 }
 
-// bodyTimeout is how long a call's body may take, apart from a second for each megabyte of its stated length.
+// baseBodyTimeout is the time allowed for receiving a request body, in addition to one second per MiB of its Content-Length.
 const baseBodyTimeout = 3 * time.Second
 
-// bodyTime is how long a body of this stated length (-1 for none) may take. A length beyond maxBody adds nothing.
+// bodyTimeout returns the time allowed for receiving a body with this Content-Length, which is -1 if unknown. At most maxBody bytes of it
+// count.
 func bodyTimeout(length, maxBody int64) time.Duration {
 	return baseBodyTimeout + time.Duration(max(0, min(length, maxBody)))*time.Second>>20
 }
 
-// readErrorKind is the kind of error of a body that could not be read: incomplete after a timeout or where the connection broke off,
-// so that another attempt may succeed, and malformed otherwise.
+// readErrorKind returns the kind of an error from reading a body: Incomplete after a timeout or a lost connection, for which a retry may
+// succeed, and Malformed otherwise.
 func readErrorKind(err error) apierror.Kind {
 	var network net.Error
 	if errors.As(err, &network) || errors.Is(err, io.ErrUnexpectedEOF) {
@@ -80,7 +81,7 @@
 	return apierror.Malformed
 }
 
-// handle serves one call. A handler that panics is answered with 500 and a closed connection.
+// handle serves one call. If the handler panics, it responds with status 500 and closes the connection.
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
 	defer func() {
 		if recover() != nil {
@@ -114,7 +115,7 @@
 	WriteJSON(w, http.StatusOK, result)
 }
 
-// readBody reads a call's body, within its bound of bytes and its time.
+// readBody reads the request body, of at most call.MaxBody bytes, within its timeout.
 func readBody(w http.ResponseWriter, r *http.Request, call Call) ([]byte, error) {
 	controller := http.NewResponseController(w)
 	controller.SetReadDeadline(time.Now().Add(bodyTimeout(r.ContentLength, call.MaxBody)))
@@ -124,13 +125,14 @@
 		return nil, apierror.New(apierror.BodyTooLarge, "%s: a body of more than %d bytes", call.Name, call.MaxBody)
 	}
 	if err != nil {
-		return nil, apierror.Wrap(readErrorKind(err), err, "%s: the body can't be read whole", call.Name)
+		return nil, apierror.Wrap(readErrorKind(err), err, "%s: failed to read the body", call.Name)
 	}
-	controller.SetReadDeadline(time.Time{}) // none: the handler has its own timeouts
+	controller.SetReadDeadline(time.Time{}) // no deadline: the handler has its own timeouts
 	return body, nil
 }
 
-// WriteJSON answers with a value as JSON; a json.RawMessage is written as it is.
+// WriteJSON writes a response with v encoded as JSON; a json.RawMessage is written unchanged. If v can't be encoded, the response has
+// status 500 and no body.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	raw, ok := v.(json.RawMessage)
 	if !ok {
@@ -142,10 +144,10 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	w.WriteHeader(status)
-	_, _ = w.Write(raw) // fails only where the client is gone
+	_, _ = w.Write(raw) // fails only if the client has disconnected
 }
 
-// writeError counts an error and answers with it, by its kind.
+// writeError counts an error and writes the response for its kind. name is the call, empty if there is none with the requested name.
 func (s *Server) writeError(w http.ResponseWriter, name string, err error) {
 	kind := apierror.KindOf(err)
 	resp := kind.Response()
@@ -159,6 +161,7 @@
 	WriteJSON(w, resp.Status, map[string]string{"error": resp.Name, "reason": err.Error()})
 }
 
+// count counts a call under the key that Counts documents.
 func (s *Server) count(name string, kind apierror.Kind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,18 +174,20 @@
 	s.counts[name]++
 }
 
-// Counts are how often each call ended with each kind of error, by "CALL" for none or "CALL.KIND".
+// Counts returns a copy of the number of finished calls by outcome: "CALL" for successful ones, "CALL.KIND" for those that failed with an
+// error of that kind. CALL is "none" for unknown calls and paths. Panics are not included.
 func (s *Server) Counts() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return lo.Assign(s.counts)
 }
 
-// ParseObject decodes a body that must be a JSON object.
+// ParseObject decodes a body that must be a JSON object. The result is a map[string]any, nil for the JSON value null. Errors are of kind
+// Malformed.
 func ParseObject(body []byte) (any, error) {
 	var v map[string]any
 	if err := json.Unmarshal(body, &v); err != nil {
-		return nil, apierror.Wrap(apierror.Malformed, err, "the body is no table")
+		return nil, apierror.Wrap(apierror.Malformed, err, "the body is not a JSON object")
 	}
 	return v, nil
 }
--- a/internal/control/rpc/rpc_test.go
+++ b/internal/control/rpc/rpc_test.go
@@ -16,7 +16,7 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// singleConnListener is a listener for one connection.
+// singleConnListener is a net.Listener that accepts the connections in the channel until it is closed.
 type singleConnListener chan net.Conn
 
 func (l singleConnListener) Accept() (net.Conn, error) {
@@ -29,7 +29,7 @@
 func (l singleConnListener) Close() error   { return nil }
 func (l singleConnListener) Addr() net.Addr { return &net.UnixAddr{} }
 
-// halfClosed is a connection on which nothing comes after what was sent.
+// halfClosed is a connection whose peer has closed its sending side: reads end with io.EOF after sent.
 type halfClosed struct {
 	net.Conn
 	sent io.Reader
@@ -42,8 +42,8 @@
 	megabyte = 1 << 20
 )
 
-// A body that comes too slowly or breaks off is answered 408 and not run, so that its sender goes on; one that is malformed is
-// answered 400. The time allowed grows with the stated length, up to the most bytes of the call.
+// A call whose body times out or is truncated must get status 408 without running, so that the client can retry; a malformed body must get
+// status 400. The timeout grows with the Content-Length up to MaxBody.
 func TestIncompleteBodies(t *testing.T) {
 	length := func(n int) string { return fmt.Sprint("Content-Length: ", n) }
 	large := strings.Repeat(" ", 8*megabyte-2) + "{}"
@@ -55,18 +55,18 @@
 		status        int
 		counted       string
 	}{
-		"complete":                   {length(2), "{", 0, "}", false, 200, "set"},
-		"slow":                       {length(2), "{", 2900 * time.Millisecond, "}", false, 200, "set"},
-		"too slow":                   {length(2), "{", 3100 * time.Millisecond, "", false, 408, "set.incomplete"},
-		"chunked, too slow":          {chunked, "1\r\n{\r\n", 3100 * time.Millisecond, "", false, 408, "set.incomplete"},
-		"large, slow":                {length(len(large)), large[:megabyte], 10 * time.Second, large[megabyte:], false, 200, "set"},
-		"large, too slow":            {length(len(large)), large[:megabyte], 11100 * time.Millisecond, "", false, 408, "set.incomplete"},
-		"over the most, too slow":    {length(1 << 40), "{", 11100 * time.Millisecond, "", false, 408, "set.incomplete"},
-		"malformed chunk":            {chunked, "1\r\n{\r\n", 0, "x\r\n", false, 400, "set.malformed"},
-		"malformed content":          {length(2), "{", 0, "{", false, 400, "set.malformed"},
-		"broken off":                 {length(2), "{", 0, "", true, 408, "set.incomplete"},
-		"chunked, broken off":        {chunked, "1\r\n{\r\n", 0, "", true, 408, "set.incomplete"},
-		"chunked, broken in a chunk": {chunked, "3\r\n{", 0, "", true, 408, "set.incomplete"},
+		"complete":                 {length(2), "{", 0, "}", false, 200, "set"},
+		"slow":                     {length(2), "{", 2900 * time.Millisecond, "}", false, 200, "set"},
+		"too slow":                 {length(2), "{", 3100 * time.Millisecond, "", false, 408, "set.incomplete"},
+		"chunked, too slow":        {chunked, "1\r\n{\r\n", 3100 * time.Millisecond, "", false, 408, "set.incomplete"},
+		"large, slow":              {length(len(large)), large[:megabyte], 10 * time.Second, large[megabyte:], false, 200, "set"},
+		"large, too slow":          {length(len(large)), large[:megabyte], 11100 * time.Millisecond, "", false, 408, "set.incomplete"},
+		"over MaxBody, too slow":   {length(1 << 40), "{", 11100 * time.Millisecond, "", false, 408, "set.incomplete"},
+		"malformed chunk":          {chunked, "1\r\n{\r\n", 0, "x\r\n", false, 400, "set.malformed"},
+		"malformed content":        {length(2), "{", 0, "{", false, 400, "set.malformed"},
+		"truncated body":           {length(2), "{", 0, "", true, 408, "set.incomplete"},
+		"chunked, truncated":       {chunked, "1\r\n{\r\n", 0, "", true, 408, "set.incomplete"},
+		"chunked, truncated chunk": {chunked, "3\r\n{", 0, "", true, 408, "set.incomplete"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
