--- a/internal/control/snapshot/snapshot_test.go
+++ b/internal/control/snapshot/snapshot_test.go
@@ -85,22 +85,22 @@
 	}
 	for seed := range uint64(100) {
 		c := qt.New(t)
-		draw := rand.New(rand.NewPCG(seed, 5))
+		rng := rand.New(rand.NewPCG(seed, 5))
 		var assembler Assembler
 		var got []config.Item
 		for step := 0; !assembler.Done() && step < 1000; step++ {
 			raw := good[chunkAt[assembler.Received()]] // the next chunk
-			switch draw.IntN(6) {
+			switch rng.IntN(6) {
 			case 0:
-				raw = good[draw.IntN(len(good))]
+				raw = good[rng.IntN(len(good))]
 			case 1:
 				raw = bytes.Clone(raw)
-				raw[draw.IntN(len(raw))] ^= byte(1 + draw.IntN(255))
+				raw[rng.IntN(len(raw))] ^= byte(1 + rng.IntN(255))
 			case 2:
-				raw = raw[:draw.IntN(len(raw))]
+				raw = raw[:rng.IntN(len(raw))]
 			case 3:
-				if _, begun := assembler.Header(); begun {
-					raw = foreign[draw.IntN(len(foreign))]
+				if _, started := assembler.Header(); started {
+					raw = foreign[rng.IntN(len(foreign))]
 				}
 			}
 			added, err := assembler.Add(raw)
@@ -181,7 +181,7 @@
 		for range 2 { // first the input itself, then a modified one with a valid checksum
 			var assembler Assembler
 			got, err := assembler.Add(raw)
-			if h, begun := assembler.Header(); err == nil && begun && assembler.Done() {
+			if h, started := assembler.Header(); err == nil && started && assembler.Done() {
 				again, err := NewHeader(got, h.Epoch, h.Index)
 				if err != nil || again != h {
 					t.Fatalf("received header %v, header of its items %v: %v", h, again, err)
--- a/internal/control/store/bench_test.go
+++ b/internal/control/store/bench_test.go
@@ -37,8 +37,8 @@
 	return config.Item{Kind: config.KindQuotas, Name: fmt.Sprint("tenant-", n), Version: version, Body: body}
 }
 
-func sizeOf(t testing.TB, folder string) (bytes int64) {
-	qt.Assert(t, filepath.WalkDir(folder, func(_ string, e fs.DirEntry, err error) error {
+func dirSize(t testing.TB, dir string) (bytes int64) {
+	qt.Assert(t, filepath.WalkDir(dir, func(_ string, e fs.DirEntry, err error) error {
 		if i, e := e.Info(); err == nil && e == nil {
 			bytes += i.Size()
 		}
@@ -48,8 +48,8 @@
 }
 
 // plainFileSyncs is the baseline: it returns the sorted durations of manyChanges appends to a plain file, each fsynced.
-func plainFileSyncs(t testing.TB, folder string) (took []time.Duration) {
-	f, err := os.Create(filepath.Join(folder, "bare"))
+func plainFileSyncs(t testing.TB, dir string) (took []time.Duration) {
+	f, err := os.Create(filepath.Join(dir, "bare"))
 	qt.Assert(t, err, qt.IsNil)
 	defer os.Remove(f.Name())
 	defer f.Close()
@@ -68,8 +68,8 @@
 // reopen the store. Run it with -benchtime 1x; TMPDIR selects the disk.
 func BenchmarkAtSize(b *testing.B) {
 	for range b.N {
-		folder := b.TempDir()
-		s, err := OpenDir(folder)
+		dir := b.TempDir()
+		s, err := OpenDir(dir)
 		qt.Assert(b, err, qt.IsNil)
 		store, _, _, _, err := Open(s)
 		qt.Assert(b, err, qt.IsNil)
@@ -85,7 +85,7 @@
 			qt.Assert(b, store.Write(part, nil, false), qt.IsNil)
 		}
 		b.ReportMetric(float64(time.Since(began).Milliseconds()), "ms-all-items")
-		loaded, most := sizeOf(b, folder), int64(0)
+		loaded, most := dirSize(b, dir), int64(0)
 		rng := rand.New(rand.NewPCG(1, 1))
 		var took []time.Duration
 		compactions := func() (n int) {
@@ -113,10 +113,10 @@
 				duringCompaction = append(duringCompaction, took[n])
 			}
 			if n%100 == 0 {
-				most = max(most, sizeOf(b, folder))
+				most = max(most, dirSize(b, dir))
 			}
 		}
-		bare := plainFileSyncs(b, folder)
+		bare := plainFileSyncs(b, dir)
 		slices.Sort(took)
 		slices.Sort(duringCompaction)
 		ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
@@ -130,9 +130,9 @@
 			b.ReportMetric(ms(duringCompaction[compacted-1]), "ms-worst-compacting")
 		}
 		b.ReportMetric(float64(loaded)/1e6, "MB-loaded")
-		b.ReportMetric(float64(max(most, sizeOf(b, folder)))/1e6, "MB-most")
+		b.ReportMetric(float64(max(most, dirSize(b, dir)))/1e6, "MB-most")
 		qt.Assert(b, store.Close(), qt.IsNil)
-		b.ReportMetric(float64(sizeOf(b, folder))/1e6, "MB-end")
+		b.ReportMetric(float64(dirSize(b, dir))/1e6, "MB-end")
 		began = time.Now()
 		store, items, _, _, err := Open(s)
 		qt.Assert(b, err, qt.IsNil)
@@ -145,6 +145,6 @@
 		b.ReportMetric(ms(time.Since(began)), "ms-reopen")
 		store.Close()
 		s.Close()
-		os.RemoveAll(folder)
+		os.RemoveAll(dir)
 	}
 }
--- a/internal/control/store/damage_test.go
+++ b/internal/control/store/damage_test.go
@@ -58,7 +58,7 @@
 		_, n := readChunk(raw[at:])
 		last, at = at, at+n
 	}
-	bad := func(at int, x byte) []byte {
+	corrupt := func(at int, x byte) []byte {
 		b := bytes.Clone(raw)
 		b[at] ^= x
 		return b
@@ -71,14 +71,14 @@
 		"truncated in its header":           {raw[:last+5], false},
 		"truncated after its header":        {raw[:last+chunkHeaderSize], false},
 		"truncated before its end":          {raw[:len(raw)-1], false},
-		"invalid checksum":                  {bad(last, 1), true},
-		"length too large":                  {bad(last+4, 0x80), true},
-		"length too small":                  {bad(last+4, 1), true},
-		"length beyond the block":           {bad(last+5, 0xff), true},
-		"invalid chunk type":                {bad(last+6, 0xf0), true},
-		"flipped bit in the data":           {bad(len(raw)-2, 4), true},
+		"invalid checksum":                  {corrupt(last, 1), true},
+		"length too large":                  {corrupt(last+4, 0x80), true},
+		"length too small":                  {corrupt(last+4, 1), true},
+		"length beyond the block":           {corrupt(last+5, 0xff), true},
+		"invalid chunk type":                {corrupt(last+6, 0xf0), true},
+		"flipped bit in the data":           {corrupt(len(raw)-2, 4), true},
 		"zeros to the end":                  {append(bytes.Clone(raw[:last+20]), make([]byte, len(raw)-last-20)...), false},
-		"invalid record before a valid one": {append(bad(last, 1), raw[:40]...), true},
+		"invalid record before a valid one": {append(corrupt(last, 1), raw[:40]...), true},
 	} {
 		t.Run(name, func(t *testing.T) { qt.Check(t, Damaged(x.b), qt.Equals, x.want) })
 	}
