--- a/internal/control/rpc/rpc_test.go
+++ b/internal/control/rpc/rpc_test.go
@@ -88,11 +88,11 @@
 				l <- conn
 				close(l)
 				server := &http.Server{Handler: mux}
-				go server.Serve(l)
+				go server.Serve(l) // ends when it has accepted the only connection in l
 				defer clientConn.Close()
 				sent := make(chan bool)
 				defer func() { <-sent }()
-				go func() {
+				go func() { // the client; the test waits for it through sent
 					defer close(sent)
 					if x.breaks {
 						return
--- a/internal/control/snapshot/assembler.go
+++ b/internal/control/snapshot/assembler.go
@@ -11,7 +11,8 @@
 	"portflow/internal/cluster/config"
 )
 
-// Errors of Assembler.Add for a valid chunk that can't be added. All other errors mean that the chunk itself is invalid.
+// Errors of Assembler.Add for a valid chunk that can't be added. All other errors mean that the chunk is invalid, its items are out of
+// order, or the snapshot exceeds MaxBytes.
 var (
 	ErrOtherSnapshot = errors.New("the chunk belongs to another snapshot")
 	ErrGap           = errors.New("the chunk does not follow the items received")
--- a/internal/control/snapshot/chunk.go
+++ b/internal/control/snapshot/chunk.go
@@ -74,7 +74,7 @@
 	return appendChecksum(appendCompressed(raw, encoded)), next, next == len(items)
 }
 
-// appendCompressed appends data compressed with DEFLATE (RFC 1951). In memory that fails only for an invalid compression level.
+// appendCompressed appends data compressed with DEFLATE (RFC 1951). Writing to memory can't fail, and NewWriter fails only for an invalid level.
 func appendCompressed(raw, data []byte) []byte {
 	buffer := bytes.NewBuffer(raw)
 	w, err := flate.NewWriter(buffer, flate.BestSpeed)
@@ -213,7 +213,7 @@
 	compressed := bytes.NewReader(raw)
 	data, err := io.ReadAll(io.LimitReader(flate.NewReader(compressed), int64(length)+1))
 	if err != nil {
-		return nil, fmt.Errorf("decompressing %d bytes of items: %w", length, err)
+		return nil, fmt.Errorf("decompressing the items to %d bytes: %w", length, err)
 	}
 	if len(data) != length || compressed.Len() > 0 {
 		return nil, fmt.Errorf("the compressed items don't decompress to exactly %d bytes", length)
--- a/internal/control/snapshot/upload.go
+++ b/internal/control/snapshot/upload.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// reset discards the chunks received so far.
+// reset discards the chunks received so far, but keeps the outcome of the last complete snapshot.
 func (u *Upload) reset() { *u = Upload{delivered: u.delivered, inForce: u.inForce} }
 
 // ValidateItem applies the checks that control applies to the items of a configuration change. The error names the item, and each
--- a/internal/control/store/damage.go
+++ b/internal/control/store/damage.go
@@ -22,7 +22,7 @@
 // logScan checks a file of the LevelDB log format for corruption.
 type logScan struct {
 	file       []byte
-	isComplete func([]byte) bool // reports whether the bytes are an entire record; false for a prefix of one
+	isComplete func([]byte) bool // reports whether the bytes contain an entire record; false for a truncated one
 	minZeros   int               // minimum number of zeros at the end of the file that count as never written
 
 	record    []byte // data of the current record, from the valid chunks read so far
@@ -92,7 +92,7 @@
 		return true // the entire chunk is present
 	}
 	if s.damagedAt/blockSize != (len(s.file)-1)/blockSize {
-		return true // by its length, the chunk crosses a block boundary
+		return true // its length extends past the end of its block
 	}
 	var record []byte
 	if !startsRecord(rest[typeOffset]) {
@@ -103,11 +103,11 @@
 
 const (
 	sectorSize   = 512 // bytes that a disk writes atomically
-	minUnwritten = 8   // minimum length of a zeroed range that counts as never written; no number in a record has as many zeros
+	minUnwritten = 8   // minimum number of zero bytes that count as never written; no number in a record has as many
 )
 
-// unwritten reports whether some of the bytes from start to end were never written. It takes that for granted if the bytes that lie in
-// one sector are at least minUnwritten and all zero, or if the range reaches the end of the file and ends with minZeros zeros.
+// unwritten reports whether some of the bytes from start to end were apparently never written: either the part of the range in one sector
+// has at least minUnwritten bytes, all zero, or the range extends to the end of the file and ends with at least minZeros zeros.
 func (s *logScan) unwritten(start, end int) bool {
 	for at := start; at < end; {
 		next := min(end, at-at%sectorSize+sectorSize)
--- a/internal/control/store/folder_test.go
+++ b/internal/control/store/folder_test.go
@@ -20,6 +20,7 @@
 	storage.Storage
 	path string
 
+	// mu guards created, removed, journals and tableGate, as the database creates and removes files in goroutines of its own.
 	mu            sync.Mutex
 	created       map[storage.FileDesc]bool
 	removed       map[string][]byte // contents by file name
--- a/internal/control/store/store.go
+++ b/internal/control/store/store.go
@@ -1,8 +1,8 @@
 // Package store persists the state of a control process in a goleveldb database: the configuration items and the records of its
 // consensus node. A write is fsynced when its method returns nil.
 //
-// The package does not decide what is written, or in which order, and it does not restore lost data: after corruption it reports the
-// state as incomplete, and the caller gets the missing part from other control processes.
+// The package does not decide what is written, or in which order, and it can't recover corrupted data: Open then reports the state as
+// incomplete, and the caller gets the missing data from other control processes.
 //
 // Start reading at Open and Store.Replace. Store.reopen recovers from a failed write; damage.go detects corruption.
 package store
@@ -58,8 +58,7 @@
 	return s.Replace(items, nil, records, complete)
 }
 
-// Rewrite replaces all items: it removes those that are not among the given ones. Its write is otherwise that of Replace. It is not
-// atomic with concurrent writes: an item that another write adds meanwhile may remain.
+// Rewrite is Replace for a complete set of items: all others are removed. An item that a concurrent write adds may remain.
 func (s *Store) Rewrite(items []config.Item, records map[string][]byte, complete bool) error {
 	wanted := make(map[config.Key]bool, len(items))
 	for _, i := range items {
