--- a/internal/control/store/bench_test.go
+++ b/internal/control/store/bench_test.go
@@ -17,7 +17,7 @@
 	"portflow/internal/cluster/config"
 )
 
-// The size that the design is made for.
+// The largest configuration that the design targets, and the number of changes written to it.
 const (
 	manyRoutes  = 3200
 	manyQuotas  = 33000
@@ -37,8 +37,8 @@
 	return config.Item{Kind: config.KindQuotas, Name: fmt.Sprint("tenant-", n), Version: version, Body: body}
 }
 
-func sizeOf(t testing.TB, folder string) (bytes int64) {
-	qt.Assert(t, filepath.WalkDir(folder, func(_ string, e fs.DirEntry, err error) error {
+func dirSize(t testing.TB, dir string) (bytes int64) {
+	qt.Assert(t, filepath.WalkDir(dir, func(_ string, e fs.DirEntry, err error) error {
 		if i, e := e.Info(); err == nil && e == nil {
 			bytes += i.Size()
 		}
@@ -47,9 +47,9 @@
 	return bytes
 }
 
-// bareSyncs returns how long as many syncs of a plain file take that grows by as much, for comparison; sorted.
-func bareSyncs(t testing.TB, folder string) (took []time.Duration) {
-	f, err := os.Create(filepath.Join(folder, "bare"))
+// plainFileSyncs is the baseline: it returns the sorted durations of manyChanges appends to a plain file, each fsynced.
+func plainFileSyncs(t testing.TB, dir string) (took []time.Duration) {
+	f, err := os.Create(filepath.Join(dir, "bare"))
 	qt.Assert(t, err, qt.IsNil)
 	defer os.Remove(f.Name())
 	defer f.Close()
@@ -63,13 +63,13 @@
 	return took
 }
 
-// BenchmarkAtSize writes the size that the design is made for and then ten thousand changes, one synced write each, to a real disk. It
-// reports how long writes took, how many of them began while the database compacted, the size on disk, and how long the next start
-// takes. Bounded: go test -bench AtSize -benchtime 1x ./internal/control/store; TMPDIR chooses the disk.
+// BenchmarkAtSize writes the largest configuration that the design targets and then manyChanges changes, one synced write each, to a real
+// disk. It reports the latency of the writes, how many of them coincided with a compaction, the size on disk, and the time to open and to
+// reopen the store. Run it with -benchtime 1x; TMPDIR selects the disk.
 func BenchmarkAtSize(b *testing.B) {
 	for range b.N {
-		folder := b.TempDir()
-		s, err := OpenDir(folder)
+		dir := b.TempDir()
+		s, err := OpenDir(dir)
 		qt.Assert(b, err, qt.IsNil)
 		store, _, _, _, err := Open(s)
 		qt.Assert(b, err, qt.IsNil)
@@ -85,8 +85,8 @@
 			qt.Assert(b, store.Write(part, nil, false), qt.IsNil)
 		}
 		b.ReportMetric(float64(time.Since(began).Milliseconds()), "ms-all-items")
-		loaded, most := sizeOf(b, folder), int64(0)
-		draw := rand.New(rand.NewPCG(1, 1))
+		loaded, most := dirSize(b, dir), int64(0)
+		rng := rand.New(rand.NewPCG(1, 1))
 		var took []time.Duration
 		compactions := func() (n int) {
 			for level := range 3 {
@@ -97,42 +97,42 @@
 			}
 			return n
 		}
-		last, turns := compactions(), 0
-		var turning []time.Duration
+		last, compacted := compactions(), 0
+		var duringCompaction []time.Duration
 		for n := range manyChanges {
-			i := route(draw.IntN(manyRoutes), uint64(n+2))
+			i := route(rng.IntN(manyRoutes), uint64(n+2))
 			if n%3 > 0 {
-				i = quota(draw.IntN(manyQuotas), uint64(n+2))
+				i = quota(rng.IntN(manyQuotas), uint64(n+2))
 			}
 			began := time.Now()
 			err := store.Write([]config.Item{i}, map[string][]byte{"number": fmt.Append(nil, n), "acceptor": bytes.Repeat([]byte("a"), 300)}, false)
 			qt.Assert(b, err, qt.IsNil)
 			took = append(took, time.Since(began))
-			if now := compactions(); now != last { // files were made or went during this write, or right before it
-				last, turns = now, turns+1
-				turning = append(turning, took[n])
+			if now := compactions(); now != last { // tables were created or removed during this write or just before it
+				last, compacted = now, compacted+1
+				duringCompaction = append(duringCompaction, took[n])
 			}
 			if n%100 == 0 {
-				most = max(most, sizeOf(b, folder))
+				most = max(most, dirSize(b, dir))
 			}
 		}
-		bare := bareSyncs(b, folder)
+		bare := plainFileSyncs(b, dir)
 		slices.Sort(took)
-		slices.Sort(turning)
+		slices.Sort(duringCompaction)
 		ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 		b.ReportMetric(ms(took[len(took)/2]), "ms-p50")
 		b.ReportMetric(ms(took[len(took)*99/100]), "ms-p99")
 		b.ReportMetric(ms(took[len(took)-1]), "ms-worst")
 		b.ReportMetric(ms(bare[len(bare)*99/100]), "ms-p99-bare")
 		b.ReportMetric(ms(bare[len(bare)-1]), "ms-worst-bare")
-		b.ReportMetric(float64(turns), "compactions")
-		if turns > 0 {
-			b.ReportMetric(ms(turning[turns-1]), "ms-worst-compacting")
+		b.ReportMetric(float64(compacted), "compactions")
+		if compacted > 0 {
+			b.ReportMetric(ms(duringCompaction[compacted-1]), "ms-worst-compacting")
 		}
 		b.ReportMetric(float64(loaded)/1e6, "MB-loaded")
-		b.ReportMetric(float64(max(most, sizeOf(b, folder)))/1e6, "MB-most")
+		b.ReportMetric(float64(max(most, dirSize(b, dir)))/1e6, "MB-most")
 		qt.Assert(b, store.Close(), qt.IsNil)
-		b.ReportMetric(float64(sizeOf(b, folder))/1e6, "MB-end")
+		b.ReportMetric(float64(dirSize(b, dir))/1e6, "MB-end")
 		began = time.Now()
 		store, items, _, _, err := Open(s)
 		qt.Assert(b, err, qt.IsNil)
@@ -145,6 +145,6 @@
 		b.ReportMetric(ms(time.Since(began)), "ms-reopen")
 		store.Close()
 		s.Close()
-		os.RemoveAll(folder)
+		os.RemoveAll(dir)
 	}
 }
