--- a/internal/router/discovery/watcher.go
+++ b/internal/router/discovery/watcher.go
@@ -97,7 +97,7 @@
 	needsSnapshot bool // the list that is here has no revision there: the whole of it is wanted
 	watchRequests chan bool
 	backoff       backoff.Backoff
-	wanted        bool // the router wants the list, where it must be asked for
+	subscribed    bool // the router wants the list, where it must be asked for
 }
 
 const (
@@ -109,8 +109,8 @@
 )
 
 // New makes a watch on discovery's address.
-func New(at string, s settings.Settings, log zerolog.Logger, post func(dispatch.Event)) *Watcher {
-	return &Watcher{address: resolver.New(at), settings: s, post: post, log: log,
+func New(initialAddress string, s settings.Settings, log zerolog.Logger, post func(dispatch.Event)) *Watcher {
+	return &Watcher{address: resolver.New(initialAddress), settings: s, post: post, log: log,
 		client: http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 2,
 			IdleConnTimeout: time.Second, MaxResponseHeaderBytes: 64 << 10}, CheckRedirect: resolver.NoRedirect},
 		watchRequests: make(chan bool, 1), needsSnapshot: true}
@@ -143,15 +143,15 @@
 func (w *Watcher) Run(ctx context.Context) { w.address.Run(ctx, w.watchAddress) }
 
 // watchAddress watches at one address.
-func (w *Watcher) watchAddress(ctx context.Context, at string) {
+func (w *Watcher) watchAddress(ctx context.Context, address string) {
 	defer w.client.CloseIdleConnections()
-	w.url = "http://" + at + "/api/targets"
+	w.url = "http://" + address + "/api/targets"
 	defer func() { w.revision, w.needsSnapshot = 0, true }() // the next address counts by itself
 	failures := 0
 	for ctx.Err() == nil {
-		if w.settings.Subscribe && !w.wanted {
+		if w.settings.Subscribe && !w.subscribed {
 			select {
-			case w.wanted = <-w.watchRequests:
+			case w.subscribed = <-w.watchRequests:
 				continue
 			case <-ctx.Done():
 				return
@@ -167,7 +167,7 @@
 				w.log.Warn().Err(err).Msg("discovery")
 			}
 			if w.settings.Subscribe {
-				w.wanted = false
+				w.subscribed = false
 				w.post(dispatch.HostsChanged{Kind: decision.FetchFailed})
 				continue
 			}
--- a/internal/router/ingress/conn.go
+++ b/internal/router/ingress/conn.go
@@ -36,12 +36,12 @@
 // after them. Clients send one command at a time, so nothing may come until it is answered.
 type clientConn struct {
 	net.Conn
-	slot      *connlimit.Slot
-	flow      *export.Conn
-	mu        sync.Mutex
-	head      httpframing.Head
-	complete  bool          // a command is whole, and not answered
-	pipelined chan struct{} // gets one for what comes then
+	slot           *connlimit.Slot
+	flow           *export.Conn
+	mu             sync.Mutex
+	head           httpframing.Head
+	awaitingAnswer bool          // a command is whole, and not answered
+	pipelined      chan struct{} // gets one for what comes then
 }
 
 func (c *clientConn) Read(b []byte) (int, error) {
@@ -50,7 +50,7 @@
 	if n > 0 {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.complete {
+		if c.awaitingAnswer {
 			select {
 			case c.pipelined <- struct{}{}:
 			default:
@@ -82,19 +82,19 @@
 func (c *clientConn) requestRead(body int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.complete = c.head.BodyBytes == body && c.head.Lengths <= 1
-	if c.complete {
+	c.awaitingAnswer = c.head.BodyBytes == body && c.head.Lengths <= 1
+	if c.awaitingAnswer {
 		c.slot.SetState(connlimit.StateActive)
 	}
-	return c.complete
+	return c.awaitingAnswer
 }
 
 // answering tells that the answer goes out now: what comes next is another command.
-func (c *clientConn) answering() {
+func (c *clientConn) beginResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.flow.Answered()
-	c.complete, c.head = false, httpframing.Head{}
+	c.awaitingAnswer, c.head = false, httpframing.Head{}
 	select {
 	case <-c.pipelined:
 	default:
--- a/internal/router/ingress/server.go
+++ b/internal/router/ingress/server.go
@@ -57,8 +57,8 @@
 // commands are turned away before they reach the router.
 func New(s settings.Settings, conns, maxOpen int, clock dispatch.Clock, post func(dispatch.Event)) *Server {
 	server := &Server{settings: s, clock: clock, post: post, maxOpen: int64(maxOpen), limiter: connlimit.New(conns, conns/idleFraction)}
-	for _, b := range s.Settings.Classes {
-		server.maxTimeout = max(server.maxTimeout, time.Duration(b.Timeout))
+	for _, class := range s.Settings.Classes {
+		server.maxTimeout = max(server.maxTimeout, time.Duration(class.Timeout))
 	}
 	server.recentIDs.lifetime = int64(server.maxTimeout + readTimeout)
 	// the write's time runs from the request's head on; what clients send wrong is no matter for the log
@@ -77,10 +77,10 @@
 
 // Drain ends the service: commands go on coming for a while, each connection is closed after its next answer,
 // and what was taken is finished.
-func (s *Server) Drain(goOn time.Duration) error {
+func (s *Server) Drain(delay time.Duration) error {
 	s.draining.Store(true)
 	s.Meter.Leave()
-	time.Sleep(goOn)
+	time.Sleep(delay)
 	ctx, cancel := context.WithTimeout(context.Background(), s.maxTimeout)
 	defer cancel()
 	return s.http.Shutdown(ctx)
@@ -89,7 +89,7 @@
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	conn := r.Context().Value(connKey{}).(*clientConn)
 	if r.URL.Path == "/-/ready" && r.Method == http.MethodGet && r.ContentLength == 0 {
-		conn.answering()
+		conn.beginResponse()
 		s.writeResponse(w, http.StatusOK, nil)
 		return
 	}
@@ -102,14 +102,14 @@
 	http.NewResponseController(w).SetReadDeadline(time.Time{}) // it was for what has been read
 	defer s.open.Add(-1)
 	if s.open.Add(1) > s.maxOpen {
-		conn.answering()
+		conn.beginResponse()
 		s.writeAnswer(w, dispatch.Answer{Kind: dispatch.Rejected})
 		return
 	}
 	s.post(dispatch.RequestReceived{Call: call})
 	select {
 	case answer := <-call.Responder.(dispatch.AnswerChan):
-		conn.answering()
+		conn.beginResponse()
 		s.writeAnswer(w, answer)
 	case <-conn.pipelined:
 		s.post(dispatch.ClientGone{Call: call})
@@ -231,8 +231,8 @@
 const maxTarget = 2048 // characters of a path with its query
 
 // isVisibleASCII tells whether a text is of visible ASCII characters only, and of no more than so many.
-func isVisibleASCII(text string, most int) bool {
-	return len(text) <= most && !strings.ContainsFunc(text, func(c rune) bool { return c <= ' ' || c > '~' })
+func isVisibleASCII(text string, maxLength int) bool {
+	return len(text) <= maxLength && !strings.ContainsFunc(text, func(c rune) bool { return c <= ' ' || c > '~' })
 }
 
 // idSet are those of the commands that came lately. Each try has a new one: what brings one again is another's, and
@@ -240,7 +240,7 @@
 type idSet struct {
 	mu                sync.Mutex
 	lifetime          int64 // for how long at least
-	since             int64
+	rotatedAt         int64
 	current, previous map[string]struct{}
 }
 
@@ -248,8 +248,8 @@
 func (s *idSet) add(id string, now int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now-s.since > s.lifetime {
-		s.previous, s.current, s.since = s.current, map[string]struct{}{}, now
+	if now-s.rotatedAt > s.lifetime {
+		s.previous, s.current, s.rotatedAt = s.current, map[string]struct{}{}, now
 	}
 	_, inCurrent := s.current[id]
 	_, inPrevious := s.previous[id]
@@ -260,14 +260,14 @@
 	return true
 }
 
-var units = map[string]time.Duration{"m": time.Millisecond, "u": time.Microsecond}
+var timeoutUnits = map[string]time.Duration{"m": time.Millisecond, "u": time.Microsecond}
 
 // parseTimeout reads a time such as 480m (milliseconds) or 480000u (microseconds).
 func parseTimeout(text string) (int64, error) {
 	if text == "" {
 		return 0, errors.New("missing")
 	}
-	unit, ok := units[text[len(text)-1:]]
+	unit, ok := timeoutUnits[text[len(text)-1:]]
 	n, err := strconv.ParseUint(text[:len(text)-1], 10, 32)
 	if !ok || err != nil {
 		return 0, fmt.Errorf("%q is no time", text)
--- a/internal/router/ingress/server_test.go
+++ b/internal/router/ingress/server_test.go
@@ -17,19 +17,19 @@
 )
 
 // startServer starts a server; what it posts comes on the channel.
-func startServer(t *testing.T, most int) (string, *Server, chan dispatch.Event) {
+func startServer(t *testing.T, maxOpen int) (string, *Server, chan dispatch.Event) {
 	s := settings.Settings{ClassNames: []string{"display", "accept"}, CustomerNames: []string{"rila", "dunav"}}
 	s.Settings.Classes = []decision.RequestClass{{Timeout: int64(5 * time.Second)},
 		{Timeout: int64(3 * time.Second), Idempotency: decision.IdempotentByKey}}
 	events := make(chan dispatch.Event, 16)
-	v := New(s, 64, most, dispatch.NewClock(), func(e dispatch.Event) { events <- e })
+	server := New(s, 64, maxOpen, dispatch.NewClock(), func(e dispatch.Event) { events <- e })
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { v.http.Close() })
-	go v.Serve(l)
-	return l.Addr().String(), v, events
+	t.Cleanup(func() { server.http.Close() })
+	go server.Serve(l)
+	return l.Addr().String(), server, events
 }
 
 var lastTraceID atomic.Int64 // each has an id of its own
@@ -45,7 +45,7 @@
 	return c, bufio.NewReader(c)
 }
 
-func status(t *testing.T, in *bufio.Reader) (int, http.Header, string) {
+func readResponse(t *testing.T, in *bufio.Reader) (int, http.Header, string) {
 	r, err := http.ReadResponse(in, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -60,26 +60,26 @@
 	return r.StatusCode, r.Header, string(body)
 }
 
-const good = "POST /accept?obj=7f HTTP/1.1\r\nHost: s\r\nX-Trace-Id: t1\r\nX-Qos: accept\r\nX-Customer: dunav\r\n" +
+const validRequest = "POST /accept?obj=7f HTTP/1.1\r\nHost: s\r\nX-Trace-Id: t1\r\nX-Qos: accept\r\nX-Customer: dunav\r\n" +
 	"X-Expires-In: 480m\r\nIdempotency-Key: k1\r\nContent-Length: 4\r\n\r\nbody"
 
 func TestRequest(t *testing.T) {
-	address, v, events := startServer(t, 8)
-	_, in := dial(t, address, good)
+	address, server, events := startServer(t, 8)
+	_, in := dial(t, address, validRequest)
 	c := (<-events).(dispatch.RequestReceived).Call
-	left := time.Duration(c.Deadline - v.clock())
-	if c.Class != 1 || c.Customer != 1 || c.Key == 0 || left > 480*time.Millisecond || left < 0 ||
+	remaining := time.Duration(c.Deadline - server.clock())
+	if c.Class != 1 || c.Customer != 1 || c.Key == 0 || remaining > 480*time.Millisecond || remaining < 0 ||
 		fmt.Sprint(*c.Request) != fmt.Sprint(dispatch.Request{Method: "POST", Target: "/accept?obj=7f", TraceID: c.Request.TraceID, IdempotencyKey: "k1", Body: []byte("body"), Class: 1, Customer: 1}) {
 		t.Fatal(c, c.Request)
 	}
 	c.Responder.Respond(dispatch.Answer{Body: []byte(strings.Repeat("x", 60000))})
-	if code, _, body := status(t, in); code != 200 || len(body) != 60000 {
+	if code, _, body := readResponse(t, in); code != 200 || len(body) != 60000 {
 		t.Error(code, len(body))
 	}
 	for want, a := range map[int]dispatch.Answer{500: {Kind: dispatch.Failed}, 503: {Kind: dispatch.Rejected, RetryAfter: 250 * time.Millisecond}} {
-		_, in := dial(t, address, good)
+		_, in := dial(t, address, validRequest)
 		(<-events).(dispatch.RequestReceived).Call.Responder.Respond(a)
-		if code, h, _ := status(t, in); code != want || want == 503 && h.Get("Retry-After") != "0.250" {
+		if code, h, _ := readResponse(t, in); code != want || want == 503 && h.Get("Retry-After") != "0.250" {
 			t.Error(code, h)
 		}
 	}
@@ -87,44 +87,44 @@
 
 func TestInvalidRequest(t *testing.T) {
 	address, _, events := startServer(t, 8)
-	swap := func(from, to string) string { return strings.Replace(good, from, to, 1) }
+	replace := func(from, to string) string { return strings.Replace(validRequest, from, to, 1) }
 	for text, want := range map[string]int{
-		swap("/accept", "/else"):                                            404,
-		swap("X-Qos: accept", "X-Qos: display"):                             400,
-		swap("X-Customer: dunav", "X-Customer: who"):                        400,
-		swap("X-Trace-Id: t1\r\n", ""):                                      400,
-		swap("X-Trace-Id: t1", "X-Trace-Id: t1\r\nX-Trace-Id: t2"):          400,
-		swap("Idempotency-Key: k1\r\n", ""):                                 400,
-		swap("X-Qos", "X-Second-Try: yes\r\nX-Qos"):                         400,
-		swap("X-Qos", "X-Second-Try: 1\r\nX-Second-Try: 1\r\nX-Qos"):        400,
-		swap("480m", "soon"):                                                400,
-		swap("480m", "-1m"):                                                 400,
-		swap("480m", "4 80m"):                                               400,
-		swap("480m", "99999999999999m"):                                     400,
-		swap("POST", "GET"):                                                 405,
-		swap("HTTP/1.1", "HTTP/1.0"):                                        400,
-		swap("X-Qos: accept\r\n", ""):                                       400,
-		swap("t1", "t 1"):                                                   400,
-		swap("k1", "\xff"):                                                  400,
-		swap("Content-Length: 4", "Content-Length: -4"):                     400,
-		swap("Content-Length: 4", "Content-Length: 4\r\ncontent-length: 4"): 400,
-		swap("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked") + "\r\n0\r\n\r\n":    400,
-		swap("Content-Length: 4\r\n\r\nbody", "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"): 400,
-		good + "more":                      400,
-		swap("X-Expires-In: 480m\r\n", ""): 400,
-		swap("480m", "0m"):                 504,
-		swap("POST", "PUT"):                405,
-		swap("Content-Length: 4", "Content-Length: 70000") + strings.Repeat("x", 70000): 413,
-		swap("Content-Length: 4", "Content-Length: four"):                               400,
-		swap("HTTP/1.1", "HTTP/9"):                                                      400,
-		swap("k1", strings.Repeat("k", 40000)):                                          431,
+		replace("/accept", "/else"):                                            404,
+		replace("X-Qos: accept", "X-Qos: display"):                             400,
+		replace("X-Customer: dunav", "X-Customer: who"):                        400,
+		replace("X-Trace-Id: t1\r\n", ""):                                      400,
+		replace("X-Trace-Id: t1", "X-Trace-Id: t1\r\nX-Trace-Id: t2"):          400,
+		replace("Idempotency-Key: k1\r\n", ""):                                 400,
+		replace("X-Qos", "X-Second-Try: yes\r\nX-Qos"):                         400,
+		replace("X-Qos", "X-Second-Try: 1\r\nX-Second-Try: 1\r\nX-Qos"):        400,
+		replace("480m", "soon"):                                                400,
+		replace("480m", "-1m"):                                                 400,
+		replace("480m", "4 80m"):                                               400,
+		replace("480m", "99999999999999m"):                                     400,
+		replace("POST", "GET"):                                                 405,
+		replace("HTTP/1.1", "HTTP/1.0"):                                        400,
+		replace("X-Qos: accept\r\n", ""):                                       400,
+		replace("t1", "t 1"):                                                   400,
+		replace("k1", "\xff"):                                                  400,
+		replace("Content-Length: 4", "Content-Length: -4"):                     400,
+		replace("Content-Length: 4", "Content-Length: 4\r\ncontent-length: 4"): 400,
+		replace("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked") + "\r\n0\r\n\r\n":    400,
+		replace("Content-Length: 4\r\n\r\nbody", "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"): 400,
+		validRequest + "more":                 400,
+		replace("X-Expires-In: 480m\r\n", ""): 400,
+		replace("480m", "0m"):                 504,
+		replace("POST", "PUT"):                405,
+		replace("Content-Length: 4", "Content-Length: 70000") + strings.Repeat("x", 70000): 413,
+		replace("Content-Length: 4", "Content-Length: four"):                               400,
+		replace("HTTP/1.1", "HTTP/9"):                                                      400,
+		replace("k1", strings.Repeat("k", 40000)):                                          431,
 	} {
 		_, in := dial(t, address, text)
-		if code, _, _ := status(t, in); code != want && (want != 400 || code != 505) {
+		if code, _, _ := readResponse(t, in); code != want && (want != 400 || code != 505) {
 			t.Errorf("%d, wanted %d: %.120q", code, want, text)
 		}
 	}
-	half, _ := dial(t, address, good[:len(good)-2])
+	half, _ := dial(t, address, validRequest[:len(validRequest)-2])
 	half.Close()
 	if len(events) != 0 {
 		t.Error("posted", <-events)
@@ -134,7 +134,7 @@
 // A further try that is marked is told to the router as one.
 func TestMarkedRetry(t *testing.T) {
 	address, _, events := startServer(t, 8)
-	for i, text := range []string{good, strings.Replace(strings.Replace(good, "t1", "t2", 1), "X-Qos", "X-Second-Try: 1\r\nX-Qos", 1)} {
+	for i, text := range []string{validRequest, strings.Replace(strings.Replace(validRequest, "t1", "t2", 1), "X-Qos", "X-Second-Try: 1\r\nX-Qos", 1)} {
 		conn, _ := dial(t, address, text)
 		if c := (<-events).(dispatch.RequestReceived).Call; c.Retried != (i == 1) {
 			t.Error("try", i, "marked", c.Retried)
@@ -144,67 +144,67 @@
 	}
 }
 
-func TestClientLeaves(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	address, _, events := startServer(t, 8)
-	for _, text := range []string{good, strings.Replace(strings.ReplaceAll(good, "accept", "display"), "POST", "GET", 1)} {
+	for _, text := range []string{validRequest, strings.Replace(strings.ReplaceAll(validRequest, "accept", "display"), "POST", "GET", 1)} {
 		if strings.HasPrefix(text, "GET") {
 			text = strings.Replace(text, "Content-Length: 4\r\n\r\nbody", "\r\n", 1)
 		}
 		conn, _ := dial(t, address, text)
 		c := (<-events).(dispatch.RequestReceived).Call
 		conn.Close()
-		if left := (<-events).(dispatch.ClientGone); left.Call != c {
+		if gone := (<-events).(dispatch.ClientGone); gone.Call != c {
 			t.Error("another command left")
 		}
 	}
 }
 
 // An id that has come before is another client's: it gets neither that one's answer nor a second hand-off.
-func TestIdOfAnother(t *testing.T) {
-	address, v, events := startServer(t, 8)
-	_, first := dial(t, address, good)
+func TestDuplicateTraceID(t *testing.T) {
+	address, server, events := startServer(t, 8)
+	_, first := dial(t, address, validRequest)
 	c := (<-events).(dispatch.RequestReceived).Call
-	again := strings.Replace(good, "t1", c.Request.TraceID, 1)
-	ask := func() int {
+	again := strings.Replace(validRequest, "t1", c.Request.TraceID, 1)
+	resend := func() int {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
 		io.WriteString(conn, again)
-		code, _, _ := status(t, bufio.NewReader(conn))
+		code, _, _ := readResponse(t, bufio.NewReader(conn))
 		return code
 	}
-	if code := ask(); code != 409 {
+	if code := resend(); code != 409 {
 		t.Error(code)
 	}
 	c.Responder.Respond(dispatch.Answer{Body: []byte("mine")})
-	if _, _, body := status(t, first); body != "mine" {
+	if _, _, body := readResponse(t, first); body != "mine" {
 		t.Error(body)
 	}
-	if code := ask(); code != 409 || len(events) > 0 {
+	if code := resend(); code != 409 || len(events) > 0 {
 		t.Error(code, len(events))
 	}
-	now := v.recentIDs.since
+	now := server.recentIDs.rotatedAt
 	for n := range 1000 { // what is remembered is bounded by time
-		now += v.recentIDs.lifetime / 10
-		v.recentIDs.add(fmt.Sprint(n), now)
+		now += server.recentIDs.lifetime / 10
+		server.recentIDs.add(fmt.Sprint(n), now)
 	}
-	if n := len(v.recentIDs.current) + len(v.recentIDs.previous); n > 25 {
+	if n := len(server.recentIDs.current) + len(server.recentIDs.previous); n > 25 {
 		t.Error(n, "ids held")
 	}
 }
 
 // A client sends one command at a time: what comes before its answer ends the command.
-func TestBytesBeforeTheAnswer(t *testing.T) {
+func TestPipelinedBytes(t *testing.T) {
 	address, _, events := startServer(t, 8)
-	conn, in := dial(t, address, good)
+	conn, in := dial(t, address, validRequest)
 	c := (<-events).(dispatch.RequestReceived).Call
 	io.WriteString(conn, "m")
-	if left := (<-events).(dispatch.ClientGone); left.Call != c {
+	if gone := (<-events).(dispatch.ClientGone); gone.Call != c {
 		t.Error("another command left")
 	}
-	if code, h, _ := status(t, in); code != 400 || h.Get("Connection") != "close" {
+	if code, h, _ := readResponse(t, in); code != 400 || h.Get("Connection") != "close" {
 		t.Error(code, h)
 	}
 }
@@ -216,28 +216,28 @@
 		dial(t, address, "")
 	}
 	for range 100 {
-		dial(t, address, good[:50])
+		dial(t, address, validRequest[:50])
 	}
-	_, in := dial(t, address, good)
+	_, in := dial(t, address, validRequest)
 	(<-events).(dispatch.RequestReceived).Call.Responder.Respond(dispatch.Answer{Body: []byte("hi")})
-	if code, _, body := status(t, in); code != 200 || body != "hi" {
+	if code, _, body := readResponse(t, in); code != 200 || body != "hi" {
 		t.Error(code, body)
 	}
 }
 
 // What never ends is ended, also a body, and also a connection after its command.
-func TestEndedInTime(t *testing.T) {
+func TestTimeouts(t *testing.T) {
 	address, _, events := startServer(t, 8)
-	since := time.Now()
-	for _, text := range []string{"", good[:50], good[:len(good)-1], good} {
+	start := time.Now()
+	for _, text := range []string{"", validRequest[:50], validRequest[:len(validRequest)-1], validRequest} {
 		t.Run(fmt.Sprint(len(text)), func(t *testing.T) {
 			t.Parallel()
 			_, in := dial(t, address, text)
-			if text == good {
+			if text == validRequest {
 				(<-events).(dispatch.RequestReceived).Call.Responder.Respond(dispatch.Answer{})
 			}
 			io.Copy(io.Discard, in)
-			if took := time.Since(since); took > 2900*time.Millisecond || took < 1900*time.Millisecond {
+			if took := time.Since(start); took > 2900*time.Millisecond || took < 1900*time.Millisecond {
 				t.Error(took)
 			}
 		})
@@ -247,31 +247,31 @@
 // Further commands than there is room for are turned away, as before a router whose connections are all taken.
 func TestBeyondOpenRequestLimit(t *testing.T) {
 	address, _, events := startServer(t, 1)
-	_, first := dial(t, address, good)
+	_, first := dial(t, address, validRequest)
 	c := (<-events).(dispatch.RequestReceived).Call
-	_, second := dial(t, address, good)
-	if code, _, _ := status(t, second); code != 503 {
+	_, second := dial(t, address, validRequest)
+	if code, _, _ := readResponse(t, second); code != 503 {
 		t.Error(code)
 	}
 	c.Responder.Respond(dispatch.Answer{})
-	if code, _, _ := status(t, first); code != 200 {
+	if code, _, _ := readResponse(t, first); code != 200 {
 		t.Error(code)
 	}
 }
 
 // A router that leaves takes new connections for a while, closes each after its answer, and finishes what it has.
 func TestDrain(t *testing.T) {
-	address, v, events := startServer(t, 8)
-	_, early := dial(t, address, good)
+	address, server, events := startServer(t, 8)
+	_, early := dial(t, address, validRequest)
 	c := (<-events).(dispatch.RequestReceived).Call
-	left := make(chan error)
-	v.draining.Store(true)
-	_, late := dial(t, address, good)
+	drained := make(chan error)
+	server.draining.Store(true)
+	_, late := dial(t, address, validRequest)
 	(<-events).(dispatch.RequestReceived).Call.Responder.Respond(dispatch.Answer{})
-	if code, h, _ := status(t, late); code != 200 || h.Get("Connection") != "close" {
+	if code, h, _ := readResponse(t, late); code != 200 || h.Get("Connection") != "close" {
 		t.Error(code, h)
 	}
-	go func() { left <- v.Drain(0) }()
+	go func() { drained <- server.Drain(0) }()
 	for { // until the listener is closed
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
@@ -280,10 +280,10 @@
 		conn.Close()
 	}
 	c.Responder.Respond(dispatch.Answer{Body: []byte("hi")})
-	if code, _, body := status(t, early); code != 200 || body != "hi" {
+	if code, _, body := readResponse(t, early); code != 200 || body != "hi" {
 		t.Error(code, body)
 	}
-	if err := <-left; err != nil {
+	if err := <-drained; err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/router/peers/socket.go
+++ b/internal/router/peers/socket.go
@@ -28,8 +28,8 @@
 }
 
 // Listen opens the socket.
-func Listen(at netip.AddrPort, peers []netip.AddrPort, log zerolog.Logger, post func(dispatch.Event)) (*Socket, error) {
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
+func Listen(address netip.AddrPort, peers []netip.AddrPort, log zerolog.Logger, post func(dispatch.Event)) (*Socket, error) {
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
--- a/internal/router/peers/socket_test.go
+++ b/internal/router/peers/socket_test.go
@@ -13,52 +13,52 @@
 )
 
 func TestGossipReceived(t *testing.T) {
-	heard := make(chan dispatch.Event, 4)
-	var all [3]*Socket // the last is no peer of the first
-	for i := range all {
-		p, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), nil, zerolog.Nop(), func(e dispatch.Event) { heard <- e })
+	received := make(chan dispatch.Event, 4)
+	var sockets [3]*Socket // the last is no peer of the first
+	for i := range sockets {
+		p, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), nil, zerolog.Nop(), func(e dispatch.Event) { received <- e })
 		if err != nil {
 			t.Fatal(err)
 		}
-		all[i] = p
+		sockets[i] = p
 	}
-	at := func(i int) netip.AddrPort { return all[i].conn.LocalAddr().(*net.UDPAddr).AddrPort() }
-	all[0].addresses = []netip.AddrPort{at(0), at(1)}
-	all[1].addresses, all[2].addresses = all[0].addresses, all[0].addresses
+	addressOf := func(i int) netip.AddrPort { return sockets[i].conn.LocalAddr().(*net.UDPAddr).AddrPort() }
+	sockets[0].addresses = []netip.AddrPort{addressOf(0), addressOf(1)}
+	sockets[1].addresses, sockets[2].addresses = sockets[0].addresses, sockets[0].addresses
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan bool)
-	go func() { all[0].Run(ctx); done <- true }()
-	all[2].SendGossip(0, []byte("foreign"))
-	all[1].conn.WriteToUDPAddrPort(make([]byte, 300), at(0))
-	all[1].SendGossip(0, make([]byte, 300))
-	all[1].SendGossip(7, []byte("nobody"))
-	all[1].SendGossip(0, []byte("hi"))
-	if h := (<-heard).(dispatch.GossipReceived); h.Peer != 1 || string(h.Message) != "hi" {
-		t.Error(h)
+	go func() { sockets[0].Run(ctx); done <- true }()
+	sockets[2].SendGossip(0, []byte("foreign"))
+	sockets[1].conn.WriteToUDPAddrPort(make([]byte, 300), addressOf(0))
+	sockets[1].SendGossip(0, make([]byte, 300))
+	sockets[1].SendGossip(7, []byte("nobody"))
+	sockets[1].SendGossip(0, []byte("hi"))
+	if gossip := (<-received).(dispatch.GossipReceived); gossip.Peer != 1 || string(gossip.Message) != "hi" {
+		t.Error(gossip)
 	}
 	cancel()
 	<-done
 }
 
 // An error of the socket that stays once kept a core busy, and that is a crash where a thread may not run for long.
-func TestPersistentError(t *testing.T) {
+func TestBackoffOnReadErrors(t *testing.T) {
 	p, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), nil, zerolog.Nop(), func(dispatch.Event) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.conn.SetReadDeadline(time.Unix(1, 0)) // each read fails at once
-	fourth := make(chan time.Duration, 1)
-	began := time.Now()
+	untilFourth := make(chan time.Duration, 1)
+	start := time.Now()
 	p.onReadFailure = func(failures int) {
 		if failures == 4 {
-			fourth <- time.Since(began)
+			untilFourth <- time.Since(start)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan bool)
 	go func() { p.Run(ctx); done <- true }()
-	if after := <-fourth; after < 250*time.Millisecond {
-		t.Errorf("the fourth failure after %v", after)
+	if elapsed := <-untilFourth; elapsed < 250*time.Millisecond {
+		t.Errorf("the fourth failure after %v", elapsed)
 	}
 	cancel()
 	<-done
--- a/internal/router/platform/client.go
+++ b/internal/router/platform/client.go
@@ -94,8 +94,8 @@
 const maxVoteCalls = 4 // at once, far below the 32 connections that the platform holds
 
 // New makes the platform at an address; a vote's answer is waited for so long.
-func New(at string, bands []string, wait time.Duration, log zerolog.Logger, post func(dispatch.Event)) *Client {
-	return &Client{address: resolver.New(at), classNames: bands, post: post, log: log, voteTimeout: wait,
+func New(initialAddress string, names []string, timeout time.Duration, log zerolog.Logger, post func(dispatch.Event)) *Client {
+	return &Client{address: resolver.New(initialAddress), classNames: names, post: post, log: log, voteTimeout: timeout,
 		httpClient: http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 			DialContext: (&net.Dialer{Timeout: 2 * time.Second}).DialContext, MaxResponseHeaderBytes: maxMessageBytes},
 			CheckRedirect: resolver.NoRedirect},
@@ -108,7 +108,7 @@
 // SetAddress takes up another address: further votes go there, and the news is followed there from now on.
 func (c *Client) SetAddress(address string) { c.address.Set(address) }
 
-func apiURL(at string) string { return "http://" + at + "/api/" }
+func apiURL(address string) string { return "http://" + address + "/api/" }
 
 // Vote casts a vote; what comes of it is posted as News.
 func (c *Client) Vote(v decision.Verdict, build, stage int) {
@@ -119,9 +119,9 @@
 		return
 	}
 	go func() {
-		n := c.castVote(voteJSON{build, stage, verdictNames[v]})
+		result := c.castVote(voteJSON{build, stage, verdictNames[v]})
 		<-c.voteSlots
-		c.post(n)
+		c.post(result)
 	}()
 }
 
@@ -146,14 +146,14 @@
 	if err != nil {
 		return unanswered
 	}
-	if refused, ok := voteRefusals[resp.StatusCode]; ok { // a status whose answer can't be read may be as wrong as the rest
+	if refusal, ok := voteRefusals[resp.StatusCode]; ok { // a status whose answer can't be read may be as wrong as the rest
 		var failure struct {
 			Error string `json:"error"`
 		}
-		if json.Unmarshal(raw, &failure) != nil || failure.Error != refused.code {
+		if json.Unmarshal(raw, &failure) != nil || failure.Error != refusal.code {
 			return unanswered
 		}
-		return dispatch.RolloutChanged{Rollout: decision.Rollout{VoteReply: true, VoteResult: refused.result}}
+		return dispatch.RolloutChanged{Rollout: decision.Rollout{VoteReply: true, VoteResult: refusal.result}}
 	}
 	rollout, err := DecodeRollout(raw)
 	if resp.StatusCode != http.StatusOK || err != nil {
--- a/internal/router/platform/client_test.go
+++ b/internal/router/platform/client_test.go
@@ -17,9 +17,9 @@
 	"portflow/internal/dispatch"
 )
 
-const news = `{"release":42,"tranche":1,"mode":"canary","exposure":0.28,"old_ms":310}`
+const rolloutText = `{"release":42,"tranche":1,"mode":"canary","exposure":0.28,"old_ms":310}`
 
-var decodeExamples = decision.Rollout{Build: 42, Stage: 1, ExposureCap: 0.28, Age: 310e6}
+var wantRollout = decision.Rollout{Build: 42, Stage: 1, ExposureCap: 0.28, Age: 310e6}
 
 func startClient(t *testing.T, serve http.HandlerFunc) (*Client, chan dispatch.Event) {
 	s := httptest.NewServer(serve)
@@ -30,11 +30,11 @@
 }
 
 func TestDecodeRollout(t *testing.T) {
-	if n, err := DecodeRollout([]byte(news)); err != nil || n.Rollout != decodeExamples {
+	if n, err := DecodeRollout([]byte(rolloutText)); err != nil || n.Rollout != wantRollout {
 		t.Fatal(n, err)
 	}
 	for from, to := range map[string]string{`"release":42,`: "", "42": "70000", "canary": "odd", "0.28": "1.5", "310": "-1", ":1": ":-1", "{": ""} {
-		if n, err := DecodeRollout([]byte(strings.Replace(news, from, to, 1))); err == nil {
+		if n, err := DecodeRollout([]byte(strings.Replace(rolloutText, from, to, 1))); err == nil {
 			t.Errorf("%s for %s taken as %v", to, from, n)
 		}
 	}
@@ -43,10 +43,10 @@
 func TestVotes(t *testing.T) {
 	for code, want := range map[int]decision.VoteResult{200: decision.VoteCounted, 429: decision.VoteThrottled, 409: decision.VoteConflict, 500: decision.VoteFailed,
 		400: decision.VoteFailed, 204: decision.VoteUnanswered, 302: decision.VoteUnanswered, 1429: decision.VoteUnanswered, 0: decision.VoteUnanswered, 1: decision.VoteUnanswered} {
-		asked := make(chan string, 4)
-		p, events := startClient(t, func(w http.ResponseWriter, r *http.Request) {
+		requests := make(chan string, 4)
+		client, events := startClient(t, func(w http.ResponseWriter, r *http.Request) {
 			raw, _ := io.ReadAll(r.Body)
-			asked <- r.Method + r.URL.Path + string(raw)
+			requests <- r.Method + r.URL.Path + string(raw)
 			switch code {
 			case 0:
 				panic(http.ErrAbortHandler)
@@ -58,17 +58,17 @@
 				if r, ok := voteRefusals[code]; ok {
 					fmt.Fprintf(w, `{"error":%q}`, r.code)
 				} else {
-					fmt.Fprint(w, news)
+					fmt.Fprint(w, rolloutText)
 				}
 			}
 		})
-		p.Vote(decision.RollBack, 42, 1)
+		client.Vote(decision.RollBack, 42, 1)
 		n := (<-events).(dispatch.RolloutChanged)
 		if !n.VoteReply || n.VoteResult != want || want == decision.VoteCounted && (n.Build != 42 || n.ExposureCap != 0.28) {
 			t.Errorf("%d: %+v", code, n)
 		}
-		if call := <-asked; call != `POST/api/verdicts{"release":42,"tranche":1,"ruling":"ROLLBACK"}` || len(asked) > 0 {
-			t.Error(call, len(asked))
+		if call := <-requests; call != `POST/api/verdicts{"release":42,"tranche":1,"ruling":"ROLLBACK"}` || len(requests) > 0 {
+			t.Error(call, len(requests))
 		}
 	}
 }
@@ -76,7 +76,7 @@
 // A stream that ends, breaks or brings what can't be read is asked for again.
 func TestRolloutStream(t *testing.T) {
 	streams := 0
-	p, events := startClient(t, func(w http.ResponseWriter, r *http.Request) {
+	client, events := startClient(t, func(w http.ResponseWriter, r *http.Request) {
 		good := `{"type":"report","object":{"unit":"s-1","product":"display","old_ms":1200}}` + "\n"
 		bad := []string{"", "", "???", `{"type":"news","object":{"release":-1}}`, `{"type":"nxws"}`,
 			`{"type":"report","object":{"unit":"s-1","product":"odd","old_ms":1200}}`}
@@ -84,16 +84,16 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		fmt.Fprint(w, `{"type":"news","object":`+news+"}\n{}\n", good, bad[streams%len(bad)]+"\n")
+		fmt.Fprint(w, `{"type":"news","object":`+rolloutText+"}\n{}\n", good, bad[streams%len(bad)]+"\n")
 		if http.NewResponseController(w).Flush(); bad[streams%len(bad)] != "" {
 			<-r.Context().Done() // the reader closes
 		}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go p.Run(ctx)
+	go client.Run(ctx)
 	for range 7 {
-		if n := (<-events).(dispatch.RolloutChanged); n.Rollout != decodeExamples {
+		if n := (<-events).(dispatch.RolloutChanged); n.Rollout != wantRollout {
 			t.Error(n)
 		}
 		if r := (<-events).(dispatch.AnswerFlagged); r != (dispatch.AnswerFlagged{Host: "s-1", Age: 1200e6}) {
@@ -103,14 +103,14 @@
 }
 
 // An answer that is cut short while its connection stays open is asked for again.
-func TestCutShort(t *testing.T) {
+func TestTruncatedResponse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	go func() {
-		for text := "HTTP/1.1 200 OK\r\nContent-Le"; ; text = "HTTP/1.1 200 OK\r\n\r\n{\"type\":\"news\",\"object\":" + news + "}\n" {
+		for text := "HTTP/1.1 200 OK\r\nContent-Le"; ; text = "HTTP/1.1 200 OK\r\n\r\n{\"type\":\"news\",\"object\":" + rolloutText + "}\n" {
 			c, err := l.Accept()
 			if err != nil {
 				return
@@ -122,10 +122,10 @@
 	events := make(chan dispatch.Event, 16)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	since := time.Now()
+	start := time.Now()
 	go New(l.Addr().String(), nil, time.Second, zerolog.Nop(), func(e dispatch.Event) { events <- e }).Run(ctx)
-	if <-events; time.Since(since) > 2*time.Second {
-		t.Error(time.Since(since))
+	if <-events; time.Since(start) > 2*time.Second {
+		t.Error(time.Since(start))
 	}
 }
 
@@ -133,31 +133,31 @@
 func TestSetAddress(t *testing.T) {
 	stream := func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
-			fmt.Fprint(w, news)
+			fmt.Fprint(w, rolloutText)
 			return
 		}
-		fmt.Fprint(w, `{"type":"news","object":`+news+"}\n")
+		fmt.Fprint(w, `{"type":"news","object":`+rolloutText+"}\n")
 		http.NewResponseController(w).Flush()
 		<-r.Context().Done()
 	}
-	left := make(chan bool)
-	p, events := startClient(t, func(w http.ResponseWriter, r *http.Request) { stream(w, r); left <- true })
+	closed := make(chan bool)
+	client, events := startClient(t, func(w http.ResponseWriter, r *http.Request) { stream(w, r); closed <- true })
 	other, _ := startClient(t, stream)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go p.Run(ctx)
+	go client.Run(ctx)
 	<-events
-	p.SetAddress(other.address.Current())
-	<-left
+	client.SetAddress(other.address.Current())
+	<-closed
 	<-events
-	p.Vote(decision.Advance, 42, 1)
+	client.Vote(decision.Advance, 42, 1)
 	if n := (<-events).(dispatch.RolloutChanged); n.VoteResult != decision.VoteCounted {
 		t.Error(n)
 	}
 }
 
 func FuzzDecodeRollout(f *testing.F) {
-	f.Add([]byte(news))
+	f.Add([]byte(rolloutText))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if n, err := DecodeRollout(raw); err == nil && (n.Build < 0 || n.Stage < 0 || n.Age < 0 || !(n.ExposureCap >= 0 && n.ExposureCap <= 1)) {
 			t.Error(n)
--- a/internal/router/protocol/protocol.go
+++ b/internal/router/protocol/protocol.go
@@ -37,10 +37,10 @@
 
 // NewRequest is the command on the wire. http.Transport sends again by itself what has a body that it can have anew,
 // and an empty one counts as such: a body that can't be rewound stops that.
-func (Protocol) NewRequest(to dispatch.Host, r *dispatch.Request, left time.Duration) *http.Request {
+func (Protocol) NewRequest(to dispatch.Host, r *dispatch.Request, timeout time.Duration) *http.Request {
 	req := &http.Request{Method: r.Method, URL: &url.URL{Scheme: "http", Host: to.Address, Opaque: r.Target}, Host: to.Address,
 		Header: http.Header{"X-Trace-Id": {r.TraceID}, "User-Agent": nil,
-			"X-Expires-In": {strconv.FormatInt(max(0, left.Milliseconds()), 10) + "m"}},
+			"X-Expires-In": {strconv.FormatInt(max(0, timeout.Milliseconds()), 10) + "m"}},
 		Body: io.NopCloser(bytes.NewReader(r.Body)), ContentLength: int64(len(r.Body))}
 	if r.IdempotencyKey != "" {
 		req.Header["idempotency-key"] = []string{r.IdempotencyKey} // in this spelling it is no leave to send again
@@ -68,7 +68,7 @@
 			values[name] = v
 		}
 	}
-	var all []float64
+	var report []float64
 	for _, name := range p.ReportFields {
 		v, ok := values[name]
 		if !ok {
@@ -77,7 +77,7 @@
 		if !ok {
 			return nil
 		}
-		all = append(all, v)
+		report = append(report, v)
 	}
-	return all
+	return report
 }
--- a/internal/router/protocol/protocol_test.go
+++ b/internal/router/protocol/protocol_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func FuzzReport(f *testing.F) {
+func FuzzParseLoadReport(f *testing.F) {
 	f.Add("TEXT queue=3, latency_ms=1.5")
 	f.Add("TEXT queue=,,=")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -63,8 +63,8 @@
 	}
 	options := export.Options{Version9: f.Protocol == "netflow9", Domain: f.Domain, Enterprise: f.Enterprise, Refresh: time.Duration(f.Refresh), Packets: refreshPackets,
 		MTU: f.MTU, Linger: drainDelay, Names: ipfix.Names{Carriers: c.Settings.CustomerNames, Bands: c.Settings.ClassNames}}
-	for _, to := range f.Collectors {
-		network, address, _ := strings.Cut(to, "://")
+	for _, collectorURL := range f.Collectors {
+		network, address, _ := strings.Cut(collectorURL, "://")
 		options.Collectors = append(options.Collectors, export.Collector{Network: network, Address: address})
 	}
 	meter := export.NewMeter(flow.Limits{Active: f.Active, Idle: f.Idle, MaxConnections: c.Sockets}, len(options.Collectors), f.Memory, dispatch.NewClock())
@@ -119,7 +119,7 @@
 		cancel()
 		return nil, err
 	}
-	pool.Preconnect(preconnect(initial))
+	pool.Preconnect(preconnectTargets(initial))
 	go func() {
 		defer close(router.stopped)
 		dispatcher.Run(ctx, initial, outputs)
@@ -140,14 +140,14 @@
 func dispatchConfig(c config.Config, maxConns int) dispatch.Config {
 	s := c.Settings.Settings
 	s.MaxOpen = maxOpen(s.MaxOpen, maxConns)
-	known := c.KnownHosts.HostsChanged
-	known.Kind = decision.CachedSnapshot
-	return dispatch.Config{Settings: s, Seed: c.Seed, Hosts: known, Rollout: c.Rollout}
+	hosts := c.KnownHosts.HostsChanged
+	hosts.Kind = decision.CachedSnapshot
+	return dispatch.Config{Settings: s, Seed: c.Seed, Hosts: hosts, Rollout: c.Rollout}
 }
 
 // preconnect tells the hosts to which a router opens connections before its first command, those that the rules use first,
 // and how many at most, by the time that the rules guess for its commands.
-func preconnect(s dispatch.Config) (addresses []string, maxConns int) {
+func preconnectTargets(s dispatch.Config) (addresses []string, maxConns int) {
 	ready := s.Hosts.ReadyAddresses()
 	for _, i := range pacing.PreconnectOrder(len(ready), s.Settings.Rank) {
 		addresses = append(addresses, ready[i])
@@ -156,8 +156,8 @@
 	for _, c := range s.Settings.Customers {
 		rate += c.PerSecond
 	}
-	for _, b := range s.Settings.Classes {
-		latency += b.InitialLatency() / 1e9 / float64(len(s.Settings.Classes))
+	for _, class := range s.Settings.Classes {
+		latency += class.InitialLatency() / 1e9 / float64(len(s.Settings.Classes))
 	}
 	if maxConns = pacing.PreconnectCount(rate, latency, s.Settings.Routers); maxConns == 0 {
 		maxConns = math.MaxInt
@@ -169,8 +169,8 @@
 func RetryGuardSettings(s settings.Settings, tuning retryguard.Tuning) retryguard.Settings {
 	guardSettings := retryguard.Settings{Tuning: tuning, Customers: len(s.Settings.Customers), Routers: s.Routers, ColdCapacity: s.ColdCapacity,
 		WarmUpTime: s.WarmUpTime, MaxRetryAfter: s.MaxRetryAfter}
-	for _, b := range s.Settings.Classes {
-		guardSettings.Classes = append(guardSettings.Classes, retryguard.Class{LatencyTarget: b.LatencyTarget, Timeout: b.Timeout, Value: b.Value})
+	for _, class := range s.Settings.Classes {
+		guardSettings.Classes = append(guardSettings.Classes, retryguard.Class{LatencyTarget: class.LatencyTarget, Timeout: class.Timeout, Value: class.Value})
 	}
 	return guardSettings
 }
@@ -200,19 +200,19 @@
 const reservedDescriptors = 20
 
 // maxOpen is how many commands may be open: each holds a client's connection.
-func maxOpen(stated, conns int) int {
-	if stated == 0 || stated > conns {
-		return conns
+func maxOpen(configured, maxConns int) int {
+	if configured == 0 || configured > maxConns {
+		return maxConns
 	}
-	return stated
+	return configured
 }
 
 // connCounter accounts for what passes on a connection to a host.
 type connCounter struct{ *export.Conn }
 
 func observeConns(m *export.Meter) upstream.Observer {
-	return func(to string, local, remote net.Addr) upstream.ConnCounter {
-		return connCounter{m.Open(flow.Label{Side: flow.Hosts, Host: to}, export.Address(local), export.Address(remote))}
+	return func(host string, local, remote net.Addr) upstream.ConnCounter {
+		return connCounter{m.Open(flow.Label{Side: flow.Hosts, Host: host}, export.Address(local), export.Address(remote))}
 	}
 }
 
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -44,28 +44,28 @@
 
 // A router that leaves has told the collector every octet and command of its clients' connections, and as many
 // commands of its hosts'.
-func TestFlows(t *testing.T) {
+func TestFlowExport(t *testing.T) {
 	c, err := collector.New("tcp", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
-	h := &servers.Host{Name: "h0", Effects: &servers.SharedEffects{}, Clock: func() int64 { return int64(time.Since(began)) },
+	start := time.Now()
+	h := &servers.Host{Name: "h0", Effects: &servers.SharedEffects{}, Clock: func() int64 { return int64(time.Since(start)) },
 		OnWork: func(int64, int64) {}, Work: func() int64 { return 1e6 }}
 	if err := h.Start(&standin.Machine{Cores: 8, QueueNanos: 1e9}); err != nil {
 		t.Fatal(err)
 	}
 	defer h.Stop()
-	around, err := servers.NewServices(`{"release":1,"tranche":0,"mode":"stable","exposure":1,"old_ms":60000}`,
+	services, err := servers.NewServices(`{"release":1,"tranche":0,"mode":"stable","exposure":1,"old_ms":60000}`,
 		[]servers.Member{{ID: "h0", HostPort: h.Address, Phase: "Ready", Size: 1, Image: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer around.Close()
+	defer services.Close()
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	listen := l.Addr().String()
 	l.Close()
-	conf := config.Config{Name: "n0", Listen: listen, Discovery: around.Address, Platform: around.Address, Seed: 1, Cores: 1,
+	conf := config.Config{Name: "n0", Listen: listen, Discovery: services.Address, Platform: services.Address, Seed: 1, Cores: 1,
 		Memory: 64 << 20, Sockets: 256, Rollout: dispatch.RolloutChanged{Rollout: decision.Rollout{Build: 1, State: decision.Released, ExposureCap: 1, Age: 60e9}},
 		KnownHosts: discovery.Update{HostsChanged: dispatch.HostsChanged{Hosts: []dispatch.Host{{Name: "h0", Address: h.Address, Build: 1, Capacity: 1}}}},
 		Settings: settings.Settings{ClassNames: []string{"display"}, CustomerNames: []string{"rila", "dunav"}, ConnectTimeout: 250e6, IdleTimeout: 30e9,
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := Start(context.Background(), conf, s, zerolog.Nop())
+	router, err := Start(context.Background(), conf, s, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 		resp.Body.Close()
 	}
 	client.CloseIdleConnections()
-	if err := n.Drain(); err != nil {
+	if err := router.Drain(); err != nil {
 		t.Error(err)
 	}
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -108,11 +108,11 @@
 			break
 		}
 	}
-	by, stats := c.TotalsBySide()
-	if x := by[flow.Clients]; x.Forward != out.Load() || x.Reverse != in.Load() || x.Commands != commands || x.Connections == 0 {
+	totals, stats := c.TotalsBySide()
+	if x := totals[flow.Clients]; x.Forward != out.Load() || x.Reverse != in.Load() || x.Commands != commands || x.Connections == 0 {
 		t.Errorf("collector %+v; the client wrote %d and read %d; %+v", x, out.Load(), in.Load(), stats)
 	}
-	if x := by[flow.Hosts]; x.Commands != commands || x.Forward == 0 || x.Reverse == 0 {
+	if x := totals[flow.Hosts]; x.Commands != commands || x.Forward == 0 || x.Reverse == 0 {
 		t.Errorf("of hosts %+v", x)
 	}
 	c.Stop()
--- a/internal/router/settings/settings_test.go
+++ b/internal/router/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"portflow/internal/decision"
 )
 
-func TestSettings(t *testing.T) {
+func TestRead(t *testing.T) {
 	good := `{"classes":[{"aimNs":1,"effect":"by_key","group":"cell","dedupWindowNs":5,"new":[1]}],"unknown":{},
 		"familyInfo":{"gateMode":"clocked","exposureCaps":[0.1]},"rank":1,"replicasOfMe":3,"tickNs":5,
 		"limits":{"maxAttempts":3},"report":{"fields":["depth","later"]}}`
--- a/internal/router/site/script.go
+++ b/internal/router/site/script.go
@@ -16,7 +16,7 @@
 var siteSections = []string{"storm", "flows"}
 
 // sectionCall is what a script handed to site, and where in the script each of its fields stands.
-type sectionCall struct {
+type siteCall struct {
 	name      string
 	fields    map[string]any
 	call      syntax.Position
@@ -24,96 +24,96 @@
 }
 
 // positionOf is where a field stands, or the nearest call around it.
-func (g sectionCall) positionOf(path []string) string {
-	at := g.call
+func (c siteCall) positionOf(path []string) string {
+	position := c.call
 	if len(path) > 0 {
-		fields := g.positions[path[0]]
+		fields := c.positions[path[0]]
 		if p, ok := fields[""]; ok {
-			at = p
+			position = p
 		}
 		if len(path) > 1 {
 			if p, ok := fields[path[1]]; ok {
-				at = p
+				position = p
 			}
 		}
 	}
-	return fmt.Sprintf("%s:%d", g.name, at.Line)
+	return fmt.Sprintf("%s:%d", c.name, position.Line)
 }
 
 // runScript runs a script and takes what it handed to site.
-func runScript(name string, text []byte) (sectionCall, error) {
-	g := sectionCall{name: name, positions: map[string]map[string]syntax.Position{}}
+func runScript(name string, text []byte) (siteCall, error) {
+	result := siteCall{name: name, positions: map[string]map[string]syntax.Position{}}
 	options := &syntax.FileOptions{TopLevelControl: true}
 	file, err := options.Parse(name, text, 0)
 	if err != nil {
-		return g, err // names the file, the line and the column
+		return result, err // names the file, the line and the column
 	}
-	arguments := keywords(file)
+	keywords := keywordPositions(file)
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(maxScriptSteps)
-	about := map[*starlark.Dict]map[string]syntax.Position{}
+	sectionPositions := map[*starlark.Dict]map[string]syntax.Position{}
 	builtins := starlark.StringDict{
-		"ms":      starlark.NewBuiltin("ms", durationFields(1e6)),
-		"seconds": starlark.NewBuiltin("seconds", durationFields(1e9)),
-		"kib":     starlark.NewBuiltin("kib", durationFields(1<<10)),
+		"ms":      starlark.NewBuiltin("ms", unitFunc(1e6)),
+		"seconds": starlark.NewBuiltin("seconds", unitFunc(1e9)),
+		"kib":     starlark.NewBuiltin("kib", unitFunc(1<<10)),
 	}
-	for _, part := range siteSections {
-		builtins[part] = starlark.NewBuiltin(part, func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple,
-			named []starlark.Tuple) (starlark.Value, error) {
+	for _, section := range siteSections {
+		builtins[section] = starlark.NewBuiltin(section, func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple,
+			kwargs []starlark.Tuple) (starlark.Value, error) {
 			if len(args) > 0 {
 				return nil, errors.New("its settings go by name")
 			}
-			d := starlark.NewDict(len(named))
-			for _, kv := range named {
+			d := starlark.NewDict(len(kwargs))
+			for _, kv := range kwargs {
 				if err := d.SetKey(kv[0], kv[1]); err != nil {
 					return nil, err
 				}
 			}
 			call := t.CallFrame(1).Pos
-			at := map[string]syntax.Position{"": call}
-			for field, p := range arguments[[2]int32{call.Line, call.Col}] {
-				at[field] = p
+			fieldPositions := map[string]syntax.Position{"": call}
+			for field, p := range keywords[[2]int32{call.Line, call.Col}] {
+				fieldPositions[field] = p
 			}
-			about[d] = at
+			sectionPositions[d] = fieldPositions
 			return d, nil
 		})
 	}
 	builtins["site"] = starlark.NewBuiltin("site", func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple,
-		named []starlark.Tuple) (starlark.Value, error) {
-		if g.fields != nil {
-			return nil, fmt.Errorf("called before, in line %d", g.call.Line)
+		kwargs []starlark.Tuple) (starlark.Value, error) {
+		if result.fields != nil {
+			return nil, fmt.Errorf("called before, in line %d", result.call.Line)
 		}
 		if len(args) > 0 {
 			return nil, errors.New("its parts go by name")
 		}
-		g.call = t.CallFrame(1).Pos
-		g.fields = map[string]any{}
-		for _, kv := range named {
-			part := string(kv[0].(starlark.String))
-			value, err := plainValue(kv[1], 0)
+		result.call = t.CallFrame(1).Pos
+		result.fields = map[string]any{}
+		for _, kv := range kwargs {
+			section := string(kv[0].(starlark.String))
+			value, err := jsonValue(kv[1], 0)
 			if err != nil {
-				return nil, fmt.Errorf("%s: %w", part, err)
+				return nil, fmt.Errorf("%s: %w", section, err)
 			}
-			g.fields[part] = value
-			if d, ok := kv[1].(*starlark.Dict); ok && about[d] != nil {
-				g.positions[part] = about[d]
+			result.fields[section] = value
+			if d, ok := kv[1].(*starlark.Dict); ok && sectionPositions[d] != nil {
+				result.positions[section] = sectionPositions[d]
 			} else {
-				g.positions[part] = map[string]syntax.Position{"": arguments[[2]int32{g.call.Line, g.call.Col}][part]}
+				result.positions[section] = map[string]syntax.Position{"": keywords[[2]int32{result.call.Line, result.call.Col}][section]}
 			}
 		}
 		return starlark.None, nil
 	})
 	program, err := starlark.FileProgram(file, builtins.Has)
 	if err != nil {
-		return g, err
+		return result, err
 	}
 	if _, err := program.Init(thread, builtins); err != nil {
-		return g, errorAt(name, err)
+		return result, errorAt(name, err)
 	}
-	if g.fields == nil {
-		return g, fmt.Errorf("%s: site is never called", name)
+	if result.fields == nil {
+		return result, fmt.Errorf("%s: site is never called", name)
 	}
-	return g, nil
+	return result, nil
 }
 
 // errorAt puts the script's own place of an error before it.
@@ -130,8 +130,8 @@
 }
 
 // keywords tells where each call's named arguments stand, by the place of its parenthesis.
-func keywords(file *syntax.File) map[[2]int32]map[string]syntax.Position {
-	all := map[[2]int32]map[string]syntax.Position{}
+func keywordPositions(file *syntax.File) map[[2]int32]map[string]syntax.Position {
+	positions := map[[2]int32]map[string]syntax.Position{}
 	syntax.Walk(file, func(n syntax.Node) bool {
 		call, ok := n.(*syntax.CallExpr)
 		if !ok {
@@ -145,17 +145,17 @@
 				}
 			}
 		}
-		all[[2]int32{call.Lparen.Line, call.Lparen.Col}] = fields
+		positions[[2]int32{call.Lparen.Line, call.Lparen.Col}] = fields
 		return true
 	})
-	return all
+	return positions
 }
 
 // durationFields makes a function that tells a number in whole units: nanoseconds or bytes.
-func durationFields(unit float64) func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error) {
-	return func(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
+func unitFunc(unit float64) func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error) {
+	return func(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 		var n starlark.Value
-		if err := starlark.UnpackPositionalArgs(b.Name(), args, named, 1, &n); err != nil {
+		if err := starlark.UnpackPositionalArgs(b.Name(), args, kwargs, 1, &n); err != nil {
 			return nil, err
 		}
 		f, ok := starlark.AsFloat(n)
@@ -169,7 +169,7 @@
 const maxDepth = 8 // levels of lists and dicts in a value; parts have two
 
 // plainValue turns a value into what JSON knows.
-func plainValue(v starlark.Value, depth int) (any, error) {
+func jsonValue(v starlark.Value, depth int) (any, error) {
 	if depth > maxDepth {
 		return nil, fmt.Errorf("more than %d levels", maxDepth)
 	}
@@ -198,7 +198,7 @@
 			if !ok {
 				return nil, fmt.Errorf("key %s is no text", kv[0])
 			}
-			value, err := plainValue(kv[1], depth+1)
+			value, err := jsonValue(kv[1], depth+1)
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", key, err)
 			}
@@ -207,10 +207,10 @@
 		return out, nil
 	case starlark.Sequence: // lists and tuples
 		out := make([]any, 0, v.Len())
-		each := v.Iterate()
-		defer each.Done()
-		for x := starlark.Value(nil); each.Next(&x); {
-			value, err := plainValue(x, depth+1)
+		iter := v.Iterate()
+		defer iter.Done()
+		for x := starlark.Value(nil); iter.Next(&x); {
+			value, err := jsonValue(x, depth+1)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/router/site/site.go
+++ b/internal/router/site/site.go
@@ -81,37 +81,37 @@
 
 // Parse reads a script's text; name stands in its errors.
 func Parse(name string, text []byte) (Config, error) {
-	given, err := runScript(name, text)
+	call, err := runScript(name, text)
 	if err != nil {
 		return Config{}, err
 	}
-	if err := validate(given); err != nil {
+	if err := validate(call); err != nil {
 		return Config{}, err
 	}
-	raw, err := json.Marshal(given.fields)
+	raw, err := json.Marshal(call.fields)
 	if err != nil {
 		return Config{}, fmt.Errorf("%s: %w", name, err)
 	}
-	var out Config
-	if _, has := given.fields["storm"]; has {
+	var config Config
+	if _, has := call.fields["storm"]; has {
 		tuning := retryguard.Defaults()
-		out.Storm = &tuning
+		config.Storm = &tuning
 	}
-	if _, has := given.fields["flows"]; has {
+	if _, has := call.fields["flows"]; has {
 		flows := DefaultFlows()
-		out.Flows = &flows
+		config.Flows = &flows
 	}
-	if err := json.Unmarshal(raw, &out); err != nil {
+	if err := json.Unmarshal(raw, &config); err != nil {
 		return Config{}, fmt.Errorf("%s: %w", name, err)
 	}
-	if out.Storm != nil && !out.Storm.On {
-		out.Storm = nil
+	if config.Storm != nil && !config.Storm.On {
+		config.Storm = nil
 	}
-	return out, nil
+	return config, nil
 }
 
 // validate compares what a script gave with the schema; all that is wrong comes in one error, a line each.
-func validate(g sectionCall) error {
+func validate(call siteCall) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema))
 	if err != nil {
 		return fmt.Errorf("schema: %w", err)
@@ -124,27 +124,27 @@
 	if err != nil {
 		return fmt.Errorf("schema: %w", err)
 	}
-	var wrong *jsonschema.ValidationError
-	if err = compiled.Validate(g.fields); !errors.As(err, &wrong) {
+	var invalid *jsonschema.ValidationError
+	if err = compiled.Validate(call.fields); !errors.As(err, &invalid) {
 		return err
 	}
-	var all []error
-	words := message.NewPrinter(language.English)
-	var leaves func(*jsonschema.ValidationError)
-	leaves = func(e *jsonschema.ValidationError) {
+	var errs []error
+	printer := message.NewPrinter(language.English)
+	var collect func(*jsonschema.ValidationError)
+	collect = func(e *jsonschema.ValidationError) {
 		for _, cause := range e.Causes {
-			leaves(cause)
+			collect(cause)
 		}
 		if unknown, ok := e.ErrorKind.(*kind.AdditionalProperties); ok {
 			for _, name := range unknown.Properties {
 				path := append(slices.Clone(e.InstanceLocation), name)
-				all = append(all, fmt.Errorf("%s: site.%s: no such setting", g.positionOf(path), strings.Join(path, ".")))
+				errs = append(errs, fmt.Errorf("%s: site.%s: no such setting", call.positionOf(path), strings.Join(path, ".")))
 			}
 		} else if len(e.Causes) == 0 {
-			all = append(all, fmt.Errorf("%s: %s: %s", g.positionOf(e.InstanceLocation),
-				strings.Join(append([]string{"site"}, e.InstanceLocation...), "."), e.ErrorKind.LocalizedString(words)))
+			errs = append(errs, fmt.Errorf("%s: %s: %s", call.positionOf(e.InstanceLocation),
+				strings.Join(append([]string{"site"}, e.InstanceLocation...), "."), e.ErrorKind.LocalizedString(printer)))
 		}
 	}
-	leaves(wrong)
-	return errors.Join(all...)
+	collect(invalid)
+	return errors.Join(errs...)
 }
--- a/internal/router/site/site_test.go
+++ b/internal/router/site/site_test.go
@@ -60,14 +60,14 @@
 		t.Fatal(err)
 	}
 	raw, _ := json.Marshal(retryguard.Defaults())
-	var have map[string]any
-	json.Unmarshal(raw, &have)
-	for name, v := range have {
+	var defaults map[string]any
+	json.Unmarshal(raw, &defaults)
+	for name, v := range defaults {
 		if p, ok := s.Properties.Storm.Properties[name]; !ok || !reflect.DeepEqual(p.Default, v) {
 			t.Errorf("%s: %v in the schema, %v in the program", name, p.Default, v)
 		}
 	}
-	if len(have) != len(s.Properties.Storm.Properties) {
+	if len(defaults) != len(s.Properties.Storm.Properties) {
 		t.Error("the schema has settings that the program has not")
 	}
 }
