--- a/internal/router/config/config.go
+++ b/internal/router/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads what a router is told at its start: ROUTER_* and the file that they name.
+// Package config reads the configuration of a router from a JSON file and from environment variables named ROUTER_*.
 package config
 
 import (
@@ -16,7 +16,7 @@
 	"portflow/internal/router/settings"
 )
 
-// Config is a checked configuration.
+// Config is a valid configuration. Addresses have the form IP:PORT.
 type Config struct {
 	Name       string
 	Listen     string
@@ -24,17 +24,18 @@
 	Seed       uint64
 	Cores      float64
 	Memory     int64 // bytes
-	Sockets    int
+	Sockets    int   // maximum number of open file descriptors
 	PeerListen netip.AddrPort
 	Peers      []netip.AddrPort // by rank
 	Platform   string
-	KnownHosts discovery.Update
-	Rollout    dispatch.RolloutChanged
+	KnownHosts discovery.Update        // host list to start with
+	Rollout    dispatch.RolloutChanged // state of the rollout to start with
 	Settings   settings.Settings
 }
 
-// Differs names the fields in which next has another value that a router can only take up at its start. Discovery's
-// and the platform's addresses it takes up at once; the seed, what is known and the news are for its start anyway.
+// Differs returns the names of the fields that have changed in next and that take effect only after a restart. It ignores the
+// addresses of discovery and the platform, which a running router can change, and the seed, the known hosts and the rollout, which
+// are used only at the start.
 func (c Config) Differs(next Config) (fields []string) {
 	for _, f := range []struct {
 		name string
@@ -74,7 +75,7 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Load reads the file that ROUTER_CONFIG names. The other variables go before the same fields of the file.
+// Load reads the file named by ROUTER_CONFIG. env looks up an environment variable, like os.Getenv.
 func Load(env func(string) string) (Config, error) {
 	path := env("ROUTER_CONFIG")
 	if path == "" {
@@ -91,8 +92,8 @@
 	return c, nil
 }
 
-// Reload reads the file again for a router that runs: its discovery goes before the variable, which is as old as the
-// process.
+// Reload reads the file again for a running router. It ignores ROUTER_DISCOVERY, which still has the value from the start of the
+// process, so that a new address in the file takes effect.
 func Reload(env func(string) string) (Config, error) {
 	return Load(func(name string) string {
 		if name == "ROUTER_DISCOVERY" {
@@ -102,7 +103,8 @@
 	})
 }
 
-// Read reads a configuration's text.
+// Read parses and validates a configuration. ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY take precedence over the fields name,
+// listen and discovery.
 func Read(raw []byte, env func(string) string) (Config, error) {
 	var f configJSON
 	if err := json.Unmarshal(raw, &f); err != nil {
@@ -130,14 +132,14 @@
 		return c, fmt.Errorf("seed: %w", err)
 	}
 	if !(c.Cores > 0) || c.Memory < 16<<20 || c.Sockets < 64 {
-		return c, fmt.Errorf("limits: %v cores, memory_mb %d (16 at least), %d sockets (64 at least)", c.Cores,
+		return c, fmt.Errorf("limits: cores %v (must be positive), memory_mb %d (at least 16), sockets %d (at least 64)", c.Cores,
 			f.Limits.MemoryMB, c.Sockets)
 	}
 	if c.Settings, err = settings.Read(f.Settings); err != nil {
 		return c, err
 	}
 	if s := c.Settings; s.ConnectTimeout < 1 || s.IdleTimeout < 1 {
-		return c, fmt.Errorf("settings: limits: connectTimeoutNs %d, connIdleNs %d", s.ConnectTimeout, s.IdleTimeout)
+		return c, fmt.Errorf("settings: limits: connectTimeoutNs %d and connIdleNs %d must be positive", s.ConnectTimeout, s.IdleTimeout)
 	}
 	if c.Settings.Gossip {
 		if c.PeerListen, err = netip.ParseAddrPort(f.PeerListen); err != nil {
@@ -151,7 +153,7 @@
 			c.Peers = append(c.Peers, p)
 		}
 		if len(c.Peers) != c.Settings.Routers {
-			return c, fmt.Errorf("peers: %d for %d routers", len(c.Peers), c.Settings.Routers)
+			return c, fmt.Errorf("peers: got %d addresses for %d routers", len(c.Peers), c.Settings.Routers)
 		}
 	}
 	if c.KnownHosts, err = discovery.Decode(f.Known, c.Settings); err != nil {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,5 +1,6 @@
-// Package router puts one router on sockets together: its carriers, its reducer, and the parts that a site's file
-// switches on.
+// Package router runs a standalone router. It connects the HTTP server, the dispatcher, the connections to hosts, host
+// discovery and the deployment platform, and the optional features that the operator's file enables. Start reading at
+// StartWith.
 package router
 
 import (
@@ -29,21 +30,23 @@
 	"portflow/internal/upstream"
 )
 
-// drainDelay is for how long a front may go on sending connections to a router that leaves; fronts take up to 0.4 s.
+// drainDelay is how long a draining router keeps accepting connections. The load balancers in front of it take up to 0.4 s to
+// stop sending them.
 const drainDelay = 550 * time.Millisecond
 
-// Router is a router that serves.
+// Router is a running router. Start and StartWith return one, and Drain stops it.
 type Router struct {
 	server    *ingress.Server
 	discovery *discovery.Watcher
 	platform  *platform.Client
 	cancel    context.CancelFunc
-	failed    chan error
-	stopped   chan struct{} // the reducer has ended
-	flows     *export.Exporter
+	failed    chan error       // receives the result of server.Serve
+	stopped   chan struct{}    // closed when the dispatcher has stopped
+	flows     *export.Exporter // nil if flow export is disabled
 }
 
-// Start brings a router up; it serves until Leave, or until the context ends.
+// Start starts a router, which serves requests until Drain. If ctx is done earlier, the router stops processing requests, but only
+// Drain closes its listener.
 func Start(ctx context.Context, c config.Config, s site.Config, log zerolog.Logger) (*Router, error) {
 	var guard dispatch.Guard
 	if s.Storm != nil {
@@ -56,7 +59,7 @@
 	return StartWith(ctx, c, guard, newExporter(c, s.Flows, log), log)
 }
 
-// newExporter makes an exporter, or none.
+// newExporter returns nil if f is nil.
 func newExporter(c config.Config, f *site.Flows, log zerolog.Logger) *export.Exporter {
 	if f == nil {
 		return nil
@@ -71,20 +74,21 @@
 	return export.New(options, meter, log)
 }
 
-// refreshPackets is after how many messages over UDP templates are sent again: some seconds' worth of a busy router.
+// refreshPackets is the number of UDP messages after which templates are sent again, a few seconds' worth for a busy router.
 const refreshPackets = 200
 
-// StartWith is Start with a guard and an exporter of the caller's, or none.
+// StartWith is like Start, with a guard and an exporter that the caller has created; nil disables either. The goroutines that it
+// starts end when Drain cancels their context, except the one of server.Serve, which ends when Drain shuts the server down.
 func StartWith(ctx context.Context, c config.Config, guard dispatch.Guard, flows *export.Exporter, log zerolog.Logger) (*Router, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	router := &Router{cancel: cancel, failed: make(chan error, 1), stopped: make(chan struct{})}
 	clock := dispatch.NewClock()
 	dispatcher := dispatch.New(clock, log)
-	// Hosts may have half of the descriptors and clients the other. What waits for a host waits here: a command that
-	// is refused, or has its connection closed, comes again and costs more.
+	// Half of the file descriptors are for connections to hosts, the other half for clients. Requests that wait for a host are
+	// kept here, because rejecting a request or closing its connection leads to a retry, which costs more.
 	maxConns := (c.Sockets - reservedDescriptors) / 2
 	connectTimeout := time.Duration(c.Settings.ConnectTimeout)
-	// hosts write an answer at once: one that takes longer than a connection to come up never ends
+	// A host writes a response in one go: one that takes longer than ConnectTimeout after its first byte is never completed.
 	options := upstream.Options{Protocol: protocol.Protocol{ReportFields: c.Settings.AnswerReportFields}, ConnectTimeout: connectTimeout, ReadTimeout: connectTimeout,
 		IdleTimeout: time.Duration(c.Settings.IdleTimeout), MaxConns: maxConns, OnPanic: func(v any, stack []byte) {
 			log.Error().Interface("panic", v).Bytes("stack", stack).Msg("hand-off")
@@ -112,7 +116,7 @@
 		outputs.Peers = gossip
 		go gossip.Run(ctx)
 	}
-	listenConfig := net.ListenConfig{KeepAlive: -1} // clients that went silent are found by the time-outs
+	listenConfig := net.ListenConfig{KeepAlive: -1} // unresponsive clients are detected by the server's timeouts
 	listenConfig.SetMultipathTCP(false)
 	listener, err := listenConfig.Listen(ctx, "tcp", c.Listen)
 	if err != nil {
@@ -145,8 +149,9 @@
 	return dispatch.Config{Settings: s, Seed: c.Seed, Hosts: hosts, Rollout: c.Rollout}
 }
 
-// preconnect tells the hosts to which a router opens connections before its first command, those that the rules use first,
-// and how many at most, by the time that the rules guess for its commands.
+// preconnectTargets returns the addresses of the hosts to which the router opens connections before its first request, those that
+// the decision engine uses first at the front, and the maximum number of these connections, which is estimated from the request
+// rates and the initial latencies in the settings, and is unlimited if no rates are set.
 func preconnectTargets(s dispatch.Config) (addresses []string, maxConns int) {
 	ready := s.Hosts.ReadyAddresses()
 	for _, i := range pacing.PreconnectOrder(len(ready), s.Settings.Rank) {
@@ -165,7 +170,7 @@
 	return addresses, maxConns
 }
 
-// RetryGuardSettings is what a guard is told of a deployment.
+// RetryGuardSettings derives the settings of a retry guard from the settings of the router and the operator's tuning.
 func RetryGuardSettings(s settings.Settings, tuning retryguard.Tuning) retryguard.Settings {
 	guardSettings := retryguard.Settings{Tuning: tuning, Customers: len(s.Settings.Customers), Routers: s.Routers, ColdCapacity: s.ColdCapacity,
 		WarmUpTime: s.WarmUpTime, MaxRetryAfter: s.MaxRetryAfter}
@@ -175,31 +180,34 @@
 	return guardSettings
 }
 
-// Failed gets the error that ends the service by itself.
+// Failed returns a channel that receives an error if the HTTP server fails, and nil if Drain has shut it down.
 func (r *Router) Failed() <-chan error { return r.failed }
 
-// UpdateAddresses takes up the addresses of discovery and the platform in a new configuration.
+// UpdateAddresses switches to the addresses of discovery and the platform in a new configuration, and ignores its other fields.
 func (r *Router) UpdateAddresses(next config.Config) {
 	r.discovery.SetAddress(next.Discovery)
 	r.platform.SetAddress(next.Platform)
 }
 
-// Drain ends the service once what it took is finished; clients go on coming for a while before.
+// Drain shuts the router down gracefully and returns when it has stopped. The router keeps accepting connections for drainDelay and
+// finishes the requests in progress. The error is non-nil if some did not finish in time.
 func (r *Router) Drain() error {
 	err := r.server.Drain(drainDelay)
 	r.cancel()
 	<-r.stopped
-	if r.flows != nil { // what is left goes out within its time
+	if r.flows != nil { // sends the remaining records, for up to Linger
 		<-r.flows.Done()
 	}
 	return err
 }
 
-// reservedDescriptors is how many descriptors a router needs beside those of clients and hosts: standard streams, the poller, the
-// listener, peers, four votes, and discovery, the platform's news and the file, twice while a new configuration comes.
+// reservedDescriptors is the number of file descriptors that a router needs apart from the connections to clients and hosts: for the
+// standard streams, the poller, the listener, the socket for gossip, four votes, and, twice while a new configuration is applied,
+// for discovery, the platform's stream and the configuration file.
 const reservedDescriptors = 20
 
-// maxOpen is how many commands may be open: each holds a client's connection.
+// maxOpen returns the maximum number of open requests. It is at most maxConns, as each of them occupies a client connection. A
+// configured limit of 0 means that there is no other limit.
 func maxOpen(configured, maxConns int) int {
 	if configured == 0 || configured > maxConns {
 		return maxConns
@@ -207,7 +215,7 @@
 	return configured
 }
 
-// connCounter accounts for what passes on a connection to a host.
+// connCounter counts the traffic of a connection to a host for flow export. It implements upstream.ConnCounter.
 type connCounter struct{ *export.Conn }
 
 func observeConns(m *export.Meter) upstream.Observer {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -24,7 +24,7 @@
 	"portflow/internal/standin/servers"
 )
 
-// recordingConn counts a client's own bytes.
+// recordingConn counts the bytes that a client reads and writes.
 type recordingConn struct {
 	net.Conn
 	in, out *atomic.Uint64
@@ -42,8 +42,8 @@
 	return n, err
 }
 
-// A router that leaves has told the collector every octet and command of its clients' connections, and as many
-// commands of its hosts'.
+// Drain must export all flow records: the collector's counts of bytes and requests on client connections must equal the client's, and
+// those of requests on host connections must match.
 func TestFlowExport(t *testing.T) {
 	c, err := collector.New("tcp", nil)
 	if err != nil {
@@ -110,10 +110,10 @@
 	}
 	totals, stats := c.TotalsBySide()
 	if x := totals[flow.Clients]; x.Forward != out.Load() || x.Reverse != in.Load() || x.Commands != commands || x.Connections == 0 {
-		t.Errorf("collector %+v; the client wrote %d and read %d; %+v", x, out.Load(), in.Load(), stats)
+		t.Errorf("client connections: got %+v, want %d bytes forward and %d reverse; collector %+v", x, out.Load(), in.Load(), stats)
 	}
 	if x := totals[flow.Hosts]; x.Commands != commands || x.Forward == 0 || x.Reverse == 0 {
-		t.Errorf("of hosts %+v", x)
+		t.Errorf("host connections: got %+v", x)
 	}
 	c.Stop()
 }
--- a/internal/router/settings/settings.go
+++ b/internal/router/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the settings' JSON, which the simulator and a real router's configuration share.
+// Package settings reads the JSON settings that are part of a router's configuration and also used by the simulator.
 package settings
 
 import (
@@ -8,16 +8,16 @@
 	"portflow/internal/decision"
 )
 
-// Settings are those of the rules and what else a router on sockets needs of the JSON.
+// Settings are the settings of the decision engine, and further ones that a router with network connections needs.
 type Settings struct {
 	decision.Settings
-	ClassNames, CustomerNames   []string // their names, by position
+	ClassNames, CustomerNames   []string // by index in Classes and Customers
 	Zones, Kinds                []string
-	AnswerReportFields          []string // the values' names in a load report that comes in answers; none where it does not
-	ConnectTimeout, IdleTimeout int64    // how long a connection may take to come up, and may then stand idle
+	AnswerReportFields          []string // names of the load report values in responses, in order; empty if responses have no load report
+	ConnectTimeout, IdleTimeout int64    // nanoseconds; for connections to hosts
 }
 
-// settingsJSON is the part of the JSON that is read.
+// settingsJSON has the keys of the JSON that are used.
 type settingsJSON struct {
 	Azs     []string `json:"azs"`
 	Kinds   []string `json:"kinds"`
@@ -86,7 +86,7 @@
 		"mean_ms": decision.MeanServiceTime}
 )
 
-// Read reads the settings' JSON; keys that it does not know are skipped.
+// Read parses and validates settings. It ignores unknown keys.
 func Read(raw []byte) (Settings, error) {
 	var in settingsJSON
 	if err := json.Unmarshal(raw, &in); err != nil {
@@ -112,10 +112,10 @@
 	}
 	var ok bool
 	if s.Gate, ok = gates[family.GateMode]; !ok {
-		return s, fmt.Errorf("settings: gateMode %q is unknown", family.GateMode)
+		return s, fmt.Errorf("settings: unknown gateMode %q", family.GateMode)
 	}
 	if s.Routers < 1 || s.Rank < 0 || s.Rank >= s.Routers || s.TimerResolution < 1 || s.MaxAttempts < 1 || len(in.Classes) == 0 {
-		return s, fmt.Errorf("settings: rank %d of %d, tick %d, %d attempts, %d classes", s.Rank, s.Routers, s.TimerResolution,
+		return s, fmt.Errorf("settings: invalid rank %d of replicasOfMe %d, tickNs %d, maxAttempts %d or number of classes %d", s.Rank, s.Routers, s.TimerResolution,
 			s.MaxAttempts, len(in.Classes))
 	}
 	for i, c := range in.Classes {
@@ -124,7 +124,7 @@
 		var known bool
 		class.Idempotency, ok = idempotencies[c.Effect]
 		if class.DedupScope, known = dedupScopes[c.Group]; !ok || !known || class.LatencyTarget < 1 {
-			return s, fmt.Errorf("settings: class %d: effect %q, group %q, aim %d", i, c.Effect, c.Group, c.AimNs)
+			return s, fmt.Errorf("settings: class %d: invalid effect %q, group %q or aimNs %d", i, c.Effect, c.Group, c.AimNs)
 		}
 		s.Settings.Classes = append(s.Settings.Classes, class)
 		s.ClassNames = append(s.ClassNames, c.Name)
--- a/internal/router/settings/settings_test.go
+++ b/internal/router/settings/settings_test.go
@@ -18,7 +18,7 @@
 	}
 	for from, to := range map[string]string{`"tickNs":5,`: ``, `"by_key"`: `"no"`, `"clocked"`: `""`, `"rank":1`: `"rank":3`} {
 		if _, err := Read([]byte(strings.Replace(good, from, to, 1))); err == nil {
-			t.Errorf("taken with %s for %s", to, from)
+			t.Errorf("no error with %s in place of %s", to, from)
 		}
 	}
 }
