--- a/internal/router/discovery/watcher.go
+++ b/internal/router/discovery/watcher.go
@@ -1,4 +1,5 @@
-// Package discovery asks discovery for the list of hosts and watches its changes.
+// Package discovery fetches the host list from the discovery service and follows its changes by long polling. Start reading at
+// Watcher.Run.
 package discovery
 
 import (
@@ -22,7 +23,7 @@
 	"portflow/internal/router/settings"
 )
 
-// Update is one of discovery's answers.
+// Update is a response of the discovery service: a complete host list, or changes to an earlier revision.
 type Update struct {
 	Revision uint64
 	dispatch.HostsChanged
@@ -46,7 +47,7 @@
 
 var phases = map[string]decision.Health{"Ready": decision.Ready, "Terminating": decision.Draining, "Gone": decision.Gone}
 
-// Decode reads an answer; a contradictory one is an error as a whole.
+// Decode parses and validates a response. It returns an error if any entry is invalid, or if a complete list is empty.
 func Decode(raw []byte, s settings.Settings) (Update, error) {
 	var in updateJSON
 	if err := json.Unmarshal(raw, &in); err != nil {
@@ -59,7 +60,7 @@
 	if in.Complete {
 		update.Kind = decision.Snapshot
 		if len(in.Members) == 0 {
-			return update, fmt.Errorf("members: a whole list without any")
+			return update, fmt.Errorf("members: the complete list is empty")
 		}
 	}
 	seen := map[string]bool{}
@@ -67,15 +68,15 @@
 		health, ok := phases[entry.Phase]
 		switch {
 		case entry.ID == "" || seen[entry.ID]:
-			return update, fmt.Errorf("members[%d].id: %q is missing or there twice", i, entry.ID)
+			return update, fmt.Errorf("members[%d].id: %q is empty or a duplicate", i, entry.ID)
 		case !ok:
-			return update, fmt.Errorf("members[%d].phase: %q is unknown", i, entry.Phase)
+			return update, fmt.Errorf("members[%d].phase: unknown value %q", i, entry.Phase)
 		case entry.HostPort == "" && health != decision.Gone:
 			return update, fmt.Errorf("members[%d].host_port: missing", i)
 		case entry.UpSince < 0 || entry.UpSince > math.MaxInt64/1_000_000:
-			return update, fmt.Errorf("members[%d].up_since_ms: %d is no time", i, entry.UpSince)
+			return update, fmt.Errorf("members[%d].up_since_ms: %d is negative or too large", i, entry.UpSince)
 		case entry.Image < 0 || entry.Image > math.MaxUint16:
-			return update, fmt.Errorf("members[%d].image_id: %d is no build", i, entry.Image)
+			return update, fmt.Errorf("members[%d].image_id: %d is not between 0 and 65535", i, entry.Image)
 		}
 		seen[entry.ID] = true
 		update.Hosts = append(update.Hosts, dispatch.Host{Name: entry.ID, Address: entry.HostPort, Zone: slices.Index(s.Zones, entry.Locality),
@@ -85,30 +86,35 @@
 	return update, nil
 }
 
-// Watcher keeps the list up to date.
+// Watcher follows the host list and posts it and its changes as HostsChanged events. Once Run has been called, url, revision,
+// needsSnapshot, backoff and subscribed are used only by Run.
 type Watcher struct {
 	address       *resolver.Address
-	url           string // there
+	url           string // of the host list at the current address
 	settings      settings.Settings
 	post          func(dispatch.Event)
 	log           zerolog.Logger
 	client        http.Client
-	revision      uint64
-	needsSnapshot bool // the list that is here has no revision there: the whole of it is wanted
-	watchRequests chan bool
+	revision      uint64    // of the latest list or changes
+	needsSnapshot bool      // revision is unknown at the current address, so the complete list is required
+	watchRequests chan bool // has the argument of the latest call of Watch that Run has not received
 	backoff       backoff.Backoff
-	subscribed    bool // the router wants the list, where it must be asked for
+	subscribed    bool // Watch was called since the last failure; used if settings.Subscribe is set
 }
 
 const (
-	// a change is answered at once whatever this is; short, so that a connection that went silent is soon found
-	longPollWait  = 3 * time.Second
-	longPollSlack = time.Second            // for the answer after it
-	bodyTimeout   = 500 * time.Millisecond // for the rest of an answer after its first byte: one cut short never comes
-	maxBodyBytes  = 4 << 20                // a list of thousands of hosts
+	// longPollWait is how long the service waits for a change before it responds. It is short so that a dead connection is detected
+	// soon, and does not delay changes, as the service sends these at once.
+	longPollWait = 3 * time.Second
+	// longPollSlack is the time for the first byte of a response after longPollWait.
+	longPollSlack = time.Second
+	// bodyTimeout is the timeout for the rest of a response after its first byte. A response that is cut off is never completed.
+	bodyTimeout = 500 * time.Millisecond
+	// maxBodyBytes is enough for a list of thousands of hosts.
+	maxBodyBytes = 4 << 20
 )
 
-// New makes a watch on discovery's address.
+// New returns a watcher of the service at initialAddress. Run calls post with each event, one at a time.
 func New(initialAddress string, s settings.Settings, log zerolog.Logger, post func(dispatch.Event)) *Watcher {
 	return &Watcher{address: resolver.New(initialAddress), settings: s, post: post, log: log,
 		client: http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 2,
@@ -116,17 +122,19 @@
 		watchRequests: make(chan bool, 1), needsSnapshot: true}
 }
 
-// SetKnown tells the revision of the list that the router begins with: the first call asks for what came after it. It is
-// called before Run.
+// SetKnown sets the revision of the host list that the router starts with. The first call then fetches the changes since that
+// revision instead of the complete list. It must be called before Run.
 func (w *Watcher) SetKnown(revision uint64) { w.revision, w.needsSnapshot = revision, false }
 
-// Seed sets the chance of the waits between calls that fail. It is called before Run.
+// Seed seeds the random delays after failed calls. It must be called before Run.
 func (w *Watcher) Seed(seed uint64) { w.backoff.Source.Seed = seed }
 
-// SetAddress has the list asked for at another address: the whole of it, as that one counts its revisions by itself.
+// SetAddress switches to another address. Run fetches the complete list there, as the revisions of two services are unrelated. It is
+// safe for concurrent use.
 func (w *Watcher) SetAddress(address string) { w.address.Set(address) }
 
-// Watch starts or stops the watch where it is the router's to ask for it.
+// Watch implements dispatch.HostWatcher. If settings.Subscribe is set, Watch(true) starts the watch, which continues until a call
+// fails. Watch(false) only withdraws a Watch(true) that Run has not received. Watch must not be called concurrently.
 func (w *Watcher) Watch(on bool) {
 	select {
 	case <-w.watchRequests:
@@ -135,18 +143,19 @@
 	w.watchRequests <- on
 }
 
-// Run watches until the context ends: at once, or where it must be asked for, after each time it is. A call
-// that fails is repeated after a wait that grows, or told, so that the router asks again. A move ends the call.
+// Run follows the host list until ctx is done. It repeats a failed call with exponential backoff. If settings.Subscribe is set, Run
+// waits for Watch before the first call, and after a failed one posts FetchFailed and waits for Watch again. SetAddress cancels the
+// current call.
 //
-// What is asked for is what came after the list that is here, also after a failure: the whole list is made anew at a
-// service that all routers share, and one that can't keep up with them would never catch up (docs/fleet.md).
+// Even after a failure, Run fetches only the changes since the last revision. All routers share the service, which computes a
+// complete list for each call that requests one: once overloaded by such calls, it would never catch up (docs/fleet.md).
 func (w *Watcher) Run(ctx context.Context) { w.address.Run(ctx, w.watchAddress) }
 
-// watchAddress watches at one address.
+// watchAddress follows the host list at one address until ctx is done.
 func (w *Watcher) watchAddress(ctx context.Context, address string) {
 	defer w.client.CloseIdleConnections()
 	w.url = "http://" + address + "/api/targets"
-	defer func() { w.revision, w.needsSnapshot = 0, true }() // the next address counts by itself
+	defer func() { w.revision, w.needsSnapshot = 0, true }() // revisions are unknown at the next address
 	failures := 0
 	for ctx.Err() == nil {
 		if w.settings.Subscribe && !w.subscribed {
@@ -162,7 +171,7 @@
 			return
 		}
 		if err != nil {
-			w.client.CloseIdleConnections() // what can't be read leaves a connection of no use
+			w.client.CloseIdleConnections() // a connection is not reused after a failed call
 			if failures++; failures == 1 {
 				w.log.Warn().Err(err).Msg("discovery")
 			}
@@ -176,7 +185,7 @@
 		}
 		recovered := failures > 0
 		failures, w.needsSnapshot = 0, false
-		if w.revision = update.Revision; len(update.Hosts) > 0 || recovered { // also that calls are answered again
+		if w.revision = update.Revision; len(update.Hosts) > 0 || recovered { // after a failure, even an empty update is posted, to report the recovery
 			w.post(update.HostsChanged)
 		}
 	}
@@ -210,11 +219,11 @@
 	}
 	update, err := Decode(raw, w.settings)
 	if err == nil && !snapshot && update.Revision < w.revision {
-		err = fmt.Errorf("revision %d after %d", update.Revision, w.revision)
+		err = fmt.Errorf("revision %d is older than the known revision %d", update.Revision, w.revision)
 		w.revision, w.needsSnapshot = 0, true
 	}
 	if err == nil && snapshot && update.Kind != decision.Snapshot {
-		err = fmt.Errorf("changes where the whole list was asked for")
+		err = fmt.Errorf("got changes in response to a request for the complete list")
 	}
 	return update, err
 }
--- a/internal/router/discovery/watcher_test.go
+++ b/internal/router/discovery/watcher_test.go
@@ -38,12 +38,12 @@
 		snapshotJSON(1, strings.Replace(memberJSON, "10.1.0.18:8081", "", 1)), snapshotJSON(1, strings.Replace(memberJSON, "1000", "-1", 1)),
 		snapshotJSON(1, strings.Replace(memberJSON, ":41}", ":70000}", 1))} {
 		if update, err := Decode([]byte(raw), testSettings); err == nil {
-			t.Errorf("%s taken as %v", raw, update)
+			t.Errorf("no error for %s: got %v", raw, update)
 		}
 	}
 }
 
-// What can't be used is passed over and asked for again: unreadable text, errors, older and empty lists.
+// Invalid responses, errors, older revisions and empty lists must be ignored, and the call repeated.
 func TestWatch(t *testing.T) {
 	answers := []string{"{", snapshotJSON(0, ""), "status", snapshotJSON(41, memberJSON), `{"revision":40,"complete":false,"members":[]}`,
 		snapshotJSON(42, memberJSON), `{"revision":43,"complete":false,"members":[` + strings.Replace(memberJSON, "Ready", "Gone", 1) + `]}`}
@@ -74,12 +74,13 @@
 	}
 	for i, want := range []string{"", "", "", "", "?index=41&wait=3000", "", "?index=42&wait=3000"} {
 		if got := <-requests; got != "/api/targets"+want {
-			t.Errorf("call %d: %s", i, got)
+			t.Errorf("call %d: got %s", i, got)
 		}
 	}
 }
 
-// startDiscovery is a discovery that gives one answer to the first call and is silent to all others.
+// startDiscovery starts a service that responds to calls for the complete list, and never to calls for changes. If answer is
+// empty, it never responds.
 func startDiscovery(t *testing.T, answer string) (address string, requests chan string) {
 	requests = make(chan string, 16)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -93,8 +94,8 @@
 	return strings.TrimPrefix(s.URL, "http://"), requests
 }
 
-// What is asked for is what came after the list that is here: at the start after the one that the router was given, and
-// so again when a call fails or its answer can't be read. Whole lists for all routers of a fleet hold discovery up.
+// At the start and after failed calls, a router must request only the changes since the list that it has: requests of all routers for
+// the complete list would overload the service.
 func TestFetchChangesAfterFailure(t *testing.T) {
 	answers := []string{"", "{", `{"revision":42,"complete":false,"members":[]}`, ""}
 	requests, allRequested := make(chan string, 16), make(chan bool, 16)
@@ -135,13 +136,13 @@
 		}
 		for i, want := range []string{"41", "41", "41", "42", "42"} {
 			if got := <-requests; got != "/api/targets?index="+want+"&wait=3000" {
-				t.Errorf("subscribe %v: call %d: %s", subscribe, i, got)
+				t.Errorf("subscribe %v: call %d: got %s", subscribe, i, got)
 			}
 		}
 	}
 }
 
-// A move ends the call that waits, and the whole list counts at the other address whatever its revision.
+// SetAddress must cancel the pending call. The complete list from the new address must be accepted whatever its revision.
 func TestSetAddress(t *testing.T) {
 	for _, subscribe := range []bool{false, true} {
 		old, oldRequests := startDiscovery(t, snapshotJSON(41, memberJSON))
@@ -160,7 +161,7 @@
 			t.Error(change)
 		}
 		<-oldRequests
-		<-oldRequests // the one that waits
+		<-oldRequests // the long poll
 		w.SetAddress("127.0.0.1:1")
 		w.SetAddress(next)
 		if change := (<-events).(dispatch.HostsChanged); change.Kind != decision.Snapshot || change.Hosts[0].Health != decision.Draining {
@@ -170,12 +171,12 @@
 			t.Error(first, second)
 		}
 		if len(oldRequests) > 0 {
-			t.Error("asked at the old address", <-oldRequests)
+			t.Error("request to the old address", <-oldRequests)
 		}
 	}
 }
 
-// An answer that is cut short while its connection stays open is asked for again on another one.
+// A response that is cut off, on a connection that stays open, must time out, and the call must be repeated on another connection.
 func TestTruncatedResponse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -190,7 +191,7 @@
 			}
 			defer c.Close()
 			go func() {
-				for n == 0 { // each call gets a part
+				for n == 0 { // the first connection never gets a complete response
 					if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 						return
 					}
--- a/internal/router/platform/client.go
+++ b/internal/router/platform/client.go
@@ -1,4 +1,5 @@
-// Package platform casts votes on builds and follows the platform's news.
+// Package platform is the client of the deployment platform. It casts votes on the rollout of a build and follows the platform's
+// stream of updates about it.
 package platform
 
 import (
@@ -46,15 +47,16 @@
 		http.StatusBadRequest: {"invalid", decision.VoteFailed}}
 )
 
-// voteRefusal is the word that comes with a status, and what both mean.
+// voteRefusal is the error code that the platform sends with an HTTP status when it refuses a vote, and the result of such a vote.
 type voteRefusal struct {
 	code   string
 	result decision.VoteResult
 }
 
-const maxMessageBytes = 64 << 10 // a message's bytes
+// maxMessageBytes bounds the header and the body of a response, and each line of the stream.
+const maxMessageBytes = 64 << 10
 
-// DecodeRollout reads the state of the newest build.
+// DecodeRollout parses and validates the state of the newest build's rollout.
 func DecodeRollout(raw []byte) (dispatch.RolloutChanged, error) {
 	var s rolloutJSON
 	if err := json.Unmarshal(raw, &s); err != nil {
@@ -63,37 +65,40 @@
 	rolloutState, ok := rolloutStates[s.Mode]
 	switch {
 	case s.Release == nil || *s.Release < 0 || *s.Release > math.MaxUint16:
-		return dispatch.RolloutChanged{}, errors.New("release: missing or no build")
+		return dispatch.RolloutChanged{}, errors.New("release: missing or not between 0 and 65535")
 	case s.Tranche < 0 || s.Tranche > math.MaxUint8:
-		return dispatch.RolloutChanged{}, fmt.Errorf("tranche: %d is no stage", s.Tranche)
+		return dispatch.RolloutChanged{}, fmt.Errorf("tranche: %d is not between 0 and 255", s.Tranche)
 	case !ok:
-		return dispatch.RolloutChanged{}, fmt.Errorf("mode: %q is unknown", s.Mode)
+		return dispatch.RolloutChanged{}, fmt.Errorf("mode: unknown value %q", s.Mode)
 	case !(s.Exposure >= 0 && s.Exposure <= 1):
-		return dispatch.RolloutChanged{}, fmt.Errorf("exposure: %v is no share", s.Exposure)
+		return dispatch.RolloutChanged{}, fmt.Errorf("exposure: %v is not between 0 and 1", s.Exposure)
 	case s.OldMs < 0 || s.OldMs > math.MaxInt64/1_000_000:
-		return dispatch.RolloutChanged{}, fmt.Errorf("old_ms: %d is no age", s.OldMs)
+		return dispatch.RolloutChanged{}, fmt.Errorf("old_ms: %d is negative or too large", s.OldMs)
 	}
 	return dispatch.RolloutChanged{Rollout: decision.Rollout{Build: *s.Release, Stage: s.Tranche, State: rolloutState, ExposureCap: s.Exposure,
 		Age: s.OldMs * int64(time.Millisecond)}}, nil
 }
 
-// Client is the platform at one address.
+// Client is a client of the platform. Its methods except Seed and Run are safe for concurrent use.
 type Client struct {
 	address     *resolver.Address
-	classNames  []string
+	classNames  []string // by class index
 	post        func(dispatch.Event)
 	log         zerolog.Logger
 	voteTimeout time.Duration
 	httpClient  http.Client
-	voteSlots   chan struct{}
-	backoff     backoff.Backoff // the news's
+	voteSlots   chan struct{}   // semaphore for votes in progress
+	backoff     backoff.Backoff // used by Run
 }
 
-// A connection may be closed by the platform after any short rest, and a vote on it would then be in doubt:
-// each call has a connection of its own. Votes come seldom.
-const maxVoteCalls = 4 // at once, far below the 32 connections that the platform holds
+// maxVoteCalls bounds the votes in progress, each of which has its own connection. The platform accepts 32 connections.
+const maxVoteCalls = 4
 
-// New makes the platform at an address; a vote's answer is waited for so long.
+// New returns a client of the platform at initialAddress. names are the names of the request classes by index, and timeout is for
+// one vote. post receives the events, on any goroutine.
+//
+// Each call has its own connection. The platform may close an idle connection at any time, and it would then be unknown whether a
+// vote on that connection was received.
 func New(initialAddress string, names []string, timeout time.Duration, log zerolog.Logger, post func(dispatch.Event)) *Client {
 	return &Client{address: resolver.New(initialAddress), classNames: names, post: post, log: log, voteTimeout: timeout,
 		httpClient: http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
@@ -102,15 +107,16 @@
 		voteSlots: make(chan struct{}, maxVoteCalls)}
 }
 
-// Seed sets the chance of the waits between calls for the news that fail. It is called before Run.
+// Seed seeds the random delays between Run's attempts to reconnect. It must be called before Run.
 func (c *Client) Seed(seed uint64) { c.backoff.Source.Seed = seed }
 
-// SetAddress takes up another address: further votes go there, and the news is followed there from now on.
+// SetAddress switches to another address. Later votes go there, and Run closes the current stream and opens one there.
 func (c *Client) SetAddress(address string) { c.address.Set(address) }
 
 func apiURL(address string) string { return "http://" + address + "/api/" }
 
-// Vote casts a vote; what comes of it is posted as News.
+// Vote implements dispatch.RolloutPlatform. It casts a vote on a goroutine, which ends within the vote timeout, and posts the result
+// as a RolloutChanged event with VoteReply set. If too many votes are in progress, it posts VoteThrottled without sending the vote.
 func (c *Client) Vote(v decision.Verdict, build, stage int) {
 	select {
 	case c.voteSlots <- struct{}{}:
@@ -129,12 +135,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), c.voteTimeout)
 	defer cancel()
 	unanswered := dispatch.RolloutChanged{Rollout: decision.Rollout{VoteReply: true, VoteResult: decision.VoteUnanswered}}
-	body, _ := json.Marshal(v) // of two numbers and a word
+	body, _ := json.Marshal(v) // cannot fail for integers and a string
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, apiURL(c.address.Current())+"verdicts", bytes.NewReader(body))
 	if err != nil {
 		return unanswered
 	}
-	req.GetBody = nil // sent once
+	req.GetBody = nil // keeps http.Transport from sending the vote again
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.httpClient.Do(req)
 	if err != nil {
@@ -146,7 +152,7 @@
 	if err != nil {
 		return unanswered
 	}
-	if refusal, ok := voteRefusals[resp.StatusCode]; ok { // a status whose answer can't be read may be as wrong as the rest
+	if refusal, ok := voteRefusals[resp.StatusCode]; ok { // trusted only with the error code that belongs to the status
 		var failure struct {
 			Error string `json:"error"`
 		}
@@ -164,5 +170,5 @@
 	return rollout
 }
 
-// classIndex is a band's position, -1 for none of that name.
+// classIndex returns the index of a class, or -1 if the name is unknown.
 func (c *Client) classIndex(name string) int { return slices.Index(c.classNames, name) }
--- a/internal/router/platform/client_test.go
+++ b/internal/router/platform/client_test.go
@@ -35,7 +35,7 @@
 	}
 	for from, to := range map[string]string{`"release":42,`: "", "42": "70000", "canary": "odd", "0.28": "1.5", "310": "-1", ":1": ":-1", "{": ""} {
 		if n, err := DecodeRollout([]byte(strings.Replace(rolloutText, from, to, 1))); err == nil {
-			t.Errorf("%s for %s taken as %v", to, from, n)
+			t.Errorf("no error with %s in place of %s: got %v", to, from, n)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 	}
 }
 
-// A stream that ends, breaks or brings what can't be read is asked for again.
+// A stream that ends, fails or has an invalid line must be opened again.
 func TestRolloutStream(t *testing.T) {
 	streams := 0
 	client, events := startClient(t, func(w http.ResponseWriter, r *http.Request) {
@@ -86,7 +86,7 @@
 		}
 		fmt.Fprint(w, `{"type":"news","object":`+rolloutText+"}\n{}\n", good, bad[streams%len(bad)]+"\n")
 		if http.NewResponseController(w).Flush(); bad[streams%len(bad)] != "" {
-			<-r.Context().Done() // the reader closes
+			<-r.Context().Done() // the client closes the stream
 		}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -102,7 +102,7 @@
 	}
 }
 
-// An answer that is cut short while its connection stays open is asked for again.
+// A response header that is cut off, on a connection that stays open, must time out, and the stream must be opened again.
 func TestTruncatedResponse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -129,7 +129,7 @@
 	}
 }
 
-// A move ends the stream that is followed; news and votes are another address's from then on.
+// SetAddress must end the current stream, and updates and votes must use the new address from then on.
 func TestSetAddress(t *testing.T) {
 	stream := func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
--- a/internal/router/platform/stream.go
+++ b/internal/router/platform/stream.go
@@ -14,28 +14,34 @@
 )
 
 const (
-	headerTimeout     = 10 * time.Second // a platform that is silent answers when it comes back: no need to ask often
-	headerRestTimeout = time.Second / 2  // for the rest of an answer's head after its first byte: one cut short never comes
-	streamTimeout     = 2 * time.Second  // two signs of life, of which one comes every second; a line cut short never ends
+	// headerTimeout is the timeout for the first byte of a response. It is long because a platform that does not respond answers
+	// the pending request once it has recovered.
+	headerTimeout = 10 * time.Second
+	// headerRestTimeout is the timeout for the rest of the response header. A header that is cut off is never completed.
+	headerRestTimeout = time.Second / 2
+	// streamTimeout is the timeout for the next line, twice the interval of the platform's keep-alives.
+	streamTimeout = 2 * time.Second
 )
 
-var errStreamTimeout = errors.New("silent for too long")
+var errStreamTimeout = errors.New("timeout waiting for data from the platform")
 
+// streamLine is a line of the stream. Keep-alives have no type.
 type streamLine struct {
 	Type   string          `json:"type"`
 	Object json.RawMessage `json:"object"`
 }
 
+// answerReport reports a wrong answer of a host to a request of a class.
 type answerReport struct {
 	Unit    string `json:"unit"`
 	Product string `json:"product"`
 	OldMs   int64  `json:"old_ms"`
 }
 
-// Run follows the news until the context ends, on one connection after another. A move ends the present one.
+// Run follows the stream of updates until ctx is done. When the stream ends, it reconnects after a delay; after SetAddress, at once.
 func (c *Client) Run(ctx context.Context) { c.address.Run(ctx, c.watchAddress) }
 
-// watchAddress follows the news at one address.
+// watchAddress follows the stream at one address until ctx is done.
 func (c *Client) watchAddress(ctx context.Context, at string) {
 	for failures := 0; ctx.Err() == nil; {
 		received, err := c.readStream(ctx, at)
@@ -49,7 +55,7 @@
 	}
 }
 
-// readStream reads one connection's news; told says that some came.
+// readStream opens the stream and posts its events until it ends. received reports whether any valid line was received.
 func (c *Client) readStream(ctx context.Context, at string) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -74,7 +80,7 @@
 	for lines.Scan() {
 		timer.Reset(streamTimeout)
 		if err := c.handleLine(lines.Bytes()); err != nil {
-			return received, fmt.Errorf("line that can't be read: %w", err) // nor can what comes after it
+			return received, fmt.Errorf("invalid line: %w", err) // the following lines may be invalid as well
 		}
 		received = true
 	}
@@ -87,7 +93,7 @@
 	return received, fmt.Errorf("stream ended")
 }
 
-// handleLine posts what a line says; one that says nothing is a sign of life.
+// handleLine posts the event of a line, if the line is not a keep-alive.
 func (c *Client) handleLine(raw []byte) error {
 	var message streamLine
 	if err := json.Unmarshal(raw, &message); err != nil {
@@ -96,7 +102,7 @@
 	switch message.Type {
 	case "":
 	default:
-		return fmt.Errorf("type %q is unknown", message.Type)
+		return fmt.Errorf("unknown type %q", message.Type)
 	case "news":
 		rollout, err := DecodeRollout(message.Object)
 		if err != nil {
@@ -110,7 +116,7 @@
 		}
 		class := c.classIndex(flagged.Product)
 		if class < 0 {
-			return fmt.Errorf("product %q is unknown", flagged.Product)
+			return fmt.Errorf("unknown product %q", flagged.Product)
 		}
 		c.post(dispatch.AnswerFlagged{Host: flagged.Unit, Class: class, Age: flagged.OldMs * int64(time.Millisecond)})
 	}
