--- a/internal/router/peers/socket.go
+++ b/internal/router/peers/socket.go
@@ -1,4 +1,4 @@
-// Package peers carries the routers' messages to each other as UDP datagrams.
+// Package peers exchanges gossip messages with other routers as UDP datagrams.
 package peers
 
 import (
@@ -16,18 +16,19 @@
 	"portflow/internal/dispatch"
 )
 
-const maxDatagramBytes = 256 // bytes of a datagram
+// maxDatagramBytes is the maximum size of a message.
+const maxDatagramBytes = 256
 
-// Socket is this router's socket among the others'.
+// Socket sends and receives gossip messages. It implements dispatch.Peers.
 type Socket struct {
 	conn          *net.UDPConn
 	addresses     []netip.AddrPort // by rank
 	log           zerolog.Logger
 	post          func(dispatch.Event)
-	onReadFailure func(failures int) // for tests: a read failed, so many in a row
+	onReadFailure func(failures int) // test hook: called after each failed read with the number of consecutive failures
 }
 
-// Listen opens the socket.
+// Listen opens a socket. peers has the addresses of all routers by rank, including this one. Run closes the socket.
 func Listen(address netip.AddrPort, peers []netip.AddrPort, log zerolog.Logger, post func(dispatch.Event)) (*Socket, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
@@ -36,7 +37,8 @@
 	return &Socket{conn: conn, addresses: peers, log: log, post: post}, nil
 }
 
-// SendGossip sends a message. A datagram that can't go out at once is lost, as any may be.
+// SendGossip implements dispatch.Peers. It drops a message that is too long, is for an unknown peer or cannot be sent within a
+// millisecond; gossip tolerates lost datagrams.
 func (s *Socket) SendGossip(peer int, message []byte) {
 	if peer < 0 || peer >= len(s.addresses) || len(message) > maxDatagramBytes {
 		return
@@ -47,19 +49,19 @@
 	}
 }
 
-// Run reads datagrams, with waits that grow while the socket fails, until the context ends; those of other senders or over
-// the length are dropped.
+// Run receives messages and posts them as GossipReceived events until ctx is done, and closes the socket then. It drops datagrams
+// that are too long or from unknown senders. While reads fail, it backs off.
 func (s *Socket) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { s.conn.Close() })
 	defer stop()
 	raw := make([]byte, maxDatagramBytes+1)
-	var delays backoff.Backoff // of its own socket: nobody else is asked
+	var delays backoff.Backoff // needs no seed, as reading the socket puts no load on other processes
 	for failures := 0; ; {
 		size, from, err := s.conn.ReadFromUDPAddrPort(raw)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // what an earlier datagram met, or one that stays
+		if err != nil { // an error of an earlier datagram, which is reported once, or a persistent one
 			if failures++; failures == 1 {
 				s.log.Warn().Err(err).Msg("peers")
 			}
--- a/internal/router/peers/socket_test.go
+++ b/internal/router/peers/socket_test.go
@@ -14,7 +14,7 @@
 
 func TestGossipReceived(t *testing.T) {
 	received := make(chan dispatch.Event, 4)
-	var sockets [3]*Socket // the last is no peer of the first
+	var sockets [3]*Socket // the last one is not a peer of the first
 	for i := range sockets {
 		p, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), nil, zerolog.Nop(), func(e dispatch.Event) { received <- e })
 		if err != nil {
@@ -40,7 +40,7 @@
 	<-done
 }
 
-// An error of the socket that stays once kept a core busy, and that is a crash where a thread may not run for long.
+// Run must back off after a persistent read error instead of spinning.
 func TestBackoffOnReadErrors(t *testing.T) {
 	p, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), nil, zerolog.Nop(), func(dispatch.Event) {})
 	if err != nil {
@@ -58,7 +58,7 @@
 	done := make(chan bool)
 	go func() { p.Run(ctx); done <- true }()
 	if elapsed := <-untilFourth; elapsed < 250*time.Millisecond {
-		t.Errorf("the fourth failure after %v", elapsed)
+		t.Errorf("fourth failed read after %v, want at least 250ms", elapsed)
 	}
 	cancel()
 	<-done
