--- a/internal/router/site/script.go
+++ b/internal/router/site/script.go
@@ -9,21 +9,22 @@
 	"go.starlark.net/syntax"
 )
 
-// maxScriptSteps bounds a script's run: a file of some thousand lines takes a hundredth of it, a loop without end a second.
+// maxScriptSteps bounds the execution of a script. A file of some thousand lines needs 1% of it, and an infinite loop reaches it
+// within about a second.
 const maxScriptSteps = 10_000_000
 
-// siteSections are the functions that a script may call to describe a part; the schema says what each takes.
+// siteSections are the names of the functions that return a section of the file. The schema has the settings of each.
 var siteSections = []string{"storm", "flows"}
 
-// sectionCall is what a script handed to site, and where in the script each of its fields stands.
+// siteCall has the arguments of a script's call of site, and their positions in the script for error messages.
 type siteCall struct {
-	name      string
-	fields    map[string]any
-	call      syntax.Position
-	positions map[string]map[string]syntax.Position // by part, then by field
+	name      string                                // of the file
+	fields    map[string]any                        // sections by name, as JSON values; nil before the call
+	call      syntax.Position                       // of the call of site
+	positions map[string]map[string]syntax.Position // by section, then by setting; "" is the section itself
 }
 
-// positionOf is where a field stands, or the nearest call around it.
+// positionOf returns the file and the line of the setting at a path, or of the innermost call around it whose position is known.
 func (c siteCall) positionOf(path []string) string {
 	position := c.call
 	if len(path) > 0 {
@@ -40,13 +41,13 @@
 	return fmt.Sprintf("%s:%d", c.name, position.Line)
 }
 
-// runScript runs a script and takes what it handed to site.
+// runScript runs a script and returns its call of site.
 func runScript(name string, text []byte) (siteCall, error) {
 	result := siteCall{name: name, positions: map[string]map[string]syntax.Position{}}
 	options := &syntax.FileOptions{TopLevelControl: true}
 	file, err := options.Parse(name, text, 0)
 	if err != nil {
-		return result, err // names the file, the line and the column
+		return result, err // has the file, the line and the column
 	}
 	keywords := keywordPositions(file)
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
@@ -61,7 +62,7 @@
 		builtins[section] = starlark.NewBuiltin(section, func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple,
 			kwargs []starlark.Tuple) (starlark.Value, error) {
 			if len(args) > 0 {
-				return nil, errors.New("its settings go by name")
+				return nil, errors.New("settings must be named arguments")
 			}
 			d := starlark.NewDict(len(kwargs))
 			for _, kv := range kwargs {
@@ -81,10 +82,10 @@
 	builtins["site"] = starlark.NewBuiltin("site", func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple,
 		kwargs []starlark.Tuple) (starlark.Value, error) {
 		if result.fields != nil {
-			return nil, fmt.Errorf("called before, in line %d", result.call.Line)
+			return nil, fmt.Errorf("site was already called on line %d", result.call.Line)
 		}
 		if len(args) > 0 {
-			return nil, errors.New("its parts go by name")
+			return nil, errors.New("sections must be named arguments")
 		}
 		result.call = t.CallFrame(1).Pos
 		result.fields = map[string]any{}
@@ -116,7 +117,7 @@
 	return result, nil
 }
 
-// errorAt puts the script's own place of an error before it.
+// errorAt adds the file to an error, and the line of the outermost statement of the script that led to it, if known.
 func errorAt(name string, err error) error {
 	var failed *starlark.EvalError
 	if errors.As(err, &failed) {
@@ -129,7 +130,8 @@
 	return fmt.Errorf("%s: %w", name, err)
 }
 
-// keywords tells where each call's named arguments stand, by the place of its parenthesis.
+// keywordPositions returns the positions of each call's named arguments, by line and column of the call's opening parenthesis, which
+// is the position of the call in a starlark.CallFrame.
 func keywordPositions(file *syntax.File) map[[2]int32]map[string]syntax.Position {
 	positions := map[[2]int32]map[string]syntax.Position{}
 	syntax.Walk(file, func(n syntax.Node) bool {
@@ -151,7 +153,8 @@
 	return positions
 }
 
-// durationFields makes a function that tells a number in whole units: nanoseconds or bytes.
+// unitFunc returns a builtin that multiplies a number by unit and rounds it to an integer, for durations in nanoseconds and sizes in
+// bytes.
 func unitFunc(unit float64) func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error) {
 	return func(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 		var n starlark.Value
@@ -160,18 +163,19 @@
 		}
 		f, ok := starlark.AsFloat(n)
 		if !ok || math.IsNaN(f) || math.Abs(f*unit) > 1e18 {
-			return nil, fmt.Errorf("%s: %s is no such number", b.Name(), n)
+			return nil, fmt.Errorf("%s: %s is not a number or out of range", b.Name(), n)
 		}
 		return starlark.MakeInt64(int64(math.Round(f * unit))), nil
 	}
 }
 
-const maxDepth = 8 // levels of lists and dicts in a value; parts have two
+// maxDepth bounds the nesting of lists and dicts in a value, which may contain itself. Sections need two levels.
+const maxDepth = 8
 
-// plainValue turns a value into what JSON knows.
+// jsonValue converts a Starlark value to the Go types that represent JSON values.
 func jsonValue(v starlark.Value, depth int) (any, error) {
 	if depth > maxDepth {
-		return nil, fmt.Errorf("more than %d levels", maxDepth)
+		return nil, fmt.Errorf("nested more than %d levels deep", maxDepth)
 	}
 	switch v := v.(type) {
 	case starlark.NoneType:
@@ -188,7 +192,7 @@
 		return n, nil
 	case starlark.Float:
 		if f := float64(v); math.IsNaN(f) || math.IsInf(f, 0) {
-			return nil, fmt.Errorf("%s is no number", v)
+			return nil, fmt.Errorf("%s is not a finite number", v)
 		}
 		return float64(v), nil
 	case *starlark.Dict:
@@ -196,7 +200,7 @@
 		for _, kv := range v.Items() {
 			key, ok := starlark.AsString(kv[0])
 			if !ok {
-				return nil, fmt.Errorf("key %s is no text", kv[0])
+				return nil, fmt.Errorf("key %s is not a string", kv[0])
 			}
 			value, err := jsonValue(kv[1], depth+1)
 			if err != nil {
@@ -218,5 +222,5 @@
 		}
 		return out, nil
 	}
-	return nil, fmt.Errorf("a %s can't be set", v.Type())
+	return nil, fmt.Errorf("type %s is not supported as a setting", v.Type())
 }
--- a/internal/router/site/site.go
+++ b/internal/router/site/site.go
@@ -1,12 +1,12 @@
-// Package site reads an operator's file: a Starlark script that switches portflow's further parts on and sets them.
-// Nothing is read at a router's start unless a file is named, and a part that the file leaves out stays off.
+// Package site reads the operator's file: a Starlark script that enables and configures the optional features of a router. The file
+// is optional, and a feature whose section is missing stays disabled.
 //
-// The script is hermetic: it loads nothing, reads no clock and ends after a bounded number of steps. It calls site
-// once, with one argument a part:
+// The script is hermetic: it cannot load other files or read a clock, and ends after a bounded number of steps. It calls site
+// once, with a named argument for each section:
 //
 //	site(storm = storm(ceiling = 1.1, horizon = seconds(5)))
 //
-// What it gives is checked by the schema that Schema tells; an error names the file, the line and the field.
+// The arguments are validated against a JSON schema. Errors name the file, the line and the setting. Start reading at Parse.
 package site
 
 import (
@@ -29,15 +29,15 @@
 	"portflow/internal/router/flow/ipfix"
 )
 
-// Config is a checked operator's file. A part that is nil is off.
+// Config is a valid operator's file. A nil section is disabled.
 type Config struct {
 	Storm *retryguard.Tuning `json:"storm"`
 	Flows *Flows             `json:"flows"`
 }
 
-// Flows are the settings of flow export; times are nanoseconds.
+// Flows are the settings of flow export. Durations are in nanoseconds. The schema documents each setting and its bounds.
 type Flows struct {
-	Collectors []string `json:"collectors"` // "udp://10.0.0.9:4739", each gets all records
+	Collectors []string `json:"collectors"` // such as "udp://10.0.0.9:4739"; each gets all records
 	Protocol   string   `json:"protocol"`   // "ipfix" or "netflow9"
 	Domain     uint32   `json:"domain"`
 	Enterprise uint32   `json:"enterprise"`
@@ -48,7 +48,7 @@
 	MTU        int      `json:"mtu"`
 }
 
-// DefaultFlows are those of a part that is switched on without others; it has no collector.
+// DefaultFlows returns the settings of a flows section without explicit settings. They have no collectors, which are required.
 func DefaultFlows() Flows {
 	return Flows{Protocol: "ipfix", Domain: 1, Enterprise: ipfix.Documentation, Active: 60e9, Idle: 15e9, Memory: 1 << 20, Refresh: 600e9, MTU: 1400}
 }
@@ -56,13 +56,13 @@
 //go:embed schema.json
 var schema []byte
 
-// Schema is the JSON schema (draft 2020-12) of what a script may give.
+// Schema returns a copy of the JSON schema (draft 2020-12) of the arguments of site.
 func Schema() []byte { return bytes.Clone(schema) }
 
-// maxFileBytes is what a script may hold, in bytes: some hundred parts' worth.
+// maxFileBytes is the maximum size of a script, far more than all settings need.
 const maxFileBytes = 256 << 10
 
-// Read reads the file at a path.
+// Read reads and parses the file at path.
 func Read(path string) (Config, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads a script's text; name stands in its errors.
+// Parse runs a script and validates its arguments of site. name is the name of the file in errors.
 func Parse(name string, text []byte) (Config, error) {
 	call, err := runScript(name, text)
 	if err != nil {
@@ -110,7 +110,7 @@
 	return config, nil
 }
 
-// validate compares what a script gave with the schema; all that is wrong comes in one error, a line each.
+// validate checks the arguments of site against the schema. The error has one line for each violation.
 func validate(call siteCall) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema))
 	if err != nil {
--- a/internal/router/site/site_test.go
+++ b/internal/router/site/site_test.go
@@ -9,7 +9,7 @@
 	"portflow/internal/retryguard"
 )
 
-// What is wrong in a file is named with the file, the line and the field; what is right counts, and the rest is off.
+// Errors must name the file, the line and the setting. Valid settings must be applied, and missing sections stay disabled.
 func TestParse(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"nothing":       {"site()", ""},
@@ -29,7 +29,7 @@
 		"deep":          {"x = []\nx.append(x)\nsite(storm = x)", "levels"},
 		"v9 over tcp":   {"site(flows = flows(collectors = ['udp://10.0.0.1:1',\n 'tcp://[::1]:2'], protocol = 'netflow9'))", "site.flows.collectors.1"},
 		"no collector":  {"site(\n flows = flows(domain = 2))", "f.star:2: site.flows: missing"},
-		"a function":    {"site(storm = storm(on = len))", "can't be set"},
+		"a function":    {"site(storm = storm(on = len))", "is not supported as a setting"},
 	} {
 		_, err := Parse("f.star", []byte(c.text))
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// The schema's defaults are those that the program takes, and every setting has its bounds there.
+// The schema must have the settings of retryguard.Tuning, with the defaults of retryguard.Defaults.
 func TestSchema(t *testing.T) {
 	var s struct {
 		Properties struct {
@@ -64,15 +64,15 @@
 	json.Unmarshal(raw, &defaults)
 	for name, v := range defaults {
 		if p, ok := s.Properties.Storm.Properties[name]; !ok || !reflect.DeepEqual(p.Default, v) {
-			t.Errorf("%s: %v in the schema, %v in the program", name, p.Default, v)
+			t.Errorf("%s: default %v in the schema, want %v", name, p.Default, v)
 		}
 	}
 	if len(defaults) != len(s.Properties.Storm.Properties) {
-		t.Error("the schema has settings that the program has not")
+		t.Error("the schema has settings that retryguard.Tuning does not have")
 	}
 }
 
-// FuzzParse: whatever a file holds, it is read or refused with its name, and ends.
+// Parsing must terminate for any input, and must not accept settings outside the bounds of the schema.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{"site()", "site(storm=storm(ceiling=1.5))", "site(storm=1)", "(", "def f(): f()\nf()", "site(storm={1:2})"} {
 		f.Add(text)
