--- a/internal/router/ingress/conn.go
+++ b/internal/router/ingress/conn.go
@@ -11,12 +11,12 @@
 	"portflow/internal/router/flow/export"
 )
 
-// limitedListener keeps a server's connections within their room; where it is full, one that is of no use is closed for
-// one that comes.
+// limitedListener bounds the number of open connections. At the limit, it accepts a new connection only after it has closed one that
+// is not in use.
 type limitedListener struct {
 	net.Listener
 	limiter *connlimit.Limiter
-	meter   *export.Meter // nil where nothing is counted
+	meter   *export.Meter // nil if flow export is disabled
 }
 
 func (l *limitedListener) Accept() (net.Conn, error) {
@@ -32,16 +32,16 @@
 	return conn, nil
 }
 
-// clientConn sees what net/http does not tell a handler: how the bytes of a command are framed, and what comes
-// after them. Clients send one command at a time, so nothing may come until it is answered.
+// clientConn observes what net/http does not pass to a handler: how a request is framed, and whether more bytes follow it. Clients
+// must not pipeline requests, so no bytes may be received between the end of a request and its response.
 type clientConn struct {
 	net.Conn
 	slot           *connlimit.Slot
 	flow           *export.Conn
-	mu             sync.Mutex
-	head           httpframing.Head
-	awaitingAnswer bool          // a command is whole, and not answered
-	pipelined      chan struct{} // gets one for what comes then
+	mu             sync.Mutex       // guards head and awaitingAnswer
+	head           httpframing.Head // of the current request
+	awaitingAnswer bool             // the request has been read, and its response has not begun
+	pipelined      chan struct{}    // buffered; gets a value when bytes are received while awaitingAnswer is true
 }
 
 func (c *clientConn) Read(b []byte) (int, error) {
@@ -78,7 +78,8 @@
 	return c.Conn.Close()
 }
 
-// requestRead tells that a command with a body of this length was read, and whether the bytes that came are just that.
+// requestRead is called when a request with a body of this length has been read. It returns false if the connection received more or
+// fewer body bytes, or several Content-Length fields. Otherwise the connection awaits the answer.
 func (c *clientConn) requestRead(body int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +90,7 @@
 	return c.awaitingAnswer
 }
 
-// answering tells that the answer goes out now: what comes next is another command.
+// beginResponse is called before a response is written. Bytes received from then on belong to the next request.
 func (c *clientConn) beginResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/router/ingress/server_test.go
+++ b/internal/router/ingress/server_test.go
@@ -16,7 +16,7 @@
 	"portflow/internal/router/settings"
 )
 
-// startServer starts a server; what it posts comes on the channel.
+// startServer starts a server and returns its address and a channel with the events that it posts.
 func startServer(t *testing.T, maxOpen int) (string, *Server, chan dispatch.Event) {
 	s := settings.Settings{ClassNames: []string{"display", "accept"}, CustomerNames: []string{"rila", "dunav"}}
 	s.Settings.Classes = []decision.RequestClass{{Timeout: int64(5 * time.Second)},
@@ -32,8 +32,9 @@
 	return l.Addr().String(), server, events
 }
 
-var lastTraceID atomic.Int64 // each has an id of its own
+var lastTraceID atomic.Int64 // makes the trace ID of each request unique
 
+// dial connects to the server and sends text, with a new trace ID in place of t1.
 func dial(t *testing.T, address, text string) (net.Conn, *bufio.Reader) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -51,7 +52,7 @@
 		t.Fatal(err)
 	}
 	body, err := io.ReadAll(r.Body)
-	if err != nil && r.ContentLength >= 0 { // one without a length ends with its connection
+	if err != nil && r.ContentLength >= 0 { // a response without Content-Length ends with its connection
 		t.Fatal(err)
 	}
 	if r.Close {
@@ -121,7 +122,7 @@
 	} {
 		_, in := dial(t, address, text)
 		if code, _, _ := readResponse(t, in); code != want && (want != 400 || code != 505) {
-			t.Errorf("%d, wanted %d: %.120q", code, want, text)
+			t.Errorf("got status %d, want %d: %.120q", code, want, text)
 		}
 	}
 	half, _ := dial(t, address, validRequest[:len(validRequest)-2])
@@ -131,7 +132,7 @@
 	}
 }
 
-// A further try that is marked is told to the router as one.
+// A request that the client marked as a retry must be posted as one.
 func TestMarkedRetry(t *testing.T) {
 	address, _, events := startServer(t, 8)
 	for i, text := range []string{validRequest, strings.Replace(strings.Replace(validRequest, "t1", "t2", 1), "X-Qos", "X-Second-Try: 1\r\nX-Qos", 1)} {
@@ -154,12 +155,12 @@
 		c := (<-events).(dispatch.RequestReceived).Call
 		conn.Close()
 		if gone := (<-events).(dispatch.ClientGone); gone.Call != c {
-			t.Error("another command left")
+			t.Error("got ClientGone for another call")
 		}
 	}
 }
 
-// An id that has come before is another client's: it gets neither that one's answer nor a second hand-off.
+// A request with the trace ID of an earlier one is from another client. It must not get the answer to the first, nor be posted.
 func TestDuplicateTraceID(t *testing.T) {
 	address, server, events := startServer(t, 8)
 	_, first := dial(t, address, validRequest)
@@ -186,30 +187,30 @@
 		t.Error(code, len(events))
 	}
 	now := server.recentIDs.rotatedAt
-	for n := range 1000 { // what is remembered is bounded by time
+	for n := range 1000 { // IDs must be removed after some time
 		now += server.recentIDs.lifetime / 10
 		server.recentIDs.add(fmt.Sprint(n), now)
 	}
 	if n := len(server.recentIDs.current) + len(server.recentIDs.previous); n > 25 {
-		t.Error(n, "ids held")
+		t.Error(n, "IDs kept, want at most 25")
 	}
 }
 
-// A client sends one command at a time: what comes before its answer ends the command.
+// Clients must not pipeline requests: bytes received before the response must end the request with an error.
 func TestPipelinedBytes(t *testing.T) {
 	address, _, events := startServer(t, 8)
 	conn, in := dial(t, address, validRequest)
 	c := (<-events).(dispatch.RequestReceived).Call
 	io.WriteString(conn, "m")
 	if gone := (<-events).(dispatch.ClientGone); gone.Call != c {
-		t.Error("another command left")
+		t.Error("got ClientGone for another call")
 	}
 	if code, h, _ := readResponse(t, in); code != 400 || h.Get("Connection") != "close" {
 		t.Error(code, h)
 	}
 }
 
-// However many connections say nothing, or half of a command, one that asks gets its answer.
+// Idle connections and incomplete requests must not keep a new client from being served.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	address, _, events := startServer(t, 8)
 	for range 200 {
@@ -225,7 +226,7 @@
 	}
 }
 
-// What never ends is ended, also a body, and also a connection after its command.
+// The server must close connections with an incomplete request or body, and those that stay idle after a response.
 func TestTimeouts(t *testing.T) {
 	address, _, events := startServer(t, 8)
 	start := time.Now()
@@ -244,7 +245,7 @@
 	}
 }
 
-// Further commands than there is room for are turned away, as before a router whose connections are all taken.
+// Requests beyond the limit of open requests must be rejected.
 func TestBeyondOpenRequestLimit(t *testing.T) {
 	address, _, events := startServer(t, 1)
 	_, first := dial(t, address, validRequest)
@@ -259,7 +260,7 @@
 	}
 }
 
-// A router that leaves takes new connections for a while, closes each after its answer, and finishes what it has.
+// A draining server must accept new connections for a while, close each after its response, and finish the open requests.
 func TestDrain(t *testing.T) {
 	address, server, events := startServer(t, 8)
 	_, early := dial(t, address, validRequest)
