--- a/internal/router/config/config_test.go
+++ b/internal/router/config/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.4:8081","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.4:8081","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
  "peer_listen":"127.0.0.4:7946","peers":["127.3.0.1:7946"],"peers_all":"127.3.255.1:7946",
  "rollouts":{"address":"127.2.0.2:6400","news":{"release":42,"tranche":1,"mode":"canary","exposure":0.28,"old_ms":310}},
@@ -14,7 +14,7 @@
   "replicasOfMe":1,"tickNs":5,"limits":{"maxAttempts":3,"connIdleNs":5,"connectTimeoutNs":5,"peerMessages":true}}}`
 
 func TestRead(t *testing.T) {
-	c, err := Read([]byte(good), func(name string) string {
+	c, err := Read([]byte(validConfig), func(name string) string {
 		return map[string]string{"ROUTER_LISTEN": "127.0.0.5:1"}[name]
 	})
 	if err != nil || c.Listen != "127.0.0.5:1" || c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Memory != 192<<20 ||
@@ -39,7 +39,7 @@
 		`"connIdleNs":5`:               {`"connIdleNs":0`, "connIdleNs"},
 		`"settings":{`:                 {`"settings":"","x":{`, "settings"},
 	} {
-		text := strings.Replace(good, from, x[0], 1)
+		text := strings.Replace(validConfig, from, x[0], 1)
 		if _, err := Read([]byte(text), func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), x[1]) {
 			t.Errorf("%s: %v", x[0], err)
 		}
@@ -51,11 +51,11 @@
 
 func TestDiffers(t *testing.T) {
 	none := func(string) string { return "" }
-	was, _ := Read([]byte(good), none)
+	current, _ := Read([]byte(validConfig), none)
 	for from, x := range map[string][2]string{`"127.2.0.1:8500"`: {`"127.2.0.9:8500"`, ""}, `"127.2.0.2:6400"`: {`"127.2.0.9:6400"`, ""},
 		`"sockets":1024`: {`"sockets":256`, "limits"}, `"aimNs":1`: {`"aimNs":2`, "settings"}, `"127.3.0.1:7946"]`: {`"127.3.0.2:7946"]`, "peers"}} {
-		next, err := Read([]byte(strings.Replace(good, from, x[0], 1)), none)
-		if got := strings.Join(was.Differs(next), ","); err != nil || got != x[1] {
+		next, err := Read([]byte(strings.Replace(validConfig, from, x[0], 1)), none)
+		if got := strings.Join(current.Differs(next), ","); err != nil || got != x[1] {
 			t.Errorf("%s: %q, %v", x[0], got, err)
 		}
 	}
--- a/internal/router/discovery/watcher.go
+++ b/internal/router/discovery/watcher.go
@@ -185,7 +185,8 @@
 		}
 		recovered := failures > 0
 		failures, w.needsSnapshot = 0, false
-		if w.revision = update.Revision; len(update.Hosts) > 0 || recovered { // after a failure, even an empty update is posted, to report the recovery
+		// After a failure, even an empty update is posted, to report that calls succeed again.
+		if w.revision = update.Revision; len(update.Hosts) > 0 || recovered {
 			w.post(update.HostsChanged)
 		}
 	}
--- a/internal/router/peers/socket_test.go
+++ b/internal/router/peers/socket_test.go
@@ -16,11 +16,11 @@
 	received := make(chan dispatch.Event, 4)
 	var sockets [3]*Socket // the last one is not a peer of the first
 	for i := range sockets {
-		p, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), nil, zerolog.Nop(), func(e dispatch.Event) { received <- e })
+		socket, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), nil, zerolog.Nop(), func(e dispatch.Event) { received <- e })
 		if err != nil {
 			t.Fatal(err)
 		}
-		sockets[i] = p
+		sockets[i] = socket
 	}
 	addressOf := func(i int) netip.AddrPort { return sockets[i].conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 	sockets[0].addresses = []netip.AddrPort{addressOf(0), addressOf(1)}
@@ -42,21 +42,21 @@
 
 // Run must back off after a persistent read error instead of spinning.
 func TestBackoffOnReadErrors(t *testing.T) {
-	p, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), nil, zerolog.Nop(), func(dispatch.Event) {})
+	socket, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), nil, zerolog.Nop(), func(dispatch.Event) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.conn.SetReadDeadline(time.Unix(1, 0)) // each read fails at once
+	socket.conn.SetReadDeadline(time.Unix(1, 0)) // each read fails at once
 	untilFourth := make(chan time.Duration, 1)
 	start := time.Now()
-	p.onReadFailure = func(failures int) {
+	socket.onReadFailure = func(failures int) {
 		if failures == 4 {
 			untilFourth <- time.Since(start)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan bool)
-	go func() { p.Run(ctx); done <- true }()
+	go func() { socket.Run(ctx); done <- true }()
 	if elapsed := <-untilFourth; elapsed < 250*time.Millisecond {
 		t.Errorf("fourth failed read after %v, want at least 250ms", elapsed)
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -78,7 +78,8 @@
 const refreshPackets = 200
 
 // StartWith is like Start, with a guard and an exporter that the caller has created; nil disables either. The goroutines that it
-// starts end when Drain cancels their context, except the one of server.Serve, which ends when Drain shuts the server down.
+// starts end when ctx is done or Drain cancels their context, except the one of server.Serve, which ends when Drain shuts the server
+// down.
 func StartWith(ctx context.Context, c config.Config, guard dispatch.Guard, flows *export.Exporter, log zerolog.Logger) (*Router, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	router := &Router{cancel: cancel, failed: make(chan error, 1), stopped: make(chan struct{})}
@@ -189,8 +190,9 @@
 	r.platform.SetAddress(next.Platform)
 }
 
-// Drain shuts the router down gracefully and returns when it has stopped. The router keeps accepting connections for drainDelay and
-// finishes the requests in progress. The error is non-nil if some did not finish in time.
+// Drain shuts the router down gracefully. The router keeps accepting connections for drainDelay and finishes the requests in
+// progress. Drain returns when the dispatcher and the flow export have ended; the error is non-nil if some requests did not finish
+// in time.
 func (r *Router) Drain() error {
 	err := r.server.Drain(drainDelay)
 	r.cancel()
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -85,8 +85,8 @@
 		raw, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		return recordingConn{raw, &in, &out}, err
 	}}}
-	const commands = 60
-	for i := range commands {
+	const requests = 60
+	for i := range requests {
 		r, _ := http.NewRequest(http.MethodGet, "http://"+listen+"/display?obj="+fmt.Sprint(i%7), nil)
 		r.Header = http.Header{"X-Trace-Id": {fmt.Sprint("t", i)}, "X-Qos": {"display"}, "X-Customer": {conf.Settings.CustomerNames[i/10%2]},
 			"X-Expires-In": {"900m"}}
@@ -104,15 +104,15 @@
 		t.Error(err)
 	}
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if all, _, _, _ := c.Totals(); all.Commands >= 2*commands {
+		if all, _, _, _ := c.Totals(); all.Commands >= 2*requests {
 			break
 		}
 	}
 	totals, stats := c.TotalsBySide()
-	if x := totals[flow.Clients]; x.Forward != out.Load() || x.Reverse != in.Load() || x.Commands != commands || x.Connections == 0 {
+	if x := totals[flow.Clients]; x.Forward != out.Load() || x.Reverse != in.Load() || x.Commands != requests || x.Connections == 0 {
 		t.Errorf("client connections: got %+v, want %d bytes forward and %d reverse; collector %+v", x, out.Load(), in.Load(), stats)
 	}
-	if x := totals[flow.Hosts]; x.Commands != commands || x.Forward == 0 || x.Reverse == 0 {
+	if x := totals[flow.Hosts]; x.Commands != requests || x.Forward == 0 || x.Reverse == 0 {
 		t.Errorf("host connections: got %+v", x)
 	}
 	c.Stop()
