--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -24,7 +24,7 @@
 	"portflow/internal/standin/servers"
 )
 
-// recordingConn counts a client's own bytes.
+// recordingConn counts the bytes that a client reads and writes.
 type recordingConn struct {
 	net.Conn
 	in, out *atomic.Uint64
@@ -42,30 +42,30 @@
 	return n, err
 }
 
-// A router that leaves has told the collector every octet and command of its clients' connections, and as many
-// commands of its hosts'.
-func TestFlows(t *testing.T) {
+// Drain must export all flow records: the collector's counts of bytes and requests on client connections must equal the client's, and
+// those of requests on host connections must match.
+func TestFlowExport(t *testing.T) {
 	c, err := collector.New("tcp", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
-	h := &servers.Host{Name: "h0", Effects: &servers.SharedEffects{}, Clock: func() int64 { return int64(time.Since(began)) },
+	start := time.Now()
+	h := &servers.Host{Name: "h0", Effects: &servers.SharedEffects{}, Clock: func() int64 { return int64(time.Since(start)) },
 		OnWork: func(int64, int64) {}, Work: func() int64 { return 1e6 }}
 	if err := h.Start(&standin.Machine{Cores: 8, QueueNanos: 1e9}); err != nil {
 		t.Fatal(err)
 	}
 	defer h.Stop()
-	around, err := servers.NewServices(`{"release":1,"tranche":0,"mode":"stable","exposure":1,"old_ms":60000}`,
+	services, err := servers.NewServices(`{"release":1,"tranche":0,"mode":"stable","exposure":1,"old_ms":60000}`,
 		[]servers.Member{{ID: "h0", HostPort: h.Address, Phase: "Ready", Size: 1, Image: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer around.Close()
+	defer services.Close()
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	listen := l.Addr().String()
 	l.Close()
-	conf := config.Config{Name: "n0", Listen: listen, Discovery: around.Address, Platform: around.Address, Seed: 1, Cores: 1,
+	conf := config.Config{Name: "n0", Listen: listen, Discovery: services.Address, Platform: services.Address, Seed: 1, Cores: 1,
 		Memory: 64 << 20, Sockets: 256, Rollout: dispatch.RolloutChanged{Rollout: decision.Rollout{Build: 1, State: decision.Released, ExposureCap: 1, Age: 60e9}},
 		KnownHosts: discovery.Update{HostsChanged: dispatch.HostsChanged{Hosts: []dispatch.Host{{Name: "h0", Address: h.Address, Build: 1, Capacity: 1}}}},
 		Settings: settings.Settings{ClassNames: []string{"display"}, CustomerNames: []string{"rila", "dunav"}, ConnectTimeout: 250e6, IdleTimeout: 30e9,
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := Start(context.Background(), conf, s, zerolog.Nop())
+	router, err := Start(context.Background(), conf, s, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,8 +85,8 @@
 		raw, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		return recordingConn{raw, &in, &out}, err
 	}}}
-	const commands = 60
-	for i := range commands {
+	const requests = 60
+	for i := range requests {
 		r, _ := http.NewRequest(http.MethodGet, "http://"+listen+"/display?obj="+fmt.Sprint(i%7), nil)
 		r.Header = http.Header{"X-Trace-Id": {fmt.Sprint("t", i)}, "X-Qos": {"display"}, "X-Customer": {conf.Settings.CustomerNames[i/10%2]},
 			"X-Expires-In": {"900m"}}
@@ -100,20 +100,20 @@
 		resp.Body.Close()
 	}
 	client.CloseIdleConnections()
-	if err := n.Drain(); err != nil {
+	if err := router.Drain(); err != nil {
 		t.Error(err)
 	}
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if all, _, _, _ := c.Totals(); all.Commands >= 2*commands {
+		if all, _, _, _ := c.Totals(); all.Commands >= 2*requests {
 			break
 		}
 	}
-	by, stats := c.TotalsBySide()
-	if x := by[flow.Clients]; x.Forward != out.Load() || x.Reverse != in.Load() || x.Commands != commands || x.Connections == 0 {
-		t.Errorf("collector %+v; the client wrote %d and read %d; %+v", x, out.Load(), in.Load(), stats)
+	totals, stats := c.TotalsBySide()
+	if x := totals[flow.Clients]; x.Forward != out.Load() || x.Reverse != in.Load() || x.Commands != requests || x.Connections == 0 {
+		t.Errorf("client connections: got %+v, want %d bytes forward and %d reverse; collector %+v", x, out.Load(), in.Load(), stats)
 	}
-	if x := by[flow.Hosts]; x.Commands != commands || x.Forward == 0 || x.Reverse == 0 {
-		t.Errorf("of hosts %+v", x)
+	if x := totals[flow.Hosts]; x.Commands != requests || x.Forward == 0 || x.Reverse == 0 {
+		t.Errorf("host connections: got %+v", x)
 	}
 	c.Stop()
 }
--- a/internal/router/site/script.go
+++ b/internal/router/site/script.go
@@ -9,114 +9,115 @@
 	"go.starlark.net/syntax"
 )
 
-// maxScriptSteps bounds a script's run: a file of some thousand lines takes a hundredth of it, a loop without end a second.
+// maxScriptSteps bounds the execution of a script. A file of some thousand lines needs 1% of it, and an infinite loop reaches it
+// within about a second.
 const maxScriptSteps = 10_000_000
 
-// siteSections are the functions that a script may call to describe a part; the schema says what each takes.
+// siteSections are the names of the functions that return a section of the file. The schema has the settings of each.
 var siteSections = []string{"storm", "flows"}
 
-// sectionCall is what a script handed to site, and where in the script each of its fields stands.
-type sectionCall struct {
-	name      string
-	fields    map[string]any
-	call      syntax.Position
-	positions map[string]map[string]syntax.Position // by part, then by field
+// siteCall has the arguments of a script's call of site, and their positions in the script for error messages.
+type siteCall struct {
+	name      string                                // of the file
+	fields    map[string]any                        // sections by name, as JSON values; nil before the call
+	call      syntax.Position                       // of the call of site
+	positions map[string]map[string]syntax.Position // by section, then by setting; "" is the section itself
 }
 
-// positionOf is where a field stands, or the nearest call around it.
-func (g sectionCall) positionOf(path []string) string {
-	at := g.call
+// positionOf returns the file and the line of the setting at a path, or of the innermost call around it whose position is known.
+func (c siteCall) positionOf(path []string) string {
+	position := c.call
 	if len(path) > 0 {
-		fields := g.positions[path[0]]
+		fields := c.positions[path[0]]
 		if p, ok := fields[""]; ok {
-			at = p
+			position = p
 		}
 		if len(path) > 1 {
 			if p, ok := fields[path[1]]; ok {
-				at = p
+				position = p
 			}
 		}
 	}
-	return fmt.Sprintf("%s:%d", g.name, at.Line)
+	return fmt.Sprintf("%s:%d", c.name, position.Line)
 }
 
-// runScript runs a script and takes what it handed to site.
-func runScript(name string, text []byte) (sectionCall, error) {
-	g := sectionCall{name: name, positions: map[string]map[string]syntax.Position{}}
+// runScript runs a script and returns its call of site.
+func runScript(name string, text []byte) (siteCall, error) {
+	result := siteCall{name: name, positions: map[string]map[string]syntax.Position{}}
 	options := &syntax.FileOptions{TopLevelControl: true}
 	file, err := options.Parse(name, text, 0)
 	if err != nil {
-		return g, err // names the file, the line and the column
+		return result, err // has the file, the line and the column
 	}
-	arguments := keywords(file)
+	keywords := keywordPositions(file)
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(maxScriptSteps)
-	about := map[*starlark.Dict]map[string]syntax.Position{}
+	sectionPositions := map[*starlark.Dict]map[string]syntax.Position{}
 	builtins := starlark.StringDict{
-		"ms":      starlark.NewBuiltin("ms", durationFields(1e6)),
-		"seconds": starlark.NewBuiltin("seconds", durationFields(1e9)),
-		"kib":     starlark.NewBuiltin("kib", durationFields(1<<10)),
+		"ms":      starlark.NewBuiltin("ms", unitFunc(1e6)),
+		"seconds": starlark.NewBuiltin("seconds", unitFunc(1e9)),
+		"kib":     starlark.NewBuiltin("kib", unitFunc(1<<10)),
 	}
-	for _, part := range siteSections {
-		builtins[part] = starlark.NewBuiltin(part, func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple,
-			named []starlark.Tuple) (starlark.Value, error) {
+	for _, section := range siteSections {
+		builtins[section] = starlark.NewBuiltin(section, func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple,
+			kwargs []starlark.Tuple) (starlark.Value, error) {
 			if len(args) > 0 {
-				return nil, errors.New("its settings go by name")
+				return nil, errors.New("settings must be named arguments")
 			}
-			d := starlark.NewDict(len(named))
-			for _, kv := range named {
+			d := starlark.NewDict(len(kwargs))
+			for _, kv := range kwargs {
 				if err := d.SetKey(kv[0], kv[1]); err != nil {
 					return nil, err
 				}
 			}
 			call := t.CallFrame(1).Pos
-			at := map[string]syntax.Position{"": call}
-			for field, p := range arguments[[2]int32{call.Line, call.Col}] {
-				at[field] = p
+			fieldPositions := map[string]syntax.Position{"": call}
+			for field, p := range keywords[[2]int32{call.Line, call.Col}] {
+				fieldPositions[field] = p
 			}
-			about[d] = at
+			sectionPositions[d] = fieldPositions
 			return d, nil
 		})
 	}
 	builtins["site"] = starlark.NewBuiltin("site", func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple,
-		named []starlark.Tuple) (starlark.Value, error) {
-		if g.fields != nil {
-			return nil, fmt.Errorf("called before, in line %d", g.call.Line)
+		kwargs []starlark.Tuple) (starlark.Value, error) {
+		if result.fields != nil {
+			return nil, fmt.Errorf("site was already called on line %d", result.call.Line)
 		}
 		if len(args) > 0 {
-			return nil, errors.New("its parts go by name")
+			return nil, errors.New("sections must be named arguments")
 		}
-		g.call = t.CallFrame(1).Pos
-		g.fields = map[string]any{}
-		for _, kv := range named {
-			part := string(kv[0].(starlark.String))
-			value, err := plainValue(kv[1], 0)
+		result.call = t.CallFrame(1).Pos
+		result.fields = map[string]any{}
+		for _, kv := range kwargs {
+			section := string(kv[0].(starlark.String))
+			value, err := jsonValue(kv[1], 0)
 			if err != nil {
-				return nil, fmt.Errorf("%s: %w", part, err)
+				return nil, fmt.Errorf("%s: %w", section, err)
 			}
-			g.fields[part] = value
-			if d, ok := kv[1].(*starlark.Dict); ok && about[d] != nil {
-				g.positions[part] = about[d]
+			result.fields[section] = value
+			if d, ok := kv[1].(*starlark.Dict); ok && sectionPositions[d] != nil {
+				result.positions[section] = sectionPositions[d]
 			} else {
-				g.positions[part] = map[string]syntax.Position{"": arguments[[2]int32{g.call.Line, g.call.Col}][part]}
+				result.positions[section] = map[string]syntax.Position{"": keywords[[2]int32{result.call.Line, result.call.Col}][section]}
 			}
 		}
 		return starlark.None, nil
 	})
 	program, err := starlark.FileProgram(file, builtins.Has)
 	if err != nil {
-		return g, err
+		return result, err
 	}
 	if _, err := program.Init(thread, builtins); err != nil {
-		return g, errorAt(name, err)
+		return result, errorAt(name, err)
 	}
-	if g.fields == nil {
-		return g, fmt.Errorf("%s: site is never called", name)
+	if result.fields == nil {
+		return result, fmt.Errorf("%s: site is never called", name)
 	}
-	return g, nil
+	return result, nil
 }
 
-// errorAt puts the script's own place of an error before it.
+// errorAt adds the file to an error, and the line of the outermost statement of the script that led to it, if known.
 func errorAt(name string, err error) error {
 	var failed *starlark.EvalError
 	if errors.As(err, &failed) {
@@ -129,9 +130,10 @@
 	return fmt.Errorf("%s: %w", name, err)
 }
 
-// keywords tells where each call's named arguments stand, by the place of its parenthesis.
-func keywords(file *syntax.File) map[[2]int32]map[string]syntax.Position {
-	all := map[[2]int32]map[string]syntax.Position{}
+// keywordPositions returns the positions of each call's named arguments, by line and column of the call's opening parenthesis, which
+// is the position of the call in a starlark.CallFrame.
+func keywordPositions(file *syntax.File) map[[2]int32]map[string]syntax.Position {
+	positions := map[[2]int32]map[string]syntax.Position{}
 	syntax.Walk(file, func(n syntax.Node) bool {
 		call, ok := n.(*syntax.CallExpr)
 		if !ok {
@@ -145,33 +147,35 @@
 				}
 			}
 		}
-		all[[2]int32{call.Lparen.Line, call.Lparen.Col}] = fields
+		positions[[2]int32{call.Lparen.Line, call.Lparen.Col}] = fields
 		return true
 	})
-	return all
+	return positions
 }
 
-// durationFields makes a function that tells a number in whole units: nanoseconds or bytes.
-func durationFields(unit float64) func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error) {
-	return func(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
+// unitFunc returns a builtin that multiplies a number by unit and rounds it to an integer, for durations in nanoseconds and sizes in
+// bytes.
+func unitFunc(unit float64) func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error) {
+	return func(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 		var n starlark.Value
-		if err := starlark.UnpackPositionalArgs(b.Name(), args, named, 1, &n); err != nil {
+		if err := starlark.UnpackPositionalArgs(b.Name(), args, kwargs, 1, &n); err != nil {
 			return nil, err
 		}
 		f, ok := starlark.AsFloat(n)
 		if !ok || math.IsNaN(f) || math.Abs(f*unit) > 1e18 {
-			return nil, fmt.Errorf("%s: %s is no such number", b.Name(), n)
+			return nil, fmt.Errorf("%s: %s is not a number or out of range", b.Name(), n)
 		}
 		return starlark.MakeInt64(int64(math.Round(f * unit))), nil
 	}
 }
 
-const maxDepth = 8 // levels of lists and dicts in a value; parts have two
+// maxDepth bounds the nesting of lists and dicts in a value, which may contain itself. Sections need two levels.
+const maxDepth = 8
 
-// plainValue turns a value into what JSON knows.
-func plainValue(v starlark.Value, depth int) (any, error) {
+// jsonValue converts a Starlark value to the Go types that represent JSON values.
+func jsonValue(v starlark.Value, depth int) (any, error) {
 	if depth > maxDepth {
-		return nil, fmt.Errorf("more than %d levels", maxDepth)
+		return nil, fmt.Errorf("nested more than %d levels deep", maxDepth)
 	}
 	switch v := v.(type) {
 	case starlark.NoneType:
@@ -188,7 +192,7 @@
 		return n, nil
 	case starlark.Float:
 		if f := float64(v); math.IsNaN(f) || math.IsInf(f, 0) {
-			return nil, fmt.Errorf("%s is no number", v)
+			return nil, fmt.Errorf("%s is not a finite number", v)
 		}
 		return float64(v), nil
 	case *starlark.Dict:
@@ -196,9 +200,9 @@
 		for _, kv := range v.Items() {
 			key, ok := starlark.AsString(kv[0])
 			if !ok {
-				return nil, fmt.Errorf("key %s is no text", kv[0])
+				return nil, fmt.Errorf("key %s is not a string", kv[0])
 			}
-			value, err := plainValue(kv[1], depth+1)
+			value, err := jsonValue(kv[1], depth+1)
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", key, err)
 			}
@@ -207,10 +211,10 @@
 		return out, nil
 	case starlark.Sequence: // lists and tuples
 		out := make([]any, 0, v.Len())
-		each := v.Iterate()
-		defer each.Done()
-		for x := starlark.Value(nil); each.Next(&x); {
-			value, err := plainValue(x, depth+1)
+		iter := v.Iterate()
+		defer iter.Done()
+		for x := starlark.Value(nil); iter.Next(&x); {
+			value, err := jsonValue(x, depth+1)
 			if err != nil {
 				return nil, err
 			}
@@ -218,5 +222,5 @@
 		}
 		return out, nil
 	}
-	return nil, fmt.Errorf("a %s can't be set", v.Type())
+	return nil, fmt.Errorf("type %s is not supported as a setting", v.Type())
 }
--- a/internal/router/site/site.go
+++ b/internal/router/site/site.go
@@ -1,12 +1,12 @@
-// Package site reads an operator's file: a Starlark script that switches portflow's further parts on and sets them.
-// Nothing is read at a router's start unless a file is named, and a part that the file leaves out stays off.
+// Package site reads the operator's file: a Starlark script that enables and configures the optional features of a router. The file
+// is optional, and a feature whose section is missing stays disabled.
 //
-// The script is hermetic: it loads nothing, reads no clock and ends after a bounded number of steps. It calls site
-// once, with one argument a part:
+// The script is hermetic: it cannot load other files or read a clock, and ends after a bounded number of steps. It calls site
+// once, with a named argument for each section:
 //
 //	site(storm = storm(ceiling = 1.1, horizon = seconds(5)))
 //
-// What it gives is checked by the schema that Schema tells; an error names the file, the line and the field.
+// The arguments are validated against a JSON schema. Errors name the file, the line and the setting. Start reading at Parse.
 package site
 
 import (
@@ -29,15 +29,15 @@
 	"portflow/internal/router/flow/ipfix"
 )
 
-// Config is a checked operator's file. A part that is nil is off.
+// Config is a valid operator's file. A nil section is disabled.
 type Config struct {
 	Storm *retryguard.Tuning `json:"storm"`
 	Flows *Flows             `json:"flows"`
 }
 
-// Flows are the settings of flow export; times are nanoseconds.
+// Flows are the settings of flow export. Durations are in nanoseconds. The schema documents each setting and its bounds.
 type Flows struct {
-	Collectors []string `json:"collectors"` // "udp://10.0.0.9:4739", each gets all records
+	Collectors []string `json:"collectors"` // such as "udp://10.0.0.9:4739"; each gets all records
 	Protocol   string   `json:"protocol"`   // "ipfix" or "netflow9"
 	Domain     uint32   `json:"domain"`
 	Enterprise uint32   `json:"enterprise"`
@@ -48,7 +48,7 @@
 	MTU        int      `json:"mtu"`
 }
 
-// DefaultFlows are those of a part that is switched on without others; it has no collector.
+// DefaultFlows returns the settings of a flows section without explicit settings. They have no collectors, which are required.
 func DefaultFlows() Flows {
 	return Flows{Protocol: "ipfix", Domain: 1, Enterprise: ipfix.Documentation, Active: 60e9, Idle: 15e9, Memory: 1 << 20, Refresh: 600e9, MTU: 1400}
 }
@@ -56,13 +56,13 @@
 //go:embed schema.json
 var schema []byte
 
-// Schema is the JSON schema (draft 2020-12) of what a script may give.
+// Schema returns a copy of the JSON schema (draft 2020-12) of the arguments of site.
 func Schema() []byte { return bytes.Clone(schema) }
 
-// maxFileBytes is what a script may hold, in bytes: some hundred parts' worth.
+// maxFileBytes is the maximum size of a script, far more than all settings need.
 const maxFileBytes = 256 << 10
 
-// Read reads the file at a path.
+// Read reads and parses the file at path.
 func Read(path string) (Config, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -79,39 +79,39 @@
 	return Parse(path, text)
 }
 
-// Parse reads a script's text; name stands in its errors.
+// Parse runs a script and validates its arguments of site. name is the name of the file in errors.
 func Parse(name string, text []byte) (Config, error) {
-	given, err := runScript(name, text)
+	call, err := runScript(name, text)
 	if err != nil {
 		return Config{}, err
 	}
-	if err := validate(given); err != nil {
+	if err := validate(call); err != nil {
 		return Config{}, err
 	}
-	raw, err := json.Marshal(given.fields)
+	raw, err := json.Marshal(call.fields)
 	if err != nil {
 		return Config{}, fmt.Errorf("%s: %w", name, err)
 	}
-	var out Config
-	if _, has := given.fields["storm"]; has {
+	var config Config
+	if _, has := call.fields["storm"]; has {
 		tuning := retryguard.Defaults()
-		out.Storm = &tuning
+		config.Storm = &tuning
 	}
-	if _, has := given.fields["flows"]; has {
+	if _, has := call.fields["flows"]; has {
 		flows := DefaultFlows()
-		out.Flows = &flows
+		config.Flows = &flows
 	}
-	if err := json.Unmarshal(raw, &out); err != nil {
+	if err := json.Unmarshal(raw, &config); err != nil {
 		return Config{}, fmt.Errorf("%s: %w", name, err)
 	}
-	if out.Storm != nil && !out.Storm.On {
-		out.Storm = nil
+	if config.Storm != nil && !config.Storm.On {
+		config.Storm = nil
 	}
-	return out, nil
+	return config, nil
 }
 
-// validate compares what a script gave with the schema; all that is wrong comes in one error, a line each.
-func validate(g sectionCall) error {
+// validate checks the arguments of site against the schema. The error has one line for each violation.
+func validate(call siteCall) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema))
 	if err != nil {
 		return fmt.Errorf("schema: %w", err)
@@ -124,27 +124,27 @@
 	if err != nil {
 		return fmt.Errorf("schema: %w", err)
 	}
-	var wrong *jsonschema.ValidationError
-	if err = compiled.Validate(g.fields); !errors.As(err, &wrong) {
+	var invalid *jsonschema.ValidationError
+	if err = compiled.Validate(call.fields); !errors.As(err, &invalid) {
 		return err
 	}
-	var all []error
-	words := message.NewPrinter(language.English)
-	var leaves func(*jsonschema.ValidationError)
-	leaves = func(e *jsonschema.ValidationError) {
+	var errs []error
+	printer := message.NewPrinter(language.English)
+	var collect func(*jsonschema.ValidationError)
+	collect = func(e *jsonschema.ValidationError) {
 		for _, cause := range e.Causes {
-			leaves(cause)
+			collect(cause)
 		}
 		if unknown, ok := e.ErrorKind.(*kind.AdditionalProperties); ok {
 			for _, name := range unknown.Properties {
 				path := append(slices.Clone(e.InstanceLocation), name)
-				all = append(all, fmt.Errorf("%s: site.%s: no such setting", g.positionOf(path), strings.Join(path, ".")))
+				errs = append(errs, fmt.Errorf("%s: site.%s: no such setting", call.positionOf(path), strings.Join(path, ".")))
 			}
 		} else if len(e.Causes) == 0 {
-			all = append(all, fmt.Errorf("%s: %s: %s", g.positionOf(e.InstanceLocation),
-				strings.Join(append([]string{"site"}, e.InstanceLocation...), "."), e.ErrorKind.LocalizedString(words)))
+			errs = append(errs, fmt.Errorf("%s: %s: %s", call.positionOf(e.InstanceLocation),
+				strings.Join(append([]string{"site"}, e.InstanceLocation...), "."), e.ErrorKind.LocalizedString(printer)))
 		}
 	}
-	leaves(wrong)
-	return errors.Join(all...)
+	collect(invalid)
+	return errors.Join(errs...)
 }
