--- a/cmd/portflow/main.go
+++ b/cmd/portflow/main.go
@@ -73,9 +73,9 @@
 		RunE: func(c *cobra.Command, _ []string) error { c.Usage(); return errors.New("no command") }}
 	root.PersistentFlags().StringVarP(&opts.file, "config", "c", "", "the configuration's file, in place of ROUTER_CONFIG")
 	root.PersistentFlags().StringVar(&opts.level, "log", "info", "the least level that is logged: debug, info, warn or error")
-	addCommand := func(use, short string, act func(c *cobra.Command) error) *cobra.Command {
+	addCommand := func(use, short string, runCommand func(c *cobra.Command) error) *cobra.Command {
 		c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-			if err := act(c); err != nil {
+			if err := runCommand(c); err != nil {
 				return commandError{err}
 			}
 			return nil
--- a/cmd/portflow/main_test.go
+++ b/cmd/portflow/main_test.go
@@ -13,10 +13,10 @@
 )
 
 // A file of messages is printed, ranked and, where it is cut, refused with the octet.
-func TestFlowsOfAFile(t *testing.T) {
+func TestFlowsCommands(t *testing.T) {
 	e := &ipfix.Encoder{Enterprise: ipfix.Documentation, Names: ipfix.Names{Carriers: []string{"rila", "dunav"}}}
 	b := e.Templates(nil, 1e18)
-	whole := len(b)
+	templatesEnd := len(b)
 	b, _ = e.Data(b, 1e18, []flow.Record{{Label: flow.Label{Carrier: 1}, Counts: flow.Counts{Forward: 10, Commands: 2}, Count: 1},
 		{Label: flow.Label{Carrier: 2}, Counts: flow.Counts{Forward: 500, Commands: 1}, Count: 7}}, 1<<16)
 	path := filepath.Join(t.TempDir(), "flows")
@@ -30,7 +30,7 @@
 		{len(b), "flows decode --json " + path, 0, `"CarrierName":"rila"`},
 		{len(b), "flows top " + path, 0, "dunav    1         500\nrila     2         10"},
 		{len(b), "flows top --by moon " + path, 2, "moon"},
-		{len(b) - 1, "flows decode " + path, 1, fmt.Sprint("octet ", whole)},
+		{len(b) - 1, "flows decode " + path, 1, fmt.Sprint("octet ", templatesEnd)},
 		{3, "flows top " + path, 1, "octet 0"},
 	} {
 		os.WriteFile(path, b[:c.octets], 0o600)
--- a/cmd/portflow/serve_test.go
+++ b/cmd/portflow/serve_test.go
@@ -18,11 +18,11 @@
 )
 
 // startServices is discovery and the platform at one address; asked gets the path of each call.
-func startServices(t *testing.T) (address string, asked chan string) {
-	asked = make(chan string, 64)
+func startServices(t *testing.T) (address string, requests chan string) {
+	requests = make(chan string, 64)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case asked <- r.URL.Path:
+		case requests <- r.URL.Path:
 		default:
 		}
 		if r.URL.Path == "/api/watch" {
@@ -32,7 +32,7 @@
 		<-r.Context().Done()
 	}))
 	t.Cleanup(s.CloseClientConnections)
-	return strings.TrimPrefix(s.URL, "http://"), asked
+	return strings.TrimPrefix(s.URL, "http://"), requests
 }
 
 // SIGHUP takes up the file's addresses, whatever the environment said at the start; a file that can't be read
@@ -57,8 +57,8 @@
 		}
 		os.Rename(path+".new", path)
 	}
-	first, askedFirst := startServices(t)
-	second, askedSecond := startServices(t)
+	first, firstRequests := startServices(t)
+	second, secondRequests := startServices(t)
 	env := func(name string) string {
 		return map[string]string{"ROUTER_CONFIG": path, "ROUTER_DISCOVERY": first}[name]
 	}
@@ -76,11 +76,11 @@
 			return c, err
 		}, zerolog.Nop())
 	}()
-	<-askedFirst // signals are caught by now
-	<-askedFirst
+	<-firstRequests // signals are caught by now
+	<-firstRequests
 	write(second, second, "}")
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	if <-loads == nil || len(askedSecond) > 0 {
+	if <-loads == nil || len(secondRequests) > 0 {
 		t.Error("a bad file was taken up")
 	}
 	write(second, second, "")
@@ -88,7 +88,7 @@
 	if err := <-loads; err != nil {
 		t.Error(err)
 	}
-	if paths := (<-askedSecond) + (<-askedSecond); !strings.Contains(paths, "watch") || !strings.Contains(paths, "targets") {
+	if paths := (<-secondRequests) + (<-secondRequests); !strings.Contains(paths, "watch") || !strings.Contains(paths, "targets") {
 		t.Error(paths)
 	}
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
--- a/internal/router/flow/backlog.go
+++ b/internal/router/flow/backlog.go
@@ -55,9 +55,9 @@
 			weights = append(weights, r.Forward+r.Reverse)
 		}
 		slices.Sort(weights)
-		light, rest := weights[len(weights)/2], b.records[:0]
+		median, rest := weights[len(weights)/2], b.records[:0]
 		for i := b.head; i < len(b.records); i++ {
-			if r := b.records[i]; r.Forward+r.Reverse <= light {
+			if r := b.records[i]; r.Forward+r.Reverse <= median {
 				b.foldRecord(r)
 			} else {
 				rest = append(rest, r)
@@ -123,11 +123,11 @@
 
 // Take hands out up to so many records to be sent, folded ones first, as they are the oldest. They wait until Sent
 // tells that they went; until then nothing more is handed out.
-func (b *Backlog) Take(highest int) []Record {
+func (b *Backlog) Take(limit int) []Record {
 	if len(b.inFlight) > 0 {
 		return b.inFlight
 	}
-	for len(b.order) > 0 && len(b.inFlight) < highest {
+	for len(b.order) > 0 && len(b.inFlight) < limit {
 		r := *b.folded[b.order[0]]
 		delete(b.folded, b.order[0])
 		b.order = b.order[1:]
@@ -135,7 +135,7 @@
 		b.Account.Waiting.add(&r)
 		b.inFlight = append(b.inFlight, r)
 	}
-	for b.queued() > 0 && len(b.inFlight) < highest {
+	for b.queued() > 0 && len(b.inFlight) < limit {
 		b.inFlight = append(b.inFlight, b.records[b.head])
 		b.popFront()
 	}
--- a/internal/router/flow/cache.go
+++ b/internal/router/flow/cache.go
@@ -3,13 +3,13 @@
 import "net/netip"
 
 // Source is a connection's counters; Take tells what has passed since the last time.
-type Source interface{ Take() Counts }
+type CounterSource interface{ Take() Counts }
 
 // Flow is one open connection.
 type Flow struct {
 	label               Label
 	source, destination netip.AddrPort
-	counters            Source
+	counters            CounterSource
 	start, lastActive   int64 // of this period, and when something was last seen to pass
 	period              Counts
 	next, prev          *Flow // in its slot of the wheel
@@ -35,9 +35,9 @@
 }
 
 // NewCache makes an empty cache whose records go to out.
-func NewCache(l Limits, now int64, out func(Record)) *Cache {
+func NewCache(l Limits, now int64, emitRecord func(Record)) *Cache {
 	l.Active = max(l.Active, wheelSlots)
-	c := &Cache{limits: l, emit: out, nextSlot: now / (l.Active / wheelSlots)}
+	c := &Cache{limits: l, emit: emitRecord, nextSlot: now / (l.Active / wheelSlots)}
 	for i := range c.wheel {
 		c.wheel[i].next, c.wheel[i].prev = &c.wheel[i], &c.wheel[i]
 	}
@@ -50,8 +50,8 @@
 // schedule plans a look, less than a turn ahead: the slot that is being looked through gets none.
 func (c *Cache) schedule(f *Flow, now, after int64) {
 	width := c.limits.Active / wheelSlots
-	at := now + min(max(after, width), (wheelSlots-1)*width)
-	f.dueSlot = at / width
+	due := now + min(max(after, width), (wheelSlots-1)*width)
+	f.dueSlot = due / width
 	head := &c.wheel[int(f.dueSlot)%wheelSlots]
 	f.prev, f.next = head.prev, head
 	head.prev.next, head.prev = f, f
@@ -65,8 +65,8 @@
 }
 
 // Open takes in a connection. One beyond the bound is not watched, and gives its record when it ends.
-func (c *Cache) Open(now int64, l Label, source, destination netip.AddrPort, from Source) *Flow {
-	f := &Flow{label: l, source: source, destination: destination, counters: from, start: now, lastActive: now}
+func (c *Cache) Open(now int64, l Label, source, destination netip.AddrPort, counterSource CounterSource) *Flow {
+	f := &Flow{label: l, source: source, destination: destination, counters: counterSource, start: now, lastActive: now}
 	if c.open++; c.open <= c.limits.MaxConnections {
 		c.schedule(f, now, min(c.limits.Active, c.limits.Idle))
 	}
@@ -87,18 +87,18 @@
 }
 
 // Close tells that a connection has ended.
-func (c *Cache) Close(now int64, f *Flow, why Reason, drained bool) {
+func (c *Cache) Close(now int64, f *Flow, reason Reason, drained bool) {
 	c.open--
 	f.unlink()
 	f.period.Add(f.counters.Take())
 	f.label.Drained = f.label.Drained || drained
-	c.record(now, f, why, 1)
+	c.record(now, f, reason, 1)
 }
 
 // record makes one of a flow's present period and begins the next.
-func (c *Cache) record(now int64, f *Flow, why Reason, ended uint32) {
+func (c *Cache) record(now int64, f *Flow, reason Reason, ended uint32) {
 	c.emit(Record{Label: f.label, Counts: f.period, Source: f.source, Destination: f.destination, Start: f.start,
-		End: max(now, f.start), Reason: why, Count: 1, Connections: ended})
+		End: max(now, f.start), Reason: reason, Count: 1, Connections: ended})
 	f.period, f.start = Counts{}, now
 }
 
--- a/internal/router/flow/export/export.go
+++ b/internal/router/flow/export/export.go
@@ -47,17 +47,17 @@
 }
 
 // codec writes one collector's messages.
-type codec interface {
+type messageEncoder interface {
 	Templates(to []byte, now int64) []byte
 	Data(to []byte, now int64, records []flow.Record, most int) ([]byte, int)
 	Unsent(records int) // the last message never went
 }
 
 const (
-	batch   = 64 // records at once: about as many as a message over TCP is worth waiting for
-	writeIn = 2 * time.Second
-	dialIn  = 2 * time.Second
-	ticks   = 250 * time.Millisecond // between looks at what is open: short beside any time-out
+	batchRecords = 64 // records at once: about as many as a message over TCP is worth waiting for
+	writeTimeout = 2 * time.Second
+	dialTimeout  = 2 * time.Second
+	tickInterval = 250 * time.Millisecond // between looks at what is open: short beside any time-out
 )
 
 // New makes an exporter for a meter, which owes as many backlogs as there are collectors.
@@ -75,7 +75,7 @@
 			e.serve(ctx, i)
 		}()
 	}
-	tick := time.NewTicker(ticks)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for left := len(e.Collectors); left > 0; {
 		select {
@@ -92,17 +92,17 @@
 
 // session is one connection to a collector.
 type session struct {
-	conn    net.Conn
-	ended   atomic.Bool // the collector's end was seen: what is written now comes nowhere
-	told    int64       // when templates were sent
-	packets int
+	conn            net.Conn
+	closed          atomic.Bool // the collector's end was seen: what is written now comes nowhere
+	templatesSentAt int64       // when templates were sent
+	messages        int
 }
 
 // serve is one collector's goroutine: it alone writes there, and a collector that is away costs it alone.
 func (e *Exporter) serve(ctx context.Context, i int) {
 	c, q := e.Collectors[i], e.queues[i]
-	encoder, version10 := codec(nil), &ipfix.Encoder{Domain: e.Domain, Enterprise: e.Enterprise, Names: e.Names, Boot: e.clock()}
-	if encoder = version10; e.Version9 {
+	encoder, ipfixEncoder := messageEncoder(nil), &ipfix.Encoder{Domain: e.Domain, Enterprise: e.Enterprise, Names: e.Names, Boot: e.clock()}
+	if encoder = ipfixEncoder; e.Version9 {
 		encoder = &netflow9.Encoder{Source: e.Domain, Names: e.Names, Boot: e.clock()}
 	}
 	var s *session
@@ -111,10 +111,10 @@
 			s.conn.Close()
 		}
 	}()
-	waits := backoff.Backoff{Source: random.Source{Seed: uint64(e.Domain)<<8 + uint64(i)}}
-	failures, lost := 0, false
+	retryBackoff := backoff.Backoff{Source: random.Source{Seed: uint64(e.Domain)<<8 + uint64(i)}}
+	failures, disconnected := 0, false
 	deadline := time.Time{}
-	totals := flow.Totals{}
+	reportedLost := flow.Totals{}
 	for {
 		if ctx.Err() != nil && deadline.IsZero() {
 			e.Flush()
@@ -124,7 +124,7 @@
 			return
 		}
 		e.mu.Lock()
-		records := q.Take(batch)
+		records := q.Take(batchRecords)
 		account := q.Account
 		e.mu.Unlock()
 		if len(records) == 0 {
@@ -149,9 +149,9 @@
 			q.Sent(sent)
 			e.mu.Unlock()
 		}
-		if err == nil && account.Lost != totals && !e.Version9 { // the collector is told what it will never get
-			if err = s.write(version10.Totals(nil, e.clock(), account)); err == nil {
-				totals = account.Lost
+		if err == nil && account.Lost != reportedLost && !e.Version9 { // the collector is told what it will never get
+			if err = s.write(ipfixEncoder.Totals(nil, e.clock(), account)); err == nil {
+				reportedLost = account.Lost
 			}
 		}
 		if err != nil {
@@ -159,39 +159,39 @@
 				s.conn.Close()
 				s = nil
 			}
-			if !lost {
+			if !disconnected {
 				e.log.Warn().Err(err).Str("collector", c.Address).Msg("collector lost")
 			}
-			lost = true
+			disconnected = true
 			if failures++; deadline.IsZero() {
-				waits.Wait(ctx, failures)
+				retryBackoff.Wait(ctx, failures)
 			} else {
 				time.Sleep(20 * time.Millisecond)
 			}
 			continue
 		}
-		if failures = 0; lost {
+		if failures = 0; disconnected {
 			e.log.Info().Str("collector", c.Address).Msg("collector back")
-			lost = false
+			disconnected = false
 		}
 	}
 }
 
 func (e *Exporter) dial(c Collector) (*session, error) {
-	dialer := net.Dialer{Timeout: dialIn, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	switch c.Network {
 	case "udp", "tcp":
 		conn, err := dialer.Dial(c.Network, c.Address)
-		return begin(c, conn, err)
+		return newSession(c, conn, err)
 	case "tls":
 		conn, err := tls.DialWithDialer(&dialer, "tcp", c.Address, c.TLS)
-		return begin(c, conn, err)
+		return newSession(c, conn, err)
 	}
 	return nil, fmt.Errorf("collector %s: network %q is unknown", c.Address, c.Network)
 }
 
 // begin watches a connection for its end, as collectors send nothing; over UDP a refusal shows at the next write.
-func begin(c Collector, conn net.Conn, err error) (*session, error) {
+func newSession(c Collector, conn net.Conn, err error) (*session, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -201,7 +201,7 @@
 			var b [1]byte
 			for {
 				if _, err := conn.Read(b[:]); err != nil {
-					s.ended.Store(true)
+					s.closed.Store(true)
 					return
 				}
 			}
@@ -210,38 +210,38 @@
 	return s, nil
 }
 
-var errEnded = errors.New("the collector has closed")
+var errCollectorClosed = errors.New("the collector has closed")
 
 func (s *session) write(b []byte) error {
-	if s.ended.Load() {
-		return errEnded
+	if s.closed.Load() {
+		return errCollectorClosed
 	}
-	s.conn.SetWriteDeadline(time.Now().Add(writeIn))
+	s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	n, err := s.conn.Write(b)
 	if err == nil && n < len(b) {
 		err = errors.New("a message was cut")
 	}
-	s.packets++
+	s.messages++
 	return err
 }
 
 // send writes one message of records, after the templates where they are due: at the beginning, and over UDP again and
 // again. It tells how many went.
-func (e *Exporter) send(s *session, c Collector, encoder codec, records []flow.Record) (int, error) {
-	now, most := e.clock(), 1<<16
+func (e *Exporter) send(s *session, c Collector, encoder messageEncoder, records []flow.Record) (int, error) {
+	now, maxOctets := e.clock(), 1<<16
 	if c.Network == "udp" {
-		most = e.MTU
-		if now-s.told >= int64(e.Refresh) || s.packets >= e.Packets {
-			s.told = 0
+		maxOctets = e.MTU
+		if now-s.templatesSentAt >= int64(e.Refresh) || s.messages >= e.Packets {
+			s.templatesSentAt = 0
 		}
 	}
-	if s.told == 0 {
+	if s.templatesSentAt == 0 {
 		if err := s.write(encoder.Templates(nil, now)); err != nil {
 			return 0, err
 		}
-		s.told, s.packets = now, 0
+		s.templatesSentAt, s.messages = now, 0
 	}
-	message, n := encoder.Data(nil, now, records, most)
+	message, n := encoder.Data(nil, now, records, maxOctets)
 	if err := s.write(message); err != nil {
 		encoder.Unsent(n)
 		return 0, err
--- a/internal/router/flow/export/export_test.go
+++ b/internal/router/flow/export/export_test.go
@@ -21,13 +21,13 @@
 )
 
 // keys are a certificate for loopback, and what trusts it.
-func keys(t *testing.T) (server, client *tls.Config) {
+func loopbackTLS(t *testing.T) (server, client *tls.Config) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	sheet := &x509.Certificate{SerialNumber: big.NewInt(1), NotAfter: time.Now().Add(time.Hour), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}}
-	raw, err := x509.CreateCertificate(rand.Reader, sheet, sheet, key.Public(), key)
+	template := &x509.Certificate{SerialNumber: big.NewInt(1), NotAfter: time.Now().Add(time.Hour), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}}
+	raw, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,13 +49,13 @@
 
 func clock() int64 { return time.Now().UnixNano() }
 
-var here = netip.MustParseAddrPort("127.0.0.1:8081")
+var testAddr = netip.MustParseAddrPort("127.0.0.1:8081")
 
 // short plays short connections of known counts.
-func short(m *Meter, n int) (passed flow.Counts) {
+func runShortConnections(m *Meter, n int) (passed flow.Counts) {
 	for i := range n {
 		label := flow.Label{Side: flow.Side(i % 2)}
-		c := m.Open(label, here, here)
+		c := m.Open(label, testAddr, testAddr)
 		label.Carrier, label.Band = uint16(1+i%2), 1
 		c.BytesRead(100 + i%7)
 		c.Command(label, uint64(i%50+1))
@@ -72,7 +72,7 @@
 }
 
 // until waits for a collector to have so many records.
-func until(t *testing.T, c *collector.Collector, connections int) flow.Totals {
+func waitForConnections(t *testing.T, c *collector.Collector, connections int) flow.Totals {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		sum, _, stats, lost := c.Totals()
@@ -87,7 +87,7 @@
 
 // Over each transport, 10,000 short connections come to the collector whole, with the router's own counts.
 func TestBurst(t *testing.T) {
-	server, client := keys(t)
+	server, client := loopbackTLS(t)
 	for _, network := range []string{"udp", "tcp", "tls", "netflow9"} {
 		t.Run(network, func(t *testing.T) {
 			c, err := collector.New(network, server)
@@ -98,8 +98,8 @@
 			e := New(options(c, network, client), m, zerolog.Nop())
 			ctx, cancel := context.WithCancel(context.Background())
 			go e.Run(ctx)
-			passed := short(m, 10000)
-			sum := until(t, c, 10000)
+			passed := runShortConnections(m, 10000)
+			sum := waitForConnections(t, c, 10000)
 			cancel()
 			<-e.Done()
 			c.Stop()
@@ -112,7 +112,7 @@
 }
 
 // A collector that is away costs no command: what is owed is folded within the bound, and comes when it is back.
-func TestAway(t *testing.T) {
+func TestUnavailableCollector(t *testing.T) {
 	c, err := collector.New("tcp", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -122,7 +122,7 @@
 	e := New(options(c, "tcp", nil), m, zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
 	go e.Run(ctx)
-	passed := short(m, 5000)
+	passed := runShortConnections(m, 5000)
 	a, bytes := m.Account(0)
 	if a.Folded.Records == 0 || a.Lost.Records != 0 || bytes > 64<<10 {
 		t.Errorf("%+v, %d bytes", a, bytes)
@@ -130,7 +130,7 @@
 	if err := c.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	if sum := until(t, c, 5000); sum.Counts != passed {
+	if sum := waitForConnections(t, c, 5000); sum.Counts != passed {
 		t.Errorf("collector %+v, passed %+v", sum, passed)
 	}
 	cancel()
@@ -139,7 +139,7 @@
 }
 
 // Over UDP the collector's gaps by sequence are what was lost on the way, and templates come again.
-func TestLoss(t *testing.T) {
+func TestDatagramLoss(t *testing.T) {
 	c, err := collector.New("udp", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -149,13 +149,13 @@
 	e := New(options(c, "udp", nil), m, zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
 	go e.Run(ctx)
-	short(m, 5000)
+	runShortConnections(m, 5000)
 	for a, _ := m.Account(0); a.Exported.Connections < 5000; a, _ = m.Account(0) {
 		time.Sleep(time.Millisecond)
 	}
 	c.SetDrop(nil)
-	one := m.Open(flow.Label{}, here, here) // the last that comes shows the gap before it
-	one.Close(false)
+	last := m.Open(flow.Label{}, testAddr, testAddr) // the last that comes shows the gap before it
+	last.Close(false)
 	cancel()
 	<-e.Done()
 	end := time.Now().Add(10 * time.Second)
@@ -173,7 +173,7 @@
 }
 
 // When the router leaves, what is open is cut, told as forced, and flushed within the leave's time.
-func TestLeave(t *testing.T) {
+func TestShutdown(t *testing.T) {
 	c, err := collector.New("tcp", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -184,7 +184,7 @@
 	go e.Run(ctx)
 	var open []*Conn
 	for range 20 {
-		x := m.Open(flow.Label{}, here, here)
+		x := m.Open(flow.Label{}, testAddr, testAddr)
 		x.BytesRead(10)
 		open = append(open, x)
 	}
@@ -194,7 +194,7 @@
 	}
 	cancel()
 	<-e.Done()
-	until(t, c, 10)
+	waitForConnections(t, c, 10)
 	sum, by, _, _ := c.Totals()
 	if by[flow.Forced].Forward != 200 || sum.Connections != 10 {
 		t.Errorf("%+v, %+v", sum, by)
@@ -205,7 +205,7 @@
 // A command costs no allocation where its connection goes on, and the counters of nothing count nothing.
 func TestNoAllocations(t *testing.T) {
 	m := NewMeter(flow.Limits{Active: 60e9, Idle: 15e9, MaxConnections: 1024}, 1, 1<<20, clock)
-	c := m.Open(flow.Label{}, here, here)
+	c := m.Open(flow.Label{}, testAddr, testAddr)
 	label := flow.Label{Carrier: 1, Band: 1}
 	if n := testing.AllocsPerRun(1000, func() {
 		c.BytesRead(100)
@@ -216,7 +216,7 @@
 		t.Error(n, "allocations a command")
 	}
 	var none *Meter
-	x := none.Open(label, here, here)
+	x := none.Open(label, testAddr, testAddr)
 	x.BytesRead(1)
 	x.Command(label, 1)
 	x.BytesWritten(1)
--- a/internal/router/flow/export/meter.go
+++ b/internal/router/flow/export/meter.go
@@ -14,12 +14,12 @@
 
 // Meter watches the connections of a router and keeps what collectors are owed.
 type Meter struct {
-	clock   func() int64
-	mu      sync.Mutex
-	cache   *flow.Cache
-	queues  []*queue
-	leaving bool
-	top     *flow.HeavyHitters
+	clock        func() int64
+	mu           sync.Mutex
+	cache        *flow.Cache
+	queues       []*queue
+	leaving      bool
+	heavyHitters *flow.HeavyHitters
 }
 
 // queue is one collector's backlog.
@@ -30,22 +30,22 @@
 
 // Crowd is how many counters find who crowds, and over what time.
 const (
-	crowd       = 256
-	crowdWindow = int64(10 * time.Second)
+	heavyHitterCounters = 256
+	heavyHitterWindow   = int64(10 * time.Second)
 )
 
 // NewMeter makes a meter that owes its records to so many collectors, each with a backlog of so many bytes.
 func NewMeter(l flow.Limits, collectors, bytes int, clock func() int64) *Meter {
-	m := &Meter{clock: clock, top: flow.NewHeavyHitters(crowd, crowdWindow)}
+	m := &Meter{clock: clock, heavyHitters: flow.NewHeavyHitters(heavyHitterCounters, heavyHitterWindow)}
 	for range collectors {
 		m.queues = append(m.queues, &queue{flow.NewBacklog(bytes), make(chan struct{}, 1)})
 	}
-	m.cache = flow.NewCache(l, clock(), m.put)
+	m.cache = flow.NewCache(l, clock(), m.enqueue)
 	return m
 }
 
 // put is called by the cache, under the lock.
-func (m *Meter) put(r flow.Record) {
+func (m *Meter) enqueue(r flow.Record) {
 	for _, q := range m.queues {
 		q.Add(r)
 		select {
@@ -98,20 +98,20 @@
 func (m *Meter) Greatest(n int) []flow.Estimate {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.top.Largest(m.clock(), n)
+	return m.heavyHitters.Largest(m.clock(), n)
 }
 
 // Conn is one connection's counters. All its methods may be called on nil, which counts nothing.
 type Conn struct {
-	meter    *Meter
-	flow     *flow.Flow
-	in, out  atomic.Uint64 // octets read and written by the router
-	commands atomic.Uint64
-	mark     atomic.Uint64 // of what was read: up to the end of the last answer
-	begun    bool          // under the meter's lock: only what came before the mark is taken
-	took     flow.Counts   // what was taken before: in, out and commands
-	side     flow.Side
-	closed   bool
+	meter        *Meter
+	flow         *flow.Flow
+	in, out      atomic.Uint64 // octets read and written by the router
+	commands     atomic.Uint64
+	commandStart atomic.Uint64 // of what was read: up to the end of the last answer
+	relabeling   bool          // under the meter's lock: only what came before the mark is taken
+	taken        flow.Counts   // what was taken before: in, out and commands
+	side         flow.Side
+	closed       bool
 }
 
 // Open begins to watch a connection.
@@ -143,7 +143,7 @@
 // Answered tells that what is read from now on belongs to the next command.
 func (c *Conn) Answered() {
 	if c != nil {
-		c.mark.Store(c.in.Load())
+		c.commandStart.Store(c.in.Load())
 	}
 }
 
@@ -159,24 +159,24 @@
 		return
 	}
 	now := m.clock()
-	c.begun = true
+	c.relabeling = true
 	m.cache.Relabel(now, c.flow, l)
-	c.begun = false
+	c.relabeling = false
 	c.commands.Add(1)
 	if key != 0 {
-		m.top.Add(now, key, 1)
+		m.heavyHitters.Add(now, key, 1)
 	}
 }
 
 // Take is the cache's look at the counters, under the meter's lock.
 func (c *Conn) Take() flow.Counts {
 	now := flow.Counts{Forward: c.in.Load(), Reverse: c.out.Load(), Commands: c.commands.Load()}
-	if c.begun {
-		now.Forward = min(now.Forward, max(c.mark.Load(), c.took.Forward))
+	if c.relabeling {
+		now.Forward = min(now.Forward, max(c.commandStart.Load(), c.taken.Forward))
 	}
-	passed := flow.Counts{Forward: now.Forward - c.took.Forward, Reverse: now.Reverse - c.took.Reverse,
-		Commands: now.Commands - c.took.Commands}
-	if c.took = now; c.side == flow.Hosts {
+	passed := flow.Counts{Forward: now.Forward - c.taken.Forward, Reverse: now.Reverse - c.taken.Reverse,
+		Commands: now.Commands - c.taken.Commands}
+	if c.taken = now; c.side == flow.Hosts {
 		passed.Forward, passed.Reverse = passed.Reverse, passed.Forward
 	}
 	return passed
@@ -194,9 +194,9 @@
 		return
 	}
 	c.closed = true
-	why := flow.Ended
+	reason := flow.Ended
 	if m.leaving {
-		why = flow.Forced
+		reason = flow.Forced
 	}
-	m.cache.Close(m.clock(), c.flow, why, drained || m.leaving)
+	m.cache.Close(m.clock(), c.flow, reason, drained || m.leaving)
 }
--- a/internal/router/flow/flow_test.go
+++ b/internal/router/flow/flow_test.go
@@ -19,7 +19,7 @@
 	return d
 }
 
-type conn struct {
+type testConn struct {
 	testSource
 	flow *Flow
 }
@@ -36,7 +36,7 @@
 		now := int64(1e18)
 		b := NewBacklog(recordBytes * (16 + rnd.IntN(40)))
 		c := NewCache(Limits{Active: 60 * second, Idle: 15 * second, MaxConnections: 20}, now, b.Add)
-		var open []*conn
+		var open []*testConn
 		var passed Counts
 		ended := uint64(0)
 		check := func(step int) {
@@ -48,7 +48,7 @@
 			now += rnd.Int64N(5 * second)
 			switch p := rnd.IntN(10); {
 			case p < 3:
-				x := &conn{}
+				x := &testConn{}
 				x.flow = c.Open(now, Label{Side: Side(rnd.IntN(2)), Carrier: uint16(rnd.IntN(3))}, netip.AddrPort{}, netip.AddrPort{}, &x.testSource)
 				open = append(open, x)
 			case p < 6 && len(open) > 0:
@@ -85,11 +85,11 @@
 
 // A connection of hours gives periodic records whose counts add up, one that rests gives one for its idle time, and a
 // counter passes 2^32.
-func TestPeriods(t *testing.T) {
+func TestPeriodicRecords(t *testing.T) {
 	now := int64(1e18)
 	var all []Record
 	c := NewCache(Limits{Active: 60 * second, Idle: 15 * second, MaxConnections: 10}, now, func(r Record) { all = append(all, r) })
-	x := &conn{}
+	x := &testConn{}
 	x.flow = c.Open(now, Label{Carrier: 1}, netip.AddrPort{}, netip.AddrPort{}, &x.testSource)
 	for range 3600 {
 		now += second
@@ -97,7 +97,7 @@
 		x.total.Reverse++
 		c.Tick(now)
 	}
-	busy := len(all)
+	activeRecords := len(all)
 	for range 60 {
 		now += second
 		c.Tick(now)
@@ -110,10 +110,10 @@
 			t.Error("periods overlap", r)
 		}
 	}
-	if sum != x.total || busy < 50 || busy > 65 || all[len(all)-1].Reason != Ended || sum.Forward < 1<<32 {
+	if sum != x.total || activeRecords < 50 || activeRecords > 65 || all[len(all)-1].Reason != Ended || sum.Forward < 1<<32 {
 		t.Errorf("%d records, %+v of %+v, last %+v", len(all), sum, x.total, all[len(all)-1])
 	}
-	y := &conn{}
+	y := &testConn{}
 	y.flow = c.Open(now, Label{Carrier: 1}, netip.AddrPort{}, netip.AddrPort{}, &y.testSource)
 	y.total.Forward = 5
 	for range 40 {
@@ -128,7 +128,7 @@
 }
 
 // Under one backlog, folding loses nothing where plain dropping loses most; and what is heavy keeps its place.
-func TestFoldingAgainstDropping(t *testing.T) {
+func TestFoldingKeepsTotals(t *testing.T) {
 	b := NewBacklog(recordBytes * 200)
 	rnd := rand.New(rand.NewPCG(1, 1))
 	dropped, kept := uint64(0), []uint64{}
--- a/internal/router/flow/heavyhitters.go
+++ b/internal/router/flow/heavyhitters.go
@@ -26,36 +26,36 @@
 }
 
 // Add counts n for an id.
-func (t *HeavyHitters) Add(at int64, id uint64, n uint64) {
-	t.rotate(at)
-	t.current.add(id, n)
-}
-
-func (t *HeavyHitters) rotate(at int64) {
-	switch gone := at - t.windowStart; {
-	case gone < 0 || gone >= 2*t.window: // a clock that jumped, or nothing for long
-		t.current.clear()
-		t.previous.clear()
-		t.windowStart = at
-	case gone >= t.window:
-		t.current, t.previous = t.previous, t.current
-		t.current.clear()
-		t.windowStart += t.window
+func (h *HeavyHitters) Add(at int64, id uint64, n uint64) {
+	h.rotate(at)
+	h.current.add(id, n)
+}
+
+func (h *HeavyHitters) rotate(at int64) {
+	switch elapsed := at - h.windowStart; {
+	case elapsed < 0 || elapsed >= 2*h.window: // a clock that jumped, or nothing for long
+		h.current.clear()
+		h.previous.clear()
+		h.windowStart = at
+	case elapsed >= h.window:
+		h.current, h.previous = h.previous, h.current
+		h.current.clear()
+		h.windowStart += h.window
 	}
 }
 
 // Largest tells the n ids with the greatest sums of the last window: the present one, and as much of the one before as
 // is not past.
-func (t *HeavyHitters) Largest(at int64, n int) []Estimate {
-	t.rotate(at)
-	left := 1 - float64(at-t.windowStart)/float64(t.window)
+func (h *HeavyHitters) Largest(at int64, n int) []Estimate {
+	h.rotate(at)
+	weight := 1 - float64(at-h.windowStart)/float64(h.window)
 	all := map[uint64]Estimate{}
-	for _, c := range t.current.heap {
+	for _, c := range h.current.heap {
 		all[c.id] = Estimate{c.id, c.sum, c.overcount}
 	}
-	for _, c := range t.previous.heap {
+	for _, c := range h.previous.heap {
 		s := all[c.id]
-		all[c.id] = Estimate{c.id, s.Sum + uint64(left*float64(c.sum)), s.Error + uint64(left*float64(c.overcount))}
+		all[c.id] = Estimate{c.id, s.Sum + uint64(weight*float64(c.sum)), s.Error + uint64(weight*float64(c.overcount))}
 	}
 	out := make([]Estimate, 0, len(all))
 	for _, s := range all {
@@ -121,10 +121,10 @@
 
 func (s *spaceSaving) add(id, n uint64) {
 	slot := s.find(id)
-	switch place := int(s.table[slot]) - 1; {
-	case place >= 0:
-		s.heap[place].sum += n
-		s.siftDown(place)
+	switch position := int(s.table[slot]) - 1; {
+	case position >= 0:
+		s.heap[position].sum += n
+		s.siftDown(position)
 	case len(s.heap) < s.capacity:
 		s.heap = append(s.heap, counter{id, n, 0})
 		s.table[slot] = int32(len(s.heap))
--- a/internal/router/flow/ipfix/decode.go
+++ b/internal/router/flow/ipfix/decode.go
@@ -11,8 +11,8 @@
 
 // Bounds of what a decoder keeps for others' templates.
 const (
-	mostTemplates = 1024 // of all observation domains
-	mostElements  = 256  // of a template
+	maxTemplates = 1024 // of all observation domains
+	maxElements  = 256  // of a template
 )
 
 // Value is one element's of a record that was read.
@@ -46,9 +46,9 @@
 }
 
 type template struct {
-	elements []Element
-	scope    int
-	least    int // octets of a record at least
+	elements        []Element
+	scope           int
+	minRecordOctets int // octets of a record at least
 }
 
 // NewDecoder makes one that knows no template; it takes our own elements to be under this enterprise number.
@@ -65,7 +65,7 @@
 		return 0, fmt.Errorf("ipfix: version %d", v)
 	}
 	n := int(binary.BigEndian.Uint16(b[2:]))
-	if n < header {
+	if n < headerOctets {
 		return 0, fmt.Errorf("ipfix: a message of %d octets", n)
 	}
 	return n, nil
@@ -91,42 +91,42 @@
 	}
 	d.Stats.Messages++
 	sequence, domain := binary.BigEndian.Uint32(b[8:]), binary.BigEndian.Uint32(b[12:])
-	if was, known := d.sequence[domain]; known && sequence-was < 1<<31 {
-		d.Stats.Missed += sequence - was
+	if expected, known := d.sequence[domain]; known && sequence-expected < 1<<31 {
+		d.Stats.Missed += sequence - expected
 	}
-	if len(d.sequence) < mostTemplates || d.sequence[domain] != 0 {
+	if len(d.sequence) < maxTemplates || d.sequence[domain] != 0 {
 		d.sequence[domain] = sequence
 	}
-	for at := header; at < n; {
-		if n-at < 4 {
-			return fmt.Errorf("ipfix: octet %d: %d octets of a set's head", at, n-at)
+	for offset := headerOctets; offset < n; {
+		if n-offset < 4 {
+			return fmt.Errorf("ipfix: octet %d: %d octets of a set's head", offset, n-offset)
 		}
-		id, length := binary.BigEndian.Uint16(b[at:]), int(binary.BigEndian.Uint16(b[at+2:]))
-		if length < 4 || at+length > n {
-			return fmt.Errorf("ipfix: octet %d: set %d of %d octets", at, id, length)
+		id, length := binary.BigEndian.Uint16(b[offset:]), int(binary.BigEndian.Uint16(b[offset+2:]))
+		if length < 4 || offset+length > n {
+			return fmt.Errorf("ipfix: octet %d: set %d of %d octets", offset, id, length)
 		}
-		set := b[at+4 : at+length]
+		set := b[offset+4 : offset+length]
 		switch {
 		case id == 2 || id == 3:
-			err = d.define(domain, set, id == 3)
+			err = d.readTemplates(domain, set, id == 3)
 		case id < 256:
 			err = fmt.Errorf("set %d is reserved", id)
 		default:
 			var records int
-			records, err = d.data(domain, id, set, each)
+			records, err = d.readRecords(domain, id, set, each)
 			d.sequence[domain] += uint32(records)
 			d.Stats.Records += records
 		}
 		if err != nil {
-			return fmt.Errorf("ipfix: octet %d: %w", at, err)
+			return fmt.Errorf("ipfix: octet %d: %w", offset, err)
 		}
-		at += length
+		offset += length
 	}
 	return nil
 }
 
 // define reads templates, or their withdrawal (RFC 7011, section 8.1).
-func (d *Decoder) define(domain uint32, b []byte, options bool) error {
+func (d *Decoder) readTemplates(domain uint32, b []byte, options bool) error {
 	for len(b) >= 4 { // fewer octets are padding
 		id, count := binary.BigEndian.Uint16(b), int(binary.BigEndian.Uint16(b[2:]))
 		b = b[4:]
@@ -144,7 +144,7 @@
 			d.Stats.Withdrawn++
 			continue
 		}
-		if id < 256 || count > mostElements {
+		if id < 256 || count > maxElements {
 			return fmt.Errorf("template %d of %d elements", id, count)
 		}
 		t := template{}
@@ -176,17 +176,17 @@
 			}
 			t.elements = append(t.elements, x)
 			if x.Length == Variable {
-				t.least++
+				t.minRecordOctets++
 			} else {
-				t.least += int(x.Length)
+				t.minRecordOctets += int(x.Length)
 			}
 		}
-		if t.least == 0 {
+		if t.minRecordOctets == 0 {
 			return fmt.Errorf("template %d: records of no octets", id)
 		}
 		k := [2]uint32{domain, uint32(id)}
-		if _, known := d.templates[k]; !known && len(d.templates) >= mostTemplates {
-			return fmt.Errorf("template %d: more than %d", id, mostTemplates)
+		if _, known := d.templates[k]; !known && len(d.templates) >= maxTemplates {
+			return fmt.Errorf("template %d: more than %d", id, maxTemplates)
 		}
 		d.templates[k] = t
 		d.Stats.Templates++
@@ -194,14 +194,14 @@
 	return nil
 }
 
-func (d *Decoder) data(domain uint32, id uint16, b []byte, each func(Data)) (records int, err error) {
+func (d *Decoder) readRecords(domain uint32, id uint16, b []byte, each func(Data)) (records int, err error) {
 	t, known := d.templates[[2]uint32{domain, uint32(id)}]
 	if !known {
 		d.Stats.Unknown++
 		return 0, nil
 	}
 	values := make([]Value, 0, len(t.elements))
-	for len(b) >= t.least { // what is left is padding
+	for len(b) >= t.minRecordOctets { // what is left is padding
 		values = values[:0]
 		for _, x := range t.elements {
 			n := int(x.Length)
@@ -253,14 +253,14 @@
 		return r, false
 	}
 	var source, destination netip.Addr
-	var from, to uint16
-	mine := 0
+	var sourcePort, destinationPort uint16
+	enterpriseSpecific := 0
 	for _, v := range x.Values {
 		switch e := v.Element; {
-		case e.Enterprise == reversed && e.ID == octetDeltaCount.ID:
+		case e.Enterprise == reverseEnterprise && e.ID == octetDeltaCount.ID:
 			r.Reverse = v.Number()
 		case e.Enterprise == d.Enterprise:
-			mine++
+			enterpriseSpecific++
 			switch e.ID {
 			case idCommands:
 				r.Commands = v.Number()
@@ -291,9 +291,9 @@
 			case destinationIPv4Address.ID, destinationIPv6Address.ID:
 				destination, _ = netip.AddrFromSlice(v.Raw)
 			case sourceTransportPort.ID:
-				from = uint16(v.Number())
+				sourcePort = uint16(v.Number())
 			case destinationTransportPort.ID:
-				to = uint16(v.Number())
+				destinationPort = uint16(v.Number())
 			case flowEndReason.ID:
 				r.Reason = flow.Reason(v.Number())
 			case flowStartMilliseconds.ID:
@@ -304,7 +304,7 @@
 		}
 	}
 	if source.IsValid() && destination.IsValid() {
-		r.Source, r.Destination = netip.AddrPortFrom(source, from), netip.AddrPortFrom(destination, to)
+		r.Source, r.Destination = netip.AddrPortFrom(source, sourcePort), netip.AddrPortFrom(destination, destinationPort)
 	}
-	return r, mine > 0
+	return r, enterpriseSpecific > 0
 }
--- a/internal/router/flow/ipfix/elements.go
+++ b/internal/router/flow/ipfix/elements.go
@@ -13,7 +13,7 @@
 const Variable = 0xffff
 
 const (
-	reversed = 29305 // the reverse elements' enterprise (RFC 5103, section 6.1)
+	reverseEnterprise = 29305 // the reverse elements' enterprise (RFC 5103, section 6.1)
 	// Documentation is the enterprise number for documentation (RFC 5612), in use until the project has one.
 	Documentation = 32473
 )
@@ -38,7 +38,7 @@
 	notSentFlowTotalCount    = Element{166, 0, 8}
 	notSentOctetTotalCount   = Element{168, 0, 8}
 	biflowDirection          = Element{239, 0, 1}
-	reverseOctetDeltaCount   = Element{1, reversed, 8}
+	reverseOctetDeltaCount   = Element{1, reverseEnterprise, 8}
 )
 
 // Our own elements' numbers, under the enterprise number that the operator sets.
@@ -55,7 +55,7 @@
 )
 
 // own are our elements under an enterprise number.
-func own(enterprise uint32) (all [idConnections + 1]Element) {
+func enterpriseElements(enterprise uint32) (all [idConnections + 1]Element) {
 	for id, length := range [...]uint16{idCommands: 8, idSide: 1, idCarrier: Variable, idBand: Variable, idHost: Variable,
 		idBuild: 4, idDrained: 1, idRecords: 4, idConnections: 4} {
 		all[id] = Element{uint16(id), enterprise, length}
@@ -73,9 +73,9 @@
 
 // elements are a template's, in order.
 func elements(template uint16, enterprise uint32) []Element {
-	mine := own(enterprise)
+	enterpriseSpecific := enterpriseElements(enterprise)
 	common := append([]Element{flowStartMilliseconds, flowEndMilliseconds, octetDeltaCount, reverseOctetDeltaCount, flowEndReason,
-		biflowDirection}, mine[1:]...)
+		biflowDirection}, enterpriseSpecific[1:]...)
 	switch template {
 	case template4:
 		return append([]Element{sourceIPv4Address, destinationIPv4Address, sourceTransportPort, destinationTransportPort,
@@ -90,4 +90,4 @@
 		notSentFlowTotalCount, notSentOctetTotalCount}
 }
 
-const totalsScope = 1 // of the totals' elements, so many are the scope: the observation domain
+const totalsScopeFields = 1 // of the totals' elements, so many are the scope: the observation domain
--- a/internal/router/flow/ipfix/encode.go
+++ b/internal/router/flow/ipfix/encode.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	version  = 10
-	header   = 16    // octets of a message's
-	tcp      = 6     // the protocol of all our flows
-	largest  = 65535 // octets of a message, as its length has 16 bits
-	longText = 128   // octets of a name at most
+	version          = 10
+	headerOctets     = 16    // octets of a message's
+	protocolTCP      = 6     // the protocol of all our flows
+	maxMessageOctets = 65535 // octets of a message, as its length has 16 bits
+	maxNameOctets    = 128   // octets of a name at most
 )
 
 // Names tells carriers' and bands' names, by their numbers from 1.
 type Names struct{ Carriers, Bands []string }
 
-func (n Names) of(all []string, i int) string {
+func (n Names) lookUp(all []string, i int) string {
 	if i < 1 || i > len(all) {
 		return ""
 	}
-	return all[i-1][:min(len(all[i-1]), longText)]
+	return all[i-1][:min(len(all[i-1]), maxNameOctets)]
 }
 
 // Encoder writes messages of one exporting process to one collector.
@@ -41,17 +41,17 @@
 	set := len(to)
 	to = append(to, 0, 2, 0, 0)
 	for _, t := range []uint16{template4, template6, templateFolded} {
-		to = e.template(to, t, 0)
+		to = e.appendTemplate(to, t, 0)
 	}
-	to = end(to, set)
+	to = endSet(to, set)
 	set = len(to)
 	to = append(to, 0, 3, 0, 0)
-	to = e.template(to, templateTotals, totalsScope)
-	to = end(to, set)
-	return end2(to, begin)
+	to = e.appendTemplate(to, templateTotals, totalsScopeFields)
+	to = endSet(to, set)
+	return endMessage(to, begin)
 }
 
-func (e *Encoder) template(to []byte, t uint16, scope uint16) []byte {
+func (e *Encoder) appendTemplate(to []byte, t uint16, scope uint16) []byte {
 	all := elements(t, e.Enterprise)
 	to = binary.BigEndian.AppendUint16(to, t)
 	to = binary.BigEndian.AppendUint16(to, uint16(len(all)))
@@ -80,41 +80,41 @@
 }
 
 // end states a set's length, end2 a message's.
-func end(to []byte, set int) []byte {
+func endSet(to []byte, set int) []byte {
 	binary.BigEndian.PutUint16(to[set+2:], uint16(len(to)-set))
 	return to
 }
 
-func end2(to []byte, begin int) []byte {
+func endMessage(to []byte, begin int) []byte {
 	binary.BigEndian.PutUint16(to[begin+2:], uint16(len(to)-begin))
 	return to
 }
 
 // Data appends one message of as many records as fit into so many octets, at least one, and tells how many.
-func (e *Encoder) Data(to []byte, now int64, records []flow.Record, most int) ([]byte, int) {
-	most = min(most, largest)
+func (e *Encoder) Data(to []byte, now int64, records []flow.Record, maxOctets int) ([]byte, int) {
+	maxOctets = min(maxOctets, maxMessageOctets)
 	begin := len(to)
 	to = e.begin(to, now)
-	set, in, n := 0, uint16(0), 0
+	set, setTemplate, n := 0, uint16(0), 0
 	for i := range records {
 		r := &records[i]
 		t := templateOf(r)
 		before := len(to)
-		if t != in {
-			set, in = len(to), t
+		if t != setTemplate {
+			set, setTemplate = len(to), t
 			to = binary.BigEndian.AppendUint16(to, t)
 			to = append(to, 0, 0)
 		}
-		to = e.record(to, t, r)
-		if len(to)-begin > most && n > 0 {
+		to = e.appendRecord(to, t, r)
+		if len(to)-begin > maxOctets && n > 0 {
 			to = to[:before]
 			break
 		}
-		to = end(to, set)
+		to = endSet(to, set)
 		n++
 	}
 	e.Sequence += uint32(n) // of data records, not of messages (RFC 7011, section 3.1)
-	return end2(to, begin), n
+	return endMessage(to, begin), n
 }
 
 // Unsent takes back the sequence of a message of so many records that never went.
@@ -130,18 +130,18 @@
 	return templateFolded
 }
 
-func (e *Encoder) record(to []byte, t uint16, r *flow.Record) []byte {
+func (e *Encoder) appendRecord(to []byte, t uint16, r *flow.Record) []byte {
 	u32, u64 := binary.BigEndian.AppendUint32, binary.BigEndian.AppendUint64
 	if t != templateFolded {
-		to = append(r.AppendEndpoints(to), tcp)
+		to = append(r.AppendEndpoints(to), protocolTCP)
 	}
 	to = u64(u64(to, uint64(r.Start/1e6)), uint64(r.End/1e6))
 	to = u64(u64(to, r.Forward), r.Reverse)
 	to = append(to, byte(r.Reason), 1) // biflowDirection: the source began it
 	to = u64(to, r.Commands)
 	to = append(to, byte(r.Side))
-	for _, text := range []string{e.Names.of(e.Names.Carriers, int(r.Carrier)), e.Names.of(e.Names.Bands, int(r.Band)),
-		r.Host[:min(len(r.Host), longText)]} {
+	for _, text := range []string{e.Names.lookUp(e.Names.Carriers, int(r.Carrier)), e.Names.lookUp(e.Names.Bands, int(r.Band)),
+		r.Host[:min(len(r.Host), maxNameOctets)]} {
 		to = append(to, byte(len(text)))
 		to = append(to, text...)
 	}
@@ -166,5 +166,5 @@
 	to = u64(u64(u64(to, uint64(e.Boot/1e6)), a.Exported.Records), a.Exported.Forward+a.Exported.Reverse)
 	to = u64(u64(to, a.Lost.Records), a.Lost.Forward+a.Lost.Reverse)
 	e.Sequence++
-	return end2(end(to, set), begin)
+	return endMessage(endSet(to, set), begin)
 }
--- a/internal/router/flow/ipfix/ipfix_test.go
+++ b/internal/router/flow/ipfix/ipfix_test.go
@@ -9,14 +9,14 @@
 )
 
 func records() []flow.Record {
-	one := flow.Record{Label: flow.Label{Side: flow.Hosts, Carrier: 2, Band: 1, Host: "h7", Build: 42, Drained: true},
+	ipv4 := flow.Record{Label: flow.Label{Side: flow.Hosts, Carrier: 2, Band: 1, Host: "h7", Build: 42, Drained: true},
 		Counts: flow.Counts{Forward: 1 << 40, Reverse: 7, Commands: 3}, Source: netip.MustParseAddrPort("10.0.0.1:7"),
 		Destination: netip.MustParseAddrPort("10.0.0.2:8081"), Start: 1e18, End: 1e18 + 5e9, Reason: flow.Active, Count: 1, Connections: 1}
-	six, folded := one, one
-	six.Source = netip.MustParseAddrPort("[2001:db8::1]:9")
-	six.Drained = false
+	ipv6, folded := ipv4, ipv4
+	ipv6.Source = netip.MustParseAddrPort("[2001:db8::1]:9")
+	ipv6.Drained = false
 	folded.Source, folded.Destination, folded.Count = netip.AddrPort{}, netip.AddrPort{}, 99
-	return []flow.Record{one, six, folded, one, one}
+	return []flow.Record{ipv4, ipv6, folded, ipv4, ipv4}
 }
 
 func encoder() *Encoder {
@@ -31,8 +31,8 @@
 	}
 	all := records()
 	got := 0
-	for left := all; len(left) > 0; {
-		m, n := e.Data(nil, 1e18, left, 300)
+	for remaining := all; len(remaining) > 0; {
+		m, n := e.Data(nil, 1e18, remaining, 300)
 		if len(m) > 300 {
 			t.Error("a message of", len(m))
 		}
@@ -54,7 +54,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		left = left[n:]
+		remaining = remaining[n:]
 	}
 	if got != len(all) || d.Stats.Missed != 0 || e.Sequence != 3 {
 		t.Error(got, d.Stats, e.Sequence)
@@ -86,7 +86,7 @@
 		}
 	}
 	withdraw(2, template4)
-	if _, there := d.templates[[2]uint32{5, template4}]; there || len(d.templates) != 3 {
+	if _, known := d.templates[[2]uint32{5, template4}]; known || len(d.templates) != 3 {
 		t.Error(d.templates)
 	}
 	m, _ := e.Data(nil, 0, records()[:1], 1<<16)
@@ -115,7 +115,7 @@
 			records++
 			d.Flow(x)
 		})
-		if records > len(b) || len(d.templates) > mostTemplates || err != nil && d.Stats.Bad != 1 {
+		if records > len(b) || len(d.templates) > maxTemplates || err != nil && d.Stats.Bad != 1 {
 			t.Error(records, len(d.templates), err, d.Stats)
 		}
 	})
--- a/internal/router/flow/ledger.go
+++ b/internal/router/flow/ledger.go
@@ -7,24 +7,24 @@
 	Counts
 }
 
-func (s *Totals) add(r *Record) {
-	s.Records += uint64(r.Count)
-	s.Connections += uint64(r.Connections)
-	s.Counts.Add(r.Counts)
+func (t *Totals) add(r *Record) {
+	t.Records += uint64(r.Count)
+	t.Connections += uint64(r.Connections)
+	t.Counts.Add(r.Counts)
 }
 
-func (s *Totals) subtract(r *Record) {
-	s.Records -= uint64(r.Count)
-	s.Connections -= uint64(r.Connections)
-	s.Forward -= r.Forward
-	s.Reverse -= r.Reverse
-	s.Commands -= r.Commands
+func (t *Totals) subtract(r *Record) {
+	t.Records -= uint64(r.Count)
+	t.Connections -= uint64(r.Connections)
+	t.Forward -= r.Forward
+	t.Reverse -= r.Reverse
+	t.Commands -= r.Commands
 }
 
-func (s *Totals) merge(x Totals) {
-	s.Records += x.Records
-	s.Connections += x.Connections
-	s.Counts.Add(x.Counts)
+func (t *Totals) merge(x Totals) {
+	t.Records += x.Records
+	t.Connections += x.Connections
+	t.Counts.Add(x.Counts)
 }
 
 // Ledger tells what became of all records: each is in one of the four places, so that
@@ -38,10 +38,10 @@
 }
 
 // Balanced tells whether the identity does.
-func (a Ledger) Balanced() bool {
-	sum := a.Exported
-	for _, x := range []Totals{a.Waiting, a.Folded, a.Lost} {
-		sum.merge(x)
+func (l Ledger) Balanced() bool {
+	total := l.Exported
+	for _, x := range []Totals{l.Waiting, l.Folded, l.Lost} {
+		total.merge(x)
 	}
-	return sum == a.Counted
+	return total == l.Counted
 }
--- a/internal/router/flow/netflow9/golden_test.go
+++ b/internal/router/flow/netflow9/golden_test.go
@@ -10,10 +10,10 @@
 func TestGoldenMessages(t *testing.T) {
 	e := encoder()
 	raw := e.Templates(nil, now)
-	for left := records(); len(left) > 0; {
+	for remaining := records(); len(remaining) > 0; {
 		var n int
-		raw, n = e.Data(raw, now, left, 1<<15)
-		left = left[n:]
+		raw, n = e.Data(raw, now, remaining, 1<<15)
+		remaining = remaining[n:]
 	}
 	golden.Equal(t, "messages.bin", raw)
 }
--- a/internal/router/flow/netflow9/netflow9.go
+++ b/internal/router/flow/netflow9/netflow9.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	version  = 9
-	header   = 20
-	nameSize = 24
-	tcp      = 6
-	mostOf   = 1024 // templates that a decoder keeps, of all sources
+	version      = 9
+	headerOctets = 20
+	nameOctets   = 24
+	protocolTCP  = 6
+	maxTemplates = 1024 // templates that a decoder keeps, of all sources
 )
 
 // Field types (RFC 3954, section 8), and our own.
 const (
-	inBytes       = 1
-	protocol      = 4
-	sourcePort    = 7
-	source4       = 8
-	destPort      = 11
-	dest4         = 12
-	lastSwitched  = 21
-	firstSwitched = 22
-	outBytes      = 23
-	source6       = 27
-	dest6         = 28
+	inBytes            = 1
+	protocolIdentifier = 4
+	sourcePort         = 7
+	sourceIPv4         = 8
+	destPort           = 11
+	destIPv4           = 12
+	lastSwitched       = 21
+	firstSwitched      = 22
+	outBytes           = 23
+	sourceIPv6         = 27
+	destIPv6           = 28
 )
 
 const (
@@ -61,12 +61,12 @@
 
 func fields(template uint16) []field {
 	common := []field{{firstSwitched, 4}, {lastSwitched, 4}, {inBytes, 8}, {outBytes, 8}, {ownReason, 1}, {ownCommands, 8}, {ownSide, 1},
-		{ownCarrier, nameSize}, {ownBand, nameSize}, {ownHost, nameSize}, {ownBuild, 4}, {ownDrained, 1}, {ownRecords, 4}, {ownConnections, 4}}
+		{ownCarrier, nameOctets}, {ownBand, nameOctets}, {ownHost, nameOctets}, {ownBuild, 4}, {ownDrained, 1}, {ownRecords, 4}, {ownConnections, 4}}
 	switch template {
 	case template4:
-		return append([]field{{source4, 4}, {dest4, 4}, {sourcePort, 2}, {destPort, 2}, {protocol, 1}}, common...)
+		return append([]field{{sourceIPv4, 4}, {destIPv4, 4}, {sourcePort, 2}, {destPort, 2}, {protocolIdentifier, 1}}, common...)
 	case template6:
-		return append([]field{{source6, 16}, {dest6, 16}, {sourcePort, 2}, {destPort, 2}, {protocol, 1}}, common...)
+		return append([]field{{sourceIPv6, 16}, {destIPv6, 16}, {sourcePort, 2}, {destPort, 2}, {protocolIdentifier, 1}}, common...)
 	}
 	return common
 }
@@ -80,18 +80,18 @@
 }
 
 // up is a time since the exporter's start, in milliseconds; it comes round after 49 days (RFC 3954, section 5.1).
-func (e *Encoder) up(at int64) uint32 { return uint32(max(0, at-e.Boot) / 1e6) }
+func (e *Encoder) uptime(at int64) uint32 { return uint32(max(0, at-e.Boot) / 1e6) }
 
 func (e *Encoder) begin(to []byte, now int64) []byte {
 	u32 := binary.BigEndian.AppendUint32
 	to = append(to, 0, version, 0, 0)
-	to = u32(u32(to, e.up(now)), uint32(now/1e9))
+	to = u32(u32(to, e.uptime(now)), uint32(now/1e9))
 	e.Sequence++ // of messages, not of records (section 5.1)
 	return u32(u32(to, e.Sequence-1), e.Source)
 }
 
 // end pads a flow set to 4 octets and states its length (section 5.2).
-func end(to []byte, set int) []byte {
+func endFlowSet(to []byte, set int) []byte {
 	for (len(to)-set)%4 != 0 {
 		to = append(to, 0)
 	}
@@ -113,36 +113,36 @@
 			to = binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint16(to, f.kind), f.length)
 		}
 	}
-	to = end(to, set)
+	to = endFlowSet(to, set)
 	binary.BigEndian.PutUint16(to[begin+2:], 3)
 	return to
 }
 
 // Data appends one message of as many records as fit into so many octets, at least one, and tells how many.
-func (e *Encoder) Data(to []byte, now int64, records []flow.Record, most int) ([]byte, int) {
+func (e *Encoder) Data(to []byte, now int64, records []flow.Record, maxOctets int) ([]byte, int) {
 	begin := len(to)
 	to = e.begin(to, now)
-	set, in, n := 0, uint16(0), 0
+	set, setTemplate, n := 0, uint16(0), 0
 	for i := range records {
 		r := &records[i]
 		t := templateOf(r)
-		before, wasSet, wasIn := len(to), set, in
-		if t != in {
-			if in != 0 {
-				to = end(to, set)
+		before, previousSet, previousTemplate := len(to), set, setTemplate
+		if t != setTemplate {
+			if setTemplate != 0 {
+				to = endFlowSet(to, set)
 			}
-			set, in = len(to), t
+			set, setTemplate = len(to), t
 			to = append(binary.BigEndian.AppendUint16(to, t), 0, 0)
 		}
-		to = e.record(to, t, r)
-		if len(to)-begin+3 > most && n > 0 {
-			to, set, in = to[:before], wasSet, wasIn
+		to = e.appendRecord(to, t, r)
+		if len(to)-begin+3 > maxOctets && n > 0 {
+			to, set, setTemplate = to[:before], previousSet, previousTemplate
 			break
 		}
 		n++
 	}
-	if in != 0 {
-		to = end(to, set)
+	if setTemplate != 0 {
+		to = endFlowSet(to, set)
 	}
 	binary.BigEndian.PutUint16(to[begin+2:], uint16(n))
 	return to, n
@@ -161,16 +161,16 @@
 	return templateFolded
 }
 
-func (e *Encoder) record(to []byte, t uint16, r *flow.Record) []byte {
+func (e *Encoder) appendRecord(to []byte, t uint16, r *flow.Record) []byte {
 	u32, u64 := binary.BigEndian.AppendUint32, binary.BigEndian.AppendUint64
 	if t != templateFolded {
-		to = append(r.AppendEndpoints(to), tcp)
+		to = append(r.AppendEndpoints(to), protocolTCP)
 	}
-	to = u32(u32(to, e.up(r.Start)), e.up(r.End))
+	to = u32(u32(to, e.uptime(r.Start)), e.uptime(r.End))
 	to = append(u64(u64(to, r.Forward), r.Reverse), byte(r.Reason))
 	to = append(u64(to, r.Commands), byte(r.Side))
-	for _, text := range []string{name(e.Names.Carriers, int(r.Carrier)), name(e.Names.Bands, int(r.Band)), r.Host} {
-		var fixed [nameSize]byte
+	for _, text := range []string{lookUpName(e.Names.Carriers, int(r.Carrier)), lookUpName(e.Names.Bands, int(r.Band)), r.Host} {
+		var fixed [nameOctets]byte
 		copy(fixed[:], text)
 		to = append(to, fixed[:]...)
 	}
@@ -181,7 +181,7 @@
 	return u32(u32(append(u32(to, r.Build), drained), r.Count), r.Connections)
 }
 
-func name(all []string, i int) string {
+func lookUpName(all []string, i int) string {
 	if i < 1 || i > len(all) {
 		return ""
 	}
@@ -203,7 +203,7 @@
 
 // Message reads one message and hands its records to each. What is wrong is an error with its place.
 func (d *Decoder) Message(b []byte, each func(ipfix.Read)) error {
-	if len(b) < header {
+	if len(b) < headerOctets {
 		return errors.New("netflow9: no whole head")
 	}
 	if v := binary.BigEndian.Uint16(b); v != version {
@@ -214,31 +214,31 @@
 	if next, known := d.sequence[source]; known && sequence-next < 1<<31 {
 		d.Missed += sequence - next
 	}
-	if _, known := d.sequence[source]; known || len(d.sequence) < mostOf {
+	if _, known := d.sequence[source]; known || len(d.sequence) < maxTemplates {
 		d.sequence[source] = sequence + 1
 	}
-	for at := header; len(b)-at >= 4; {
-		id, length := binary.BigEndian.Uint16(b[at:]), int(binary.BigEndian.Uint16(b[at+2:]))
-		if length < 4 || at+length > len(b) {
-			return fmt.Errorf("netflow9: octet %d: set %d of %d octets", at, id, length)
+	for offset := headerOctets; len(b)-offset >= 4; {
+		id, length := binary.BigEndian.Uint16(b[offset:]), int(binary.BigEndian.Uint16(b[offset+2:]))
+		if length < 4 || offset+length > len(b) {
+			return fmt.Errorf("netflow9: octet %d: set %d of %d octets", offset, id, length)
 		}
 		var err error
-		switch set := b[at+4 : at+length]; {
+		switch set := b[offset+4 : offset+length]; {
 		case id == 0:
-			err = d.define(source, set)
+			err = d.readTemplates(source, set)
 		case id < 256: // options templates, and what is reserved
 		default:
-			d.data(source, id, set, boot, each)
+			d.readRecords(source, id, set, boot, each)
 		}
 		if err != nil {
-			return fmt.Errorf("netflow9: octet %d: %w", at, err)
+			return fmt.Errorf("netflow9: octet %d: %w", offset, err)
 		}
-		at += length
+		offset += length
 	}
 	return nil
 }
 
-func (d *Decoder) define(source uint32, b []byte) error {
+func (d *Decoder) readTemplates(source uint32, b []byte) error {
 	for len(b) >= 4 {
 		id, count := binary.BigEndian.Uint16(b), int(binary.BigEndian.Uint16(b[2:]))
 		if id < 256 {
@@ -256,15 +256,15 @@
 			return fmt.Errorf("template %d: records of no octets", id)
 		}
 		k := [2]uint32{source, uint32(id)}
-		if _, known := d.templates[k]; !known && len(d.templates) >= mostOf {
-			return fmt.Errorf("template %d: more than %d", id, mostOf)
+		if _, known := d.templates[k]; !known && len(d.templates) >= maxTemplates {
+			return fmt.Errorf("template %d: more than %d", id, maxTemplates)
 		}
 		d.templates[k] = all
 	}
 	return nil
 }
 
-func (d *Decoder) data(source uint32, id uint16, b []byte, boot int64, each func(ipfix.Read)) {
+func (d *Decoder) readRecords(source uint32, id uint16, b []byte, boot int64, each func(ipfix.Read)) {
 	all, known := d.templates[[2]uint32{source, uint32(id)}]
 	if !known {
 		d.Unknown++
@@ -275,27 +275,27 @@
 		size += int(f.length)
 	}
 	for ; len(b) >= size; b = b[size:] {
-		each(read(all, b[:size], boot))
+		each(readRecord(all, b[:size], boot))
 	}
 }
 
-func read(all []field, b []byte, boot int64) (r ipfix.Read) {
-	var from, to netip.Addr
-	var fromPort, toPort uint16
+func readRecord(all []field, b []byte, boot int64) (r ipfix.Read) {
+	var source, destination netip.Addr
+	var srcPort, dstPort uint16
 	for _, f := range all {
 		raw := b[:f.length]
 		b = b[f.length:]
 		v := ipfix.Value{Raw: raw}.Number()
 		text := func() string { return string(bytes.TrimRight(raw, "\x00")) }
 		switch f.kind {
-		case source4, source6:
-			from, _ = netip.AddrFromSlice(raw)
-		case dest4, dest6:
-			to, _ = netip.AddrFromSlice(raw)
+		case sourceIPv4, sourceIPv6:
+			source, _ = netip.AddrFromSlice(raw)
+		case destIPv4, destIPv6:
+			destination, _ = netip.AddrFromSlice(raw)
 		case sourcePort:
-			fromPort = uint16(v)
+			srcPort = uint16(v)
 		case destPort:
-			toPort = uint16(v)
+			dstPort = uint16(v)
 		case firstSwitched:
 			r.Start = boot + int64(uint32(v))*1e6
 		case lastSwitched:
@@ -326,8 +326,8 @@
 			r.Connections = uint32(v)
 		}
 	}
-	if from.IsValid() && to.IsValid() {
-		r.Source, r.Destination = netip.AddrPortFrom(from, fromPort), netip.AddrPortFrom(to, toPort)
+	if source.IsValid() && destination.IsValid() {
+		r.Source, r.Destination = netip.AddrPortFrom(source, srcPort), netip.AddrPortFrom(destination, dstPort)
 	}
 	return r
 }
--- a/internal/router/flow/netflow9/netflow9_test.go
+++ b/internal/router/flow/netflow9/netflow9_test.go
@@ -15,13 +15,13 @@
 }
 
 func records() []flow.Record {
-	one := flow.Record{Label: flow.Label{Side: flow.Hosts, Carrier: 2, Band: 1, Host: "h7", Build: 42, Drained: true},
+	ipv4 := flow.Record{Label: flow.Label{Side: flow.Hosts, Carrier: 2, Band: 1, Host: "h7", Build: 42, Drained: true},
 		Counts: flow.Counts{Forward: 1 << 40, Reverse: 7, Commands: 3}, Source: netip.MustParseAddrPort("10.0.0.1:7"),
 		Destination: netip.MustParseAddrPort("10.0.0.2:8081"), Start: now - 9e9, End: now - 1e9, Reason: flow.Active, Count: 1, Connections: 1}
-	six, folded := one, one
-	six.Source, six.Destination = netip.MustParseAddrPort("[2001:db8::1]:9"), netip.MustParseAddrPort("[2001:db8::2]:9")
+	ipv6, folded := ipv4, ipv4
+	ipv6.Source, ipv6.Destination = netip.MustParseAddrPort("[2001:db8::1]:9"), netip.MustParseAddrPort("[2001:db8::2]:9")
 	folded.Source, folded.Destination, folded.Count = netip.AddrPort{}, netip.AddrPort{}, 99
-	return []flow.Record{one, one, six, folded, one}
+	return []flow.Record{ipv4, ipv4, ipv6, folded, ipv4}
 }
 
 // What is written is read again, to the field, in messages within their octets; gaps show by the sequence.
@@ -31,8 +31,8 @@
 		t.Fatal(err, d.templates)
 	}
 	all := records()
-	for left := all; len(left) > 0; {
-		m, n := e.Data(nil, now, left, 400)
+	for remaining := all; len(remaining) > 0; {
+		m, n := e.Data(nil, now, remaining, 400)
 		if len(m) > 400 || len(m)%4 != 0 {
 			t.Error("a message of", len(m))
 		}
@@ -45,7 +45,7 @@
 		}); err != nil {
 			t.Fatal(err)
 		}
-		left = left[n:]
+		remaining = remaining[n:]
 	}
 	if got != len(all) || d.Missed != 0 {
 		t.Error(got, d.Missed)
@@ -71,7 +71,7 @@
 		d, n := NewDecoder(), 0
 		d.Message(encoder().Templates(nil, now), nil)
 		d.Message(b, func(ipfix.Read) { n++ })
-		if n > len(b) || len(d.templates) > mostOf {
+		if n > len(b) || len(d.templates) > maxTemplates {
 			t.Error(n, len(d.templates))
 		}
 	})
--- a/internal/router/flow/record.go
+++ b/internal/router/flow/record.go
@@ -79,18 +79,18 @@
 }
 
 // AppendEndpoints appends both addresses and then both ports, in the order of the network, as all our templates have them.
-func (record *Record) AppendEndpoints(to []byte) []byte {
-	four := record.Family() == 4
-	for _, a := range [...]netip.Addr{record.Source.Addr(), record.Destination.Addr()} {
-		if four {
+func (r *Record) AppendEndpoints(dst []byte) []byte {
+	isIPv4 := r.Family() == 4
+	for _, a := range [...]netip.Addr{r.Source.Addr(), r.Destination.Addr()} {
+		if isIPv4 {
 			x := a.Unmap().As4()
-			to = append(to, x[:]...)
+			dst = append(dst, x[:]...)
 		} else {
 			x := a.As16()
-			to = append(to, x[:]...)
+			dst = append(dst, x[:]...)
 		}
 	}
-	return binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint16(to, record.Source.Port()), record.Destination.Port())
+	return binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint16(dst, r.Source.Port()), r.Destination.Port())
 }
 
 // recordBytes is about what a record takes while it waits, with its place in the queue; names are shared.
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -356,31 +356,31 @@
 	Reply    *Reply
 }
 
-var verdicts = map[decision.Verdict]uint8{decision.NoVote: 0, decision.Advance: 1, decision.Hold: 2, decision.RollBack: 3}
+var verdictCodes = map[decision.Verdict]uint8{decision.NoVote: 0, decision.Advance: 1, decision.Hold: 2, decision.RollBack: 3}
 
-func (e Effects) StartAttempt(command, host uint32, until int64) {
+func (e Effects) StartAttempt(request, host uint32, deadline int64) {
 	e.Reply.record(actionStartAttempt, e.Instance, 16)
-	e.Reply.u32(command)
-	e.Reply.u64(uint64(until))
+	e.Reply.u32(request)
+	e.Reply.u64(uint64(deadline))
 	e.Reply.u32(host)
 }
-func (e Effects) Reject(command uint32, wait int64) {
+func (e Effects) Reject(request uint32, retryAfter int64) {
 	e.Reply.record(actionReject, e.Instance, 12)
-	e.Reply.u32(command)
-	e.Reply.u64(uint64(wait))
+	e.Reply.u32(request)
+	e.Reply.u64(uint64(retryAfter))
 }
-func (e Effects) Fail(command uint32) {
+func (e Effects) Fail(request uint32) {
 	e.Reply.record(actionFail, e.Instance, 4)
-	e.Reply.u32(command)
+	e.Reply.u32(request)
 }
-func (e Effects) CancelAttempt(command uint32, number int) {
+func (e Effects) CancelAttempt(request uint32, number int) {
 	e.Reply.record(actionCancelAttempt, e.Instance, 5)
-	e.Reply.u32(command)
+	e.Reply.u32(request)
 	e.Reply.u8(uint8(number))
 }
 func (e Effects) Vote(v decision.Verdict, build, stage int) {
 	e.Reply.record(actionVote, e.Instance, 4)
-	e.Reply.u8(verdicts[v])
+	e.Reply.u8(verdictCodes[v])
 	e.Reply.u16(uint16(build))
 	e.Reply.u8(uint8(stage))
 }
@@ -390,10 +390,10 @@
 	e.Reply.u16(uint16(len(message)))
 	e.Reply.raw = append(e.Reply.raw, message...)
 }
-func (e Effects) SetTimer(after int64, mark uint64) {
+func (e Effects) SetTimer(after int64, id uint64) {
 	e.Reply.record(actionSetTimer, e.Instance, 16)
 	e.Reply.u64(uint64(after))
-	e.Reply.u64(mark)
+	e.Reply.u64(id)
 }
 func (e Effects) CloseIdle(host uint32) {
 	e.Reply.record(actionCloseIdle, e.Instance, 4)
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -44,9 +44,9 @@
 )
 
 // batch has a record of each code, with a value of its own in each field.
-func batch(environment string) []byte {
+func batch(settingsText string) []byte {
 	records := [][]byte{
-		record(29, u32(1), u64(2), u32(len(environment)), environment),
+		record(29, u32(1), u64(2), u32(len(settingsText)), settingsText),
 		record(28, u16(3), u32(2), u32(4), u16(5), u8(6), u16(7), u8(2), f32(8), f32(1.5), u64(9), u32(10), u16(11), u8(12), u16(13), u8(0), f32(14), f32(2.5), u64(15)),
 		record(17, u32(16), u8(2), u16(4), u64(17)),
 		record(19, u32(18), u32(19), u8(20), u32(21), u64(22)),
@@ -67,15 +67,15 @@
 
 // All that the simulator says is read as the same events.
 func TestGoldenBatch(t *testing.T) {
-	environment, err := os.ReadFile("testdata/settings.json")
+	settingsText, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	all, err := settings.Read(environment)
+	all, err := settings.Read(settingsText)
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw := golden.Equal(t, "batch.bin", batch(string(environment)))
+	raw := golden.Equal(t, "batch.bin", batch(string(settingsText)))
 	r := bytes.NewReader(raw)
 	got, err := ReadBatch(r)
 	if err != nil {
@@ -110,20 +110,20 @@
 // All that a router does is written in the same bytes.
 func TestGoldenReply(t *testing.T) {
 	var r Reply
-	o := Effects{0x01020304, &r}
-	o.StartAttempt(1, 2, math.MaxInt64)
-	o.Reject(3, 4)
-	o.Fail(5)
-	o.CancelAttempt(6, 7)
+	effects := Effects{0x01020304, &r}
+	effects.StartAttempt(1, 2, math.MaxInt64)
+	effects.Reject(3, 4)
+	effects.Fail(5)
+	effects.CancelAttempt(6, 7)
 	for _, v := range []decision.Verdict{decision.NoVote, decision.Advance, decision.Hold, decision.RollBack} {
-		o.Vote(v, 8, 9)
+		effects.Vote(v, 8, 9)
 	}
-	o.SendGossip(10, []byte("abc"))
-	o.SetTimer(11, 12)
-	o.CloseIdle(13)
-	o.WatchHosts(true)
-	o.WatchHosts(false)
-	o.Log("a note")
+	effects.SendGossip(10, []byte("abc"))
+	effects.SetTimer(11, 12)
+	effects.CloseIdle(13)
+	effects.WatchHosts(true)
+	effects.WatchHosts(false)
+	effects.Log("a note")
 	var raw bytes.Buffer
 	if _, err := r.WriteTo(&raw); err != nil {
 		t.Fatal(err)
