--- a/internal/router/flow/backlog.go
+++ b/internal/router/flow/backlog.go
@@ -2,39 +2,41 @@
 
 import "slices"
 
-// Backlog holds a collector's records in order, under a bound of bytes. Where it is reached, light records are folded
-// into ones that keep the totals of their label and reason; only where nothing is left to fold are the oldest lost.
+// Backlog queues the records for one collector within a memory limit. At the limit, records with little traffic are folded:
+// merged into one record per label and reason, which keeps the totals. If that frees too little, the oldest records are dropped.
+// Backlog is not safe for concurrent use.
 type Backlog struct {
 	Account Ledger
 
 	maxRecords int
-	records    []Record // a ring would save moving; batches are taken from the front by head
+	records    []Record // records[head:] is queued, oldest first
 	head       int
 	folded     map[foldKey]*Record
-	order      []foldKey // the folded ones, the oldest first
-	inFlight   []Record
+	order      []foldKey // keys of folded, oldest first
+	inFlight   []Record  // returned by Take and not yet confirmed by Sent
 }
 
-// foldKey is what records are folded by.
+// foldKey identifies a folded record: records with the same key are merged.
 type foldKey struct {
 	Label
 	Reason
 }
 
-// NewBacklog makes an empty one of at most so many bytes, of which it takes as many as it needs.
+// NewBacklog returns an empty backlog that uses about the given number of bytes at most, but has room for at least 16 records.
+// Memory is allocated as needed.
 func NewBacklog(bytes int) *Backlog {
 	return &Backlog{maxRecords: max(16, bytes/recordBytes), folded: map[foldKey]*Record{}}
 }
 
 func (b *Backlog) queued() int { return len(b.records) - b.head }
 
-// Bytes is about what the backlog takes now.
+// Bytes returns the approximate memory use.
 func (b *Backlog) Bytes() int { return recordBytes * (b.queued() + len(b.folded) + len(b.inFlight)) }
 
-// Len is how many records wait, folded ones as one.
+// Len returns the number of queued records without those in flight. A folded record counts as one.
 func (b *Backlog) Len() int { return b.queued() + len(b.folded) }
 
-// Add takes a record in.
+// Add queues a record, and folds or drops records if the limit is exceeded.
 func (b *Backlog) Add(r Record) {
 	r.Count = max(1, r.Count)
 	b.Account.Counted.add(&r)
@@ -43,8 +45,9 @@
 	b.enforceLimit()
 }
 
-// enforceLimit keeps the bound. Records lighter than the median of those that wait are folded first: in a burst of short
-// connections they are most of the records and least of the octets, and heavy ones keep their addresses and times.
+// enforceLimit folds and drops records until the limit is met. It folds the queued records up to the median number of octets:
+// in a burst of short connections these are most of the records but few of the octets, and records with more traffic keep their
+// addresses and times.
 func (b *Backlog) enforceLimit() {
 	if b.queued()+len(b.folded)+len(b.inFlight) <= b.maxRecords {
 		return
@@ -71,7 +74,7 @@
 	}
 }
 
-// foldRecord adds a record that waits to the one of its label.
+// foldRecord merges a queued record into the folded record of its label and reason.
 func (b *Backlog) foldRecord(r Record) {
 	b.Account.Waiting.subtract(&r)
 	b.Account.Folded.add(&r)
@@ -88,7 +91,8 @@
 	into.Connections += r.Connections
 }
 
-// dropOldest gives the oldest up: records as they came first, as those that are folded stand for many.
+// dropOldest drops the oldest record. Folded records are dropped only if no other is queued, since each represents many; records
+// in flight are dropped last, all at once.
 func (b *Backlog) dropOldest() {
 	switch {
 	case b.queued() > 0:
@@ -102,7 +106,7 @@
 		b.Account.Lost.add(r)
 		delete(b.folded, b.order[0])
 		b.order = b.order[1:]
-	default: // all that is left is being sent
+	default: // only records in flight are left
 		for i := range b.inFlight {
 			b.Account.Waiting.subtract(&b.inFlight[i])
 			b.Account.Lost.add(&b.inFlight[i])
@@ -111,7 +115,7 @@
 	}
 }
 
-// popFront takes the first of the plain ones out.
+// popFront removes records[head].
 func (b *Backlog) popFront() {
 	b.records[b.head] = Record{}
 	if b.head++; b.head > 64 && b.head > len(b.records)/2 {
@@ -121,8 +125,8 @@
 	}
 }
 
-// Take hands out up to so many records to be sent, folded ones first, as they are the oldest. They wait until Sent
-// tells that they went; until then nothing more is handed out.
+// Take returns up to limit records to send, folded ones first, since they contain the oldest traffic. The records stay in flight
+// until Sent confirms them; while some are in flight, Take returns only these.
 func (b *Backlog) Take(limit int) []Record {
 	if len(b.inFlight) > 0 {
 		return b.inFlight
@@ -142,7 +146,7 @@
 	return b.inFlight
 }
 
-// Sent tells that the first n of what was taken have been handed on; the others are handed out again.
+// Sent confirms that the first n records in flight were sent. Take returns the others again.
 func (b *Backlog) Sent(n int) {
 	for i := range b.inFlight[:min(n, len(b.inFlight))] {
 		b.Account.Waiting.subtract(&b.inFlight[i])
--- a/internal/router/flow/cache.go
+++ b/internal/router/flow/cache.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// Source is a connection's counters; Take tells what has passed since the last time.
+// CounterSource holds the counters of a connection. Take returns the traffic since the previous Take.
 type CounterSource interface{ Take() Counts }
 
 // Flow is one open connection.
@@ -10,31 +10,33 @@
 	label               Label
 	source, destination netip.AddrPort
 	counters            CounterSource
-	start, lastActive   int64 // of this period, and when something was last seen to pass
+	start, lastActive   int64 // start of the current period; time of the last inspection that found traffic
 	period              Counts
-	next, prev          *Flow // in its slot of the wheel
-	dueSlot             int64 // that slot, counted from time 0
+	next, prev          *Flow // list of the flows in the same wheel slot; nil if not scheduled
+	dueSlot             int64 // slot of the next inspection, counted from time 0
 }
 
-// Limits are a cache's.
+// Limits holds the timeouts and the capacity of a Cache.
 type Limits struct {
-	Active, Idle   int64 // time-outs, nanoseconds
-	MaxConnections int   // connections at once; others are accounted for when they end, as one record each
+	Active, Idle   int64 // timeouts in nanoseconds
+	MaxConnections int   // connections with periodic records; further ones have records only at Relabel and Close
 }
 
-const wheelSlots = 64 // of the wheel: a turn is the active time-out, so that a record is late by 2% of it at most
+// wheelSlots is the number of slots of the timing wheel. One turn is the active timeout, so a record is late by at most 2% of
+// that timeout.
+const wheelSlots = 64
 
-// Cache keeps the connections that are open, and makes records of them: when an active period is over, when nothing
-// has passed for the idle time-out, and when they end. Whose time it is stands in a timing wheel.
+// Cache tracks open connections and emits their records: at the active timeout, at the idle timeout and when a connection is
+// closed. A timing wheel schedules the inspections. Cache is not safe for concurrent use.
 type Cache struct {
 	limits   Limits
 	emit     func(Record)
-	wheel    [wheelSlots]Flow // each the head of its slot's list
-	nextSlot int64            // the slot that comes next, counted from time 0
+	wheel    [wheelSlots]Flow // list heads, one per slot
+	nextSlot int64            // the next slot to scan, counted from time 0
 	open     int
 }
 
-// NewCache makes an empty cache whose records go to out.
+// NewCache returns an empty cache that passes its records to emitRecord.
 func NewCache(l Limits, now int64, emitRecord func(Record)) *Cache {
 	l.Active = max(l.Active, wheelSlots)
 	c := &Cache{limits: l, emit: emitRecord, nextSlot: now / (l.Active / wheelSlots)}
@@ -44,10 +46,11 @@
 	return c
 }
 
-// Len is how many connections are open in the cache.
+// Len returns the number of open connections, including those beyond MaxConnections.
 func (c *Cache) Len() int { return c.open }
 
-// schedule plans a look, less than a turn ahead: the slot that is being looked through gets none.
+// schedule inserts f into the slot of now+after, limited to at least one slot and less than one turn ahead, so that f never
+// lands in the slot of the current time.
 func (c *Cache) schedule(f *Flow, now, after int64) {
 	width := c.limits.Active / wheelSlots
 	due := now + min(max(after, width), (wheelSlots-1)*width)
@@ -64,7 +67,7 @@
 	}
 }
 
-// Open takes in a connection. One beyond the bound is not watched, and gives its record when it ends.
+// Open adds a connection. A connection beyond MaxConnections is not scheduled for periodic records.
 func (c *Cache) Open(now int64, l Label, source, destination netip.AddrPort, counterSource CounterSource) *Flow {
 	f := &Flow{label: l, source: source, destination: destination, counters: counterSource, start: now, lastActive: now}
 	if c.open++; c.open <= c.limits.MaxConnections {
@@ -73,8 +76,8 @@
 	return f
 }
 
-// Relabel tells that what passes from now on belongs elsewhere: to another carrier or band. What passed before gives
-// a record of its own.
+// Relabel attributes further traffic to the label l. Earlier traffic of the period is emitted as a record with the old label;
+// if that has neither a carrier nor a band, it counts for the new label instead.
 func (c *Cache) Relabel(now int64, f *Flow, l Label) {
 	if f.label == l {
 		return
@@ -86,7 +89,7 @@
 	f.label = l
 }
 
-// Close tells that a connection has ended.
+// Close removes a connection and emits its last record, even if that has no traffic.
 func (c *Cache) Close(now int64, f *Flow, reason Reason, drained bool) {
 	c.open--
 	f.unlink()
@@ -95,14 +98,15 @@
 	c.record(now, f, reason, 1)
 }
 
-// record makes one of a flow's present period and begins the next.
+// record emits the current period of f as a record and starts the next period.
 func (c *Cache) record(now int64, f *Flow, reason Reason, ended uint32) {
 	c.emit(Record{Label: f.label, Counts: f.period, Source: f.source, Destination: f.destination, Start: f.start,
 		End: max(now, f.start), Reason: reason, Count: 1, Connections: ended})
 	f.period, f.start = Counts{}, now
 }
 
-// Tick looks at the connections whose time it is. A clock that jumped has each looked at once at most.
+// Tick inspects the connections that are due. If now is not in the next slots, as after a clock jump, Tick scans the whole wheel;
+// it inspects each connection at most once.
 func (c *Cache) Tick(now int64) {
 	width := c.limits.Active / wheelSlots
 	lastSlot := now / width
@@ -113,7 +117,7 @@
 		head := &c.wheel[int(c.nextSlot)%wheelSlots]
 		for f := head.next; f != head; {
 			next := f.next
-			if f.dueSlot <= lastSlot { // others were put there for the next turn
+			if f.dueSlot <= lastSlot { // others are due in the next turn
 				c.inspect(now, f)
 			}
 			f = next
@@ -121,7 +125,7 @@
 	}
 }
 
-// inspect makes a record of a connection whose period is over, and plans the next look.
+// inspect emits a record if the period of f is over, and schedules the next inspection.
 func (c *Cache) inspect(now int64, f *Flow) {
 	passed := f.counters.Take()
 	if f.period.Add(passed); !passed.Zero() {
@@ -133,13 +137,13 @@
 	case !f.period.Zero() && now-f.start >= c.limits.Active:
 		c.record(now, f, Active, 0)
 	case f.period.Zero() && now-f.start >= c.limits.Active:
-		f.start = now // nothing to tell
+		f.start = now // no traffic, no record
 	}
 	f.unlink()
 	c.schedule(f, now, min(c.limits.Active, c.limits.Idle))
 }
 
-// Flush makes a record of what has passed on every connection: a router leaves.
+// Flush emits a record with reason Forced for each scheduled connection that has unreported traffic. The connections stay open.
 func (c *Cache) Flush(now int64) {
 	for i := range c.wheel {
 		head := &c.wheel[i]
--- a/internal/router/flow/flow_test.go
+++ b/internal/router/flow/flow_test.go
@@ -10,7 +10,7 @@
 
 const second = int64(1e9)
 
-// counter is a connection's, which the test moves.
+// testSource is a CounterSource whose total the test advances.
 type testSource struct{ total, taken Counts }
 
 func (t *testSource) Take() Counts {
@@ -24,8 +24,8 @@
 	flow *Flow
 }
 
-// Whatever connections do and however collectors fail: what was counted is exported, waiting, folded or lost after
-// each step, the bound holds, and all that passed is counted once the connections have ended.
+// Guards against records that are lost or counted twice: after each random step the ledger must balance and the backlog must be
+// within its limit, and once all connections are closed, all traffic must be counted.
 func TestLedgerBalances(t *testing.T) {
 	runs := 10000
 	if testing.Short() {
@@ -65,7 +65,7 @@
 			case p < 8:
 				c.Tick(now)
 			default:
-				if n := len(b.Take(rnd.IntN(30))); rnd.IntN(3) > 0 { // else the collector is away
+				if n := len(b.Take(rnd.IntN(30))); rnd.IntN(3) > 0 { // else the collector is unavailable
 					b.Sent(rnd.IntN(n + 1))
 				}
 			}
@@ -83,8 +83,8 @@
 	}
 }
 
-// A connection of hours gives periodic records whose counts add up, one that rests gives one for its idle time, and a
-// counter passes 2^32.
+// A long connection must have periodic, non-overlapping records that add up to its traffic, also above 2^32 octets, and an
+// inactive connection a record at the idle timeout.
 func TestPeriodicRecords(t *testing.T) {
 	now := int64(1e18)
 	var all []Record
@@ -111,7 +111,7 @@
 		}
 	}
 	if sum != x.total || activeRecords < 50 || activeRecords > 65 || all[len(all)-1].Reason != Ended || sum.Forward < 1<<32 {
-		t.Errorf("%d records, %+v of %+v, last %+v", len(all), sum, x.total, all[len(all)-1])
+		t.Errorf("%d records, total %+v, want %+v, last %+v", len(all), sum, x.total, all[len(all)-1])
 	}
 	y := &testConn{}
 	y.flow = c.Open(now, Label{Carrier: 1}, netip.AddrPort{}, netip.AddrPort{}, &y.testSource)
@@ -121,13 +121,13 @@
 		c.Tick(now)
 	}
 	if r := all[len(all)-1]; r.Reason != Idle || r.Forward != 5 || r.Connections != 0 {
-		t.Errorf("%+v of one that rests", r)
+		t.Errorf("last record of an inactive connection: %+v", r)
 	}
-	c.Tick(now - 3600*second) // clocks that jump end a tick all the same
+	c.Tick(now - 3600*second) // Tick must return after a clock jump
 	c.Tick(now + 3600*second)
 }
 
-// Under one backlog, folding loses nothing where plain dropping loses most; and what is heavy keeps its place.
+// With the same capacity, folding must keep all traffic where a queue that drops its oldest records loses most of it.
 func TestFoldingKeepsTotals(t *testing.T) {
 	b := NewBacklog(recordBytes * 200)
 	rnd := rand.New(rand.NewPCG(1, 1))
@@ -146,17 +146,17 @@
 		t.Errorf("%+v", a)
 	}
 	if dropped < a.Counted.Forward/2 {
-		t.Error("plain dropping lost only", dropped, "of", a.Counted.Forward)
+		t.Error("a queue without folding drops only", dropped, "of", a.Counted.Forward)
 	}
-	for i := range 500 { // more labels than there is room for: then the oldest go
+	for i := range 500 { // more labels than fit: the oldest records are dropped
 		b.Add(Record{Label: Label{Host: string(rune(1000 + i))}, Connections: 1})
 	}
 	if a := b.Account; a.Lost.Records == 0 || !a.Balanced() || b.Bytes() > 200*recordBytes {
-		t.Errorf("%+v, %d bytes", a, b.Bytes())
+		t.Errorf("ledger %+v, %d bytes", a, b.Bytes())
 	}
 }
 
-// Who has more than an n-th of all is found, with a sum that is over by no more than stated, beside an exact map.
+// Compares with an exact count: each ID above N/k must be found, and each estimate must be within its error. Old counts must decay.
 func TestHeavyHitters(t *testing.T) {
 	for _, s := range []float64{1.01, 1.1, 1.3} {
 		const k, n = 256, 300000
@@ -171,12 +171,12 @@
 		for _, x := range top.Largest(second, k) {
 			got[x.ID] = x
 			if x.Sum < exact[x.ID] || x.Sum-x.Error > exact[x.ID] || x.Error > n/k {
-				t.Fatalf("s %v: %+v, exactly %d", s, x, exact[x.ID])
+				t.Fatalf("s %v: estimate %+v, exact count %d", s, x, exact[x.ID])
 			}
 		}
 		for id, m := range exact {
 			if m > n/k && got[id].Sum == 0 {
-				t.Errorf("s %v: %d has %d and was not found", s, id, m)
+				t.Errorf("s %v: ID %d has count %d and was not found", s, id, m)
 			}
 		}
 	}
@@ -184,10 +184,10 @@
 	top.Add(second, 1, 100)
 	top.Add(12*second, 2, 10)
 	if x := top.Largest(16*second, 2); x[0].ID != 1 || x[0].Sum >= 100 || x[0].Sum < 10 {
-		t.Error("half a window later", x)
+		t.Error("estimates after half a window", x)
 	}
 	if x := top.Largest(60*second, 2); len(x) != 0 {
-		t.Error("long after", x)
+		t.Error("estimates after several windows", x)
 	}
 }
 
--- a/internal/router/flow/heavyhitters.go
+++ b/internal/router/flow/heavyhitters.go
@@ -5,27 +5,28 @@
 	"slices"
 )
 
-// HeavyHitters finds who has most of a sum, in bounded memory: space-saving counters (Metwally, Agrawal and El Abbadi, 2005), in
-// two windows, the present and the one before, so that what is past fades within two. Each counter is over by at most
-// N/k of its window's sum N with k counters, and an id that has more than that is among them.
+// HeavyHitters finds the IDs with the largest counts in bounded memory, with the space-saving algorithm (Metwally, Agrawal and
+// El Abbadi, 2005). It keeps a summary of the current and of the previous time window, so an old count is forgotten after two
+// windows. With k counters and a total count N in a window, a counter exceeds the true count by at most N/k, and each ID with a
+// count above N/k has a counter.
 type HeavyHitters struct {
 	window            int64
 	windowStart       int64
 	current, previous spaceSaving
 }
 
-// Estimate is one id's part.
+// Estimate is the estimated count of an ID.
 type Estimate struct {
 	ID         uint64
-	Sum, Error uint64 // it has at least Sum-Error
+	Sum, Error uint64 // the true count is between Sum-Error and Sum
 }
 
-// NewHeavyHitters makes one of k counters a window.
+// NewHeavyHitters returns an empty summary with the given number of counters per window. The window is in nanoseconds.
 func NewHeavyHitters(counters int, window int64) *HeavyHitters {
 	return &HeavyHitters{window: window, current: newSpaceSaving(counters), previous: newSpaceSaving(counters)}
 }
 
-// Add counts n for an id.
+// Add adds n to the count of id at the time at, in Unix nanoseconds.
 func (h *HeavyHitters) Add(at int64, id uint64, n uint64) {
 	h.rotate(at)
 	h.current.add(id, n)
@@ -33,7 +34,7 @@
 
 func (h *HeavyHitters) rotate(at int64) {
 	switch elapsed := at - h.windowStart; {
-	case elapsed < 0 || elapsed >= 2*h.window: // a clock that jumped, or nothing for long
+	case elapsed < 0 || elapsed >= 2*h.window: // the clock went backward, or no call for two windows
 		h.current.clear()
 		h.previous.clear()
 		h.windowStart = at
@@ -44,8 +45,8 @@
 	}
 }
 
-// Largest tells the n ids with the greatest sums of the last window: the present one, and as much of the one before as
-// is not past.
+// Largest returns the n IDs with the largest counts over a sliding window, in descending order. It approximates the sliding window
+// by the current window plus the share of the previous window that is not older than one window.
 func (h *HeavyHitters) Largest(at int64, n int) []Estimate {
 	h.rotate(at)
 	weight := 1 - float64(at-h.windowStart)/float64(h.window)
@@ -67,11 +68,12 @@
 
 type counter struct{ id, sum, overcount uint64 }
 
-// spaceSaving is a min-heap of counters, with each id's place in an open table of twice as many slots.
+// spaceSaving is a min-heap of counters. A hash table with open addressing and at least twice as many slots maps each ID to its
+// position in the heap.
 type spaceSaving struct {
 	heap     []counter
 	capacity int
-	table    []int32 // place in the heap and one, 0 for free
+	table    []int32 // position in the heap plus 1; 0 for a free slot
 	mask     uint64
 }
 
@@ -90,7 +92,7 @@
 
 func (s *spaceSaving) homeSlot(id uint64) uint64 { return id * 0x9e3779b97f4a7c15 >> 20 & s.mask }
 
-// find tells the slot of an id, or the free one where it would be.
+// find returns the slot of id, or the free slot where id would be inserted.
 func (s *spaceSaving) find(id uint64) uint64 {
 	i := s.homeSlot(id)
 	for s.table[i] != 0 && s.heap[s.table[i]-1].id != id {
@@ -99,7 +101,7 @@
 	return i
 }
 
-// remove frees an id's slot and closes the gap that it leaves (Knuth 6.4, algorithm R).
+// remove frees the slot of id and moves later entries of the probe sequence up (Knuth, TAOCP volume 3, section 6.4, Algorithm R).
 func (s *spaceSaving) remove(id uint64) {
 	i := s.find(id)
 	for j := i; ; {
@@ -110,7 +112,7 @@
 				return
 			}
 			home := s.homeSlot(s.heap[s.table[j]-1].id)
-			if (j-home)&s.mask >= (j-i)&s.mask { // it may stand at i
+			if (j-home)&s.mask >= (j-i)&s.mask { // the entry may move to i: its home slot is not after i
 				break
 			}
 		}
@@ -129,7 +131,7 @@
 		s.heap = append(s.heap, counter{id, n, 0})
 		s.table[slot] = int32(len(s.heap))
 		s.siftUp(len(s.heap) - 1)
-	default: // the least gives way, and its sum is what the new one may be over by
+	default: // replace the smallest counter; its sum bounds the overcount of the new one
 		least := s.heap[0]
 		s.remove(least.id)
 		s.heap[0] = counter{id, least.sum + n, least.sum}
@@ -138,7 +140,7 @@
 	}
 }
 
-// freeSlot is the first free slot for an id that is not there.
+// freeSlot returns the first free slot for an ID that is not in the table.
 func (s *spaceSaving) freeSlot(id uint64) uint64 {
 	i := s.homeSlot(id)
 	for s.table[i] != 0 {
--- a/internal/router/flow/ledger.go
+++ b/internal/router/flow/ledger.go
@@ -1,6 +1,6 @@
 package flow
 
-// Totals is what some records add up to.
+// Totals is the sum over a set of records.
 type Totals struct {
 	Records     uint64
 	Connections uint64
@@ -27,17 +27,17 @@
 	t.Counts.Add(x.Counts)
 }
 
-// Ledger tells what became of all records: each is in one of the four places, so that
-// Counted = Exported + Waiting + Folded + Lost holds after every step, in records, connections, octets and commands.
+// Ledger accounts for the records of a backlog. Each record is counted in exactly one of Exported, Waiting, Folded and Lost, so
+// Counted = Exported + Waiting + Folded + Lost after every call, in records, connections, octets and commands.
 type Ledger struct {
-	Counted  Totals // all there were
-	Exported Totals // handed to a collector's connection whole
-	Waiting  Totals // as they came, sent ones that may have to be sent again among them
-	Folded   Totals // waiting, in records that stand for several
-	Lost     Totals // given up for want of room
+	Counted  Totals // all records added
+	Exported Totals // written in full to the collector's connection
+	Waiting  Totals // queued without folding, or in flight
+	Folded   Totals // queued as part of folded records
+	Lost     Totals // dropped at the memory limit
 }
 
-// Balanced tells whether the identity does.
+// Balanced reports whether Counted equals the sum of the other fields.
 func (l Ledger) Balanced() bool {
 	total := l.Exported
 	for _, x := range []Totals{l.Waiting, l.Folded, l.Lost} {
--- a/internal/router/flow/record.go
+++ b/internal/router/flow/record.go
@@ -1,6 +1,7 @@
-// Package flow accounts for every connection of a router: it keeps what is open, makes a record of each active period,
-// holds records for collectors under a bound of bytes, and finds who crowds. It has no clock and no I/O; every call
-// brings the time, in Unix nanoseconds. docs/flows.md has the elements and the ways weighed.
+// Package flow accounts for the traffic of a router's connections. Cache tracks open connections and emits a flow record for
+// each active period, Backlog queues the records for a collector within a memory limit, and HeavyHitters finds the IDs with
+// the most traffic. The package has no clock and does no I/O: callers pass the time, in Unix nanoseconds. docs/flows.md
+// describes the exported elements and the design.
 package flow
 
 import (
@@ -8,18 +9,18 @@
 	"net/netip"
 )
 
-// Reason is why a record ends, numbered as IANA registers flowEndReason (element 136).
+// Reason is the reason for which a record was emitted, with IANA's values of flowEndReason (element 136).
 type Reason uint8
 
 const (
-	Idle      Reason = 1 // nothing passed for the idle time-out
-	Active    Reason = 2 // the active time-out: the connection goes on
-	Ended     Reason = 3 // its end was seen
-	Forced    Reason = 4 // the router leaves
-	Resources Reason = 5 // there was no room for it
+	Idle      Reason = 1 // no traffic for the idle timeout
+	Active    Reason = 2 // the active timeout expired; the connection continues
+	Ended     Reason = 3 // the connection was closed
+	Forced    Reason = 4 // the router shuts down
+	Resources Reason = 5 // lack of resources
 )
 
-// Side tells which of a router's peers is at the other end.
+// Side is the kind of peer that a router's connection leads to.
 type Side uint8
 
 const (
@@ -27,47 +28,47 @@
 	Hosts               // the router is the source, the host the destination
 )
 
-// Label is what a connection's bytes and commands belong to.
+// Label is what the octets and commands of a connection are attributed to.
 type Label struct {
 	Side    Side   `json:"Side"`
-	Carrier uint16 `json:"Carrier"` // by position, from 1; 0 for none or several
-	Band    uint8  `json:"Band"`    // the same
-	Host    string `json:"Host"`    // its name on the list, of the hosts' side
+	Carrier uint16 `json:"Carrier"` // position in the list of carriers, from 1; 0 for none or several
+	Band    uint8  `json:"Band"`    // position in the list of bands, from 1; 0 for none or several
+	Host    string `json:"Host"`    // name in the host list; set if Side is Hosts
 	Build   uint32 `json:"Build"`
-	Drained bool   `json:"Drained"` // the host was draining, or the router leaving, when it ended
+	Drained bool   `json:"Drained"` // at the end, the peer was draining or the router was shutting down
 }
 
-// Counts are what passed.
+// Counts is an amount of traffic.
 type Counts struct {
 	Forward  uint64 `json:"Forward"` // octets from the source to the destination
-	Reverse  uint64 `json:"Reverse"` // octets the other way
+	Reverse  uint64 `json:"Reverse"` // octets from the destination to the source
 	Commands uint64 `json:"Commands"`
 }
 
-// Add adds counts.
+// Add adds x to c.
 func (c *Counts) Add(x Counts) {
 	c.Forward += x.Forward
 	c.Reverse += x.Reverse
 	c.Commands += x.Commands
 }
 
-// Zero tells that nothing passed.
+// Zero reports whether there was no traffic.
 func (c Counts) Zero() bool { return c == Counts{} }
 
-// Record is one active period of a connection, as a biflow (RFC 5103), or several that were folded into one.
+// Record is a biflow (RFC 5103): one active period of a connection, or an aggregate of several such records (a folded record).
 type Record struct {
 	Label
 	Counts
-	Source      netip.AddrPort `json:"Source"`      // none of a folded record
-	Destination netip.AddrPort `json:"Destination"` // none of a folded record
+	Source      netip.AddrPort `json:"Source"`      // zero in a folded record
+	Destination netip.AddrPort `json:"Destination"` // zero in a folded record
 	Start       int64          `json:"Start"`       // Unix nanoseconds
 	End         int64          `json:"End"`         // Unix nanoseconds
 	Reason      Reason         `json:"Reason"`
-	Count       uint32         `json:"Many"`        // records that it stands for, 1 for itself
-	Connections uint32         `json:"Connections"` // connections that ended with it
+	Count       uint32         `json:"Many"`        // number of records folded into this one; 1 if not folded
+	Connections uint32         `json:"Connections"` // number of connections that this record closes
 }
 
-// Family is 4 or 6, by the addresses that a record has, and 0 where it has none.
+// Family returns the IP version of the addresses, 4 or 6, or 0 if one of them is missing. Mixed addresses count as IPv6.
 func (r *Record) Family() int {
 	switch {
 	case !r.Source.IsValid() || !r.Destination.IsValid():
@@ -78,7 +79,8 @@
 	return 6
 }
 
-// AppendEndpoints appends both addresses and then both ports, in the order of the network, as all our templates have them.
+// AppendEndpoints appends the source and destination addresses and then the ports in network byte order, the layout of all
+// templates that are not for folded records. Both addresses must be valid.
 func (r *Record) AppendEndpoints(dst []byte) []byte {
 	isIPv4 := r.Family() == 4
 	for _, a := range [...]netip.Addr{r.Source.Addr(), r.Destination.Addr()} {
@@ -93,5 +95,5 @@
 	return binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint16(dst, r.Source.Port()), r.Destination.Port())
 }
 
-// recordBytes is about what a record takes while it waits, with its place in the queue; names are shared.
+// recordBytes is the approximate memory of a queued record, including its queue entry. Strings are shared and not counted.
 const recordBytes = 144
