--- a/internal/router/flow/export/export.go
+++ b/internal/router/flow/export/export.go
@@ -18,27 +18,27 @@
 	"portflow/internal/router/flow/netflow9"
 )
 
-// Collector is where records go.
+// Collector is the address of a flow collector.
 type Collector struct {
-	Network string // udp, tcp or tls
+	Network string // "udp", "tcp" or "tls"
 	Address string
-	TLS     *tls.Config // of tls
+	TLS     *tls.Config // for Network tls
 }
 
-// Options are an exporter's.
+// Options configures an Exporter.
 type Options struct {
 	Collectors []Collector
-	Domain     uint32
-	Enterprise uint32
-	Version9   bool // NetFlow v9, which tells no totals; else IPFIX
+	Domain     uint32 // observation domain ID; the source ID in NetFlow v9
+	Enterprise uint32 // private enterprise number of portflow's information elements
+	Version9   bool   // use NetFlow v9, which does not export totals, instead of IPFIX
 	Names      ipfix.Names
-	Refresh    time.Duration // over UDP, templates are sent again after so long
-	Packets    int           // or after so many messages
-	MTU        int           // octets of a message over UDP; others are as large as they may be
-	Linger     time.Duration // for what is left when the router ends
+	Refresh    time.Duration // over UDP, templates are sent again after this time
+	Packets    int           // or after this number of messages
+	MTU        int           // maximum octets of a message over UDP; others have the maximum of the protocol
+	Linger     time.Duration // time to send the remaining records after Run's context ends
 }
 
-// Exporter sends a meter's records.
+// Exporter sends the records of a Meter to collectors.
 type Exporter struct {
 	Options
 	*Meter
@@ -46,26 +46,26 @@
 	done chan struct{}
 }
 
-// codec writes one collector's messages.
+// messageEncoder encodes the messages for one collector.
 type messageEncoder interface {
 	Templates(to []byte, now int64) []byte
 	Data(to []byte, now int64, records []flow.Record, most int) ([]byte, int)
-	Unsent(records int) // the last message never went
+	Unsent(records int) // the last message of Data, with this number of records, was not sent
 }
 
 const (
-	batchRecords = 64 // records at once: about as many as a message over TCP is worth waiting for
+	batchRecords = 64 // maximum records per message
 	writeTimeout = 2 * time.Second
 	dialTimeout  = 2 * time.Second
-	tickInterval = 250 * time.Millisecond // between looks at what is open: short beside any time-out
+	tickInterval = 250 * time.Millisecond // interval of Meter.Tick; short compared to the active and idle timeouts
 )
 
-// New makes an exporter for a meter, which owes as many backlogs as there are collectors.
+// New returns an exporter of the records of m, which must have been created for the same number of collectors.
 func New(o Options, m *Meter, log zerolog.Logger) *Exporter {
 	return &Exporter{Options: o, Meter: m, log: log, done: make(chan struct{})}
 }
 
-// Run sends until the context ends, and then what is left for as long as Linger says.
+// Run sends records until ctx ends, and then sends the remaining records for up to Linger.
 func (e *Exporter) Run(ctx context.Context) {
 	defer close(e.done)
 	ended := make(chan struct{})
@@ -87,18 +87,18 @@
 	}
 }
 
-// Done is closed once Run has ended.
+// Done returns a channel that is closed when Run returns.
 func (e *Exporter) Done() <-chan struct{} { return e.done }
 
-// session is one connection to a collector.
+// session is a connection to a collector, or a transport session in the terms of RFC 7011.
 type session struct {
 	conn            net.Conn
-	closed          atomic.Bool // the collector's end was seen: what is written now comes nowhere
-	templatesSentAt int64       // when templates were sent
-	messages        int
+	closed          atomic.Bool // the collector closed the connection; a write could still succeed, but the data would be lost
+	templatesSentAt int64       // Unix nanoseconds; 0 if templates must be sent
+	messages        int         // number of messages since the templates
 }
 
-// serve is one collector's goroutine: it alone writes there, and a collector that is away costs it alone.
+// serve sends the records of collector i. Each collector has its own goroutine, so an unavailable one does not delay the others.
 func (e *Exporter) serve(ctx context.Context, i int) {
 	c, q := e.Collectors[i], e.queues[i]
 	encoder, ipfixEncoder := messageEncoder(nil), &ipfix.Encoder{Domain: e.Domain, Enterprise: e.Enterprise, Names: e.Names, Boot: e.clock()}
@@ -149,7 +149,7 @@
 			q.Sent(sent)
 			e.mu.Unlock()
 		}
-		if err == nil && account.Lost != reportedLost && !e.Version9 { // the collector is told what it will never get
+		if err == nil && account.Lost != reportedLost && !e.Version9 { // report the records that were dropped
 			if err = s.write(ipfixEncoder.Totals(nil, e.clock(), account)); err == nil {
 				reportedLost = account.Lost
 			}
@@ -190,7 +190,8 @@
 	return nil, fmt.Errorf("collector %s: network %q is unknown", c.Address, c.Network)
 }
 
-// begin watches a connection for its end, as collectors send nothing; over UDP a refusal shows at the next write.
+// newSession starts a session on conn, or returns err. Over TCP and TLS it reads from the connection to detect that the collector
+// closes it, since collectors send no data. Over UDP, an unreachable port is reported by the next write.
 func newSession(c Collector, conn net.Conn, err error) (*session, error) {
 	if err != nil {
 		return nil, err
@@ -210,7 +211,7 @@
 	return s, nil
 }
 
-var errCollectorClosed = errors.New("the collector has closed")
+var errCollectorClosed = errors.New("collector closed the connection")
 
 func (s *session) write(b []byte) error {
 	if s.closed.Load() {
@@ -219,14 +220,14 @@
 	s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	n, err := s.conn.Write(b)
 	if err == nil && n < len(b) {
-		err = errors.New("a message was cut")
+		err = errors.New("message was written only in part")
 	}
 	s.messages++
 	return err
 }
 
-// send writes one message of records, after the templates where they are due: at the beginning, and over UDP again and
-// again. It tells how many went.
+// send writes one message with as many of the records as fit, and returns their number. It sends the templates first if they are
+// due: at the start of a session, and over UDP again after Refresh or Packets.
 func (e *Exporter) send(s *session, c Collector, encoder messageEncoder, records []flow.Record) (int, error) {
 	now, maxOctets := e.clock(), 1<<16
 	if c.Network == "udp" {
--- a/internal/router/flow/export/export_test.go
+++ b/internal/router/flow/export/export_test.go
@@ -20,7 +20,7 @@
 	"portflow/internal/standin/collector"
 )
 
-// keys are a certificate for loopback, and what trusts it.
+// loopbackTLS returns a server configuration with a certificate for 127.0.0.1, and a client configuration that trusts it.
 func loopbackTLS(t *testing.T) (server, client *tls.Config) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -51,7 +51,7 @@
 
 var testAddr = netip.MustParseAddrPort("127.0.0.1:8081")
 
-// short plays short connections of known counts.
+// runShortConnections opens and closes n connections with one command each, and returns their traffic.
 func runShortConnections(m *Meter, n int) (passed flow.Counts) {
 	for i := range n {
 		label := flow.Label{Side: flow.Side(i % 2)}
@@ -71,7 +71,7 @@
 	return passed
 }
 
-// until waits for a collector to have so many records.
+// waitForConnections waits until the collector has received or dropped the records of the given number of connections.
 func waitForConnections(t *testing.T, c *collector.Collector, connections int) flow.Totals {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -80,12 +80,12 @@
 			return sum
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%+v, %+v, %d dropped", sum, stats, lost)
+			t.Fatalf("collector has %+v, %+v, %d records dropped", sum, stats, lost)
 		}
 	}
 }
 
-// Over each transport, 10,000 short connections come to the collector whole, with the router's own counts.
+// With each transport, the collector must receive the records of all connections, with the traffic that the router counted.
 func TestBurst(t *testing.T) {
 	server, client := loopbackTLS(t)
 	for _, network := range []string{"udp", "tcp", "tls", "netflow9"} {
@@ -111,7 +111,7 @@
 	}
 }
 
-// A collector that is away costs no command: what is owed is folded within the bound, and comes when it is back.
+// While the collector is unavailable, records must be folded within the memory limit; after its restart they must all arrive.
 func TestUnavailableCollector(t *testing.T) {
 	c, err := collector.New("tcp", nil)
 	if err != nil {
@@ -125,7 +125,7 @@
 	passed := runShortConnections(m, 5000)
 	a, bytes := m.Account(0)
 	if a.Folded.Records == 0 || a.Lost.Records != 0 || bytes > 64<<10 {
-		t.Errorf("%+v, %d bytes", a, bytes)
+		t.Errorf("ledger %+v, %d bytes", a, bytes)
 	}
 	if err := c.Restart(); err != nil {
 		t.Fatal(err)
@@ -138,7 +138,7 @@
 	c.Stop()
 }
 
-// Over UDP the collector's gaps by sequence are what was lost on the way, and templates come again.
+// Over UDP, the records of dropped datagrams must show up as gaps in the sequence numbers.
 func TestDatagramLoss(t *testing.T) {
 	c, err := collector.New("udp", nil)
 	if err != nil {
@@ -154,25 +154,25 @@
 		time.Sleep(time.Millisecond)
 	}
 	c.SetDrop(nil)
-	last := m.Open(flow.Label{}, testAddr, testAddr) // the last that comes shows the gap before it
+	last := m.Open(flow.Label{}, testAddr, testAddr) // its record shows a gap before it
 	last.Close(false)
 	cancel()
 	<-e.Done()
 	end := time.Now().Add(10 * time.Second)
 	for sum, _, stats, _ := c.Totals(); int(sum.Records)+int(stats.Missed) < 5001; sum, _, stats, _ = c.Totals() {
 		if time.Now().After(end) {
-			t.Fatalf("%+v, %+v", sum, stats)
+			t.Fatalf("collector has %+v, %+v", sum, stats)
 		}
 		time.Sleep(time.Millisecond)
 	}
 	sum, _, stats, lost := c.Totals()
 	if lost == 0 || stats.Missed == 0 || int(sum.Records)+int(stats.Missed) != 5001 {
-		t.Errorf("%+v, %+v, %d datagrams dropped", sum, stats, lost)
+		t.Errorf("collector has %+v, %+v, %d records dropped", sum, stats, lost)
 	}
 	c.Stop()
 }
 
-// When the router leaves, what is open is cut, told as forced, and flushed within the leave's time.
+// At shutdown, open connections must be flushed and closed ones recorded, all with reason Forced.
 func TestShutdown(t *testing.T) {
 	c, err := collector.New("tcp", nil)
 	if err != nil {
@@ -197,12 +197,12 @@
 	waitForConnections(t, c, 10)
 	sum, by, _, _ := c.Totals()
 	if by[flow.Forced].Forward != 200 || sum.Connections != 10 {
-		t.Errorf("%+v, %+v", sum, by)
+		t.Errorf("collector has %+v, by reason %+v", sum, by)
 	}
 	c.Stop()
 }
 
-// A command costs no allocation where its connection goes on, and the counters of nothing count nothing.
+// A command must not allocate while its connection stays open. A nil Meter must accept all calls and count nothing.
 func TestNoAllocations(t *testing.T) {
 	m := NewMeter(flow.Limits{Active: 60e9, Idle: 15e9, MaxConnections: 1024}, 1, 1<<20, clock)
 	c := m.Open(flow.Label{}, testAddr, testAddr)
@@ -213,7 +213,7 @@
 		c.BytesWritten(100)
 		c.Answered()
 	}); n > 0 {
-		t.Error(n, "allocations a command")
+		t.Error(n, "allocations per command")
 	}
 	var none *Meter
 	x := none.Open(label, testAddr, testAddr)
--- a/internal/router/flow/export/meter.go
+++ b/internal/router/flow/export/meter.go
@@ -1,5 +1,5 @@
-// Package export counts what passes on a router's connections and sends flow records to collectors, beside the path of
-// commands: a command adds to counters that are its connection's own, and never waits for a collector.
+// Package export counts the traffic of a router's connections and sends flow records to collectors. Commands only update the
+// counters of their connection and never wait for a collector.
 package export
 
 import (
@@ -12,29 +12,31 @@
 	"portflow/internal/router/flow"
 )
 
-// Meter watches the connections of a router and keeps what collectors are owed.
+// Meter counts the traffic of a router's connections and queues the flow records for each collector. A nil Meter counts nothing:
+// Open and Leave may be called on it.
 type Meter struct {
 	clock        func() int64
-	mu           sync.Mutex
+	mu           sync.Mutex // guards cache, the backlogs of queues, leaving and heavyHitters
 	cache        *flow.Cache
 	queues       []*queue
 	leaving      bool
 	heavyHitters *flow.HeavyHitters
 }
 
-// queue is one collector's backlog.
+// queue is the backlog for one collector.
 type queue struct {
 	*flow.Backlog
-	wake chan struct{} // holds one once there is something
+	wake chan struct{} // capacity 1; receives a value when a record is added
 }
 
-// Crowd is how many counters find who crowds, and over what time.
+// Number of counters and window of Meter.heavyHitters.
 const (
 	heavyHitterCounters = 256
 	heavyHitterWindow   = int64(10 * time.Second)
 )
 
-// NewMeter makes a meter that owes its records to so many collectors, each with a backlog of so many bytes.
+// NewMeter returns a meter with one backlog per collector, each of at most the given number of bytes. clock returns Unix
+// nanoseconds.
 func NewMeter(l flow.Limits, collectors, bytes int, clock func() int64) *Meter {
 	m := &Meter{clock: clock, heavyHitters: flow.NewHeavyHitters(heavyHitterCounters, heavyHitterWindow)}
 	for range collectors {
@@ -44,7 +46,7 @@
 	return m
 }
 
-// put is called by the cache, under the lock.
+// enqueue adds a record to each backlog. The cache calls it with mu held.
 func (m *Meter) enqueue(r flow.Record) {
 	for _, q := range m.queues {
 		q.Add(r)
@@ -55,7 +57,7 @@
 	}
 }
 
-// Address is a connection's end as records have it.
+// Address returns a as an AddrPort if it is a *net.TCPAddr, and the zero AddrPort otherwise.
 func Address(a net.Addr) netip.AddrPort {
 	if t, ok := a.(*net.TCPAddr); ok {
 		return t.AddrPort()
@@ -63,14 +65,14 @@
 	return netip.AddrPort{}
 }
 
-// Tick lets time pass for what is open.
+// Tick emits the records that are due. It must be called regularly.
 func (m *Meter) Tick() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.cache.Tick(m.clock())
 }
 
-// Leave tells that what ends from now on is cut by the router.
+// Leave marks the router as shutting down: connections that are closed later are recorded as Forced and Drained.
 func (m *Meter) Leave() {
 	if m == nil {
 		return
@@ -80,41 +82,41 @@
 	m.leaving = true
 }
 
-// Flush makes records of all that has passed.
+// Flush emits records for the unreported traffic of open connections.
 func (m *Meter) Flush() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.cache.Flush(m.clock())
 }
 
-// Account is what became of one collector's records.
+// Account returns the ledger of one collector's records and the approximate memory use of its backlog.
 func (m *Meter) Account(collector int) (a flow.Ledger, bytes int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.queues[collector].Account, m.queues[collector].Bytes()
 }
 
-// Greatest are the keys with most commands in the last ten seconds.
+// Greatest returns the n keys with the most commands in the last ten seconds, in descending order. A key's count is an estimate.
 func (m *Meter) Greatest(n int) []flow.Estimate {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.heavyHitters.Largest(m.clock(), n)
 }
 
-// Conn is one connection's counters. All its methods may be called on nil, which counts nothing.
+// Conn holds the counters of one connection. A nil Conn counts nothing: all methods except Take may be called on it.
 type Conn struct {
 	meter        *Meter
 	flow         *flow.Flow
-	in, out      atomic.Uint64 // octets read and written by the router
+	in, out      atomic.Uint64 // octets that the router read and wrote
 	commands     atomic.Uint64
-	commandStart atomic.Uint64 // of what was read: up to the end of the last answer
-	relabeling   bool          // under the meter's lock: only what came before the mark is taken
-	taken        flow.Counts   // what was taken before: in, out and commands
+	commandStart atomic.Uint64 // value of in at the last answer, where the next command starts
+	relabeling   bool          // guarded by meter.mu; if set, Take counts the octets read up to commandStart only
+	taken        flow.Counts   // in, out and commands at the last Take; guarded by meter.mu
 	side         flow.Side
 	closed       bool
 }
 
-// Open begins to watch a connection.
+// Open starts counting a connection. It returns nil if m is nil.
 func (m *Meter) Open(l flow.Label, source, destination netip.AddrPort) *Conn {
 	if m == nil {
 		return nil
@@ -126,28 +128,28 @@
 	return c
 }
 
-// BytesRead counts octets that were read, Out ones that were written.
+// BytesRead counts n octets that the router read from the connection.
 func (c *Conn) BytesRead(n int) {
 	if c != nil && n > 0 {
 		c.in.Add(uint64(n))
 	}
 }
 
-// BytesWritten counts octets that were written.
+// BytesWritten counts n octets that the router wrote to the connection.
 func (c *Conn) BytesWritten(n int) {
 	if c != nil && n > 0 {
 		c.out.Add(uint64(n))
 	}
 }
 
-// Answered tells that what is read from now on belongs to the next command.
+// Answered marks the end of an answer: octets read from now on belong to the next command.
 func (c *Conn) Answered() {
 	if c != nil {
 		c.commandStart.Store(c.in.Load())
 	}
 }
 
-// Command counts one of a label and a key (0 for none): what was read since the last answer belongs to it.
+// Command counts a command with the given label and, unless it is 0, key. Octets read since the last answer belong to the command.
 func (c *Conn) Command(l flow.Label, key uint64) {
 	if c == nil {
 		return
@@ -168,7 +170,7 @@
 	}
 }
 
-// Take is the cache's look at the counters, under the meter's lock.
+// Take implements flow.CounterSource. The cache calls it with the meter's mu held.
 func (c *Conn) Take() flow.Counts {
 	now := flow.Counts{Forward: c.in.Load(), Reverse: c.out.Load(), Commands: c.commands.Load()}
 	if c.relabeling {
@@ -182,7 +184,7 @@
 	return passed
 }
 
-// Close ends the watch; drained says that the peer, or the router, was leaving.
+// Close stops counting; further calls have no effect. drained reports that the peer was draining or the router shutting down.
 func (c *Conn) Close(drained bool) {
 	if c == nil {
 		return
--- a/internal/router/flow/ipfix/elements.go
+++ b/internal/router/flow/ipfix/elements.go
@@ -1,24 +1,24 @@
-// Package ipfix writes and reads IPFIX messages (RFC 7011) of a router's flow records: biflows (RFC 5103) with
-// enterprise elements of our own.
+// Package ipfix encodes and decodes IPFIX messages (RFC 7011) with a router's flow records. The records are biflows (RFC 5103)
+// with additional enterprise-specific information elements.
 package ipfix
 
-// Element is an information element: its number, its enterprise's, 0 for IANA's, and its length in octets.
+// Element is an information element, as a template specifies it.
 type Element struct {
 	ID         uint16
-	Enterprise uint32
-	Length     uint16 // Variable for one that states its own
+	Enterprise uint32 // private enterprise number; 0 for IANA elements
+	Length     uint16 // octets, or Variable
 }
 
-// Variable is the length of elements that state their own (RFC 7011, section 7).
+// Variable is the Length of variable-length elements: each value starts with its length (RFC 7011, section 7).
 const Variable = 0xffff
 
 const (
-	reverseEnterprise = 29305 // the reverse elements' enterprise (RFC 5103, section 6.1)
-	// Documentation is the enterprise number for documentation (RFC 5612), in use until the project has one.
+	reverseEnterprise = 29305 // private enterprise number of reverse elements (RFC 5103, section 6.1)
+	// Documentation is the private enterprise number reserved for documentation (RFC 5612), the default as the project has none.
 	Documentation = 32473
 )
 
-// IANA's elements, by their registered numbers.
+// IANA information elements.
 var (
 	octetDeltaCount          = Element{1, 0, 8}
 	protocolIdentifier       = Element{4, 0, 1}
@@ -41,7 +41,7 @@
 	reverseOctetDeltaCount   = Element{1, reverseEnterprise, 8}
 )
 
-// Our own elements' numbers, under the enterprise number that the operator sets.
+// IDs of the enterprise-specific elements, under the private enterprise number that the operator sets.
 const (
 	idCommands = iota + 1
 	idSide
@@ -54,7 +54,7 @@
 	idConnections
 )
 
-// own are our elements under an enterprise number.
+// enterpriseElements returns the enterprise-specific elements by ID; index 0 is unused.
 func enterpriseElements(enterprise uint32) (all [idConnections + 1]Element) {
 	for id, length := range [...]uint16{idCommands: 8, idSide: 1, idCarrier: Variable, idBand: Variable, idHost: Variable,
 		idBuild: 4, idDrained: 1, idRecords: 4, idConnections: 4} {
@@ -63,15 +63,15 @@
 	return all
 }
 
-// Template numbers (RFC 7011, section 3.4.1: from 256 on).
+// Template IDs; they start at 256 (RFC 7011, section 3.4.1).
 const (
 	template4 = 256 + iota
 	template6
 	templateFolded
-	templateTotals // options: what became of the records
+	templateTotals // options template: numbers of exported and of dropped records
 )
 
-// elements are a template's, in order.
+// elements returns the information elements of a template, in order.
 func elements(template uint16, enterprise uint32) []Element {
 	enterpriseSpecific := enterpriseElements(enterprise)
 	common := append([]Element{flowStartMilliseconds, flowEndMilliseconds, octetDeltaCount, reverseOctetDeltaCount, flowEndReason,
@@ -90,4 +90,5 @@
 		notSentFlowTotalCount, notSentOctetTotalCount}
 }
 
-const totalsScopeFields = 1 // of the totals' elements, so many are the scope: the observation domain
+// totalsScopeFields is the scope field count of templateTotals: the first element, the observation domain.
+const totalsScopeFields = 1
--- a/internal/router/flow/ipfix/encode.go
+++ b/internal/router/flow/ipfix/encode.go
@@ -8,13 +8,13 @@
 
 const (
 	version          = 10
-	headerOctets     = 16    // octets of a message's
-	protocolTCP      = 6     // the protocol of all our flows
-	maxMessageOctets = 65535 // octets of a message, as its length has 16 bits
-	maxNameOctets    = 128   // octets of a name at most
+	headerOctets     = 16    // octets of the message header
+	protocolTCP      = 6     // protocolIdentifier of all flows
+	maxMessageOctets = 65535 // the length field has 16 bits
+	maxNameOctets    = 128   // longer names are truncated; must be less than 255
 )
 
-// Names tells carriers' and bands' names, by their numbers from 1.
+// Names lists the names of the carriers and bands. Label.Carrier and Label.Band are positions in these lists, from 1.
 type Names struct{ Carriers, Bands []string }
 
 func (n Names) lookUp(all []string, i int) string {
@@ -24,17 +24,17 @@
 	return all[i-1][:min(len(all[i-1]), maxNameOctets)]
 }
 
-// Encoder writes messages of one exporting process to one collector.
+// Encoder encodes the messages of an exporting process to one collector.
 type Encoder struct {
-	Domain     uint32 // the observation domain
-	Enterprise uint32
+	Domain     uint32 // observation domain ID
+	Enterprise uint32 // private enterprise number of the enterprise-specific elements
 	Names      Names
-	Boot       int64 // when the exporter began, Unix nanoseconds
-	Sequence   uint32
+	Boot       int64  // start of the exporter, Unix nanoseconds
+	Sequence   uint32 // sequence number of the next message: data records so far, modulo 2^32
 }
 
-// Templates appends a message with all templates; a collector that gets one over TCP or TLS needs no further ones on
-// that connection, over UDP they are to be sent again and again (RFC 7011, sections 8 and 10.3.6).
+// Templates appends a message with all templates. They are needed once per TCP or TLS connection, and must be sent again
+// periodically over UDP (RFC 7011, sections 8 and 10.3.6).
 func (e *Encoder) Templates(to []byte, now int64) []byte {
 	begin := len(to)
 	to = e.begin(to, now)
@@ -79,18 +79,19 @@
 	return binary.BigEndian.AppendUint32(to, e.Domain)
 }
 
-// end states a set's length, end2 a message's.
+// endSet writes the length of the set that starts at offset set.
 func endSet(to []byte, set int) []byte {
 	binary.BigEndian.PutUint16(to[set+2:], uint16(len(to)-set))
 	return to
 }
 
+// endMessage writes the length of the message that starts at offset begin.
 func endMessage(to []byte, begin int) []byte {
 	binary.BigEndian.PutUint16(to[begin+2:], uint16(len(to)-begin))
 	return to
 }
 
-// Data appends one message of as many records as fit into so many octets, at least one, and tells how many.
+// Data appends one message with as many of the records as fit in maxOctets, but at least one, and returns their number.
 func (e *Encoder) Data(to []byte, now int64, records []flow.Record, maxOctets int) ([]byte, int) {
 	maxOctets = min(maxOctets, maxMessageOctets)
 	begin := len(to)
@@ -113,11 +114,11 @@
 		to = endSet(to, set)
 		n++
 	}
-	e.Sequence += uint32(n) // of data records, not of messages (RFC 7011, section 3.1)
+	e.Sequence += uint32(n) // counts data records, not messages (RFC 7011, section 3.1)
 	return endMessage(to, begin), n
 }
 
-// Unsent takes back the sequence of a message of so many records that never went.
+// Unsent undoes the change of Sequence by a message that had this number of records and was not sent.
 func (e *Encoder) Unsent(records int) { e.Sequence -= uint32(records) }
 
 func templateOf(r *flow.Record) uint16 {
@@ -137,7 +138,7 @@
 	}
 	to = u64(u64(to, uint64(r.Start/1e6)), uint64(r.End/1e6))
 	to = u64(u64(to, r.Forward), r.Reverse)
-	to = append(to, byte(r.Reason), 1) // biflowDirection: the source began it
+	to = append(to, byte(r.Reason), 1) // biflowDirection initiator: the source opened the connection
 	to = u64(to, r.Commands)
 	to = append(to, byte(r.Side))
 	for _, text := range []string{e.Names.lookUp(e.Names.Carriers, int(r.Carrier)), e.Names.lookUp(e.Names.Bands, int(r.Band)),
@@ -146,7 +147,7 @@
 		to = append(to, text...)
 	}
 	to = u32(to, r.Build)
-	drained := byte(2) // a boolean: 1 for true, 2 for false (RFC 7011, section 6.1.5)
+	drained := byte(2) // boolean encoding: 1 for true, 2 for false (RFC 7011, section 6.1.5)
 	if r.Drained {
 		drained = 1
 	}
@@ -154,7 +155,7 @@
 	return u32(u32(to, r.Count), r.Connections)
 }
 
-// Totals appends a message that tells what became of all records so far.
+// Totals appends an options data record with the numbers of records and octets exported and dropped so far.
 func (e *Encoder) Totals(to []byte, now int64, a flow.Ledger) []byte {
 	begin := len(to)
 	to = e.begin(to, now)
--- a/internal/router/flow/ipfix/golden_test.go
+++ b/internal/router/flow/ipfix/golden_test.go
@@ -7,14 +7,14 @@
 	"portflow/internal/router/flow"
 )
 
-// Collectors are sent the same bytes: templates, records of each kind, totals.
+// Guards against changes of the encoding of templates, of each kind of record and of totals.
 func TestGoldenMessages(t *testing.T) {
 	e := encoder()
 	e.Boot = 17e17
 	raw := e.Templates(nil, 18e17)
 	raw, n := e.Data(raw, 18e17, records(), 1<<16)
 	if n != len(records()) {
-		t.Fatalf("%d records", n)
+		t.Fatalf("got %d records", n)
 	}
 	sum := func(n uint64) flow.Totals {
 		return flow.Totals{Records: n, Connections: n + 1, Counts: flow.Counts{Forward: n + 2, Reverse: n + 3, Commands: n + 4}}
--- a/internal/router/flow/ipfix/ipfix_test.go
+++ b/internal/router/flow/ipfix/ipfix_test.go
@@ -23,7 +23,7 @@
 	return &Encoder{Domain: 5, Enterprise: Documentation, Names: Names{[]string{"rila", "dunav"}, []string{"display"}}, Sequence: 1<<32 - 2}
 }
 
-// What is written is read again, to the field; the sequence counts records and comes round.
+// Decoded records must equal the encoded ones. Sequence numbers must count records, wrap around, and reveal missing records.
 func TestRoundTrip(t *testing.T) {
 	e, d := encoder(), NewDecoder(Documentation)
 	if err := d.Message(e.Templates(nil, 1e18), nil); err != nil || d.Stats.Templates != 4 {
@@ -34,7 +34,7 @@
 	for remaining := all; len(remaining) > 0; {
 		m, n := e.Data(nil, 1e18, remaining, 300)
 		if len(m) > 300 {
-			t.Error("a message of", len(m))
+			t.Error("message length is", len(m))
 		}
 		err := d.Message(m, func(x Data) {
 			r, ok := d.Flow(x)
@@ -59,7 +59,7 @@
 	if got != len(all) || d.Stats.Missed != 0 || e.Sequence != 3 {
 		t.Error(got, d.Stats, e.Sequence)
 	}
-	e.Sequence += 4 // four records that never come
+	e.Sequence += 4 // four missing records
 	m, _ := e.Data(nil, 1e18, all[:1], 1<<16)
 	if d.Message(m, func(Data) {}); d.Stats.Missed != 4 {
 		t.Error("missed", d.Stats.Missed)
@@ -74,7 +74,7 @@
 	}
 }
 
-// Templates are withdrawn, alone and all; what comes then is counted as unknown, and is no error.
+// After the withdrawal of one template, and of all templates, their data sets must be counted as unknown without an error.
 func TestWithdrawal(t *testing.T) {
 	e, d := encoder(), NewDecoder(Documentation)
 	d.Message(e.Templates(nil, 0), nil)
@@ -98,15 +98,15 @@
 	}
 }
 
-// FuzzDecoder: whatever comes is read or refused; hostile templates cost no memory.
+// FuzzDecoder checks that no input crashes the decoder, makes it exceed its template limit or yields more records than octets.
 func FuzzDecoder(f *testing.F) {
 	e := encoder()
 	f.Add(e.Templates(nil, 1e18))
 	m, _ := e.Data(nil, 1e18, records(), 1<<16)
 	f.Add(m)
-	f.Add([]byte{0, 10, 0, 28, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 2, 0, 12, 1, 0, 0, 1, 0, 1, 0, 0}) // an element of no octets
-	f.Add([]byte{0, 10, 0, 24, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 2, 0, 8, 1, 0, 0xff, 0xff})        // 65535 elements
-	f.Add([]byte{0, 10, 0, 20, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0})                          // a set of no length
+	f.Add([]byte{0, 10, 0, 28, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 2, 0, 12, 1, 0, 0, 1, 0, 1, 0, 0}) // template of an element without octets
+	f.Add([]byte{0, 10, 0, 24, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 2, 0, 8, 1, 0, 0xff, 0xff})        // template of 65535 elements
+	f.Add([]byte{0, 10, 0, 20, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0})                          // set of length 0
 	f.Fuzz(func(t *testing.T, b []byte) {
 		d := NewDecoder(Documentation)
 		d.Message(encoder().Templates(nil, 0), nil)
--- a/internal/router/flow/netflow9/golden_test.go
+++ b/internal/router/flow/netflow9/golden_test.go
@@ -6,7 +6,7 @@
 	"portflow/internal/golden"
 )
 
-// Collectors are sent the same bytes: templates, and records of each kind.
+// Guards against changes of the encoding of templates and of each kind of record.
 func TestGoldenMessages(t *testing.T) {
 	e := encoder()
 	raw := e.Templates(nil, now)
--- a/internal/router/flow/netflow9/netflow9.go
+++ b/internal/router/flow/netflow9/netflow9.go
@@ -1,6 +1,6 @@
-// Package netflow9 writes and reads NetFlow version 9 messages (RFC 3954) of a router's flow records. Version 9 has no
-// enterprise elements, no variable lengths and no reverse ones: our own fields stand in the types from 40001 on, names
-// in 24 octets, and times in milliseconds since the exporter's start.
+// Package netflow9 encodes and decodes NetFlow version 9 export packets (RFC 3954) with a router's flow records. Version 9 has no
+// enterprise-specific, variable-length or reverse fields, so portflow's own fields have types from 40001 on, names have 24 octets,
+// and OUT_BYTES has the reverse octets. Times are in milliseconds since the start of the exporter.
 package netflow9
 
 import (
@@ -19,10 +19,10 @@
 	headerOctets = 20
 	nameOctets   = 24
 	protocolTCP  = 6
-	maxTemplates = 1024 // templates that a decoder keeps, of all sources
+	maxTemplates = 1024 // limit on the templates, and on the sources, that a decoder keeps
 )
 
-// Field types (RFC 3954, section 8), and our own.
+// Field types (RFC 3954, section 8).
 const (
 	inBytes            = 1
 	protocolIdentifier = 4
@@ -37,6 +37,7 @@
 	destIPv6           = 28
 )
 
+// Field types of portflow's own fields.
 const (
 	ownCommands = 40001 + iota
 	ownSide
@@ -52,7 +53,7 @@
 
 type field struct{ kind, length uint16 }
 
-// Templates, by their numbers.
+// Template IDs.
 const (
 	template4 = 256 + iota
 	template6
@@ -71,26 +72,27 @@
 	return common
 }
 
-// Encoder writes messages of one exporter.
+// Encoder encodes the export packets of one exporter.
 type Encoder struct {
-	Source   uint32 // its id
+	Source   uint32 // source ID
 	Names    ipfix.Names
-	Boot     int64 // when it began, Unix nanoseconds
-	Sequence uint32
+	Boot     int64  // start of the exporter, Unix nanoseconds
+	Sequence uint32 // sequence number of the next packet
 }
 
-// up is a time since the exporter's start, in milliseconds; it comes round after 49 days (RFC 3954, section 5.1).
+// uptime converts Unix nanoseconds to milliseconds since the start of the exporter. It wraps around after 49 days (RFC 3954,
+// section 5.1).
 func (e *Encoder) uptime(at int64) uint32 { return uint32(max(0, at-e.Boot) / 1e6) }
 
 func (e *Encoder) begin(to []byte, now int64) []byte {
 	u32 := binary.BigEndian.AppendUint32
 	to = append(to, 0, version, 0, 0)
 	to = u32(u32(to, e.uptime(now)), uint32(now/1e9))
-	e.Sequence++ // of messages, not of records (section 5.1)
+	e.Sequence++ // counts packets, not records (section 5.1)
 	return u32(u32(to, e.Sequence-1), e.Source)
 }
 
-// end pads a flow set to 4 octets and states its length (section 5.2).
+// endFlowSet pads the FlowSet that starts at offset set to a multiple of 4 octets and writes its length (section 5.2).
 func endFlowSet(to []byte, set int) []byte {
 	for (len(to)-set)%4 != 0 {
 		to = append(to, 0)
@@ -99,7 +101,7 @@
 	return to
 }
 
-// Templates appends a message with all templates.
+// Templates appends an export packet with all templates.
 func (e *Encoder) Templates(to []byte, now int64) []byte {
 	begin := len(to)
 	to = e.begin(to, now)
@@ -118,7 +120,7 @@
 	return to
 }
 
-// Data appends one message of as many records as fit into so many octets, at least one, and tells how many.
+// Data appends one export packet with as many of the records as fit in maxOctets, but at least one, and returns their number.
 func (e *Encoder) Data(to []byte, now int64, records []flow.Record, maxOctets int) ([]byte, int) {
 	begin := len(to)
 	to = e.begin(to, now)
@@ -148,7 +150,7 @@
 	return to, n
 }
 
-// Unsent takes back the sequence of a message that never went.
+// Unsent undoes the change of Sequence by a packet that was not sent.
 func (e *Encoder) Unsent(int) { e.Sequence-- }
 
 func templateOf(r *flow.Record) uint16 {
@@ -188,26 +190,27 @@
 	return all[i-1]
 }
 
-// Decoder reads messages; templates are a source's.
+// Decoder decodes export packets. It keeps templates per source ID.
 type Decoder struct {
-	templates map[[2]uint32][]field
-	sequence  map[uint32]uint32
-	Unknown   int    // sets without a template
-	Missed    uint32 // messages that never came
+	templates map[[2]uint32][]field // by source ID and template ID
+	sequence  map[uint32]uint32     // expected sequence number by source ID
+	Unknown   int                   // data FlowSets without a known template
+	Missed    uint32                // missing packets, according to the sequence numbers
 }
 
-// NewDecoder makes one that knows no template.
+// NewDecoder returns a decoder without templates.
 func NewDecoder() *Decoder {
 	return &Decoder{templates: map[[2]uint32][]field{}, sequence: map[uint32]uint32{}}
 }
 
-// Message reads one message and hands its records to each. What is wrong is an error with its place.
+// Message decodes one export packet and calls each for every flow record. An error names the offset of the malformed FlowSet;
+// records before it have been passed to each.
 func (d *Decoder) Message(b []byte, each func(ipfix.Read)) error {
 	if len(b) < headerOctets {
-		return errors.New("netflow9: no whole head")
+		return errors.New("netflow9: packet header is cut short")
 	}
 	if v := binary.BigEndian.Uint16(b); v != version {
-		return fmt.Errorf("netflow9: version %d", v)
+		return fmt.Errorf("netflow9: unsupported version %d", v)
 	}
 	boot := int64(binary.BigEndian.Uint32(b[8:]))*1e9 - int64(binary.BigEndian.Uint32(b[4:]))*1e6
 	sequence, source := binary.BigEndian.Uint32(b[12:]), binary.BigEndian.Uint32(b[16:])
@@ -220,13 +223,13 @@
 	for offset := headerOctets; len(b)-offset >= 4; {
 		id, length := binary.BigEndian.Uint16(b[offset:]), int(binary.BigEndian.Uint16(b[offset+2:]))
 		if length < 4 || offset+length > len(b) {
-			return fmt.Errorf("netflow9: octet %d: set %d of %d octets", offset, id, length)
+			return fmt.Errorf("netflow9: octet %d: FlowSet %d has invalid length %d", offset, id, length)
 		}
 		var err error
 		switch set := b[offset+4 : offset+length]; {
 		case id == 0:
 			err = d.readTemplates(source, set)
-		case id < 256: // options templates, and what is reserved
+		case id < 256: // ignores options templates and reserved IDs
 		default:
 			d.readRecords(source, id, set, boot, each)
 		}
@@ -245,7 +248,7 @@
 			return nil // padding
 		}
 		if b = b[4:]; count == 0 || count > 256 || len(b) < 4*count {
-			return fmt.Errorf("template %d: %d fields in %d octets", id, count, len(b))
+			return fmt.Errorf("template %d: invalid field count %d for %d octets", id, count, len(b))
 		}
 		all, size := make([]field, 0, count), 0
 		for range count {
@@ -253,11 +256,11 @@
 			all, size, b = append(all, f), size+int(f.length), b[4:]
 		}
 		if size == 0 {
-			return fmt.Errorf("template %d: records of no octets", id)
+			return fmt.Errorf("template %d: records would be empty", id)
 		}
 		k := [2]uint32{source, uint32(id)}
 		if _, known := d.templates[k]; !known && len(d.templates) >= maxTemplates {
-			return fmt.Errorf("template %d: more than %d", id, maxTemplates)
+			return fmt.Errorf("template %d: more than %d templates", id, maxTemplates)
 		}
 		d.templates[k] = all
 	}
--- a/internal/router/flow/netflow9/netflow9_test.go
+++ b/internal/router/flow/netflow9/netflow9_test.go
@@ -24,7 +24,8 @@
 	return []flow.Record{ipv4, ipv4, ipv6, folded, ipv4}
 }
 
-// What is written is read again, to the field, in messages within their octets; gaps show by the sequence.
+// Decoded records must equal the encoded ones, packets must not exceed the maximum length, and sequence numbers must reveal
+// missing packets.
 func TestRoundTrip(t *testing.T) {
 	e, d, got := encoder(), NewDecoder(), 0
 	if err := d.Message(e.Templates(nil, now), nil); err != nil || len(d.templates) != 3 {
@@ -34,7 +35,7 @@
 	for remaining := all; len(remaining) > 0; {
 		m, n := e.Data(nil, now, remaining, 400)
 		if len(m) > 400 || len(m)%4 != 0 {
-			t.Error("a message of", len(m))
+			t.Error("packet length is", len(m))
 		}
 		if err := d.Message(m, func(r ipfix.Read) {
 			want := all[got]
@@ -55,12 +56,12 @@
 	if d.Message(m, func(ipfix.Read) {}); d.Missed != 3 {
 		t.Error("missed", d.Missed)
 	}
-	if NewDecoder().Message(m, func(ipfix.Read) { t.Error("read without a template") }); t.Failed() {
+	if NewDecoder().Message(m, func(ipfix.Read) { t.Error("got a record without a template") }); t.Failed() {
 		return
 	}
 }
 
-// FuzzDecoder: whatever comes is read or refused, and costs no memory.
+// FuzzDecoder checks that no input crashes the decoder, makes it exceed its template limit or yields more records than octets.
 func FuzzDecoder(f *testing.F) {
 	f.Add(encoder().Templates(nil, now))
 	m, _ := encoder().Data(nil, now, records(), 1<<16)
