--- a/cmd/portflow/flows.go
+++ b/cmd/portflow/flows.go
@@ -18,14 +18,14 @@
 	"portflow/internal/router/flow/ipfix"
 )
 
-// newFlowsCommand are the sub-commands for the engineer's desk.
+// newFlowsCommand returns the flows command, whose subcommands print IPFIX records from files and from the network.
 func newFlowsCommand() *cobra.Command {
 	var asJSON bool
 	var groupBy, network string
 	var limit int
 	enterprise := uint32(ipfix.Documentation)
-	root := &cobra.Command{Use: "flows", Short: "read flow records that routers export"}
-	root.PersistentFlags().Uint32Var(&enterprise, "enterprise", enterprise, "the enterprise number of portflow's elements")
+	root := &cobra.Command{Use: "flows", Short: "read the flow records that routers export"}
+	root.PersistentFlags().Uint32Var(&enterprise, "enterprise", enterprise, "private enterprise number of portflow's information elements")
 	decode := &cobra.Command{Use: "decode FILE", Short: "print the records of a file of IPFIX messages (RFC 5655)", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			records := newPrinter(c.OutOrStdout(), asJSON)
@@ -34,7 +34,7 @@
 			}
 			return records.close()
 		}}
-	top := &cobra.Command{Use: "top FILE", Short: "print who has most in a file of IPFIX messages", Args: cobra.ExactArgs(1),
+	top := &cobra.Command{Use: "top FILE", Short: "print the carriers, bands, hosts or sides with the most octets in a file of IPFIX messages", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			grouping, known := groupings[groupBy]
 			if !known {
@@ -51,8 +51,8 @@
 			return printRanked(c.OutOrStdout(), groupBy, sums, limit)
 		}}
 	top.Flags().StringVar(&groupBy, "by", "carrier", "carrier, band, host or side")
-	top.Flags().IntVarP(&limit, "most", "n", 10, "so many at most")
-	listen := &cobra.Command{Use: "listen ADDRESS", Short: "print the records that come to an address", Args: cobra.ExactArgs(1),
+	top.Flags().IntVarP(&limit, "most", "n", 10, "maximum number of rows")
+	listen := &cobra.Command{Use: "listen ADDRESS", Short: "listen on an address and print the records received", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			records := newPrinter(c.OutOrStdout(), asJSON)
 			records.flush = true
@@ -63,7 +63,7 @@
 		}}
 	listen.Flags().StringVar(&network, "network", "udp", "udp or tcp")
 	for _, c := range []*cobra.Command{decode, listen} {
-		c.Flags().BoolVar(&asJSON, "json", false, "one JSON object a line")
+		c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object per line")
 	}
 	root.AddCommand(decode, top, listen)
 	return root
@@ -78,7 +78,7 @@
 
 var sideNames = [2]string{"clients", "hosts"}
 
-// readFile reads a file's messages; what is wrong is told with its octet.
+// readFile passes the flow records of a file of IPFIX messages to each. An error names the path and the offset of the message.
 func readFile(path string, enterprise uint32, each func(ipfix.Read)) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// readMessages reads messages one after another until the end.
+// readMessages decodes consecutive messages until the end of the input. It returns nil if the input ends between two messages.
 func readMessages(in io.Reader, d *ipfix.Decoder, each func(ipfix.Read)) error {
 	for offset, head := 0, make([]byte, 4); ; {
 		if _, err := io.ReadFull(in, head); err == io.EOF {
@@ -105,7 +105,7 @@
 		}
 		message := append(make([]byte, 0, n), head...)[:n]
 		if _, err := io.ReadFull(in, message[4:]); err != nil {
-			return fmt.Errorf("octet %d: a message of %d octets: %w", offset, n, err)
+			return fmt.Errorf("octet %d: message of %d octets: %w", offset, n, err)
 		}
 		if err := d.Message(message, func(data ipfix.Data) {
 			if r, ok := d.Flow(data); ok {
@@ -118,7 +118,8 @@
 	}
 }
 
-// listenForRecords reads what comes until the process ends. Bad datagrams are passed over; a bad stream is closed.
+// listenForRecords passes the records received to each, one at a time, until listening fails. Malformed datagrams are ignored;
+// a stream is closed at its first malformed message.
 func listenForRecords(network, address string, enterprise uint32, each func(ipfix.Read)) error {
 	if network == "udp" {
 		listener, err := net.ListenPacket("udp", address)
@@ -164,11 +165,11 @@
 	}
 }
 
-// printer prints records as a table, or as JSON.
+// printer prints records as a table, or as JSON if table is nil.
 type printer struct {
 	out   io.Writer
 	table *tabwriter.Writer
-	flush bool
+	flush bool // flush the table after each record
 }
 
 func newPrinter(out io.Writer, asJSON bool) *printer {
@@ -203,7 +204,7 @@
 	return p.table.Flush()
 }
 
-// printRanked prints sums, the greatest first.
+// printRanked prints the sums by name in descending order of octets, at most limit rows. groupBy is the title of the name column.
 func printRanked(out io.Writer, groupBy string, sums map[string]flow.Counts, limit int) error {
 	type row struct {
 		name string
--- a/cmd/portflow/main.go
+++ b/cmd/portflow/main.go
@@ -1,4 +1,4 @@
-// Command portflow is a router on sockets.
+// Command portflow runs a router, checks its configuration and reads the flow records that routers export.
 package main
 
 import (
@@ -17,15 +17,15 @@
 	"portflow/internal/router/site"
 )
 
-// version is set at release builds.
+// version is set by the linker in release builds.
 var version = "devel"
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// commandError is an error of a command that was understood.
+// commandError is the error of a command that was run, as opposed to an invalid command line.
 type commandError struct{ error }
 
-// run carries out the command line; 1 is the exit code for what fails, 2 for a line that can't be understood.
+// run executes a command line and returns the exit code: 1 if the command failed, 2 if the command line is invalid.
 func run(args []string, out, log io.Writer) int {
 	root := newRootCommand(log)
 	root.SetArgs(args)
@@ -42,7 +42,7 @@
 	return 2
 }
 
-// options are the flags that several commands share.
+// options holds the flags that several commands share.
 type options struct{ file, site, level string }
 
 func (o *options) env(name string) string {
@@ -52,7 +52,7 @@
 	return os.Getenv(name)
 }
 
-// read reads the configuration, and the operator's file where one is named.
+// read reads and checks the configuration and, if one is given, the operator's file.
 func (o *options) read() (c config.Config, s site.Config, err error) {
 	if c, err = config.Load(o.env); err != nil {
 		return c, s, err
@@ -68,11 +68,11 @@
 
 func newRootCommand(log io.Writer) *cobra.Command {
 	var opts options
-	root := &cobra.Command{Use: "portflow", Short: "portflow shifts calls between an old and a new build",
+	root := &cobra.Command{Use: "portflow", Short: "portflow routes requests to the hosts of an old and a new build",
 		SilenceErrors: true, SilenceUsage: true, Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { c.Usage(); return errors.New("no command") }}
-	root.PersistentFlags().StringVarP(&opts.file, "config", "c", "", "the configuration's file, in place of ROUTER_CONFIG")
-	root.PersistentFlags().StringVar(&opts.level, "log", "info", "the least level that is logged: debug, info, warn or error")
+	root.PersistentFlags().StringVarP(&opts.file, "config", "c", "", "configuration file, overrides ROUTER_CONFIG")
+	root.PersistentFlags().StringVar(&opts.level, "log", "info", "minimum log level: debug, info, warn or error")
 	addCommand := func(use, short string, runCommand func(c *cobra.Command) error) *cobra.Command {
 		c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			if err := runCommand(c); err != nil {
@@ -92,16 +92,16 @@
 		return serve(c, s, func() (config.Config, error) { return config.Reload(opts.env) },
 			zerolog.New(log).Level(level).With().Timestamp().Str("router", c.Name).Logger())
 	})
-	checkCommand := addCommand("check", "read the configuration and say whether a router could start on it", func(*cobra.Command) error {
+	checkCommand := addCommand("check", "check whether a router could start with the configuration", func(*cobra.Command) error {
 		if opts.file == "" && os.Getenv("ROUTER_CONFIG") == "" && opts.site != "" {
-			_, err := site.Read(opts.site) // an operator's file can be checked by itself
+			_, err := site.Read(opts.site) // the operator's file can be checked without a configuration
 			return err
 		}
 		_, _, err := opts.read()
 		return err
 	})
 	for _, c := range []*cobra.Command{serveCommand, checkCommand} {
-		c.Flags().StringVar(&opts.site, "site", "", "the operator's file, a Starlark script; without one all further parts are off")
+		c.Flags().StringVar(&opts.site, "site", "", "the operator's file, a Starlark script; without it, all optional features are off")
 		c.MarkFlagFilename("site", "star")
 	}
 	root.MarkPersistentFlagFilename("config", "json")
--- a/cmd/portflow/main_test.go
+++ b/cmd/portflow/main_test.go
@@ -12,7 +12,7 @@
 	"portflow/internal/router/flow/ipfix"
 )
 
-// A file of messages is printed, ranked and, where it is cut, refused with the octet.
+// A file of messages must be printed and ranked; for a truncated file, the error must name the offset of the cut message.
 func TestFlowsCommands(t *testing.T) {
 	e := &ipfix.Encoder{Enterprise: ipfix.Documentation, Names: ipfix.Names{Carriers: []string{"rila", "dunav"}}}
 	b := e.Templates(nil, 1e18)
@@ -36,12 +36,12 @@
 		os.WriteFile(path, b[:c.octets], 0o600)
 		var out bytes.Buffer
 		if code := run(strings.Fields(c.line), &out, &out); code != c.code || !strings.Contains(out.String(), c.want) {
-			t.Errorf("%s of %d octets: %d, %s", c.line, c.octets, code, out.String())
+			t.Errorf("%s of %d octets: got exit code %d, output %s", c.line, c.octets, code, out.String())
 		}
 	}
 }
 
-// A line that can't be understood ends with 2, what fails with 1; each says why.
+// An invalid command line must end with exit code 2 and a failed command with 1, each with a message that names the cause.
 func TestCommandLine(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.star")
 	os.WriteFile(bad, []byte("site(\n storm = storm(memory = 1))"), 0o600)
@@ -62,7 +62,7 @@
 	} {
 		var out bytes.Buffer
 		if code := run(strings.Fields(line), &out, &out); code != want.code || !strings.Contains(out.String(), want.text) {
-			t.Errorf("%q: %d, %s", line, code, out.String())
+			t.Errorf("%q: got exit code %d, output %s", line, code, out.String())
 		}
 	}
 }
--- a/cmd/portflow/serve.go
+++ b/cmd/portflow/serve.go
@@ -17,16 +17,16 @@
 	"portflow/internal/router/site"
 )
 
-// serve runs a router until SIGTERM or an interrupt, and then until what it took is finished. At SIGHUP it loads the
-// configuration again.
+// serve runs a router until SIGTERM or SIGINT, and then drains it. On SIGHUP it reloads the configuration and applies the changed
+// addresses; other changes need a restart.
 func serve(c config.Config, s site.Config, load func() (config.Config, error), log zerolog.Logger) error {
 	runtime.GOMAXPROCS(max(1, int(c.Cores)))
-	// the rest is for the program itself, some 10 MB, and for the kernel's buffers
+	// the rest is for the program text, about 10 MB, and for the kernel's socket buffers
 	debug.SetMemoryLimit(c.Memory - max(c.Memory/4, min(c.Memory/2, 14<<20)))
-	debug.SetGCPercent(400) // a live heap is some 10 MB; collecting it seldom saves a tenth of the core
+	debug.SetGCPercent(400) // the live heap is about 10 MB, so fewer collections save CPU time for little memory
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt)
-	stdlog.SetOutput(io.Discard) // http.Transport tells there, without a limit, what hosts send unasked
+	stdlog.SetOutput(io.Discard) // http.Transport logs unsolicited responses here, without a rate limit
 	r, err := router.Start(context.Background(), c, s, log)
 	if err != nil {
 		return err
--- a/cmd/portflow/serve_test.go
+++ b/cmd/portflow/serve_test.go
@@ -17,7 +17,7 @@
 	"portflow/internal/router/site"
 )
 
-// startServices is discovery and the platform at one address; asked gets the path of each call.
+// startServices starts a server for both discovery and the platform. The channel receives the path of each request.
 func startServices(t *testing.T) (address string, requests chan string) {
 	requests = make(chan string, 64)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -35,8 +35,8 @@
 	return strings.TrimPrefix(s.URL, "http://"), requests
 }
 
-// SIGHUP takes up the file's addresses, whatever the environment said at the start; a file that can't be read
-// changes nothing, and SIGTERM ends the router.
+// SIGHUP must apply the addresses in the file, even if the environment overrode them at the start. A malformed file must change
+// nothing, and SIGTERM must end the router.
 func TestSignals(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -76,12 +76,12 @@
 			return c, err
 		}, zerolog.Nop())
 	}()
-	<-firstRequests // signals are caught by now
+	<-firstRequests // the signal handler is installed by now
 	<-firstRequests
 	write(second, second, "}")
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	if <-loads == nil || len(secondRequests) > 0 {
-		t.Error("a bad file was taken up")
+		t.Error("a malformed file was applied")
 	}
 	write(second, second, "")
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,5 @@
-// Command wirehost runs routers on the simulator's wire: one router an instance, nothing shared between them.
+// Command simhost runs decision engines for the simulator, one per instance. It reads batches of events from standard input and
+// writes replies to standard output. Instances share no state.
 package main
 
 import (
@@ -18,7 +19,7 @@
 	}
 }
 
-// serve answers each batch with one reply until the input ends.
+// serve answers each batch with one reply. It returns nil if the input ends between two batches.
 func serve(in io.Reader, out io.Writer) error {
 	buffered := bufio.NewReaderSize(in, 1<<16)
 	engines := map[uint32]*decision.Engine{}
@@ -58,14 +59,14 @@
 	}
 	engine := engines[event.Instance]
 	if engine == nil {
-		return nil // a late event for an instance that was killed
+		return nil // the event was on its way when the instance exited
 	}
 	switch body := event.Body.(type) {
 	case simwire.HostsChanged:
 		if body.Kind == decision.FetchFailed {
 			engine.HostsChanged(now, body.Kind, nil)
 		} else if body.Number >= len(lists) {
-			return fmt.Errorf("PeersKnown: no list %d", body.Number)
+			return fmt.Errorf("PeersKnown: list %d does not exist", body.Number)
 		} else {
 			engine.HostsChanged(now, body.Kind, lists[body.Number])
 		}
@@ -83,7 +84,7 @@
 		engine.AnswerFlagged(now, body.Host, body.Class, body.Age)
 	case simwire.GossipReceived:
 		engine.GossipReceived(now, body.From, body.Message)
-	case simwire.ProbeDone, simwire.Metrics: // not asked for, not used: see docs/design.md
+	case simwire.ProbeDone, simwire.Metrics: // probes are never requested and metrics are not used, see docs/design.md
 	case simwire.TimerFired:
 		engine.TimerFired(now, body.ID)
 	}
--- a/deploy/service.star
+++ b/deploy/service.star
@@ -1,5 +1,5 @@
-# The further parts of a router, for `portflow serve --site`; `portflow schema` lists every setting.
-# docs/operate/storms.md says what each does.
+# Optional features of a router, for `portflow serve --site`. `portflow schema` prints the schema with all settings;
+# docs/operate/storms.md explains them.
 site(
     storm = storm(
         ceiling = 1.1,
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -1,5 +1,6 @@
-// Package simwire reads and writes the iris-438d wire: frames and records.
-// It turns the wire's words into those of the rules.
+// Package simwire implements iris-438d, the binary protocol of the simulator. The simulator sends batches of events, and each is
+// answered by a reply with actions. The package decodes events to the types of the decision engine, and Effects encodes the
+// engine's effects as actions. All integers are big-endian.
 package simwire
 
 import (
@@ -13,7 +14,7 @@
 	"portflow/internal/router/settings"
 )
 
-// Codes of the events.
+// Event codes.
 const (
 	eventAnswerFlagged   = 16
 	eventHostsChanged    = 17
@@ -31,16 +32,19 @@
 	eventProvision       = 29
 )
 
-// Events, each of one instance but for Ledger.
+// Event bodies. Each belongs to one instance, except HostList. Times and durations are in nanoseconds.
 type (
+	// Provision starts an instance.
 	Provision struct {
 		Seed     uint64
 		Settings decision.Settings
 	}
+	// HostList sets the host list of the given number, which HostsChanged events of all instances refer to.
 	HostList struct {
 		Number int
 		Hosts  []decision.Host
 	}
+	// HostsChanged delivers host list Number to an instance. Number is ignored if Kind is decision.FetchFailed.
 	HostsChanged struct {
 		Kind   decision.ListKind
 		Number int
@@ -65,6 +69,7 @@
 		From    int
 		Message []byte
 	}
+	// Exit ends an instance.
 	Exit       struct{}
 	TimerFired struct{ ID uint64 }
 	ProbeDone  struct {
@@ -83,13 +88,13 @@
 	}
 )
 
-// Event is one record of a batch.
+// Event is one record of a batch. Body is one of the event bodies above; Instance is 0 for a HostList.
 type Event struct {
 	Instance uint32
 	Body     any
 }
 
-// Batch is what happens at one time.
+// Batch holds the events of one point in time. Clock is in nanoseconds.
 type Batch struct {
 	Clock  int64
 	Events []Event
@@ -98,10 +103,10 @@
 const (
 	headerBytes    = 16
 	hostEntryBytes = 26
-	maxBatchBytes  = 1 << 30 // far beyond the megabytes that a batch can run to
+	maxBatchBytes  = 1 << 30 // well-formed batches have a few megabytes
 )
 
-// ReadBatch reads the next batch; io.EOF says that the input has ended between two.
+// ReadBatch reads the next batch. It returns io.EOF if the input ends before the first byte of a batch.
 func ReadBatch(r io.Reader) (Batch, error) {
 	var head [headerBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err == io.EOF {
@@ -115,7 +120,7 @@
 	}
 	body := make([]byte, size)
 	if n, err := io.ReadFull(r, body); err != nil {
-		return Batch{}, fmt.Errorf("batch body: %d bytes of %d", n, size)
+		return Batch{}, fmt.Errorf("batch body: got %d bytes of %d", n, size)
 	}
 	b := Batch{Clock: int64(binary.BigEndian.Uint64(head[8:]))}
 	offset := 0
@@ -125,7 +130,7 @@
 		}
 		code, length := body[offset], binary.BigEndian.Uint32(body[offset+1:])
 		if uint64(length) > uint64(len(body)-offset-5) {
-			return Batch{}, fmt.Errorf("record %d at byte %d: code %d wants %d bytes, %d are left", i, offset, code,
+			return Batch{}, fmt.Errorf("record %d at byte %d: code %d requires %d bytes, %d are left", i, offset, code,
 				length, len(body)-offset-5)
 		}
 		decoded, err := decodeEvent(code, body[offset+5:offset+5+int(length)])
@@ -141,7 +146,7 @@
 	return b, nil
 }
 
-// fieldReader takes one field after another; the first that is missing or wrong stays as the error.
+// fieldReader decodes the fields of a record in order. err is the first error; after it, all methods return zero values.
 type fieldReader struct {
 	raw []byte
 	err error
@@ -149,7 +154,7 @@
 
 func (f *fieldReader) bytes(n int, name string) []byte {
 	if f.err == nil && (n < 0 || len(f.raw) < n) {
-		f.err = fmt.Errorf("field %s: %d bytes wanted, %d are left", name, n, len(f.raw))
+		f.err = fmt.Errorf("field %s: requires %d bytes, %d are left", name, n, len(f.raw))
 	}
 	if f.err != nil {
 		return make([]byte, min(max(n, 0), 8))
@@ -165,7 +170,7 @@
 func (f *fieldReader) time(name string) int64 {
 	x := f.u64(name)
 	if f.err == nil && x > math.MaxInt64/4 {
-		f.err = fmt.Errorf("field %s: %d is no time", name, x)
+		f.err = fmt.Errorf("field %s: time %d is out of range", name, x)
 	}
 	return int64(x)
 }
@@ -181,12 +186,12 @@
 	return values
 }
 
-// lookUp looks up what a number of the wire means.
+// lookUp reads a code of one byte and returns its value in the table.
 func lookUp[T any](f *fieldReader, table map[uint8]T, name string) T {
 	n := f.u8(name)
 	v, ok := table[n]
 	if !ok && f.err == nil {
-		f.err = fmt.Errorf("field %s: %d is unknown", name, n)
+		f.err = fmt.Errorf("field %s: code %d is unknown", name, n)
 	}
 	return v
 }
@@ -224,7 +229,7 @@
 		list := HostList{Number: int(fields.u16("setId"))}
 		rollout := int(fields.u32("members"))
 		if fields.err == nil && (list.Number > 15 || rollout > len(fields.raw)/hostEntryBytes) {
-			fields.err = fmt.Errorf("list %d: %d entries in %d bytes", list.Number, rollout, len(fields.raw))
+			fields.err = fmt.Errorf("list %d: number too large, or %d entries do not fit in %d bytes", list.Number, rollout, len(fields.raw))
 		}
 		for i := 0; i < rollout && fields.err == nil; i++ {
 			list.Hosts = append(list.Hosts, readHost(fields))
@@ -265,7 +270,7 @@
 		rollout.State, rollout.VoteReply = lookUp(fields, rolloutStates, "standing"), lookUp(fields, booleans, "code")
 		rollout.VoteResult, rollout.ExposureCap, rollout.Age = lookUp(fields, voteResults, "ending"), fields.f32("mostShare"), fields.time("latenessNs")
 		if fields.err == nil && !(rollout.ExposureCap >= 0 && rollout.ExposureCap <= 1) {
-			fields.err = fmt.Errorf("field mostShare: %v is no share", rollout.ExposureCap)
+			fields.err = fmt.Errorf("field mostShare: %v is not between 0 and 1", rollout.ExposureCap)
 		}
 		e.Body = RolloutChanged{rollout}
 	case eventGossipReceived:
@@ -291,7 +296,7 @@
 		return e, fmt.Errorf("code %d is unknown", code)
 	}
 	if fields.err == nil && len(fields.raw) > 0 {
-		fields.err = errors.New("bytes after the last field")
+		fields.err = errors.New("unexpected bytes after the last field")
 	}
 	if fields.err != nil {
 		return e, fmt.Errorf("%s: %w", name, fields.err)
@@ -304,13 +309,13 @@
 		Health: lookUp(f, healthStates, "state")}
 	runs := f.f32("runs")
 	if f.err == nil && !(runs >= 0 && runs < 65536) {
-		f.err = fmt.Errorf("field runs: %v is no build", runs)
+		f.err = fmt.Errorf("field runs: build %v is out of range", runs)
 	}
 	host.Build, host.Capacity, host.StartedAt = int(runs), f.f32("share"), f.time("lastStartNs")
 	return host
 }
 
-// Codes of the actions.
+// Action codes.
 const (
 	actionStartAttempt  = 16
 	actionReject        = 17
@@ -324,7 +329,7 @@
 	actionVote          = 28
 )
 
-// Reply gathers the actions of a batch.
+// Reply collects the actions that answer a batch. The zero value is an empty reply.
 type Reply struct {
 	count uint32
 	raw   []byte
@@ -341,7 +346,7 @@
 func (r *Reply) u32(x uint32) { r.raw = binary.BigEndian.AppendUint32(r.raw, x) }
 func (r *Reply) u64(x uint64) { r.raw = binary.BigEndian.AppendUint64(r.raw, x) }
 
-// WriteTo writes the reply whole, in one write, and empties it.
+// WriteTo writes the reply with a single call of w.Write and resets it, even after an error.
 func (r *Reply) WriteTo(w io.Writer) (int64, error) {
 	frame := binary.BigEndian.AppendUint32(make([]byte, 0, 8+len(r.raw)), r.count)
 	frame = binary.BigEndian.AppendUint32(frame, uint32(len(r.raw)))
@@ -350,7 +355,7 @@
 	return int64(n), err
 }
 
-// Effects writes one instance's effects into a reply.
+// Effects implements decision.Effects for one instance: each effect is appended to Reply as an action.
 type Effects struct {
 	Instance uint32
 	Reply    *Reply
--- a/internal/simwire/frame_test.go
+++ b/internal/simwire/frame_test.go
@@ -61,7 +61,7 @@
 		"00000000 ffffffff 0000000000000001":                                                     "too many",
 	} {
 		if _, err := ReadBatch(bytes.NewReader(parseHex(t, text))); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, wanted %q", text, err, want)
+			t.Errorf("%s: got error %v, want %q", text, err, want)
 		}
 	}
 	if _, err := ReadBatch(strings.NewReader("")); err != io.EOF {
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -14,7 +14,7 @@
 	"portflow/internal/router/settings"
 )
 
-// frame lays the simulator's side out: each value big-endian in its own width, texts as they are.
+// frame encodes values as the simulator does: numbers big-endian in the width of their type, strings without a length.
 func frame(values ...any) (raw []byte) {
 	for _, v := range values {
 		switch v := v.(type) {
@@ -43,7 +43,7 @@
 	f32 = float32
 )
 
-// batch has a record of each code, with a value of its own in each field.
+// batch returns a batch with a record of each event code. Numeric fields have distinct values, to detect swapped fields.
 func batch(settingsText string) []byte {
 	records := [][]byte{
 		record(29, u32(1), u64(2), u32(len(settingsText)), settingsText),
@@ -65,7 +65,7 @@
 	return append(frame(u32(len(records)), u32(len(body)), u64(62)), body...)
 }
 
-// All that the simulator says is read as the same events.
+// Guards against changes of the decoding of events.
 func TestGoldenBatch(t *testing.T) {
 	settingsText, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
@@ -100,14 +100,14 @@
 		{56, AttemptEnded{RequestID: 57, Done: true, Took: 59, Number: 60, Result: decision.ConnectFailed, Report: []float64{61}}},
 	}}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read as\n%+v\nnot\n%+v", got, want)
+		t.Errorf("got events\n%+v\nwant\n%+v", got, want)
 	}
 	if _, err := ReadBatch(r); err != io.EOF {
 		t.Error(err)
 	}
 }
 
-// All that a router does is written in the same bytes.
+// Guards against changes of the encoding of actions.
 func TestGoldenReply(t *testing.T) {
 	var r Reply
 	effects := Effects{0x01020304, &r}
@@ -131,7 +131,7 @@
 	golden.Equal(t, "reply.bin", raw.Bytes())
 }
 
-// Each word of the wire has its number.
+// Guards against changes of the codes of enumerated fields.
 func TestGoldenNumbers(t *testing.T) {
 	for name, ok := range map[string]bool{
 		"forms":     reflect.DeepEqual(listKinds, map[uint8]decision.ListKind{0: decision.Delta, 1: decision.Snapshot, 2: decision.CachedSnapshot, 3: decision.FetchFailed}),
@@ -142,7 +142,7 @@
 			13: decision.Failed, 14: decision.ConnectFailed}),
 	} {
 		if !ok {
-			t.Errorf("%s: other numbers", name)
+			t.Errorf("%s: codes differ from those of the protocol", name)
 		}
 	}
 }
