--- a/internal/router/flow/cache.go
+++ b/internal/router/flow/cache.go
@@ -105,8 +105,8 @@
 	f.period, f.start = Counts{}, now
 }
 
-// Tick inspects the connections that are due. If now is not in the next slots, as after a clock jump, Tick scans the whole wheel;
-// it inspects each connection at most once.
+// Tick inspects the connections that are due, each at most once. It scans the whole wheel if now is before the next slot or more
+// than a turn after it, as after a clock jump.
 func (c *Cache) Tick(now int64) {
 	width := c.limits.Active / wheelSlots
 	lastSlot := now / width
@@ -117,7 +117,7 @@
 		head := &c.wheel[int(c.nextSlot)%wheelSlots]
 		for f := head.next; f != head; {
 			next := f.next
-			if f.dueSlot <= lastSlot { // others are due in the next turn
+			if f.dueSlot <= lastSlot { // the others are not due yet
 				c.inspect(now, f)
 			}
 			f = next
--- a/internal/router/flow/export/export.go
+++ b/internal/router/flow/export/export.go
@@ -90,7 +90,7 @@
 // Done returns a channel that is closed when Run returns.
 func (e *Exporter) Done() <-chan struct{} { return e.done }
 
-// session is a connection to a collector, or a transport session in the terms of RFC 7011.
+// session is a connection to a collector: a transport session in the terms of RFC 7011.
 type session struct {
 	conn            net.Conn
 	closed          atomic.Bool // the collector closed the connection; a write could still succeed, but the data would be lost
--- a/internal/router/flow/heavyhitters.go
+++ b/internal/router/flow/heavyhitters.go
@@ -18,7 +18,7 @@
 // Estimate is the estimated count of an ID.
 type Estimate struct {
 	ID         uint64
-	Sum, Error uint64 // the true count is between Sum-Error and Sum
+	Sum, Error uint64 // the true count is at least Sum-Error
 }
 
 // NewHeavyHitters returns an empty summary with the given number of counters per window. The window is in nanoseconds.
--- a/internal/router/flow/ledger.go
+++ b/internal/router/flow/ledger.go
@@ -28,7 +28,7 @@
 }
 
 // Ledger accounts for the records of a backlog. Each record is counted in exactly one of Exported, Waiting, Folded and Lost, so
-// Counted = Exported + Waiting + Folded + Lost after every call, in records, connections, octets and commands.
+// Counted = Exported + Waiting + Folded + Lost holds after every call, in records, connections, octets and commands.
 type Ledger struct {
 	Counted  Totals // all records added
 	Exported Totals // written in full to the collector's connection
--- a/internal/router/flow/record.go
+++ b/internal/router/flow/record.go
@@ -1,7 +1,7 @@
 // Package flow accounts for the traffic of a router's connections. Cache tracks open connections and emits a flow record for
 // each active period, Backlog queues the records for a collector within a memory limit, and HeavyHitters finds the IDs with
 // the most traffic. The package has no clock and does no I/O: callers pass the time, in Unix nanoseconds. docs/flows.md
-// describes the exported elements and the design.
+// describes the exported elements and the alternatives considered.
 package flow
 
 import (
@@ -9,7 +9,7 @@
 	"net/netip"
 )
 
-// Reason is the reason for which a record was emitted, with IANA's values of flowEndReason (element 136).
+// Reason is the reason why a record was emitted, with the values that IANA registers for flowEndReason (element 136).
 type Reason uint8
 
 const (
@@ -33,7 +33,7 @@
 	Side    Side   `json:"Side"`
 	Carrier uint16 `json:"Carrier"` // position in the list of carriers, from 1; 0 for none or several
 	Band    uint8  `json:"Band"`    // position in the list of bands, from 1; 0 for none or several
-	Host    string `json:"Host"`    // name in the host list; set if Side is Hosts
+	Host    string `json:"Host"`    // address of the host; empty if Side is Clients
 	Build   uint32 `json:"Build"`
 	Drained bool   `json:"Drained"` // at the end, the peer was draining or the router was shutting down
 }
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -1,6 +1,6 @@
 // Package simwire implements iris-438d, the binary protocol of the simulator. The simulator sends batches of events, and each is
 // answered by a reply with actions. The package decodes events to the types of the decision engine, and Effects encodes the
-// engine's effects as actions. All integers are big-endian.
+// engine's effects as actions. All numbers are big-endian.
 package simwire
 
 import (
