--- a/internal/router/flow/backlog.go
+++ b/internal/router/flow/backlog.go
@@ -22,7 +22,7 @@
 	Reason
 }
 
-// NewBacklog returns an empty backlog that uses about the given number of bytes at most, but has room for at least 16 records.
+// NewBacklog returns an empty backlog that uses about the given number of bytes at most, but always fits 16 records.
 // Memory is allocated as needed.
 func NewBacklog(bytes int) *Backlog {
 	return &Backlog{maxRecords: max(16, bytes/recordBytes), folded: map[foldKey]*Record{}}
