--- a/cmd/portflow/serve_test.go
+++ b/cmd/portflow/serve_test.go
@@ -17,12 +17,12 @@
 	"portflow/internal/router/site"
 )
 
-// startServices is discovery and the platform at one address; asked gets the path of each call.
-func startServices(t *testing.T) (address string, asked chan string) {
-	asked = make(chan string, 64)
+// startServices starts a server for both discovery and the platform. The channel receives the path of each request.
+func startServices(t *testing.T) (address string, requests chan string) {
+	requests = make(chan string, 64)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case asked <- r.URL.Path:
+		case requests <- r.URL.Path:
 		default:
 		}
 		if r.URL.Path == "/api/watch" {
@@ -32,11 +32,11 @@
 		<-r.Context().Done()
 	}))
 	t.Cleanup(s.CloseClientConnections)
-	return strings.TrimPrefix(s.URL, "http://"), asked
+	return strings.TrimPrefix(s.URL, "http://"), requests
 }
 
-// SIGHUP takes up the file's addresses, whatever the environment said at the start; a file that can't be read
-// changes nothing, and SIGTERM ends the router.
+// SIGHUP must apply the addresses in the file, even if the environment overrode them at the start. A malformed file must change
+// nothing, and SIGTERM must end the router.
 func TestSignals(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,8 +57,8 @@
 		}
 		os.Rename(path+".new", path)
 	}
-	first, askedFirst := startServices(t)
-	second, askedSecond := startServices(t)
+	first, firstRequests := startServices(t)
+	second, secondRequests := startServices(t)
 	env := func(name string) string {
 		return map[string]string{"ROUTER_CONFIG": path, "ROUTER_DISCOVERY": first}[name]
 	}
@@ -76,19 +76,19 @@
 			return c, err
 		}, zerolog.Nop())
 	}()
-	<-askedFirst // signals are caught by now
-	<-askedFirst
+	<-firstRequests // the signal handler is installed by now
+	<-firstRequests
 	write(second, second, "}")
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	if <-loads == nil || len(askedSecond) > 0 {
-		t.Error("a bad file was taken up")
+	if <-loads == nil || len(secondRequests) > 0 {
+		t.Error("a malformed file was applied")
 	}
 	write(second, second, "")
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	if err := <-loads; err != nil {
 		t.Error(err)
 	}
-	if paths := (<-askedSecond) + (<-askedSecond); !strings.Contains(paths, "watch") || !strings.Contains(paths, "targets") {
+	if paths := (<-secondRequests) + (<-secondRequests); !strings.Contains(paths, "watch") || !strings.Contains(paths, "targets") {
 		t.Error(paths)
 	}
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
--- a/internal/router/flow/ipfix/ipfix_test.go
+++ b/internal/router/flow/ipfix/ipfix_test.go
@@ -9,21 +9,21 @@
 )
 
 func records() []flow.Record {
-	one := flow.Record{Label: flow.Label{Side: flow.Hosts, Carrier: 2, Band: 1, Host: "h7", Build: 42, Drained: true},
+	ipv4 := flow.Record{Label: flow.Label{Side: flow.Hosts, Carrier: 2, Band: 1, Host: "h7", Build: 42, Drained: true},
 		Counts: flow.Counts{Forward: 1 << 40, Reverse: 7, Commands: 3}, Source: netip.MustParseAddrPort("10.0.0.1:7"),
 		Destination: netip.MustParseAddrPort("10.0.0.2:8081"), Start: 1e18, End: 1e18 + 5e9, Reason: flow.Active, Count: 1, Connections: 1}
-	six, folded := one, one
-	six.Source = netip.MustParseAddrPort("[2001:db8::1]:9")
-	six.Drained = false
+	ipv6, folded := ipv4, ipv4
+	ipv6.Source = netip.MustParseAddrPort("[2001:db8::1]:9")
+	ipv6.Drained = false
 	folded.Source, folded.Destination, folded.Count = netip.AddrPort{}, netip.AddrPort{}, 99
-	return []flow.Record{one, six, folded, one, one}
+	return []flow.Record{ipv4, ipv6, folded, ipv4, ipv4}
 }
 
 func encoder() *Encoder {
 	return &Encoder{Domain: 5, Enterprise: Documentation, Names: Names{[]string{"rila", "dunav"}, []string{"display"}}, Sequence: 1<<32 - 2}
 }
 
-// What is written is read again, to the field; the sequence counts records and comes round.
+// Decoded records must equal the encoded ones. Sequence numbers must count records, wrap around, and reveal missing records.
 func TestRoundTrip(t *testing.T) {
 	e, d := encoder(), NewDecoder(Documentation)
 	if err := d.Message(e.Templates(nil, 1e18), nil); err != nil || d.Stats.Templates != 4 {
@@ -31,10 +31,10 @@
 	}
 	all := records()
 	got := 0
-	for left := all; len(left) > 0; {
-		m, n := e.Data(nil, 1e18, left, 300)
+	for remaining := all; len(remaining) > 0; {
+		m, n := e.Data(nil, 1e18, remaining, 300)
 		if len(m) > 300 {
-			t.Error("a message of", len(m))
+			t.Error("message length is", len(m))
 		}
 		err := d.Message(m, func(x Data) {
 			r, ok := d.Flow(x)
@@ -54,12 +54,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		left = left[n:]
+		remaining = remaining[n:]
 	}
 	if got != len(all) || d.Stats.Missed != 0 || e.Sequence != 3 {
 		t.Error(got, d.Stats, e.Sequence)
 	}
-	e.Sequence += 4 // four records that never come
+	e.Sequence += 4 // four missing records
 	m, _ := e.Data(nil, 1e18, all[:1], 1<<16)
 	if d.Message(m, func(Data) {}); d.Stats.Missed != 4 {
 		t.Error("missed", d.Stats.Missed)
@@ -74,7 +74,7 @@
 	}
 }
 
-// Templates are withdrawn, alone and all; what comes then is counted as unknown, and is no error.
+// After the withdrawal of one template, and of all templates, their data sets must be counted as unknown without an error.
 func TestWithdrawal(t *testing.T) {
 	e, d := encoder(), NewDecoder(Documentation)
 	d.Message(e.Templates(nil, 0), nil)
@@ -86,7 +86,7 @@
 		}
 	}
 	withdraw(2, template4)
-	if _, there := d.templates[[2]uint32{5, template4}]; there || len(d.templates) != 3 {
+	if _, known := d.templates[[2]uint32{5, template4}]; known || len(d.templates) != 3 {
 		t.Error(d.templates)
 	}
 	m, _ := e.Data(nil, 0, records()[:1], 1<<16)
@@ -98,15 +98,15 @@
 	}
 }
 
-// FuzzDecoder: whatever comes is read or refused; hostile templates cost no memory.
+// FuzzDecoder checks that no input crashes the decoder, makes it exceed its template limit or yields more records than octets.
 func FuzzDecoder(f *testing.F) {
 	e := encoder()
 	f.Add(e.Templates(nil, 1e18))
 	m, _ := e.Data(nil, 1e18, records(), 1<<16)
 	f.Add(m)
-	f.Add([]byte{0, 10, 0, 28, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 2, 0, 12, 1, 0, 0, 1, 0, 1, 0, 0}) // an element of no octets
-	f.Add([]byte{0, 10, 0, 24, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 2, 0, 8, 1, 0, 0xff, 0xff})        // 65535 elements
-	f.Add([]byte{0, 10, 0, 20, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0})                          // a set of no length
+	f.Add([]byte{0, 10, 0, 28, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 2, 0, 12, 1, 0, 0, 1, 0, 1, 0, 0}) // template of an element without octets
+	f.Add([]byte{0, 10, 0, 24, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 2, 0, 8, 1, 0, 0xff, 0xff})        // template of 65535 elements
+	f.Add([]byte{0, 10, 0, 20, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0})                          // set of length 0
 	f.Fuzz(func(t *testing.T, b []byte) {
 		d := NewDecoder(Documentation)
 		d.Message(encoder().Templates(nil, 0), nil)
@@ -115,7 +115,7 @@
 			records++
 			d.Flow(x)
 		})
-		if records > len(b) || len(d.templates) > mostTemplates || err != nil && d.Stats.Bad != 1 {
+		if records > len(b) || len(d.templates) > maxTemplates || err != nil && d.Stats.Bad != 1 {
 			t.Error(records, len(d.templates), err, d.Stats)
 		}
 	})
--- a/internal/router/flow/ledger.go
+++ b/internal/router/flow/ledger.go
@@ -1,47 +1,47 @@
 package flow
 
-// Totals is what some records add up to.
+// Totals is the sum over a set of records.
 type Totals struct {
 	Records     uint64
 	Connections uint64
 	Counts
 }
 
-func (s *Totals) add(r *Record) {
-	s.Records += uint64(r.Count)
-	s.Connections += uint64(r.Connections)
-	s.Counts.Add(r.Counts)
+func (t *Totals) add(r *Record) {
+	t.Records += uint64(r.Count)
+	t.Connections += uint64(r.Connections)
+	t.Counts.Add(r.Counts)
 }
 
-func (s *Totals) subtract(r *Record) {
-	s.Records -= uint64(r.Count)
-	s.Connections -= uint64(r.Connections)
-	s.Forward -= r.Forward
-	s.Reverse -= r.Reverse
-	s.Commands -= r.Commands
+func (t *Totals) subtract(r *Record) {
+	t.Records -= uint64(r.Count)
+	t.Connections -= uint64(r.Connections)
+	t.Forward -= r.Forward
+	t.Reverse -= r.Reverse
+	t.Commands -= r.Commands
 }
 
-func (s *Totals) merge(x Totals) {
-	s.Records += x.Records
-	s.Connections += x.Connections
-	s.Counts.Add(x.Counts)
+func (t *Totals) merge(x Totals) {
+	t.Records += x.Records
+	t.Connections += x.Connections
+	t.Counts.Add(x.Counts)
 }
 
-// Ledger tells what became of all records: each is in one of the four places, so that
-// Counted = Exported + Waiting + Folded + Lost holds after every step, in records, connections, octets and commands.
+// Ledger accounts for the records of a backlog. Each record is counted in exactly one of Exported, Waiting, Folded and Lost, so
+// Counted = Exported + Waiting + Folded + Lost holds after every call, in records, connections, octets and commands.
 type Ledger struct {
-	Counted  Totals // all there were
-	Exported Totals // handed to a collector's connection whole
-	Waiting  Totals // as they came, sent ones that may have to be sent again among them
-	Folded   Totals // waiting, in records that stand for several
-	Lost     Totals // given up for want of room
+	Counted  Totals // all records added
+	Exported Totals // written in full to the collector's connection
+	Waiting  Totals // queued without folding, or in flight
+	Folded   Totals // queued as part of folded records
+	Lost     Totals // dropped at the memory limit
 }
 
-// Balanced tells whether the identity does.
-func (a Ledger) Balanced() bool {
-	sum := a.Exported
-	for _, x := range []Totals{a.Waiting, a.Folded, a.Lost} {
-		sum.merge(x)
+// Balanced reports whether Counted equals the sum of the other fields.
+func (l Ledger) Balanced() bool {
+	total := l.Exported
+	for _, x := range []Totals{l.Waiting, l.Folded, l.Lost} {
+		total.merge(x)
 	}
-	return sum == a.Counted
+	return total == l.Counted
 }
--- a/internal/router/flow/netflow9/golden_test.go
+++ b/internal/router/flow/netflow9/golden_test.go
@@ -6,14 +6,14 @@
 	"portflow/internal/golden"
 )
 
-// Collectors are sent the same bytes: templates, and records of each kind.
+// Guards against changes of the encoding of templates and of each kind of record.
 func TestGoldenMessages(t *testing.T) {
 	e := encoder()
 	raw := e.Templates(nil, now)
-	for left := records(); len(left) > 0; {
+	for remaining := records(); len(remaining) > 0; {
 		var n int
-		raw, n = e.Data(raw, now, left, 1<<15)
-		left = left[n:]
+		raw, n = e.Data(raw, now, remaining, 1<<15)
+		remaining = remaining[n:]
 	}
 	golden.Equal(t, "messages.bin", raw)
 }
--- a/internal/router/flow/netflow9/netflow9.go
+++ b/internal/router/flow/netflow9/netflow9.go
@@ -1,6 +1,6 @@
-// Package netflow9 writes and reads NetFlow version 9 messages (RFC 3954) of a router's flow records. Version 9 has no
-// enterprise elements, no variable lengths and no reverse ones: our own fields stand in the types from 40001 on, names
-// in 24 octets, and times in milliseconds since the exporter's start.
+// Package netflow9 encodes and decodes NetFlow version 9 export packets (RFC 3954) with a router's flow records. Version 9 has no
+// enterprise-specific, variable-length or reverse fields, so portflow's own fields have types from 40001 on, names have 24 octets,
+// and OUT_BYTES has the reverse octets. Times are in milliseconds since the start of the exporter.
 package netflow9
 
 import (
@@ -15,28 +15,29 @@
 )
 
 const (
-	version  = 9
-	header   = 20
-	nameSize = 24
-	tcp      = 6
-	mostOf   = 1024 // templates that a decoder keeps, of all sources
+	version      = 9
+	headerOctets = 20
+	nameOctets   = 24
+	protocolTCP  = 6
+	maxTemplates = 1024 // limit on the templates, and on the sources, that a decoder keeps
 )
 
-// Field types (RFC 3954, section 8), and our own.
+// Field types (RFC 3954, section 8).
 const (
-	inBytes       = 1
-	protocol      = 4
-	sourcePort    = 7
-	source4       = 8
-	destPort      = 11
-	dest4         = 12
-	lastSwitched  = 21
-	firstSwitched = 22
-	outBytes      = 23
-	source6       = 27
-	dest6         = 28
+	inBytes            = 1
+	protocolIdentifier = 4
+	sourcePort         = 7
+	sourceIPv4         = 8
+	destPort           = 11
+	destIPv4           = 12
+	lastSwitched       = 21
+	firstSwitched      = 22
+	outBytes           = 23
+	sourceIPv6         = 27
+	destIPv6           = 28
 )
 
+// Field types of portflow's own fields.
 const (
 	ownCommands = 40001 + iota
 	ownSide
@@ -52,7 +53,7 @@
 
 type field struct{ kind, length uint16 }
 
-// Templates, by their numbers.
+// Template IDs.
 const (
 	template4 = 256 + iota
 	template6
@@ -61,37 +62,38 @@
 
 func fields(template uint16) []field {
 	common := []field{{firstSwitched, 4}, {lastSwitched, 4}, {inBytes, 8}, {outBytes, 8}, {ownReason, 1}, {ownCommands, 8}, {ownSide, 1},
-		{ownCarrier, nameSize}, {ownBand, nameSize}, {ownHost, nameSize}, {ownBuild, 4}, {ownDrained, 1}, {ownRecords, 4}, {ownConnections, 4}}
+		{ownCarrier, nameOctets}, {ownBand, nameOctets}, {ownHost, nameOctets}, {ownBuild, 4}, {ownDrained, 1}, {ownRecords, 4}, {ownConnections, 4}}
 	switch template {
 	case template4:
-		return append([]field{{source4, 4}, {dest4, 4}, {sourcePort, 2}, {destPort, 2}, {protocol, 1}}, common...)
+		return append([]field{{sourceIPv4, 4}, {destIPv4, 4}, {sourcePort, 2}, {destPort, 2}, {protocolIdentifier, 1}}, common...)
 	case template6:
-		return append([]field{{source6, 16}, {dest6, 16}, {sourcePort, 2}, {destPort, 2}, {protocol, 1}}, common...)
+		return append([]field{{sourceIPv6, 16}, {destIPv6, 16}, {sourcePort, 2}, {destPort, 2}, {protocolIdentifier, 1}}, common...)
 	}
 	return common
 }
 
-// Encoder writes messages of one exporter.
+// Encoder encodes the export packets of one exporter.
 type Encoder struct {
-	Source   uint32 // its id
+	Source   uint32 // source ID
 	Names    ipfix.Names
-	Boot     int64 // when it began, Unix nanoseconds
-	Sequence uint32
+	Boot     int64  // start of the exporter, Unix nanoseconds
+	Sequence uint32 // sequence number of the next packet
 }
 
-// up is a time since the exporter's start, in milliseconds; it comes round after 49 days (RFC 3954, section 5.1).
-func (e *Encoder) up(at int64) uint32 { return uint32(max(0, at-e.Boot) / 1e6) }
+// uptime converts Unix nanoseconds to milliseconds since the start of the exporter. It wraps around after 49 days (RFC 3954,
+// section 5.1).
+func (e *Encoder) uptime(at int64) uint32 { return uint32(max(0, at-e.Boot) / 1e6) }
 
 func (e *Encoder) begin(to []byte, now int64) []byte {
 	u32 := binary.BigEndian.AppendUint32
 	to = append(to, 0, version, 0, 0)
-	to = u32(u32(to, e.up(now)), uint32(now/1e9))
-	e.Sequence++ // of messages, not of records (section 5.1)
+	to = u32(u32(to, e.uptime(now)), uint32(now/1e9))
+	e.Sequence++ // counts packets, not records (section 5.1)
 	return u32(u32(to, e.Sequence-1), e.Source)
 }
 
-// end pads a flow set to 4 octets and states its length (section 5.2).
-func end(to []byte, set int) []byte {
+// endFlowSet pads the FlowSet that starts at offset set to a multiple of 4 octets and writes its length (section 5.2).
+func endFlowSet(to []byte, set int) []byte {
 	for (len(to)-set)%4 != 0 {
 		to = append(to, 0)
 	}
@@ -99,7 +101,7 @@
 	return to
 }
 
-// Templates appends a message with all templates.
+// Templates appends an export packet with all templates.
 func (e *Encoder) Templates(to []byte, now int64) []byte {
 	begin := len(to)
 	to = e.begin(to, now)
@@ -113,42 +115,42 @@
 			to = binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint16(to, f.kind), f.length)
 		}
 	}
-	to = end(to, set)
+	to = endFlowSet(to, set)
 	binary.BigEndian.PutUint16(to[begin+2:], 3)
 	return to
 }
 
-// Data appends one message of as many records as fit into so many octets, at least one, and tells how many.
-func (e *Encoder) Data(to []byte, now int64, records []flow.Record, most int) ([]byte, int) {
+// Data appends one export packet with as many of the records as fit in maxOctets, but at least one, and returns their number.
+func (e *Encoder) Data(to []byte, now int64, records []flow.Record, maxOctets int) ([]byte, int) {
 	begin := len(to)
 	to = e.begin(to, now)
-	set, in, n := 0, uint16(0), 0
+	set, setTemplate, n := 0, uint16(0), 0
 	for i := range records {
 		r := &records[i]
 		t := templateOf(r)
-		before, wasSet, wasIn := len(to), set, in
-		if t != in {
-			if in != 0 {
-				to = end(to, set)
+		before, previousSet, previousTemplate := len(to), set, setTemplate
+		if t != setTemplate {
+			if setTemplate != 0 {
+				to = endFlowSet(to, set)
 			}
-			set, in = len(to), t
+			set, setTemplate = len(to), t
 			to = append(binary.BigEndian.AppendUint16(to, t), 0, 0)
 		}
-		to = e.record(to, t, r)
-		if len(to)-begin+3 > most && n > 0 {
-			to, set, in = to[:before], wasSet, wasIn
+		to = e.appendRecord(to, t, r)
+		if len(to)-begin+3 > maxOctets && n > 0 {
+			to, set, setTemplate = to[:before], previousSet, previousTemplate
 			break
 		}
 		n++
 	}
-	if in != 0 {
-		to = end(to, set)
+	if setTemplate != 0 {
+		to = endFlowSet(to, set)
 	}
 	binary.BigEndian.PutUint16(to[begin+2:], uint16(n))
 	return to, n
 }
 
-// Unsent takes back the sequence of a message that never went.
+// Unsent undoes the change of Sequence by a packet that was not sent.
 func (e *Encoder) Unsent(int) { e.Sequence-- }
 
 func templateOf(r *flow.Record) uint16 {
@@ -161,16 +163,16 @@
 	return templateFolded
 }
 
-func (e *Encoder) record(to []byte, t uint16, r *flow.Record) []byte {
+func (e *Encoder) appendRecord(to []byte, t uint16, r *flow.Record) []byte {
 	u32, u64 := binary.BigEndian.AppendUint32, binary.BigEndian.AppendUint64
 	if t != templateFolded {
-		to = append(r.AppendEndpoints(to), tcp)
+		to = append(r.AppendEndpoints(to), protocolTCP)
 	}
-	to = u32(u32(to, e.up(r.Start)), e.up(r.End))
+	to = u32(u32(to, e.uptime(r.Start)), e.uptime(r.End))
 	to = append(u64(u64(to, r.Forward), r.Reverse), byte(r.Reason))
 	to = append(u64(to, r.Commands), byte(r.Side))
-	for _, text := range []string{name(e.Names.Carriers, int(r.Carrier)), name(e.Names.Bands, int(r.Band)), r.Host} {
-		var fixed [nameSize]byte
+	for _, text := range []string{lookUpName(e.Names.Carriers, int(r.Carrier)), lookUpName(e.Names.Bands, int(r.Band)), r.Host} {
+		var fixed [nameOctets]byte
 		copy(fixed[:], text)
 		to = append(to, fixed[:]...)
 	}
@@ -181,71 +183,72 @@
 	return u32(u32(append(u32(to, r.Build), drained), r.Count), r.Connections)
 }
 
-func name(all []string, i int) string {
+func lookUpName(all []string, i int) string {
 	if i < 1 || i > len(all) {
 		return ""
 	}
 	return all[i-1]
 }
 
-// Decoder reads messages; templates are a source's.
+// Decoder decodes export packets. It keeps templates per source ID.
 type Decoder struct {
-	templates map[[2]uint32][]field
-	sequence  map[uint32]uint32
-	Unknown   int    // sets without a template
-	Missed    uint32 // messages that never came
+	templates map[[2]uint32][]field // by source ID and template ID
+	sequence  map[uint32]uint32     // expected sequence number by source ID
+	Unknown   int                   // data FlowSets without a known template
+	Missed    uint32                // missing packets, according to the sequence numbers
 }
 
-// NewDecoder makes one that knows no template.
+// NewDecoder returns a decoder without templates.
 func NewDecoder() *Decoder {
 	return &Decoder{templates: map[[2]uint32][]field{}, sequence: map[uint32]uint32{}}
 }
 
-// Message reads one message and hands its records to each. What is wrong is an error with its place.
+// Message decodes one export packet and calls each for every flow record. An error names the offset of the malformed FlowSet;
+// records before it have been passed to each.
 func (d *Decoder) Message(b []byte, each func(ipfix.Read)) error {
-	if len(b) < header {
-		return errors.New("netflow9: no whole head")
+	if len(b) < headerOctets {
+		return errors.New("netflow9: packet header is cut short")
 	}
 	if v := binary.BigEndian.Uint16(b); v != version {
-		return fmt.Errorf("netflow9: version %d", v)
+		return fmt.Errorf("netflow9: unsupported version %d", v)
 	}
 	boot := int64(binary.BigEndian.Uint32(b[8:]))*1e9 - int64(binary.BigEndian.Uint32(b[4:]))*1e6
 	sequence, source := binary.BigEndian.Uint32(b[12:]), binary.BigEndian.Uint32(b[16:])
 	if next, known := d.sequence[source]; known && sequence-next < 1<<31 {
 		d.Missed += sequence - next
 	}
-	if _, known := d.sequence[source]; known || len(d.sequence) < mostOf {
+	if _, known := d.sequence[source]; known || len(d.sequence) < maxTemplates {
 		d.sequence[source] = sequence + 1
 	}
-	for at := header; len(b)-at >= 4; {
-		id, length := binary.BigEndian.Uint16(b[at:]), int(binary.BigEndian.Uint16(b[at+2:]))
-		if length < 4 || at+length > len(b) {
-			return fmt.Errorf("netflow9: octet %d: set %d of %d octets", at, id, length)
+	for offset := headerOctets; len(b)-offset >= 4; {
+		id, length := binary.BigEndian.Uint16(b[offset:]), int(binary.BigEndian.Uint16(b[offset+2:]))
+		if length < 4 || offset+length > len(b) {
+			return fmt.Errorf("netflow9: octet %d: FlowSet %d has invalid length %d", offset, id, length)
 		}
 		var err error
-		switch set := b[at+4 : at+length]; {
+		switch set := b[offset+4 : offset+length]; {
 		case id == 0:
-			err = d.define(source, set)
-		case id < 256: // options templates, and what is reserved
+			err = d.readTemplates(source, set)
+		case id < 256: // ignores options templates and reserved IDs
 		default:
-			d.data(source, id, set, boot, each)
+			d.readRecords(source, id, set, boot, each)
 		}
 		if err != nil {
-			return fmt.Errorf("netflow9: octet %d: %w", at, err)
+			return fmt.Errorf("netflow9: octet %d: %w", offset, err)
 		}
-		at += length
+		offset += length
 	}
 	return nil
 }
 
-func (d *Decoder) define(source uint32, b []byte) error {
+func (d *Decoder) readTemplates(source uint32, b []byte) error {
 	for len(b) >= 4 {
 		id, count := binary.BigEndian.Uint16(b), int(binary.BigEndian.Uint16(b[2:]))
 		if id < 256 {
 			return nil // padding
 		}
 		if b = b[4:]; count == 0 || count > 256 || len(b) < 4*count {
-			return fmt.Errorf("template %d: %d fields in %d octets", id, count, len(b))
+			return fmt.Errorf("template %d: invalid field count %d for %d octets", id, count, len(b))
 		}
 		all, size := make([]field, 0, count), 0
 		for range count {
@@ -253,18 +256,18 @@
 			all, size, b = append(all, f), size+int(f.length), b[4:]
 		}
 		if size == 0 {
-			return fmt.Errorf("template %d: records of no octets", id)
+			return fmt.Errorf("template %d: records would be empty", id)
 		}
 		k := [2]uint32{source, uint32(id)}
-		if _, known := d.templates[k]; !known && len(d.templates) >= mostOf {
-			return fmt.Errorf("template %d: more than %d", id, mostOf)
+		if _, known := d.templates[k]; !known && len(d.templates) >= maxTemplates {
+			return fmt.Errorf("template %d: more than %d templates", id, maxTemplates)
 		}
 		d.templates[k] = all
 	}
 	return nil
 }
 
-func (d *Decoder) data(source uint32, id uint16, b []byte, boot int64, each func(ipfix.Read)) {
+func (d *Decoder) readRecords(source uint32, id uint16, b []byte, boot int64, each func(ipfix.Read)) {
 	all, known := d.templates[[2]uint32{source, uint32(id)}]
 	if !known {
 		d.Unknown++
@@ -275,27 +278,27 @@
 		size += int(f.length)
 	}
 	for ; len(b) >= size; b = b[size:] {
-		each(read(all, b[:size], boot))
+		each(readRecord(all, b[:size], boot))
 	}
 }
 
-func read(all []field, b []byte, boot int64) (r ipfix.Read) {
-	var from, to netip.Addr
-	var fromPort, toPort uint16
+func readRecord(all []field, b []byte, boot int64) (r ipfix.Read) {
+	var source, destination netip.Addr
+	var srcPort, dstPort uint16
 	for _, f := range all {
 		raw := b[:f.length]
 		b = b[f.length:]
 		v := ipfix.Value{Raw: raw}.Number()
 		text := func() string { return string(bytes.TrimRight(raw, "\x00")) }
 		switch f.kind {
-		case source4, source6:
-			from, _ = netip.AddrFromSlice(raw)
-		case dest4, dest6:
-			to, _ = netip.AddrFromSlice(raw)
+		case sourceIPv4, sourceIPv6:
+			source, _ = netip.AddrFromSlice(raw)
+		case destIPv4, destIPv6:
+			destination, _ = netip.AddrFromSlice(raw)
 		case sourcePort:
-			fromPort = uint16(v)
+			srcPort = uint16(v)
 		case destPort:
-			toPort = uint16(v)
+			dstPort = uint16(v)
 		case firstSwitched:
 			r.Start = boot + int64(uint32(v))*1e6
 		case lastSwitched:
@@ -326,8 +329,8 @@
 			r.Connections = uint32(v)
 		}
 	}
-	if from.IsValid() && to.IsValid() {
-		r.Source, r.Destination = netip.AddrPortFrom(from, fromPort), netip.AddrPortFrom(to, toPort)
+	if source.IsValid() && destination.IsValid() {
+		r.Source, r.Destination = netip.AddrPortFrom(source, srcPort), netip.AddrPortFrom(destination, dstPort)
 	}
 	return r
 }
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -14,7 +14,7 @@
 	"portflow/internal/router/settings"
 )
 
-// frame lays the simulator's side out: each value big-endian in its own width, texts as they are.
+// frame encodes values as the simulator does: numbers big-endian in the width of their type, strings without a length.
 func frame(values ...any) (raw []byte) {
 	for _, v := range values {
 		switch v := v.(type) {
@@ -43,10 +43,10 @@
 	f32 = float32
 )
 
-// batch has a record of each code, with a value of its own in each field.
-func batch(environment string) []byte {
+// batch returns a batch with a record of each event code. Numeric fields have distinct values, to detect swapped fields.
+func batch(settingsText string) []byte {
 	records := [][]byte{
-		record(29, u32(1), u64(2), u32(len(environment)), environment),
+		record(29, u32(1), u64(2), u32(len(settingsText)), settingsText),
 		record(28, u16(3), u32(2), u32(4), u16(5), u8(6), u16(7), u8(2), f32(8), f32(1.5), u64(9), u32(10), u16(11), u8(12), u16(13), u8(0), f32(14), f32(2.5), u64(15)),
 		record(17, u32(16), u8(2), u16(4), u64(17)),
 		record(19, u32(18), u32(19), u8(20), u32(21), u64(22)),
@@ -65,17 +65,17 @@
 	return append(frame(u32(len(records)), u32(len(body)), u64(62)), body...)
 }
 
-// All that the simulator says is read as the same events.
+// Guards against changes of the decoding of events.
 func TestGoldenBatch(t *testing.T) {
-	environment, err := os.ReadFile("testdata/settings.json")
+	settingsText, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	all, err := settings.Read(environment)
+	all, err := settings.Read(settingsText)
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw := golden.Equal(t, "batch.bin", batch(string(environment)))
+	raw := golden.Equal(t, "batch.bin", batch(string(settingsText)))
 	r := bytes.NewReader(raw)
 	got, err := ReadBatch(r)
 	if err != nil {
@@ -100,30 +100,30 @@
 		{56, AttemptEnded{RequestID: 57, Done: true, Took: 59, Number: 60, Result: decision.ConnectFailed, Report: []float64{61}}},
 	}}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read as\n%+v\nnot\n%+v", got, want)
+		t.Errorf("got events\n%+v\nwant\n%+v", got, want)
 	}
 	if _, err := ReadBatch(r); err != io.EOF {
 		t.Error(err)
 	}
 }
 
-// All that a router does is written in the same bytes.
+// Guards against changes of the encoding of actions.
 func TestGoldenReply(t *testing.T) {
 	var r Reply
-	o := Effects{0x01020304, &r}
-	o.StartAttempt(1, 2, math.MaxInt64)
-	o.Reject(3, 4)
-	o.Fail(5)
-	o.CancelAttempt(6, 7)
+	effects := Effects{0x01020304, &r}
+	effects.StartAttempt(1, 2, math.MaxInt64)
+	effects.Reject(3, 4)
+	effects.Fail(5)
+	effects.CancelAttempt(6, 7)
 	for _, v := range []decision.Verdict{decision.NoVote, decision.Advance, decision.Hold, decision.RollBack} {
-		o.Vote(v, 8, 9)
+		effects.Vote(v, 8, 9)
 	}
-	o.SendGossip(10, []byte("abc"))
-	o.SetTimer(11, 12)
-	o.CloseIdle(13)
-	o.WatchHosts(true)
-	o.WatchHosts(false)
-	o.Log("a note")
+	effects.SendGossip(10, []byte("abc"))
+	effects.SetTimer(11, 12)
+	effects.CloseIdle(13)
+	effects.WatchHosts(true)
+	effects.WatchHosts(false)
+	effects.Log("a note")
 	var raw bytes.Buffer
 	if _, err := r.WriteTo(&raw); err != nil {
 		t.Fatal(err)
@@ -131,7 +131,7 @@
 	golden.Equal(t, "reply.bin", raw.Bytes())
 }
 
-// Each word of the wire has its number.
+// Guards against changes of the codes of enumerated fields.
 func TestGoldenNumbers(t *testing.T) {
 	for name, ok := range map[string]bool{
 		"forms":     reflect.DeepEqual(listKinds, map[uint8]decision.ListKind{0: decision.Delta, 1: decision.Snapshot, 2: decision.CachedSnapshot, 3: decision.FetchFailed}),
@@ -142,7 +142,7 @@
 			13: decision.Failed, 14: decision.ConnectFailed}),
 	} {
 		if !ok {
-			t.Errorf("%s: other numbers", name)
+			t.Errorf("%s: codes differ from those of the protocol", name)
 		}
 	}
 }
