--- a/cmd/portflowctl/core_test.go
+++ b/cmd/portflowctl/core_test.go
@@ -38,12 +38,12 @@
 		json.NewEncoder(w).Encode(answers[call])
 	}))
 	defer ts.Close()
-	at := strings.TrimPrefix(ts.URL, "http://")
-	for name, x := range map[string]struct {
-		args  []string
-		sends string
-		says  []string
-		err   string
+	address := strings.TrimPrefix(ts.URL, "http://")
+	for name, test := range map[string]struct {
+		args       []string
+		wantSent   string
+		wantOutput []string
+		err        string
 	}{
 		"list": {nil, "core.read ", []string{"epoch 7, number 41", "bears: 1 members, or one of the zones [z1 z2]", "lost 4.2 s ago, bore 2; lost: 10.0.0.2", "LEARNER", "HELD OUT", "n9"}, ""},
 		"remove, weighed": {[]string{"remove", "--dry-run", "n2"}, `core.change {"do":"remove","who":"n2","with":"","dry":true,"force":false}`,
@@ -62,18 +62,18 @@
 			c := qt.New(t)
 			sent = nil
 			var out bytes.Buffer
-			err := newApp(&out).Run(context.Background(), append([]string{"portflowctl", "--control", at, "core"}, x.args...))
-			if x.err == "" {
+			err := newApp(&out).Run(context.Background(), append([]string{"portflowctl", "--control", address, "core"}, test.args...))
+			if test.err == "" {
 				c.Assert(err, qt.IsNil)
 			} else {
-				c.Assert(err, qt.ErrorMatches, x.err)
+				c.Assert(err, qt.ErrorMatches, test.err)
 			}
-			c.Check(strings.Join(sent, "\n"), qt.Equals, x.sends)
-			for _, says := range x.says {
-				c.Check(out.String(), qt.Contains, says)
+			c.Check(strings.Join(sent, "\n"), qt.Equals, test.wantSent)
+			for _, wantOutput := range test.wantOutput {
+				c.Check(out.String(), qt.Contains, wantOutput)
 			}
 		})
 	}
-	err := newApp(io.Discard).Run(context.Background(), []string{"portflowctl", "--control", at + "," + at, "core", "recover"})
+	err := newApp(io.Discard).Run(context.Background(), []string{"portflowctl", "--control", address + "," + address, "core", "recover"})
 	qt.Check(t, err, qt.ErrorMatches, "--control: name the one.*")
 }
--- a/cmd/portflowctl/main.go
+++ b/cmd/portflowctl/main.go
@@ -53,11 +53,11 @@
 	newClient := func(c *cli.Command) *client.Client {
 		return &client.Client{Addresses: strings.Split(c.String("control"), ","), HTTP: &http.Client{}, Timeout: c.Duration("limit")}
 	}
-	call := func(name, argument string, body func(*cli.Command) ([]byte, error)) cli.ActionFunc {
+	callAction := func(name, argument string, body func(*cli.Command) ([]byte, error)) cli.ActionFunc {
 		return func(ctx context.Context, c *cli.Command) error {
-			target := ""
+			subject := ""
 			if argument != "" {
-				if target = c.StringArg(argument); target == "" {
+				if subject = c.StringArg(argument); subject == "" {
 					return fmt.Errorf("%s: missing", argument)
 				}
 			}
@@ -67,13 +67,13 @@
 				if raw, err = body(c); err != nil {
 					return err
 				}
-				target = ""
+				subject = ""
 			}
-			_, err = newClient(c).Call(ctx, name, target, raw)
+			_, err = newClient(c).Call(ctx, name, subject, raw)
 			return err
 		}
 	}
-	file := func(c *cli.Command) ([]byte, error) {
+	readFile := func(c *cli.Command) ([]byte, error) {
 		name := c.StringArg("file")
 		if name == "" {
 			return nil, errors.New("file: missing")
@@ -84,8 +84,8 @@
 		return os.ReadFile(name)
 	}
 	// against reads a change from the file and holds it against what stands.
-	checkAgainst := func(ctx context.Context, c *cli.Command) (current []byte, items, changes []config.Item, err error) {
-		raw, err := file(c)
+	checkFile := func(ctx context.Context, c *cli.Command) (current []byte, items, changes []config.Item, err error) {
+		raw, err := readFile(c)
 		if err != nil {
 			return nil, nil, nil, err
 		}
@@ -96,12 +96,12 @@
 		return current, items, changes, err
 	}
 	// above sends the change that is made for the highest version that any item has.
-	changeAbove := func(ctx context.Context, c *cli.Command, change func(highest uint64) ([]byte, error)) error {
+	sendWithNextVersion := func(ctx context.Context, c *cli.Command, buildChange func(highest uint64) ([]byte, error)) error {
 		status, err := readStatus(ctx, newClient(c))
 		if err != nil {
 			return err
 		}
-		raw, err := change(status.HighestVersion)
+		raw, err := buildChange(status.HighestVersion)
 		if err == nil {
 			_, err = newClient(c).Call(ctx, "configuration.modify", "", raw)
 		}
@@ -124,7 +124,7 @@
 				}},
 				{Name: "check", Usage: "say what is wrong with a change, as control would", Arguments: oneArgument("file"),
 					Action: func(ctx context.Context, c *cli.Command) error {
-						_, items, changes, err := checkAgainst(ctx, c)
+						_, items, changes, err := checkFile(ctx, c)
 						if err == nil {
 							_, err = fmt.Fprintf(out, "%d items, %d of them change something\n", len(items), len(changes))
 						}
@@ -132,7 +132,7 @@
 					}},
 				{Name: "diff", Usage: "print what a change would change", Arguments: oneArgument("file"),
 					Action: func(ctx context.Context, c *cli.Command) error {
-						current, items, _, err := checkAgainst(ctx, c)
+						current, items, _, err := checkFile(ctx, c)
 						if err != nil {
 							return err
 						}
@@ -145,10 +145,10 @@
 						}
 						return nil
 					}},
-				{Name: "modify", Usage: "send a change", Arguments: oneArgument("file"), Action: call("configuration.modify", "", file)},
+				{Name: "modify", Usage: "send a change", Arguments: oneArgument("file"), Action: callAction("configuration.modify", "", readFile)},
 			}},
 			snapshotCommand(newClient, out, oneArgument("file")),
-			restoreCommand(newClient, out, oneArgument("file"), file),
+			restoreCommand(newClient, out, oneArgument("file"), readFile),
 			{Name: "share", Usage: "callers' shares of services", Commands: []*cli.Command{
 				{Name: "set", Usage: "set one, with a version above all that stand", Arguments: oneArgument("name"),
 					Flags: []cli.Flag{
@@ -161,14 +161,14 @@
 						&cli.BoolFlag{Name: "watch", Usage: "hold nothing back, only count"},
 					},
 					Action: func(ctx context.Context, c *cli.Command) error {
-						number := func(name string) any { return lo.Ternary[any](c.IsSet(name), c.Float(name), nil) }
+						optionalFloat := func(name string) any { return lo.Ternary[any](c.IsSet(name), c.Float(name), nil) }
 						fields := map[string]any{"name": c.StringArg("name"), "service": c.String("service"),
-							"caller-header": c.String("header"), "caller": c.String("caller"), "per-s": number("per-s"), "burst": number("burst"),
-							"part": number("part"), "watch-only": lo.Ternary[any](c.Bool("watch"), true, nil)}
-						return changeAbove(ctx, c, func(highest uint64) ([]byte, error) { return client.SetQuotaChange(fields, highest) })
+							"caller-header": c.String("header"), "caller": c.String("caller"), "per-s": optionalFloat("per-s"), "burst": optionalFloat("burst"),
+							"part": optionalFloat("part"), "watch-only": lo.Ternary[any](c.Bool("watch"), true, nil)}
+						return sendWithNextVersion(ctx, c, func(highest uint64) ([]byte, error) { return client.SetQuotaChange(fields, highest) })
 					}},
 				{Name: "drop", Usage: "drop one", Arguments: oneArgument("name"), Action: func(ctx context.Context, c *cli.Command) error {
-					return changeAbove(ctx, c, func(highest uint64) ([]byte, error) { return client.DropQuotaChange(c.StringArg("name"), highest) })
+					return sendWithNextVersion(ctx, c, func(highest uint64) ([]byte, error) { return client.DropQuotaChange(c.StringArg("name"), highest) })
 				}},
 				{Name: "dry", Usage: "say whom a share would have held back, by the counts of the last hour",
 					Flags: []cli.Flag{
@@ -187,26 +187,26 @@
 						if err != nil {
 							return err
 						}
-						excess := client.SimulateQuota(responses, c.String("service"), c.String("caller"), c.Float("per-s"))
+						throttled := client.SimulateQuota(responses, c.String("service"), c.String("caller"), c.Float("per-s"))
 						if c.Bool("json") {
-							return json.NewEncoder(out).Encode(excess)
+							return json.NewEncoder(out).Encode(throttled)
 						}
 						table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 						fmt.Fprintln(table, "CALLER\tREQUESTS\tHELD BACK\tMOST A MINUTE")
-						for _, h := range excess {
-							fmt.Fprintf(table, "%s\t%d\t%d\t%d\n", client.FormatCaller(h.Caller), h.Requests, h.Throttled, h.WorstMinute)
+						for _, caller := range throttled {
+							fmt.Fprintf(table, "%s\t%d\t%d\t%d\n", client.FormatCaller(caller.Caller), caller.Requests, caller.Throttled, caller.WorstMinute)
 						}
 						return table.Flush()
 					}},
 			}},
 			{Name: "shares", Usage: "callers' shares: their limits, what is used, and which zone has how much of them", Action: statusAction(newClient, out, printQuotas)},
 			{Name: "evacuate", Usage: "empty a zone, or take it back", Commands: []*cli.Command{
-				{Name: "begin", Arguments: oneArgument("zone"), Action: call("evacuation.begin", "zone", nil)},
-				{Name: "finish", Arguments: oneArgument("zone"), Action: call("evacuation.finish", "zone", nil)},
+				{Name: "begin", Arguments: oneArgument("zone"), Action: callAction("evacuation.begin", "zone", nil)},
+				{Name: "finish", Arguments: oneArgument("zone"), Action: callAction("evacuation.finish", "zone", nil)},
 			}},
 			{Name: "rollout", Usage: "move a service to a version", Arguments: []cli.Argument{&cli.StringArg{Name: "service"}, &cli.StringArg{Name: "version"}},
 				Flags: []cli.Flag{&cli.DurationFlag{Name: "within", Value: time.Minute, Usage: "the term: until then it has been judged"}},
-				Action: call("rollouts.begin", "", func(c *cli.Command) ([]byte, error) {
+				Action: callAction("rollouts.begin", "", func(c *cli.Command) ([]byte, error) {
 					if c.StringArg("service") == "" || c.StringArg("version") == "" {
 						return nil, errors.New("a service and a version are wanted")
 					}
@@ -263,77 +263,77 @@
 }
 
 // readRollouts is the rollouts as the first control process that answers has them, with the figures that any of them was told.
-func readRollouts(ctx context.Context, p *client.Client) (all []server.RolloutStatus, err error) {
+func readRollouts(ctx context.Context, p *client.Client) (rollouts []server.RolloutStatus, err error) {
 	err = p.CallEach(ctx, "harbour.read", func(raw []byte) error {
 		var s server.ClusterStatus
 		if err := json.Unmarshal(raw, &s); err != nil {
 			return fmt.Errorf("what control answered: %w", err)
 		}
-		if all == nil {
-			all = s.Rollouts
+		if rollouts == nil {
+			rollouts = s.Rollouts
 			return nil
 		}
-		for i, r := range all {
+		for i, r := range rollouts {
 			for _, x := range s.Rollouts {
 				if x.Service == r.Service && x.Target == r.Target {
-					all[i].Proxies = append(all[i].Proxies, x.Proxies...)
+					rollouts[i].Proxies = append(rollouts[i].Proxies, x.Proxies...)
 				}
 			}
 		}
 		return nil
 	})
-	return all, err
+	return rollouts, err
 }
 
-func printRollouts(w io.Writer, all []server.RolloutStatus) {
+func printRollouts(w io.Writer, rollouts []server.RolloutStatus) {
 	fmt.Fprintln(w, "SERVICE\tFROM\tTARGET\tSTATE\tLEFT s\tVOTES")
-	for _, r := range all {
+	for _, r := range rollouts {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.1f\t%s\n", r.Service, r.From, r.Target, r.State, r.LeftSeconds, strings.Join(r.Votes, ", "))
 	}
-	heads := false
-	for _, r := range all {
-		for _, j := range r.Proxies {
-			if !heads {
-				heads = true
+	headingPrinted := false
+	for _, r := range rollouts {
+		for _, metrics := range r.Proxies {
+			if !headingPrinted {
+				headingPrinted = true
 				fmt.Fprintln(w, "\nSERVICE\tROUTER\tAGE s\tOUTCOMES\tFAILURES\tOVER\tTIMES\tOVER\tMAY STILL GET")
 			}
-			fmt.Fprintf(w, "%s\t%s\t%.1f\t%.0f\t%+.3f ± %.3f\t%.3f\t%+.3f ± %.3f\t%.3f\t%.1f\n", r.Service, j.Proxy, j.AgeSeconds, j.Outcomes[0],
-				j.Excess[0], j.Error[0], j.Threshold[0], j.Excess[1], j.Error[1], j.Threshold[1], j.Exposure)
+			fmt.Fprintf(w, "%s\t%s\t%.1f\t%.0f\t%+.3f ± %.3f\t%.3f\t%+.3f ± %.3f\t%.3f\t%.1f\n", r.Service, metrics.Proxy, metrics.AgeSeconds, metrics.Outcomes[0],
+				metrics.Excess[0], metrics.Error[0], metrics.Threshold[0], metrics.Excess[1], metrics.Error[1], metrics.Threshold[1], metrics.Exposure)
 		}
 	}
 }
 
-func printQuotas(w io.Writer, s server.ClusterStatus) {
+func printQuotas(w io.Writer, status server.ClusterStatus) {
 	fmt.Fprintln(w, "SHARE\tSERVICE\tCALLER\tLIMIT /s\tUSED /s")
-	for _, x := range s.Quotas {
+	for _, x := range status.Quotas {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.1f\t%.1f\n", x.Quota, x.Service, x.Caller, x.Limit, x.Used)
 	}
 	fmt.Fprintln(w, "\nSHARE\tROUTERS OF\tWANT /s\tLENT /s\tSENT AWAY\tTAKEN OVER IT")
-	for _, x := range s.Quotas {
+	for _, x := range status.Quotas {
 		for _, z := range x.Zones {
 			fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%d\t%d\n", x.Quota, z.Zone, z.Demand, z.Allocated, z.Rejected, z.OverQuota)
 		}
 	}
 }
 
-func printMembers(w io.Writer, s server.ClusterStatus) {
-	fmt.Fprintf(w, "seen by %s, %s: %d items, news %d, %d syncs\n", s.Node, s.Status, s.Items, s.LastUpdate, s.Syncs)
-	if len(s.Evacuated) > 0 {
-		fmt.Fprintln(w, "evacuated:", strings.Join(s.Evacuated, ", "))
+func printMembers(w io.Writer, status server.ClusterStatus) {
+	fmt.Fprintf(w, "seen by %s, %s: %d items, news %d, %d syncs\n", status.Node, status.Status, status.Items, status.LastUpdate, status.Syncs)
+	if len(status.Evacuated) > 0 {
+		fmt.Fprintln(w, "evacuated:", strings.Join(status.Evacuated, ", "))
 	}
-	for _, y := range s.Overridden {
-		fmt.Fprintln(w, "yields:", y)
+	for _, reason := range status.Overridden {
+		fmt.Fprintln(w, "yields:", reason)
 	}
 	fmt.Fprintln(w, "\nCORE\tZONE\tHEARD\tWHOLE\tSAME ITEMS")
-	for _, c := range s.Voters {
+	for _, c := range status.Voters {
 		fmt.Fprintf(w, "%s\t%s\t%v\t%v\t%v\n", c.Name, c.Zone, c.Heard, c.CaughtUp, c.UpToDate)
 	}
 	fmt.Fprintln(w, "\nROUTER\tZONE\tREADY\tNUMBER\tHANGS ON\tBEHIND")
-	for _, r := range s.Proxies {
+	for _, r := range status.Proxies {
 		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%s\t%s\n", r.Name, r.Zone, r.Ready, r.Number, r.Owner, lo.Ternary(r.UnackedUpdates < 0, "-", fmt.Sprint(r.UnackedUpdates)))
 	}
 	fmt.Fprintln(w, "\nHOST\tSERVICE\tZONE\tVERSION\tSTATE\tCOLD s")
-	for _, h := range s.Instances {
+	for _, h := range status.Instances {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.1f\n", h.ID, h.Service, h.Zone, h.Version, h.State, h.WarmupSeconds)
 	}
 }
--- a/cmd/portflowctl/restore.go
+++ b/cmd/portflowctl/restore.go
@@ -12,14 +12,14 @@
 )
 
 // restoreCommand puts a snapshot in force: one of the whole state as it is, one that is a change by items of higher versions.
-func restoreCommand(newClient func(*cli.Command) *client.Client, out io.Writer, arguments []cli.Argument, file func(*cli.Command) ([]byte, error)) *cli.Command {
+func restoreCommand(newClient func(*cli.Command) *client.Client, out io.Writer, arguments []cli.Argument, readFile func(*cli.Command) ([]byte, error)) *cli.Command {
 	return &cli.Command{Name: "restore", Usage: "make what stands into what a snapshot holds", Arguments: arguments,
 		Flags: []cli.Flag{&cli.BoolFlag{Name: "dry", Usage: "check the snapshot, print the change where it is one, and don't send it"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if path := c.StringArg("file"); client.IsSnapshot(path) {
 				return restoreSnapshot(ctx, newClient(c), out, path, c.Bool("dry"))
 			}
-			raw, err := file(c)
+			raw, err := readFile(c)
 			if err != nil {
 				return err
 			}
@@ -27,11 +27,11 @@
 			if err != nil {
 				return err
 			}
-			seen, err := readStatus(ctx, newClient(c))
+			status, err := readStatus(ctx, newClient(c))
 			if err != nil {
 				return err
 			}
-			change, items, err := client.RestoreChange(raw, current, seen.HighestVersion)
+			change, items, err := client.RestoreChange(raw, current, status.HighestVersion)
 			if err != nil {
 				return err
 			}
@@ -49,7 +49,7 @@
 		}}
 }
 
-func restoreSnapshot(ctx context.Context, p *client.Client, out io.Writer, path string, dry bool) error {
+func restoreSnapshot(ctx context.Context, c *client.Client, out io.Writer, path string, dry bool) error {
 	if dry {
 		f, err := os.Open(path)
 		if err != nil {
@@ -62,7 +62,7 @@
 		}
 		return err
 	}
-	h, err := p.RestoreSnapshot(ctx, path)
+	h, err := c.RestoreSnapshot(ctx, path)
 	if err == nil {
 		_, err = fmt.Fprintf(out, "in force: %d items as of epoch %d, number %d\n", h.Items, h.Epoch, h.Index)
 	}
--- a/cmd/portflowd/main_test.go
+++ b/cmd/portflowd/main_test.go
@@ -12,10 +12,10 @@
 )
 
 // asProgram has the test's own binary run the program instead.
-const asProgram = "HARBOUR_TEST_AS_PROGRAM"
+const runMainVariable = "HARBOUR_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runMainVariable) != "" {
 		main()
 		return
 	}
@@ -24,20 +24,20 @@
 
 // A settings file may change while a process still starts: the SIGHUP that says so must not end it. The settings file is a pipe here,
 // so that the signal surely comes while the process reads it.
-func TestHangupWhileStarting(t *testing.T) {
+func TestSIGHUPDuringStartup(t *testing.T) {
 	for _, role := range []string{"proxy", "control"} {
 		c := qt.New(t)
 		pipe := filepath.Join(t.TempDir(), "settings")
 		c.Assert(syscall.Mkfifo(pipe, 0o600), qt.IsNil)
 		program := exec.Command(os.Args[0], role)
-		program.Env = append(os.Environ(), asProgram+"=1", "PORTFLOW_BOOT="+pipe)
+		program.Env = append(os.Environ(), runMainVariable+"=1", "PORTFLOW_BOOT="+pipe)
 		c.Assert(program.Start(), qt.IsNil)
-		settings, err := os.OpenFile(pipe, os.O_WRONLY, 0) // returns once the process has opened it
+		writer, err := os.OpenFile(pipe, os.O_WRONLY, 0) // returns once the process has opened it
 		c.Assert(err, qt.IsNil)
 		c.Assert(program.Process.Signal(syscall.SIGHUP), qt.IsNil)
-		_, err = settings.WriteString("no settings\n")
+		_, err = writer.WriteString("no settings\n")
 		c.Check(err, qt.IsNil)
-		c.Assert(settings.Close(), qt.IsNil)
+		c.Assert(writer.Close(), qt.IsNil)
 		err = program.Wait()
 		var exit *exec.ExitError
 		c.Assert(errors.As(err, &exit), qt.IsTrue)
--- a/examples/cluster/main.go
+++ b/examples/cluster/main.go
@@ -105,10 +105,10 @@
 	defaultServiceTime = 30 * time.Millisecond // of a request at a host
 	operatorTimeout    = 10 * time.Second
 
-	driveSeconds      = 8
+	loadSeconds       = 8
 	requestsPerSecond = 60
-	killControlAt     = 2 // second
-	killProxyAt       = 4
+	killControlSecond = 2 // second
+	killProxySecond   = 4
 )
 
 // run starts the cluster, sends requests or measures, and ends it.
@@ -143,7 +143,7 @@
 	if measure {
 		return measureOverhead(ctx, d.proxies[0], localHosts)
 	}
-	return d.drive()
+	return d.sendLoad()
 }
 
 // startProcesses starts a control process and a router in each zone.
@@ -211,14 +211,14 @@
 }
 
 // drive sends requests, kills two processes in the middle, and prints what was served.
-func (d *demo) drive() error {
+func (d *demo) sendLoad() error {
 	counts := statusCounts{byZone: map[string]map[string]int{}}
-	for second := range driveSeconds {
+	for second := range loadSeconds {
 		switch second {
-		case killControlAt:
+		case killControlSecond:
 			fmt.Println("control process of z1 killed")
 			kill(d.controls[0])
-		case killProxyAt:
+		case killProxySecond:
 			fmt.Println("router of z3 killed: its clients go where the directory says")
 			kill(d.proxies[2])
 		}
--- a/examples/cluster/overhead.go
+++ b/examples/cluster/overhead.go
@@ -35,11 +35,11 @@
 	if err != nil {
 		return err
 	}
-	var turn atomic.Int64
+	var next atomic.Int64
 	client := &http.Transport{MaxIdleConnsPerHost: 64}
 	return http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		req := r.Clone(r.Context())
-		req.URL.Scheme, req.URL.Host = "http", hosts[int(turn.Add(1))%len(hosts)]
+		req.URL.Scheme, req.URL.Host = "http", hosts[int(next.Add(1))%len(hosts)]
 		resp, err := client.RoundTrip(req)
 		if err != nil {
 			w.WriteHeader(http.StatusBadGateway)
@@ -55,43 +55,43 @@
 }
 
 // measureOverhead sends the same requests to the hosts themselves, through the bare proxy and through a router, in turn, twice.
-func measureOverhead(ctx context.Context, router *exec.Cmd, hosts []string) error {
+func measureOverhead(ctx context.Context, portflowProxy *exec.Cmd, hosts []string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	proxy := exec.CommandContext(ctx, self, "-bare", strings.Join(hosts, ","))
-	if err := proxy.Start(); err != nil {
+	bareProxy := exec.CommandContext(ctx, self, "-bare", strings.Join(hosts, ","))
+	if err := bareProxy.Start(); err != nil {
 		return err
 	}
 	defer func() {
-		kill(proxy)
-		_ = proxy.Wait() // says that it was killed
+		kill(bareProxy)
+		_ = bareProxy.Wait() // says that it was killed
 	}()
 	time.Sleep(bareProxyStartTime)
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "\nTHROUGH\tREQUESTS\tNOT 200\tp50 ms\tp99 ms\tPROCESSOR ms A REQUEST\n")
 	for range 2 {
 		for _, x := range []struct {
-			name    string
-			to      []string
-			process *exec.Cmd
-		}{{"nothing", hosts, nil}, {"bare proxy", []string{bareProxyAddress}, proxy}, {"router", []string{listenAddress(0, proxyPort)}, router}} {
+			name      string
+			addresses []string
+			process   *exec.Cmd
+		}{{"nothing", hosts, nil}, {"bare proxy", []string{bareProxyAddress}, bareProxy}, {"router", []string{listenAddress(0, proxyPort)}, portflowProxy}} {
 			before := cpuTime(x.process)
-			latencies, wrong := generateLoad(x.to)
+			latencies, failed := generateLoad(x.addresses)
 			cpu := cpuTime(x.process) - before
 			slices.Sort(latencies)
-			ms := func(part float64) float64 {
-				return float64(latencies[int(part*float64(len(latencies)-1))].Microseconds()) / 1000
+			ms := func(quantile float64) float64 {
+				return float64(latencies[int(quantile*float64(len(latencies)-1))].Microseconds()) / 1000
 			}
-			fmt.Fprintf(w, "%s\t%d\t%d\t%.2f\t%.2f\t%.3f\n", x.name, len(latencies), wrong, ms(0.5), ms(0.99), cpu.Seconds()*1000/float64(len(latencies)))
+			fmt.Fprintf(w, "%s\t%d\t%d\t%.2f\t%.2f\t%.3f\n", x.name, len(latencies), failed, ms(0.5), ms(0.99), cpu.Seconds()*1000/float64(len(latencies)))
 		}
 	}
 	return w.Flush()
 }
 
 // generateLoad sends requests at an even rate, and returns their latencies and how many were not answered with 200.
-func generateLoad(to []string) (latencies []time.Duration, wrong int) {
+func generateLoad(addresses []string) (latencies []time.Duration, failed int) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: 2 * time.Second}
 	defer client.CloseIdleConnections()
 	var mu sync.Mutex
@@ -102,18 +102,18 @@
 		<-t.C
 		all.Go(func() {
 			start := time.Now()
-			status, err := sendOnce(client, http.MethodGet, "http://"+to[n%len(to)]+"/look/1", strconv.Itoa(n))
+			status, err := sendOnce(client, http.MethodGet, "http://"+addresses[n%len(addresses)]+"/look/1", strconv.Itoa(n))
 			latency := time.Since(start)
 			mu.Lock()
 			defer mu.Unlock()
 			latencies = append(latencies, latency)
 			if err != nil || status != http.StatusOK {
-				wrong++
+				failed++
 			}
 		})
 	}
 	all.Wait()
-	return latencies, wrong
+	return latencies, failed
 }
 
 // cpuTime returns the processor time of a process, as the system counts it in ticks; 0 for none.
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -34,11 +34,11 @@
 	Reason string `json:"reason"`
 }
 
-func (r *ResponseError) Error() string {
-	if r.Reason == "" {
-		return fmt.Sprintf("refused with %d", r.Status)
+func (e *ResponseError) Error() string {
+	if e.Reason == "" {
+		return fmt.Sprintf("refused with %d", e.Status)
 	}
-	return r.Reason
+	return e.Reason
 }
 
 const (
@@ -51,14 +51,14 @@
 var finalStatuses = []int{400, 404, 409, 412, 413, 422, 501}
 
 // Call makes one call. A call without a clear answer is repeated unchanged: orders are made so that this does no harm.
-func (c *Client) Call(ctx context.Context, call, about string, body []byte) ([]byte, error) {
+func (c *Client) Call(ctx context.Context, call, subject string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	lastErr := ErrNoAnswer
 	for attempt := 0; ctx.Err() == nil && len(c.Addresses) > 0; attempt++ {
-		raw, err := c.callOne(ctx, c.Addresses[attempt%len(c.Addresses)], call, about, body)
-		var refused *ResponseError
-		if err == nil || errors.As(err, &refused) && slices.Contains(finalStatuses, refused.Status) {
+		raw, err := c.callOne(ctx, c.Addresses[attempt%len(c.Addresses)], call, subject, body)
+		var responseErr *ResponseError
+		if err == nil || errors.As(err, &responseErr) && slices.Contains(finalStatuses, responseErr.Status) {
 			return raw, err
 		}
 		lastErr = fmt.Errorf("%w: %s: %w", ErrNoAnswer, c.Addresses[attempt%len(c.Addresses)], err)
@@ -70,10 +70,10 @@
 	return nil, lastErr
 }
 
-func (c *Client) callOne(ctx context.Context, address, call, about string, body []byte) ([]byte, error) {
+func (c *Client) callOne(ctx context.Context, address, call, subject string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout+time.Duration(len(body))*time.Microsecond)
 	defer cancel()
-	target := url.URL{Scheme: "http", Host: address, Path: "/-/rpc", RawQuery: url.Values{"call": {call}, "of": {about}}.Encode()}
+	target := url.URL{Scheme: "http", Host: address, Path: "/-/rpc", RawQuery: url.Values{"call": {call}, "of": {subject}}.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target.String(), bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -89,9 +89,9 @@
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		refused := &ResponseError{Status: resp.StatusCode}
-		json.Unmarshal(raw, refused)
-		return nil, refused
+		responseErr := &ResponseError{Status: resp.StatusCode}
+		json.Unmarshal(raw, responseErr)
+		return nil, responseErr
 	}
 	return raw, nil
 }
@@ -117,7 +117,7 @@
 }
 
 // CheckChange reads a change from a file as control does, against the items that stand; each error names its line or its item.
-func CheckChange(raw, standing []byte) ([]config.Item, []config.Item, error) {
+func CheckChange(raw, current []byte) ([]config.Item, []config.Item, error) {
 	if err := checkSyntax(raw); err != nil {
 		return nil, nil, err
 	}
@@ -125,7 +125,7 @@
 	if err != nil {
 		return nil, nil, locateErrors(raw, err)
 	}
-	set, err := ParseConfiguration(standing)
+	set, err := ParseConfiguration(current)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -176,18 +176,18 @@
 // RestoreChange is the change that makes what stands into what a snapshot holds: items that differ are set, and those that the
 // snapshot lacks are dropped, all with the version after highest, the highest that any item has, dropped ones too. It tells
 // how many there are. Limits can't be dropped, and stay where the snapshot has none.
-func RestoreChange(snapshot, standing []byte, highest uint64) (change []byte, items int, err error) {
-	wanted, _, err := CheckChange(snapshot, nil)
+func RestoreChange(snapshot, current []byte, highest uint64) (change []byte, items int, err error) {
+	target, _, err := CheckChange(snapshot, nil)
 	if err != nil {
 		return nil, 0, err
 	}
-	set, err := ParseConfiguration(standing)
+	set, err := ParseConfiguration(current)
 	if err != nil {
 		return nil, 0, err
 	}
-	next, keep := config.NewSet(), map[config.Key]bool{}
-	for _, i := range wanted {
-		keep[i.Key()] = !i.Deleted
+	next, inSnapshot := config.NewSet(), map[config.Key]bool{}
+	for _, i := range target {
+		inSnapshot[i.Key()] = !i.Deleted
 		old, exists := set.Lookup(i.Key())
 		if i.Deleted || exists && bytes.Equal(old.Body, i.Body) {
 			continue
@@ -198,7 +198,7 @@
 	}
 	drops := map[string][]map[string]string{}
 	for _, i := range set.All() {
-		if !keep[i.Key()] && i.Kind != config.KindLimits {
+		if !inSnapshot[i.Key()] && i.Kind != config.KindLimits {
 			drops[i.Kind] = append(drops[i.Kind], map[string]string{"name": i.Name, "version": config.FormatVersion(highest + 1)})
 			items++
 		}
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -16,56 +16,56 @@
 	"portflow/internal/quota"
 )
 
-const standing = `{"routes":{"table-columns":["name","host-name","path-prefix","route-kind","timeout-s","service","version"],
+const currentConfig = `{"routes":{"table-columns":["name","host-name","path-prefix","route-kind","timeout-s","service","version"],
 "table-rows":[["r1","a.example","/one/","safe_method",1,"desk","00000003"]]},
 "services":{"table-columns":["name","health-path","version"],"table-rows":[["desk","/health","00000001"]]}}`
 
-func change(rows string) string {
+func changeJSON(rows string) string {
 	return `{"set-items":{"routes":{"table-columns":["name","host-name","path-prefix","route-kind","timeout-s","service","version"],
 "table-rows":[` + rows + `]}},
 "drop-names":{"routes":[{"name":"r9","version":"00000005"}]}}`
 }
 
-func TestCheckAndDifference(t *testing.T) {
+func TestCheckChangeAndDiff(t *testing.T) {
 	c := qt.New(t)
-	for _, x := range []struct{ raw, says string }{
+	for _, x := range []struct{ raw, wantErr string }{
 		{"{\n\n\"set-items\": }", "line 3: .*"},
-		{change(`["r2","a.example","/two/","safe_method",700,"desk","00000004"]`), `line 2: .*routes r2: set-items.routes.table-rows\[0\].timeout-s: 700 is not from 0 to 600`},
-		{change("[\"r2\",\"a.example\",\"/two/\",\"safe_method\",7,\"desk\",\"00000004\"],\n\n[\"r3\",\"a.example\",\n\"two/\",\"safe_method\",7,null,\"00000004\"]"),
+		{changeJSON(`["r2","a.example","/two/","safe_method",700,"desk","00000004"]`), `line 2: .*routes r2: set-items.routes.table-rows\[0\].timeout-s: 700 is not from 0 to 600`},
+		{changeJSON("[\"r2\",\"a.example\",\"/two/\",\"safe_method\",7,\"desk\",\"00000004\"],\n\n[\"r3\",\"a.example\",\n\"two/\",\"safe_method\",7,null,\"00000004\"]"),
 			`(?s)line 5: .*routes r3: .*path-prefix: "two/" does not.*\nline 5: routes r3: .*service: missing`},
-		{change(`["r2","a.example"]`), `line 2: .*2 cells for 7 columns`},
+		{changeJSON(`["r2","a.example"]`), `line 2: .*2 cells for 7 columns`},
 		{`{"set-items":{"limits":{"header-bytes":1,"body-bytes":1,"header-timeout-s":1,"idle-timeout-s":1,
 "version":"1"}}}`, `line 2: .*limits.version: "1" is not eight.*`},
-		{change(`["r2","a.example","/one/","safe_method",1,"desk","00000004"]`), "route r1: route r2 has its place"},
-		{change(`["r2","a.example","/two/","safe_method",1,"bags","00000004"]`), "route r2: service bags does not stand"},
+		{changeJSON(`["r2","a.example","/one/","safe_method",1,"desk","00000004"]`), "route r1: route r2 has its place"},
+		{changeJSON(`["r2","a.example","/two/","safe_method",1,"bags","00000004"]`), "route r2: service bags does not stand"},
 	} {
-		_, _, err := CheckChange([]byte(x.raw), []byte(standing))
-		c.Check(err, qt.ErrorMatches, x.says)
+		_, _, err := CheckChange([]byte(x.raw), []byte(currentConfig))
+		c.Check(err, qt.ErrorMatches, x.wantErr)
 	}
-	items, news, err := CheckChange([]byte(change(`["r1","a.example","/uno/","safe_method",1,"desk","00000004"],["r3","a.example","/x/","safe_method",1,"desk","00000001"]`)), []byte(standing))
+	items, effective, err := CheckChange([]byte(changeJSON(`["r1","a.example","/uno/","safe_method",1,"desk","00000004"],["r3","a.example","/x/","safe_method",1,"desk","00000001"]`)), []byte(currentConfig))
 	c.Assert(err, qt.IsNil)
-	c.Check([2]int{len(items), len(news)}, qt.Equals, [2]int{3, 3})
-	set, err := ParseConfiguration([]byte(standing))
+	c.Check([2]int{len(items), len(effective)}, qt.Equals, [2]int{3, 3})
+	set, err := ParseConfiguration([]byte(currentConfig))
 	c.Assert(err, qt.IsNil)
 	all := strings.Join(Diff(set, items), "\n")
 	for _, want := range []string{"- routes r1 00000003", "+ routes r1 00000004", "+ routes r3 00000001", "- routes r9 00000005"} {
 		c.Check(all, qt.Contains, want)
 	}
-	older, _, err := CheckChange([]byte(change(`["r1","a.example","/old/","safe_method",1,"desk","00000002"]`)), []byte(standing))
+	older, _, err := CheckChange([]byte(changeJSON(`["r1","a.example","/old/","safe_method",1,"desk","00000002"]`)), []byte(currentConfig))
 	c.Assert(err, qt.IsNil)
 	c.Check(strings.Join(Diff(set, older), "\n"), qt.Contains, "= routes r1: 00000002 changes nothing, 00000003 stands")
 }
 
 // What a snapshot holds stands again after a restore, whatever was changed and dropped since; what stands is left alone.
-func TestRestore(t *testing.T) {
+func TestRestoreChange(t *testing.T) {
 	c := qt.New(t)
-	snapshot := []byte(`{"set-items":` + standing + `}`)
-	for _, since := range []string{
-		change(`["r1","a.example","/uno/","safe_method",1,"desk","00000004"],["r3","a.example","/x/","safe_method",1,"desk","00000009"]`),
+	snapshot := []byte(`{"set-items":` + currentConfig + `}`)
+	for _, changes := range []string{
+		changeJSON(`["r1","a.example","/uno/","safe_method",1,"desk","00000004"],["r3","a.example","/x/","safe_method",1,"desk","00000009"]`),
 		`{"drop-names":{"routes":[{"name":"r1","version":"0000000c"}]}}`,
-		change(""),
+		changeJSON(""),
 	} {
-		set, err := ParseConfiguration([]byte(standing))
+		set, err := ParseConfiguration([]byte(currentConfig))
 		c.Assert(err, qt.IsNil)
 		merge := func(raw []byte) {
 			items, err := config.ParseChange(raw)
@@ -76,20 +76,20 @@
 				set.Merge(i)
 			}
 		}
-		merge([]byte(since))
+		merge([]byte(changes))
 		now, err := set.EncodeChange()
 		c.Assert(err, qt.IsNil)
-		back, items, err := RestoreChange(snapshot, now, set.HighestVersion())
+		restore, items, err := RestoreChange(snapshot, now, set.HighestVersion())
 		c.Assert(err, qt.IsNil)
-		merge(back)
-		c.Check(items == 0, qt.Equals, since == change(""))
+		merge(restore)
+		c.Check(items == 0, qt.Equals, changes == changeJSON(""))
 		for kind, want := range map[string]int{config.KindRoutes: 1, config.KindServices: 1} {
 			c.Assert(set.Live(kind), qt.HasLen, want)
 		}
 		r1, _ := set.Lookup(config.Key{Kind: config.KindRoutes, Name: "r1"})
 		c.Check(string(r1.Body), qt.Contains, `"/one/"`)
 	}
-	_, _, err := RestoreChange([]byte("{"), []byte(standing), 1)
+	_, _, err := RestoreChange([]byte("{"), []byte(currentConfig), 1)
 	c.Check(err, qt.ErrorMatches, "line 1: .*")
 }
 
@@ -140,30 +140,30 @@
 		t.Cleanup(s.Close)
 		return strings.TrimPrefix(s.URL, "http://"), n
 	}
-	busy, asked := serve(503, `{"error":"unready","reason":"alone"}`)
+	unready, unreadyCalls := serve(503, `{"error":"unready","reason":"alone"}`)
 	good, _ := serve(200, `{"x":1}`)
-	bad, refusals := serve(400, `{"error":"invalid","reason":"routes r1: no"}`)
+	invalid, invalidCalls := serve(400, `{"error":"invalid","reason":"routes r1: no"}`)
 	c := qt.New(t)
-	call := func(limit time.Duration, control ...string) ([]byte, error) {
-		return (&Client{Addresses: control, HTTP: &http.Client{}, Timeout: limit}).Call(context.Background(), "configuration.read", "", nil)
+	call := func(timeout time.Duration, addresses ...string) ([]byte, error) {
+		return (&Client{Addresses: addresses, HTTP: &http.Client{}, Timeout: timeout}).Call(context.Background(), "configuration.read", "", nil)
 	}
-	raw, err := call(5*time.Second, "127.0.0.1:1", busy, good)
+	raw, err := call(5*time.Second, "127.0.0.1:1", unready, good)
 	c.Assert(err, qt.IsNil)
 	c.Check(string(raw), qt.Equals, `{"x":1}`)
-	c.Check(*asked, qt.Equals, 1)
-	_, err = call(5*time.Second, bad, good)
+	c.Check(*unreadyCalls, qt.Equals, 1)
+	_, err = call(5*time.Second, invalid, good)
 	var r *ResponseError
 	c.Assert(errors.As(err, &r), qt.IsTrue)
 	c.Check(r.Reason, qt.Equals, "routes r1: no")
-	c.Check(*refusals, qt.Equals, 1)
-	each := func(control ...string) (n int, err error) {
-		p := &Client{Addresses: control, HTTP: &http.Client{}}
+	c.Check(*invalidCalls, qt.Equals, 1)
+	each := func(addresses ...string) (n int, err error) {
+		p := &Client{Addresses: addresses, HTTP: &http.Client{}}
 		err = p.CallEach(context.Background(), "harbour.read", func([]byte) error { n++; return nil })
 		return n, err
 	}
-	n, err := each("127.0.0.1:1", good, busy, good)
+	n, err := each("127.0.0.1:1", good, unready, good)
 	c.Check([2]any{n, err}, qt.Equals, [2]any{2, nil})
-	_, err = each("127.0.0.1:1", busy)
+	_, err = each("127.0.0.1:1", unready)
 	c.Check(errors.Is(err, ErrNoAnswer), qt.IsTrue)
 	_, err = call(time.Millisecond, "127.0.0.1:1")
 	c.Check(errors.Is(err, ErrNoAnswer), qt.IsTrue)
--- a/internal/client/locate.go
+++ b/internal/client/locate.go
@@ -17,12 +17,12 @@
 func valueLines(raw []byte, tables map[string]table) map[string]int {
 	found := map[string]int{}
 	decoder := json.NewDecoder(bytes.NewReader(raw))
-	line, from := 1, 0
+	line, offset := 1, 0
 	next := func() (json.Token, error) { // the line is that of the token's end; values here don't span lines
 		t, err := decoder.Token()
-		to := int(decoder.InputOffset())
-		line += bytes.Count(raw[from:to], []byte("\n"))
-		from = to
+		end := int(decoder.InputOffset())
+		line += bytes.Count(raw[offset:end], []byte("\n"))
+		offset = end
 		return t, err
 	}
 	var walk func(path string) error
--- a/internal/client/quotas.go
+++ b/internal/client/quotas.go
@@ -50,22 +50,22 @@
 // SimulateQuota tells whom shares of so many requests a second for one caller, or for each, would have held back by the counts of the
 // last hour, as all control processes have them: those held back most come first. It goes by whole minutes, and by nothing
 // being left over.
-func SimulateQuota(surveys []map[string][]quota.CallerHistory, service, caller string, perSecond float64) (all []ThrottledCaller) {
-	sums := map[string][]uint64{}
-	for _, survey := range surveys {
-		for _, history := range survey[service] {
+func SimulateQuota(responses []map[string][]quota.CallerHistory, service, caller string, perSecond float64) (all []ThrottledCaller) {
+	totals := map[string][]uint64{}
+	for _, response := range responses {
+		for _, history := range response[service] {
 			if caller != "" && history.Name != caller && !(caller == config.OtherCallers && history.Name == "") {
 				continue
 			}
-			if sums[history.Name] == nil {
-				sums[history.Name] = make([]uint64, 60)
+			if totals[history.Name] == nil {
+				totals[history.Name] = make([]uint64, 60)
 			}
 			for i, n := range history.Minutes[:min(60, len(history.Minutes))] {
-				sums[history.Name][i] += n
+				totals[history.Name][i] += n
 			}
 		}
 	}
-	for name, minutes := range sums {
+	for name, minutes := range totals {
 		throttled := ThrottledCaller{Caller: name, Throttled: quota.CallerHistory{Minutes: minutes}.ExcessRequests(perSecond)}
 		for _, n := range minutes {
 			throttled.Requests += n
--- a/internal/client/restore.go
+++ b/internal/client/restore.go
@@ -64,15 +64,15 @@
 }
 
 func (c *Client) uploadSnapshot(ctx context.Context, file io.ReaderAt, header snapshot.Header, offsets map[int]int64) error {
-	lastItem := 0 // the last chunk's item
+	lastChunkItem := 0 // the last chunk's item
 	for first := range offsets {
-		lastItem = max(lastItem, first)
+		lastChunkItem = max(lastChunkItem, first)
 	}
 	polls := 0
 	for received, round := 0, 0; round < maxUploadRounds*len(offsets)+maxPolls; round++ {
 		offset, exists := offsets[received]
 		if received == header.Items && header.Items > 0 {
-			offset, exists = offsets[lastItem], true
+			offset, exists = offsets[lastChunkItem], true
 		}
 		if !exists {
 			return fmt.Errorf("what control answered: no chunk begins with item %d", received)
@@ -89,16 +89,16 @@
 		if err != nil {
 			return err
 		}
-		var landed snapshot.RestoreResponse
-		if err := json.Unmarshal(raw, &landed); err != nil {
+		var response snapshot.RestoreResponse
+		if err := json.Unmarshal(raw, &response); err != nil {
 			return fmt.Errorf("what control answered: %w", err)
 		}
 		switch {
-		case landed.Snapshot != "" && landed.Snapshot != header.String():
-			return fmt.Errorf("what control answered: %s, not %s", landed.Snapshot, header)
-		case landed.InForce:
+		case response.Snapshot != "" && response.Snapshot != header.String():
+			return fmt.Errorf("what control answered: %s, not %s", response.Snapshot, header)
+		case response.InForce:
 			return nil
-		case landed.ReceivedItems == header.Items:
+		case response.ReceivedItems == header.Items:
 			if polls++; polls > maxPolls {
 				return errors.New("the core has not put it in force")
 			}
@@ -108,7 +108,7 @@
 				return ctx.Err()
 			}
 		}
-		received = landed.ReceivedItems
+		received = response.ReceivedItems
 	}
 	return errors.New("control has forgotten what it had, again and again")
 }
--- a/internal/client/snapshot.go
+++ b/internal/client/snapshot.go
@@ -32,8 +32,8 @@
 	defer file.Close()
 	for starts := 0; ; starts++ {
 		header, err := c.download(ctx, file)
-		var refused *ResponseError
-		if errors.As(err, &refused) && refused.Kind == "missing" && starts+1 < maxSnapshotStarts {
+		var responseErr *ResponseError
+		if errors.As(err, &responseErr) && responseErr.Kind == "missing" && starts+1 < maxSnapshotStarts {
 			if err = file.Truncate(0); err == nil {
 				_, err = file.Seek(0, io.SeekStart)
 			}
@@ -53,10 +53,10 @@
 }
 
 func (c *Client) download(ctx context.Context, writer io.Writer) (header snapshot.Header, err error) {
-	var gather snapshot.Assembler
-	ask := snapshot.ReadRequest{}
-	for !gather.Done() {
-		body, err := json.Marshal(ask)
+	var assembler snapshot.Assembler
+	request := snapshot.ReadRequest{}
+	for !assembler.Done() {
+		body, err := json.Marshal(request)
 		if err != nil {
 			return header, err
 		}
@@ -64,26 +64,26 @@
 		if err != nil {
 			return header, asUnsupported(err)
 		}
-		var part snapshot.ReadResponse
-		if err := json.Unmarshal(raw, &part); err != nil {
+		var response snapshot.ReadResponse
+		if err := json.Unmarshal(raw, &response); err != nil {
 			return header, fmt.Errorf("what control answered: %w", err)
 		}
-		before := gather.Received()
-		if _, err := gather.Add(part.Chunk); err != nil {
+		before := assembler.Received()
+		if _, err := assembler.Add(response.Chunk); err != nil {
 			return header, fmt.Errorf("what control answered: %w", err)
 		}
-		if !gather.Done() && gather.Received() == before {
+		if !assembler.Done() && assembler.Received() == before {
 			return header, errors.New("what control answered: a chunk that was there")
 		}
-		if _, err := writer.Write(binary.BigEndian.AppendUint32(nil, uint32(len(part.Chunk)))); err != nil {
+		if _, err := writer.Write(binary.BigEndian.AppendUint32(nil, uint32(len(response.Chunk)))); err != nil {
 			return header, err
 		}
-		if _, err := writer.Write(part.Chunk); err != nil {
+		if _, err := writer.Write(response.Chunk); err != nil {
 			return header, err
 		}
-		ask = snapshot.ReadRequest{Snapshot: part.Snapshot, FirstItem: gather.Received()}
+		request = snapshot.ReadRequest{Snapshot: response.Snapshot, FirstItem: assembler.Received()}
 	}
-	header, _ = gather.Header()
+	header, _ = assembler.Header()
 	return header, nil
 }
 
--- a/internal/client/snapshot_test.go
+++ b/internal/client/snapshot_test.go
@@ -25,57 +25,57 @@
 
 // fakeControl is a control process that serves the two calls on a set, as a handler is to do it.
 type fakeControl struct {
-	mu       sync.Mutex
-	set      *config.Set
-	number   uint64
-	shelf    snapshot.Cache
-	dock     snapshot.Upload
-	calls    int
-	every    func(n int) // before each call is answered, under the lock
-	lose     int         // each so many answers are lost
-	restored int
+	mu         sync.Mutex
+	set        *config.Set
+	index      uint64
+	cache      snapshot.Cache
+	upload     snapshot.Upload
+	calls      int
+	beforeCall func(n int) // before each call is answered, under the lock
+	dropEvery  int         // each so many answers are lost
+	restored   int
 }
 
 func (f *fakeControl) serve(c *qt.C) string {
-	ask := func(_ context.Context, _ string, body []byte) (any, error) {
+	read := func(_ context.Context, _ string, body []byte) (any, error) {
 		var request snapshot.ReadRequest
 		if err := json.Unmarshal(body, &request); err != nil {
 			return nil, apierror.Wrap(apierror.Malformed, err, "the ask")
 		}
-		return f.shelf.Serve(time.Now().UnixNano(), request, func() ([]config.Item, uint64, uint64) { return f.set.All(), 1, f.number })
+		return f.cache.Serve(time.Now().UnixNano(), request, func() ([]config.Item, uint64, uint64) { return f.set.All(), 1, f.index })
 	}
-	piece := func(_ context.Context, _ string, body []byte) (any, error) {
-		var piece snapshot.RestoreRequest
-		if err := json.Unmarshal(body, &piece); err != nil {
+	restore := func(_ context.Context, _ string, body []byte) (any, error) {
+		var restore snapshot.RestoreRequest
+		if err := json.Unmarshal(body, &restore); err != nil {
 			return nil, apierror.Wrap(apierror.Malformed, err, "the piece")
 		}
-		landed, items, head, err := f.dock.AddChunk(time.Now().UnixNano(), piece.Chunk)
+		response, items, header, err := f.upload.AddChunk(time.Now().UnixNano(), restore.Chunk)
 		if items != nil {
 			f.set.ReplaceAll(items)
-			f.number++
+			f.index++
 			f.restored++
-			f.dock.Finish(head, true)
-			landed.InForce = true
+			f.upload.Finish(header, true)
+			response.InForce = true
 		}
-		return landed, err
+		return response, err
 	}
-	locked := func(do func(context.Context, string, []byte) (any, error)) func(context.Context, string, []byte) (any, error) {
-		return func(ctx context.Context, of string, body []byte) (any, error) {
+	locked := func(handle func(context.Context, string, []byte) (any, error)) func(context.Context, string, []byte) (any, error) {
+		return func(ctx context.Context, subject string, body []byte) (any, error) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			if f.calls++; f.every != nil {
-				f.every(f.calls)
+			if f.calls++; f.beforeCall != nil {
+				f.beforeCall(f.calls)
 			}
-			v, err := do(ctx, of, body)
-			if f.lose > 0 && f.calls%f.lose == 0 {
+			result, err := handle(ctx, subject, body)
+			if f.dropEvery > 0 && f.calls%f.dropEvery == 0 {
 				panic(http.ErrAbortHandler)
 			}
-			return v, err
+			return result, err
 		}
 	}
 	mux := chi.NewRouter()
-	rpc.New(rpc.Call{Name: snapshot.SnapshotCall, MaxBody: 1 << 10, Handle: locked(ask)},
-		rpc.Call{Name: snapshot.RestoreCall, MaxBody: 2 * snapshot.MaxChunkBytes, Handle: locked(piece)}).Mount(mux)
+	rpc.New(rpc.Call{Name: snapshot.SnapshotCall, MaxBody: 1 << 10, Handle: locked(read)},
+		rpc.Call{Name: snapshot.RestoreCall, MaxBody: 2 * snapshot.MaxChunkBytes, Handle: locked(restore)}).Mount(mux)
 	server := httptest.NewServer(mux)
 	c.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
@@ -95,52 +95,52 @@
 // A snapshot is written whole while changes go on, and restored into an empty control process: all items stand there, also
 // where answers are lost on the way.
 func TestSnapshotAndRestore(t *testing.T) {
-	for _, lose := range []int{0, 3} {
+	for _, dropEvery := range []int{0, 3} {
 		c := qt.New(t)
 		path := filepath.Join(c.TempDir(), "snapshot")
-		from := &fakeControl{set: populatedSet(2500), number: 9, lose: lose}
-		want := from.set.Checksum()
-		from.every = func(n int) {
+		source := &fakeControl{set: populatedSet(2500), index: 9, dropEvery: dropEvery}
+		want := source.set.Checksum()
+		source.beforeCall = func(n int) {
 			if n > 1 {
-				from.number++
-				from.set.Apply([]config.Item{{Kind: config.KindRoutes, Name: fmt.Sprint("r", n), Version: uint64(9000 + n), Deleted: true}})
+				source.index++
+				source.set.Apply([]config.Item{{Kind: config.KindRoutes, Name: fmt.Sprint("r", n), Version: uint64(9000 + n), Deleted: true}})
 			}
 		}
-		p := &Client{Addresses: []string{from.serve(c)}, HTTP: &http.Client{}, Timeout: 10 * time.Second}
-		h, err := p.DownloadSnapshot(context.Background(), path)
+		client := &Client{Addresses: []string{source.serve(c)}, HTTP: &http.Client{}, Timeout: 10 * time.Second}
+		header, err := client.DownloadSnapshot(context.Background(), path)
 		c.Assert(err, qt.IsNil)
-		c.Check(h.Index, qt.Equals, uint64(9))
-		c.Check(from.calls > 3, qt.IsTrue)
+		c.Check(header.Index, qt.Equals, uint64(9))
+		c.Check(source.calls > 3, qt.IsTrue)
 		_, err = os.Stat(path + ".partial")
 		c.Check(os.IsNotExist(err), qt.IsTrue)
 		c.Check(IsSnapshot(path), qt.IsTrue)
 
-		to := &fakeControl{set: populatedSet(7), lose: lose}
-		p.Addresses = []string{"127.0.0.1:1", to.serve(c)} // the first is not there
-		p.Timeout = 500 * time.Millisecond
-		_, err = p.RestoreSnapshot(context.Background(), path)
+		target := &fakeControl{set: populatedSet(7), dropEvery: dropEvery}
+		client.Addresses = []string{"127.0.0.1:1", target.serve(c)} // the first is not there
+		client.Timeout = 500 * time.Millisecond
+		_, err = client.RestoreSnapshot(context.Background(), path)
 		c.Assert(err, qt.IsNil)
-		c.Check(to.set.Checksum(), qt.Equals, want)
-		c.Check(to.restored, qt.Equals, 1)
+		c.Check(target.set.Checksum(), qt.Equals, want)
+		c.Check(target.restored, qt.Equals, 1)
 	}
 }
 
 // A control process that has forgotten the cut is asked for another; one that always has, is not asked for ever. One that
 // does not serve the call is told from one that refuses.
-func TestSnapshotRefused(t *testing.T) {
+func TestSnapshotRestartedOrUnsupported(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "snapshot")
-	h := &fakeControl{set: populatedSet(2500), number: 1}
-	h.every = func(n int) {
+	control := &fakeControl{set: populatedSet(2500), index: 1}
+	control.beforeCall = func(n int) {
 		if n == 3 {
-			h.shelf, h.number = snapshot.Cache{}, 2
+			control.cache, control.index = snapshot.Cache{}, 2
 		}
 	}
-	p := &Client{Addresses: []string{h.serve(c)}, HTTP: &http.Client{}, Timeout: 5 * time.Second}
-	head, err := p.DownloadSnapshot(context.Background(), path)
+	p := &Client{Addresses: []string{control.serve(c)}, HTTP: &http.Client{}, Timeout: 5 * time.Second}
+	header, err := p.DownloadSnapshot(context.Background(), path)
 	c.Assert(err, qt.IsNil)
-	c.Check(head.Index, qt.Equals, uint64(2))
-	h.every = func(int) { h.shelf = snapshot.Cache{}; h.number++ }
+	c.Check(header.Index, qt.Equals, uint64(2))
+	control.beforeCall = func(int) { control.cache = snapshot.Cache{}; control.index++ }
 	other := filepath.Join(c.TempDir(), "other")
 	_, err = p.DownloadSnapshot(context.Background(), other)
 	var r *ResponseError
@@ -161,33 +161,33 @@
 
 // A file that is cut at any chunk or byte, spoilt anywhere, or holds what control would refuse, is refused before anything is
 // sent.
-func TestRestoreInvalid(t *testing.T) {
+func TestRestoreInvalidSnapshot(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
 	path := filepath.Join(dir, "snapshot")
-	h := &fakeControl{set: populatedSet(1200), number: 1}
-	p := &Client{Addresses: []string{h.serve(c)}, HTTP: &http.Client{}, Timeout: 5 * time.Second}
+	control := &fakeControl{set: populatedSet(1200), index: 1}
+	p := &Client{Addresses: []string{control.serve(c)}, HTTP: &http.Client{}, Timeout: 5 * time.Second}
 	_, err := p.DownloadSnapshot(context.Background(), path)
 	c.Assert(err, qt.IsNil)
 	raw, err := os.ReadFile(path)
 	c.Assert(err, qt.IsNil)
-	calls := h.calls
+	calls := control.calls
 	bad := filepath.Join(dir, "bad")
-	for at := 0; at < len(raw); at += 1 + len(raw)/150 {
-		spoilt := append([]byte(nil), raw...)
-		spoilt[at] ^= 0x5a
-		for _, b := range [][]byte{spoilt, raw[:at], append(append([]byte(nil), raw...), raw[:at+4]...)} {
+	for offset := 0; offset < len(raw); offset += 1 + len(raw)/150 {
+		corrupted := append([]byte(nil), raw...)
+		corrupted[offset] ^= 0x5a
+		for _, b := range [][]byte{corrupted, raw[:offset], append(append([]byte(nil), raw...), raw[:offset+4]...)} {
 			c.Assert(os.WriteFile(bad, b, 0o600), qt.IsNil)
 			_, err := p.RestoreSnapshot(context.Background(), bad)
-			c.Assert(err, qt.ErrorMatches, "(?s).*bad: .*", qt.Commentf("%d", at))
+			c.Assert(err, qt.ErrorMatches, "(?s).*bad: .*", qt.Commentf("%d", offset))
 		}
 	}
-	c.Check(h.calls, qt.Equals, calls)
-	h.set.Apply([]config.Item{{Kind: config.KindRoutes, Name: "wrong", Version: 5, Body: []byte(`{"name":"wrong","path-prefix":"no slash"}`)}})
-	h.number++
+	c.Check(control.calls, qt.Equals, calls)
+	control.set.Apply([]config.Item{{Kind: config.KindRoutes, Name: "wrong", Version: 5, Body: []byte(`{"name":"wrong","path-prefix":"no slash"}`)}})
+	control.index++
 	_, err = p.DownloadSnapshot(context.Background(), path)
 	c.Assert(err, qt.IsNil)
 	_, err = p.RestoreSnapshot(context.Background(), path)
 	c.Check(err, qt.ErrorMatches, "(?s).*routes wrong: .*path-prefix.*")
-	c.Check(h.restored, qt.Equals, 0)
+	c.Check(control.restored, qt.Equals, 0)
 }
