--- a/cmd/portflowctl/core_test.go
+++ b/cmd/portflowctl/core_test.go
@@ -15,7 +15,7 @@
 	"portflow/internal/control/server"
 )
 
-// The commands about the core say what control told, send what was asked for, and end with an error where it refused.
+// Each core command sends the expected call and prints the response. Missing arguments and calls rejected by control are errors.
 func TestCoreCommands(t *testing.T) {
 	var sent []string
 	answers := map[string]any{
@@ -45,18 +45,18 @@
 		wantOutput []string
 		err        string
 	}{
-		"list": {nil, "core.read ", []string{"epoch 7, number 41", "bears: 1 members, or one of the zones [z1 z2]", "lost 4.2 s ago, bore 2; lost: 10.0.0.2", "LEARNER", "HELD OUT", "n9"}, ""},
-		"remove, weighed": {[]string{"remove", "--dry-run", "n2"}, `core.change {"do":"remove","who":"n2","with":"","dry":true,"force":false}`,
-			[]string{"weighed only: epoch 7, members n1, n3", "1 members, or one of the zones [z1] before, no majority afterwards"}, ""},
-		"flag behind":        {[]string{"remove", "n2", "--dry-run"}, `core.change {"do":"remove","who":"n2","with":"","dry":true,"force":false}`, nil, ""},
-		"add by force":       {[]string{"add", "--force", "n3"}, `core.change {"do":"add","who":"n3","with":"","dry":false,"force":true}`, nil, ""},
-		"replace":            {[]string{"replace", "n2", "n3"}, `core.change {"do":"replace","who":"n2","with":"n3","dry":false,"force":false}`, nil, ""},
-		"half replaced":      {[]string{"replace", "n2"}, "", nil, ".*missing"},
-		"nobody":             {[]string{"remove"}, "", nil, ".*missing"},
-		"refused":            {[]string{"remove", "refuse me"}, `core.change {"do":"remove","who":"refuse me","with":"","dry":false,"force":false}`, nil, "the core would bear no loss"},
-		"no command":         {[]string{"burn"}, "", nil, `core: no command "burn"`},
-		"recover":            {[]string{"recover"}, `core.recover {"confirm":"","force":false}`, []string{"- the vote of n2", `--confirm "epoch 7 number 41"`}, ""},
-		"recover, confirmed": {[]string{"recover", "--confirm", "epoch 7 number 41"}, `core.recover {"confirm":"epoch 7 number 41","force":false}`, nil, ""},
+		"list": {nil, "core.read ", []string{"epoch 7, index 41", "bears: 1 members, or any one of the zones [z1 z2]", "reduced 4.2 s ago, 2 losses before; unavailable members: 10.0.0.2", "LEARNER", "EXCLUDED PROCESS", "n9"}, ""},
+		"remove, dry run": {[]string{"remove", "--dry-run", "n2"}, `core.change {"do":"remove","who":"n2","with":"","dry":true,"force":false}`,
+			[]string{"dry run: epoch 7, members n1, n3", "1 members, or any one of the zones [z1] before, no quorum afterwards"}, ""},
+		"flag after the argument":        {[]string{"remove", "n2", "--dry-run"}, `core.change {"do":"remove","who":"n2","with":"","dry":true,"force":false}`, nil, ""},
+		"add with force":                 {[]string{"add", "--force", "n3"}, `core.change {"do":"add","who":"n3","with":"","dry":false,"force":true}`, nil, ""},
+		"replace":                        {[]string{"replace", "n2", "n3"}, `core.change {"do":"replace","who":"n2","with":"n3","dry":false,"force":false}`, nil, ""},
+		"replace without the new member": {[]string{"replace", "n2"}, "", nil, ".*missing"},
+		"nobody":                         {[]string{"remove"}, "", nil, ".*missing"},
+		"refused":                        {[]string{"remove", "refuse me"}, `core.change {"do":"remove","who":"refuse me","with":"","dry":false,"force":false}`, nil, "the core would bear no loss"},
+		"unknown command":                {[]string{"burn"}, "", nil, `core: unknown command "burn"; must be remove, add, replace or recover`},
+		"recover":                        {[]string{"recover"}, `core.recover {"confirm":"","force":false}`, []string{"- the vote of n2", `--confirm "epoch 7 number 41"`}, ""},
+		"recover, confirmed":             {[]string{"recover", "--confirm", "epoch 7 number 41"}, `core.recover {"confirm":"epoch 7 number 41","force":false}`, nil, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -75,5 +75,5 @@
 		})
 	}
 	err := newApp(io.Discard).Run(context.Background(), []string{"portflowctl", "--control", address + "," + address, "core", "recover"})
-	qt.Check(t, err, qt.ErrorMatches, "--control: name the one.*")
+	qt.Check(t, err, qt.ErrorMatches, "--control: must name exactly one control process.*")
 }
--- a/cmd/portflowctl/restore.go
+++ b/cmd/portflowctl/restore.go
@@ -11,10 +11,11 @@
 	"portflow/internal/client"
 )
 
-// restoreCommand puts a snapshot in force: one of the whole state as it is, one that is a change by items of higher versions.
+// restoreCommand returns the command that restores a file written by the snapshot command. A snapshot replaces the complete state; a change
+// is converted to one whose items have a higher version than the current ones.
 func restoreCommand(newClient func(*cli.Command) *client.Client, out io.Writer, arguments []cli.Argument, readFile func(*cli.Command) ([]byte, error)) *cli.Command {
-	return &cli.Command{Name: "restore", Usage: "make what stands into what a snapshot holds", Arguments: arguments,
-		Flags: []cli.Flag{&cli.BoolFlag{Name: "dry", Usage: "check the snapshot, print the change where it is one, and don't send it"}},
+	return &cli.Command{Name: "restore", Usage: "restore the state from a snapshot, or the configuration from a file written by snapshot --change", Arguments: arguments,
+		Flags: []cli.Flag{&cli.BoolFlag{Name: "dry", Usage: "validate the file without restoring it; for a change, print what would be sent"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if path := c.StringArg("file"); client.IsSnapshot(path) {
 				return restoreSnapshot(ctx, newClient(c), out, path, c.Bool("dry"))
@@ -58,13 +59,13 @@
 		defer f.Close()
 		h, _, err := client.ValidateSnapshot(f)
 		if err == nil {
-			_, err = fmt.Fprintf(out, "valid: %d items as of epoch %d, number %d\n", h.Items, h.Epoch, h.Index)
+			_, err = fmt.Fprintf(out, "valid: %d items as of epoch %d, index %d\n", h.Items, h.Epoch, h.Index)
 		}
 		return err
 	}
 	h, err := c.RestoreSnapshot(ctx, path)
 	if err == nil {
-		_, err = fmt.Fprintf(out, "in force: %d items as of epoch %d, number %d\n", h.Items, h.Epoch, h.Index)
+		_, err = fmt.Fprintf(out, "restored: %d items as of epoch %d, index %d\n", h.Items, h.Epoch, h.Index)
 	}
 	return err
 }
--- a/cmd/portflowctl/snapshot.go
+++ b/cmd/portflowctl/snapshot.go
@@ -12,24 +12,25 @@
 	"portflow/internal/client"
 )
 
-// snapshotCommand saves the whole state; where control serves no snapshots yet, all items that stand as a change.
+// snapshotCommand returns the command that saves a snapshot of the complete state. If control doesn't support snapshots, or with --change,
+// it saves the current configuration as a change.
 func snapshotCommand(newClient func(*cli.Command) *client.Client, out io.Writer, arguments []cli.Argument) *cli.Command {
-	return &cli.Command{Name: "snapshot", Usage: "save the whole state as of one number to a file; --change: all items that stand, as a change that sets them",
-		Arguments: arguments, Flags: []cli.Flag{&cli.BoolFlag{Name: "change", Usage: "a change, as JSON"}},
+	return &cli.Command{Name: "snapshot", Usage: "save a snapshot of the complete state to a file",
+		Arguments: arguments, Flags: []cli.Flag{&cli.BoolFlag{Name: "change", Usage: "save the current configuration instead, as a JSON change that sets all its items"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			file := c.StringArg("file")
 			if file == "" {
-				return errors.New("file: missing")
+				return errors.New("missing argument: file")
 			}
 			if !c.Bool("change") {
 				h, err := newClient(c).DownloadSnapshot(ctx, file)
 				if !errors.Is(err, client.ErrUnsupported) {
 					if err == nil {
-						_, err = fmt.Fprintf(out, "%d items as of epoch %d, number %d\n", h.Items, h.Epoch, h.Index)
+						_, err = fmt.Fprintf(out, "%d items as of epoch %d, index %d\n", h.Items, h.Epoch, h.Index)
 					}
 					return err
 				}
-				fmt.Fprintln(out, "control serves no snapshots: all items that stand are saved as a change")
+				fmt.Fprintln(out, "control doesn't support snapshots: saving the current configuration as a change")
 			}
 			raw, err := newClient(c).Call(ctx, "configuration.read", "", nil)
 			if err != nil {
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,4 +1,5 @@
-// Package client calls control processes for an operator: one after another until one answers, as every caller does.
+// Package client calls control processes on behalf of an operator. It also validates and compares configuration changes before they are
+// sent, and saves and restores snapshots. Start reading at Client.Call.
 package client
 
 import (
@@ -17,40 +18,42 @@
 	"portflow/internal/cluster/config"
 )
 
-// Client knows where control is served.
+// Client calls the control processes of one cluster. It is safe for concurrent use if its fields are not changed.
 type Client struct {
-	Addresses []string // addresses
+	Addresses []string // host:port of the control processes, tried in this order
 	HTTP      *http.Client
-	Timeout   time.Duration // for a call, over all processes
+	Timeout   time.Duration // of Call, over all processes and retries
 }
 
-// ErrNoAnswer says that no control process answered.
+// ErrNoAnswer is returned if no control process responded, or none with a final answer; see Client.Call and Client.CallEach.
 var ErrNoAnswer = errors.New("no control process answered")
 
-// ResponseError is an answer that ends a call.
+// ResponseError is an error response of a control process.
 type ResponseError struct {
-	Status int    `json:"Status"`
+	Status int    `json:"Status"` // HTTP status
 	Kind   string `json:"error"`
 	Reason string `json:"reason"`
 }
 
 func (e *ResponseError) Error() string {
 	if e.Reason == "" {
-		return fmt.Sprintf("refused with %d", e.Status)
+		return fmt.Sprintf("control rejected the call with HTTP status %d", e.Status)
 	}
 	return e.Reason
 }
 
 const (
-	requestTimeout = time.Second // after which the next process is asked
+	requestTimeout = time.Second // for each process; longer for large bodies
 	minBackoff     = 50 * time.Millisecond
 	maxBackoff     = time.Second
 )
 
-// finalStatuses are the answers after which nobody else is asked.
+// finalStatuses are the HTTP statuses after which no other process is tried, as it would answer alike.
 var finalStatuses = []int{400, 404, 409, 412, 413, 422, 501}
 
-// Call makes one call. A call without a clear answer is repeated unchanged: orders are made so that this does no harm.
+// Call sends a call to one control process after another until one answers with success or with one of finalStatuses, and returns the
+// response body. A call without a definite outcome is repeated unchanged, possibly after it was executed: calls must be idempotent. body may
+// be nil. The error is a *ResponseError if control rejected the call, and ErrNoAnswer if time ran out.
 func (c *Client) Call(ctx context.Context, call, subject string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
@@ -96,7 +99,8 @@
 	return raw, nil
 }
 
-// CallEach makes one call to every control process, and hands over what those that answer say.
+// CallEach sends a call to every control process once, and passes each successful response to handle, which may be nil. It stops at
+// the first error of handle and returns it. It returns ErrNoAnswer if no process responded with success.
 func (c *Client) CallEach(ctx context.Context, call string, handle func(raw []byte) error) error {
 	var lastErr error = ErrNoAnswer
 	for _, address := range c.Addresses {
@@ -116,7 +120,8 @@
 	return lastErr
 }
 
-// CheckChange reads a change from a file as control does, against the items that stand; each error names its line or its item.
+// CheckChange parses a change and validates it as control does, against the current configuration, the response to configuration.read; nil
+// for none. It returns all items of the change, and those that would have an effect. Errors name the line or the item.
 func CheckChange(raw, current []byte) ([]config.Item, []config.Item, error) {
 	if err := checkSyntax(raw); err != nil {
 		return nil, nil, err
@@ -133,7 +138,7 @@
 	return items, effective, err
 }
 
-// ParseConfiguration makes a set of what configuration.read answered; nil for none.
+// ParseConfiguration returns the set of items in a response to configuration.read. The set is empty if raw is nil.
 func ParseConfiguration(raw []byte) (*config.Set, error) {
 	set := config.NewSet()
 	if raw == nil {
@@ -141,7 +146,7 @@
 	}
 	items, err := config.ParseChange(append(append([]byte(`{"set-items":`), raw...), '}'))
 	if err != nil {
-		return nil, fmt.Errorf("what control answered: %w", err)
+		return nil, fmt.Errorf("invalid configuration from control: %w", err)
 	}
 	for _, i := range items {
 		set.Merge(i)
@@ -149,7 +154,8 @@
 	return set, nil
 }
 
-// Diff tells, a line an item, what a change would change of what stands.
+// Diff returns the differences that a change would make to the set, as lines sorted by kind and name: "-" for an old or deleted item, "+" for
+// a new one, "=" for an item of the change that has no effect because the current one supersedes it.
 func Diff(set *config.Set, items []config.Item) (diff []string) {
 	for _, i := range items {
 		old, exists := set.Lookup(i.Key())
@@ -158,7 +164,7 @@
 		case exists && i.Equal(old):
 			continue
 		case exists && !i.Supersedes(old):
-			diff = append(diff, fmt.Sprintf("= %s %s: %s changes nothing, %s stands", i.Kind, i.Name, config.FormatVersion(i.Version), config.FormatVersion(old.Version)))
+			diff = append(diff, fmt.Sprintf("= %s %s: version %s has no effect, the current version is %s", i.Kind, i.Name, config.FormatVersion(i.Version), config.FormatVersion(old.Version)))
 		case i.Deleted && !exists:
 			diff = append(diff, fmt.Sprintf("- %s %s %s", i.Kind, i.Name, config.FormatVersion(i.Version)))
 		case i.Deleted:
@@ -173,9 +179,9 @@
 	return diff
 }
 
-// RestoreChange is the change that makes what stands into what a snapshot holds: items that differ are set, and those that the
-// snapshot lacks are dropped, all with the version after highest, the highest that any item has, dropped ones too. It tells
-// how many there are. Limits can't be dropped, and stay where the snapshot has none.
+// RestoreChange returns the change that makes the current configuration equal to a snapshot saved as a change, and the number of items in
+// it. It sets the items that differ and deletes those that the snapshot lacks, all with version highest+1, where highest is the highest version
+// of any item, including tombstones. Limits can't be deleted: they stay unless the snapshot sets them.
 func RestoreChange(snapshot, current []byte, highest uint64) (change []byte, items int, err error) {
 	target, _, err := CheckChange(snapshot, nil)
 	if err != nil {
@@ -205,7 +211,7 @@
 	}
 	encoded, err := next.EncodeChange()
 	if err != nil {
-		return nil, 0, fmt.Errorf("restoring: %w", err)
+		return nil, 0, fmt.Errorf("encode the change that restores the snapshot: %w", err)
 	}
 	change, err = json.Marshal(map[string]any{"set-items": json.RawMessage(encoded), "drop-names": drops})
 	return change, items, err
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -53,10 +53,10 @@
 	}
 	older, _, err := CheckChange([]byte(changeJSON(`["r1","a.example","/old/","safe_method",1,"desk","00000002"]`)), []byte(currentConfig))
 	c.Assert(err, qt.IsNil)
-	c.Check(strings.Join(Diff(set, older), "\n"), qt.Contains, "= routes r1: 00000002 changes nothing, 00000003 stands")
+	c.Check(strings.Join(Diff(set, older), "\n"), qt.Contains, "= routes r1: version 00000002 has no effect, the current version is 00000003")
 }
 
-// What a snapshot holds stands again after a restore, whatever was changed and dropped since; what stands is left alone.
+// The change restores the items of the snapshot after any changes and deletions, and is empty if nothing was changed.
 func TestRestoreChange(t *testing.T) {
 	c := qt.New(t)
 	snapshot := []byte(`{"set-items":` + currentConfig + `}`)
@@ -93,7 +93,7 @@
 	c.Check(err, qt.ErrorMatches, "line 1: .*")
 }
 
-// A share is checked before it is sent; what control reads of it is what was meant.
+// A quota is validated before it is sent, and control parses the change as intended.
 func TestSetQuotaChange(t *testing.T) {
 	c := qt.New(t)
 	raw, err := SetQuotaChange(map[string]any{"name": "s", "service": "desk", "caller-header": "X-Agency", "caller": "a", "per-s": 20.0, "burst": nil,
@@ -112,7 +112,7 @@
 	c.Check(items[0].Deleted && items[0].Version == 0x2c, qt.IsTrue)
 }
 
-// A dry run sums up what the control processes counted, minute by minute.
+// A simulation adds up the counts of all control processes for each minute.
 func TestSimulateQuota(t *testing.T) {
 	c := qt.New(t)
 	minutes := func(n uint64) []uint64 {
@@ -128,7 +128,8 @@
 	c.Check(SimulateQuota([]map[string][]quota.CallerHistory{one, two}, "desk", "b", 1), qt.HasLen, 1)
 }
 
-// A process that doesn't answer, or isn't ready, is passed over; a refusal ends the call; nobody is an error of its own.
+// Call goes on to the next process if one is unreachable or unready, and returns the error of one that rejects the call. ErrNoAnswer is
+// returned if none answers.
 func TestCall(t *testing.T) {
 	serve := func(status int, body string) (string, *int) {
 		n := new(int)
--- a/internal/client/core.go
+++ b/internal/client/core.go
@@ -9,16 +9,16 @@
 	"portflow/internal/control/server"
 )
 
-// Core is the core as the first control process that answers sees it.
+// Core returns the membership of the control processes as seen by the first one that answers.
 func (c *Client) Core(ctx context.Context) (status server.CoreStatus, err error) {
 	raw, err := c.Call(ctx, "core.read", "", nil)
 	return status, decode(raw, err, &status)
 }
 
-// ChangeCore has members go or come, or weighs that.
+// ChangeCore changes the voting members or, for a dry run, returns the losses that they would tolerate.
 func (c *Client) ChangeCore(ctx context.Context, change server.CoreChange) (result server.CoreChangeResult, err error) {
 	if change.Member == "" || change.Action == "replace" && change.Replacement == "" {
-		return result, errors.New("an IP number or a name is missing")
+		return result, errors.New("the IP address or name of a control process is missing")
 	}
 	body, err := json.Marshal(change)
 	if err != nil {
@@ -28,11 +28,11 @@
 	return result, decode(raw, err, &result)
 }
 
-// ErrSingleAddress says that a recovery goes to one process, which is to be named.
-var ErrSingleAddress = errors.New("--control: name the one control process that is to become the core")
+// ErrSingleAddress is returned by RecoverCore unless the client has exactly one address.
+var ErrSingleAddress = errors.New("--control: must name exactly one control process, which becomes the only voting member")
 
-// RecoverCore makes the one control process that is named the whole core; without the words that confirm it, it asks what
-// that may lose, and for the words.
+// RecoverCore makes the control process at the client's only address the only voting member. If confirm is empty, it changes nothing, and
+// returns what may be lost and the phrase to confirm it with.
 func (c *Client) RecoverCore(ctx context.Context, confirm string, force bool) (result server.CoreRecovery, err error) {
 	if len(c.Addresses) != 1 {
 		return result, ErrSingleAddress
@@ -50,7 +50,7 @@
 		return err
 	}
 	if err := json.Unmarshal(raw, v); err != nil {
-		return fmt.Errorf("what control answered: %w", err)
+		return fmt.Errorf("invalid response from control: %w", err)
 	}
 	return nil
 }
--- a/internal/client/locate.go
+++ b/internal/client/locate.go
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// errorPath is where control says that something is wrong: names joined by dots, with numbers of lists in brackets.
+// errorPath matches the path of a field in an error of control: names joined by dots, with list indexes in brackets.
 var errorPath = regexp.MustCompile(`\b(set-items|drop-names)[-a-z.\[\]0-9]*`)
 
-// valueLines are the lines on which the values of a JSON text begin, by their places. Cells of a row are also found by the names
-// of the columns, as control names them. It is empty for a text that is no JSON.
+// valueLines returns the lines on which the values of a JSON text begin, by path. Table cells are also listed under the path with the column
+// name in place of the index, as used in errors of control. It returns nil if the text is not valid JSON.
 func valueLines(raw []byte, tables map[string]table) map[string]int {
 	found := map[string]int{}
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	line, offset := 1, 0
-	next := func() (json.Token, error) { // the line is that of the token's end; values here don't span lines
+	next := func() (json.Token, error) { // line is where the token ends, and also where it begins: tokens don't span lines
 		t, err := decoder.Token()
 		end := int(decoder.InputOffset())
 		line += bytes.Count(raw[offset:end], []byte("\n"))
@@ -71,23 +71,23 @@
 	return found
 }
 
-// LocatedError is an error with the line, the item and the place of each thing that is wrong in a file.
+// LocatedError is an error about a file, with the line number and item name added to each message where they are known.
 type LocatedError struct {
-	Lines []string
+	Lines []string // messages, one for each line of the wrapped error
 	err   error
 }
 
 func (e *LocatedError) Error() string { return strings.Join(e.Lines, "\n") }
 func (e *LocatedError) Unwrap() error { return e.err }
 
-// locateErrors finds the line of each thing that an error names, and the name of the item that it is in.
+// locateErrors adds the line number in raw and the item name to each message of err that names a field.
 func locateErrors(raw []byte, err error) error {
 	tables, located := parseTables(raw), &LocatedError{err: err}
 	lines := valueLines(raw, tables)
 	for _, text := range strings.Split(err.Error(), "\n") {
 		path := errorPath.FindString(text)
 		line := 0
-		for prefix := path; prefix != "" && line == 0; { // a field that is missing: the item's line
+		for prefix := path; prefix != "" && line == 0; { // a missing field has no line: use that of the item
 			line = lines[prefix]
 			prefix = prefix[:max(strings.LastIndexAny(prefix, ".["), 0)]
 		}
@@ -105,7 +105,7 @@
 
 var rowPath = regexp.MustCompile(`^set-items\.([a-z]+)\.table-rows\[(\d+)\]`)
 
-// itemName is the kind and the name of the item that a place is in, if it has one.
+// itemName returns the kind and name of the item that a path is in, or "" if there is none.
 func itemName(tables map[string]table, path string) string {
 	match := rowPath.FindStringSubmatch(path)
 	if match == nil {
@@ -122,13 +122,13 @@
 	return ""
 }
 
-// table is items of one kind, as columns and rows.
+// table contains the items of one kind in a change, as columns and rows.
 type table struct {
 	Columns []string `json:"table-columns"`
 	Rows    [][]any  `json:"table-rows"`
 }
 
-// parseTables are the kinds of items that a change sets and that have this shape.
+// parseTables returns the tables of items that a change sets, by kind. Items that are not in the form of a table are skipped.
 func parseTables(raw []byte) map[string]table {
 	var document struct {
 		Set map[string]json.RawMessage `json:"set-items"`
@@ -144,7 +144,7 @@
 	return found
 }
 
-// checkSyntax is where a text stops being JSON, nil where it doesn't.
+// checkSyntax returns an error with the line number if raw is not valid JSON.
 func checkSyntax(raw []byte) error {
 	var syntaxErr *json.SyntaxError
 	var v any
--- a/internal/client/quotas.go
+++ b/internal/client/quotas.go
@@ -12,8 +12,8 @@
 	"portflow/internal/quota"
 )
 
-// SetQuotaChange is the change that sets one share, with the version after highest. Its fields are checked as control checks
-// them.
+// SetQuotaChange returns the change that sets one quota with version highest+1, after it has validated the fields as control does. Fields
+// that are nil are removed from the map.
 func SetQuotaChange(fields map[string]any, highest uint64) ([]byte, error) {
 	for name, v := range fields {
 		if v == nil {
@@ -33,23 +33,23 @@
 		"table-columns": columns, "table-rows": [][]any{row}}}})
 }
 
-// DropQuotaChange is the change that drops one.
+// DropQuotaChange returns the change that deletes a quota with version highest+1.
 func DropQuotaChange(name string, highest uint64) ([]byte, error) {
 	return json.Marshal(map[string]any{"drop-names": map[string]any{config.KindQuotas: []map[string]string{{
 		"name": name, "version": config.FormatVersion(highest + 1)}}}})
 }
 
-// ThrottledCaller is whom a share would have held back.
+// ThrottledCaller is a caller in the last hour, with the number of requests that a simulated quota would have throttled.
 type ThrottledCaller struct {
-	Caller      string `json:"caller"` // empty for those without a name or too many to be counted by name
+	Caller      string `json:"caller"` // empty for all requests that name no caller or are not counted by caller
 	Requests    uint64 `json:"requests"`
 	Throttled   uint64 `json:"held_back"`
-	WorstMinute uint64 `json:"worst_minute"` // most of them within one minute
+	WorstMinute uint64 `json:"worst_minute"` // highest number of requests in one minute
 }
 
-// SimulateQuota tells whom shares of so many requests a second for one caller, or for each, would have held back by the counts of the
-// last hour, as all control processes have them: those held back most come first. It goes by whole minutes, and by nothing
-// being left over.
+// SimulateQuota returns how many requests of each caller a quota of perSecond would have throttled in the last hour, most throttled first.
+// responses has each control process's counts, by service. An empty caller selects all callers, config.OtherCallers those not counted by
+// name. Whole minutes are compared, so bursts within a minute don't count, and no caller uses what others leave.
 func SimulateQuota(responses []map[string][]quota.CallerHistory, service, caller string, perSecond float64) (all []ThrottledCaller) {
 	totals := map[string][]uint64{}
 	for _, response := range responses {
@@ -79,7 +79,7 @@
 	return all
 }
 
-// FormatCaller is how a caller is shown.
+// FormatCaller returns a caller for display: quoted, or "(others)" if it is empty.
 func FormatCaller(caller string) string {
 	if caller == "" {
 		return "(others)"
--- a/internal/client/restore.go
+++ b/internal/client/restore.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	maxUploadRounds = 3                      // in which a snapshot is sent, where control forgot what it had
-	pollInterval    = 200 * time.Millisecond // between looks whether it is in force
+	maxUploadRounds = 3                      // limits how often each chunk is sent, if control loses received chunks
+	pollInterval    = 200 * time.Millisecond // between checks whether the snapshot is in force
 	maxPolls        = 60
 )
 
-// ValidateSnapshot reads a snapshot from a file and checks all that it holds; where is the place of each chunk in the file, by the item
-// that it begins with. Nothing but one chunk is held at once.
+// ValidateSnapshot reads a snapshot from a file and validates all its items. It returns the offset of each chunk in the file, by the index of
+// the chunk's first item. Only one chunk is kept in memory at a time.
 func ValidateSnapshot(file io.ReadSeeker) (header snapshot.Header, offsets map[int]int64, err error) {
 	if _, err := file.Seek(0, io.SeekStart); err != nil {
 		return header, nil, err
@@ -41,8 +41,8 @@
 	return header, offsets, err
 }
 
-// RestoreSnapshot checks a snapshot and sends it, chunk by chunk, to one control process, and to the next where that is not
-// heard any more; it returns once the core has put it in force.
+// RestoreSnapshot validates a snapshot and sends it, chunk by chunk, to one control process. If that stops answering, it starts again with
+// the next one. It returns nil once the snapshot is in force in the cluster.
 func (c *Client) RestoreSnapshot(ctx context.Context, path string) (snapshot.Header, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -54,7 +54,7 @@
 		return header, fmt.Errorf("%s: %w", path, err)
 	}
 	lastErr := error(ErrNoAnswer)
-	for _, address := range c.Addresses { // what came of a snapshot lies with one
+	for _, address := range c.Addresses { // chunks are collected by one process, so that all must be sent to it
 		single := &Client{Addresses: []string{address}, HTTP: c.HTTP, Timeout: c.Timeout}
 		if lastErr = single.uploadSnapshot(ctx, file, header, offsets); !errors.Is(lastErr, ErrNoAnswer) {
 			return header, asUnsupported(lastErr)
@@ -64,7 +64,7 @@
 }
 
 func (c *Client) uploadSnapshot(ctx context.Context, file io.ReaderAt, header snapshot.Header, offsets map[int]int64) error {
-	lastChunkItem := 0 // the last chunk's item
+	lastChunkItem := 0 // first item of the last chunk, which is sent again to poll
 	for first := range offsets {
 		lastChunkItem = max(lastChunkItem, first)
 	}
@@ -75,7 +75,7 @@
 			offset, exists = offsets[lastChunkItem], true
 		}
 		if !exists {
-			return fmt.Errorf("what control answered: no chunk begins with item %d", received)
+			return fmt.Errorf("invalid response from control: no chunk begins with item %d", received)
 		}
 		chunk, err := readChunkAt(file, offset)
 		if err != nil {
@@ -91,16 +91,16 @@
 		}
 		var response snapshot.RestoreResponse
 		if err := json.Unmarshal(raw, &response); err != nil {
-			return fmt.Errorf("what control answered: %w", err)
+			return fmt.Errorf("invalid response from control: %w", err)
 		}
 		switch {
 		case response.Snapshot != "" && response.Snapshot != header.String():
-			return fmt.Errorf("what control answered: %s, not %s", response.Snapshot, header)
+			return fmt.Errorf("invalid response from control: got snapshot %s, want %s", response.Snapshot, header)
 		case response.InForce:
 			return nil
 		case response.ReceivedItems == header.Items:
 			if polls++; polls > maxPolls {
-				return errors.New("the core has not put it in force")
+				return errors.New("restore snapshot: all chunks were received, but the snapshot did not come into force in time")
 			}
 			select {
 			case <-time.After(pollInterval):
@@ -110,7 +110,7 @@
 		}
 		received = response.ReceivedItems
 	}
-	return errors.New("control has forgotten what it had, again and again")
+	return errors.New("restore snapshot: control repeatedly lost the chunks that it had received")
 }
 
 func readChunkAt(file io.ReaderAt, offset int64) ([]byte, error) {
@@ -119,8 +119,8 @@
 		return nil, err
 	}
 	length := binary.BigEndian.Uint32(size[:])
-	if length > snapshot.MaxChunkBytes { // it has changed since it was checked
-		return nil, fmt.Errorf("byte %d: a chunk of %d bytes", offset, length)
+	if length > snapshot.MaxChunkBytes { // the file was changed after ValidateSnapshot
+		return nil, fmt.Errorf("byte %d: chunk of %d bytes is too long", offset, length)
 	}
 	chunk := make([]byte, length)
 	_, err := file.ReadAt(chunk, offset+int64(len(size)))
--- a/internal/client/snapshot.go
+++ b/internal/client/snapshot.go
@@ -14,14 +14,14 @@
 	"portflow/internal/control/snapshot"
 )
 
-// ErrUnsupported says that control does not serve a call yet.
-var ErrUnsupported = errors.New("this control process does not serve the call")
+// ErrUnsupported is returned if control does not implement a call.
+var ErrUnsupported = errors.New("call not supported by this control process")
 
-// maxSnapshotStarts is how often a snapshot is begun anew, as its cut went while it was asked for.
+// maxSnapshotStarts limits the attempts to download a snapshot, which fail if control drops it before the last chunk is read.
 const maxSnapshotStarts = 5
 
-// DownloadSnapshot asks control for a snapshot and writes it to a file, chunk by chunk; a call that fails is repeated from the chunk at
-// which it failed. The file appears whole or not at all.
+// DownloadSnapshot downloads a snapshot chunk by chunk and writes it to a file. The call for a chunk is retried, and the download starts
+// again if control no longer has the snapshot. The file is fsynced and renamed into place, so that it is complete if it exists.
 func (c *Client) DownloadSnapshot(ctx context.Context, path string) (snapshot.Header, error) {
 	partial := path + ".partial"
 	file, err := os.Create(partial)
@@ -66,14 +66,14 @@
 		}
 		var response snapshot.ReadResponse
 		if err := json.Unmarshal(raw, &response); err != nil {
-			return header, fmt.Errorf("what control answered: %w", err)
+			return header, fmt.Errorf("invalid response from control: %w", err)
 		}
 		before := assembler.Received()
 		if _, err := assembler.Add(response.Chunk); err != nil {
-			return header, fmt.Errorf("what control answered: %w", err)
+			return header, fmt.Errorf("invalid response from control: %w", err)
 		}
 		if !assembler.Done() && assembler.Received() == before {
-			return header, errors.New("what control answered: a chunk that was there")
+			return header, errors.New("invalid response from control: repeated chunk")
 		}
 		if _, err := writer.Write(binary.BigEndian.AppendUint32(nil, uint32(len(response.Chunk)))); err != nil {
 			return header, err
@@ -87,7 +87,7 @@
 	return header, nil
 }
 
-// asUnsupported tells the refusal of a call that nobody serves from others.
+// asUnsupported wraps an error with ErrUnsupported if control rejected the call as unknown or not implemented.
 func asUnsupported(err error) error {
 	var refused *ResponseError
 	if errors.As(err, &refused) && (refused.Kind == "unknown_call" || refused.Kind == "unbuilt") {
@@ -96,7 +96,7 @@
 	return err
 }
 
-// IsSnapshot tells whether a file begins as a snapshot does; others are changes.
+// IsSnapshot reports whether a file begins like a snapshot. It returns false if the file can't be read.
 func IsSnapshot(path string) bool {
 	file, err := os.Open(path)
 	if err != nil {
@@ -108,8 +108,8 @@
 	return length == len(start) && snapshot.IsChunk(start[4:])
 }
 
-// ReadSnapshot reads a snapshot to its end, chunk by chunk, and hands over where each begins in the file, its bytes and its
-// items. Without an error the snapshot is whole, and its sum is right.
+// ReadSnapshot reads a snapshot to its end and passes each chunk's offset, bytes and items to handle. If it returns no error, the snapshot is
+// complete and its checksum correct.
 func ReadSnapshot(source io.Reader, handle func(offset int64, chunk []byte, items []config.Item) error) (header snapshot.Header, err error) {
 	var gather snapshot.Assembler
 	reader := bufio.NewReader(source)
@@ -122,14 +122,14 @@
 		}
 		length := binary.BigEndian.Uint32(size[:])
 		if length > snapshot.MaxChunkBytes {
-			return header, fmt.Errorf("byte %d: a chunk of %d bytes", offset, length)
+			return header, fmt.Errorf("byte %d: chunk of %d bytes is too long", offset, length)
 		}
 		chunk := make([]byte, length)
 		if _, err := io.ReadFull(reader, chunk); err != nil {
-			return header, fmt.Errorf("byte %d: the file is cut short: %w", offset, err)
+			return header, fmt.Errorf("byte %d: file is truncated: %w", offset, err)
 		}
 		if gather.Done() {
-			return header, fmt.Errorf("byte %d: the file goes on behind its end", offset)
+			return header, fmt.Errorf("byte %d: unexpected data after the last chunk", offset)
 		}
 		items, err := gather.Add(chunk)
 		if err != nil {
@@ -142,7 +142,7 @@
 	}
 	header, _ = gather.Header()
 	if !gather.Done() {
-		return header, fmt.Errorf("the file is cut short: %d of %d items", gather.Received(), header.Items)
+		return header, fmt.Errorf("file is truncated: %d of %d items", gather.Received(), header.Items)
 	}
 	return header, nil
 }
--- a/internal/client/snapshot_test.go
+++ b/internal/client/snapshot_test.go
@@ -23,7 +23,7 @@
 	"portflow/internal/control/snapshot"
 )
 
-// fakeControl is a control process that serves the two calls on a set, as a handler is to do it.
+// fakeControl is a control process that serves snapshot.SnapshotCall and snapshot.RestoreCall for a set.
 type fakeControl struct {
 	mu         sync.Mutex
 	set        *config.Set
@@ -31,8 +31,8 @@
 	cache      snapshot.Cache
 	upload     snapshot.Upload
 	calls      int
-	beforeCall func(n int) // before each call is answered, under the lock
-	dropEvery  int         // each so many answers are lost
+	beforeCall func(n int) // if set, called with mu held before the nth call is handled
+	dropEvery  int         // drop each dropEvery-th response; 0 for none
 	restored   int
 }
 
@@ -40,14 +40,14 @@
 	read := func(_ context.Context, _ string, body []byte) (any, error) {
 		var request snapshot.ReadRequest
 		if err := json.Unmarshal(body, &request); err != nil {
-			return nil, apierror.Wrap(apierror.Malformed, err, "the ask")
+			return nil, apierror.Wrap(apierror.Malformed, err, "read request")
 		}
 		return f.cache.Serve(time.Now().UnixNano(), request, func() ([]config.Item, uint64, uint64) { return f.set.All(), 1, f.index })
 	}
 	restore := func(_ context.Context, _ string, body []byte) (any, error) {
 		var restore snapshot.RestoreRequest
 		if err := json.Unmarshal(body, &restore); err != nil {
-			return nil, apierror.Wrap(apierror.Malformed, err, "the piece")
+			return nil, apierror.Wrap(apierror.Malformed, err, "restore request")
 		}
 		response, items, header, err := f.upload.AddChunk(time.Now().UnixNano(), restore.Chunk)
 		if items != nil {
@@ -92,8 +92,8 @@
 	return set
 }
 
-// A snapshot is written whole while changes go on, and restored into an empty control process: all items stand there, also
-// where answers are lost on the way.
+// A snapshot is consistent although the set changes during the download, and replaces all items of another control process when it is
+// restored, also if responses are lost.
 func TestSnapshotAndRestore(t *testing.T) {
 	for _, dropEvery := range []int{0, 3} {
 		c := qt.New(t)
@@ -116,7 +116,7 @@
 		c.Check(IsSnapshot(path), qt.IsTrue)
 
 		target := &fakeControl{set: populatedSet(7), dropEvery: dropEvery}
-		client.Addresses = []string{"127.0.0.1:1", target.serve(c)} // the first is not there
+		client.Addresses = []string{"127.0.0.1:1", target.serve(c)} // the first is unreachable
 		client.Timeout = 500 * time.Millisecond
 		_, err = client.RestoreSnapshot(context.Background(), path)
 		c.Assert(err, qt.IsNil)
@@ -125,8 +125,8 @@
 	}
 }
 
-// A control process that has forgotten the cut is asked for another; one that always has, is not asked for ever. One that
-// does not serve the call is told from one that refuses.
+// A download starts again if control drops the snapshot, but not forever. Control processes without the calls are reported as
+// ErrUnsupported.
 func TestSnapshotRestartedOrUnsupported(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "snapshot")
@@ -159,8 +159,7 @@
 	c.Check(err, qt.ErrorIs, ErrUnsupported)
 }
 
-// A file that is cut at any chunk or byte, spoilt anywhere, or holds what control would refuse, is refused before anything is
-// sent.
+// A file that is truncated, corrupted or extended, or has an item that control would reject, is rejected before anything is sent.
 func TestRestoreInvalidSnapshot(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
