--- a/cmd/harbour/main.go
+++ b/cmd/harbour/main.go
@@ -1,4 +1,5 @@
-// Command harbour is the former name of portflowd. It does nothing but say so, and goes with the next release.
+// Command harbour is the former name of portflowd. It only prints the new name and exits with status 2. It will be
+// removed in the next release.
 package main
 
 import (
--- a/cmd/pilot/main.go
+++ b/cmd/pilot/main.go
@@ -1,4 +1,5 @@
-// Command pilot is the former name of portflowctl. It does nothing but say so, and goes with the next release.
+// Command pilot is the former name of portflowctl. It only prints the new name and exits with status 2. It will be
+// removed in the next release.
 package main
 
 import (
--- a/cmd/portflowd/main.go
+++ b/cmd/portflowd/main.go
@@ -1,9 +1,10 @@
-// Command portflowd runs the cluster's processes: "portflowd proxy" carries traffic from clients to hosts, "portflowd control" is
-// the control process, which keeps the configuration and knows hosts and proxies, and "portflowd check" reads the settings alone. The
-// environment variable PORTFLOW_BOOT names the settings file; docs/operate/cluster.md has its fields.
+// Command portflowd runs a process of a portflow cluster. "portflowd proxy" forwards client requests to hosts. "portflowd control" runs a
+// control process, which replicates the configuration and keeps track of hosts and proxies. "portflowd check" validates the settings file
+// and exits. The environment variable PORTFLOW_BOOT names the settings file; docs/operate/cluster.md documents its fields.
 //
-// The command only reads the settings, opens the disk and waits for its end: SIGTERM or an interrupt has the process leave and end,
-// SIGHUP has it check the settings file. All else is in packages internal/proxy and internal/control/server.
+// SIGTERM or an interrupt shuts the process down gracefully. SIGHUP makes it validate the settings file again and log the result. The
+// command itself reads the settings, opens the data directory and waits for a signal; packages internal/proxy and internal/control/server
+// do the rest.
 package main
 
 import (
@@ -35,18 +36,18 @@
 	// tcpUserTimeout is how long sent data may stay unacknowledged before a connection is closed.
 	tcpUserTimeout = 1500 * time.Millisecond
 
-	// heapNumerator and heapDenominator are the part of the machine's memory that the heap may take, as two processes may share it.
+	// heapNumerator / heapDenominator is the fraction of the configured memory that the heap may use, since a machine may run two processes.
 	heapNumerator, heapDenominator = 3, 5
 )
 
 var (
-	errNoSettingsFile  = errors.New(settingsVariable + ": names no settings file")
-	errNoDataDirectory = errors.New("self-description.data-directory: missing: a control process needs a disk")
+	errNoSettingsFile  = errors.New(settingsVariable + ": not set; must name the settings file")
+	errNoDataDirectory = errors.New("self-description.data-directory: missing; a control process requires a data directory")
 )
 
 func main() {
 	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP) // before anything else: until then a SIGHUP would end the process
+	signal.Notify(hangups, syscall.SIGHUP) // must come first: until then a SIGHUP terminates the process
 	go logHangups(hangups)
 	if err := newCommand().Run(context.Background(), os.Args); err != nil {
 		klog.ErrorS(err, "portflowd")
@@ -56,20 +57,20 @@
 }
 
 func newCommand() *cli.Command {
-	perZone := &cli.IntFlag{Name: perZoneFlag, Value: 1, Usage: "control processes in each zone, as the deploy file has it"}
+	perZone := &cli.IntFlag{Name: perZoneFlag, Value: 1, Usage: "minimum number of voting members that a zone keeps when disconnected members are removed; set it to the number of control processes per zone"}
 	return &cli.Command{
 		Name:  "portflowd",
-		Usage: "the processes of a portflow cluster; PORTFLOW_BOOT names the settings file",
+		Usage: "run a process of a portflow cluster; the environment variable PORTFLOW_BOOT names the settings file",
 		Commands: []*cli.Command{
-			{Name: "proxy", Usage: "carry traffic from clients to hosts", Action: runProxy},
-			{Name: "control", Usage: "control: hosts, routers, configuration, operations and the directory", Action: runControl, Flags: []cli.Flag{perZone}},
-			{Name: "check", Usage: "say whether the settings file can be read", Action: runCheck},
+			{Name: "proxy", Usage: "run a proxy, which forwards client requests to hosts", Action: runProxy},
+			{Name: "control", Usage: "run a control process, which replicates the configuration and manages hosts, proxies, rollouts and the directory", Action: runControl, Flags: []cli.Flag{perZone}},
+			{Name: "check", Usage: "validate the settings file", Action: runCheck},
 		},
 	}
 }
 
-// logHangups checks the settings file after each SIGHUP, which says that it has changed, and logs whether it can still be read. A
-// running process takes nothing from it: what may change comes from control. Its goroutine runs until the process exits.
+// logHangups validates the settings file after each SIGHUP and logs the result. A running process doesn't apply changed settings: whatever
+// may change at run time comes from control. logHangups runs until the process exits.
 func logHangups(hangups <-chan os.Signal) {
 	for range hangups {
 		_, err := readSettings()
@@ -127,14 +128,14 @@
 	})
 }
 
-// environment is what a process gets from its machine.
+// environment is what a process needs from its machine.
 type environment struct {
 	settings settings.Settings
 	network  network.Host
-	seed     uint64 // drawn anew at each start
+	seed     uint64 // random at each start
 }
 
-// prepare reads the settings and bounds the heap by them, before any port is opened.
+// prepare reads the settings and limits the heap accordingly. It must be called before any port is opened.
 func prepare() (environment, error) {
 	cfg, err := readSettings()
 	if err != nil {
@@ -149,7 +150,7 @@
 	return environment{settings: cfg, network: network.Host{UserTimeout: tcpUserTimeout}, seed: seed}, nil
 }
 
-// readSettings reads the settings file that the environment variable names.
+// readSettings reads and validates the settings file.
 func readSettings() (settings.Settings, error) {
 	path := os.Getenv(settingsVariable)
 	if path == "" {
@@ -169,12 +170,12 @@
 func newSeed() (uint64, error) {
 	var raw [8]byte
 	if _, err := rand.Read(raw[:]); err != nil {
-		return 0, fmt.Errorf("seed: %w", err)
+		return 0, fmt.Errorf("read random seed: %w", err)
 	}
 	return binary.BigEndian.Uint64(raw[:]), nil
 }
 
-// runUntilSignal starts a process and, once a SIGTERM or an interrupt has come, has it leave and ends its context.
+// runUntilSignal calls start, waits for a SIGTERM or an interrupt, and then calls leave, before it cancels the context passed to start.
 func runUntilSignal(start func(context.Context) (leave func(), err error)) error {
 	signalled, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
--- a/cmd/portflowd/main_test.go
+++ b/cmd/portflowd/main_test.go
@@ -11,7 +11,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// asProgram has the test's own binary run the program instead.
+// runMainVariable is the environment variable that makes the test binary run main instead of the tests.
 const runMainVariable = "HARBOUR_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -22,8 +22,8 @@
 	os.Exit(m.Run())
 }
 
-// A settings file may change while a process still starts: the SIGHUP that says so must not end it. The settings file is a pipe here,
-// so that the signal surely comes while the process reads it.
+// A SIGHUP during startup must not terminate the process. The settings file is a named pipe, so that the signal is certain to arrive while
+// the process reads it.
 func TestSIGHUPDuringStartup(t *testing.T) {
 	for _, role := range []string{"proxy", "control"} {
 		c := qt.New(t)
