--- a/examples/cluster/main.go
+++ b/examples/cluster/main.go
@@ -1,6 +1,6 @@
-// Command cluster starts a small cluster on loopback addresses: in each of three zones a control process, a router and two hosts. It
-// sets a configuration, sends requests, kills a control process and a router in the middle, and ends with a table of what was
-// served. With -toll it measures instead what a router adds to a request. Begin reading at run.
+// Command cluster runs a small cluster on loopback addresses, with a control process, a proxy and two hosts in each of three zones. It
+// sets a configuration, sends requests, kills a control process and a proxy meanwhile, and prints a table of the outcomes. With -toll it
+// measures the latency and CPU time that a proxy adds to a request instead. Start reading at run.
 package main
 
 import (
@@ -35,7 +35,7 @@
 	controlPort, proxyPort, readinessPort, directoryPort = 8146, 8144, 8140, 8143
 )
 
-// settingsFile returns a process's settings file.
+// settingsFile returns the settings file of a process in zone z.
 func settingsFile(z int, role, serves, data string) string {
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
@@ -73,10 +73,10 @@
 }
 
 func main() {
-	program := flag.String("program", "target/portflowd", "the program that is started")
-	verbose := flag.Bool("v", false, "show the processes' output")
-	measure := flag.Bool("toll", false, "measure what a router adds to a request, beside a bare proxy")
-	bareHosts := flag.String("bare", "", "run that proxy, for these hosts")
+	program := flag.String("program", "target/portflowd", "path of the portflowd binary")
+	verbose := flag.Bool("v", false, "print the output of all processes")
+	measure := flag.Bool("toll", false, "measure the latency and CPU time that a proxy adds to a request, and compare them with a minimal proxy")
+	bareHosts := flag.String("bare", "", "run only the minimal proxy, for these comma-separated host addresses")
 	flag.Parse()
 	var err error
 	if *bareHosts != "" {
@@ -90,7 +90,7 @@
 	}
 }
 
-// demo is a cluster that runs.
+// demo is a running cluster.
 type demo struct {
 	program  string
 	verbose  bool
@@ -102,16 +102,16 @@
 
 const (
 	hostsPerZone       = 2
-	defaultServiceTime = 30 * time.Millisecond // of a request at a host
+	defaultServiceTime = 30 * time.Millisecond // time that a host takes for a request
 	operatorTimeout    = 10 * time.Second
 
 	loadSeconds       = 8
 	requestsPerSecond = 60
-	killControlSecond = 2 // second
+	killControlSecond = 2 // seconds after the first request
 	killProxySecond   = 4
 )
 
-// run starts the cluster, sends requests or measures, and ends it.
+// run starts the cluster, sends requests or measures the overhead, and stops the cluster.
 func run(program string, verbose, measure bool) (err error) {
 	dir, err := os.MkdirTemp("", "cluster")
 	if err != nil {
@@ -134,9 +134,9 @@
 		return err
 	}
 	if _, err := d.operator.Call(ctx, "configuration.modify", "", []byte(initialConfiguration)); err != nil {
-		return fmt.Errorf("the configuration: %w", err)
+		return fmt.Errorf("set the configuration: %w", err)
 	}
-	fmt.Println("the configuration is accepted: it is on a majority of the control processes")
+	fmt.Println("the configuration was committed by a majority of the control processes")
 	if err := awaitReady(ctx, d.operator); err != nil {
 		return err
 	}
@@ -146,7 +146,7 @@
 	return d.sendLoad()
 }
 
-// startProcesses starts a control process and a router in each zone.
+// startProcesses starts a control process and a proxy in each zone.
 func (d *demo) startProcesses() error {
 	d.operator = &client.Client{HTTP: &http.Client{}, Timeout: operatorTimeout}
 	for z := range zones {
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// start starts a process of a zone.
+// start starts a process in zone z.
 func (d *demo) start(z int, role, serves string) (*exec.Cmd, error) {
 	path := filepath.Join(d.dir, fmt.Sprintf("%s-%d.conf", role, z))
 	text := settingsFile(z, role, serves, filepath.Join(d.dir, fmt.Sprint("disk", z)))
@@ -178,7 +178,7 @@
 		c.Stdout, c.Stderr = os.Stdout, os.Stderr
 	}
 	if err := c.Start(); err != nil {
-		return nil, fmt.Errorf("%s: %w (make system builds it)", d.program, err)
+		return nil, fmt.Errorf("start %s: %w (build it with: make system)", d.program, err)
 	}
 	return c, nil
 }
@@ -187,14 +187,14 @@
 func (d *demo) stop() {
 	for _, c := range slices.Concat(d.controls, d.proxies) {
 		kill(c)
-		_ = c.Wait() // says that it was killed
+		_ = c.Wait() // the error only says that the process was killed
 	}
 }
 
-// kill ends a process; one that has ended already is left as it is.
+// kill kills a process. It does nothing if the process has already exited.
 func kill(c *exec.Cmd) { _ = c.Process.Kill() }
 
-// startHosts starts the hosts, and returns the addresses of the first zone's.
+// startHosts starts all hosts and returns the addresses of those in the first zone.
 func (d *demo) startHosts(ctx context.Context, serviceTime time.Duration) (localHosts []string, err error) {
 	for z := range zones {
 		for n := range hostsPerZone {
@@ -210,7 +210,7 @@
 	return localHosts, nil
 }
 
-// drive sends requests, kills two processes in the middle, and prints what was served.
+// sendLoad sends requests, kills a control process and a proxy meanwhile, and prints the outcomes.
 func (d *demo) sendLoad() error {
 	counts := statusCounts{byZone: map[string]map[string]int{}}
 	for second := range loadSeconds {
@@ -219,7 +219,7 @@
 			fmt.Println("control process of z1 killed")
 			kill(d.controls[0])
 		case killProxySecond:
-			fmt.Println("router of z3 killed: its clients go where the directory says")
+			fmt.Println("proxy of z3 killed: the directory sends its clients to other proxies")
 			kill(d.proxies[2])
 		}
 		var pending sync.WaitGroup
@@ -239,7 +239,7 @@
 "table-rows":[["desk","/health",100,"h1",false,3,5,"00000001"]]},
 "limits":{"header-bytes":16384,"body-bytes":1048576,"header-timeout-s":3,"idle-timeout-s":15,"version":"00000001"}}}`
 
-// clusterStatus is what harbour.read answers, as far as it is used here.
+// clusterStatus is the part of the response to harbour.read that is used here.
 type clusterStatus struct {
 	Routers []struct {
 		Ready bool `json:"ready"`
@@ -249,7 +249,7 @@
 	} `json:"core"`
 }
 
-// upToDate counts the routers that are ready, and the control processes that have the newest configuration.
+// upToDate returns the number of ready proxies and of control processes that have applied the same log index as the one that answered.
 func (s clusterStatus) upToDate() (n int) {
 	for _, r := range s.Routers {
 		if r.Ready {
@@ -264,7 +264,7 @@
 	return n
 }
 
-// awaitReady waits until all routers are ready, and all control processes have the same items.
+// awaitReady waits until all proxies are ready and all control processes have applied the same log index.
 func awaitReady(ctx context.Context, operator *client.Client) error {
 	for range 50 {
 		raw, err := operator.Call(ctx, "harbour.read", "", nil)
@@ -278,10 +278,10 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return errors.New("the routers are not ready")
+	return errors.New("timed out waiting for all proxies and control processes to be ready")
 }
 
-// startHost starts a host of a service, which runs requests and reports itself to control. It serves until the program ends.
+// startHost starts a host of the service, which handles requests and sends heartbeats to control. It serves until the program exits.
 func startHost(ctx context.Context, operator *client.Client, z, n int, serviceTime time.Duration) (address string, err error) {
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.7.%d.%d:0", z+1, 10+n))
 	if err != nil {
@@ -305,7 +305,7 @@
 	return ln.Addr().String(), nil
 }
 
-// sendHeartbeats reports a host to control until the context ends.
+// sendHeartbeats sends heartbeats of a host to control until ctx is done.
 func sendHeartbeats(ctx context.Context, control *client.Client, id string, z int, address string) {
 	for n := 1; ctx.Err() == nil; n++ {
 		body, err := json.Marshal(map[string]any{
@@ -316,22 +316,22 @@
 			"current-status": map[string]any{"server-state": "ready", "sequence": n},
 		})
 		if err != nil {
-			panic(err) // strings and numbers
+			panic(err) // unreachable: strings and numbers can be encoded
 		}
-		_, _ = control.Call(ctx, "instances.heartbeat", id, body) // the next one follows
+		_, _ = control.Call(ctx, "instances.heartbeat", id, body) // a failed heartbeat is followed by the next one
 		time.Sleep(500 * time.Millisecond)
 	}
 }
 
-// statusCounts counts how requests ended.
+// statusCounts counts requests by outcome.
 type statusCounts struct {
 	mu     sync.Mutex                // guards byZone
 	byZone map[string]map[string]int // by zone and outcome
 }
 
-// sendRequest sends one request of a zone's client: to a router that the directory names, and to another if that one is gone.
+// sendRequest sends a request of a client in a zone to a proxy from the directory, and retries with another proxy up to twice if that fails.
 func (c *statusCounts) sendRequest(n, zoneIndex int) {
-	outcome := "no router"
+	outcome := "no proxy"
 	for attempt := range 3 {
 		address := resolve(zoneIndex, n+attempt)
 		if address == "" {
@@ -344,7 +344,7 @@
 		}
 		status, err := sendOnce(http.DefaultClient, method, "http://"+address+path, fmt.Sprintf("%d-%d", n, attempt))
 		if err != nil {
-			outcome = "broken off"
+			outcome = "connection failed"
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
@@ -362,7 +362,7 @@
 	c.byZone[zone][outcome]++
 }
 
-// sendOnce sends one attempt and reads its answer; it returns the answer's status.
+// sendOnce sends one attempt, reads the response to its end and returns its status.
 func sendOnce(client *http.Client, method, url, attemptID string) (status int, err error) {
 	req, err := http.NewRequest(method, url, bytes.NewReader(nil))
 	if err != nil {
@@ -376,11 +376,12 @@
 		return 0, err
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, resp.Body) // the status is what is counted
+	_, _ = io.Copy(io.Discard, resp.Body) // only the status is counted
 	return resp.StatusCode, nil
 }
 
-// resolve returns the n-th router that the directory names to a zone's clients, empty for none.
+// resolve returns the address of the nth proxy, modulo their number, that the directory returns to clients in zone z, or "" if there is
+// none. It asks the directories of the other zones in turn if the one of zone z returns none.
 func resolve(z, n int) string {
 	for i := range zones {
 		resp, err := http.Get(fmt.Sprintf("http://%s/-/resolution?name=desk.example&zone-name=z%d&region-name=r%d", listenAddress((z+i)%zones, directoryPort), z+1, z+1))
@@ -399,10 +400,10 @@
 	return ""
 }
 
-// print writes the table.
+// print prints the number of requests by zone and outcome.
 func (c *statusCounts) print() error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "\nCLIENTS IN\tHOW IT ENDED\tREQUESTS")
+	fmt.Fprintln(w, "\nCLIENT ZONE\tOUTCOME\tREQUESTS")
 	for z := range zones {
 		zone := fmt.Sprintf("z%d", z+1)
 		for outcome, n := range c.byZone[zone] {
--- a/examples/cluster/overhead.go
+++ b/examples/cluster/overhead.go
@@ -18,18 +18,19 @@
 	"time"
 )
 
-// The measurement of what a router adds to a request: time beyond the host's own, and processor time, beside a proxy that does
-// nothing but forward requests.
+// The overhead of a portflow proxy is measured as the latency and CPU time that it adds to a request, and compared with that of a minimal
+// proxy that only forwards requests.
 const (
-	overheadServiceTime = 5 * time.Millisecond // of a request at a host
-	overheadRate        = 300                  // requests a second, all through one router
+	overheadServiceTime = 5 * time.Millisecond // time that a host takes for a request
+	overheadRate        = 300                  // requests per second, all through one proxy
 	overheadDuration    = 10 * time.Second
 	bareProxyAddress    = "127.7.1.99:8150"
 	bareProxyStartTime  = 300 * time.Millisecond
-	clockTick           = 10 * time.Millisecond // of /proc's processor times
+	clockTick           = 10 * time.Millisecond // unit of CPU times in /proc
 )
 
-// runBareProxy runs that proxy: net/http on both sides, hosts in turn. It runs in a process of its own.
+// runBareProxy runs the minimal proxy, which forwards requests to the hosts in turn with net/http. It runs in its own process, so that its
+// CPU time can be measured.
 func runBareProxy(hosts []string) error {
 	l, err := net.Listen("tcp", bareProxyAddress)
 	if err != nil {
@@ -50,11 +51,11 @@
 			w.Header()[name] = values
 		}
 		w.WriteHeader(resp.StatusCode)
-		_, _ = io.Copy(w, resp.Body) // where it fails, the client gets a short answer
+		_, _ = io.Copy(w, resp.Body) // on failure the client receives a truncated response
 	}))
 }
 
-// measureOverhead sends the same requests to the hosts themselves, through the bare proxy and through a router, in turn, twice.
+// measureOverhead sends the same requests directly to the hosts, through the minimal proxy and through a portflow proxy, and repeats this once.
 func measureOverhead(ctx context.Context, portflowProxy *exec.Cmd, hosts []string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -66,17 +67,17 @@
 	}
 	defer func() {
 		kill(bareProxy)
-		_ = bareProxy.Wait() // says that it was killed
+		_ = bareProxy.Wait() // the error only says that the process was killed
 	}()
 	time.Sleep(bareProxyStartTime)
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "\nTHROUGH\tREQUESTS\tNOT 200\tp50 ms\tp99 ms\tPROCESSOR ms A REQUEST\n")
+	fmt.Fprintf(w, "\nTHROUGH\tREQUESTS\tNOT 200\tp50 ms\tp99 ms\tCPU ms PER REQUEST\n")
 	for range 2 {
 		for _, x := range []struct {
 			name      string
 			addresses []string
 			process   *exec.Cmd
-		}{{"nothing", hosts, nil}, {"bare proxy", []string{bareProxyAddress}, bareProxy}, {"router", []string{listenAddress(0, proxyPort)}, portflowProxy}} {
+		}{{"nothing", hosts, nil}, {"minimal proxy", []string{bareProxyAddress}, bareProxy}, {"router", []string{listenAddress(0, proxyPort)}, portflowProxy}} {
 			before := cpuTime(x.process)
 			latencies, failed := generateLoad(x.addresses)
 			cpu := cpuTime(x.process) - before
@@ -90,7 +91,7 @@
 	return w.Flush()
 }
 
-// generateLoad sends requests at an even rate, and returns their latencies and how many were not answered with 200.
+// generateLoad sends requests at a constant rate, and returns their latencies and the number that failed or had a status other than 200.
 func generateLoad(addresses []string) (latencies []time.Duration, failed int) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: 2 * time.Second}
 	defer client.CloseIdleConnections()
@@ -116,7 +117,7 @@
 	return latencies, failed
 }
 
-// cpuTime returns the processor time of a process, as the system counts it in ticks; 0 for none.
+// cpuTime returns the user and system CPU time of a process, or 0 if c is nil or the time is not available.
 func cpuTime(c *exec.Cmd) time.Duration {
 	if c == nil {
 		return 0
@@ -127,9 +128,9 @@
 	}
 	fields := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:]))
 	var ticks int64
-	for _, field := range []int{11, 12} { // of the program, and of the system for it
+	for _, field := range []int{11, 12} { // utime and stime, counted from the state field
 		if field < len(fields) {
-			n, _ := strconv.ParseInt(fields[field], 10, 64) // 0 where it is no number
+			n, _ := strconv.ParseInt(fields[field], 10, 64) // 0 if it is not a number
 			ticks += n
 		}
 	}
