--- a/internal/client/snapshot.go
+++ b/internal/client/snapshot.go
@@ -111,7 +111,7 @@
 // ReadSnapshot reads a snapshot to its end and passes each chunk's offset, bytes and items to handle. If it returns no error, the snapshot is
 // complete and its checksum correct.
 func ReadSnapshot(source io.Reader, handle func(offset int64, chunk []byte, items []config.Item) error) (header snapshot.Header, err error) {
-	var gather snapshot.Assembler
+	var assembler snapshot.Assembler
 	reader := bufio.NewReader(source)
 	for offset := int64(0); ; {
 		var size [4]byte
@@ -128,10 +128,10 @@
 		if _, err := io.ReadFull(reader, chunk); err != nil {
 			return header, fmt.Errorf("byte %d: file is truncated: %w", offset, err)
 		}
-		if gather.Done() {
+		if assembler.Done() {
 			return header, fmt.Errorf("byte %d: unexpected data after the last chunk", offset)
 		}
-		items, err := gather.Add(chunk)
+		items, err := assembler.Add(chunk)
 		if err != nil {
 			return header, fmt.Errorf("byte %d: %w", offset, err)
 		}
@@ -140,9 +140,9 @@
 		}
 		offset += int64(len(size)) + int64(length)
 	}
-	header, _ = gather.Header()
-	if !gather.Done() {
-		return header, fmt.Errorf("file is truncated: %d of %d items", gather.Received(), header.Items)
+	header, _ = assembler.Header()
+	if !assembler.Done() {
+		return header, fmt.Errorf("file is truncated: %d of %d items", assembler.Received(), header.Items)
 	}
 	return header, nil
 }
