--- a/examples/cluster/overhead.go
+++ b/examples/cluster/overhead.go
@@ -18,28 +18,29 @@
 	"time"
 )
 
-// The measurement of what a router adds to a request: time beyond the host's own, and processor time, beside a proxy that does
-// nothing but forward requests.
+// The overhead of a portflow proxy is measured as the latency and CPU time that it adds to a request, and compared with that of a minimal
+// proxy that only forwards requests.
 const (
-	overheadServiceTime = 5 * time.Millisecond // of a request at a host
-	overheadRate        = 300                  // requests a second, all through one router
+	overheadServiceTime = 5 * time.Millisecond // time that a host takes for a request
+	overheadRate        = 300                  // requests per second, all through one proxy
 	overheadDuration    = 10 * time.Second
 	bareProxyAddress    = "127.7.1.99:8150"
 	bareProxyStartTime  = 300 * time.Millisecond
-	clockTick           = 10 * time.Millisecond // of /proc's processor times
+	clockTick           = 10 * time.Millisecond // unit of CPU times in /proc
 )
 
-// runBareProxy runs that proxy: net/http on both sides, hosts in turn. It runs in a process of its own.
+// runBareProxy runs the minimal proxy, which forwards requests to the hosts in turn with net/http. It runs in its own process, so that its
+// CPU time can be measured.
 func runBareProxy(hosts []string) error {
 	l, err := net.Listen("tcp", bareProxyAddress)
 	if err != nil {
 		return err
 	}
-	var turn atomic.Int64
+	var next atomic.Int64
 	client := &http.Transport{MaxIdleConnsPerHost: 64}
 	return http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		req := r.Clone(r.Context())
-		req.URL.Scheme, req.URL.Host = "http", hosts[int(turn.Add(1))%len(hosts)]
+		req.URL.Scheme, req.URL.Host = "http", hosts[int(next.Add(1))%len(hosts)]
 		resp, err := client.RoundTrip(req)
 		if err != nil {
 			w.WriteHeader(http.StatusBadGateway)
@@ -50,48 +51,48 @@
 			w.Header()[name] = values
 		}
 		w.WriteHeader(resp.StatusCode)
-		_, _ = io.Copy(w, resp.Body) // where it fails, the client gets a short answer
+		_, _ = io.Copy(w, resp.Body) // on failure the client receives a truncated response
 	}))
 }
 
-// measureOverhead sends the same requests to the hosts themselves, through the bare proxy and through a router, in turn, twice.
-func measureOverhead(ctx context.Context, router *exec.Cmd, hosts []string) error {
+// measureOverhead sends the same requests directly to the hosts, through the minimal proxy and through a portflow proxy, and repeats this once.
+func measureOverhead(ctx context.Context, portflowProxy *exec.Cmd, hosts []string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	proxy := exec.CommandContext(ctx, self, "-bare", strings.Join(hosts, ","))
-	if err := proxy.Start(); err != nil {
+	bareProxy := exec.CommandContext(ctx, self, "-bare", strings.Join(hosts, ","))
+	if err := bareProxy.Start(); err != nil {
 		return err
 	}
 	defer func() {
-		kill(proxy)
-		_ = proxy.Wait() // says that it was killed
+		kill(bareProxy)
+		_ = bareProxy.Wait() // the error only says that the process was killed
 	}()
 	time.Sleep(bareProxyStartTime)
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "\nTHROUGH\tREQUESTS\tNOT 200\tp50 ms\tp99 ms\tPROCESSOR ms A REQUEST\n")
+	fmt.Fprintf(w, "\nTHROUGH\tREQUESTS\tNOT 200\tp50 ms\tp99 ms\tCPU ms PER REQUEST\n")
 	for range 2 {
 		for _, x := range []struct {
-			name    string
-			to      []string
-			process *exec.Cmd
-		}{{"nothing", hosts, nil}, {"bare proxy", []string{bareProxyAddress}, proxy}, {"router", []string{listenAddress(0, proxyPort)}, router}} {
+			name      string
+			addresses []string
+			process   *exec.Cmd
+		}{{"nothing", hosts, nil}, {"minimal proxy", []string{bareProxyAddress}, bareProxy}, {"router", []string{listenAddress(0, proxyPort)}, portflowProxy}} {
 			before := cpuTime(x.process)
-			latencies, wrong := generateLoad(x.to)
+			latencies, failed := generateLoad(x.addresses)
 			cpu := cpuTime(x.process) - before
 			slices.Sort(latencies)
-			ms := func(part float64) float64 {
-				return float64(latencies[int(part*float64(len(latencies)-1))].Microseconds()) / 1000
+			ms := func(quantile float64) float64 {
+				return float64(latencies[int(quantile*float64(len(latencies)-1))].Microseconds()) / 1000
 			}
-			fmt.Fprintf(w, "%s\t%d\t%d\t%.2f\t%.2f\t%.3f\n", x.name, len(latencies), wrong, ms(0.5), ms(0.99), cpu.Seconds()*1000/float64(len(latencies)))
+			fmt.Fprintf(w, "%s\t%d\t%d\t%.2f\t%.2f\t%.3f\n", x.name, len(latencies), failed, ms(0.5), ms(0.99), cpu.Seconds()*1000/float64(len(latencies)))
 		}
 	}
 	return w.Flush()
 }
 
-// generateLoad sends requests at an even rate, and returns their latencies and how many were not answered with 200.
-func generateLoad(to []string) (latencies []time.Duration, wrong int) {
+// generateLoad sends requests at a constant rate, and returns their latencies and the number that failed or had a status other than 200.
+func generateLoad(addresses []string) (latencies []time.Duration, failed int) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: 2 * time.Second}
 	defer client.CloseIdleConnections()
 	var mu sync.Mutex
@@ -102,21 +103,21 @@
 		<-t.C
 		all.Go(func() {
 			start := time.Now()
-			status, err := sendOnce(client, http.MethodGet, "http://"+to[n%len(to)]+"/look/1", strconv.Itoa(n))
+			status, err := sendOnce(client, http.MethodGet, "http://"+addresses[n%len(addresses)]+"/look/1", strconv.Itoa(n))
 			latency := time.Since(start)
 			mu.Lock()
 			defer mu.Unlock()
 			latencies = append(latencies, latency)
 			if err != nil || status != http.StatusOK {
-				wrong++
+				failed++
 			}
 		})
 	}
 	all.Wait()
-	return latencies, wrong
+	return latencies, failed
 }
 
-// cpuTime returns the processor time of a process, as the system counts it in ticks; 0 for none.
+// cpuTime returns the user and system CPU time of a process, or 0 if c is nil or the time is not available.
 func cpuTime(c *exec.Cmd) time.Duration {
 	if c == nil {
 		return 0
@@ -127,9 +128,9 @@
 	}
 	fields := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:]))
 	var ticks int64
-	for _, field := range []int{11, 12} { // of the program, and of the system for it
+	for _, field := range []int{11, 12} { // utime and stime, counted from the state field
 		if field < len(fields) {
-			n, _ := strconv.ParseInt(fields[field], 10, 64) // 0 where it is no number
+			n, _ := strconv.ParseInt(fields[field], 10, 64) // 0 if it is not a number
 			ticks += n
 		}
 	}
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,4 +1,5 @@
-// Package client calls control processes for an operator: one after another until one answers, as every caller does.
+// Package client calls control processes on behalf of an operator. It also validates and compares configuration changes before they are
+// sent, and saves and restores snapshots. Start reading at Client.Call.
 package client
 
 import (
@@ -17,48 +18,50 @@
 	"portflow/internal/cluster/config"
 )
 
-// Client knows where control is served.
+// Client calls the control processes of one cluster. It is safe for concurrent use if its fields are not changed.
 type Client struct {
-	Addresses []string // addresses
+	Addresses []string // host:port of the control processes, tried in this order
 	HTTP      *http.Client
-	Timeout   time.Duration // for a call, over all processes
+	Timeout   time.Duration // of Call, over all processes and retries
 }
 
-// ErrNoAnswer says that no control process answered.
+// ErrNoAnswer is returned if no control process responded, or none with a final answer; see Client.Call and Client.CallEach.
 var ErrNoAnswer = errors.New("no control process answered")
 
-// ResponseError is an answer that ends a call.
+// ResponseError is an error response of a control process.
 type ResponseError struct {
-	Status int    `json:"Status"`
+	Status int    `json:"Status"` // HTTP status
 	Kind   string `json:"error"`
 	Reason string `json:"reason"`
 }
 
-func (r *ResponseError) Error() string {
-	if r.Reason == "" {
-		return fmt.Sprintf("refused with %d", r.Status)
+func (e *ResponseError) Error() string {
+	if e.Reason == "" {
+		return fmt.Sprintf("control rejected the call with HTTP status %d", e.Status)
 	}
-	return r.Reason
+	return e.Reason
 }
 
 const (
-	requestTimeout = time.Second // after which the next process is asked
+	requestTimeout = time.Second // for each process; longer for large bodies
 	minBackoff     = 50 * time.Millisecond
 	maxBackoff     = time.Second
 )
 
-// finalStatuses are the answers after which nobody else is asked.
+// finalStatuses are the HTTP statuses after which no other process is tried, as it would answer alike.
 var finalStatuses = []int{400, 404, 409, 412, 413, 422, 501}
 
-// Call makes one call. A call without a clear answer is repeated unchanged: orders are made so that this does no harm.
-func (c *Client) Call(ctx context.Context, call, about string, body []byte) ([]byte, error) {
+// Call sends a call to one control process after another until one answers with success or with one of finalStatuses, and returns the
+// response body. A call without a definite outcome is repeated unchanged, possibly after it was executed: calls must be idempotent. body may
+// be nil. The error is a *ResponseError if control rejected the call, and ErrNoAnswer if time ran out.
+func (c *Client) Call(ctx context.Context, call, subject string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	lastErr := ErrNoAnswer
 	for attempt := 0; ctx.Err() == nil && len(c.Addresses) > 0; attempt++ {
-		raw, err := c.callOne(ctx, c.Addresses[attempt%len(c.Addresses)], call, about, body)
-		var refused *ResponseError
-		if err == nil || errors.As(err, &refused) && slices.Contains(finalStatuses, refused.Status) {
+		raw, err := c.callOne(ctx, c.Addresses[attempt%len(c.Addresses)], call, subject, body)
+		var responseErr *ResponseError
+		if err == nil || errors.As(err, &responseErr) && slices.Contains(finalStatuses, responseErr.Status) {
 			return raw, err
 		}
 		lastErr = fmt.Errorf("%w: %s: %w", ErrNoAnswer, c.Addresses[attempt%len(c.Addresses)], err)
@@ -70,10 +73,10 @@
 	return nil, lastErr
 }
 
-func (c *Client) callOne(ctx context.Context, address, call, about string, body []byte) ([]byte, error) {
+func (c *Client) callOne(ctx context.Context, address, call, subject string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout+time.Duration(len(body))*time.Microsecond)
 	defer cancel()
-	target := url.URL{Scheme: "http", Host: address, Path: "/-/rpc", RawQuery: url.Values{"call": {call}, "of": {about}}.Encode()}
+	target := url.URL{Scheme: "http", Host: address, Path: "/-/rpc", RawQuery: url.Values{"call": {call}, "of": {subject}}.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target.String(), bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -89,14 +92,15 @@
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		refused := &ResponseError{Status: resp.StatusCode}
-		json.Unmarshal(raw, refused)
-		return nil, refused
+		responseErr := &ResponseError{Status: resp.StatusCode}
+		json.Unmarshal(raw, responseErr)
+		return nil, responseErr
 	}
 	return raw, nil
 }
 
-// CallEach makes one call to every control process, and hands over what those that answer say.
+// CallEach sends a call to every control process once, and passes each successful response to handle, which may be nil. It stops at
+// the first error of handle and returns it. It returns ErrNoAnswer if no process responded with success.
 func (c *Client) CallEach(ctx context.Context, call string, handle func(raw []byte) error) error {
 	var lastErr error = ErrNoAnswer
 	for _, address := range c.Addresses {
@@ -116,8 +120,9 @@
 	return lastErr
 }
 
-// CheckChange reads a change from a file as control does, against the items that stand; each error names its line or its item.
-func CheckChange(raw, standing []byte) ([]config.Item, []config.Item, error) {
+// CheckChange parses a change and validates it as control does, against the current configuration, the response to configuration.read; nil
+// for none. It returns all items of the change, and those that would have an effect. Errors name the line or the item.
+func CheckChange(raw, current []byte) ([]config.Item, []config.Item, error) {
 	if err := checkSyntax(raw); err != nil {
 		return nil, nil, err
 	}
@@ -125,7 +130,7 @@
 	if err != nil {
 		return nil, nil, locateErrors(raw, err)
 	}
-	set, err := ParseConfiguration(standing)
+	set, err := ParseConfiguration(current)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -133,7 +138,7 @@
 	return items, effective, err
 }
 
-// ParseConfiguration makes a set of what configuration.read answered; nil for none.
+// ParseConfiguration returns the set of items in a response to configuration.read. The set is empty if raw is nil.
 func ParseConfiguration(raw []byte) (*config.Set, error) {
 	set := config.NewSet()
 	if raw == nil {
@@ -141,7 +146,7 @@
 	}
 	items, err := config.ParseChange(append(append([]byte(`{"set-items":`), raw...), '}'))
 	if err != nil {
-		return nil, fmt.Errorf("what control answered: %w", err)
+		return nil, fmt.Errorf("invalid configuration from control: %w", err)
 	}
 	for _, i := range items {
 		set.Merge(i)
@@ -149,7 +154,8 @@
 	return set, nil
 }
 
-// Diff tells, a line an item, what a change would change of what stands.
+// Diff returns the differences that a change would make to the set, as lines sorted by kind and name: "-" for an old or deleted item, "+" for
+// a new one, "=" for an item of the change that has no effect because the current one supersedes it.
 func Diff(set *config.Set, items []config.Item) (diff []string) {
 	for _, i := range items {
 		old, exists := set.Lookup(i.Key())
@@ -158,7 +164,7 @@
 		case exists && i.Equal(old):
 			continue
 		case exists && !i.Supersedes(old):
-			diff = append(diff, fmt.Sprintf("= %s %s: %s changes nothing, %s stands", i.Kind, i.Name, config.FormatVersion(i.Version), config.FormatVersion(old.Version)))
+			diff = append(diff, fmt.Sprintf("= %s %s: version %s has no effect, the current version is %s", i.Kind, i.Name, config.FormatVersion(i.Version), config.FormatVersion(old.Version)))
 		case i.Deleted && !exists:
 			diff = append(diff, fmt.Sprintf("- %s %s %s", i.Kind, i.Name, config.FormatVersion(i.Version)))
 		case i.Deleted:
@@ -173,21 +179,21 @@
 	return diff
 }
 
-// RestoreChange is the change that makes what stands into what a snapshot holds: items that differ are set, and those that the
-// snapshot lacks are dropped, all with the version after highest, the highest that any item has, dropped ones too. It tells
-// how many there are. Limits can't be dropped, and stay where the snapshot has none.
-func RestoreChange(snapshot, standing []byte, highest uint64) (change []byte, items int, err error) {
-	wanted, _, err := CheckChange(snapshot, nil)
+// RestoreChange returns the change that makes the current configuration equal to a snapshot saved as a change, and the number of items in
+// it. It sets the items that differ and deletes those that the snapshot lacks, all with version highest+1, where highest is the highest version
+// of any item, including tombstones. Limits can't be deleted: they stay unless the snapshot sets them.
+func RestoreChange(snapshot, current []byte, highest uint64) (change []byte, items int, err error) {
+	target, _, err := CheckChange(snapshot, nil)
 	if err != nil {
 		return nil, 0, err
 	}
-	set, err := ParseConfiguration(standing)
+	set, err := ParseConfiguration(current)
 	if err != nil {
 		return nil, 0, err
 	}
-	next, keep := config.NewSet(), map[config.Key]bool{}
-	for _, i := range wanted {
-		keep[i.Key()] = !i.Deleted
+	next, inSnapshot := config.NewSet(), map[config.Key]bool{}
+	for _, i := range target {
+		inSnapshot[i.Key()] = !i.Deleted
 		old, exists := set.Lookup(i.Key())
 		if i.Deleted || exists && bytes.Equal(old.Body, i.Body) {
 			continue
@@ -198,14 +204,14 @@
 	}
 	drops := map[string][]map[string]string{}
 	for _, i := range set.All() {
-		if !keep[i.Key()] && i.Kind != config.KindLimits {
+		if !inSnapshot[i.Key()] && i.Kind != config.KindLimits {
 			drops[i.Kind] = append(drops[i.Kind], map[string]string{"name": i.Name, "version": config.FormatVersion(highest + 1)})
 			items++
 		}
 	}
 	encoded, err := next.EncodeChange()
 	if err != nil {
-		return nil, 0, fmt.Errorf("restoring: %w", err)
+		return nil, 0, fmt.Errorf("encode the change that restores the snapshot: %w", err)
 	}
 	change, err = json.Marshal(map[string]any{"set-items": json.RawMessage(encoded), "drop-names": drops})
 	return change, items, err
--- a/internal/client/snapshot.go
+++ b/internal/client/snapshot.go
@@ -14,14 +14,14 @@
 	"portflow/internal/control/snapshot"
 )
 
-// ErrUnsupported says that control does not serve a call yet.
-var ErrUnsupported = errors.New("this control process does not serve the call")
+// ErrUnsupported is returned if control does not implement a call.
+var ErrUnsupported = errors.New("call not supported by this control process")
 
-// maxSnapshotStarts is how often a snapshot is begun anew, as its cut went while it was asked for.
+// maxSnapshotStarts limits the attempts to download a snapshot, which fail if control drops it before the last chunk is read.
 const maxSnapshotStarts = 5
 
-// DownloadSnapshot asks control for a snapshot and writes it to a file, chunk by chunk; a call that fails is repeated from the chunk at
-// which it failed. The file appears whole or not at all.
+// DownloadSnapshot downloads a snapshot chunk by chunk and writes it to a file. The call for a chunk is retried, and the download starts
+// again if control no longer has the snapshot. The file is fsynced and renamed into place, so that it is complete if it exists.
 func (c *Client) DownloadSnapshot(ctx context.Context, path string) (snapshot.Header, error) {
 	partial := path + ".partial"
 	file, err := os.Create(partial)
@@ -32,8 +32,8 @@
 	defer file.Close()
 	for starts := 0; ; starts++ {
 		header, err := c.download(ctx, file)
-		var refused *ResponseError
-		if errors.As(err, &refused) && refused.Kind == "missing" && starts+1 < maxSnapshotStarts {
+		var responseErr *ResponseError
+		if errors.As(err, &responseErr) && responseErr.Kind == "missing" && starts+1 < maxSnapshotStarts {
 			if err = file.Truncate(0); err == nil {
 				_, err = file.Seek(0, io.SeekStart)
 			}
@@ -53,10 +53,10 @@
 }
 
 func (c *Client) download(ctx context.Context, writer io.Writer) (header snapshot.Header, err error) {
-	var gather snapshot.Assembler
-	ask := snapshot.ReadRequest{}
-	for !gather.Done() {
-		body, err := json.Marshal(ask)
+	var assembler snapshot.Assembler
+	request := snapshot.ReadRequest{}
+	for !assembler.Done() {
+		body, err := json.Marshal(request)
 		if err != nil {
 			return header, err
 		}
@@ -64,30 +64,30 @@
 		if err != nil {
 			return header, asUnsupported(err)
 		}
-		var part snapshot.ReadResponse
-		if err := json.Unmarshal(raw, &part); err != nil {
-			return header, fmt.Errorf("what control answered: %w", err)
+		var response snapshot.ReadResponse
+		if err := json.Unmarshal(raw, &response); err != nil {
+			return header, fmt.Errorf("invalid response from control: %w", err)
 		}
-		before := gather.Received()
-		if _, err := gather.Add(part.Chunk); err != nil {
-			return header, fmt.Errorf("what control answered: %w", err)
+		before := assembler.Received()
+		if _, err := assembler.Add(response.Chunk); err != nil {
+			return header, fmt.Errorf("invalid response from control: %w", err)
 		}
-		if !gather.Done() && gather.Received() == before {
-			return header, errors.New("what control answered: a chunk that was there")
+		if !assembler.Done() && assembler.Received() == before {
+			return header, errors.New("invalid response from control: repeated chunk")
 		}
-		if _, err := writer.Write(binary.BigEndian.AppendUint32(nil, uint32(len(part.Chunk)))); err != nil {
+		if _, err := writer.Write(binary.BigEndian.AppendUint32(nil, uint32(len(response.Chunk)))); err != nil {
 			return header, err
 		}
-		if _, err := writer.Write(part.Chunk); err != nil {
+		if _, err := writer.Write(response.Chunk); err != nil {
 			return header, err
 		}
-		ask = snapshot.ReadRequest{Snapshot: part.Snapshot, FirstItem: gather.Received()}
+		request = snapshot.ReadRequest{Snapshot: response.Snapshot, FirstItem: assembler.Received()}
 	}
-	header, _ = gather.Header()
+	header, _ = assembler.Header()
 	return header, nil
 }
 
-// asUnsupported tells the refusal of a call that nobody serves from others.
+// asUnsupported wraps an error with ErrUnsupported if control rejected the call as unknown or not implemented.
 func asUnsupported(err error) error {
 	var refused *ResponseError
 	if errors.As(err, &refused) && (refused.Kind == "unknown_call" || refused.Kind == "unbuilt") {
@@ -96,7 +96,7 @@
 	return err
 }
 
-// IsSnapshot tells whether a file begins as a snapshot does; others are changes.
+// IsSnapshot reports whether a file begins like a snapshot. It returns false if the file can't be read.
 func IsSnapshot(path string) bool {
 	file, err := os.Open(path)
 	if err != nil {
@@ -108,10 +108,10 @@
 	return length == len(start) && snapshot.IsChunk(start[4:])
 }
 
-// ReadSnapshot reads a snapshot to its end, chunk by chunk, and hands over where each begins in the file, its bytes and its
-// items. Without an error the snapshot is whole, and its sum is right.
+// ReadSnapshot reads a snapshot to its end and passes each chunk's offset, bytes and items to handle. If it returns no error, the snapshot is
+// complete and its checksum correct.
 func ReadSnapshot(source io.Reader, handle func(offset int64, chunk []byte, items []config.Item) error) (header snapshot.Header, err error) {
-	var gather snapshot.Assembler
+	var assembler snapshot.Assembler
 	reader := bufio.NewReader(source)
 	for offset := int64(0); ; {
 		var size [4]byte
@@ -122,16 +122,16 @@
 		}
 		length := binary.BigEndian.Uint32(size[:])
 		if length > snapshot.MaxChunkBytes {
-			return header, fmt.Errorf("byte %d: a chunk of %d bytes", offset, length)
+			return header, fmt.Errorf("byte %d: chunk of %d bytes is too long", offset, length)
 		}
 		chunk := make([]byte, length)
 		if _, err := io.ReadFull(reader, chunk); err != nil {
-			return header, fmt.Errorf("byte %d: the file is cut short: %w", offset, err)
+			return header, fmt.Errorf("byte %d: file is truncated: %w", offset, err)
 		}
-		if gather.Done() {
-			return header, fmt.Errorf("byte %d: the file goes on behind its end", offset)
+		if assembler.Done() {
+			return header, fmt.Errorf("byte %d: unexpected data after the last chunk", offset)
 		}
-		items, err := gather.Add(chunk)
+		items, err := assembler.Add(chunk)
 		if err != nil {
 			return header, fmt.Errorf("byte %d: %w", offset, err)
 		}
@@ -140,9 +140,9 @@
 		}
 		offset += int64(len(size)) + int64(length)
 	}
-	header, _ = gather.Header()
-	if !gather.Done() {
-		return header, fmt.Errorf("the file is cut short: %d of %d items", gather.Received(), header.Items)
+	header, _ = assembler.Header()
+	if !assembler.Done() {
+		return header, fmt.Errorf("file is truncated: %d of %d items", assembler.Received(), header.Items)
 	}
 	return header, nil
 }
