--- a/internal/cluster/apierror/apierror_test.go
+++ b/internal/cluster/apierror/apierror_test.go
@@ -9,16 +9,16 @@
 )
 
 // Every kind has its answer, names are single, and only kinds that say so answer with a status that promises.
-func TestTable(t *testing.T) {
+func TestResponses(t *testing.T) {
 	c := qt.New(t)
 	seen := map[string]bool{}
 	for _, k := range All() {
-		a := k.Response()
-		c.Check(a.Name != "" && !seen[a.Name], qt.IsTrue, qt.Commentf("%d", k))
-		seen[a.Name] = true
-		c.Check(a.Status >= 200 && a.Status < 600, qt.IsTrue)
-		promises := a.Status == 429 || a.Status == 503 || a.Status == 408 || a.Status == 421
-		c.Check(promises, qt.Equals, a.NotExecuted, qt.Commentf(a.Name))
+		response := k.Response()
+		c.Check(response.Name != "" && !seen[response.Name], qt.IsTrue, qt.Commentf("%d", k))
+		seen[response.Name] = true
+		c.Check(response.Status >= 200 && response.Status < 600, qt.IsTrue)
+		promises := response.Status == 429 || response.Status == 503 || response.Status == 408 || response.Status == 421
+		c.Check(promises, qt.Equals, response.NotExecuted, qt.Commentf(response.Name))
 	}
 	c.Check(KindOf(New(Overloaded, "no room")), qt.Equals, Overloaded)
 	c.Check(KindOf(fmt.Errorf("wrapped: %w", Wrap(UpstreamTimeout, errors.New("x"), "y"))), qt.Equals, UpstreamTimeout)
--- a/internal/cluster/network/network_test.go
+++ b/internal/cluster/network/network_test.go
@@ -12,7 +12,7 @@
 )
 
 // smallBuffers has a socket hold few bytes, so that an answer waits at its sender until its reader takes it.
-func smallBuffers(_, _ string, c syscall.RawConn) error {
+func shrinkReceiveBuffer(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
 		_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
 	})
@@ -20,23 +20,23 @@
 
 // A client that takes nothing of its answer for a while is slow, not gone: its kernel still acknowledges, with a closed window. The kernel
 // counts that as silence too where TCP_USER_TIMEOUT is set, and would reset the connection in the middle of the answer.
-func TestAcceptedConnectionsOutlastAClosedWindow(t *testing.T) {
+func TestAcceptedConnectionSurvivesZeroWindow(t *testing.T) {
 	c := qt.New(t)
 	const userTimeout = 200 * time.Millisecond
 	listener, err := Host{UserTimeout: userTimeout}.Listen("127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer listener.Close()
-	answer := make([]byte, 8<<20) // more than the kernel holds for both sides
+	response := make([]byte, 8<<20) // more than the kernel holds for both sides
 	written := make(chan error, 1)
 	go func() {
 		conn, err := listener.Accept()
 		if err == nil {
-			_, err = conn.Write(answer)
+			_, err = conn.Write(response)
 			conn.Close()
 		}
 		written <- err
 	}()
-	dialer := net.Dialer{Control: smallBuffers}
+	dialer := net.Dialer{Control: shrinkReceiveBuffer}
 	conn, err := dialer.DialContext(context.Background(), "tcp4", listener.Addr().String())
 	c.Assert(err, qt.IsNil)
 	defer conn.Close()
@@ -47,6 +47,6 @@
 	}
 	got, err := io.Copy(io.Discard, conn)
 	c.Assert(err, qt.IsNil)
-	c.Assert(got, qt.Equals, int64(len(answer)))
+	c.Assert(got, qt.Equals, int64(len(response)))
 	c.Assert(<-written, qt.IsNil)
 }
--- a/internal/cluster/settings/reader.go
+++ b/internal/cluster/settings/reader.go
@@ -59,7 +59,7 @@
 }
 
 // NewReader stands at a tree's root.
-func NewReader(t any) Reader { return Reader{value: t, present: true, errs: new([]error)} }
+func NewReader(root any) Reader { return Reader{value: root, present: true, errs: new([]error)} }
 
 // Err is all that was wrong so far, or nil.
 func (r Reader) Err() error { return errors.Join(*r.errs...) }
--- a/internal/cluster/settings/settings_test.go
+++ b/internal/cluster/settings/settings_test.go
@@ -45,14 +45,14 @@
 
 func TestParse(t *testing.T) {
 	c := qt.New(t)
-	b, err := Parse(sample)
+	parsed, err := Parse(sample)
 	c.Assert(err, qt.IsNil)
-	c.Check(b.Zone, qt.Equals, "z1")
-	c.Check(b.InternalPorts, qt.Equals, [2]int{7660, 7675})
-	c.Check(b.HeartbeatInterval, qt.Equals, int64(1300e6))
-	c.Check(b.Terms.LossSlack, qt.Equals, int64(250e6))
-	c.Check(b.SeedNodes, qt.HasLen, 2)
-	for _, x := range []struct{ from, to, says string }{
+	c.Check(parsed.Zone, qt.Equals, "z1")
+	c.Check(parsed.InternalPorts, qt.Equals, [2]int{7660, 7675})
+	c.Check(parsed.HeartbeatInterval, qt.Equals, int64(1300e6))
+	c.Check(parsed.Terms.LossSlack, qt.Equals, int64(250e6))
+	c.Check(parsed.SeedNodes, qt.HasLen, 2)
+	for _, test := range []struct{ from, to, wantErr string }{
 		{"self-description.zone-name=z1\n", "", "self-description.zone-name: missing"},
 		{"zone-name=z1", "zone-name=z2", "network.zones: zone \"z2\" is not in region \"r1\""},
 		{"processor-share=0.56", "processor-share=much", "processor-share: much is no number"},
@@ -67,9 +67,9 @@
 		{"# a comment", "no sign", "line 1: no '='"},
 		{"network.zones.z1=r1", "network.zones=r1", "a value and a table"},
 	} {
-		c.Assert(sample, qt.Contains, x.from)
-		_, err := Parse(strings.Replace(sample, x.from, x.to, 1))
-		c.Check(err, qt.ErrorMatches, "(?s).*"+x.says+".*")
+		c.Assert(sample, qt.Contains, test.from)
+		_, err := Parse(strings.Replace(sample, test.from, test.to, 1))
+		c.Check(err, qt.ErrorMatches, "(?s).*"+test.wantErr+".*")
 	}
 }
 
--- a/internal/cluster/stream/conn.go
+++ b/internal/cluster/stream/conn.go
@@ -47,15 +47,15 @@
 
 // Conn is a connection that is held open. T is the type of its messages. It is safe for concurrent use, but for Run.
 type Conn[T any] struct {
-	conn           net.Conn
-	keepalive      Keepalive
-	betweenControl atomic.Bool // ControlKeepalive holds in place of keepalive
-	queue          chan outgoing
-	done           chan struct{}
-	once           sync.Once
-	err            error // why the connection ended; written before done is closed
-	BytesRead      atomic.Int64
-	BytesWritten   atomic.Int64
+	conn                net.Conn
+	keepalive           Keepalive
+	useControlKeepalive atomic.Bool // ControlKeepalive holds in place of keepalive
+	queue               chan outgoing
+	done                chan struct{}
+	once                sync.Once
+	err                 error // why the connection ended; written before done is closed
+	BytesRead           atomic.Int64
+	BytesWritten        atomic.Int64
 }
 
 // outgoing waits to be written: a frame, or a body that is to be encoded as one.
@@ -81,11 +81,11 @@
 
 // SetKeepalive changes the keepalive to ControlKeepalive, or back to that of Open, once a side knows which process the other is.
 func (c *Conn[T]) SetKeepalive(keepalive Keepalive) {
-	c.betweenControl.Store(keepalive == ControlKeepalive)
+	c.useControlKeepalive.Store(keepalive == ControlKeepalive)
 }
 
 func (c *Conn[T]) currentKeepalive() Keepalive {
-	if c.betweenControl.Load() {
+	if c.useControlKeepalive.Load() {
 		return ControlKeepalive
 	}
 	return c.keepalive
--- a/internal/cluster/stream/conn_test.go
+++ b/internal/cluster/stream/conn_test.go
@@ -33,8 +33,8 @@
 
 // readAll receives bytes to their end.
 func readAll(raw []byte) (all []message, err error) {
-	l := Open[message](fakeConn{bytes.NewReader(raw)}, ProxyKeepalive)
-	err = l.Run(func(w message) { all = append(all, w) })
+	conn := Open[message](fakeConn{bytes.NewReader(raw)}, ProxyKeepalive)
+	err = conn.Run(func(m message) { all = append(all, m) })
 	return all, err
 }
 
@@ -42,8 +42,8 @@
 func TestFrames(t *testing.T) {
 	sent := []message{{"a", 1}, {strings.Repeat("long ", 1000), 2}, {"", 1 << 63}}
 	raw := append([]byte{}, preamble...)
-	for _, w := range sent {
-		b, _ := json.Marshal(w)
+	for _, m := range sent {
+		b, _ := json.Marshal(m)
 		raw = append(append(raw, EncodeFrame(b)...), 0, 0, 0, 0) // and a heartbeat
 	}
 	all, err := readAll(raw)
@@ -53,13 +53,13 @@
 		all, _ := readAll(raw[:n])
 		qt.Check(t, len(all) <= len(sent) && (len(all) == 0 || all[len(all)-1] == sent[len(all)-1]), qt.IsTrue)
 	}
-	foreign := MalformedFrames.Load()
+	malformedBefore := MalformedFrames.Load()
 	for _, bad := range []string{"GET / HTTP/1.1\r\n\r\n", "pfl1\xff\xff\xff\xff", "pfl1" + string(binary.BigEndian.AppendUint32(nil, MaxFrameBytes+1)), "pfl1\x00\x00\x00\x02{]", "pfl1\x80\x00\x00\x02{}"} {
 		all, err := readAll([]byte(bad))
 		qt.Check(t, len(all), qt.Equals, 0)
 		qt.Check(t, err, qt.Not(qt.IsNil), qt.Commentf("%q", bad))
 	}
-	qt.Check(t, MalformedFrames.Load()-foreign, qt.Equals, int64(5))
+	qt.Check(t, MalformedFrames.Load()-malformedBefore, qt.Equals, int64(5))
 }
 
 // A frame that was encoded once is received on each connection as if it were sent there alone, between other messages.
@@ -67,25 +67,25 @@
 	c := qt.New(t)
 	long := message{strings.Repeat("long ", 1000), 2}
 	raw, _ := json.Marshal(long)
-	f := EncodeFrame(raw)
-	kept := bytes.Clone(f)
+	frame := EncodeFrame(raw)
+	original := bytes.Clone(frame)
 	for range 3 {
 		a, b := net.Pipe()
 		from, to := Open[message](a, ProxyKeepalive), Open[message](b, ProxyKeepalive)
 		go from.Run(func(message) {})
 		from.Send(message{"before", 1})
-		from.SendFrame(f)
+		from.SendFrame(frame)
 		from.Send(message{"behind", 3})
 		var all []message
-		to.Run(func(w message) {
-			if all = append(all, w); len(all) == 3 {
+		to.Run(func(m message) {
+			if all = append(all, m); len(all) == 3 {
 				to.Close(io.EOF)
 			}
 		})
 		c.Check(all, qt.DeepEquals, []message{{"before", 1}, long, {"behind", 3}})
 		from.Close(io.EOF)
 	}
-	c.Check(f, qt.DeepEquals, kept)
+	c.Check(frame, qt.DeepEquals, original)
 }
 
 // FuzzFrames: whatever comes, only complete frames of JSON are received, as another decoder reads them.
@@ -103,7 +103,7 @@
 		if rest, ok := bytes.CutPrefix(raw, preamble); ok {
 			for len(rest) >= 4 {
 				n := binary.BigEndian.Uint32(rest)
-				packed := n>>31 == 1
+				compressed := n>>31 == 1
 				if n &^= 1 << 31; int(n) > len(rest)-4 {
 					break
 				}
@@ -112,17 +112,17 @@
 				if n == 0 {
 					continue
 				}
-				if packed {
+				if compressed {
 					var err error
 					if b, err = io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b)), MaxFrameBytes+1)); err != nil || len(b) > MaxFrameBytes {
 						break
 					}
 				}
-				var w message
-				if json.Unmarshal(b, &w) != nil {
+				var m message
+				if json.Unmarshal(b, &m) != nil {
 					break
 				}
-				want = append(want, w)
+				want = append(want, m)
 			}
 		}
 		if len(all) != len(want) {
--- a/internal/cluster/stream/frame.go
+++ b/internal/cluster/stream/frame.go
@@ -73,8 +73,8 @@
 	if err := read(header); err != nil {
 		return nil, err
 	}
-	word := binary.BigEndian.Uint32(header)
-	length := word &^ compressedFlag
+	headerValue := binary.BigEndian.Uint32(header)
+	length := headerValue &^ compressedFlag
 	if length == 0 {
 		return nil, nil
 	}
@@ -86,7 +86,7 @@
 	if err := read(raw); err != nil {
 		return nil, err
 	}
-	if word&compressedFlag == 0 {
+	if headerValue&compressedFlag == 0 {
 		return raw, nil
 	}
 	body, err := decompress(raw)
