--- a/internal/cluster/apierror/apierror.go
+++ b/internal/cluster/apierror/apierror.go
@@ -1,5 +1,4 @@
-// Package apierror is the closed list of what can go wrong between the system and those who call it, and what each kind is
-// answered with.
+// Package apierror defines the kinds of errors that proxies and control processes return to clients, and the HTTP response for each kind.
 package apierror
 
 import (
@@ -10,44 +9,45 @@
 	"github.com/samber/oops"
 )
 
-// Kind is a kind of error.
+// Kind classifies an error by its HTTP response. The zero value is None.
 type Kind uint8
 
 const (
 	None    Kind = iota
-	NoRoute      // no route has this place
+	NoRoute      // no route matches the request
 	UnknownCall
-	Malformed        // can't be read, or in two ways
-	BodyTooLarge     // a body over the limit
-	HeaderTooLarge   // a head over the limit
-	Invalid          // a configuration or an order that is wrong in itself
-	Outdated         // a configuration behind what stands
-	InProgress       // the same order is being carried out
-	Conflict         // the number has another content, for ever
-	NotFound         // what was asked after is not known
-	Unavailable      // this process doesn't know enough yet, or hears too few others
-	Overloaded       // no host has room, or the request is worth less than those that have it
-	QuotaExceeded    // its caller is over its share, and others need what is there
-	NoService        // no host of the service may be used at all
-	UpstreamBroken   // the host broke off, and the request may have run
-	UpstreamTimeout  // time is up, and the request may have run
-	DeadlineExceeded // time is up, and the request has not run
-	ShuttingDown     // this process ends
-	NotImplemented   // this part doesn't exist yet
-	Incomplete       // a body that came too slowly or broke off: it was not run
+	Malformed        // the request can't be parsed, or is ambiguous
+	BodyTooLarge     // the body exceeds its size limit
+	HeaderTooLarge   // the header exceeds its size limit
+	Invalid          // the request is well-formed, but its content is not valid
+	Outdated         // the configuration is older than the current one
+	InProgress       // an earlier operation on the same object is still in progress
+	Conflict         // the version already exists with other content, so a retry can't succeed
+	NotFound         // the object does not exist
+	Unavailable      // this process is not ready, or is connected to too few others
+	Overloaded       // no capacity for the request: it was shed, or there is no memory for its body
+	QuotaExceeded    // the caller is over its quota, and other callers need the capacity
+	NoService        // this proxy does not know the service that the route refers to
+	UpstreamBroken   // the host failed, and the request may have been executed
+	UpstreamTimeout  // the deadline has passed, and the request may have been executed
+	DeadlineExceeded // the deadline has passed, and the request has not been executed
+	ShuttingDown     // this process is shutting down
+	NotImplemented   // the function is not implemented
+	Incomplete       // the body was too slow or was truncated, and the request was not executed
 	kindCount
 )
 
-// Response is what a kind is answered with.
+// Response is the HTTP response for a kind of error.
 type Response struct {
-	Name            string // of its counter
+	Name            string // name in counters and in the response body
 	Status          int
-	RetryAfter      time.Duration // Retry-After, 0 for none
-	NotExecuted     bool          // the status promises that the request has not run and never will
-	CloseConnection bool          // the connection ends, as where its bytes end is not sure
+	RetryAfter      time.Duration // value of the Retry-After header; 0 for no header
+	NotExecuted     bool          // the status guarantees that the request has not been executed and never will be
+	CloseConnection bool          // close the connection after the response, for example because the end of the request is unknown
 }
 
-// responses is the table. 429, 503, 408 and 421 promise that nothing has run: only kinds that know so may have them.
+// responses is indexed by Kind. The statuses 408, 421, 429 and 503 guarantee that the request has not been executed, so only kinds for
+// which this is certain may use them.
 var responses = [kindCount]Response{
 	None:             {Name: "none", Status: 200},
 	NoRoute:          {Name: "unroutable", Status: 404},
@@ -72,12 +72,12 @@
 	Incomplete:       {Name: "incomplete", Status: 408, NotExecuted: true, CloseConnection: true},
 }
 
-// Response looks a kind up.
+// Response returns the response for k, or for an undefined kind that of the last defined one.
 func (k Kind) Response() Response { return responses[min(k, kindCount-1)] }
 
 func (k Kind) String() string { return k.Response().Name }
 
-// All are the kinds, in the order of the list.
+// All returns all kinds in the order of their values, including None.
 func All() (all []Kind) {
 	for k := None; k < kindCount; k++ {
 		all = append(all, k)
@@ -85,13 +85,14 @@
 	return all
 }
 
-// RetryAfter is the header's value in seconds, fractions included.
+// RetryAfter formats a delay as the value of a Retry-After header, in seconds with three decimal places.
 func RetryAfter(wait time.Duration) string { return strconv.FormatFloat(wait.Seconds(), 'f', 3, 64) }
 
-// New makes an error of a kind.
+// New returns a formatted error of kind k.
 func New(k Kind, format string, args ...any) error { return oops.Code(k).Errorf(format, args...) }
 
-// Wrap gives an error a kind.
+// Wrap returns an error that wraps err, with a formatted message before that of err. Its kind is k, unless err has a kind already. Wrap
+// returns nil if err is nil.
 func Wrap(k Kind, err error, format string, args ...any) error {
 	if err == nil {
 		return nil
@@ -99,7 +100,8 @@
 	return oops.Code(k).Wrapf(err, format, args...)
 }
 
-// KindOf is an error's kind; one without is malformed input.
+// KindOf returns the kind that New or Wrap gave to err or to an error that it wraps; the innermost kind if there are several. It is None
+// for nil, and Malformed for an error without a kind.
 func KindOf(err error) Kind {
 	var o oops.OopsError
 	if errors.As(err, &o) {
--- a/internal/cluster/apierror/apierror_test.go
+++ b/internal/cluster/apierror/apierror_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Every kind has its answer, names are single, and only kinds that say so answer with a status that promises.
+// Every kind needs a response with a unique name, and NotExecuted must be set exactly for the statuses that guarantee it.
 func TestResponses(t *testing.T) {
 	c := qt.New(t)
 	seen := map[string]bool{}
--- a/internal/cluster/network/network.go
+++ b/internal/cluster/network/network.go
@@ -1,5 +1,4 @@
-// Package network is the network as the system's processes use it: TCP and UDP by IP numbers. Tests put one in memory in its
-// place.
+// Package network abstracts the network that processes use: TCP and UDP over IPv4. Tests replace it with an in-memory network.
 package network
 
 import (
@@ -9,18 +8,19 @@
 	"time"
 )
 
-// Network opens connections and listens.
+// Network dials and listens. Addresses are of the form "ip:port".
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	Dial(ctx context.Context, network, address string) (net.Conn, error)
 	ListenPacket(address string) (net.PacketConn, error)
 }
 
-// Host is the machine's own network.
+// Host is the network of the operating system.
 type Host struct {
-	// UserTimeout is after how long the kernel gives up a connection that was dialled and whose peer acknowledges nothing, as one
-	// behind a partition; 0 for the kernel's own time. Accepted connections don't have it: the kernel also counts the time for which a
-	// peer is slow and keeps its receive window closed, and would reset a client in the middle of its answer.
+	// UserTimeout is the time after which the kernel closes a dialed connection whose peer does not acknowledge sent data, for example
+	// behind a network partition (TCP_USER_TIMEOUT); 0 for the kernel's default. It is not set on accepted connections, because the kernel
+	// also counts the time during which a slow peer keeps its receive window closed, and would reset the connections of slow clients in
+	// the middle of a response.
 	UserTimeout time.Duration
 }
 
@@ -31,26 +31,26 @@
 		return nil
 	}
 	return c.Control(func(fd uintptr) {
-		// one that can't be had is no reason not to connect: those who use the connection have time-outs of their own
+		// best effort: users of the connection have timeouts of their own
 		syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(h.UserTimeout.Milliseconds()))
 	})
 }
 
-// Listen waits for connections.
+// Listen listens for TCP connections over IPv4, without TCP keep-alive and Multipath TCP.
 func (Host) Listen(address string) (net.Listener, error) {
 	l := net.ListenConfig{KeepAlive: -1}
 	l.SetMultipathTCP(false)
 	return l.Listen(context.Background(), "tcp4", address)
 }
 
-// Dial connects.
+// Dial connects without TCP keep-alive and Multipath TCP. UserTimeout applies to the connection.
 func (h Host) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	d := net.Dialer{KeepAlive: -1, Control: h.control}
 	d.SetMultipathTCP(false)
 	return d.DialContext(ctx, network, address)
 }
 
-// ListenPacket opens a socket for datagrams.
+// ListenPacket opens a UDP socket over IPv4.
 func (h Host) ListenPacket(address string) (net.PacketConn, error) {
 	var l net.ListenConfig
 	return l.ListenPacket(context.Background(), "udp4", address)
--- a/internal/cluster/network/network_test.go
+++ b/internal/cluster/network/network_test.go
@@ -11,22 +11,22 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// smallBuffers has a socket hold few bytes, so that an answer waits at its sender until its reader takes it.
+// shrinkReceiveBuffer sets a small receive buffer, so that a response blocks at the sender until the client reads it.
 func shrinkReceiveBuffer(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
 		_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
 	})
 }
 
-// A client that takes nothing of its answer for a while is slow, not gone: its kernel still acknowledges, with a closed window. The kernel
-// counts that as silence too where TCP_USER_TIMEOUT is set, and would reset the connection in the middle of the answer.
+// A client that stops reading for a while must still receive the complete response. With TCP_USER_TIMEOUT on the accepted connection, the
+// kernel would reset it: it counts the time with a zero window, although the client's kernel acknowledges the probes.
 func TestAcceptedConnectionSurvivesZeroWindow(t *testing.T) {
 	c := qt.New(t)
 	const userTimeout = 200 * time.Millisecond
 	listener, err := Host{UserTimeout: userTimeout}.Listen("127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer listener.Close()
-	response := make([]byte, 8<<20) // more than the kernel holds for both sides
+	response := make([]byte, 8<<20) // more than the socket buffers of both sides
 	written := make(chan error, 1)
 	go func() {
 		conn, err := listener.Accept()
@@ -40,9 +40,9 @@
 	conn, err := dialer.DialContext(context.Background(), "tcp4", listener.Addr().String())
 	c.Assert(err, qt.IsNil)
 	defer conn.Close()
-	select { // the window is closed for far longer than the time-out; the kernel looks at each of its probes, which become rarer
+	select { // far longer than the timeout, because the kernel checks it only at window probes, whose interval grows
 	case err := <-written:
-		c.Fatalf("the answer was cut while its reader waited: %v", err)
+		c.Fatalf("writing the response ended while the client was not reading: %v", err)
 	case <-time.After(10 * userTimeout):
 	}
 	got, err := io.Copy(io.Discard, conn)
--- a/internal/cluster/stream/conn.go
+++ b/internal/cluster/stream/conn.go
@@ -1,7 +1,8 @@
-// Package stream owns the connections that processes of the system hold open with each other: frames of JSON both ways, heartbeats
-// when there is nothing to send, and an end as soon as the other side has been silent for too long.
+// Package stream exchanges messages over the long-lived connections between processes of a cluster. Messages are sent as frames of JSON
+// in both directions. An idle side sends heartbeats, and a connection is closed if the peer sends nothing for too long.
 //
-// It never dials, listens or reconnects, and doesn't know what the messages mean. Begin reading at Conn: Open, Send and Run.
+// The package never dials, listens or reconnects, and does not interpret messages. The main entry points are Open, Conn.Send and
+// Conn.Run.
 package stream
 
 import (
@@ -16,58 +17,59 @@
 	"time"
 )
 
-// sendQueueLength is how many frames may wait to be written.
+// sendQueueLength is the maximum number of messages that are queued for writing.
 const sendQueueLength = 1024
 
-// Keepalive is how often a side sends a heartbeat when it has nothing else to send, and the time of silence after which the other
-// side is taken for lost.
+// Keepalive configures the heartbeats of a connection: the interval at which an idle side sends them, and the timeout of each read and
+// write, after which the peer is considered lost.
 type Keepalive struct{ Interval, Timeout time.Duration }
 
 var (
-	// ProxyKeepalive is for connections of proxies, which connect to another control process soon.
+	// ProxyKeepalive is for connections of proxies. It is short because a proxy can quickly connect to another control process.
 	ProxyKeepalive = Keepalive{Interval: 500 * time.Millisecond, Timeout: 1800 * time.Millisecond}
-	// ControlKeepalive is for connections between control processes, which may be in distant regions.
+	// ControlKeepalive is for connections between control processes, which may be in different regions.
 	ControlKeepalive = Keepalive{Interval: time.Second, Timeout: 2800 * time.Millisecond}
 )
 
-// ErrPeerTimeout is the reason of a connection's end when the other side was silent for too long.
-var ErrPeerTimeout = errors.New("the other side is silent")
+// ErrPeerTimeout is the error of a connection whose peer did not send the next header, or a complete body, within Keepalive.Timeout.
+var ErrPeerTimeout = errors.New("read from peer timed out")
 
-// MalformedFrames counts received frames and preambles that were not valid.
+// MalformedFrames counts the invalid frames and preambles that this process received.
 var MalformedFrames atomic.Int64
 
-// FramesWritten counts the frames of this process that were written, without heartbeats.
+// FramesWritten counts the frames that this process wrote, excluding heartbeats.
 var FramesWritten atomic.Int64
 
-// HeartbeatsWritten counts the heartbeats of this process that were written.
+// HeartbeatsWritten counts the heartbeats and preambles that this process wrote.
 var HeartbeatsWritten atomic.Int64
 
-// FrameBytesWritten counts the bytes of FramesWritten.
+// FrameBytesWritten counts the bytes of the frames in FramesWritten, including their headers.
 var FrameBytesWritten atomic.Int64
 
-// Conn is a connection that is held open. T is the type of its messages. It is safe for concurrent use, but for Run.
+// Conn is a connection for messages of type T. Its methods are safe for concurrent use, except that Run may be called only once.
 type Conn[T any] struct {
 	conn                net.Conn
 	keepalive           Keepalive
-	useControlKeepalive atomic.Bool // ControlKeepalive holds in place of keepalive
+	useControlKeepalive atomic.Bool // ControlKeepalive applies instead of keepalive
 	queue               chan outgoing
 	done                chan struct{}
 	once                sync.Once
-	err                 error // why the connection ended; written before done is closed
+	err                 error // why the connection was closed; written before done is closed
 	BytesRead           atomic.Int64
 	BytesWritten        atomic.Int64
 }
 
-// outgoing waits to be written: a frame, or a body that is to be encoded as one.
+// outgoing is a queued message.
 type outgoing struct {
 	raw    []byte
-	framed bool
+	framed bool // raw is an encoded frame; if false, raw is a body that is encoded when it is written
 }
 
-// preamble is what each side sends first, so that another protocol is recognised at once.
+// preamble is the first thing that each side sends, so that a peer with another protocol is detected immediately.
 var preamble = []byte("pfl1")
 
-// Open begins to use a connection. It starts the goroutine that writes to it, which ends with Close. Run reads from it.
+// Open returns a Conn that takes ownership of conn, and starts the goroutine that writes to it, which runs until Close. The caller must
+// call Run to read from the connection.
 func Open[T any](conn net.Conn, keepalive Keepalive) *Conn[T] {
 	c := &Conn[T]{
 		conn:      conn,
@@ -79,7 +81,8 @@
 	return c
 }
 
-// SetKeepalive changes the keepalive to ControlKeepalive, or back to that of Open, once a side knows which process the other is.
+// SetKeepalive switches to ControlKeepalive, or, with any other argument, back to the keepalive that was passed to Open. It is called
+// when the kind of the peer is known.
 func (c *Conn[T]) SetKeepalive(keepalive Keepalive) {
 	c.useControlKeepalive.Store(keepalive == ControlKeepalive)
 }
@@ -91,7 +94,7 @@
 	return c.keepalive
 }
 
-// Send sends a message. It never waits: if too many messages wait to be written, the connection is closed.
+// Send queues a message. It never blocks: if the queue is full, it closes the connection.
 func (c *Conn[T]) Send(v T) {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -101,7 +104,7 @@
 	c.enqueue(outgoing{raw: raw})
 }
 
-// SendFrame is Send for a message that EncodeFrame encoded. Many connections may send the same bytes: nothing may change them.
+// SendFrame is like Send for a frame that EncodeFrame returned. The frame may be shared by several connections and must not be modified.
 func (c *Conn[T]) SendFrame(frame []byte) { c.enqueue(outgoing{raw: frame, framed: true}) }
 
 func (c *Conn[T]) enqueue(message outgoing) {
@@ -109,11 +112,11 @@
 	case c.queue <- message:
 	case <-c.done:
 	default:
-		c.Close(errors.New("the other side takes nothing up"))
+		c.Close(errors.New("send queue is full: the peer is reading too slowly"))
 	}
 }
 
-// Close closes the connection for a reason, which Err returns. Only the first call has an effect.
+// Close closes the connection. Err returns the err of the first call; further calls have no effect.
 func (c *Conn[T]) Close(err error) {
 	c.once.Do(func() {
 		c.err = err
@@ -122,23 +125,23 @@
 	})
 }
 
-// Done returns a channel that is closed when the connection ends.
+// Done returns a channel that is closed when the connection is closed.
 func (c *Conn[T]) Done() <-chan struct{} { return c.done }
 
-// Err returns why the connection ended. It must be called only after Done is closed.
+// Err returns why the connection was closed. It may be called only after the channel of Done is closed.
 func (c *Conn[T]) Err() error { return c.err }
 
-// RemoteAddress returns the address of the other side.
+// RemoteAddress returns the peer's address.
 func (c *Conn[T]) RemoteAddress() string { return c.conn.RemoteAddr().String() }
 
-// writeLoop writes the preamble, then frames and heartbeats, until the connection ends.
+// writeLoop writes the preamble, then frames and heartbeats, until the connection is closed.
 func (c *Conn[T]) writeLoop() {
 	ticker := time.NewTicker(c.keepalive.Interval)
 	defer ticker.Stop()
 	next, open := preamble, true
 	for open {
 		if err := c.write(next); err != nil {
-			c.Close(fmt.Errorf("writing: %w", err))
+			c.Close(fmt.Errorf("write to peer: %w", err))
 			return
 		}
 		next, open = c.awaitFrame(ticker.C, time.Now())
@@ -159,7 +162,7 @@
 	return err
 }
 
-// awaitFrame waits for the next frame to write, or for the time of a heartbeat. open is false once the connection has ended.
+// awaitFrame returns the next queued frame, or a heartbeat when one is due. open is false if the connection is closed.
 func (c *Conn[T]) awaitFrame(ticks <-chan time.Time, lastWrite time.Time) (frame []byte, open bool) {
 	for {
 		select {
@@ -169,7 +172,7 @@
 			}
 			return EncodeFrame(message.raw), true
 		case <-ticks:
-			// A heartbeat is written a little after its tick: at the next tick slightly less than the interval has passed.
+			// A heartbeat is written slightly after its tick, so at the next tick slightly less than the interval has passed.
 			if time.Since(lastWrite) >= c.currentKeepalive().Interval*7/8 {
 				return make([]byte, frameHeaderSize), true
 			}
@@ -179,7 +182,8 @@
 	}
 }
 
-// Run calls handle for each message that is received, until the connection ends, and returns why it ended. It must be called once.
+// Run reads from the connection until it is closed or fails, and calls handle for each message in the order received. It closes the
+// connection, and returns why it was closed, which is never nil unless Close was called with nil. It must be called only once.
 func (c *Conn[T]) Run(handle func(T)) error {
 	c.Close(c.readLoop(handle))
 	return c.err
@@ -213,12 +217,12 @@
 	}
 	if !bytes.Equal(buffer, preamble) {
 		MalformedFrames.Add(1)
-		return errors.New("the other side speaks something else")
+		return errors.New("invalid preamble: the peer does not use the portflow stream protocol")
 	}
 	return nil
 }
 
-// read fills a buffer. The other side must send the bytes within the timeout.
+// read fills buffer, and returns ErrPeerTimeout if the peer does not send enough bytes within the timeout.
 func (c *Conn[T]) read(buffer []byte) error {
 	c.conn.SetReadDeadline(time.Now().Add(c.currentKeepalive().Timeout))
 	n, err := io.ReadFull(c.conn, buffer)
--- a/internal/cluster/stream/conn_test.go
+++ b/internal/cluster/stream/conn_test.go
@@ -14,7 +14,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// fakeConn is a connection that reads from a reader and discards what is written.
+// fakeConn is a net.Conn that reads from in and discards writes.
 type fakeConn struct{ in io.Reader }
 
 func (c fakeConn) Read(b []byte) (int, error)       { return c.in.Read(b) }
@@ -31,25 +31,26 @@
 	Number uint64
 }
 
-// readAll receives bytes to their end.
+// readAll returns the messages that Run receives from raw, and its error.
 func readAll(raw []byte) (all []message, err error) {
 	conn := Open[message](fakeConn{bytes.NewReader(raw)}, ProxyKeepalive)
 	err = conn.Run(func(m message) { all = append(all, m) })
 	return all, err
 }
 
-// Frames are received as they were sent, short or long; what is no frame ends the connection, and nothing of it is received.
+// Small and large messages must be received as sent, and a truncated stream must yield only complete messages. An invalid preamble or
+// frame must fail the connection without delivering a message.
 func TestFrames(t *testing.T) {
 	sent := []message{{"a", 1}, {strings.Repeat("long ", 1000), 2}, {"", 1 << 63}}
 	raw := append([]byte{}, preamble...)
 	for _, m := range sent {
 		b, _ := json.Marshal(m)
-		raw = append(append(raw, EncodeFrame(b)...), 0, 0, 0, 0) // and a heartbeat
+		raw = append(append(raw, EncodeFrame(b)...), 0, 0, 0, 0) // followed by a heartbeat
 	}
 	all, err := readAll(raw)
 	qt.Check(t, err, qt.Equals, io.EOF)
 	qt.Check(t, all, qt.DeepEquals, sent)
-	for n := range raw { // cut anywhere: complete frames are received
+	for n := range raw { // truncated after n bytes
 		all, _ := readAll(raw[:n])
 		qt.Check(t, len(all) <= len(sent) && (len(all) == 0 || all[len(all)-1] == sent[len(all)-1]), qt.IsTrue)
 	}
@@ -62,7 +63,7 @@
 	qt.Check(t, MalformedFrames.Load()-malformedBefore, qt.Equals, int64(5))
 }
 
-// A frame that was encoded once is received on each connection as if it were sent there alone, between other messages.
+// A frame that is encoded once and passed to several connections must be received on each in order with other messages, and stay unmodified.
 func TestSendFrame(t *testing.T) {
 	c := qt.New(t)
 	long := message{strings.Repeat("long ", 1000), 2}
@@ -88,7 +89,7 @@
 	c.Check(frame, qt.DeepEquals, original)
 }
 
-// FuzzFrames: whatever comes, only complete frames of JSON are received, as another decoder reads them.
+// FuzzFrames compares the messages received from arbitrary bytes with those of a separate, simple decoder.
 func FuzzFrames(f *testing.F) {
 	b, _ := json.Marshal(message{strings.Repeat("x", 600), 7})
 	f.Add(append(append([]byte("pfl1"), EncodeFrame([]byte(`{"Text":"a"}`))...), EncodeFrame(b)...))
@@ -126,11 +127,11 @@
 			}
 		}
 		if len(all) != len(want) {
-			t.Fatalf("%d received, %d sent", len(all), len(want))
+			t.Fatalf("got %d messages, want %d", len(all), len(want))
 		}
 		for i := range all {
 			if all[i] != want[i] {
-				t.Fatalf("%+v received, %+v sent", all[i], want[i])
+				t.Fatalf("got message %+v, want %+v", all[i], want[i])
 			}
 		}
 	})
--- a/internal/cluster/stream/frame.go
+++ b/internal/cluster/stream/frame.go
@@ -10,29 +10,30 @@
 	"sync"
 )
 
-// A frame is a header of four bytes, big-endian, and a body of JSON. The highest bit of the header says that the body is compressed
-// by DEFLATE (RFC 1951), the others are the length of the body. A header of zero is a heartbeat.
+// A frame is a four-byte big-endian header followed by a JSON body. The highest bit of the header is set if the body is compressed with
+// DEFLATE (RFC 1951); the other bits are the length of the body as sent. A header of zero is a heartbeat.
 const (
 	frameHeaderSize = 4
 	compressedFlag  = 1 << 31
 
-	// MaxFrameBytes is how many bytes a body may have, also decompressed. A longer frame ends the connection.
+	// MaxFrameBytes is the maximum size of a received body, both as sent and decompressed. A larger frame is an error that closes the
+	// connection.
 	MaxFrameBytes = 24 << 20
-	// compressionThreshold is the length of a body, in bytes, from which on it is compressed.
+	// compressionThreshold is the minimum size in bytes of a body that is compressed.
 	compressionThreshold = 512
 )
 
-// compressors are reused, as each has tables of half a megabyte, many times what a frame holds. The garbage collector frees those
-// that are idle.
+// compressors is a pool because each compressor allocates tables of about half a megabyte, many times the size of a typical frame. The
+// garbage collector frees idle ones.
 var compressors = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(nil, flate.BestSpeed)
 	if err != nil {
-		panic(err) // the level is wrong
+		panic(err) // only for an invalid level
 	}
 	return w
 }}
 
-// EncodeFrame returns JSON as a frame, for Conn.SendFrame. It is compressed where that makes it shorter.
+// EncodeFrame returns a frame with raw, a JSON document, as its body. The body is compressed if it is large and that makes it shorter.
 func EncodeFrame(raw []byte) []byte {
 	header := uint32(len(raw))
 	if len(raw) >= compressionThreshold {
@@ -45,7 +46,7 @@
 	return append(binary.BigEndian.AppendUint32(nil, header), raw...)
 }
 
-// compress compresses bytes. Writing to memory can't fail.
+// compress returns raw compressed with DEFLATE. Errors are ignored because writes to a bytes.Buffer can't fail.
 func compress(raw []byte) []byte {
 	var compressed bytes.Buffer
 	writer := compressors.Get().(*flate.Writer)
@@ -62,13 +63,13 @@
 		return nil, err
 	}
 	if len(decompressed) > MaxFrameBytes {
-		return nil, errors.New("a frame that inflates too far")
+		return nil, errors.New("decompressed frame body exceeds the limit of 24 MiB")
 	}
 	return decompressed, nil
 }
 
-// readFrame reads a frame by read, which fills its argument, and returns the body; nil for a heartbeat. header is a buffer of
-// frameHeaderSize. A frame that isn't valid is counted in MalformedFrames.
+// readFrame reads a frame and returns its decompressed body, or nil for a heartbeat. read must fill the slice that it is passed; header
+// is a buffer of frameHeaderSize bytes. Invalid frames are counted in MalformedFrames.
 func readFrame(read func([]byte) error, header []byte) ([]byte, error) {
 	if err := read(header); err != nil {
 		return nil, err
@@ -80,7 +81,7 @@
 	}
 	if length > MaxFrameBytes {
 		MalformedFrames.Add(1)
-		return nil, fmt.Errorf("a frame of %d bytes", length)
+		return nil, fmt.Errorf("frame body of %d bytes exceeds the limit of 24 MiB", length)
 	}
 	raw := make([]byte, length)
 	if err := read(raw); err != nil {
--- a/internal/cluster/stream/frame_cost_test.go
+++ b/internal/cluster/stream/frame_cost_test.go
@@ -13,7 +13,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// allocated returns how many bytes a call allocates, on average.
+// allocatedPerRun returns the average number of bytes that call allocates.
 func allocatedPerRun(runs int, call func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -24,8 +24,7 @@
 	return (after.TotalAlloc - before.TotalAlloc) / uint64(runs)
 }
 
-// Encoding a frame must not allocate a new compressor: with one a frame, control processes with 510 proxies allocated 280 GB within a
-// minute, and grew to 370 MB.
+// EncodeFrame must reuse compressors. Allocating one per frame costs a control process with hundreds of proxies several GB per second.
 func TestEncodeFrameAllocations(t *testing.T) {
 	c := qt.New(t)
 	raw := []byte(strings.Repeat(`{"h":{"i":"host-00001","s":"desk"}},`, 40))
@@ -36,11 +35,11 @@
 		c.Assert(err, qt.IsNil)
 		w.Write(raw)
 	})
-	t.Logf("a frame of %d bytes: %d allocated, a deflater of its own %d", len(raw), cost, newWriterCost)
-	c.Check(cost < newWriterCost/2, qt.IsTrue) // the race detector has a pool lose every fourth
+	t.Logf("body of %d bytes: EncodeFrame allocates %d bytes, a new compressor %d", len(raw), cost, newWriterCost)
+	c.Check(cost < newWriterCost/2, qt.IsTrue) // not 0: with the race detector, sync.Pool drops a quarter of the items
 }
 
-// Frames that are compressed by one compressor one after another have each what was written, and nothing of the one before.
+// Frames that are encoded with the same compressor must not contain data of earlier frames.
 func TestCompressorReuse(t *testing.T) {
 	c := qt.New(t)
 	for n := range 50 {
@@ -55,7 +54,7 @@
 	}
 }
 
-// Whatever comes on a connection, Run reads it to its end or says why not.
+// FuzzRun checks that Run terminates with an error for arbitrary input.
 func FuzzRun(f *testing.F) {
 	f.Add([]byte("pfl1\x00\x00\x00\x00"))
 	f.Add(append([]byte("pfl1"), EncodeFrame([]byte(`{"a":1}`))...))
@@ -70,7 +69,7 @@
 			b.Close()
 		}()
 		if err := conn.Run(func(map[string]any) {}); err == nil {
-			t.Fatal("a connection that ended gives no reason")
+			t.Fatal("Run returned nil after the connection was closed")
 		}
 	})
 }
