--- a/internal/cluster/settings/reader.go
+++ b/internal/cluster/settings/reader.go
@@ -1,5 +1,5 @@
-// Package settings reads what the system is told: trees of maps, walked by paths. A reader keeps the first few errors, each
-// with its path, so that its user asks for everything first and looks once.
+// Package settings parses the settings file of a process. Its Reader reads values by path from the tree of a settings file or of a JSON
+// object. A Reader collects the first errors, each with its path, so that callers can read all values and then check Err once.
 package settings
 
 import (
@@ -11,10 +11,11 @@
 	"strings"
 )
 
-// Tree is what is read: its leaves are texts, numbers, truths and lists.
+// Tree is a table of values by name. A value is a string, a number, a boolean, a list ([]any) or another Tree.
 type Tree = map[string]any
 
-// ParseTree reads lines of the form a.b=value. Empty lines and those that begin with # are passed over.
+// ParseTree parses lines of the form a.b=value into a tree whose values are strings or tables. Empty lines and lines that begin with #
+// are ignored. If a path occurs several times, the last value is used.
 func ParseTree(text string) (Tree, error) {
 	root := Tree{}
 	for i, line := range strings.Split(text, "\n") {
@@ -24,7 +25,7 @@
 		}
 		path, value, found := strings.Cut(line, "=")
 		if !found {
-			return nil, fmt.Errorf("line %d: no '=' in %q", i+1, line)
+			return nil, fmt.Errorf("line %d: no '=' in %q; expected path=value", i+1, line)
 		}
 		table := root
 		names := strings.Split(strings.TrimSpace(path), ".")
@@ -32,7 +33,7 @@
 			next, found := table[name].(Tree)
 			if !found {
 				if _, exists := table[name]; exists {
-					return nil, fmt.Errorf("line %d: %s is a value and a table", i+1, name)
+					return nil, fmt.Errorf("line %d: %s is used both as a value and as a table", i+1, name)
 				}
 				next = Tree{}
 				table[name] = next
@@ -41,16 +42,17 @@
 		}
 		last := names[len(names)-1]
 		if _, table := table[last].(Tree); table {
-			return nil, fmt.Errorf("line %d: %s is a value and a table", i+1, path)
+			return nil, fmt.Errorf("line %d: %s is used both as a value and as a table", i+1, path)
 		}
 		table[last] = strings.TrimSpace(value)
 	}
 	return root, nil
 }
 
-const maxErrors = 20 // errors that are kept
+const maxErrors = 20 // per tree; further errors are dropped
 
-// Reader stands at one place of a tree.
+// Reader reads the value at one position in a tree. The readers that its methods return add to the same list of errors. Readers of one
+// tree must not be used concurrently.
 type Reader struct {
 	value   any
 	present bool
@@ -58,16 +60,17 @@
 	errs    *[]error
 }
 
-// NewReader stands at a tree's root.
+// NewReader returns a reader at the root of a tree. The root is usually a Tree, but may be any JSON value.
 func NewReader(root any) Reader { return Reader{value: root, present: true, errs: new([]error)} }
 
-// Err is all that was wrong so far, or nil.
+// Err returns the joined errors of all readers of this tree so far, or nil.
 func (r Reader) Err() error { return errors.Join(*r.errs...) }
 
-// Path is where the reader stands.
+// Path returns the reader's position: the names from the root, joined by dots, with the indexes of list elements in brackets.
 func (r Reader) Path() string { return r.path }
 
-// At walks down a path; what isn't there is an error only when it is asked for.
+// At returns a reader at a path below this position, such as "a.b". A missing value is not an error until a method that requires it is
+// called.
 func (r Reader) At(path string) Reader {
 	for _, name := range strings.Split(path, ".") {
 		t, _ := r.value.(Tree)
@@ -80,31 +83,32 @@
 	return r
 }
 
-// Exists tells whether anything stands here.
+// Exists reports whether there is a value other than null at this position.
 func (r Reader) Exists() bool { return r.present }
 
-// Value is what stands here.
+// Value returns the value at this position without checks, or nil if it doesn't exist.
 func (r Reader) Value() any { return r.value }
 
-// Errorf notes an error at this place.
+// Errorf adds a formatted error, preceded by the path of this position.
 func (r Reader) Errorf(format string, args ...any) {
 	if len(*r.errs) < maxErrors {
 		*r.errs = append(*r.errs, fmt.Errorf("%s: %s", r.path, fmt.Sprintf(format, args...)))
 	}
 }
 
-// Text is a text that must stand here and is not empty.
+// Text returns the string at this position, which must exist and not be empty. A value of another type is also reported as missing.
 func (r Reader) Text() string {
 	s, ok := r.value.(string)
 	if !r.present || s == "" {
 		r.Errorf("missing")
 	} else if !ok {
-		r.Errorf("%v is no text", r.value)
+		r.Errorf("%v is not a string", r.value)
 	}
 	return s
 }
 
-// Strings is a list of texts, joined by commas or as a list; none where nothing stands.
+// Strings returns the list of strings at this position, or nil if the value doesn't exist. A string is split at commas; spaces around the
+// elements and empty elements are removed.
 func (r Reader) Strings() (all []string) {
 	switch v := r.value.(type) {
 	case nil:
@@ -118,18 +122,19 @@
 		for _, x := range v {
 			s, ok := x.(string)
 			if !ok {
-				r.Errorf("%v is no text", x)
+				r.Errorf("list element %v is not a string", x)
 				return nil
 			}
 			all = append(all, s)
 		}
 	default:
-		r.Errorf("%v is no list", v)
+		r.Errorf("%v is not a list of strings", v)
 	}
 	return all
 }
 
-// Float is a number from low to high that must stand here.
+// Float returns the number at this position, which must exist and be from low to high. It may be a string, which is parsed. Float returns
+// low after an error.
 func (r Reader) Float(low, high float64) float64 {
 	var f float64
 	var err error
@@ -147,7 +152,7 @@
 		err = errors.New("")
 	}
 	if err != nil {
-		r.Errorf("%v is no number", r.value)
+		r.Errorf("%v is not a number", r.value)
 		return low
 	}
 	if !(f >= low && f <= high) {
@@ -157,19 +162,19 @@
 	return f
 }
 
-// Int is a whole number from low to high.
+// Int is like Float for integers. A number with a fraction is an error, but is returned truncated.
 func (r Reader) Int(low, high int) int {
 	f := r.Float(float64(low), float64(high))
 	if f != math.Trunc(f) {
-		r.Errorf("%v is no whole number", f)
+		r.Errorf("%v is not an integer", f)
 	}
 	return int(f)
 }
 
-// Seconds is a time in seconds, told in nanoseconds, from low to high seconds.
+// Seconds is like Float for a number of seconds, and returns it in nanoseconds.
 func (r Reader) Seconds(low, high float64) int64 { return int64(r.Float(low, high) * 1e9) }
 
-// Bool is true or false; absent is false.
+// Bool returns the boolean at this position, or false if the value doesn't exist. Strings are parsed by strconv.ParseBool.
 func (r Reader) Bool() bool {
 	switch v := r.value.(type) {
 	case nil:
@@ -186,11 +191,11 @@
 	return false
 }
 
-// List is the elements here; none where nothing stands.
+// List returns a reader for each element of the list at this position, or nil if the value doesn't exist.
 func (r Reader) List() (all []Reader) {
 	l, ok := r.value.([]any)
 	if r.present && !ok {
-		r.Errorf("no list")
+		r.Errorf("must be a list")
 	}
 	for i, v := range l {
 		all = append(all, Reader{value: v, present: v != nil, path: fmt.Sprintf("%s[%d]", r.path, i), errs: r.errs})
@@ -198,16 +203,16 @@
 	return all
 }
 
-// Map is the names of a table's entries here.
+// Map returns the table at this position, or nil if the value doesn't exist.
 func (r Reader) Map() Tree {
 	t, ok := r.value.(Tree)
 	if r.present && !ok {
-		r.Errorf("no table")
+		r.Errorf("must be a table of named values")
 	}
 	return t
 }
 
-// WithValue stands at the same place, with another value: a row, say, as the table it means.
+// WithValue returns a reader at the same path for another value, for example to read a row as a table of its columns.
 func (r Reader) WithValue(value any) Reader {
 	r.value, r.present = value, value != nil
 	return r
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -5,30 +5,30 @@
 	"strconv"
 )
 
-// Settings is what a process is told at its start. Times are nanoseconds.
+// Settings are the settings that a process reads at startup. Durations are in nanoseconds.
 type Settings struct {
 	Name, Role, MachineClass, IP, Zone, Region string
 	Serves                                     []string
 	Counted, FirstStart                        bool
-	DataDirectory                              string // its folder, empty where it has no disk
+	DataDirectory                              string // empty if the process has no disk
 	MemoryMB, Descriptors, DiskMB              int
-	ProcessorShare                             float64 // of a core
-	ListenAddresses                            map[string]string
-	InternalPorts                              [2]int // internal ones, the first and the last
-	SeedNodes                                  []string
-	ZoneRegions                                map[string]string // zone: region
+	ProcessorShare                             float64           // in processor cores
+	ListenAddresses                            map[string]string // "ip:port" by listener name; contains every name in Serves
+	InternalPorts                              [2]int            // first and last port of the range for traffic within the cluster
+	SeedNodes                                  []string          // "ip:port"
+	ZoneRegions                                map[string]string // region by zone
 	HeartbeatInterval                          int64
 	Terms                                      Terms
 }
 
-// Terms are the terms of a deployment. Times are nanoseconds.
+// Terms are the bounds that were agreed for a deployment (terms.bounds in the file). Durations are in nanoseconds.
 type Terms struct {
 	SeedLag, Reuse, Contact, Acknowledge, CatchUp, DrainLimit, Grace, LossSlack, Configuration, RollbackSlack int64
 	OuterStretch, BudgetWindow, Rollback, Evacuation, Recovery, Lifetime                                      int64
 	BudgetRatio, BudgetSlack, ExposureShare, ExposureSlack, ColdOverrun, ColdSlack                            float64
 }
 
-// Parse reads a settings file. Fields that it doesn't know are passed over.
+// Parse parses and validates a settings file. Unknown settings are ignored. The error lists all faults found, up to maxErrors.
 func Parse(text string) (Settings, error) {
 	tree, err := ParseTree(text)
 	if err != nil {
@@ -43,7 +43,7 @@
 		Descriptors: self.At("limits.file-descriptors").Int(64, 1<<30),
 		SeedNodes:   network.At("seed-nodes").Strings(), ListenAddresses: map[string]string{}, ZoneRegions: map[string]string{}}
 	if _, err := netip.ParseAddr(settings.IP); err != nil && settings.IP != "" {
-		self.At("ip-address").Errorf("%q is no IP number", settings.IP)
+		self.At("ip-address").Errorf("%q is not an IP address", settings.IP)
 	}
 	if data := self.At("data-directory"); data.Exists() && data.Value() != "" {
 		settings.DataDirectory = data.Text()
@@ -58,7 +58,7 @@
 	}
 	for _, serves := range settings.Serves {
 		if settings.ListenAddresses[serves] == "" {
-			network.At("listen-addresses."+serves).Errorf("missing, though %s is served", serves)
+			network.At("listen-addresses."+serves).Errorf("missing, but serves includes %s", serves)
 		}
 	}
 	for i, seed := range settings.SeedNodes {
@@ -68,15 +68,15 @@
 	}
 	ports := network.At("internal-port-range")
 	if terms := ports.Strings(); len(terms) != 2 {
-		ports.Errorf("two ports are wanted, joined by a comma")
+		ports.Errorf("must be the first and last port, separated by a comma")
 	} else {
 		for i := range settings.InternalPorts {
 			if settings.InternalPorts[i], err = strconv.Atoi(terms[i]); err != nil || settings.InternalPorts[i] < 1 || settings.InternalPorts[i] > 65535 {
-				ports.Errorf("%q is no port", terms[i])
+				ports.Errorf("%q is not a port; must be from 1 to 65535", terms[i])
 			}
 		}
 		if settings.InternalPorts[1]-settings.InternalPorts[0] < 3 {
-			ports.Errorf("four ports at least are wanted")
+			ports.Errorf("must contain at least four ports")
 		}
 	}
 	for name := range network.At("zones").Map() {
--- a/internal/cluster/settings/settings_test.go
+++ b/internal/cluster/settings/settings_test.go
@@ -55,17 +55,17 @@
 	for _, test := range []struct{ from, to, wantErr string }{
 		{"self-description.zone-name=z1\n", "", "self-description.zone-name: missing"},
 		{"zone-name=z1", "zone-name=z2", "network.zones: zone \"z2\" is not in region \"r1\""},
-		{"processor-share=0.56", "processor-share=much", "processor-share: much is no number"},
+		{"processor-share=0.56", "processor-share=much", "processor-share: much is not a number"},
 		{"memory-mb=284", "memory-mb=2.5", "memory-mb: "},
-		{"7660,7675", "7660", "internal-port-range: two ports"},
-		{"7660,7675", "7675,7660", "internal-port-range: four ports"},
+		{"7660,7675", "7660", "internal-port-range: must be the first and last port"},
+		{"7660,7675", "7675,7660", "internal-port-range: must contain at least four ports"},
 		{"counted=true", "counted=perhaps", "self-description.counted: perhaps is neither"},
-		{"ip-address=10.1.0.35", "ip-address=here", "ip-address: \"here\" is no IP number"},
+		{"ip-address=10.1.0.35", "ip-address=here", "ip-address: \"here\" is not an IP address"},
 		{"10.2.0.28:8146", "10.2.0.28", "seed-nodes: entry 2"},
-		{"listen-addresses.control=10.1.0.35:8146\n", "listen-addresses.other=10.1.0.35:1\n", "listen-addresses.control: missing, though"},
+		{"listen-addresses.control=10.1.0.35:8146\n", "listen-addresses.other=10.1.0.35:1\n", "listen-addresses.control: missing, but serves includes control"},
 		{"budget-slack=0.25", "budget-slack=-1", "terms.bounds.budget-slack: -1 is not from 0"},
 		{"# a comment", "no sign", "line 1: no '='"},
-		{"network.zones.z1=r1", "network.zones=r1", "a value and a table"},
+		{"network.zones.z1=r1", "network.zones=r1", "used both as a value and as a table"},
 	} {
 		c.Assert(sample, qt.Contains, test.from)
 		_, err := Parse(strings.Replace(sample, test.from, test.to, 1))
