--- a/internal/cluster/apierror/apierror.go
+++ b/internal/cluster/apierror/apierror.go
@@ -39,7 +39,7 @@
 
 // Response is the HTTP response for a kind of error.
 type Response struct {
-	Name            string // name in counters and in the response body
+	Name            string // name in counters and in the error responses of control processes
 	Status          int
 	RetryAfter      time.Duration // value of the Retry-After header; 0 for no header
 	NotExecuted     bool          // the status guarantees that the request has not been executed and never will be
--- a/internal/cluster/network/network.go
+++ b/internal/cluster/network/network.go
@@ -36,14 +36,14 @@
 	})
 }
 
-// Listen listens for TCP connections over IPv4, without TCP keep-alive and Multipath TCP.
+// Listen listens for TCP connections over IPv4, without TCP keep-alive or Multipath TCP.
 func (Host) Listen(address string) (net.Listener, error) {
 	l := net.ListenConfig{KeepAlive: -1}
 	l.SetMultipathTCP(false)
 	return l.Listen(context.Background(), "tcp4", address)
 }
 
-// Dial connects without TCP keep-alive and Multipath TCP. UserTimeout applies to the connection.
+// Dial connects without TCP keep-alive or Multipath TCP. UserTimeout applies to the connection.
 func (h Host) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	d := net.Dialer{KeepAlive: -1, Control: h.control}
 	d.SetMultipathTCP(false)
--- a/internal/cluster/stream/conn.go
+++ b/internal/cluster/stream/conn.go
@@ -125,7 +125,7 @@
 	})
 }
 
-// Done returns a channel that is closed when the connection is closed.
+// Done returns a channel that is closed when the Conn is closed.
 func (c *Conn[T]) Done() <-chan struct{} { return c.done }
 
 // Err returns why the connection was closed. It may be called only after the channel of Done is closed.
@@ -182,8 +182,8 @@
 	}
 }
 
-// Run reads from the connection until it is closed or fails, and calls handle for each message in the order received. It closes the
-// connection, and returns why it was closed, which is never nil unless Close was called with nil. It must be called only once.
+// Run reads from the connection until it is closed or fails, and calls handle for each message in the order received. It then closes the
+// connection and returns the same error as Err. It must be called only once.
 func (c *Conn[T]) Run(handle func(T)) error {
 	c.Close(c.readLoop(handle))
 	return c.err
