--- a/internal/lab/simulation/cluster.go
+++ b/internal/lab/simulation/cluster.go
@@ -39,7 +39,7 @@
 	maxClockSkew    = time.Hour
 	clockSeedOffset = 77 // keeps the clocks' random draws apart from the others
 
-	stopTime = 20 * time.Second // until the last timers of connections and libraries have fired
+	timerWait = 20 * time.Second // until the last timers of connections and libraries have fired
 
 	controlRole = "harbourmaster" // the roles by the names that settings files may have
 	proxyRole   = "fairway"
@@ -56,15 +56,15 @@
 	cancel     context.CancelFunc
 	background sync.WaitGroup // hosts and clients; Stop waits for them
 
-	mu         sync.Mutex        // guards what follows, and the nodes' settings and state
-	executions map[string]int    // by attempt
-	arrived    map[string]bool   // attempts that some host has received
-	outcomes   map[string]string // by attempt: how the client's request ended
-	requests   []time.Time       // when requests were sent
-	reattempts []time.Time       // when hosts received one that had arrived before
-	rng        random.Source
-	lastHost   int      // the number of the machine that was added last
-	Violations []string // of rules
+	mu          sync.Mutex        // guards what follows, and the nodes' settings and state
+	executions  map[string]int    // by attempt
+	arrived     map[string]bool   // attempts that some host has received
+	outcomes    map[string]string // by attempt: how the client's request ended
+	requests    []time.Time       // when requests were sent
+	reattempts  []time.Time       // when hosts received one that had arrived before
+	rng         random.Source
+	lastMachine int      // the number of the machine that was added last
+	Violations  []string // of rules
 }
 
 const (
@@ -231,7 +231,7 @@
 	}
 	cl.cancel()
 	cl.background.Wait()
-	time.Sleep(stopTime)
+	time.Sleep(timerWait)
 }
 
 // nextSeed draws the seed of one start of a process.
--- a/internal/lab/simulation/cluster_test.go
+++ b/internal/lab/simulation/cluster_test.go
@@ -23,7 +23,7 @@
 	playScenario(t, smallLayout, 6*time.Second, func(c *qt.C, cluster *Cluster) {}, 1)
 }
 
-func TestRouterRestarted(t *testing.T) {
+func TestProxyRestarts(t *testing.T) {
 	playScenario(t, smallLayout, 10*time.Second, func(c *qt.C, cluster *Cluster) {
 		for _, px := range cluster.Proxies[:3] {
 			px.Kill()
@@ -167,10 +167,10 @@
 func playFailingHost(t *testing.T, layout Layout) {
 	playScenario(t, layout, 18*time.Second, func(c *qt.C, cluster *Cluster) {
 		host := cluster.Hosts[0]
-		set := func(part float64) {
+		setFailRate := func(rate float64) {
 			cluster.mu.Lock()
 			defer cluster.mu.Unlock()
-			host.FailRate = part
+			host.FailRate = rate
 		}
 		state := func() string {
 			for i := range cluster.Controls {
@@ -186,13 +186,13 @@
 			return "ready"
 		}
 		c.Check(state(), qt.Equals, "ready")
-		set(0.9)
+		setFailRate(0.9)
 		start := time.Now()
 		for state() != "ready, set aside" && time.Since(start) < 8*time.Second {
 			time.Sleep(100 * time.Millisecond)
 		}
 		c.Check(time.Since(start) < 5*time.Second, qt.IsTrue, qt.Commentf("set aside after %v", time.Since(start)))
-		set(0)
+		setFailRate(0)
 		time.Sleep(300 * time.Millisecond)
 		ran := host.Executions()
 		time.Sleep(2 * time.Second)
@@ -271,11 +271,11 @@
 			conn, err := p.Dial(context.Background(), "tcp", px.Settings.ListenAddresses["front"])
 			c.Assert(err, qt.IsNil)
 			conn.Write([]byte(x.raw))
-			head := make([]byte, 12)
+			statusLine := make([]byte, 12)
 			conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 			got := "end"
-			if _, err := io.ReadFull(conn, head); err == nil {
-				got = string(head[9:])
+			if _, err := io.ReadFull(conn, statusLine); err == nil {
+				got = string(statusLine[9:])
 			}
 			conn.Close()
 			c.Check(got, qt.Equals, x.want, qt.Commentf(name))
@@ -298,7 +298,7 @@
 // A long answer is passed on as it comes, a little of it at a time in memory; one that breaks off never looks complete, and
 // is not asked for again elsewhere.
 func TestLongResponses(t *testing.T) {
-	for _, cut := range []int{0, 3 << 20} {
+	for _, abortAfter := range []int{0, 3 << 20} {
 		playScenario(t, smallLayout, 4*time.Second, func(c *qt.C, cluster *Cluster) {
 			px := cluster.Proxies[0]
 			for _, host := range cluster.Hosts {
@@ -307,7 +307,7 @@
 			time.Sleep(4 * time.Second)
 			for z := range cluster.Zones {
 				host := cluster.StartHost("desk", z, "v1", 0)
-				host.ResponseBytes, host.AbortAfterBytes = 10<<20, cut
+				host.ResponseBytes, host.AbortAfterBytes = 10<<20, abortAfter
 			}
 			time.Sleep(2 * time.Second)
 			client := cluster.httpClient(cluster.Network.Process("10.1.201.2"), 0)
@@ -322,8 +322,8 @@
 			c.Assert(err, qt.IsNil)
 			n, err := io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
-			c.Check(err == nil, qt.Equals, cut == 0, qt.Commentf("%v", err))
-			c.Check(n == 10<<20, qt.Equals, cut == 0, qt.Commentf("%d bytes", n))
+			c.Check(err == nil, qt.Equals, abortAfter == 0, qt.Commentf("%v", err))
+			c.Check(n == 10<<20, qt.Equals, abortAfter == 0, qt.Commentf("%d bytes", n))
 			cluster.mu.Lock()
 			defer cluster.mu.Unlock()
 			c.Check(cluster.executions["safe-long"], qt.Equals, 1)
--- a/internal/lab/simulation/conn.go
+++ b/internal/lab/simulation/conn.go
@@ -107,16 +107,16 @@
 
 // send sends a segment; c.out.mu is held.
 func (c *conn) send(seg segment) {
-	way := c.countSent(len(seg.data))
-	if !way.blocked && c.out.readerLost { // the other machine has power again, and doesn't know the connection
+	state := c.countSent(len(seg.data))
+	if !state.blocked && c.out.readerLost { // the other machine has power again, and doesn't know the connection
 		c.afterDelay(func() { c.failBothWays(syscall.ECONNRESET) })
 	}
-	if !way.blocked && way.ackBlocked {
+	if !state.blocked && state.ackBlocked {
 		time.AfterFunc(c.network.AckTimeout, c.abortIfUnacknowledged)
 	}
-	if !way.blocked {
+	if !state.blocked {
 		seg.arrivesAt = c.arrival()
-	} else if !way.frozen {
+	} else if !state.frozen {
 		time.AfterFunc(c.network.AckTimeout, c.abortIfStalled)
 	}
 	c.out.segments = append(c.out.segments, seg)
--- a/internal/lab/simulation/controlnode.go
+++ b/internal/lab/simulation/controlnode.go
@@ -85,13 +85,13 @@
 	cluster := n.cluster
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
-	cluster.lastHost++
+	cluster.lastMachine++
 	oldIP := n.Settings.IP
-	newIP := fmt.Sprintf("10.%d.1.%d", zoneIndexOf(oldIP)+1, cluster.lastHost)
+	newIP := fmt.Sprintf("10.%d.1.%d", zoneIndexOf(oldIP)+1, cluster.lastMachine)
 	next := &ControlNode{cluster: cluster, Settings: n.Settings, ClockSkew: n.ClockSkew, Disk: NewDisk()}
 	next.Disk.SyncDelay = diskSyncDelay
 	next.Settings.IP = newIP
-	next.Settings.Name = fmt.Sprintf("%s-anew-%d", n.Settings.Name, cluster.lastHost)
+	next.Settings.Name = fmt.Sprintf("%s-anew-%d", n.Settings.Name, cluster.lastMachine)
 	next.Settings.ListenAddresses = lo.MapValues(n.Settings.ListenAddresses, func(address, _ string) string {
 		return moveAddress(address, oldIP, newIP)
 	})
--- a/internal/lab/simulation/core_test.go
+++ b/internal/lab/simulation/core_test.go
@@ -192,7 +192,7 @@
 // A first start in any order of the machines, up to seconds apart, with a seed that starts late or only after changes have been
 // accepted: there is one set of members, of all in the end, and nothing that was confirmed is lost.
 func TestCoreFirstStart(t *testing.T) {
-	drawSeeds(t, 24, func(t *testing.T, seed int) {
+	runSeeds(t, 24, func(t *testing.T, seed int) {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			rng := random.Source{Seed: uint64(seed)*31 + 7}
--- a/internal/lab/simulation/corehelpers_test.go
+++ b/internal/lab/simulation/corehelpers_test.go
@@ -118,8 +118,8 @@
 	return coreStatus
 }
 
-func (cl *Cluster) changeCore(at int, action, member, replacement string, dry, force bool) (out server.CoreChangeResult, status int, raw []byte) {
-	status, raw = cl.callOne(at, "core.change", server.CoreChange{Action: action, Member: member, Replacement: replacement, DryRun: dry, Force: force})
+func (cl *Cluster) changeCore(at int, action, member, replacement string, dryRun, force bool) (out server.CoreChangeResult, status int, raw []byte) {
+	status, raw = cl.callOne(at, "core.change", server.CoreChange{Action: action, Member: member, Replacement: replacement, DryRun: dryRun, Force: force})
 	json.Unmarshal(raw, &out)
 	return out, status, raw
 }
@@ -166,7 +166,7 @@
 func (cl *Cluster) converged(members int) bool { return cl.sameMembership(members, true) }
 
 // sameMembership is converged with the index compared or not.
-func (cl *Cluster) sameMembership(members int, number bool) bool {
+func (cl *Cluster) sameMembership(members int, compareIndex bool) bool {
 	first := server.CoreStatus{}
 	for at, node := range cl.Controls {
 		if node.cancel == nil {
@@ -179,7 +179,7 @@
 		if first.Node == "" {
 			first = coreStatus
 		}
-		if coreStatus.Epoch != first.Epoch || number && coreStatus.Index != first.Index {
+		if coreStatus.Epoch != first.Epoch || compareIndex && coreStatus.Index != first.Index {
 			return false
 		}
 	}
@@ -211,12 +211,12 @@
 				if err != nil || status != 200 || json.Unmarshal(raw, &coreStatus) != nil || coreStatus.Epoch == 0 {
 					continue
 				}
-				is := fmt.Sprint(lo.Map(coreStatus.Members, func(x server.CoreMember, _ int) string { return x.IP + "/" + x.DiskID }))
+				members := fmt.Sprint(lo.Map(coreStatus.Members, func(x server.CoreMember, _ int) string { return x.IP + "/" + x.DiskID }))
 				w.mu.Lock()
-				if was, there := w.byEpoch[coreStatus.Epoch]; there && was != is {
-					c.Errorf("two lists of epoch %d: %s at %d, and %s", coreStatus.Epoch, is, at, was)
+				if previous, known := w.byEpoch[coreStatus.Epoch]; known && previous != members {
+					c.Errorf("two lists of epoch %d: %s at %d, and %s", coreStatus.Epoch, members, at, previous)
 				}
-				w.byEpoch[coreStatus.Epoch] = is
+				w.byEpoch[coreStatus.Epoch] = members
 				w.mu.Unlock()
 			}
 		})
@@ -224,31 +224,32 @@
 	return w
 }
 
-// drawSeeds runs a subtest for a few seeds, or for as many as -replacements says from -from on.
-func drawSeeds(t *testing.T, few int, play func(t *testing.T, seed int)) {
-	first, many := 0, lo.Ternary(raceEnabled, few/4, few)
+// runSeeds runs a subtest for each of defaultCount seeds, a quarter of that with the race detector. If -replacements is set, it runs that
+// many seeds, beginning with -from.
+func runSeeds(t *testing.T, defaultCount int, run func(t *testing.T, seed int)) {
+	first, count := 0, lo.Ternary(raceEnabled, defaultCount/4, defaultCount)
 	if *replacementRuns > 0 {
-		first, many = *firstSeed, *replacementRuns
+		first, count = *firstSeed, *replacementRuns
 	}
-	for seed := first; seed < first+many; seed++ {
+	for seed := first; seed < first+count; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, seed)
+			run(t, seed)
 		})
 	}
 }
 
-// replaceLost has a process fail in a drawn way. It returns which that was, and what brings the process back.
-func (cl *Cluster) replaceLost(n func(int) int, node *ControlNode) (outcome string, back func()) {
+// failRandomly injects a randomly chosen failure into a control process. It returns the name of the failure and a function that ends it.
+func (cl *Cluster) failRandomly(randomIntn func(int) int, node *ControlNode) (failure string, restore func()) {
 	ip := node.Settings.IP
-	switch n(5) {
+	switch randomIntn(5) {
 	case 0:
 		node.Kill()
 		return "killed", node.mustStart
 	case 1:
 		cl.Network.SetPoweredOff(ip, true)
 		node.Kill()
-		node.Disk.PowerLoss(n(2) == 0)
+		node.Disk.PowerLoss(randomIntn(2) == 0)
 		return "without power", func() { cl.Network.SetPoweredOff(ip, false); node.mustStart() }
 	case 2:
 		cl.Network.Freeze(ip, true)
--- a/internal/lab/simulation/coreleaving_test.go
+++ b/internal/lab/simulation/coreleaving_test.go
@@ -131,7 +131,7 @@
 // left until they are back. Nothing that was confirmed is lost, each epoch has one list of members, and changes are confirmed again
 // without an operator.
 func TestCoreSecondLoss(t *testing.T) {
-	drawSeeds(t, 40, func(t *testing.T, seed int) {
+	runSeeds(t, 40, func(t *testing.T, seed int) {
 		withControls(t, []int{4, 5, 6, 6, 7}[seed%5], uint64(seed), func(c *qt.C, cluster *Cluster) {
 			rng := random.Source{Seed: uint64(seed)*17 + 3}
 			n := func(n int) int { return int(rng.Float64() * float64(n)) }
@@ -163,12 +163,12 @@
 				}
 			})
 			ms(8000)
-			outcome, back := cluster.replaceLost(n, cluster.Controls[b])
+			outcome, back := cluster.failRandomly(n, cluster.Controls[b])
 			lost := time.Now()
 			also, backToo := "", func() {}
 			if n(3) == 0 {
 				ms(3000)
-				also, backToo = cluster.replaceLost(n, cluster.Controls[third])
+				also, backToo = cluster.failRandomly(n, cluster.Controls[third])
 			}
 			time.Sleep(time.Duration(1+n(8)) * time.Second)
 			if n(2) == 0 {
--- a/internal/lab/simulation/faultyresponse_test.go
+++ b/internal/lab/simulation/faultyresponse_test.go
@@ -17,8 +17,8 @@
 // requests are answered with one of its faults.
 func (r *faultyHostRun) startFaultyHost(service string, zoneIndex int, address string, faultPercent int, faults ...responseFault) *Host {
 	r.Cluster.mu.Lock()
-	r.lastHost++
-	n := r.lastHost
+	r.lastMachine++
+	n := r.lastMachine
 	r.Cluster.mu.Unlock()
 	if address == "" {
 		address = fmt.Sprintf("10.%d.64.%d:9000", zoneIndex+1, n)
--- a/internal/lab/simulation/host.go
+++ b/internal/lab/simulation/host.go
@@ -81,8 +81,8 @@
 // newHost makes a host on a machine of its own.
 func (cl *Cluster) newHost(service string, zoneIndex int, version string) *Host {
 	cl.mu.Lock()
-	cl.lastHost++
-	n := cl.lastHost
+	cl.lastMachine++
+	n := cl.lastMachine
 	cl.mu.Unlock()
 	ip := fmt.Sprintf("10.%d.%d.%d", zoneIndex+1, 64+n>>8, n&255)
 	return &Host{
--- a/internal/lab/simulation/pipe.go
+++ b/internal/lab/simulation/pipe.go
@@ -74,7 +74,7 @@
 		case p.readerLost:
 			return 0, net.ErrClosed
 		case p.readable():
-			return p.takeArrived(b)
+			return p.readArrived(b)
 		case !p.deadline.IsZero() && !p.deadline.After(now):
 			return 0, os.ErrDeadlineExceeded
 		}
@@ -89,15 +89,15 @@
 	}
 }
 
-// takeArrived copies from the first segment, which has arrived; p.mu is held.
-func (p *pipe) takeArrived(b []byte) (int, error) {
-	head := &p.segments[0]
-	if head.fin {
+// readArrived copies from the first segment, which must have arrived; p.mu must be held.
+func (p *pipe) readArrived(b []byte) (int, error) {
+	first := &p.segments[0]
+	if first.fin {
 		return 0, io.EOF
 	}
-	n := copy(b, head.data)
-	head.data = head.data[n:]
-	if len(head.data) == 0 {
+	n := copy(b, first.data)
+	first.data = first.data[n:]
+	if len(first.data) == 0 {
 		p.segments = p.segments[1:]
 	}
 	p.buffered -= n
--- a/internal/lab/simulation/process.go
+++ b/internal/lab/simulation/process.go
@@ -86,7 +86,7 @@
 	remoteIP := to.IP.String()
 	roundTrip := 2 * p.network.Delay(p.ip, remoteIP)
 	for {
-		blocked := p.isCutOff(remoteIP)
+		blocked := p.isUnreachable(remoteIP)
 		wait := roundTrip
 		if blocked {
 			wait = dialRetryInterval
@@ -102,8 +102,8 @@
 	}
 }
 
-// isCutOff reports whether the process and a machine can't exchange packets: either direction is blocked.
-func (p *Process) isCutOff(ip string) bool {
+// isUnreachable reports whether traffic between the process and a machine is blocked in either direction.
+func (p *Process) isUnreachable(ip string) bool {
 	p.network.mu.Lock()
 	defer p.network.mu.Unlock()
 	return p.network.isBlocked(p.ip, ip) || p.network.isBlocked(ip, p.ip)
--- a/internal/lab/simulation/testcluster_test.go
+++ b/internal/lab/simulation/testcluster_test.go
@@ -34,7 +34,7 @@
 
 // playScenario plays a scenario on a cluster in virtual time: it is started, configured, has traffic in all zones for a duration,
 // and happens is called beside that. At the end no rule may be broken.
-func playScenario(t *testing.T, layout Layout, duration time.Duration, happens func(c *qt.C, cluster *Cluster), good float64) {
+func playScenario(t *testing.T, layout Layout, duration time.Duration, scenario func(c *qt.C, cluster *Cluster), minSuccessRatio float64) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		cluster := startCluster(c, layout)
@@ -45,13 +45,13 @@
 			cluster.GenerateTraffic(&tally, z, unsafeRoute, layout.Rate, duration)
 		}
 		time.Sleep(time.Second)
-		happens(c, cluster)
+		scenario(c, cluster)
 		cluster.background.Go(func() { time.Sleep(duration + 4*time.Second) })
 		time.Sleep(duration + 4*time.Second)
 		served, requests, outcome := tally.Counts()
 		c.Logf("%d of %d good: %s", served, requests, outcome)
 		c.Check(cluster.Verify(), qt.HasLen, 0)
-		c.Check(float64(served) >= good*float64(requests), qt.IsTrue, qt.Commentf("%d of %d good: %s", served, requests, outcome))
+		c.Check(float64(served) >= minSuccessRatio*float64(requests), qt.IsTrue, qt.Commentf("%d of %d good: %s", served, requests, outcome))
 	})
 }
 
@@ -67,10 +67,10 @@
 	return status, time.Since(start)
 }
 
-func (cl *Cluster) setPartition(node *ControlNode, cut bool) {
+func (cl *Cluster) setPartition(node *ControlNode, partitioned bool) {
 	for _, x := range cl.Controls {
 		if x != node {
-			cl.Network.SetPartition(node.Settings.IP, x.Settings.IP, cut)
+			cl.Network.SetPartition(node.Settings.IP, x.Settings.IP, partitioned)
 		}
 	}
 }
--- a/internal/lab/simulation/verify.go
+++ b/internal/lab/simulation/verify.go
@@ -27,7 +27,7 @@
 }
 
 // broken records a broken rule; cl.mu is held.
-func (cl *Cluster) broken(format string, args ...any) {
+func (cl *Cluster) violationLocked(format string, args ...any) {
 	cl.Violations = append(cl.Violations, fmt.Sprintf(format, args...))
 }
 
@@ -42,7 +42,7 @@
 		}
 		switch outcome := cl.outcomes[id]; outcome {
 		case "503", "429", "408", "421":
-			cl.broken("REFUSED: %s got %s and ran", id, outcome)
+			cl.violationLocked("REFUSED: %s got %s and ran", id, outcome)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 func (cl *Cluster) verifyRanOnce() {
 	for id, n := range cl.executions {
 		if !isSafe(id) && n > 1 {
-			cl.broken("TWICE: %s ran %d times", id, n)
+			cl.violationLocked("TWICE: %s ran %d times", id, n)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 func (cl *Cluster) verifySent() {
 	for id := range cl.executions {
 		if _, sent := cl.outcomes[id]; !sent {
-			cl.broken("UNASKED: %s ran, and no client sent it", id)
+			cl.violationLocked("UNASKED: %s ran, and no client sent it", id)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 		)
 		n := countWithin(cl.reattempts[i:], start)
 		if float64(n) > reattemptRatio*float64(requests)+reattemptSlack {
-			cl.broken("BUDGET: %d came again within ten seconds, of %d requests", n, requests)
+			cl.violationLocked("BUDGET: %d came again within ten seconds, of %d requests", n, requests)
 			return
 		}
 	}
