--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// httpClient returns a client of a process; limit bounds each request.
+// httpClient returns a client that dials from process p. Each request times out after limit; zero means no timeout.
 func (cl *Cluster) httpClient(p *Process, limit time.Duration) *http.Client {
 	return &http.Client{
 		Timeout:   limit,
@@ -16,7 +16,7 @@
 	}
 }
 
-// callRPC makes one call to one control process, and returns the status and the reply.
+// callRPC sends one call to the control process at address and returns the HTTP status and the response body.
 func callRPC(ctx context.Context, client *http.Client, address, call, target string, body []byte) (int, []byte, error) {
 	url := "http://" + address + "/-/rpc?call=" + call + "&of=" + target
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
@@ -32,8 +32,8 @@
 	return resp.StatusCode, raw, err
 }
 
-// Call sends an operator's call, to each control process in turn, until it is accepted or refused for good. It returns the status and
-// which one answered, -1 for none within the limit.
+// Call sends an operator's call to the control processes in turn, beginning with index first, until one returns a final status. It
+// returns that status, the index of the control process and its reply, or 0, -1 and nil if there was none within limit.
 func (cl *Cluster) Call(call, target string, body []byte, limit time.Duration, first int) (status, answeredBy int, reply []byte) {
 	client := cl.httpClient(cl.Network.Process(operatorAddress), operatorTimeout)
 	defer client.CloseIdleConnections()
@@ -49,7 +49,7 @@
 	return 0, -1, nil
 }
 
-// isFinal reports whether a call that was answered with a status need not be repeated.
+// isFinal reports whether a call that returned this status must not be sent again.
 func isFinal(status int) bool {
 	switch status {
 	case http.StatusOK, http.StatusBadRequest, http.StatusConflict, http.StatusNotFound:
@@ -60,26 +60,27 @@
 
 const (
 	operatorAddress    = "10.200.0.1"
-	operatorTimeout    = time.Second // for one control process to answer
+	operatorTimeout    = time.Second // for a call to one control process
 	operatorRetryPause = 50 * time.Millisecond
 
 	siteName = "desk.example"
 )
 
-// Route is a route of the cluster's configuration.
+// Route describes a route of the cluster's configuration and the clients that use it.
 type Route struct {
 	Name, Prefix, Service, Version string
 	Idempotent                     bool
-	Caller                         string // that its clients send as X-Agency, empty for none
+	Caller                         string // value of the X-Agency header in the clients' requests; empty for no header
 }
 
-// itemTable is a list of configuration items as it is sent.
+// itemTable is the JSON encoding of a list of configuration items.
 type itemTable struct {
 	Columns []string `json:"table-columns"`
 	Rows    [][]any  `json:"table-rows"`
 }
 
-// ChangeBody returns a change that sets routes, and with services the limits and all services too.
+// ChangeBody returns the body of a configuration change that sets the routes. If services is set, it also sets the limits and all
+// services of the layout.
 func (cl *Cluster) ChangeBody(services bool, routes ...Route) []byte {
 	items := map[string]any{"routes": routeTable(routes)}
 	if services {
--- a/internal/lab/simulation/cluster.go
+++ b/internal/lab/simulation/cluster.go
@@ -14,57 +14,59 @@
 	"portflow/internal/random"
 )
 
-// Layout is a cluster's size: zones, two to a region, each with a control process on its first machine.
+// Layout configures a cluster. Each zone has a control process on its first machine; two zones form a region.
 type Layout struct {
 	Zones          int
 	ProxiesPerZone int
-	HostsPerZone   int // of each service in each zone
+	HostsPerZone   int // for each service
 	Services       []string
-	ServiceTime    time.Duration // of a request at a host
-	Concurrency    int           // requests that a host runs at once
-	Rate           float64       // unsafe requests a second in each zone; there are twice as many safe ones
+	ServiceTime    time.Duration // time that a host takes to run a request
+	Concurrency    int           // requests that a host runs concurrently
+	Rate           float64       // unsafe requests per second in each zone; safe requests arrive at twice this rate
 	Seed           uint64
-	SkewClocks     bool // each machine's clock differs from the time, by maxClockSkew at most
+	SkewClocks     bool // sets each control process's and proxy's clock off by up to maxClockSkew in either direction
 }
 
 const (
 	zonesPerRegion = 2
-	maxSeeds       = 3 // control processes whose addresses the others are started with
+	maxSeeds       = 3 // control processes that are listed as seed nodes
 
-	zoneDelay        = 100 * time.Microsecond // one way, within a zone
+	// One-way network delays: within a zone, between zones of a region, and between regions.
+	zoneDelay        = 100 * time.Microsecond
 	regionDelay      = 1400 * time.Microsecond
 	crossRegionDelay = 35 * time.Millisecond
-	diskSyncDelay    = 5 * time.Millisecond
+
+	diskSyncDelay = 5 * time.Millisecond
 
 	maxClockSkew    = time.Hour
-	clockSeedOffset = 77 // keeps the clocks' random draws apart from the others
+	clockSeedOffset = 77 // gives the clock skews a random sequence of their own
 
-	timerWait = 20 * time.Second // until the last timers of connections and libraries have fired
+	timerWait = 20 * time.Second // time for the last timers of connections and libraries to fire after Stop
 
-	controlRole = "harbourmaster" // the roles by the names that settings files may have
+	controlRole = "harbourmaster" // role names as settings files spell them
 	proxyRole   = "fairway"
 )
 
-// Cluster is a cluster and what is recorded of its requests.
+// Cluster is an emulated cluster. It records the outcomes and executions of all requests for Verify.
 type Cluster struct {
 	Layout
 	Network    *Network
 	Controls   []*ControlNode
 	Proxies    []*ProxyNode
 	Hosts      []*Host
-	ctx        context.Context // of hosts and clients; ends with Stop
+	ctx        context.Context // for hosts and clients; canceled by Stop
 	cancel     context.CancelFunc
-	background sync.WaitGroup // hosts and clients; Stop waits for them
+	background sync.WaitGroup // goroutines of hosts and clients; Stop waits for them
 
-	mu          sync.Mutex        // guards what follows, and the nodes' settings and state
+	mu          sync.Mutex        // guards the fields below and the nodes' settings and state
 	executions  map[string]int    // by attempt
-	arrived     map[string]bool   // attempts that some host has received
-	outcomes    map[string]string // by attempt: how the client's request ended
-	requests    []time.Time       // when requests were sent
-	reattempts  []time.Time       // when hosts received one that had arrived before
+	arrived     map[string]bool   // by attempt ID: some host has received the attempt
+	outcomes    map[string]string // by attempt ID: HTTP status that the client received, or brokenOutcome
+	requests    []time.Time       // send times of clients' requests
+	reattempts  []time.Time       // arrival times of attempts that some host had already received
 	rng         random.Source
-	lastMachine int      // the number of the machine that was added last
-	Violations  []string // of rules
+	lastMachine int      // number of the machine added last, used in names and IP addresses
+	Violations  []string // violated invariants
 }
 
 const (
@@ -72,7 +74,7 @@
 	firstInternalPort, lastInternalPort              = 7600, 7615
 )
 
-// New makes a cluster; nothing runs before Start.
+// New creates a cluster. Start starts its processes.
 func New(layout Layout) *Cluster {
 	cluster := &Cluster{
 		Layout:     layout,
@@ -96,7 +98,7 @@
 	return cluster
 }
 
-// linkDelay is the delay of one direction between two machines, by their zones and regions.
+// linkDelay returns the one-way delay between the machines with IP addresses a and b.
 func linkDelay(a, b string) time.Duration {
 	zoneA, zoneB := zoneIndexOf(a), zoneIndexOf(b)
 	switch {
@@ -114,7 +116,7 @@
 	return &ControlNode{cluster: cl, Settings: cl.newSettings(zoneIndex, 1, controlRole), Disk: disk}
 }
 
-// newSettings returns the settings of a zone's n-th machine.
+// newSettings returns the settings of the n-th machine of a zone, counted from 1.
 func (l Layout) newSettings(zoneIndex, n int, role string) settings.Settings {
 	ip := fmt.Sprintf("10.%d.0.%d", zoneIndex+1, n)
 	listenOn := func(port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
@@ -151,7 +153,7 @@
 	}
 }
 
-// seedNodes returns the addresses of the first control processes.
+// seedNodes returns the control addresses of the first maxSeeds control processes.
 func (l Layout) seedNodes() (seeds []string) {
 	for z := range min(l.Zones, maxSeeds) {
 		seeds = append(seeds, fmt.Sprintf("10.%d.0.1:%d", z+1, controlPort))
@@ -159,7 +161,7 @@
 	return seeds
 }
 
-// zoneRegions returns the region of each zone.
+// zoneRegions returns the region names by zone name.
 func (l Layout) zoneRegions() map[string]string {
 	regions := map[string]string{}
 	for z := range l.Zones {
@@ -168,7 +170,7 @@
 	return regions
 }
 
-// skewClocks draws each machine's clock.
+// skewClocks sets a random clock skew for each control process and proxy.
 func (cl *Cluster) skewClocks() {
 	rng := random.Source{Seed: cl.Seed + clockSeedOffset}
 	for _, node := range cl.Controls {
@@ -179,7 +181,7 @@
 	}
 }
 
-// randomSkew draws by how much a clock differs from the time.
+// randomSkew returns a uniform random skew between -maxClockSkew and maxClockSkew.
 func randomSkew(rng *random.Source) time.Duration {
 	return time.Duration((rng.Float64()*2 - 1) * float64(maxClockSkew))
 }
@@ -187,7 +189,8 @@
 func zoneName(z int) string   { return "z" + strconv.Itoa(z) }
 func regionName(z int) string { return "r" + strconv.Itoa(z/zonesPerRegion) }
 
-// zoneIndexOf returns the zone of an IP address of the cluster; it panics on others, which no test uses.
+// zoneIndexOf returns the index of the zone that an IP address of the cluster belongs to. It panics if the second component of
+// the address is not a number.
 func zoneIndexOf(ip string) int {
 	n, err := strconv.Atoi(strings.Split(ip, ".")[1])
 	if err != nil {
@@ -196,7 +199,7 @@
 	return n - 1
 }
 
-// Start starts all processes, and the hosts.
+// Start starts the control processes, the proxies and then the hosts. It returns the first error and leaves what it started running.
 func (cl *Cluster) Start() error {
 	for _, node := range cl.Controls {
 		if err := node.Start(); err != nil {
@@ -218,7 +221,7 @@
 	return nil
 }
 
-// Stop ends all processes and waits until nothing of them is left.
+// Stop kills all processes and waits until all goroutines of hosts and clients and the remaining timers have ended.
 func (cl *Cluster) Stop() {
 	for _, proxyNode := range cl.Proxies {
 		proxyNode.Kill()
@@ -234,20 +237,20 @@
 	time.Sleep(timerWait)
 }
 
-// nextSeed draws the seed of one start of a process.
+// nextSeed returns a random seed for the next start of a process.
 func (cl *Cluster) nextSeed() uint64 {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	return uint64(cl.rng.Float64() * (1 << 52))
 }
 
-// skewedClock returns a machine's clock, anchored at the start as in service, that differs from the time.
+// skewedClock returns a clock that is off by skew. As in production, each process creates its clock when it starts.
 func skewedClock(skew time.Duration) dispatch.Clock {
 	local := dispatch.NewClock()
 	return func() int64 { return local() + int64(skew) }
 }
 
-// violation records a broken rule.
+// violation records the violation of an invariant.
 func (cl *Cluster) violation(format string, args ...any) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
--- a/internal/lab/simulation/conn.go
+++ b/internal/lab/simulation/conn.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-const sendWindow = 256 << 10 // bytes that may be in flight
+const sendWindow = 256 << 10 // bytes in flight above which writes block
 
-// conn is one side of a TCP connection.
+// conn is one end of a TCP connection.
 type conn struct {
 	network       *Network
 	local, remote *net.TCPAddr
 	in, out       *pipe
-	peer          *conn     // the other side
-	once          sync.Once // of its end, in whichever way
+	peer          *conn     // the other end
+	once          sync.Once // for Close, reset and loseSilently: only the first of them takes effect
 
-	mu            sync.Mutex // guards what follows
+	mu            sync.Mutex // guards the fields below
 	writeDeadline time.Time
 	closed        bool
-	powerLost     bool // its machine lost power
+	powerLost     bool // the machine of this end lost power
 }
 
 var _ net.Conn = (*conn)(nil)
@@ -39,14 +39,14 @@
 	return n, err
 }
 
-// Pending reports whether bytes, or the end of the stream, can be read now.
+// Pending reports whether Read would return without waiting.
 func (c *conn) Pending() bool {
 	c.in.mu.Lock()
 	defer c.in.mu.Unlock()
 	return c.in.readable()
 }
 
-// Write waits while the send window is full. A write that the network loses succeeds, and resets the connection.
+// Write blocks while the send window is full. A write whose data the network drops succeeds, but resets the connection.
 func (c *conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	deadline, closed, powerLost := c.writeDeadline, c.closed, c.powerLost
@@ -67,7 +67,7 @@
 	return len(b), nil
 }
 
-// awaitWindow waits until the send window has room; c.out.mu is held.
+// awaitWindow blocks until the send window is no longer exceeded; c.out.mu must be held.
 func (c *conn) awaitWindow(deadline time.Time) error {
 	out := c.out
 	for out.buffered > sendWindow && out.err == nil {
@@ -85,14 +85,14 @@
 	return nil
 }
 
-// linkState is what a connection's way is like now.
+// linkState is the state of the link between the machines of a connection, as seen by the sender.
 type linkState struct {
-	blocked    bool // nothing reaches the other side
-	ackBlocked bool // nothing of the other side reaches this one
-	frozen     bool // this side's machine is frozen
+	blocked    bool // segments don't reach the other end
+	ackBlocked bool // acknowledgements don't reach this end
+	frozen     bool // the sender's machine is frozen
 }
 
-// countSent counts bytes that are sent, and returns the state of the way.
+// countSent adds to the bytes sent over the connection's link and returns the current state of the link.
 func (c *conn) countSent(bytes int) linkState {
 	from, to := c.local.IP.String(), c.remote.IP.String()
 	c.network.mu.Lock()
@@ -105,10 +105,10 @@
 	}
 }
 
-// send sends a segment; c.out.mu is held.
+// send sends a segment; c.out.mu must be held.
 func (c *conn) send(seg segment) {
 	state := c.countSent(len(seg.data))
-	if !state.blocked && c.out.readerLost { // the other machine has power again, and doesn't know the connection
+	if !state.blocked && c.out.readerLost { // the other machine is powered on again and doesn't know the connection
 		c.afterDelay(func() { c.failBothWays(syscall.ECONNRESET) })
 	}
 	if !state.blocked && state.ackBlocked {
@@ -124,7 +124,7 @@
 	c.out.changed.Broadcast()
 }
 
-// arrival returns when a segment that is sent now arrives, zero behind one that is held up; c.out.mu is held.
+// arrival returns the arrival time of a segment that is sent now, or zero if an earlier segment is held up; c.out.mu must be held.
 func (c *conn) arrival() time.Time {
 	queued := len(c.out.segments)
 	if queued > 0 && c.out.segments[queued-1].arrivesAt.IsZero() {
@@ -133,13 +133,13 @@
 	return time.Now().Add(c.network.Delay(c.local.IP.String(), c.remote.IP.String()))
 }
 
-// failBothWays ends this side.
+// failBothWays fails both directions of the connection.
 func (c *conn) failBothWays(err error) {
 	c.in.fail(err)
 	c.out.fail(err)
 }
 
-// abortIfStalled ends this side if some of what it sent is still held up.
+// abortIfStalled aborts the connection with ETIMEDOUT if segments that this end sent are still held up.
 func (c *conn) abortIfStalled() {
 	c.out.mu.Lock()
 	stalled := false
@@ -155,7 +155,8 @@
 	}
 }
 
-// abortIfUnacknowledged ends this side if the way back is still blocked, so that nothing of what it sent was acknowledged.
+// abortIfUnacknowledged aborts the connection with ETIMEDOUT if the link back to this end is blocked, so that acknowledgements
+// can't arrive.
 func (c *conn) abortIfUnacknowledged() {
 	from, to := c.local.IP.String(), c.remote.IP.String()
 	c.network.mu.Lock()
@@ -166,7 +167,7 @@
 	}
 }
 
-// resume sends what a partition held up, if its way is no longer blocked.
+// resume sends the segments that were held up, unless the link is still blocked.
 func (c *conn) resume() {
 	from, to := c.local.IP.String(), c.remote.IP.String()
 	c.network.mu.Lock()
@@ -192,7 +193,7 @@
 	c.network.mu.Unlock()
 }
 
-// Close ends this side: the other reads what was sent, then the end of the stream.
+// Close closes this end. The other end reads the data in flight and then the end of the stream.
 func (c *conn) Close() error {
 	c.once.Do(func() {
 		c.mu.Lock()
@@ -205,7 +206,7 @@
 		c.out.mu.Lock()
 		c.send(segment{fin: true})
 		c.out.mu.Unlock()
-		if unread { // as TCP does, closing with unread bytes resets the connection
+		if unread { // like TCP, reset the connection if it is closed with unread data
 			c.afterDelay(func() { c.peer.in.fail(syscall.ECONNRESET) })
 		}
 		c.afterDelay(func() { c.peer.out.fail(syscall.EPIPE) })
@@ -214,7 +215,7 @@
 	return nil
 }
 
-// afterDelay calls a function once a packet that is sent now has reached the other side, unless the way is blocked then.
+// afterDelay calls f after the link's one-way delay, unless the link is blocked by then.
 func (c *conn) afterDelay(f func()) {
 	from, to := c.local.IP.String(), c.remote.IP.String()
 	time.AfterFunc(c.network.Delay(from, to), func() {
@@ -227,7 +228,7 @@
 	})
 }
 
-// reset ends this side at once, and the other as soon as the reset reaches it.
+// reset aborts the connection: at this end immediately, at the other end when the reset arrives there.
 func (c *conn) reset() {
 	c.once.Do(func() {
 		c.mu.Lock()
@@ -240,7 +241,7 @@
 	})
 }
 
-// loseSilently ends this side, which the other doesn't see.
+// loseSilently ends the connection at this end without notice to the other end.
 func (c *conn) loseSilently() {
 	c.once.Do(func() {
 		c.mu.Lock()
--- a/internal/lab/simulation/controlnode.go
+++ b/internal/lab/simulation/controlnode.go
@@ -16,7 +16,7 @@
 type ControlNode struct {
 	cluster    *Cluster
 	Settings   settings.Settings
-	ClockSkew  time.Duration // of its machine's clock, from its next start on
+	ClockSkew  time.Duration // skew of the machine's clock; a change takes effect at the next Start
 	Disk       *Disk
 	running    *server.Server
 	process    *Process
@@ -24,7 +24,7 @@
 	cancel     context.CancelFunc // nil while the process is down
 }
 
-// Start starts a control process on its disk.
+// Start starts the control process on its existing disk.
 func (n *ControlNode) Start() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.process = n.cluster.Network.Process(n.Settings.IP)
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// Kill ends the process at once; its disk stays.
+// Kill terminates the process immediately. The disk keeps its content. It does nothing if the process is down.
 func (n *ControlNode) Kill() {
 	if n.cancel == nil {
 		return
@@ -57,7 +57,7 @@
 	n.cancel = nil
 }
 
-// Shutdown ends the process as SIGTERM does: it leaves, and then ends.
+// Shutdown shuts the process down gracefully, as SIGTERM does, and then kills it.
 func (n *ControlNode) Shutdown() {
 	if n.cancel == nil {
 		return
@@ -66,21 +66,21 @@
 	n.Kill()
 }
 
-// mustStart starts the process; that it does not start is a violation.
+// mustStart starts the process and records a violation if that fails.
 func (n *ControlNode) mustStart() {
 	if err := n.Start(); err != nil {
-		n.cluster.violation("a control process does not start: %v", err)
+		n.cluster.violation("failed to start a control process: %v", err)
 	}
 }
 
-// Replace replaces a machine that is lost for good by a new one: another IP address and name, an empty disk. Processes that start from
-// now on get its address among their seeds in place of the lost one's.
+// Replace kills the process and replaces its machine with a new one, which has another IP address and name and an empty disk. The
+// new machine is not started. In the settings of all processes its address replaces the old one among the seed nodes.
 func (n *ControlNode) Replace() {
 	n.Kill()
 	n.replaceWith(n.NewSuccessor())
 }
 
-// NewSuccessor returns a new machine in the same zone, which doesn't run yet: another IP address and name, an empty disk.
+// NewSuccessor returns a new machine in the same zone, with another IP address and name and an empty disk. It is not started.
 func (n *ControlNode) NewSuccessor() *ControlNode {
 	cluster := n.cluster
 	cluster.mu.Lock()
@@ -98,7 +98,8 @@
 	return next
 }
 
-// replaceWith puts another machine, which may run, in this one's place, also among the seeds of processes that start from now on.
+// replaceWith replaces this machine with next, which may be running already, also in the seed nodes of all control processes and
+// proxies. Running processes use the new seed nodes after their next start.
 func (n *ControlNode) replaceWith(next *ControlNode) {
 	cluster := n.cluster
 	cluster.mu.Lock()
@@ -116,7 +117,7 @@
 	}
 }
 
-// Status returns the process's own view of its quorum and state, "down" if it does not run.
+// Status returns the process's own view of its quorum and state, or "down" if it is not running.
 func (n *ControlNode) Status() string {
 	if n.cancel == nil {
 		return "down"
@@ -124,7 +125,7 @@
 	return n.running.Status().String()
 }
 
-// moveAddress returns an address, with the new IP address in place of the old one.
+// moveAddress returns the address with oldIP replaced by newIP; an address with another IP is returned unchanged.
 func moveAddress(address, oldIP, newIP string) string {
 	if host, port, _ := net.SplitHostPort(address); host == oldIP {
 		return net.JoinHostPort(newIP, port)
@@ -132,7 +133,7 @@
 	return address
 }
 
-// controlAddress returns the address of a control process's calls.
+// controlAddress returns the address at which the control process with index at accepts calls.
 func (cl *Cluster) controlAddress(at int) string {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
--- a/internal/lab/simulation/disk.go
+++ b/internal/lab/simulation/disk.go
@@ -11,55 +11,54 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// Disk is a disk in memory, as goleveldb writes to it. A loss of power keeps what was synced, and perhaps a part of what
-// was written since.
+// Disk is an in-memory disk for goleveldb. A power loss keeps all synced data, and optionally a part of the data written since the
+// last sync.
 type Disk struct {
-	mu         sync.Mutex // guards all of it
+	mu         sync.Mutex // guards all fields
 	files      map[storage.FileDesc]*file
 	meta       storage.FileDesc
-	SyncDelay  time.Duration // of one sync
+	SyncDelay  time.Duration // duration of a sync
 	FailWrites bool          // writes and syncs fail
-	full       bool          // a write fails after its first half
-	SyncCount  int
-	resumeSync chan struct{} // closed when syncs go on; nil while they do
+	full       bool          // a write stores its first half and fails; SetMeta fails
+	SyncCount  int           // number of successful syncs
+	resumeSync chan struct{} // closed when hanging syncs resume; nil while syncs don't hang
 }
 
-// file is a file's content; the first synced bytes survive a loss of power.
+// file is the content of a file. The first synced bytes survive a power loss.
 type file struct {
 	data   []byte
 	synced int
 }
 
 var (
-	errWriteFailed = errors.New("the disk refuses to write")
-	errNoSpace     = errors.New("no space left on the disk")
+	errWriteFailed = errors.New("simulated disk: write failed")
+	errNoSpace     = errors.New("simulated disk: no space left on device")
 )
 
-// NewDisk makes an empty disk.
+// NewDisk returns an empty disk without faults.
 func NewDisk() *Disk { return &Disk{files: map[storage.FileDesc]*file{}} }
 
-// Wipe removes all files.
+// Wipe removes all files and the metadata.
 func (d *Disk) Wipe() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.files, d.meta = map[storage.FileDesc]*file{}, storage.FileDesc{}
 }
 
-// SetFaults sets how long a sync lasts, and whether writes fail.
+// SetFaults sets the duration of a sync and whether writes and syncs fail.
 func (d *Disk) SetFaults(delay time.Duration, failWrites bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.SyncDelay, d.FailWrites = delay, failWrites
 }
 
-// setFull sets whether the disk is full.
 func (d *Disk) setFull(full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.full = full
 }
 
-// setHanging has syncs wait, or resumes them.
+// setHanging blocks syncs, or resumes them.
 func (d *Disk) setHanging(hanging bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -78,7 +77,8 @@
 	return d.SyncCount
 }
 
-// PowerLoss drops what was not synced, but half of it stays where torn is set.
+// PowerLoss drops all data that is not synced. If torn is set, the first half of each file's unsynced data is kept. Files without
+// remaining data are removed.
 func (d *Disk) PowerLoss(torn bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -94,21 +94,21 @@
 	}
 }
 
-// Open returns the disk for one start of a process.
+// Open returns the storage for one run of a process.
 func (d *Disk) Open() storage.Storage { return d.open() }
 
 func (d *Disk) open() *diskHandle { return &diskHandle{disk: d} }
 
-// diskHandle is the disk as one start of a process sees it.
+// diskHandle gives one run of a process access to the disk.
 type diskHandle struct {
 	disk   *Disk
-	mu     sync.Mutex // guards closed; it may be taken while disk.mu is held
+	mu     sync.Mutex // guards closed; may be locked while disk.mu is held
 	closed bool       // the process was killed
 }
 
 var _ storage.Storage = (*diskHandle)(nil)
 
-// nopLocker locks nothing: one process at a time has the disk.
+// nopLocker locks nothing, as only one process at a time uses the disk.
 type nopLocker struct{}
 
 func (nopLocker) Unlock() {}
@@ -150,7 +150,7 @@
 	return all, nil
 }
 
-// fileReader reads a file as it was when it was opened.
+// fileReader reads the content that a file had when it was opened.
 type fileReader struct{ *bytes.Reader }
 
 func (fileReader) Close() error { return nil }
@@ -200,7 +200,7 @@
 
 func (h *diskHandle) Close() error { return nil }
 
-// invalidate has writes of a process that was killed fail, which may still be about to come.
+// invalidate makes all further writes and syncs through the handle fail. Goroutines of a killed process may still attempt them.
 func (h *diskHandle) invalidate() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/simulation/host.go
+++ b/internal/lab/simulation/host.go
@@ -16,38 +16,39 @@
 const (
 	hostPort = 9000
 
-	// ColdRequestsPerSecond is how many requests a cold host bears.
+	// ColdRequestsPerSecond is the configured request rate limit of a cold host.
 	ColdRequestsPerSecond = 3.0
 
-	coldOverrun = 1.5 // by which a cold host's requests may exceed what it bears
-	coldSlack   = 5   // requests beyond that
+	// In any second a cold host may receive ColdRequestsPerSecond*coldOverrun + coldSlack requests.
+	coldOverrun = 1.5
+	coldSlack   = 5
 
-	hostCallTimeout = time.Second // for one call to a control process
+	hostCallTimeout = time.Second // for a call to one control process
 )
 
-// Host is a host of a service. Its exported fields are set before its first request.
+// Host is a host of a service. Its exported fields must be set before its first request.
 type Host struct {
 	ID, Service, Zone, Version, Address string
 
 	ServiceTime     time.Duration
 	FailAll         bool
-	FailRate        float64 // fraction of the requests that it answers with 500
-	HangRate        float64 // fraction of the requests that it never answers
-	ResponseBytes   int     // of a long response, 0 for a short one
-	AbortAfterBytes int     // of a long response, 0 for none
+	FailRate        float64 // fraction of requests that get status 500
+	HangRate        float64 // fraction of requests that never get a response
+	ResponseBytes   int     // body size of responses; 0 for a short body
+	AbortAfterBytes int     // body size after which a long response is aborted; 0 for never
 
 	cluster *Cluster
 	process *Process
 	server  *http.Server
-	cancel  context.CancelFunc // ends its heartbeats
-	slots   chan struct{}      // one for each request that it runs
+	cancel  context.CancelFunc // stops the heartbeats
+	slots   chan struct{}      // semaphore for running requests
 
-	mu           sync.Mutex  // guards what follows
-	state        string      // as its heartbeats report it
-	warmUntil    time.Time   // until when it is cold
-	drainAckedAt time.Time   // when control first acknowledged that it drains
-	sequence     int         // of its heartbeats
-	arrivals     []time.Time // while it is cold, those of the last second
+	mu           sync.Mutex  // guards the fields below, except executions
+	state        string      // server state in heartbeats
+	warmUntil    time.Time   // end of the warm-up
+	drainAckedAt time.Time   // first acknowledgement of a heartbeat with state "draining"
+	sequence     int         // number of the last heartbeat
+	arrivals     []time.Time // arrival times within the last second, recorded during the warm-up
 
 	executions int // guarded by cluster.mu
 }
@@ -55,7 +56,7 @@
 // IP returns the host's IP address.
 func (host *Host) IP() string { return host.Address[:strings.IndexByte(host.Address, ':')] }
 
-// StartHost starts a host of a service and a version; one that starts cold reports that, and is warm after a while.
+// StartHost starts a host of a service and version in a zone. Its heartbeats report it as cold until warmup has passed.
 func (cl *Cluster) StartHost(service string, zoneIndex int, version string, warmup time.Duration) *Host {
 	host := cl.newHost(service, zoneIndex, version)
 	host.warmUntil = time.Now().Add(warmup)
@@ -78,7 +79,7 @@
 	return host
 }
 
-// newHost makes a host on a machine of its own.
+// newHost creates a host on a new machine.
 func (cl *Cluster) newHost(service string, zoneIndex int, version string) *Host {
 	cl.mu.Lock()
 	cl.lastMachine++
@@ -99,28 +100,29 @@
 	}
 }
 
-// Executions returns how many requests the host has run.
+// Executions returns the number of requests that the host has started to run.
 func (host *Host) Executions() int {
 	host.cluster.mu.Lock()
 	defer host.cluster.mu.Unlock()
 	return host.executions
 }
 
-// Drain has the host report that it drains.
+// Drain makes the host's further heartbeats report that it is draining. It still accepts requests.
 func (host *Host) Drain() {
 	host.mu.Lock()
 	defer host.mu.Unlock()
 	host.state = "draining"
 }
 
-// Crash ends the host at once, and it reports nothing.
+// Crash terminates the host immediately, without notice to control.
 func (host *Host) Crash() {
 	host.cancel()
 	host.process.Kill()
 	host.server.Close()
 }
 
-// sendHeartbeats reports the host to the nearest control process that answers, until the context ends.
+// sendHeartbeats sends a heartbeat every HeartbeatInterval until ctx is done. It begins with the control process of the host's zone
+// and follows the addresses that replies name.
 func (host *Host) sendHeartbeats(ctx context.Context, zoneIndex int) {
 	client := host.cluster.httpClient(host.process, hostCallTimeout)
 	defer client.CloseIdleConnections()
@@ -134,7 +136,8 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat to control processes in turn until one acknowledges it, and returns the one for the next.
+// sendHeartbeat sends a heartbeat to the control processes in turn, beginning with controlIndex, until one acknowledges it. It returns
+// the index of the control process for the next heartbeat.
 func (host *Host) sendHeartbeat(ctx context.Context, client *http.Client, controlIndex int) (next int) {
 	body := host.heartbeat()
 	controls := host.cluster.Controls
@@ -150,7 +153,7 @@
 	return controlIndex
 }
 
-// heartbeat returns the body of the next heartbeat.
+// heartbeat returns the body of the next heartbeat and increments its sequence number.
 func (host *Host) heartbeat() []byte {
 	host.mu.Lock()
 	defer host.mu.Unlock()
@@ -171,7 +174,7 @@
 	})
 }
 
-// recordAcknowledged notes when control first acknowledged that the host drains.
+// recordAcknowledged records the time of the first acknowledged heartbeat of a draining host.
 func (host *Host) recordAcknowledged() {
 	host.mu.Lock()
 	defer host.mu.Unlock()
@@ -180,7 +183,7 @@
 	}
 }
 
-// redirected returns the control process that a heartbeat's reply names, the one that replied if it names none.
+// redirected returns the index of the control process named in the reply to a heartbeat, or controlIndex if the reply names none.
 func (cl *Cluster) redirected(reply []byte, controlIndex int) int {
 	var decoded struct {
 		HeartbeatAddress string `json:"heartbeat-address"`
@@ -193,7 +196,7 @@
 	})
 }
 
-// mustMarshal encodes what a simulation built itself; it panics on values that JSON does not have.
+// mustMarshal encodes v as JSON; it panics if v can't be encoded.
 func mustMarshal(v any) []byte {
 	raw, err := json.Marshal(v)
 	if err != nil {
--- a/internal/lab/simulation/hosthandler.go
+++ b/internal/lab/simulation/hosthandler.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-const hangTime = time.Hour // of a request that is never answered
+const hangTime = time.Hour // run time of requests that hang; longer than any client waits
 
 var _ http.Handler = (*Host)(nil)
 
-// ServeHTTP runs a request.
+// ServeHTTP runs a request. Unless the Expected-Instance header names this host, it returns status 421 without running it.
 func (host *Host) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if expected := r.Header.Get("Expected-Instance"); expected != host.ID {
 		w.Header().Set("Answering-Instance", host.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	_, _ = io.Copy(io.Discard, r.Body) // a body that ends early cancels the request's context
+	_, _ = io.Copy(io.Discard, r.Body) // if the body is truncated, the request's context is canceled
 	id := r.Header.Get("Attempt-Id")
 	host.recordArrival(id)
 	select {
@@ -49,7 +49,7 @@
 	fmt.Fprintf(w, "%s ran %s", host.ID, id)
 }
 
-// recordExecution counts a request that runs, and draws whether it fails and how long it runs.
+// recordExecution counts the start of a request. It returns whether the request is to fail and how long it runs, both chosen at random.
 func (host *Host) recordExecution(id string) (fail bool, duration time.Duration) {
 	cluster := host.cluster
 	cluster.mu.Lock()
@@ -63,7 +63,7 @@
 	return fail, host.ServiceTime
 }
 
-// writeLongResponse answers with ResponseBytes, or aborts the connection in the middle.
+// writeLongResponse writes a body of ResponseBytes, or aborts the connection after about AbortAfterBytes.
 func (host *Host) writeLongResponse(w http.ResponseWriter) {
 	w.Header().Set("Content-Length", strconv.Itoa(host.ResponseBytes))
 	chunk := bytes.Repeat([]byte("0123456789abcdef"), 4096)
@@ -77,8 +77,8 @@
 	}
 }
 
-// recordArrival counts a request that arrives, and checks the rules of arrivals: a host gets none once the drain limit has passed
-// since control acknowledged that it drains, and a cold one gets few.
+// recordArrival records the arrival of an attempt and checks the invariants for arrivals: a draining host receives none after the drain
+// limit, and a cold host stays within its request rate limit.
 func (host *Host) recordArrival(id string) {
 	now := time.Now()
 	host.cluster.recordAttempt(id, now)
@@ -91,11 +91,11 @@
 	expired := func(arrival time.Time) bool { return now.Sub(arrival) >= time.Second }
 	host.arrivals = append(slices.DeleteFunc(host.arrivals, expired), now)
 	if n := len(host.arrivals); float64(n) > ColdRequestsPerSecond*coldOverrun+coldSlack {
-		host.cluster.violation("FAILBACK: cold host %s got %d requests in a second", host.ID, n)
+		host.cluster.violation("FAILBACK: cold host %s received %d requests within one second", host.ID, n)
 	}
 }
 
-// recordAttempt notes that an attempt arrived at some host.
+// recordAttempt records that an attempt arrived at a host at time now.
 func (cl *Cluster) recordAttempt(id string, now time.Time) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -105,10 +105,11 @@
 	cl.arrived[id] = true
 }
 
-// checkDrain checks that the drain limit has not passed; host.mu is held.
+// checkDrain records a violation if an attempt arrives later than the drain limit after control acknowledged that the host drains;
+// host.mu must be held.
 func (host *Host) checkDrain(id string, now time.Time) {
 	limit := time.Duration(host.cluster.Controls[0].Settings.Terms.DrainLimit)
 	if since := now.Sub(host.drainAckedAt); !host.drainAckedAt.IsZero() && since > limit {
-		host.cluster.violation("DRAIN: %s got %s %v after its drain was acknowledged", host.ID, id, since)
+		host.cluster.violation("DRAIN: host %s received attempt %s %v after control acknowledged that it drains", host.ID, id, since)
 	}
 }
--- a/internal/lab/simulation/network.go
+++ b/internal/lab/simulation/network.go
@@ -1,10 +1,10 @@
-// Package simulation runs a complete cluster in one process: control processes, proxies, hosts and clients on a network and on disks
-// in memory, for tests in virtual time. Links have delay and can be partitioned, connections break as a machine's do, and a disk
-// loses what was not synced.
+// Package simulation runs a complete cluster in one process, for tests in virtual time: control processes, proxies, hosts and clients
+// on an in-memory network and in-memory disks. Links have a delay and can be partitioned, connections break when a process or machine
+// fails, and disks lose unsynced data on a power loss.
 //
-// It owns the network (Network, Process, conn, packetConn), the disks (Disk) and the cluster on them (Cluster, ControlNode, ProxyNode,
-// Host) with its traffic and the rules that it is checked by (Cluster.Verify). It never opens a socket or a file. Begin reading at
-// Cluster; the tests play scenarios on it, among them histories that are checked for linearizability.
+// The package provides the network (Network, Process, conn, packetConn), the disks (Disk) and the cluster that uses them (Cluster,
+// ControlNode, ProxyNode, Host), with clients' traffic and a check of the cluster's invariants (Cluster.Verify). It never opens a
+// socket or a file. Cluster is the entry point; the tests run scenarios on it and check some of the histories for linearizability.
 package simulation
 
 import (
@@ -18,32 +18,33 @@
 
 const (
 	defaultAckTimeout = 1500 * time.Millisecond
-	firstClientPort   = 20000 // of the connections that are dialled
-	clientPorts       = 40000 // after which port numbers begin again
+	firstClientPort   = 20000 // lowest local port of dialed connections
+	clientPorts       = 40000 // number of local ports, after which they are reused
 )
 
-// link is one direction between two machines, by their IP addresses.
+// link identifies one direction between two machines by their IP addresses.
 type link struct{ from, to string }
 
-// Network connects machines, each of which has an IP address of its own.
+// Network connects machines, each of which has its own IP address.
 type Network struct {
-	Delay      func(a, b string) time.Duration // one way, by IP address
-	AckTimeout time.Duration                   // after which a sender gives up what nobody acknowledges
+	Delay      func(a, b string) time.Duration // one-way delay between two IP addresses
+	AckTimeout time.Duration                   // time after which a sender aborts a connection with unacknowledged data
 
-	mu          sync.Mutex             // guards what follows; it is taken after the locks of connections and pipes
+	mu          sync.Mutex             // guards the fields below; locked after the mutexes of connections and pipes
 	listeners   map[string]*listener   // by address
 	packetConns map[string]*packetConn // by address
 	conns       map[*conn]bool
 	blocked     map[link]bool
-	down        map[string]bool // machines without power
-	frozen      map[string]bool
-	lossRates   map[link]float64 // the fraction of what is sent whose connection breaks instead
-	port        int              // of the last connection that was dialled
+	down        map[string]bool  // by IP address: the machine is powered off
+	frozen      map[string]bool  // by IP address
+	lossRates   map[link]float64 // fraction of writes that are dropped and reset their connection
+	port        int              // determines the local port of the last dialed connection
 	rng         random.Source
-	SentBytes   map[link]int64
+	SentBytes   map[link]int64 // bytes sent over connections and in datagrams
 }
 
-// NewNetwork makes a network without faults.
+// NewNetwork creates a network without faults. The delay function takes the IP addresses of sender and receiver; seed determines which
+// writes, datagrams and connections are lost.
 func NewNetwork(delay func(a, b string) time.Duration, seed uint64) *Network {
 	return &Network{
 		Delay:       delay,
@@ -61,19 +62,19 @@
 	}
 }
 
-// SetPartition partitions or joins two machines, both ways.
+// SetPartition blocks or unblocks both directions between two machines.
 func (n *Network) SetPartition(a, b string, blocked bool) {
 	n.setBlocked(blocked, link{a, b}, link{b, a})
 }
 
-// SetOneWayPartition partitions or joins one direction between two machines: what the first sends doesn't reach the other. As nothing
-// that the other sends is acknowledged either, that gives up after AckTimeout.
+// SetOneWayPartition blocks or unblocks the direction from one machine to another. While it is blocked, data in the reverse direction
+// arrives but is not acknowledged, so that its sender aborts the connection after AckTimeout.
 func (n *Network) SetOneWayPartition(from, to string, blocked bool) {
 	n.setBlocked(blocked, link{from, to})
 }
 
-// Freeze stops a machine's traffic, or resumes it. Others give up what it doesn't acknowledge; what it had sent itself is buffered
-// and goes out when it resumes. Its processes' timers run on all the same.
+// Freeze stops a machine's traffic, or resumes it. Other machines abort connections to a frozen machine after AckTimeout; data that the
+// frozen machine sends is buffered and sent when it resumes. Its processes keep running, and so do their timers.
 func (n *Network) Freeze(ip string, frozen bool) {
 	n.mu.Lock()
 	if frozen {
@@ -87,7 +88,7 @@
 	}
 }
 
-// setBlocked blocks directions, or unblocks them and resumes the connections that are no longer held up.
+// setBlocked blocks links, or unblocks them and resumes all connections that are no longer blocked.
 func (n *Network) setBlocked(blocked bool, directions ...link) {
 	n.mu.Lock()
 	for _, direction := range directions {
@@ -106,7 +107,7 @@
 	}
 }
 
-// ResetConnections resets a drawn fraction of a machine's connections, and returns how many; both ends see the reset.
+// ResetConnections resets a random fraction of a machine's connections and returns their number. Both ends see the reset.
 func (n *Network) ResetConnections(ip string, fraction float64) (count int) {
 	n.mu.Lock()
 	conns := n.allConns()
@@ -120,8 +121,8 @@
 	return len(conns)
 }
 
-// SetLoss sets the fraction of what one machine sends another that is lost, 0 for none: the connection breaks in its place, so that
-// a call was executed and its answer never comes.
+// SetLoss sets the fraction of writes from one machine to another that are lost; 0 disables losses. A lost write resets its connection,
+// so that a caller may miss the reply to a call that was executed.
 func (n *Network) SetLoss(from, to string, fraction float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -131,7 +132,7 @@
 	}
 }
 
-// dropsNext draws whether the next segment is lost.
+// dropsNext reports whether the next write on a link is to be lost, chosen at random with the link's loss rate.
 func (n *Network) dropsNext(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -139,7 +140,7 @@
 	return lossy && n.rng.Float64() < fraction
 }
 
-// ReceivedBytes returns how many bytes other machines have sent to a machine.
+// ReceivedBytes returns the number of bytes that other machines have sent to a machine, including lost ones.
 func (n *Network) ReceivedBytes(ip string) (total int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -151,7 +152,7 @@
 	return total
 }
 
-// allConns returns the connections; n.mu is held.
+// allConns returns both ends of all connections in random order; n.mu must be held.
 func (n *Network) allConns() (all []*conn) {
 	for c := range n.conns {
 		all = append(all, c)
@@ -159,7 +160,7 @@
 	return all
 }
 
-// SetPoweredOff cuts a machine's power, or restores it. Its connections are lost, and their other ends do not see that.
+// SetPoweredOff powers a machine off or on. Powering off ends the machine's connections without notice to the other ends.
 func (n *Network) SetPoweredOff(ip string, off bool) {
 	n.mu.Lock()
 	if off {
@@ -176,10 +177,10 @@
 	}
 }
 
-// isBlocked reports whether nothing gets from one machine to another now; n.mu is held.
+// isBlocked reports whether traffic from one machine to another is blocked; n.mu must be held.
 func (n *Network) isBlocked(from, to string) bool {
 	return n.blocked[link{from, to}] || n.down[from] || n.down[to] || n.frozen[from] || n.frozen[to]
 }
 
-// Process returns the network for a process on the machine of an IP address.
+// Process returns the network interface for one run of a process on the machine with this IP address.
 func (n *Network) Process(ip string) *Process { return &Process{network: n, ip: ip} }
--- a/internal/lab/simulation/packetconn.go
+++ b/internal/lab/simulation/packetconn.go
@@ -8,10 +8,8 @@
 	"time"
 )
 
-// datagramLoss is the fraction of datagrams that are lost.
-const datagramLoss = 0.02
+const datagramLoss = 0.02 // fraction of datagrams that are lost
 
-// datagram is one packet.
 type datagram struct {
 	raw  []byte
 	from *net.UDPAddr
@@ -37,11 +35,11 @@
 	}
 }
 
-// WriteTo sends a datagram; one that is lost, or that the receiver has no room for, is no error.
+// WriteTo sends a datagram. It returns no error if the datagram is lost or the receiver's buffer is full.
 func (c *packetConn) WriteTo(b []byte, to net.Addr) (int, error) {
 	remote, ok := to.(*net.UDPAddr)
 	if !ok {
-		return 0, fmt.Errorf("%v: no UDP address", to)
+		return 0, fmt.Errorf("destination %v is not a UDP address", to)
 	}
 	from, ip := c.addr.IP.String(), remote.IP.String()
 	c.network.mu.Lock()
@@ -57,7 +55,7 @@
 	return len(b), nil
 }
 
-// deliver hands a datagram to the socket of an address; it is lost if there is none or its buffer is full.
+// deliver passes a datagram to the socket bound to an address. It drops the datagram if there is none or its buffer is full.
 func (n *Network) deliver(address string, d datagram) {
 	n.mu.Lock()
 	target := n.packetConns[address]
--- a/internal/lab/simulation/pipe.go
+++ b/internal/lab/simulation/pipe.go
@@ -8,27 +8,28 @@
 	"time"
 )
 
-// segment is some bytes in flight, or the end of the stream.
+// segment is a chunk of data in flight, or the end of the stream.
 type segment struct {
 	data      []byte
-	arrivesAt time.Time // zero while a partition holds them up
+	arrivesAt time.Time // zero while held up by a blocked link
 	fin       bool
 }
 
 // pipe is one direction of a connection.
 type pipe struct {
-	mu         sync.Mutex // guards all of it
-	changed    *sync.Cond // of whatever a reader or writer waits for
+	mu         sync.Mutex // guards all fields
+	changed    *sync.Cond // signaled when a waiting reader or writer must check its condition again
 	segments   []segment
 	buffered   int       // bytes in segments
-	err        error     // of the reader
-	readerLost bool      // the reader's machine lost power, which the writer doesn't see
-	deadline   time.Time // of the reader
+	err        error     // first failure; reads return it, and writes fail with EPIPE
+	readerLost bool      // the reader's machine lost power, unknown to the writer
+	deadline   time.Time // for reads; zero for none
 	timer      *time.Timer
-	firesAt    time.Time // when timer does
+	firesAt    time.Time // time at which timer fires
 }
 
-// wakeAt wakes all waiters at a time. A reader and a writer may wait, so an earlier time that is set is kept. p.mu is held.
+// wakeAt wakes all waiters at time at, unless the timer fires earlier: a reader and a writer may both be waiting, and each sets the
+// timer again after it wakes up. p.mu must be held.
 func (p *pipe) wakeAt(at time.Time) {
 	if p.timer != nil {
 		if now := time.Now(); p.firesAt.After(now) && at.After(p.firesAt) {
@@ -44,7 +45,7 @@
 	})
 }
 
-// fail ends the pipe for both its ends; the first error counts.
+// fail ends the pipe for its reader and its writer. Only the first error is kept.
 func (p *pipe) fail(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,15 +55,15 @@
 	p.changed.Broadcast()
 }
 
-// readable reports whether a read would not wait; p.mu is held.
+// readable reports whether read would return without waiting, apart from its deadline; p.mu must be held.
 func (p *pipe) readable() bool {
 	return p.err != nil || p.readerLost || p.nextArrives() && !p.segments[0].arrivesAt.After(time.Now())
 }
 
-// nextArrives reports whether there is a segment that has arrived or will; p.mu is held.
+// nextArrives reports whether there is a first segment with an arrival time, past or future; p.mu must be held.
 func (p *pipe) nextArrives() bool { return len(p.segments) > 0 && !p.segments[0].arrivesAt.IsZero() }
 
-// read waits until something has arrived, the pipe has failed or the deadline has passed.
+// read blocks until data or the end of the stream has arrived, the pipe has failed or the deadline has passed.
 func (p *pipe) read(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/simulation/process.go
+++ b/internal/lab/simulation/process.go
@@ -10,23 +10,24 @@
 )
 
 const (
-	dialRetryInterval = 200 * time.Millisecond // while the way is blocked
+	dialRetryInterval = 200 * time.Millisecond // while the link is blocked
 	listenBacklog     = 512                    // connections
 	packetBacklog     = 256                    // datagrams
 )
 
-// Process is the network as one process uses it.
+// Process is the network interface of one process. It implements the network that control processes and proxies use.
 type Process struct {
 	network *Network
 	ip      string
 
-	mu      sync.Mutex // guards what follows; it may be taken while network.mu is held
+	mu      sync.Mutex // guards the fields below; may be locked while network.mu is held
 	killed  bool
 	closers []io.Closer // listeners and packet connections
 	conns   []*conn
 }
 
-// Kill closes all that the process had open, as the operating system does for a process that has ended.
+// Kill closes all listeners and sockets of the process and resets its connections, as the operating system does when a process
+// terminates.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	p.killed = true
@@ -40,7 +41,7 @@
 	}
 }
 
-// addConn makes a connection one of the process; it is reset at once if the process was killed meanwhile.
+// addConn registers a connection of the process, or resets it if the process has been killed.
 func (p *Process) addConn(c *conn) {
 	p.mu.Lock()
 	killed := p.killed
@@ -51,7 +52,7 @@
 	}
 }
 
-// Listen listens on a TCP address.
+// Listen listens on a TCP address. Addresses are not checked against the machine's IP address.
 func (p *Process) Listen(address string) (net.Listener, error) {
 	bindAddr, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
@@ -77,7 +78,8 @@
 	return ln, nil
 }
 
-// Dial opens a connection. While the way is blocked it retries until the context ends, as TCP does.
+// Dial opens a TCP connection. While the link is blocked in either direction it retries until ctx is done, as TCP does. It returns
+// ECONNREFUSED if nothing listens on the address or the listener's backlog is full.
 func (p *Process) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	to, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
@@ -109,7 +111,7 @@
 	return p.network.isBlocked(p.ip, ip) || p.network.isBlocked(ip, p.ip)
 }
 
-// connect opens a connection to an address if a process listens there.
+// connect opens a connection to an address that a process listens on.
 func (p *Process) connect(to *net.TCPAddr, address string) (net.Conn, error) {
 	network := p.network
 	network.mu.Lock()
@@ -158,7 +160,7 @@
 	return c, nil
 }
 
-// listener is a net.Listener of a process.
+// listener accepts TCP connections for a process.
 type listener struct {
 	network *Network
 	process *Process
@@ -191,7 +193,7 @@
 	return nil
 }
 
-// resetBacklog resets the connections that nobody has accepted.
+// resetBacklog resets the connections that have not been accepted.
 func (l *listener) resetBacklog() {
 	for {
 		select {
--- a/internal/lab/simulation/proxynode.go
+++ b/internal/lab/simulation/proxynode.go
@@ -8,17 +8,17 @@
 	"portflow/internal/proxy"
 )
 
-// ProxyNode is a proxy process.
+// ProxyNode is a proxy process and the settings that it starts with.
 type ProxyNode struct {
 	cluster   *Cluster
 	Settings  settings.Settings
-	ClockSkew time.Duration // of its machine's clock, from its next start on
-	Running   *proxy.Proxy
+	ClockSkew time.Duration // skew of the machine's clock; a change takes effect at the next Start
+	Running   *proxy.Proxy  // the last started proxy; nil before the first Start
 	process   *Process
 	cancel    context.CancelFunc // nil while the process is down
 }
 
-// Start starts the process.
+// Start starts the proxy, which must not be running.
 func (n *ProxyNode) Start() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.process = n.cluster.Network.Process(n.Settings.IP)
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// Kill ends the process at once.
+// Kill terminates the process immediately. It does nothing if the process is down.
 func (n *ProxyNode) Kill() {
 	n.cluster.mu.Lock()
 	cancel := n.cancel
--- a/internal/lab/simulation/traffic.go
+++ b/internal/lab/simulation/traffic.go
@@ -13,20 +13,20 @@
 
 const (
 	clientTimeout  = 2500 * time.Millisecond
-	timeRemaining  = "2000" // milliseconds, that clients send with a request
-	brokenOutcome  = "broken"
+	timeRemaining  = "2000"   // milliseconds; value of the Time-Remaining header in clients' requests
+	brokenOutcome  = "broken" // no complete response
 	successOutcome = "200"
 )
 
-// Tally counts how requests ended.
+// Tally counts the outcomes of requests. Its zero value is ready to use.
 type Tally struct {
-	mu         sync.Mutex // guards all of it
+	mu         sync.Mutex // guards all fields
 	Requests   int
 	Succeeded  int
-	Outcomes   map[string]int // by status, and "broken" for those without a complete answer
-	Slowest    time.Duration  // of those that succeeded
-	latencies  []time.Duration
-	RateLimits map[string]string // by proxy: the last RateLimit header that it sent
+	Outcomes   map[string]int    // by HTTP status, or "broken" without a complete response
+	Slowest    time.Duration     // highest latency of a successful request
+	latencies  []time.Duration   // of successful requests
+	RateLimits map[string]string // by proxy address: last RateLimit header received
 }
 
 func (t *Tally) recordRateLimit(proxyAddress, limit string) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// record counts one request.
+// record adds the outcome and latency of one request.
 func (t *Tally) record(outcome string, latency time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -56,7 +56,7 @@
 	}
 }
 
-// p99 returns the 99th percentile of the latencies of requests that succeeded.
+// p99 returns the 99th percentile latency of successful requests, or zero without any.
 func (t *Tally) p99() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,15 +67,15 @@
 	return t.latencies[len(t.latencies)*99/100]
 }
 
-// Counts returns how many requests succeeded, of how many, and a description of all outcomes.
+// Counts returns the number of successful requests, the number of all requests, and a description of the outcomes.
 func (t *Tally) Counts() (succeeded, requests int, outcomes string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.Succeeded, t.Requests, fmt.Sprintf("%v, slowest %v", t.Outcomes, t.Slowest)
 }
 
-// GenerateTraffic sends requests for a route from a zone's clients at a mean rate, for a duration; each request is one attempt. The
-// goroutines that it starts end a client's timeout after that.
+// GenerateTraffic sends requests for a route from clients in a zone, at a mean rate and for a duration. Each request has its own attempt
+// ID, and clients don't retry. It returns immediately; its goroutines end at most clientTimeout after the last request was sent.
 func (cl *Cluster) GenerateTraffic(tally *Tally, zoneIndex int, route Route, perSecond float64, duration time.Duration) {
 	cl.background.Go(func() {
 		process := cl.Network.Process(fmt.Sprintf("10.%d.200.1", zoneIndex+1))
@@ -93,14 +93,15 @@
 	})
 }
 
-// drawGap draws the time between two requests: its mean by half less or more.
+// drawGap returns a random interval between two requests, uniform within 50% of the mean.
 func (cl *Cluster) drawGap(perSecond float64) time.Duration {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	return time.Duration(float64(time.Second) / perSecond * (0.5 + cl.rng.Float64()))
 }
 
-// pickProxy draws a ready proxy of a zone, or of all zones if that has none, as the directory does.
+// pickProxy returns the address of a random ready proxy of a zone, or of any zone if the zone has none, as the directory does. If no
+// proxy is ready, it returns the first one.
 func (cl *Cluster) pickProxy(zoneIndex int) string {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -123,7 +124,7 @@
 	return all[int(cl.rng.Float64()*float64(len(all)))]
 }
 
-// sendRequest sends one request and records how it ended.
+// sendRequest sends one request and records its outcome. A successful response must name the request's attempt ID.
 func (cl *Cluster) sendRequest(tally *Tally, client *http.Client, address string, route Route, id string) {
 	req := newRequest(address, route, id)
 	start := time.Now()
@@ -141,13 +142,13 @@
 	}
 	latency := time.Since(start)
 	if outcome == successOutcome && !strings.HasSuffix(string(body), " ran "+id) {
-		cl.violation("MIXED: %s got %q", id, body)
+		cl.violation("MIXED: attempt %s received the response %q", id, body)
 	}
 	cl.recordOutcome(id, outcome)
 	tally.record(outcome, latency)
 }
 
-// newRequest makes the request of an attempt.
+// newRequest creates the HTTP request for a route and attempt ID.
 func newRequest(address string, route Route, id string) *http.Request {
 	method := http.MethodGet
 	if !route.Idempotent {
@@ -155,7 +156,7 @@
 	}
 	req, err := http.NewRequest(method, "http://"+address+route.Prefix+"x", nil)
 	if err != nil {
-		panic(err) // the route of a test is no URL
+		panic(err) // the route's prefix does not form a valid URL
 	}
 	req.Host = siteName
 	req.Header.Set("Attempt-Id", id)
--- a/internal/lab/simulation/verify.go
+++ b/internal/lab/simulation/verify.go
@@ -7,14 +7,16 @@
 	"time"
 )
 
-// The bound on requests that arrive at hosts again: in any window, a fraction of its requests and some more.
+// Limit on reattempts: within reattemptWindow, at most reattemptRatio times the requests plus reattemptSlack attempts may arrive at hosts
+// again.
 const (
 	reattemptWindow = 10 * time.Second
 	reattemptRatio  = 0.2
 	reattemptSlack  = 64
 )
 
-// Verify checks what happened against the rules once all has ended, and returns all violations, sorted.
+// Verify checks the recorded requests and executions against the invariants and returns all violations in sorted order, including those
+// recorded earlier. It must be called once, after all traffic has ended.
 func (cl *Cluster) Verify() []string {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -26,15 +28,15 @@
 	return cl.Violations
 }
 
-// broken records a broken rule; cl.mu is held.
+// violationLocked is violation for callers that hold cl.mu.
 func (cl *Cluster) violationLocked(format string, args ...any) {
 	cl.Violations = append(cl.Violations, fmt.Sprintf(format, args...))
 }
 
-// isSafe reports whether an attempt is one of a safe route, which may run more than once.
+// isSafe reports whether an attempt belongs to a safe route, whose requests may run more than once.
 func isSafe(id string) bool { return strings.HasPrefix(id, "safe") }
 
-// verifyRefused checks that no unsafe request ran whose answer says that it did not; cl.mu is held.
+// verifyRefused checks that no unsafe request ran whose status tells the client that it did not; cl.mu must be held.
 func (cl *Cluster) verifyRefused() {
 	for id, n := range cl.executions {
 		if isSafe(id) || n == 0 {
@@ -42,30 +44,32 @@
 		}
 		switch outcome := cl.outcomes[id]; outcome {
 		case "503", "429", "408", "421":
-			cl.violationLocked("REFUSED: %s got %s and ran", id, outcome)
+			cl.violationLocked("REFUSED: attempt %s was rejected with status %s, but ran", id, outcome)
 		}
 	}
 }
 
-// verifyRanOnce checks that no unsafe request ran more than once; cl.mu is held.
+// verifyRanOnce checks that no unsafe request ran more than once; cl.mu must be held.
 func (cl *Cluster) verifyRanOnce() {
 	for id, n := range cl.executions {
 		if !isSafe(id) && n > 1 {
-			cl.violationLocked("TWICE: %s ran %d times", id, n)
+			cl.violationLocked("TWICE: unsafe attempt %s ran %d times", id, n)
 		}
 	}
 }
 
-// verifySent checks that no request ran that no client sent; cl.mu is held.
+// verifySent checks that each attempt that ran was sent by a client; cl.mu must be held.
 func (cl *Cluster) verifySent() {
 	for id := range cl.executions {
 		if _, sent := cl.outcomes[id]; !sent {
-			cl.violationLocked("UNASKED: %s ran, and no client sent it", id)
+			cl.violationLocked("UNASKED: attempt %s ran, but no client sent it", id)
 		}
 	}
 }
 
-// verifyReattempts checks the bound on reattempts in the windows that begin with one; cl.mu is held.
+// verifyReattempts checks the limit on reattempts in each window that begins with a reattempt. The limit follows from the highest
+// number of requests in three windows: one that begins at the same time, half a window earlier, or a full window earlier. It records
+// at most one violation. cl.mu must be held.
 func (cl *Cluster) verifyReattempts() {
 	for i, start := range cl.reattempts {
 		requests := max(
@@ -75,13 +79,13 @@
 		)
 		n := countWithin(cl.reattempts[i:], start)
 		if float64(n) > reattemptRatio*float64(requests)+reattemptSlack {
-			cl.violationLocked("BUDGET: %d came again within ten seconds, of %d requests", n, requests)
+			cl.violationLocked("BUDGET: %d reattempts arrived within ten seconds, with %d requests", n, requests)
 			return
 		}
 	}
 }
 
-// countWithin counts the times within a window that begins at from.
+// countWithin counts the times in the window of length reattemptWindow that begins at from.
 func countWithin(all []time.Time, from time.Time) (n int) {
 	for _, at := range all {
 		if !at.Before(from) && at.Sub(from) < reattemptWindow {
