--- a/internal/lab/simulation/cluster.go
+++ b/internal/lab/simulation/cluster.go
@@ -59,7 +59,7 @@
 	background sync.WaitGroup // goroutines of hosts and clients; Stop waits for them
 
 	mu          sync.Mutex        // guards the fields below and the nodes' settings and state
-	executions  map[string]int    // by attempt
+	executions  map[string]int    // by attempt ID
 	arrived     map[string]bool   // by attempt ID: some host has received the attempt
 	outcomes    map[string]string // by attempt ID: HTTP status that the client received, or brokenOutcome
 	requests    []time.Time       // send times of clients' requests
--- a/internal/lab/simulation/cluster_test.go
+++ b/internal/lab/simulation/cluster_test.go
@@ -38,8 +38,8 @@
 	}, 0.95)
 }
 
-// A control process loses its disk right after it acknowledged a change, and all others lose power: the change is still there, and
-// the process without a disk counts towards the quorum only once it has the state again.
+// A change must survive if the control process that acknowledged it loses its disk and all others lose power. The process with the
+// wiped disk must not count towards the quorum before it has caught up.
 func TestWipedAfterAcknowledging(t *testing.T) {
 	playScenario(t, smallLayout, 14*time.Second, func(c *qt.C, cluster *Cluster) {
 		changed := unsafeRoute
@@ -57,7 +57,7 @@
 		time.Sleep(time.Second)
 		c.Assert(cluster.Controls[by].Start(), qt.IsNil)
 		time.Sleep(time.Second)
-		c.Check(cluster.Controls[by].Status(), qt.Equals, "adrift") // alone it knows nothing
+		c.Check(cluster.Controls[by].Status(), qt.Equals, "adrift") // it has no state and no peer to catch up from
 		for i, node := range cluster.Controls {
 			if i != by {
 				c.Assert(node.Start(), qt.IsNil)
@@ -76,8 +76,8 @@
 	}, 0.5)
 }
 
-// A control process is partitioned from the others and comes back: it accepts no changes meanwhile, and must not report on hosts
-// that send their heartbeats elsewhere. Its hosts go on to others, so that all stay known.
+// A control process that is partitioned from the others must not accept changes, and after the partition it must not report outdated
+// states of hosts. Hosts of its zone send their heartbeats to other control processes meanwhile, so that all hosts stay usable.
 func TestControlProcessCutOff(t *testing.T) {
 	layout := smallLayout
 	layout.Zones = 6
@@ -105,8 +105,8 @@
 	}, 0.96)
 }
 
-// A version whose answers fail is rolled back, and a good one is completed by its term, with a control process lost in the
-// middle; nothing reaches a version that is neither settled nor on trial.
+// A version whose requests fail must be rolled back, and a healthy one completed in time, though a control process fails during the
+// rollout. The new version must not receive requests before its rollout begins, and only a limited number during it.
 func TestRollouts(t *testing.T) {
 	for name, bad := range map[string]bool{"good": false, "bad": true} {
 		t.Run(name, func(t *testing.T) {
@@ -119,12 +119,12 @@
 				}
 				time.Sleep(2 * time.Second)
 				for _, host := range trial {
-					c.Check(host.Executions(), qt.Equals, 0, qt.Commentf("before the order"))
+					c.Check(host.Executions(), qt.Equals, 0, qt.Commentf("before the rollout"))
 				}
 				status, _, _ := cluster.Call("rollouts.begin", "", []byte(`{"service":"desk","target-version":"v2","duration-s":14}`), 2*time.Second, 1)
 				c.Assert(status, qt.Equals, 200)
 				time.Sleep(5 * time.Second)
-				reports := 0 // by routers that vote: control shows what they go by
+				reports := 0 // reports of voting proxies, with the outcomes that their votes are based on
 				for i := range cluster.Controls {
 					_, _, reply := cluster.Call("harbour.read", "", nil, time.Second, i)
 					var s server.ClusterStatus
@@ -137,14 +137,14 @@
 						}
 					}
 				}
-				c.Check(reports >= 2, qt.IsTrue, qt.Commentf("%d judges", reports))
+				c.Check(reports >= 2, qt.IsTrue, qt.Commentf("got %d reports of voting proxies, want at least 2", reports))
 				cluster.Controls[0].Kill()
 				time.Sleep(4 * time.Second)
 				runs := 0
 				for _, host := range trial {
 					runs += host.Executions()
 				}
-				c.Check(runs > 5 && runs < 90, qt.IsTrue, qt.Commentf("%d on trial", runs))
+				c.Check(runs > 5 && runs < 90, qt.IsTrue, qt.Commentf("got %d executions by the new version, want 6 to 89", runs))
 				time.Sleep(5 * time.Second)
 				_, _, reply := cluster.Call("rollouts.read", "desk", nil, 2*time.Second, 2)
 				want := map[bool]string{false: "completed", true: "rolled_back"}[bad]
@@ -154,13 +154,13 @@
 	}
 }
 
-// A host that fails most requests while its heartbeats are good is ejected by what all proxies of its zone observe, gets no
-// requests until its probation, and is used like others once it is healthy. One proxy alone observes too little: it only avoids the
-// host. All clocks may differ.
+// A host that fails most requests, although its heartbeats report it as ready, must be ejected based on the combined observations of the
+// zone's proxies, as each proxy alone observes too few requests. It must get no requests until its probation, and must be used again
+// once it is healthy. Skewed clocks must not change this.
 func TestPartlyFailingHost(t *testing.T) {
 	layout := Layout{Zones: 3, ProxiesPerZone: 8, HostsPerZone: 4, Services: []string{"desk"}, ServiceTime: 80 * time.Millisecond, Concurrency: 3, Rate: 20, Seed: 5}
 	for _, layout.SkewClocks = range []bool{false, true} {
-		t.Run(fmt.Sprint("apart ", layout.SkewClocks), func(t *testing.T) { playFailingHost(t, layout) })
+		t.Run(fmt.Sprint("skewed clocks ", layout.SkewClocks), func(t *testing.T) { playFailingHost(t, layout) })
 	}
 }
 
@@ -191,20 +191,20 @@
 		for state() != "ready, set aside" && time.Since(start) < 8*time.Second {
 			time.Sleep(100 * time.Millisecond)
 		}
-		c.Check(time.Since(start) < 5*time.Second, qt.IsTrue, qt.Commentf("set aside after %v", time.Since(start)))
+		c.Check(time.Since(start) < 5*time.Second, qt.IsTrue, qt.Commentf("ejected after %v, want less than 5s", time.Since(start)))
 		setFailRate(0)
 		time.Sleep(300 * time.Millisecond)
 		ran := host.Executions()
 		time.Sleep(2 * time.Second)
-		c.Check(host.Executions(), qt.Equals, ran, qt.Commentf("while it is set aside"))
+		c.Check(host.Executions(), qt.Equals, ran, qt.Commentf("executions while the host is ejected"))
 		time.Sleep(6 * time.Second)
 		c.Check(state(), qt.Equals, "ready")
-		c.Check(host.Executions() > ran+5, qt.IsTrue, qt.Commentf("%d after %d", host.Executions(), ran))
+		c.Check(host.Executions() > ran+5, qt.IsTrue, qt.Commentf("got %d executions after the ejection, want more than 5 above %d", host.Executions(), ran))
 	}, 0.97)
 }
 
-// A zone comes back cold while its proxies restart: from all proxies together its hosts get no more than they bear, though the
-// proxies' shares change hands. With the last two seeds all clocks differ.
+// The hosts of a zone return cold while the zone's proxies restart: together, the proxies must not exceed the request rate limit of the
+// cold hosts, although their quotas are reallocated. The last two seeds use skewed clocks.
 func TestZoneReturnsCold(t *testing.T) {
 	layout := smallLayout
 	layout.ProxiesPerZone, layout.Rate, layout.ServiceTime = 3, 16, 40*time.Millisecond
@@ -236,8 +236,8 @@
 	}
 }
 
-// What a client sends wrong gets its answer and no more than its time, and others are not delayed by it; foreign bytes on
-// the internal ports are dropped and counted.
+// Malformed client requests must get the right error status in bounded time without delaying other requests. Malformed frames on the
+// internal ports must be dropped and counted, and malformed calls rejected.
 func TestBadInput(t *testing.T) {
 	playScenario(t, smallLayout, 20*time.Second, func(c *qt.C, cluster *Cluster) {
 		px := cluster.Proxies[0]
@@ -247,25 +247,25 @@
 			raw  string
 			want string
 		}{
-			"fine":               {"GET /look/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: safe-1\r\n\r\n", "200"},
-			"no route":           {"GET /nowhere HTTP/1.1\r\nHost: desk.example\r\n\r\n", "404"},
-			"no host":            {"GET /look/x HTTP/1.1\r\n\r\n", "400"},
-			"no HTTP":            {"what is this\r\n\r\n", "400"},
-			"time is no number":  {"GET /look/x HTTP/1.1\r\nHost: desk.example\r\nTime-Remaining: soon\r\n\r\n", "400"},
-			"two lengths":        {"POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc", "400"},
-			"one length twice":   {"POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nab", "400"},
-			"length and chunks":  {"POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
-			"a body too long":    {"POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nContent-Length: 99999999\r\n\r\nab", "413"},
-			"a head too long":    {"GET /look/x HTTP/1.1\r\nHost: desk.example\r\nX: " + long + "\r\n\r\n", "431"},
-			"broken chunks":      {"POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "400"},
-			"half a head":        {"GET /look/x HT", "400"},
-			"half a body":        {"POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nContent-Length: 20\r\n\r\nab", "400"},
-			"nothing":            {"", "end"},
-			"unknown coding":     {"POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nTransfer-Encoding: gzip\r\n\r\nab", "501"},
-			"space in the field": {"GET /look/x HTTP/1.1\r\nHost : desk.example\r\n\r\n", "400"},
+			"fine":                        {"GET /look/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: safe-1\r\n\r\n", "200"},
+			"no route":                    {"GET /nowhere HTTP/1.1\r\nHost: desk.example\r\n\r\n", "404"},
+			"no host":                     {"GET /look/x HTTP/1.1\r\n\r\n", "400"},
+			"not HTTP":                    {"what is this\r\n\r\n", "400"},
+			"Time-Remaining not a number": {"GET /look/x HTTP/1.1\r\nHost: desk.example\r\nTime-Remaining: soon\r\n\r\n", "400"},
+			"conflicting lengths":         {"POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc", "400"},
+			"repeated length":             {"POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nab", "400"},
+			"length and chunked coding":   {"POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
+			"body too long":               {"POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nContent-Length: 99999999\r\n\r\nab", "413"},
+			"header too long":             {"GET /look/x HTTP/1.1\r\nHost: desk.example\r\nX: " + long + "\r\n\r\n", "431"},
+			"malformed chunk size":        {"POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "400"},
+			"truncated header":            {"GET /look/x HT", "400"},
+			"truncated body":              {"POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nContent-Length: 20\r\n\r\nab", "400"},
+			"nothing":                     {"", "end"},
+			"unknown transfer coding":     {"POST /issue/x HTTP/1.1\r\nHost: desk.example\r\nTransfer-Encoding: gzip\r\n\r\nab", "501"},
+			"space after the field name":  {"GET /look/x HTTP/1.1\r\nHost : desk.example\r\n\r\n", "400"},
 		} {
 			cluster.mu.Lock()
-			cluster.outcomes["safe-1"] = "200" // asked by hand
+			cluster.outcomes["safe-1"] = "200" // sent below, not by GenerateTraffic
 			cluster.mu.Unlock()
 			start := time.Now()
 			conn, err := p.Dial(context.Background(), "tcp", px.Settings.ListenAddresses["front"])
@@ -295,8 +295,8 @@
 	}, 0.99)
 }
 
-// A long answer is passed on as it comes, a little of it at a time in memory; one that breaks off never looks complete, and
-// is not asked for again elsewhere.
+// A long response must reach the client completely. If the host aborts it, the client must see the truncation, and the request must not
+// be retried at another host.
 func TestLongResponses(t *testing.T) {
 	for _, abortAfter := range []int{0, 3 << 20} {
 		playScenario(t, smallLayout, 4*time.Second, func(c *qt.C, cluster *Cluster) {
@@ -331,8 +331,8 @@
 	}
 }
 
-// A configuration that is accepted while control processes still connect to each other is in force everywhere within a second, also
-// at a control process that the change itself did not reach.
+// A configuration change that is accepted while the control processes are still connecting to each other must reach all proxies within
+// about a second, including those whose control process missed the change itself.
 func TestChangeWhileStreamsConnect(t *testing.T) {
 	for seed := range uint64(12) {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/lab/simulation/corehelpers_test.go
+++ b/internal/lab/simulation/corehelpers_test.go
@@ -18,19 +18,19 @@
 	"portflow/internal/control/server"
 )
 
-// steadyWriter sends one small change after another, and records which were confirmed and when: what was confirmed must be there at
-// the end, and the longest gap is what a change of members cost its callers.
+// steadyWriter sends one small configuration change after another and records which were confirmed, and when. Confirmed changes must
+// not be lost, and the longest gap shows for how long a membership change blocked writes.
 type steadyWriter struct {
 	cluster     *Cluster
 	mu          sync.Mutex
-	confirmed   [writerRoutes]uint64 // the highest version of each route
-	sent        [writerRoutes]uint64
+	confirmed   [writerRoutes]uint64 // highest confirmed version by route
+	sent        [writerRoutes]uint64 // highest sent version by route
 	confirmedAt []time.Time
 	stop        chan bool
 	done        chan bool
 }
 
-// longestGap returns the longest time without a confirmed change since a time.
+// longestGap returns the longest interval without a confirmed change between from and now.
 func (w *steadyWriter) longestGap(from time.Time) (longest time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -45,7 +45,7 @@
 
 func (w *steadyWriter) close() { close(w.stop); <-w.done }
 
-// checkConfirmed checks that a process has all that was confirmed.
+// checkConfirmed checks that a control process has the confirmed version, or a newer version that was sent, of each route.
 func (w *steadyWriter) checkConfirmed(c *qt.C, control int) {
 	_, raw := w.cluster.callOne(control, "configuration.read", nil)
 	for route, version := range w.confirmed {
@@ -57,7 +57,7 @@
 		if match != nil {
 			stored, _ = strconv.ParseUint(string(match[1]), 10, 64)
 		}
-		c.Check(stored >= version && stored <= w.sent[route], qt.IsTrue, qt.Commentf("at %d: route %d stands at %d, confirmed %d, sent %d", control, route, stored, version, w.sent[route]))
+		c.Check(stored >= version && stored <= w.sent[route], qt.IsTrue, qt.Commentf("control process %d, route %d: got version %d, want at least %d (confirmed) and at most %d (sent)", control, route, stored, version, w.sent[route]))
 	}
 }
 
@@ -93,7 +93,8 @@
 	return writer
 }
 
-// callOne makes one call to one process.
+// callOne sends one call to one control process, without a retry. The status is 0 and the reply is the error's text if there is no
+// response.
 func (cl *Cluster) callOne(at int, call string, body any) (int, []byte) {
 	raw := []byte(nil)
 	if body != nil {
@@ -128,12 +129,13 @@
 	return lo.Map(all, func(x server.CoreMember, _ int) string { return x.Name })
 }
 
-// waitUntil waits for a condition and returns how long that took; the test fails after the limit.
+// waitUntil waits for a condition and returns the time that took. If the condition is still false after limit, the test is marked as
+// failed and goes on.
 func waitUntil(c *qt.C, limit time.Duration, label string, condition func() bool) time.Duration {
 	start := time.Now()
 	for !condition() {
 		if time.Since(start) > limit {
-			c.Errorf("%s: not within %v", label, limit)
+			c.Errorf("%s: condition not met within %v", label, limit)
 			return limit
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -141,7 +143,8 @@
 	return time.Since(start)
 }
 
-// withControls runs a scenario on a cluster of control processes alone, one in each zone.
+// withControls runs a scenario in virtual time on a cluster that has only control processes, one in each zone, once all of them are
+// voting members.
 func withControls(t *testing.T, zones int, seed uint64, scenario func(c *qt.C, cluster *Cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -150,7 +153,7 @@
 		defer cluster.Stop()
 		time.Sleep(2 * time.Second)
 		configure(c, cluster, cluster.ChangeBody(true, safeRoute), 0)
-		waitUntil(c, 10*time.Second, "all are members", func() bool {
+		waitUntil(c, 10*time.Second, "all control processes are voting members", func() bool {
 			return len(cluster.coreStatus(0).Members) == zones && cluster.coreStatus(0).Tolerates == zones-zones/2-1
 		})
 		scenario(c, cluster)
@@ -161,11 +164,11 @@
 
 var replacementRuns = flag.Int("replacements", 0, "drawn replacements and starts of the core to play, instead of a few")
 
-// converged reports whether all running processes have the same members and index, a quorum, and have caught up; no change may be
-// sent meanwhile.
+// converged reports whether all running control processes are connected to a quorum, have caught up, and agree on the epoch and the
+// index, with a member list of the given length. No change may be sent meanwhile.
 func (cl *Cluster) converged(members int) bool { return cl.sameMembership(members, true) }
 
-// sameMembership is converged with the index compared or not.
+// sameMembership is like converged, but compares the index only if compareIndex is set.
 func (cl *Cluster) sameMembership(members int, compareIndex bool) bool {
 	first := server.CoreStatus{}
 	for at, node := range cl.Controls {
@@ -186,10 +189,10 @@
 	return true
 }
 
-// membershipRecorder reads the members from each process again and again: each epoch has one list of members.
+// membershipRecorder polls the member list of each control process and checks that all lists of an epoch are equal.
 type membershipRecorder struct {
 	mu      sync.Mutex
-	byEpoch map[uint64]string
+	byEpoch map[uint64]string // member lists
 	pending sync.WaitGroup
 	stop    chan bool
 }
@@ -214,7 +217,7 @@
 				members := fmt.Sprint(lo.Map(coreStatus.Members, func(x server.CoreMember, _ int) string { return x.IP + "/" + x.DiskID }))
 				w.mu.Lock()
 				if previous, known := w.byEpoch[coreStatus.Epoch]; known && previous != members {
-					c.Errorf("two lists of epoch %d: %s at %d, and %s", coreStatus.Epoch, members, at, previous)
+					c.Errorf("epoch %d: got member list %s at control process %d, earlier %s", coreStatus.Epoch, members, at, previous)
 				}
 				w.byEpoch[coreStatus.Epoch] = members
 				w.mu.Unlock()
@@ -239,7 +242,7 @@
 	}
 }
 
-// failRandomly injects a randomly chosen failure into a control process. It returns the name of the failure and a function that ends it.
+// failRandomly injects a random failure into a control process. It returns the name of the failure and a function that ends it.
 func (cl *Cluster) failRandomly(randomIntn func(int) int, node *ControlNode) (failure string, restore func()) {
 	ip := node.Settings.IP
 	switch randomIntn(5) {
@@ -250,7 +253,7 @@
 		cl.Network.SetPoweredOff(ip, true)
 		node.Kill()
 		node.Disk.PowerLoss(randomIntn(2) == 0)
-		return "without power", func() { cl.Network.SetPoweredOff(ip, false); node.mustStart() }
+		return "powered off", func() { cl.Network.SetPoweredOff(ip, false); node.mustStart() }
 	case 2:
 		cl.Network.Freeze(ip, true)
 		node.Disk.setHanging(true)
--- a/internal/lab/simulation/testcluster_test.go
+++ b/internal/lab/simulation/testcluster_test.go
@@ -16,7 +16,7 @@
 	unsafeRoute = Route{Name: "issue", Prefix: "/issue/", Service: "desk", Version: "00000001"}
 )
 
-// startCluster starts a cluster and configures two routes on it; it is stopped at the test's end.
+// startCluster starts a cluster and configures safeRoute and unsafeRoute. The cluster is stopped when the test ends.
 func startCluster(c *qt.C, layout Layout) *Cluster {
 	cluster := New(layout)
 	c.Assert(cluster.Start(), qt.IsNil)
@@ -26,14 +26,15 @@
 	return cluster
 }
 
-// configure sends a change to one control process, and to others where that doesn't accept it.
+// configure sends a configuration change to the control processes in turn, beginning with index first, and requires status 200.
 func configure(c *qt.C, cluster *Cluster, change []byte, first int) {
 	status, _, reply := cluster.Call("configuration.modify", "", change, 5*time.Second, first)
 	c.Assert(status, qt.Equals, 200, qt.Commentf("%s", reply))
 }
 
-// playScenario plays a scenario on a cluster in virtual time: it is started, configured, has traffic in all zones for a duration,
-// and happens is called beside that. At the end no rule may be broken.
+// playScenario starts and configures a cluster in virtual time, generates traffic in all zones for duration and calls scenario
+// meanwhile. At the end the cluster must not have violated an invariant, and at least the fraction minSuccessRatio of the requests must
+// have succeeded.
 func playScenario(t *testing.T, layout Layout, duration time.Duration, scenario func(c *qt.C, cluster *Cluster), minSuccessRatio float64) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -49,13 +50,14 @@
 		cluster.background.Go(func() { time.Sleep(duration + 4*time.Second) })
 		time.Sleep(duration + 4*time.Second)
 		served, requests, outcome := tally.Counts()
-		c.Logf("%d of %d good: %s", served, requests, outcome)
+		c.Logf("%d of %d requests succeeded: %s", served, requests, outcome)
 		c.Check(cluster.Verify(), qt.HasLen, 0)
-		c.Check(float64(served) >= minSuccessRatio*float64(requests), qt.IsTrue, qt.Commentf("%d of %d good: %s", served, requests, outcome))
+		c.Check(float64(served) >= minSuccessRatio*float64(requests), qt.IsTrue, qt.Commentf("%d of %d requests succeeded: %s", served, requests, outcome))
 	})
 }
 
-// startDraining sends one control process a host's call that it drains, and returns the answer's status and how long that took.
+// startDraining announces to one control process that a host drains, with call "instances.leave" or "instances.heartbeat". It returns the
+// status of the response and its latency.
 func (cl *Cluster) startDraining(at int, host *Host, sequence int, call string) (int, time.Duration) {
 	body, _ := json.Marshal(map[string]any{"address": host.Address, "information": map[string]any{"service": host.Service, "version": host.Version, "zone-name": host.Zone,
 		"slot-count": 3}, "current-status": map[string]any{"server-state": "draining", "sequence": sequence, "cold-remaining-s": 0}})
@@ -67,6 +69,7 @@
 	return status, time.Since(start)
 }
 
+// setPartition partitions a control process from all others, or ends the partition.
 func (cl *Cluster) setPartition(node *ControlNode, partitioned bool) {
 	for _, x := range cl.Controls {
 		if x != node {
@@ -75,7 +78,7 @@
 	}
 }
 
-// connectedControl reports whether a machine is connected to the control process of another.
+// connectedControl reports whether a machine has a connection to the first internal port of another.
 func (cl *Cluster) connectedControl(from, to string) bool {
 	cl.Network.mu.Lock()
 	defer cl.Network.mu.Unlock()
