--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -49,7 +49,7 @@
 	return 0, -1, nil
 }
 
-// isFinal reports whether a call that returned this status must not be sent again.
+// isFinal reports whether a response with this status completes a call, so that it is not sent to another control process.
 func isFinal(status int) bool {
 	switch status {
 	case http.StatusOK, http.StatusBadRequest, http.StatusConflict, http.StatusNotFound:
--- a/internal/lab/simulation/cluster.go
+++ b/internal/lab/simulation/cluster.go
@@ -41,7 +41,7 @@
 	maxClockSkew    = time.Hour
 	clockSeedOffset = 77 // gives the clock skews a random sequence of their own
 
-	timerWait = 20 * time.Second // time for the last timers of connections and libraries to fire after Stop
+	timerWait = 20 * time.Second // time that Stop waits for the last timers of connections and libraries
 
 	controlRole = "harbourmaster" // role names as settings files spell them
 	proxyRole   = "fairway"
@@ -58,7 +58,9 @@
 	cancel     context.CancelFunc
 	background sync.WaitGroup // goroutines of hosts and clients; Stop waits for them
 
-	mu          sync.Mutex        // guards the fields below and the nodes' settings and state
+	// mu guards the fields below, appends to Hosts, the replacement of control nodes, the running state of proxies, and the fields of
+	// hosts that say so.
+	mu          sync.Mutex
 	executions  map[string]int    // by attempt ID
 	arrived     map[string]bool   // by attempt ID: some host has received the attempt
 	outcomes    map[string]string // by attempt ID: HTTP status that the client received, or brokenOutcome
--- a/internal/lab/simulation/host.go
+++ b/internal/lab/simulation/host.go
@@ -26,7 +26,8 @@
 	hostCallTimeout = time.Second // for a call to one control process
 )
 
-// Host is a host of a service. Its exported fields must be set before its first request.
+// Host is a host of a service. Its exported fields must be set before its first request, except that FailAll, FailRate and HangRate
+// may be changed later while cluster.mu is held.
 type Host struct {
 	ID, Service, Zone, Version, Address string
 
