--- a/internal/lab/simulation/network.go
+++ b/internal/lab/simulation/network.go
@@ -43,8 +43,8 @@
 	SentBytes   map[link]int64 // bytes sent over connections and in datagrams
 }
 
-// NewNetwork creates a network without faults. The delay function takes the IP addresses of sender and receiver; seed determines which
-// writes, datagrams and connections are lost.
+// NewNetwork creates a network without faults, apart from datagramLoss. The delay function takes the IP addresses of sender and
+// receiver; seed determines which writes, datagrams and connections are lost.
 func NewNetwork(delay func(a, b string) time.Duration, seed uint64) *Network {
 	return &Network{
 		Delay:       delay,
@@ -140,7 +140,7 @@
 	return lossy && n.rng.Float64() < fraction
 }
 
-// ReceivedBytes returns the number of bytes that other machines have sent to a machine, including lost ones.
+// ReceivedBytes returns the number of bytes that other machines have sent to a machine. Lost datagrams count, writes lost due to SetLoss do not.
 func (n *Network) ReceivedBytes(ip string) (total int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
