--- a/internal/lab/trial/attempt.go
+++ b/internal/lab/trial/attempt.go
@@ -74,22 +74,22 @@
 	Garbled   bool          // the body that arrived was not the one that was sent
 }
 
-// Disturbance is what was done to a process.
-type Disturbance uint8
+// SignalKind is a signal that the trial sends to processes.
+type SignalKind uint8
 
-// The disturbances, by the signal that is sent.
+// The signal kinds.
 const (
-	Hangup     Disturbance = iota // SIGHUP
-	Terminated                    // SIGTERM
-	Killed                        // SIGKILL
+	Hangup     SignalKind = iota // SIGHUP
+	Terminated                   // SIGTERM
+	Killed                       // SIGKILL
 )
 
-var disturbanceNames = [...]string{Hangup: "SIGHUP", Terminated: "SIGTERM", Killed: "SIGKILL"}
+var signalNames = [...]string{Hangup: "SIGHUP", Terminated: "SIGTERM", Killed: "SIGKILL"}
 
 // Signal is one signal that a process was sent.
 type Signal struct {
 	Proxy int // the proxy's number, -1 for a control process
-	Kind  Disturbance
+	Kind  SignalKind
 	At    time.Duration
 	Until time.Duration // the process had ended by then; 0 where it goes on
 }
--- a/internal/lab/trial/cause.go
+++ b/internal/lab/trial/cause.go
@@ -7,22 +7,22 @@
 
 // The causes. Those that begin with LOST are violations.
 const (
-	Answered        Cause = "answered"
-	HostBrokeOff    Cause = "host broke off"
-	TimeUp          Cause = "cut once its time was up"
-	GivenUp         Cause = "no answer until its client gave up"
-	ProxyKilled     Cause = "proxy killed"
-	LateInGrace     Cause = "at work at the end of the grace"
-	Crossed         Cause = "crossed the end of its connection, not passed on"
-	IdledOut        Cause = "sent as its connection idled out, not passed on"
-	CrossedEnding   Cause = "crossed the end of a terminated proxy's connection, not passed on"
-	NotWritten      Cause = "connection ended while it was written, not passed on"
-	BehindEnd       Cause = "pipelined behind the end of its connection, not passed on"
-	CutPassedOn     Cause = "LOST: cut after it was passed on"
-	CutEnding       Cause = "LOST: cut by a terminated proxy after it was passed on"
-	CutLate         Cause = "LOST: cut later than the slack, not passed on"
-	CutLateEnding   Cause = "LOST: cut by a terminated proxy later than the slack, not passed on"
-	AnsweredWrongly Cause = "LOST: not the answer to this request"
+	Answered             Cause = "answered"
+	HostAborted          Cause = "host broke off"
+	TimeoutExpired       Cause = "cut once its time was up"
+	ClientGaveUp         Cause = "no answer until its client gave up"
+	ProxyKilled          Cause = "proxy killed"
+	LateInGrace          Cause = "at work at the end of the grace"
+	CrossedClose         Cause = "crossed the end of its connection, not passed on"
+	IdleTimeoutRace      Cause = "sent as its connection idled out, not passed on"
+	CrossedShutdown      Cause = "crossed the end of a terminated proxy's connection, not passed on"
+	NotWritten           Cause = "connection ended while it was written, not passed on"
+	BehindClose          Cause = "pipelined behind the end of its connection, not passed on"
+	CutForwarded         Cause = "LOST: cut after it was passed on"
+	CutForwardedShutdown Cause = "LOST: cut by a terminated proxy after it was passed on"
+	CutLate              Cause = "LOST: cut later than the slack, not passed on"
+	CutLateShutdown      Cause = "LOST: cut by a terminated proxy later than the slack, not passed on"
+	WrongAnswer          Cause = "LOST: not the answer to this request"
 )
 
 // forwardableAfterTerm is how long after a SIGTERM a request may be sent and still be excused at the end of the grace.
@@ -34,13 +34,13 @@
 	case Complete:
 		return Answered
 	case Mismatched:
-		return AnsweredWrongly
+		return WrongAnswer
 	}
-	terminated, killed := j.endingSignal(a)
+	terminated, killed := j.signalDuring(a)
 	if killed {
 		return ProxyKilled
 	}
-	if cause, found := excuse(a); found {
+	if cause, found := commonCause(a); found {
 		return cause
 	}
 	if a.Host.Arrivals > 0 {
@@ -49,15 +49,15 @@
 	return j.causeNotForwarded(a, terminated)
 }
 
-// excuse returns a cause that holds whether or not a host received the request.
-func excuse(a Attempt) (cause Cause, found bool) {
+// commonCause returns a cause that holds whether or not a host received the request.
+func commonCause(a Attempt) (cause Cause, found bool) {
 	switch {
 	case a.Host.BrokeOff:
-		return HostBrokeOff, true
+		return HostAborted, true
 	case a.Outcome == TimedOut:
-		return GivenUp, true
+		return ClientGaveUp, true
 	case a.EndedAt >= a.Deadline, a.EndedAt-a.BeganAt >= a.Timeout: // a proxy's time begins with the request's head
-		return TimeUp, true
+		return TimeoutExpired, true
 	}
 	return "", false
 }
@@ -66,11 +66,11 @@
 func (j Judge) causeForwarded(a Attempt, terminated *Signal) Cause {
 	switch {
 	case terminated == nil:
-		return CutPassedOn
+		return CutForwarded
 	case j.lateInGrace(a, *terminated):
 		return LateInGrace
 	}
-	return CutEnding
+	return CutForwardedShutdown
 }
 
 // causeNotForwarded returns the cause for a request that no host received; terminated is nil if the proxy got no SIGTERM.
@@ -80,22 +80,22 @@
 	case a.Outcome == WriteFailed:
 		return NotWritten
 	case a.Outcome == PipelinedBehind:
-		return BehindEnd
+		return BehindClose
 	case a.IdleFor > j.Terms.Idle*4/5: // longer than clients may idle: the proxy had closed by its limits and never read it
-		return IdledOut
+		return IdleTimeoutRace
 	case late && terminated != nil:
-		return CutLateEnding
+		return CutLateShutdown
 	case late:
 		return CutLate
 	case terminated != nil:
-		return CrossedEnding
+		return CrossedShutdown
 	}
-	return Crossed
+	return CrossedClose
 }
 
-// endingSignal returns the SIGTERM during which an attempt ended, nil for none, and whether the proxy was killed just then.
-func (j Judge) endingSignal(a Attempt) (terminated *Signal, killed bool) {
-	for n, s := range j.Sent {
+// signalDuring returns the SIGTERM during which an attempt ended, nil for none, and whether the proxy was killed just then.
+func (j Judge) signalDuring(a Attempt) (terminated *Signal, killed bool) {
+	for n, s := range j.SignalLog {
 		if s.Proxy != a.Proxy {
 			continue
 		}
@@ -107,7 +107,7 @@
 		case Killed:
 			killed = true
 		case Terminated:
-			terminated = &j.Sent[n]
+			terminated = &j.SignalLog[n]
 		}
 	}
 	return terminated, killed
--- a/internal/lab/trial/change.go
+++ b/internal/lab/trial/change.go
@@ -51,12 +51,12 @@
 // sendChange draws one change and sends it.
 func (o *operator) sendChange(ctx context.Context) {
 	kind := o.drawKind()
-	t := o.targets[o.rng.IntN(len(o.targets))]
+	r := o.clientRoutes[o.rng.IntN(len(o.clientRoutes))]
 	switch kind {
 	case changeRoute:
-		o.sendRoute(ctx, t)
+		o.sendRoute(ctx, r)
 	case changeDrop:
-		o.recreateRoute(ctx, t)
+		o.recreateRoute(ctx, r)
 	case changeIdle:
 		o.toggleIdleRoute(ctx)
 	case changeLimits:
@@ -84,11 +84,11 @@
 }
 
 func (o *operator) drawKind() changeKind {
-	sum := 0
+	total := 0
 	for _, w := range changeWeights {
-		sum += w.weight
+		total += w.weight
 	}
-	drawn := o.rng.IntN(sum)
+	drawn := o.rng.IntN(total)
 	for _, w := range changeWeights {
 		if drawn -= w.weight; drawn < 0 {
 			return w.kind
@@ -103,18 +103,18 @@
 }
 
 // sendRoute changes a route whose service is not dropped meanwhile: t, or one that is drawn in its place.
-func (o *operator) sendRoute(ctx context.Context, t target) {
-	for t.transient {
-		t = o.targets[o.rng.IntN(len(o.targets))]
+func (o *operator) sendRoute(ctx context.Context, r clientRoute) {
+	for r.transient {
+		r = o.clientRoutes[o.rng.IntN(len(o.clientRoutes))]
 	}
-	o.send(ctx, changeRoute, o.item("routes", t.name, t.routeItem(o.rng)))
+	o.send(ctx, changeRoute, o.item("routes", r.name, r.routeItem(o.rng)))
 }
 
 // recreateRoute drops a route in use and adds it again.
-func (o *operator) recreateRoute(ctx context.Context, t target) {
-	o.send(ctx, changeDrop, o.item("routes", t.name, nil))
+func (o *operator) recreateRoute(ctx context.Context, r clientRoute) {
+	o.send(ctx, changeDrop, o.item("routes", r.name, nil))
 	o.pause(ctx)
-	o.send(ctx, changeDrop, o.item("routes", t.name, t.routeItem(o.rng)))
+	o.send(ctx, changeDrop, o.item("routes", r.name, r.routeItem(o.rng)))
 }
 
 // toggleIdleRoute adds a route that nobody uses, or drops it if it is there.
@@ -129,14 +129,14 @@
 
 // recreateService drops a service together with its route, and adds both again.
 func (o *operator) recreateService(ctx context.Context) {
-	for _, t := range o.targets {
-		if !t.transient {
+	for _, r := range o.clientRoutes {
+		if !r.transient {
 			continue
 		}
-		o.send(ctx, changeTransient, o.item("routes", t.name, nil), o.item("services", t.service, nil))
+		o.send(ctx, changeTransient, o.item("routes", r.name, nil), o.item("services", r.service, nil))
 		o.pause(ctx)
-		service := o.item("services", t.service, serviceItem(t.service, o.rng))
-		o.send(ctx, changeTransient, service, o.item("routes", t.name, t.routeItem(o.rng)))
+		service := o.item("services", r.service, serviceItem(r.service, o.rng))
+		o.send(ctx, changeTransient, service, o.item("routes", r.name, r.routeItem(o.rng)))
 		return
 	}
 }
--- a/internal/lab/trial/changes_test.go
+++ b/internal/lab/trial/changes_test.go
@@ -18,7 +18,7 @@
 		acknowledged, refused, pending []Item
 		read                           []Item
 		wrong                          int
-		wrongAtOnce                    int // as it is acknowledged
+		wrongOnAck                     int // as it is acknowledged
 	}{
 		{name: "nothing sent, nothing read"},
 		{name: "read back", acknowledged: []Item{one, two}, read: []Item{two}},
@@ -36,15 +36,15 @@
 		{name: "refused, never there", refused: []Item{one}},
 		{name: "a race's winner", acknowledged: []Item{two}, refused: []Item{other}, read: []Item{two}},
 		{name: "a race's loser", acknowledged: []Item{two}, refused: []Item{other}, read: []Item{other}, wrong: 1},
-		{name: "a race with two winners", acknowledged: []Item{two, other}, read: []Item{two}, wrongAtOnce: 1},
+		{name: "a race with two winners", acknowledged: []Item{two, other}, read: []Item{two}, wrongOnAck: 1},
 		{name: "never sent", read: []Item{one}, wrong: 1},
 	} {
 		c := qt.New(t)
-		changes, atOnce := NewChanges(), 0
+		changes, onAck := NewChanges(), 0
 		changes.Sent(x.pending)
 		for _, i := range x.acknowledged {
 			changes.Sent([]Item{i})
-			atOnce += len(changes.Acknowledged([]Item{i}))
+			onAck += len(changes.Acknowledged([]Item{i}))
 		}
 		changes.Sent(x.refused)
 		changes.Refused(x.refused)
@@ -53,11 +53,11 @@
 			current[i.Key] = i
 		}
 		c.Check(changes.Check("control-1", current), qt.HasLen, x.wrong, qt.Commentf("%s", x.name))
-		c.Check(atOnce, qt.Equals, x.wrongAtOnce, qt.Commentf("%s", x.name))
+		c.Check(onAck, qt.Equals, x.wrongOnAck, qt.Commentf("%s", x.name))
 	}
 }
 
-func TestEncodedIsRead(t *testing.T) {
+func TestEncodeChangeRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	items := []Item{
 		{Key: Key{"routes", "one"}, Version: 10, Fields: canonical(map[string]any{"name": "one", "timeout-s": 2.0, "service": "s"})},
--- a/internal/lab/trial/disturb.go
+++ b/internal/lab/trial/disturb.go
@@ -28,15 +28,15 @@
 	return all
 }
 
-// disturb sends processes signals at drawn times, and starts those again that end. It returns when all of them have been sent.
-func (r *rig) disturb(ctx context.Context, rng *rand.Rand, duration time.Duration) {
+// signalProcesses sends processes signals at drawn times, and starts those again that end. It returns when all of them have been sent.
+func (r *rig) signalProcesses(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 	var pending sync.WaitGroup
 	defer pending.Wait()
 	began := time.Now()
 	proxySlots := make(chan struct{}, maxProxiesDown)
 	controlSlots := make(chan struct{}, maxControlDown)
 	for _, at := range drawTimes(rng, r.options.Kills, duration) {
-		kind := Disturbance(rng.IntN(3))
+		kind := SignalKind(rng.IntN(3))
 		downtime := minDowntime + time.Duration(rng.Int64N(int64(maxDowntime-minDowntime)))
 		p, slots := r.proxies[rng.IntN(len(r.proxies))], proxySlots
 		if rng.IntN(3) == 0 {
@@ -56,7 +56,7 @@
 }
 
 // signalProcess sends a process a signal, and starts it again after its downtime if that ended it.
-func (r *rig) signalProcess(p *process, kind Disturbance, downtime time.Duration) {
+func (r *rig) signalProcess(p *process, kind SignalKind, downtime time.Duration) {
 	p.signalling.Lock()
 	defer p.signalling.Unlock()
 	if r.loadDone.Load() || !p.awaitListening(startTimeout) {
@@ -73,11 +73,11 @@
 		return
 	}
 	time.Sleep(downtime)
-	r.startAgain(p)
+	r.restart(p)
 }
 
 // deliver sends a process a signal, and waits for its end if the signal ends it.
-func (r *rig) deliver(p *process, kind Disturbance) {
+func (r *rig) deliver(p *process, kind SignalKind) {
 	switch kind {
 	case Hangup:
 		p.signal(syscall.SIGHUP)
@@ -94,13 +94,13 @@
 func (r *rig) recordSignal(s Signal, role string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sent = append(r.sent, s)
-	r.signalCounts[role+" "+disturbanceNames[s.Kind]]++
+	r.signalLog = append(r.signalLog, s)
+	r.signalCounts[role+" "+signalNames[s.Kind]]++
 }
 
-// restartAfterExit reports a process that exited though no signal ended it, and starts it again as the platform does. The goroutine
+// handleUnexpectedExit reports a process that exited though no signal ended it, and starts it again as the platform does. The goroutine
 // that it starts ends with that, or as the load is done.
-func (r *rig) restartAfterExit(p *process, cause error) {
+func (r *rig) handleUnexpectedExit(p *process, cause error) {
 	at := r.clock.now()
 	r.violate(Violation{"PROCESS: ended by itself", fmt.Sprintf("%s at %.3f s: %v", p.name, at.Seconds(), cause)})
 	go func() {
@@ -109,6 +109,6 @@
 		if r.loadDone.Load() || !p.hasExited() {
 			return
 		}
-		r.startAgain(p)
+		r.restart(p)
 	}()
 }
--- a/internal/lab/trial/host.go
+++ b/internal/lab/trial/host.go
@@ -19,9 +19,9 @@
 	hostSlots = 24 // requests that a host works on at once
 	hostQueue = 24 // requests that wait for a slot
 
-	minLifetime    = 6 * time.Second // of an instance that leaves
-	lifetimeSpread = 12 * time.Second
-	endlessLife    = 24 * time.Hour // longer than any trial
+	minLifetime       = 6 * time.Second // of an instance that leaves
+	lifetimeSpread    = 12 * time.Second
+	unlimitedLifetime = 24 * time.Hour // longer than any trial
 
 	shutdownTimeout = 2500 * time.Millisecond // for what an instance that ends still works on
 	hostCallTimeout = 4 * time.Second         // for one call to the control processes
@@ -67,7 +67,7 @@
 		}
 		lifetime := minLifetime + time.Duration(h.rng.Int64N(int64(lifetimeSpread)))
 		if !leaves {
-			lifetime = endlessLife
+			lifetime = unlimitedLifetime
 		}
 		i.serve(ctx, l, lifetime)
 	}
--- a/internal/lab/trial/hosthandler.go
+++ b/internal/lab/trial/hosthandler.go
@@ -52,13 +52,13 @@
 	answerBytes := i.readBody(r, id)
 	defer func() {
 		if i.ended.Load() { // the instance's end broke it off, or may have
-			i.recordBrokeOff(id)
+			i.recordAborted(id)
 		}
 	}()
 	i.work(r, id)
 	aborts := i.oneIn(abortOneIn)
 	if aborts {
-		i.recordBrokeOff(id)
+		i.recordAborted(id)
 	}
 	if aborts && i.oneIn(2) {
 		panic(http.ErrAbortHandler)
@@ -102,8 +102,8 @@
 	}
 }
 
-// recordBrokeOff notes that the host ended a request by itself.
-func (i *instance) recordBrokeOff(id string) {
+// recordAborted notes that the host ended a request by itself.
+func (i *instance) recordAborted(id string) {
 	i.rig.recorder.updateHost(id, func(h *HostView) { h.BrokeOff = true })
 }
 
--- a/internal/lab/trial/judge.go
+++ b/internal/lab/trial/judge.go
@@ -23,8 +23,8 @@
 
 // Judge decides whether attempts broke rules. It is pure: it knows what signal each proxy was sent when, and nothing else.
 type Judge struct {
-	Terms Terms
-	Sent  []Signal
+	Terms     Terms
+	SignalLog []Signal
 }
 
 // promisesNotRun reports whether a status says that the request has not run and never will.
@@ -36,8 +36,8 @@
 	return false
 }
 
-// refusesMalformed reports whether a status blames the request itself, which no request of a trial deserves.
-func refusesMalformed(status int) bool {
+// blamesRequest reports whether a status blames the request itself, which no request of a trial deserves.
+func blamesRequest(status int) bool {
 	switch status {
 	case http.StatusBadRequest, http.StatusRequestTimeout, http.StatusRequestEntityTooLarge, http.StatusRequestHeaderFieldsTooLarge:
 		return true
@@ -52,7 +52,7 @@
 	}
 	cause := j.Cause(a)
 	switch cause {
-	case CutPassedOn, CutEnding, CutLate, CutLateEnding, AnsweredWrongly:
+	case CutForwarded, CutForwardedShutdown, CutLate, CutLateShutdown, WrongAnswer:
 		add(string(cause))
 	}
 	switch h := a.Host; {
@@ -80,7 +80,7 @@
 	switch {
 	case !a.Idempotent && promisesNotRun(a.Status) && a.Host.Ran > 0:
 		return "REFUSED: an unsafe request is said not to have run, though a host ran it"
-	case refusesMalformed(a.Status):
+	case blamesRequest(a.Status):
 		return "DENIED: a proper request is refused"
 	case a.Status == http.StatusBadGateway && a.Host.Ran > 0 && !a.Host.BrokeOff:
 		return "BROKEN: 502 though no host broke off"
--- a/internal/lab/trial/judge_test.go
+++ b/internal/lab/trial/judge_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// cut is an unsafe attempt on a kept connection that ended 50 ms after it was sent, without an answer.
-func cut(change func(*Attempt)) Attempt {
+// cutAttempt is an unsafe attempt on a kept connection that ended 50 ms after it was sent, without an answer.
+func cutAttempt(change func(*Attempt)) Attempt {
 	a := Attempt{ID: "a", Style: KeepAlive, Path: "POST /", MaxAttempts: 2, ConnectedAt: 8 * time.Second, BeganAt: 10 * time.Second,
 		SentAt: 10 * time.Second, EndedAt: 10*time.Second + 50*time.Millisecond, Deadline: 14 * time.Second, Timeout: 3 * time.Second,
 		Outcome: Truncated}
@@ -17,59 +17,59 @@
 }
 
 func TestCauses(t *testing.T) {
-	passedOn := HostView{Arrivals: 1, Ran: 1}
+	forwarded := HostView{Arrivals: 1, Ran: 1}
 	term := Signal{Proxy: 0, Kind: Terminated, At: 9 * time.Second, Until: 15 * time.Second}
 	for _, x := range []struct {
-		name    string
-		attempt Attempt
-		signals []Signal
-		cause   Cause
-		broken  int // rules
+		name       string
+		attempt    Attempt
+		signals    []Signal
+		cause      Cause
+		violations int // rules
 	}{
-		{"answered", cut(func(a *Attempt) { a.Outcome, a.Status = Complete, 200 }), nil, Answered, 0},
-		{"cut after it was passed on", cut(func(a *Attempt) { a.Host = passedOn }), nil, CutPassedOn, 1},
-		{"another proxy was killed", cut(func(a *Attempt) { a.Host = passedOn }),
-			[]Signal{{Proxy: 1, Kind: Killed, At: 10 * time.Second, Until: 11 * time.Second}}, CutPassedOn, 1},
-		{"the proxy was killed", cut(func(a *Attempt) { a.Host = passedOn }),
+		{"answered", cutAttempt(func(a *Attempt) { a.Outcome, a.Status = Complete, 200 }), nil, Answered, 0},
+		{"cut after it was passed on", cutAttempt(func(a *Attempt) { a.Host = forwarded }), nil, CutForwarded, 1},
+		{"another proxy was killed", cutAttempt(func(a *Attempt) { a.Host = forwarded }),
+			[]Signal{{Proxy: 1, Kind: Killed, At: 10 * time.Second, Until: 11 * time.Second}}, CutForwarded, 1},
+		{"the proxy was killed", cutAttempt(func(a *Attempt) { a.Host = forwarded }),
 			[]Signal{{Proxy: 0, Kind: Killed, At: 10 * time.Second, Until: 11 * time.Second}}, ProxyKilled, 0},
-		{"the proxy was killed before it was connected to", cut(func(a *Attempt) { a.Host = passedOn }),
-			[]Signal{{Proxy: 0, Kind: Killed, At: 6 * time.Second, Until: 7 * time.Second}}, CutPassedOn, 1},
-		{"a hangup excuses nothing", cut(func(a *Attempt) { a.Host = passedOn }),
-			[]Signal{{Proxy: 0, Kind: Hangup, At: 10 * time.Second, Until: 11 * time.Second}}, CutPassedOn, 1},
-		{"the host broke off", cut(func(a *Attempt) { a.Host = HostView{Arrivals: 1, Ran: 1, BrokeOff: true} }), nil, HostBrokeOff, 0},
-		{"crossed", cut(func(*Attempt) {}), nil, Crossed, 0},
-		{"not passed on, later than the slack", cut(func(a *Attempt) { a.EndedAt = a.SentAt + 250*time.Millisecond }), nil, CutLate, 1},
-		{"idled out", cut(func(a *Attempt) { a.IdleFor, a.EndedAt = 2*time.Second, a.SentAt+250*time.Millisecond }), nil, IdledOut, 0},
-		{"rested for long, and passed on", cut(func(a *Attempt) { a.IdleFor, a.Host = 2*time.Second, passedOn }), nil, CutPassedOn, 1},
-		{"terminated, passed on", cut(func(a *Attempt) { a.Host = passedOn }), []Signal{term}, CutEnding, 1},
-		{"terminated, not passed on", cut(func(*Attempt) {}), []Signal{term}, CrossedEnding, 0},
-		{"terminated, not passed on, later than the slack", cut(func(a *Attempt) { a.EndedAt = a.SentAt + time.Second }), []Signal{term},
-			CutLateEnding, 1},
-		{"terminated, at work in the last sixth of the grace", cut(func(a *Attempt) {
-			a.Host, a.Timeout, a.Deadline, a.EndedAt = passedOn, 10*time.Second, 20*time.Second, 14500*time.Millisecond
+		{"the proxy was killed before it was connected to", cutAttempt(func(a *Attempt) { a.Host = forwarded }),
+			[]Signal{{Proxy: 0, Kind: Killed, At: 6 * time.Second, Until: 7 * time.Second}}, CutForwarded, 1},
+		{"a hangup excuses nothing", cutAttempt(func(a *Attempt) { a.Host = forwarded }),
+			[]Signal{{Proxy: 0, Kind: Hangup, At: 10 * time.Second, Until: 11 * time.Second}}, CutForwarded, 1},
+		{"the host broke off", cutAttempt(func(a *Attempt) { a.Host = HostView{Arrivals: 1, Ran: 1, BrokeOff: true} }), nil, HostAborted, 0},
+		{"crossed", cutAttempt(func(*Attempt) {}), nil, CrossedClose, 0},
+		{"not passed on, later than the slack", cutAttempt(func(a *Attempt) { a.EndedAt = a.SentAt + 250*time.Millisecond }), nil, CutLate, 1},
+		{"idled out", cutAttempt(func(a *Attempt) { a.IdleFor, a.EndedAt = 2*time.Second, a.SentAt+250*time.Millisecond }), nil, IdleTimeoutRace, 0},
+		{"rested for long, and passed on", cutAttempt(func(a *Attempt) { a.IdleFor, a.Host = 2*time.Second, forwarded }), nil, CutForwarded, 1},
+		{"terminated, passed on", cutAttempt(func(a *Attempt) { a.Host = forwarded }), []Signal{term}, CutForwardedShutdown, 1},
+		{"terminated, not passed on", cutAttempt(func(*Attempt) {}), []Signal{term}, CrossedShutdown, 0},
+		{"terminated, not passed on, later than the slack", cutAttempt(func(a *Attempt) { a.EndedAt = a.SentAt + time.Second }), []Signal{term},
+			CutLateShutdown, 1},
+		{"terminated, at work in the last sixth of the grace", cutAttempt(func(a *Attempt) {
+			a.Host, a.Timeout, a.Deadline, a.EndedAt = forwarded, 10*time.Second, 20*time.Second, 14500*time.Millisecond
 		}), []Signal{term}, LateInGrace, 0},
-		{"the same, sent late", cut(func(a *Attempt) {
-			a.Host, a.SentAt, a.Timeout, a.Deadline, a.EndedAt = passedOn, 12500*time.Millisecond, 10*time.Second, 20*time.Second,
+		{"the same, sent late", cutAttempt(func(a *Attempt) {
+			a.Host, a.SentAt, a.Timeout, a.Deadline, a.EndedAt = forwarded, 12500*time.Millisecond, 10*time.Second, 20*time.Second,
 				14500*time.Millisecond
-		}), []Signal{term}, CutEnding, 1},
-		{"the client's time was up", cut(func(a *Attempt) { a.Host, a.EndedAt = passedOn, a.Deadline }), nil, TimeUp, 0},
-		{"the route's time was up", cut(func(a *Attempt) { a.Host, a.Timeout = passedOn, 40*time.Millisecond }), nil, TimeUp, 0},
-		{"no answer", cut(func(a *Attempt) { a.Outcome = TimedOut }), nil, GivenUp, 0},
-		{"not written", cut(func(a *Attempt) { a.Outcome = WriteFailed }), nil, NotWritten, 0},
-		{"behind the end", cut(func(a *Attempt) { a.Outcome = PipelinedBehind }), nil, BehindEnd, 0},
-		{"behind the end, and passed on", cut(func(a *Attempt) { a.Outcome, a.Host = PipelinedBehind, passedOn }), nil, CutPassedOn, 1},
-		{"another's answer", cut(func(a *Attempt) { a.Outcome = Mismatched }), nil, AnsweredWrongly, 1},
+		}), []Signal{term}, CutForwardedShutdown, 1},
+		{"the client's time was up", cutAttempt(func(a *Attempt) { a.Host, a.EndedAt = forwarded, a.Deadline }), nil, TimeoutExpired, 0},
+		{"the route's time was up", cutAttempt(func(a *Attempt) { a.Host, a.Timeout = forwarded, 40*time.Millisecond }), nil, TimeoutExpired, 0},
+		{"no answer", cutAttempt(func(a *Attempt) { a.Outcome = TimedOut }), nil, ClientGaveUp, 0},
+		{"not written", cutAttempt(func(a *Attempt) { a.Outcome = WriteFailed }), nil, NotWritten, 0},
+		{"behind the end", cutAttempt(func(a *Attempt) { a.Outcome = PipelinedBehind }), nil, BehindClose, 0},
+		{"behind the end, and passed on", cutAttempt(func(a *Attempt) { a.Outcome, a.Host = PipelinedBehind, forwarded }), nil, CutForwarded, 1},
+		{"another's answer", cutAttempt(func(a *Attempt) { a.Outcome = Mismatched }), nil, WrongAnswer, 1},
 	} {
 		c := qt.New(t)
-		j := Judge{Terms: terms, Sent: x.signals}
+		j := Judge{Terms: terms, SignalLog: x.signals}
 		c.Check(j.Cause(x.attempt), qt.Equals, x.cause, qt.Commentf("%s", x.name))
-		c.Check(j.Violations(x.attempt), qt.HasLen, x.broken, qt.Commentf("%s", x.name))
+		c.Check(j.Violations(x.attempt), qt.HasLen, x.violations, qt.Commentf("%s", x.name))
 	}
 }
 
-func TestRulesOfAnswers(t *testing.T) {
+func TestAnswerRules(t *testing.T) {
 	answered := func(status int, change func(*Attempt)) Attempt {
-		return cut(func(a *Attempt) {
+		return cutAttempt(func(a *Attempt) {
 			a.Outcome, a.Status = Complete, status
 			change(a)
 		})
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestSumCountsWithinAndOutside(t *testing.T) {
+func TestSummarizeCountsWithinAndOutside(t *testing.T) {
 	c := qt.New(t)
 	second := time.Second
 	var windows []Interval
@@ -109,9 +109,9 @@
 	}
 	c.Check(windows, qt.DeepEquals, []Interval{{2 * second, 5 * second}, {9 * second, 10 * second}})
 	at := func(from, to time.Duration) Attempt {
-		return cut(func(a *Attempt) { a.SentAt, a.EndedAt, a.Outcome, a.Status = from, to, Complete, 200 })
+		return cutAttempt(func(a *Attempt) { a.SentAt, a.EndedAt, a.Outcome, a.Status = from, to, Complete, 200 })
 	}
-	s := Sum(Judge{Terms: terms}, []Attempt{at(0, second), at(second, 3*second), at(4*second, 6*second), at(6*second, 12*second)}, windows)
+	s := Summarize(Judge{Terms: terms}, []Attempt{at(0, second), at(second, 3*second), at(4*second, 6*second), at(6*second, 12*second)}, windows)
 	c.Check(s.Causes[Answered], qt.Equals, Counts{Within: 2, Outside: 2})
 	c.Check(s.Within, qt.Equals, 4*second)
 	c.Check(s.Outside, qt.Equals, 8*second)
--- a/internal/lab/trial/operator.go
+++ b/internal/lab/trial/operator.go
@@ -12,14 +12,14 @@
 // operator changes the items that are its own, one call after another.
 type operator struct {
 	*operatorGroup
-	index       int
-	rng         *rand.Rand
-	items       map[Key]Item // as last sent, dropped ones too
-	last        []Item       // the last call
-	previous    []Item       // the call before it
-	bulkPresent bool         // its bulk routes are configured
-	unanswered  [][]Item     // calls without a clear answer
-	targets     []target     // its routes that clients use
+	index        int
+	rng          *rand.Rand
+	items        map[Key]Item  // as last sent, dropped ones too
+	last         []Item        // the last call
+	previous     []Item        // the call before it
+	bulkPresent  bool          // its bulk routes are configured
+	unanswered   [][]Item      // calls without a clear answer
+	clientRoutes []clientRoute // its routes that clients use
 }
 
 // sendInitial sends all items.
@@ -28,8 +28,8 @@
 	for _, s := range slices.Concat(services, transientServices) {
 		all = append(all, o.item("services", s, serviceItem(s, o.rng)))
 	}
-	for _, t := range targets() {
-		all = append(all, o.item("routes", t.name, t.routeItem(o.rng)))
+	for _, r := range clientRoutes() {
+		all = append(all, o.item("routes", r.name, r.routeItem(o.rng)))
 	}
 	all = append(all, o.item("limits", "limits", limitsItem(o.rng)))
 	return o.submit(ctx, changeInitial, all)
--- a/internal/lab/trial/operators.go
+++ b/internal/lab/trial/operators.go
@@ -32,9 +32,9 @@
 
 func (g *operatorGroup) newOperator(index int, rng *rand.Rand) *operator {
 	o := &operator{operatorGroup: g, index: index, rng: rng, items: map[Key]Item{}}
-	for n, t := range targets() {
+	for n, r := range clientRoutes() {
 		if n%operatorCount == index {
-			o.targets = append(o.targets, t)
+			o.clientRoutes = append(o.clientRoutes, r)
 		}
 	}
 	return o
--- a/internal/lab/trial/process.go
+++ b/internal/lab/trial/process.go
@@ -88,7 +88,7 @@
 	requested := p.stopRequested
 	p.mu.Unlock()
 	if !requested {
-		p.rig.restartAfterExit(p, err)
+		p.rig.handleUnexpectedExit(p, err)
 	}
 	close(exited)
 }
--- a/internal/lab/trial/report.go
+++ b/internal/lab/trial/report.go
@@ -13,7 +13,7 @@
 	windows := slices.Clone(r.operators.windows)
 	r.operators.mu.Unlock()
 	r.mu.Lock()
-	j := Judge{Terms: terms, Sent: slices.Clone(r.sent)}
+	j := Judge{Terms: terms, SignalLog: slices.Clone(r.signalLog)}
 	r.mu.Unlock()
 	all := r.recorder.joinedAttempts()
 	for _, a := range all {
@@ -21,13 +21,13 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := Sum(j, all, windows)
+	s := Summarize(j, all, windows)
 	s.Seed = r.options.Seed
 	s.Dir = r.dir
 	s.Changes = r.operators.counts
 	s.Results = r.operators.results
 	s.SignalCounts = r.signalCounts
-	s.Sent = j.Sent
+	s.SignalLog = j.SignalLog
 	s.Violated = r.violated
 	s.Violations = r.violations
 	s.Others = map[string]int64{
@@ -39,47 +39,47 @@
 }
 
 // Write writes the report as text.
-func (s *Report) Write(w io.Writer) {
-	s.writeTotals(w)
-	s.writeCauses(w)
-	s.writeSent(w)
+func (r *Report) Write(w io.Writer) {
+	r.writeTotals(w)
+	r.writeCauses(w)
+	r.writeSignalLog(w)
 	fmt.Fprintln(w, "first requests without a complete answer, but those of killed proxies:")
-	for _, request := range s.Incomplete {
+	for _, request := range r.Incomplete {
 		fmt.Fprintln(w, " ", request)
 	}
-	fmt.Fprintf(w, "violations: %d\n", s.Violated)
-	for _, v := range s.Violations {
+	fmt.Fprintf(w, "violations: %d\n", r.Violated)
+	for _, v := range r.Violations {
 		fmt.Fprintf(w, "  %v\n", v)
 	}
 }
 
-func (s *Report) writeTotals(w io.Writer) {
+func (r *Report) writeTotals(w io.Writer) {
 	fmt.Fprintf(w, "seed %d: %d requests (%d unsafe, %d complete streams) in %.1f s beside changes and %.1f s without, logs in %s\n",
-		s.Seed, s.Requests, s.Unsafe, s.Streams, s.Within.Seconds(), s.Outside.Seconds(), s.Dir)
+		r.Seed, r.Requests, r.Unsafe, r.Streams, r.Within.Seconds(), r.Outside.Seconds(), r.Dir)
 	changes := 0
-	for _, n := range s.Changes {
+	for _, n := range r.Changes {
 		changes += n
 	}
-	fmt.Fprintf(w, "%d changes: %v\n  by kind: %v\n", changes, s.Results, s.Changes)
-	fmt.Fprintf(w, "signals: %v\nstyles: %v\nstatuses of complete answers: %v\n", s.SignalCounts, s.Styles, s.Statuses)
-	for _, name := range slices.Sorted(maps.Keys(s.Others)) {
-		fmt.Fprintf(w, "%s: %d\n", name, s.Others[name])
+	fmt.Fprintf(w, "%d changes: %v\n  by kind: %v\n", changes, r.Results, r.Changes)
+	fmt.Fprintf(w, "signals: %v\nstyles: %v\nstatuses of complete answers: %v\n", r.SignalCounts, r.Styles, r.Statuses)
+	for _, name := range slices.Sorted(maps.Keys(r.Others)) {
+		fmt.Fprintf(w, "%s: %d\n", name, r.Others[name])
 	}
 }
 
-func (s *Report) writeCauses(w io.Writer) {
+func (r *Report) writeCauses(w io.Writer) {
 	fmt.Fprintf(w, "%-75s %8s %8s\n", "HOW REQUESTS ENDED", "WITHIN", "OUTSIDE")
-	for _, cause := range slices.Sorted(maps.Keys(s.Causes)) {
-		fmt.Fprintf(w, "%-75s %8d %8d\n", cause, s.Causes[cause].Within, s.Causes[cause].Outside)
+	for _, cause := range slices.Sorted(maps.Keys(r.Causes)) {
+		fmt.Fprintf(w, "%-75s %8d %8d\n", cause, r.Causes[cause].Within, r.Causes[cause].Outside)
 	}
 }
 
-// writeSent writes each signal that a proxy was sent.
-func (s *Report) writeSent(w io.Writer) {
-	for _, signal := range s.Sent {
+// writeSignalLog writes each signal that a proxy was sent.
+func (r *Report) writeSignalLog(w io.Writer) {
+	for _, signal := range r.SignalLog {
 		if signal.Proxy >= 0 {
 			fmt.Fprintf(w, "  proxy %d, %s from %.3f s to %.3f s\n",
-				signal.Proxy, disturbanceNames[signal.Kind], signal.At.Seconds(), signal.Until.Seconds())
+				signal.Proxy, signalNames[signal.Kind], signal.At.Seconds(), signal.Until.Seconds())
 		}
 	}
 }
--- a/internal/lab/trial/request.go
+++ b/internal/lab/trial/request.go
@@ -45,7 +45,7 @@
 // drawRequest draws a request to a proxy.
 func (c *trialClient) drawRequest(proxy int) request {
 	c.count++
-	t := c.rig.traffic[c.rng.IntN(len(c.rig.traffic))]
+	r := c.rig.traffic[c.rng.IntN(len(c.rig.traffic))]
 	q := request{
 		method:      http.MethodGet,
 		answerBytes: c.rng.IntN(maxSmallAnswer),
@@ -55,11 +55,11 @@
 		ID:          fmt.Sprintf("%s-%06d", c.name, c.count),
 		Proxy:       proxy,
 		Style:       c.style,
-		Idempotent:  t.idempotent,
+		Idempotent:  r.idempotent,
 		MaxAttempts: trafficAttempts,
-		Timeout:     t.minTimeout,
+		Timeout:     r.minTimeout,
 	}
-	if !t.idempotent || c.rng.IntN(safePostOneIn) == 0 {
+	if !r.idempotent || c.rng.IntN(safePostOneIn) == 0 {
 		c.drawBody(&q)
 	}
 	if c.rng.IntN(streamOneIn) == 0 {
@@ -67,7 +67,7 @@
 		q.attempt.Stream = true
 	}
 	q.paddedHeader = c.rng.IntN(paddedOneIn) == 0
-	q.path = requestPath(t.prefix, q.bodyBytes, q.answerBytes)
+	q.path = requestPath(r.prefix, q.bodyBytes, q.answerBytes)
 	q.attempt.Path = q.method + " " + q.path
 	return q
 }
--- a/internal/lab/trial/rig.go
+++ b/internal/lab/trial/rig.go
@@ -33,7 +33,7 @@
 	http      *http.Client
 	control   []*process
 	proxies   []*process
-	traffic   []target
+	traffic   []clientRoute
 	operators *operatorGroup
 	loadDone  atomic.Bool // no signal is sent any more, and processes are not started again
 
@@ -44,7 +44,7 @@
 	}
 
 	mu           sync.Mutex // guards what follows
-	sent         []Signal
+	signalLog    []Signal
 	signalCounts map[string]int // by role and signal
 	violations   []Violation    // the first maxKeptViolations
 	violated     int            // all of them
@@ -78,7 +78,7 @@
 		recorder:     newRecorder(o.Requests),
 		http:         &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 5 * time.Second}},
 		signalCounts: map[string]int{},
-		traffic:      targets(),
+		traffic:      clientRoutes(),
 	}
 	r.operators = &operatorGroup{rig: r, changes: NewChanges(), counts: map[changeKind]int{}, results: map[string]int{}}
 	for z := range zones {
@@ -113,7 +113,7 @@
 }
 
 // rng returns the random source of one part of the trial.
-func (r *rig) rng(part uint64) *rand.Rand { return rand.New(rand.NewPCG(r.options.Seed, part)) }
+func (r *rig) rng(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(r.options.Seed, stream)) }
 
 func (r *rig) progress(text string) {
 	if r.options.Progress != nil {
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// startAgain starts a process that has ended; that it does not start is a violation.
-func (r *rig) startAgain(p *process) {
+// restart starts a process that has ended; that it does not start is a violation.
+func (r *rig) restart(p *process) {
 	if err := p.start(); err != nil {
 		r.violate(Violation{"PROCESS: not started", err.Error()})
 	}
@@ -162,7 +162,7 @@
 				service: service,
 				zone:    (index + i) % zones,
 				index:   index,
-				rng:     r.rng(uint64(firstHostPart + index*10 + i)),
+				rng:     r.rng(uint64(firstHostStream + index*10 + i)),
 			}
 			background.Go(func() {
 				if err := h.run(ctx, i > 0); err != nil {
--- a/internal/lab/trial/routes.go
+++ b/internal/lab/trial/routes.go
@@ -31,8 +31,8 @@
 	transientServices = []string{"brief-a", "brief-b", "brief-c"}
 )
 
-// target is a route that clients use.
-type target struct {
+// clientRoute is a route that clients use.
+type clientRoute struct {
 	name, prefix string
 	idempotent   bool
 	service      string
@@ -40,10 +40,10 @@
 	transient    bool          // its service is dropped with it
 }
 
-// targets returns all routes that clients use.
-func targets() (all []target) {
+// clientRoutes returns all routes that clients use.
+func clientRoutes() (all []clientRoute) {
 	for n := range trafficRoutes {
-		t := target{
+		t := clientRoute{
 			name:       fmt.Sprintf("traffic-%d", n),
 			prefix:     fmt.Sprintf("/traffic/%d/", n),
 			idempotent: n%3 != 0,
@@ -56,7 +56,7 @@
 		all = append(all, t)
 	}
 	for n, s := range transientServices {
-		all = append(all, target{
+		all = append(all, clientRoute{
 			name:       "route-" + s,
 			prefix:     fmt.Sprintf("/%s/", s),
 			idempotent: n%2 == 0,
@@ -69,24 +69,24 @@
 }
 
 // routeItem draws a route's fields anew.
-func (t target) routeItem(rng *rand.Rand) map[string]any {
+func (r clientRoute) routeItem(rng *rand.Rand) map[string]any {
 	kind := "unsafe_method"
-	if t.idempotent {
+	if r.idempotent {
 		kind = "safe_method"
 	}
 	fields := map[string]any{
-		"name":             t.name,
+		"name":             r.name,
 		"host-name":        siteName,
-		"path-prefix":      t.prefix,
+		"path-prefix":      r.prefix,
 		"route-kind":       kind,
-		"timeout-s":        t.minTimeout.Seconds() * float64(1+rng.IntN(3)),
+		"timeout-s":        r.minTimeout.Seconds() * float64(1+rng.IntN(3)),
 		"target-s":         0.2 + float64(rng.IntN(8))/10,
 		"priority-level":   rng.IntN(4),
 		"maximum-attempts": 1 + rng.IntN(trafficAttempts),
 	}
 	switch {
-	case t.transient:
-		fields["service"] = t.service
+	case r.transient:
+		fields["service"] = r.service
 	case rng.IntN(2) == 0:
 		fields["service"] = services[rng.IntN(len(services))]
 	default:
--- a/internal/lab/trial/summary.go
+++ b/internal/lab/trial/summary.go
@@ -22,7 +22,7 @@
 	Changes      map[changeKind]int `json:"changes"`
 	Results      map[string]int     `json:"results"` // of changes, by status
 	SignalCounts map[string]int     `json:"signals"` // by role and signal
-	Sent         []Signal           `json:"struck"`
+	SignalLog    []Signal           `json:"struck"`
 	Others       map[string]int64   `json:"others"`
 	Violated     int                `json:"violated"`
 	Incomplete   []string           `json:"cuts"` // the first requests without a complete answer, one a line
@@ -46,8 +46,8 @@
 	return c
 }
 
-// Sum counts attempts by their causes, within and outside the intervals of changes.
-func Sum(j Judge, all []Attempt, windows []Interval) *Report {
+// Summarize counts attempts by their causes, within and outside the intervals of changes.
+func Summarize(j Judge, all []Attempt, windows []Interval) *Report {
 	s := &Report{Requests: len(all), Causes: map[Cause]Counts{}, Styles: map[Style]int{}, Statuses: map[int]int{}}
 	first, last := time.Duration(math.MaxInt64), time.Duration(0)
 	for _, a := range all {
@@ -64,20 +64,20 @@
 }
 
 // count adds one attempt.
-func (s *Report) count(a Attempt, cause Cause, within bool) {
-	s.Causes[cause] = s.Causes[cause].add(within)
-	s.Styles[a.Style]++
+func (r *Report) count(a Attempt, cause Cause, within bool) {
+	r.Causes[cause] = r.Causes[cause].add(within)
+	r.Styles[a.Style]++
 	if !a.Idempotent {
-		s.Unsafe++
+		r.Unsafe++
 	}
 	if a.Outcome == Complete {
-		s.Statuses[a.Status]++
+		r.Statuses[a.Status]++
 	}
 	if a.Outcome == Complete && a.Stream && a.Status == http.StatusOK {
-		s.Streams++
+		r.Streams++
 	}
-	notable := cause != Answered && cause != ProxyKilled && cause != BehindEnd
-	if notable && len(s.Incomplete) < maxKeptViolations {
-		s.Incomplete = append(s.Incomplete, fmt.Sprintf("%s: %v", cause, a))
+	notable := cause != Answered && cause != ProxyKilled && cause != BehindClose
+	if notable && len(r.Incomplete) < maxKeptViolations {
+		r.Incomplete = append(r.Incomplete, fmt.Sprintf("%s: %v", cause, a))
 	}
 }
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -15,18 +15,18 @@
 
 // The fractions of the load's duration: calm, changes, changes beside signals; what is left is calm again.
 const (
-	calmFraction    = 0.12
+	steadyFraction  = 0.12
 	changesFraction = 0.40
-	disturbFraction = 0.40
+	signalFraction  = 0.40
 )
 
 // Parts of the trial that have a random source of their own, see rig.rng.
 const (
-	firstOperatorPart = 1
-	disturbPart       = 500
-	firstRestartPart  = 600
-	firstHostPart     = 1000
-	firstClientPart   = 10_000
+	firstOperatorStream = 1
+	signalStream        = 500
+	firstRestartStream  = 600
+	firstHostStream     = 1000
+	firstClientStream   = 10_000
 )
 
 // settleTime is how long after the load a second run of a request would still come.
@@ -64,7 +64,7 @@
 
 // startConfiguration sends the first configuration, waits until the proxies have it, and returns the operators.
 func (r *rig) startConfiguration(ctx context.Context) ([]*operator, error) {
-	first := r.operators.newOperator(0, r.rng(firstOperatorPart))
+	first := r.operators.newOperator(0, r.rng(firstOperatorStream))
 	if err := first.sendInitial(ctx); err != nil {
 		return nil, fmt.Errorf("the first configuration: %w", err)
 	}
@@ -74,7 +74,7 @@
 	r.progress("the configuration is acknowledged, all proxies are ready")
 	all := []*operator{first}
 	for n := 1; n < operatorCount; n++ {
-		all = append(all, r.operators.newOperator(n, r.rng(uint64(firstOperatorPart+n))))
+		all = append(all, r.operators.newOperator(n, r.rng(uint64(firstOperatorStream+n))))
 	}
 	return all, nil
 }
@@ -87,16 +87,16 @@
 		c := r.newClient(n)
 		clients.Go(func() { c.run(stopClients) })
 	}
-	part := func(fraction float64) time.Duration { return time.Duration(fraction * float64(r.options.Lasts)) }
-	wait(ctx, part(calmFraction))
+	phase := func(fraction float64) time.Duration { return time.Duration(fraction * float64(r.options.Lasts)) }
+	wait(ctx, phase(steadyFraction))
 	stopOperators := runOperators(ctx, operators)
 	r.progress("changes")
-	wait(ctx, part(changesFraction))
+	wait(ctx, phase(changesFraction))
 	r.progress("changes and signals")
-	r.disturb(ctx, r.rng(disturbPart), part(disturbFraction))
+	r.signalProcesses(ctx, r.rng(signalStream), phase(signalFraction))
 	stopOperators()
 	r.progress("no more changes")
-	wait(ctx, part(1-calmFraction-changesFraction-disturbFraction)+terms.Configuration+time.Second)
+	wait(ctx, phase(1-steadyFraction-changesFraction-signalFraction)+terms.Configuration+time.Second)
 	close(stopClients)
 	clients.Wait()
 	wait(ctx, settleTime)
@@ -109,7 +109,7 @@
 		rig:   r,
 		name:  fmt.Sprintf("%016x-%d", r.options.Seed, n),
 		style: styles[n%len(styles)],
-		rng:   r.rng(uint64(firstClientPart + n)),
+		rng:   r.rng(uint64(firstClientStream + n)),
 	}
 }
 
@@ -137,7 +137,7 @@
 // restartControl kills all control processes at once, in the midst of changes, starts them again and reads from each.
 func (r *rig) restartControl(ctx context.Context, operators []*operator, n int) {
 	stopOperators := runOperators(ctx, operators)
-	wait(ctx, minChangeTime+time.Duration(r.rng(uint64(firstRestartPart+n)).Int64N(int64(minChangeTime))))
+	wait(ctx, minChangeTime+time.Duration(r.rng(uint64(firstRestartStream+n)).Int64N(int64(minChangeTime))))
 	var killed sync.WaitGroup
 	for _, p := range r.control {
 		killed.Go(p.kill)
@@ -145,7 +145,7 @@
 	killed.Wait()
 	stopOperators()
 	for _, p := range r.control {
-		r.startAgain(p)
+		r.restart(p)
 	}
 	r.verifyConfiguration(ctx, fmt.Sprintf("after all were killed, %d", n+1))
 }
