--- a/internal/lab/trial/attempt.go
+++ b/internal/lab/trial/attempt.go
@@ -6,55 +6,55 @@
 	"time"
 )
 
-// Outcome is how an attempt ended for its client.
+// Outcome is the result of an attempt as its client saw it.
 type Outcome uint8
 
-// The outcomes.
+// Values of Outcome.
 const (
-	Complete        Outcome = iota // one complete answer came
-	Truncated                      // the connection ended without a complete answer
-	TimedOut                       // no complete answer came until the client's own deadline
-	WriteFailed                    // the connection ended while the request was being written
-	PipelinedBehind                // pipelined behind an answer that announced the connection's end, or behind a cut one
-	Mismatched                     // an answer came that is not the one to this request
+	Complete        Outcome = iota // the client received one complete response
+	Truncated                      // the connection closed before the response was complete
+	TimedOut                       // the response was incomplete at the client's own deadline
+	WriteFailed                    // the connection closed while the request was being written
+	PipelinedBehind                // pipelined behind a response that announced the close, or behind a request that failed
+	Mismatched                     // the response does not belong to this request
 )
 
 // Style is how a client uses its connections.
 type Style string
 
-// The styles, as reports name them.
+// Values of Style; reports contain them as they are.
 const (
 	KeepAlive  Style = "kept"      // one request after another on a connection
-	Pipelined  Style = "pipelined" // several requests at once on a connection
-	Idling     Style = "idle"      // requests with long pauses, some of about the idle timeout
-	OneRequest Style = "fresh"     // a connection for each request
+	Pipelined  Style = "pipelined" // several requests on a connection without waiting for responses
+	Idling     Style = "idle"      // long pauses between requests, some close to the idle timeout
+	OneRequest Style = "fresh"     // a new connection for each request
 )
 
-// Attempt is one request of a client as both its ends saw it. Times count from the start of the trial.
+// Attempt is one client request as seen by the client and by the hosts. Points in time are offsets from the start of the trial.
 type Attempt struct {
 	ID          string
-	Proxy       int // the proxy that it was sent to
+	Proxy       int // index of the proxy
 	Style       Style
 	Idempotent  bool
-	MaxAttempts int // hosts that it may be sent to
+	MaxAttempts int // maximum number of hosts that the proxy may try
 	Stream      bool
 	Path        string
-	IdleFor     time.Duration // how long its connection was idle before; 0 on a new one
-	ConnectedAt time.Duration // when its connection was opened
-	BeganAt     time.Duration // when its first byte was written
+	IdleFor     time.Duration // idle time of the connection before the request; 0 for a new connection
+	ConnectedAt time.Duration // when the client began to open the connection
+	BeganAt     time.Duration // when the client began to write the request
 
-	SentAt   time.Duration // when its last byte was written
+	SentAt   time.Duration // when the write of the request returned
 	EndedAt  time.Duration
-	Deadline time.Duration // when its client gives up
-	Timeout  time.Duration // the shortest timeout that its route may have had
+	Deadline time.Duration // when the client gives up
+	Timeout  time.Duration // the shortest timeout that the route may have had
 	Outcome  Outcome
-	Status   int    // 0 where no answer's head came
-	Detail   string // the error, or what is wrong with the answer
+	Status   int    // 0 if no response header was read
+	Detail   string // the error, or how the response differs from the expected one
 
 	Host HostView
 }
 
-// String describes the attempt in one line, for violations.
+// String formats the attempt as one line, for the details of violations.
 func (a Attempt) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s safe=%v %s proxy %d: ", a.ID, a.Style, a.Idempotent, a.Path, a.Proxy)
@@ -65,19 +65,19 @@
 	return b.String()
 }
 
-// HostView is what the hosts counted of one attempt.
+// HostView is what all hosts together recorded of one attempt. Its field names appear in the details of violations.
 type HostView struct {
-	Arrivals  int           // requests that reached a host, also those that it rejected
-	Ran       int           // of them, those that the host worked on
-	BrokeOff  bool          // a host broke off by itself, or ended while it was at work
-	Abandoned time.Duration // when a host's connection was closed while it was at work, 0 for never
-	Garbled   bool          // the body that arrived was not the one that was sent
+	Arrivals  int           // requests that reached a host, including rejected ones
+	Ran       int           // arrivals that a host processed
+	BrokeOff  bool          // a host aborted the request, or shut down while processing it
+	Abandoned time.Duration // when the proxy closed the connection to a host that was processing the request; 0 for never
+	Garbled   bool          // a host received a body that differs from the one sent
 }
 
-// SignalKind is a signal that the trial sends to processes.
+// SignalKind is the kind of a signal that a process receives.
 type SignalKind uint8
 
-// The signal kinds.
+// Values of SignalKind.
 const (
 	Hangup     SignalKind = iota // SIGHUP
 	Terminated                   // SIGTERM
@@ -86,16 +86,15 @@
 
 var signalNames = [...]string{Hangup: "SIGHUP", Terminated: "SIGTERM", Killed: "SIGKILL"}
 
-// Signal is one signal that a process was sent.
+// Signal records one signal that was sent to a process.
 type Signal struct {
-	Proxy int // the proxy's number, -1 for a control process
+	Proxy int // index of the proxy, -1 for a control process
 	Kind  SignalKind
 	At    time.Duration
-	Until time.Duration // the process had ended by then; 0 where it goes on
+	Until time.Duration // when delivery returned, by which time a terminated or killed process had exited
 }
 
-// Interval is a span of time; both ends belong to it.
+// Interval is a closed interval of time, as offsets from the start of the trial.
 type Interval struct{ From, To time.Duration }
 
-// contains reports whether a moment lies in the interval.
 func (i Interval) contains(at time.Duration) bool { return i.From <= at && at <= i.To }
--- a/internal/lab/trial/cause.go
+++ b/internal/lab/trial/cause.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Cause is why an attempt ended without a complete answer, or that it did not. The texts stand in reports.
+// Cause classifies how an attempt ended. Its values are keys of the report.
 type Cause string
 
-// The causes. Those that begin with LOST are violations.
+// Values of Cause. Those that begin with LOST are violations.
 const (
 	Answered             Cause = "answered"
 	HostAborted          Cause = "host broke off"
@@ -25,10 +25,10 @@
 	WrongAnswer          Cause = "LOST: not the answer to this request"
 )
 
-// forwardableAfterTerm is how long after a SIGTERM a request may be sent and still be excused at the end of the grace.
+// forwardableAfterTerm is the time after a SIGTERM within which a proxy may still forward new requests; see lateInGrace.
 const forwardableAfterTerm = 3 * time.Second
 
-// Cause returns why an attempt ended as it did.
+// Cause returns the cause of an attempt's outcome. Complete attempts have the cause Answered.
 func (j Judge) Cause(a Attempt) Cause {
 	switch a.Outcome {
 	case Complete:
@@ -49,20 +49,20 @@
 	return j.causeNotForwarded(a, terminated)
 }
 
-// commonCause returns a cause that holds whether or not a host received the request.
+// commonCause returns a cause that applies whether or not a host received the request.
 func commonCause(a Attempt) (cause Cause, found bool) {
 	switch {
 	case a.Host.BrokeOff:
 		return HostAborted, true
 	case a.Outcome == TimedOut:
 		return ClientGaveUp, true
-	case a.EndedAt >= a.Deadline, a.EndedAt-a.BeganAt >= a.Timeout: // a proxy's time begins with the request's head
+	case a.EndedAt >= a.Deadline, a.EndedAt-a.BeganAt >= a.Timeout: // a proxy's timeout starts with the request header
 		return TimeoutExpired, true
 	}
 	return "", false
 }
 
-// causeForwarded returns the cause for a request that a host received; terminated is nil if the proxy got no SIGTERM.
+// causeForwarded returns the cause for a request that a host received; terminated is nil if the proxy was not terminating.
 func (j Judge) causeForwarded(a Attempt, terminated *Signal) Cause {
 	switch {
 	case terminated == nil:
@@ -73,7 +73,7 @@
 	return CutForwardedShutdown
 }
 
-// causeNotForwarded returns the cause for a request that no host received; terminated is nil if the proxy got no SIGTERM.
+// causeNotForwarded returns the cause for a request that no host received; terminated is nil if the proxy was not terminating.
 func (j Judge) causeNotForwarded(a Attempt, terminated *Signal) Cause {
 	late := a.EndedAt-a.SentAt > j.Terms.LossSlack
 	switch {
@@ -81,7 +81,7 @@
 		return NotWritten
 	case a.Outcome == PipelinedBehind:
 		return BehindClose
-	case a.IdleFor > j.Terms.Idle*4/5: // longer than clients may idle: the proxy had closed by its limits and never read it
+	case a.IdleFor > j.Terms.Idle*4/5: // close to the idle timeout: the proxy may have closed the connection without reading the request
 		return IdleTimeoutRace
 	case late && terminated != nil:
 		return CutLateShutdown
@@ -93,13 +93,15 @@
 	return CrossedClose
 }
 
-// signalDuring returns the SIGTERM during which an attempt ended, nil for none, and whether the proxy was killed just then.
+// signalDuring returns the last SIGTERM to the proxy that overlaps the lifetime of the attempt's connection, nil for none, and reports
+// whether a SIGKILL overlaps it.
 func (j Judge) signalDuring(a Attempt) (terminated *Signal, killed bool) {
 	for n, s := range j.SignalLog {
 		if s.Proxy != a.Proxy {
 			continue
 		}
-		during := a.ConnectedAt <= s.Until && s.At <= a.EndedAt // its connection ended with the process, whenever the client noticed
+		// The connection closed when the process exited, even if the client noticed later.
+		during := a.ConnectedAt <= s.Until && s.At <= a.EndedAt
 		if !during {
 			continue
 		}
@@ -113,8 +115,8 @@
 	return terminated, killed
 }
 
-// lateInGrace reports whether a host was still at work in the last sixth of the grace on a request that was sent soon after the
-// SIGTERM at the latest.
+// lateInGrace reports whether a request that was sent at most forwardableAfterTerm after the SIGTERM was still unanswered in the last
+// sixth of the grace period.
 func (j Judge) lateInGrace(a Attempt, s Signal) bool {
 	return a.SentAt <= s.At+forwardableAfterTerm && a.EndedAt >= s.At+j.Terms.Grace*5/6
 }
--- a/internal/lab/trial/change.go
+++ b/internal/lab/trial/change.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// changeKind is a kind of change as the report counts it.
+// changeKind classifies calls of configuration.modify. Its values are keys of the report.
 type changeKind string
 
 const (
@@ -25,7 +25,7 @@
 	changeUnanswered changeKind = "one without a clear answer sent again"
 )
 
-// changeWeights are how often each kind is drawn.
+// changeWeights are the relative frequencies of the kinds.
 var changeWeights = []struct {
 	kind   changeKind
 	weight int
@@ -43,12 +43,12 @@
 }
 
 const (
-	idleRoutes     = 20  // names of idle routes that each operator draws from
-	maxPauseMillis = 60  // between dropping an item in use and adding it again
-	raceTimeout    = 7.5 // seconds; a timeout that idleRoute never draws, so that the two contents of a race differ
+	idleRoutes     = 20  // number of idle routes per operator
+	maxPauseMillis = 60  // longest pause between dropping an item in use and adding it again
+	raceTimeout    = 7.5 // timeout in seconds that idleRoute never returns, so that the two contents of a race differ
 )
 
-// sendChange draws one change and sends it.
+// sendChange sends one random change.
 func (o *operator) sendChange(ctx context.Context) {
 	kind := o.drawKind()
 	r := o.clientRoutes[o.rng.IntN(len(o.clientRoutes))]
@@ -60,7 +60,7 @@
 	case changeIdle:
 		o.toggleIdleRoute(ctx)
 	case changeLimits:
-		if o.index == 0 { // the limits are one item, and belong to the first operator
+		if o.index == 0 { // the limits are a single item, owned by the first operator
 			o.send(ctx, kind, o.item("limits", "limits", limitsItem(o.rng)))
 		}
 	case changeService:
@@ -97,12 +97,12 @@
 	return changeRoute
 }
 
-// pause lets some requests arrive under the configuration as it is now.
+// pause waits for a random time, so that some requests run under the current configuration.
 func (o *operator) pause(ctx context.Context) {
 	wait(ctx, time.Duration(o.rng.IntN(maxPauseMillis))*time.Millisecond)
 }
 
-// sendRoute changes a route whose service is not dropped meanwhile: t, or one that is drawn in its place.
+// sendRoute changes r or, if r is transient, another random route that is not.
 func (o *operator) sendRoute(ctx context.Context, r clientRoute) {
 	for r.transient {
 		r = o.clientRoutes[o.rng.IntN(len(o.clientRoutes))]
@@ -117,7 +117,7 @@
 	o.send(ctx, changeDrop, o.item("routes", r.name, r.routeItem(o.rng)))
 }
 
-// toggleIdleRoute adds a route that nobody uses, or drops it if it is there.
+// toggleIdleRoute adds a route that no client uses, or drops it if it exists.
 func (o *operator) toggleIdleRoute(ctx context.Context) {
 	name := fmt.Sprintf("idle-%d-%d", o.index, o.rng.IntN(idleRoutes))
 	fields := idleRoute(name, o.rng)
@@ -127,7 +127,7 @@
 	o.send(ctx, changeIdle, o.item("routes", name, fields))
 }
 
-// recreateService drops a service together with its route, and adds both again.
+// recreateService drops the operator's transient service together with its route, and adds both again.
 func (o *operator) recreateService(ctx context.Context) {
 	for _, r := range o.clientRoutes {
 		if !r.transient {
@@ -141,7 +141,7 @@
 	}
 }
 
-// toggleBulk adds or drops many routes in one call.
+// toggleBulk adds or drops bulkRoutes routes in one call.
 func (o *operator) toggleBulk(ctx context.Context) {
 	var all []Item
 	for n := range bulkRoutes {
@@ -156,7 +156,7 @@
 	o.send(ctx, changeBulk, all...)
 }
 
-// sendRace sends two contents under one version to two control processes at once: at most one of them may come into force.
+// sendRace concurrently sends two contents with the same version to two control processes, which may apply at most one of them.
 func (o *operator) sendRace(ctx context.Context) {
 	name := fmt.Sprintf("race-%d", o.index)
 	one := o.item("routes", name, idleRoute(name, o.rng))
@@ -168,7 +168,7 @@
 	first := o.rng.IntN(zones)
 	for n, i := range []Item{one, other} {
 		both.Go(func() {
-			_ = o.call(ctx, changeRace, []Item{i}, first+n) // one is refused; call counts and judges both
+			_ = o.call(ctx, changeRace, []Item{i}, first+n) // one of them is rejected; call records and checks both results
 		})
 	}
 	both.Wait()
--- a/internal/lab/trial/changes.go
+++ b/internal/lab/trial/changes.go
@@ -5,32 +5,33 @@
 	"slices"
 )
 
-// Key names a configuration item.
+// Key identifies a configuration item.
 type Key struct{ Kind, Name string }
 
-// Item is a configuration item as an operator sends or reads it.
+// Item is one version of a configuration item, as sent or read by an operator.
 type Item struct {
 	Key
 	Version uint64
 	Dropped bool
-	Fields  string // its fields but the version, canonical; empty where it is dropped
+	Fields  string // canonical JSON of all fields except the version; empty if dropped
 }
 
 func (i Item) String() string {
 	return fmt.Sprintf("%s %s %08x dropped=%v %s", i.Kind, i.Name, i.Version, i.Dropped, i.Fields)
 }
 
-// itemHistory is what an operator knows of one item's versions.
+// itemHistory records the versions of one item that operators have sent.
 type itemHistory struct {
 	acknowledged    Item
 	hasAcknowledged bool
-	pending         []Item // sent, and neither acknowledged nor refused
+	pending         []Item // sent, but neither acknowledged nor rejected
 }
 
-// Changes records operators' changes and judges what is read back. It is pure, and not safe for concurrent use.
+// Changes records the changes that operators send and checks the configuration that is read back. It does no I/O and is not safe for
+// concurrent use.
 type Changes struct{ items map[Key]*itemHistory }
 
-// NewChanges returns an empty record.
+// NewChanges returns a record without changes.
 func NewChanges() *Changes { return &Changes{items: map[Key]*itemHistory{}} }
 
 func (c *Changes) history(k Key) *itemHistory {
@@ -42,7 +43,7 @@
 	return h
 }
 
-// Sent records a call whose outcome is open.
+// Sent records a call before its result is known.
 func (c *Changes) Sent(items []Item) {
 	for _, i := range items {
 		h := c.history(i.Key)
@@ -50,7 +51,8 @@
 	}
 }
 
-// Acknowledged records that a call was answered with 200, and returns the rules that this breaks.
+// Acknowledged records that a call was answered with 200, and returns a violation for each item for which another content of the same
+// version was acknowledged before.
 func (c *Changes) Acknowledged(items []Item) (all []Violation) {
 	for _, i := range items {
 		h := c.history(i.Key)
@@ -60,29 +62,29 @@
 			h.acknowledged, h.hasAcknowledged = i, true
 		case i.Version == h.acknowledged.Version && i != h.acknowledged:
 			all = append(all, Violation{
-				Rule:   "CONFIGURATION: two contents of one version acknowledged",
-				Detail: i.String() + " beside " + h.acknowledged.String(),
+				Rule:   "CONFIGURATION: two different contents of one version acknowledged",
+				Detail: i.String() + " and " + h.acknowledged.String(),
 			})
 		}
 	}
 	return all
 }
 
-// Refused records that a call was refused for good: nothing of it may come into force.
+// Refused records that a call was definitively rejected: none of its items may be applied.
 func (c *Changes) Refused(items []Item) {
 	for _, i := range items {
 		c.history(i.Key).removePending(i)
 	}
 }
 
-// removePending removes one pending call of an item.
+// removePending removes i from the pending items, once if it was sent several times.
 func (h *itemHistory) removePending(i Item) {
 	if n := slices.Index(h.pending, i); n >= 0 {
 		h.pending = slices.Delete(h.pending, n, n+1)
 	}
 }
 
-// Check compares what a reader read with what was acknowledged, and returns the differences.
+// Check compares the configuration that a reader read with the recorded changes, and returns the differences as violations.
 func (c *Changes) Check(reader string, current map[Key]Item) (all []Violation) {
 	for key, h := range c.items {
 		i, found := current[key]
@@ -91,18 +93,19 @@
 		}
 		all = append(all, Violation{
 			Rule:   "CONFIGURATION: an acknowledged change is not read back",
-			Detail: fmt.Sprintf("%s: read %v %v, acknowledged %v, open %v", reader, found, i, h.acknowledged, h.pending),
+			Detail: fmt.Sprintf("%s: read found=%v %v, acknowledged %v, pending %v", reader, found, i, h.acknowledged, h.pending),
 		})
 	}
 	for key, i := range current {
 		if c.items[key] == nil {
-			all = append(all, Violation{"CONFIGURATION: an item that nobody sent is read", fmt.Sprintf("%s: %v", reader, i)})
+			all = append(all, Violation{"CONFIGURATION: read an item that no operator sent", fmt.Sprintf("%s: %v", reader, i)})
 		}
 	}
 	return all
 }
 
-// explains reports whether what was read follows from what was sent: it is what was acknowledged, or a later call that is pending.
+// explains reports whether the item that was read is allowed by the history: it is the acknowledged version, a pending one that is
+// newer, or none if none was acknowledged.
 func (h *itemHistory) explains(i Item, found bool) bool {
 	if !h.hasAcknowledged && !found {
 		return true
@@ -121,7 +124,7 @@
 	return false
 }
 
-// readAs reports whether an item, once in force, is read as other; found is false where nothing was read.
+// readAs reports whether an item, once applied, is read as other; found is false if no item was read.
 func (i Item) readAs(other Item, found bool) bool {
 	if !found {
 		return i.Dropped
--- a/internal/lab/trial/changes_test.go
+++ b/internal/lab/trial/changes_test.go
@@ -18,22 +18,22 @@
 		acknowledged, refused, pending []Item
 		read                           []Item
 		wrong                          int
-		wrongOnAck                     int // as it is acknowledged
+		wrongOnAck                     int // violations returned by Acknowledged
 	}{
 		{name: "nothing sent, nothing read"},
 		{name: "read back", acknowledged: []Item{one, two}, read: []Item{two}},
-		{name: "an older one is read", acknowledged: []Item{one, two}, read: []Item{one}, wrong: 1},
+		{name: "an older version is read", acknowledged: []Item{one, two}, read: []Item{one}, wrong: 1},
 		{name: "nothing is read", acknowledged: []Item{one}, wrong: 1},
 		{name: "dropped", acknowledged: []Item{one, dropped}},
-		{name: "dropped, and there", acknowledged: []Item{one, dropped}, read: []Item{one}, wrong: 1},
-		{name: "an older one sent again", acknowledged: []Item{one, two, one}, read: []Item{two}},
-		{name: "the same sent again", acknowledged: []Item{one, one}, read: []Item{one}},
-		{name: "open, and in force", acknowledged: []Item{one}, pending: []Item{two}, read: []Item{two}},
-		{name: "open, and not in force", acknowledged: []Item{one}, pending: []Item{two}, read: []Item{one}},
-		{name: "open, older, and in force", acknowledged: []Item{two}, pending: []Item{one}, read: []Item{one}, wrong: 1},
-		{name: "an open drop", acknowledged: []Item{one}, pending: []Item{dropped}},
-		{name: "refused, and in force", acknowledged: []Item{one}, refused: []Item{two}, read: []Item{two}, wrong: 1},
-		{name: "refused, never there", refused: []Item{one}},
+		{name: "dropped, but read", acknowledged: []Item{one, dropped}, read: []Item{one}, wrong: 1},
+		{name: "an older version sent again", acknowledged: []Item{one, two, one}, read: []Item{two}},
+		{name: "the same version sent again", acknowledged: []Item{one, one}, read: []Item{one}},
+		{name: "pending, and applied", acknowledged: []Item{one}, pending: []Item{two}, read: []Item{two}},
+		{name: "pending, and not applied", acknowledged: []Item{one}, pending: []Item{two}, read: []Item{one}},
+		{name: "pending, older, and applied", acknowledged: []Item{two}, pending: []Item{one}, read: []Item{one}, wrong: 1},
+		{name: "a pending drop", acknowledged: []Item{one}, pending: []Item{dropped}},
+		{name: "rejected, but applied", acknowledged: []Item{one}, refused: []Item{two}, read: []Item{two}, wrong: 1},
+		{name: "rejected, and not read", refused: []Item{one}},
 		{name: "a race's winner", acknowledged: []Item{two}, refused: []Item{other}, read: []Item{two}},
 		{name: "a race's loser", acknowledged: []Item{two}, refused: []Item{other}, read: []Item{other}, wrong: 1},
 		{name: "a race with two winners", acknowledged: []Item{two, other}, read: []Item{two}, wrongOnAck: 1},
--- a/internal/lab/trial/client.go
+++ b/internal/lab/trial/client.go
@@ -10,26 +10,27 @@
 
 const (
 	maxPipelined       = 4
-	maxRequestsPerConn = 40 // on a connection that is kept
+	maxRequestsPerConn = 40 // the client closes a connection after as many requests
 
-	minRequestPause = 5 * time.Millisecond // between a client's exchanges
+	// Bounds of a client's pause between exchanges.
+	minRequestPause = 5 * time.Millisecond
 	maxRequestPause = 80 * time.Millisecond
-	reconnectPause  = 20 * time.Millisecond // after a connection that was refused
+	reconnectPause  = 20 * time.Millisecond // after a refused connection
 
-	idleOutOneIn  = 6                    // pauses of an idling client that last about as long as the idle timeout
-	idleOutSpread = 5 * time.Millisecond // around the idle timeout
+	idleOutOneIn  = 6                    // one in this many pauses of an idling client is close to the idle timeout
+	idleOutSpread = 5 * time.Millisecond // maximum difference of such a pause from the idle timeout
 
-	peekTimeout = 50 * time.Microsecond // for what has come already
+	peekTimeout = 50 * time.Microsecond // just long enough to see data or a close that has already arrived
 	readBuffer  = 16 << 10              // bytes
 )
 
-// trialClient is a client that sends requests in one style, one exchange after another.
+// trialClient sends requests in one style, one exchange after another.
 type trialClient struct {
 	rig   *rig
 	name  string
 	style Style
 	rng   *rand.Rand
-	count int // requests drawn
+	count int // requests generated, for their IDs
 }
 
 // connection is a client's connection to a proxy.
@@ -37,12 +38,12 @@
 	net.Conn
 	in        *bufio.Reader
 	proxy     int
-	requests  int           // written to it
+	requests  int           // number of requests in finished exchanges
 	idleSince time.Duration // when the last exchange ended
 	openedAt  time.Duration
 }
 
-// run sends requests until it is stopped or the recorder is full.
+// run sends requests until stop is closed or the recorder is full.
 func (c *trialClient) run(stop <-chan struct{}) {
 	var conn *connection
 	defer func() {
@@ -71,7 +72,7 @@
 	}
 }
 
-// sendNext sends what the client's style sends at once, and reports whether the connection is used again.
+// sendNext performs one exchange, of several requests for a pipelining client. It reports whether the connection may be reused.
 func (c *trialClient) sendNext(conn *connection) bool {
 	n := 1
 	if c.style == Pipelined {
@@ -95,7 +96,7 @@
 	return reusable && c.style != OneRequest && conn.requests < maxRequestsPerConn
 }
 
-// idlePause draws how long a connection stays idle: within the idle timeout, or about as long as it.
+// idlePause returns a random idle time that is either well below the shortest idle timeout or close to it.
 func (c *trialClient) idlePause() time.Duration {
 	pause := c.between(minIdleTimeout/10, minIdleTimeout*4/5)
 	if c.rng.IntN(idleOutOneIn) == 0 {
@@ -104,7 +105,7 @@
 	return pause
 }
 
-// closedByPeer reports whether the proxy has ended the connection, as far as that has reached the client.
+// closedByPeer reports whether the proxy has closed the connection, or sent unexpected data, as far as the client can see yet.
 func (c *connection) closedByPeer() bool {
 	c.SetReadDeadline(time.Now().Add(peekTimeout))
 	_, err := c.in.Peek(1)
@@ -113,7 +114,7 @@
 	return !errors.As(err, &timeout) || !timeout.Timeout()
 }
 
-// connect opens a connection to a drawn proxy, nil if that is refused. Proxies that are ending are drawn too.
+// connect opens a connection to a random proxy, which may be terminating or down. It returns nil if the connection fails.
 func (c *trialClient) connect() *connection {
 	proxy := c.rng.IntN(len(c.rig.proxies))
 	opened := c.rig.clock.now()
@@ -125,7 +126,7 @@
 	return &connection{Conn: conn, in: bufio.NewReaderSize(conn, readBuffer), proxy: proxy, openedAt: opened}
 }
 
-// between draws a duration.
+// between returns a random duration in [low, high).
 func (c *trialClient) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(c.rng.Int64N(int64(high-low)))
 }
--- a/internal/lab/trial/codec.go
+++ b/internal/lab/trial/codec.go
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// canonical encodes an item's fields so that equal ones are equal texts; nulls and the version are left out.
+// canonical encodes an item's fields as JSON with sorted keys, so that equal items have equal encodings. It omits nulls and the
+// version.
 func canonical(fields map[string]any) string {
 	kept := map[string]any{}
 	for name, value := range fields {
@@ -18,13 +19,13 @@
 	return string(mustMarshal(kept))
 }
 
-// itemTable is a list of items as it is sent.
+// itemTable is the wire format of a list of items.
 type itemTable struct {
 	Columns []string `json:"table-columns"`
 	Rows    [][]any  `json:"table-rows"`
 }
 
-// fields returns the fields of one row by their columns.
+// fields returns the values of a row by column name.
 func (t itemTable) fields(row []any) map[string]any {
 	fields := map[string]any{}
 	for n, column := range t.Columns {
@@ -35,7 +36,7 @@
 	return fields
 }
 
-// ParseConfiguration parses what configuration.read answered.
+// ParseConfiguration parses the response of configuration.read.
 func ParseConfiguration(raw []byte) (map[Key]Item, error) {
 	var answer struct {
 		Routes   itemTable      `json:"routes"`
@@ -43,7 +44,7 @@
 		Limits   map[string]any `json:"limits"`
 	}
 	if err := json.NewDecoder(bytes.NewReader(raw)).Decode(&answer); err != nil {
-		return nil, fmt.Errorf("configuration.read: %w", err)
+		return nil, fmt.Errorf("decode configuration.read response: %w", err)
 	}
 	all := map[Key]Item{}
 	for kind, t := range map[string]itemTable{"routes": answer.Routes, "services": answer.Services} {
@@ -61,7 +62,7 @@
 	return all, nil
 }
 
-// addItem adds an item that was read.
+// addItem adds an item to all.
 func addItem(all map[Key]Item, key Key, fields map[string]any) error {
 	version, err := parseVersion(fields["version"])
 	if err != nil {
@@ -79,7 +80,7 @@
 	return version, nil
 }
 
-// encodeChange encodes the body of configuration.modify.
+// encodeChange returns the request body of configuration.modify.
 func encodeChange(items []Item) []byte {
 	set := map[string]any{}
 	drop := map[string][]map[string]string{}
@@ -101,17 +102,17 @@
 	return mustMarshal(map[string]any{"set-items": set, "drop-names": drop})
 }
 
-// fieldsAt decodes an item's fields, and adds the version.
+// fieldsAt decodes an item's fields and sets the version.
 func (i Item) fieldsAt(version string) map[string]any {
 	fields := map[string]any{}
 	if err := json.Unmarshal([]byte(i.Fields), &fields); err != nil {
-		panic(fmt.Sprintf("fields of %s %s, which canonical wrote: %v", i.Kind, i.Name, err))
+		panic(fmt.Sprintf("decode canonical fields of %s %s: %v", i.Kind, i.Name, err))
 	}
 	fields["version"] = version
 	return fields
 }
 
-// newTable makes a table of all columns that some row has.
+// newTable returns a table whose columns are the union of the rows' fields; missing values are null.
 func newTable(rows []map[string]any) (t itemTable) {
 	for _, fields := range rows {
 		for name := range fields {
--- a/internal/lab/trial/disturb.go
+++ b/internal/lab/trial/disturb.go
@@ -11,15 +11,17 @@
 )
 
 const (
-	maxProxiesDown = 2 // at once
+	// Limits on processes of a role that are being signalled or restarted at a time.
+	maxProxiesDown = 2
 	maxControlDown = 1
 
-	minDowntime  = 50 * time.Millisecond // until a process that was ended is started again
+	// Bounds of the delay before a stopped process is restarted.
+	minDowntime  = 50 * time.Millisecond
 	maxDowntime  = 900 * time.Millisecond
-	startTimeout = 10 * time.Second // for a process that was started to listen
+	startTimeout = 10 * time.Second // from the start of a process until it listens
 )
 
-// drawTimes draws n times within a duration, sorted.
+// drawTimes returns n random times within a duration, sorted.
 func drawTimes(rng *rand.Rand, n int, duration time.Duration) (all []time.Duration) {
 	for range n {
 		all = append(all, time.Duration(rng.Int64N(int64(duration))))
@@ -28,7 +30,7 @@
 	return all
 }
 
-// signalProcesses sends processes signals at drawn times, and starts those again that end. It returns when all of them have been sent.
+// signalProcesses sends signals to random processes at random times, and restarts those that exit. It returns when the last restart is done.
 func (r *rig) signalProcesses(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 	var pending sync.WaitGroup
 	defer pending.Wait()
@@ -55,7 +57,7 @@
 	}
 }
 
-// signalProcess sends a process a signal, and starts it again after its downtime if that ended it.
+// signalProcess sends a process a signal and, unless it is SIGHUP, restarts the process after downtime.
 func (r *rig) signalProcess(p *process, kind SignalKind, downtime time.Duration) {
 	p.signalling.Lock()
 	defer p.signalling.Unlock()
@@ -76,14 +78,14 @@
 	r.restart(p)
 }
 
-// deliver sends a process a signal, and waits for its end if the signal ends it.
+// deliver sends a process a signal and, unless it is SIGHUP, waits until the process has exited.
 func (r *rig) deliver(p *process, kind SignalKind) {
 	switch kind {
 	case Hangup:
 		p.signal(syscall.SIGHUP)
 	case Terminated:
 		if !p.terminate(terms.Grace) {
-			r.violate(Violation{"PROCESS: not ended within its grace", p.name})
+			r.violate(Violation{"PROCESS: did not exit within the grace period", p.name})
 		}
 	case Killed:
 		p.kill()
@@ -98,11 +100,11 @@
 	r.signalCounts[role+" "+signalNames[s.Kind]]++
 }
 
-// handleUnexpectedExit reports a process that exited though no signal ended it, and starts it again as the platform does. The goroutine
-// that it starts ends with that, or as the load is done.
+// handleUnexpectedExit records a violation for a process that exited without being asked to, and restarts it in a goroutine, as the
+// platform would, unless the load is done.
 func (r *rig) handleUnexpectedExit(p *process, cause error) {
 	at := r.clock.now()
-	r.violate(Violation{"PROCESS: ended by itself", fmt.Sprintf("%s at %.3f s: %v", p.name, at.Seconds(), cause)})
+	r.violate(Violation{"PROCESS: exited unexpectedly", fmt.Sprintf("%s at %.3f s: %v", p.name, at.Seconds(), cause)})
 	go func() {
 		p.signalling.Lock()
 		defer p.signalling.Unlock()
--- a/internal/lab/trial/exchange.go
+++ b/internal/lab/trial/exchange.go
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// lateAnswerMargin is how long a client waits beyond the timeout that it sends, so that a late answer is not taken for none.
+// lateAnswerMargin is how long a client waits beyond the timeout that it sends, so that it still receives a late response.
 const lateAnswerMargin = 1500 * time.Millisecond
 
-// closesConnection ends the detail of an answer after which the proxy closes the connection.
+// closesConnection is the suffix of Attempt.Detail for a response after which the proxy closes the connection.
 const closesConnection = "closes"
 
-// exchange writes requests one behind the other while it reads their answers. It reports whether the connection may be reused.
+// exchange writes requests back to back while it reads their responses. It reports whether the connection may be reused.
 func (c *trialClient) exchange(conn *connection, requests []request) bool {
-	written := make([]chan error, len(requests)) // each receives the outcome of one write; closed where that is not begun
+	written := make([]chan error, len(requests)) // each receives the result of one write, or is closed if the write was not attempted
 	for n := range written {
 		written[n] = make(chan error, 1)
 	}
-	go c.writeRequests(conn, requests, written) // ends as all is written, or as the connection ends
-	ended := ""                                 // why the connection has ended for the requests that follow
+	go c.writeRequests(conn, requests, written) // returns when all requests are written or the connection closes
+	ended := ""                                 // why later requests on the connection can't be answered
 	for n := range requests {
 		err, begun := <-written[n]
 		if !begun {
 			return false
 		}
 		a := &requests[n].attempt
-		if n > 0 { // a proxy reads it, and its time begins, once the one before is answered
+		if n > 0 { // the proxy reads it, and starts its timeout, after the previous response
 			a.Deadline = c.rig.clock.now() + requests[n].timeout
 		}
 		if ended != "" {
@@ -44,14 +44,14 @@
 		}
 		if ended == "" && (a.Outcome != Complete || strings.HasSuffix(a.Detail, closesConnection)) {
 			ended = fmt.Sprintf("behind %s: outcome %d, %s", a.ID, a.Outcome, a.Detail)
-			conn.SetWriteDeadline(time.Now()) // what is being written behind it is not read any more
+			conn.SetWriteDeadline(time.Now()) // unblock the writer: the proxy reads no further requests
 		}
 		c.rig.recorder.recordAttempt(*a)
 	}
 	return ended == ""
 }
 
-// writeRequests writes requests until one of them can't be written.
+// writeRequests writes requests until a write fails.
 func (c *trialClient) writeRequests(conn *connection, requests []request, written []chan error) {
 	failed := false
 	for n := range requests {
@@ -73,33 +73,33 @@
 	}
 }
 
-// readAnswer reads one answer into the request's attempt; sent is whether the request was written completely.
+// readAnswer reads one response into the request's attempt; sent is true if the request was written completely.
 func (c *trialClient) readAnswer(conn *connection, q *request, sent bool) {
 	a := &q.attempt
 	conn.SetReadDeadline(time.Now().Add(a.Deadline - c.rig.clock.now() + lateAnswerMargin))
 	resp, err := http.ReadResponse(conn.in, &http.Request{Method: q.method})
 	if err != nil {
-		a.Outcome, a.Detail = failedOutcome(err, sent), "no head: "+err.Error()
+		a.Outcome, a.Detail = failedOutcome(err, sent), "no response header: "+err.Error()
 		return
 	}
 	defer resp.Body.Close()
 	a.Status = resp.StatusCode
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		a.Outcome, a.Detail = failedOutcome(err, true), fmt.Sprintf("%d bytes of an answer: %v", len(body), err)
+		a.Outcome, a.Detail = failedOutcome(err, true), fmt.Sprintf("response incomplete after %d bytes: %v", len(body), err)
 		return
 	}
 	a.Outcome = Complete
 	id := resp.Header.Get("Attempt-Id")
 	if a.Status == http.StatusOK && (len(body) != q.answerBytes || !matchesPattern(body, a.ID) || id != a.ID) {
-		a.Outcome, a.Detail = Mismatched, fmt.Sprintf("%d bytes of %d, id %q", len(body), q.answerBytes, id)
+		a.Outcome, a.Detail = Mismatched, fmt.Sprintf("response has %d bytes, want %d, id %q", len(body), q.answerBytes, id)
 	}
 	if resp.Close {
 		a.Detail += closesConnection
 	}
 }
 
-// failedOutcome returns the outcome of an answer that could not be read.
+// failedOutcome returns the outcome of a request whose response could not be read.
 func failedOutcome(err error, sent bool) Outcome {
 	var timeout net.Error
 	switch {
--- a/internal/lab/trial/host.go
+++ b/internal/lab/trial/host.go
@@ -16,35 +16,36 @@
 )
 
 const (
-	hostSlots = 24 // requests that a host works on at once
-	hostQueue = 24 // requests that wait for a slot
+	hostSlots = 24 // slot count that an instance reports
+	hostQueue = 24 // open requests that it accepts beyond its slots
 
-	minLifetime       = 6 * time.Second // of an instance that leaves
+	// Lifetimes of instances that leave are random in [minLifetime, minLifetime+lifetimeSpread).
+	minLifetime       = 6 * time.Second
 	lifetimeSpread    = 12 * time.Second
 	unlimitedLifetime = 24 * time.Hour // longer than any trial
 
-	shutdownTimeout = 2500 * time.Millisecond // for what an instance that ends still works on
-	hostCallTimeout = 4 * time.Second         // for one call to the control processes
+	shutdownTimeout = 2500 * time.Millisecond // for requests that are open when an instance shuts down
+	hostCallTimeout = 4 * time.Second         // for one call to control, retries included
 )
 
-// host is one address of a service, at which one instance follows another.
+// host runs the instances of a service at one IP address, one after the other.
 type host struct {
 	rig     *rig
 	service string
 	zone    int
 	index   int
-	rng     *rand.Rand // of its instances' lifetimes; requests have their own
+	rng     *rand.Rand // for the lifetimes and seeds of instances; requests use instance.rng
 }
 
-// instance is one start of a host.
+// instance is an HTTP server that registers with control under its own ID and port.
 type instance struct {
 	*host
 	id       string
 	address  string
-	sequence atomic.Int64 // of its heartbeats
+	sequence atomic.Int64 // sequence number of the last call to control
 	draining atomic.Bool
 	ended    atomic.Bool
-	open     atomic.Int64 // requests that it works on or queues
+	open     atomic.Int64 // number of requests being handled
 
 	mu  sync.Mutex // guards rng
 	rng *rand.Rand
@@ -52,12 +53,12 @@
 
 var _ http.Handler = (*instance)(nil)
 
-// run starts one instance after another until the context ends. Instances leave before that only where leaves is set.
+// run runs one instance after another until ctx is done. Instances leave before that only if leaves is true.
 func (h *host) run(ctx context.Context, leaves bool) error {
 	for n := 1; ctx.Err() == nil; n++ {
 		l, err := net.Listen("tcp", addressOf(hostIP(h.zone, h.index), 0))
 		if err != nil {
-			return fmt.Errorf("host: %w", err)
+			return fmt.Errorf("listen for instance: %w", err)
 		}
 		i := &instance{
 			host:    h,
@@ -74,13 +75,13 @@
 	return nil
 }
 
-// serve answers requests until the instance's lifetime or the context is over. Both goroutines that it starts end before or soon
-// after it returns: the server is closed, and the heartbeats' context is cancelled.
+// serve handles requests until the lifetime expires or ctx is done. The two goroutines that it starts end before it returns or soon
+// after: the server is closed and the context of the heartbeats is cancelled.
 func (i *instance) serve(ctx context.Context, l net.Listener, lifetime time.Duration) {
 	server := &http.Server{Handler: i}
 	go func() {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			i.rig.violate(Violation{"TRIAL: a host", err.Error()})
+			i.rig.violate(Violation{"TRIAL: host failed", err.Error()})
 		}
 	}()
 	heartbeats, stopHeartbeats := context.WithCancel(ctx)
@@ -93,12 +94,12 @@
 	}
 	shutdown, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	_ = server.Shutdown(shutdown) // a timeout is expected: what is still at work then is aborted, and recorded as that
+	_ = server.Shutdown(shutdown) // may time out: requests that are still open are then aborted and recorded as such
 	i.ended.Store(true)
 	server.Close()
 }
 
-// drainAndLeave announces that the instance drains, serves on for longer than the drain's limit, and announces that it leaves.
+// drainAndLeave reports the instance as draining, keeps serving for longer than the drain limit, and deregisters it.
 func (i *instance) drainAndLeave(ctx context.Context, stopHeartbeats func()) {
 	i.draining.Store(true)
 	i.callControl(ctx, "instances.heartbeat")
@@ -108,7 +109,7 @@
 	i.rig.counters.hostsLeft.Add(1)
 }
 
-// sendHeartbeats reports the instance to control until the context ends.
+// sendHeartbeats sends heartbeats to control until ctx is done.
 func (i *instance) sendHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		i.callControl(ctx, "instances.heartbeat")
@@ -116,7 +117,7 @@
 	}
 }
 
-// callControl makes one call to a control process, that of the instance's zone first.
+// callControl makes one call to control, starting with the control process in the instance's zone. It ignores errors.
 func (i *instance) callControl(ctx context.Context, call string) {
 	state := "ready"
 	if i.draining.Load() {
@@ -133,10 +134,10 @@
 		"current-status": map[string]any{"server-state": state, "sequence": i.sequence.Add(1)},
 	})
 	control := client.Client{Addresses: controlAddressesFrom(i.zone), HTTP: i.rig.http, Timeout: hostCallTimeout}
-	_, _ = control.Call(ctx, call, i.id, body) // a heartbeat that fails is followed by the next; control may be down
+	_, _ = control.Call(ctx, call, i.id, body) // control may be down; the next heartbeat makes up for a failed one
 }
 
-// mustMarshal encodes what the trial built itself; it panics on values that JSON does not have.
+// mustMarshal encodes a value as JSON, and panics if JSON can't represent it.
 func mustMarshal(v any) []byte {
 	raw, err := json.Marshal(v)
 	if err != nil {
--- a/internal/lab/trial/hosthandler.go
+++ b/internal/lab/trial/hosthandler.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	slowOneIn  = 60  // requests that take a host long
-	abortOneIn = 800 // requests at which a host breaks off
+	slowOneIn  = 60  // one in this many requests is slow
+	abortOneIn = 800 // one in this many requests is aborted by the host
 
 	minWork     = time.Millisecond
 	maxWork     = 15 * time.Millisecond
 	minSlowWork = 200 * time.Millisecond
 	maxSlowWork = 2 * time.Second
 
-	chunkBytes    = 32 << 10 // of an answer that is written in pieces
+	chunkBytes    = 32 << 10 // size of the writes of a response body
 	minChunkPause = time.Millisecond
 	maxChunkPause = 40 * time.Millisecond
 )
 
-// oneIn draws a decision that is true once in n.
+// oneIn returns true with probability 1/n.
 func (i *instance) oneIn(n int) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.rng.IntN(n) == 0
 }
 
-// between draws a duration.
+// between returns a random duration in [low, high).
 func (i *instance) between(low, high time.Duration) time.Duration {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return low + time.Duration(i.rng.Int64N(int64(high-low)))
 }
 
-// ServeHTTP counts an arrival, works on it, and answers.
+// ServeHTTP records the arrival of a request, and rejects, aborts or answers it.
 func (i *instance) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Attempt-Id")
 	i.rig.recorder.updateHost(id, func(h *HostView) { h.Arrivals++ })
@@ -51,7 +51,7 @@
 	}
 	answerBytes := i.readBody(r, id)
 	defer func() {
-		if i.ended.Load() { // the instance's end broke it off, or may have
+		if i.ended.Load() { // the shutdown may have aborted the request
 			i.recordAborted(id)
 		}
 	}()
@@ -66,14 +66,14 @@
 	i.writeAnswer(w, id, answerBytes, aborts)
 }
 
-// reject answers that the request has not run.
+// reject responds with a status and the header that promises that the request did not run.
 func reject(w http.ResponseWriter, status int) {
 	w.Header().Set("Request-Not-Run", "1")
 	w.WriteHeader(status)
 }
 
-// readBody reads a request's body, records that it runs, and returns the length of the answer that it asks for. It aborts the
-// handler if the body does not come.
+// readBody reads a request's body, records the run, and returns the size of the response that the path asks for. It aborts the handler
+// if the body can't be read.
 func (i *instance) readBody(r *http.Request, id string) (answerBytes int) {
 	body, err := io.ReadAll(r.Body)
 	bodyBytes, answerBytes := parseSizes(r.URL.Path)
@@ -88,7 +88,7 @@
 	return answerBytes
 }
 
-// work takes the time that a request takes. It aborts the handler if the proxy closes the connection meanwhile.
+// work sleeps for the request's random processing time. It aborts the handler if the proxy closes the connection meanwhile.
 func (i *instance) work(r *http.Request, id string) {
 	duration := i.between(minWork, maxWork)
 	if i.oneIn(slowOneIn) {
@@ -102,17 +102,17 @@
 	}
 }
 
-// recordAborted notes that the host ended a request by itself.
+// recordAborted records that the host itself aborted a request, or may have.
 func (i *instance) recordAborted(id string) {
 	i.rig.recorder.updateHost(id, func(h *HostView) { h.BrokeOff = true })
 }
 
-// recordAbandoned notes that the proxy closed the connection while the host was at work.
+// recordAbandoned records that the proxy closed the connection while the host was processing the request.
 func (i *instance) recordAbandoned(id string) {
 	i.rig.recorder.updateHost(id, func(h *HostView) { h.Abandoned = i.rig.clock.now() })
 }
 
-// writeAnswer writes the answer's body in chunks; one that aborts ends in the middle.
+// writeAnswer writes the response body in chunks. If aborts is true, it aborts the handler before the end of the response.
 func (i *instance) writeAnswer(w http.ResponseWriter, id string, size int, aborts bool) {
 	w.Header().Set("Server-Seal", i.id)
 	if !i.oneIn(3) {
@@ -138,5 +138,5 @@
 	}
 }
 
-// flush sends what was written so far. Its error is dropped as the next write returns it too.
+// flush sends buffered data. It ignores the error, which the next write returns as well.
 func flush(w http.ResponseWriter) { _ = http.NewResponseController(w).Flush() }
--- a/internal/lab/trial/judge.go
+++ b/internal/lab/trial/judge.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// Terms are the bounds by which attempts are judged.
+// Terms are the bounds that Judge applies.
 type Terms struct {
-	Grace         time.Duration // from SIGTERM to SIGKILL
-	LossSlack     time.Duration // in which a request may cross the end of its connection
-	Idle          time.Duration // the shortest idle timeout that operators set
-	Configuration time.Duration // from a change's acknowledgement until it is in force everywhere
+	Grace         time.Duration // time from SIGTERM to SIGKILL
+	LossSlack     time.Duration // time within which a request may fail unforwarded because its connection was being closed as it was sent
+	Idle          time.Duration // shortest idle timeout that operators configure
+	Configuration time.Duration // time from the acknowledgement of a change until all proxies apply it
 }
 
-// Violation is one broken rule.
+// Violation reports a broken rule.
 type Violation struct {
 	Rule   string
 	Detail string
 }
 
+// String returns the rule and the detail.
 func (v Violation) String() string { return v.Rule + ": " + v.Detail }
 
-// Judge decides whether attempts broke rules. It is pure: it knows what signal each proxy was sent when, and nothing else.
+// Judge decides which rules an attempt broke. It does no I/O and depends only on the terms and on the signal log.
 type Judge struct {
 	Terms     Terms
 	SignalLog []Signal
 }
 
-// promisesNotRun reports whether a status says that the request has not run and never will.
+// promisesNotRun reports whether a status promises that the request did not run and will not.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -36,7 +37,7 @@
 	return false
 }
 
-// blamesRequest reports whether a status blames the request itself, which no request of a trial deserves.
+// blamesRequest reports whether a status claims that the request is at fault. The requests of a trial are valid and within all limits.
 func blamesRequest(status int) bool {
 	switch status {
 	case http.StatusBadRequest, http.StatusRequestTimeout, http.StatusRequestEntityTooLarge, http.StatusRequestHeaderFieldsTooLarge:
@@ -45,7 +46,7 @@
 	return false
 }
 
-// Violations returns the rules that an attempt broke.
+// Violations returns one violation for each rule that an attempt broke.
 func (j Judge) Violations(a Attempt) (all []Violation) {
 	add := func(rule string) {
 		all = append(all, Violation{rule, a.String()})
@@ -59,7 +60,7 @@
 	case !a.Idempotent && h.Ran > 1:
 		add("TWICE: an unsafe request ran more than once")
 	case h.Arrivals > max(1, a.MaxAttempts) && h.Ran > max(1, a.MaxAttempts):
-		add("TWICE: more runs than attempts were allowed")
+		add("TWICE: a request ran more often than its maximum number of attempts")
 	}
 	if a.Outcome == Complete {
 		if rule := brokenAnswerRule(a); rule != "" {
@@ -67,25 +68,26 @@
 		}
 	}
 	if a.Host.Garbled {
-		add("SPOILT: a host got another body than was sent")
+		add("SPOILT: a host received a body that differs from the one sent")
 	}
 	return all
 }
 
-// earlyTolerance is by how much sooner than its time a request may be answered with 504: its time began before its last byte was sent.
+// earlyTolerance is how long before its timeout a request may be answered with 504. The proxy's timer starts before the client has sent
+// the last byte.
 const earlyTolerance = 100 * time.Millisecond
 
-// brokenAnswerRule returns the rule that an answer of the proxy's own broke, empty for none. Clients of a trial keep to all limits.
+// brokenAnswerRule returns the rule that the status of a complete response breaks, or "".
 func brokenAnswerRule(a Attempt) string {
 	switch {
 	case !a.Idempotent && promisesNotRun(a.Status) && a.Host.Ran > 0:
-		return "REFUSED: an unsafe request is said not to have run, though a host ran it"
+		return "REFUSED: the status promises that an unsafe request did not run, but a host ran it"
 	case blamesRequest(a.Status):
-		return "DENIED: a proper request is refused"
+		return "DENIED: a valid request was rejected"
 	case a.Status == http.StatusBadGateway && a.Host.Ran > 0 && !a.Host.BrokeOff:
-		return "BROKEN: 502 though no host broke off"
+		return "BROKEN: 502 although no host aborted the request"
 	case a.Status == http.StatusGatewayTimeout && a.EndedAt < a.Deadline-earlyTolerance && a.EndedAt-a.BeganAt < a.Timeout-earlyTolerance:
-		return "LATE: 504 before its time was up"
+		return "LATE: 504 before the timeout expired"
 	}
 	return ""
 }
--- a/internal/lab/trial/judge_test.go
+++ b/internal/lab/trial/judge_test.go
@@ -7,7 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// cutAttempt is an unsafe attempt on a kept connection that ended 50 ms after it was sent, without an answer.
+// cutAttempt returns an unsafe attempt on a reused connection that closed 50 ms after the request was sent, without a response. It
+// applies change to the attempt.
 func cutAttempt(change func(*Attempt)) Attempt {
 	a := Attempt{ID: "a", Style: KeepAlive, Path: "POST /", MaxAttempts: 2, ConnectedAt: 8 * time.Second, BeganAt: 10 * time.Second,
 		SentAt: 10 * time.Second, EndedAt: 10*time.Second + 50*time.Millisecond, Deadline: 14 * time.Second, Timeout: 3 * time.Second,
@@ -27,38 +28,38 @@
 		violations int // rules
 	}{
 		{"answered", cutAttempt(func(a *Attempt) { a.Outcome, a.Status = Complete, 200 }), nil, Answered, 0},
-		{"cut after it was passed on", cutAttempt(func(a *Attempt) { a.Host = forwarded }), nil, CutForwarded, 1},
+		{"cut after it was forwarded", cutAttempt(func(a *Attempt) { a.Host = forwarded }), nil, CutForwarded, 1},
 		{"another proxy was killed", cutAttempt(func(a *Attempt) { a.Host = forwarded }),
 			[]Signal{{Proxy: 1, Kind: Killed, At: 10 * time.Second, Until: 11 * time.Second}}, CutForwarded, 1},
 		{"the proxy was killed", cutAttempt(func(a *Attempt) { a.Host = forwarded }),
 			[]Signal{{Proxy: 0, Kind: Killed, At: 10 * time.Second, Until: 11 * time.Second}}, ProxyKilled, 0},
-		{"the proxy was killed before it was connected to", cutAttempt(func(a *Attempt) { a.Host = forwarded }),
+		{"the proxy was killed before the client connected", cutAttempt(func(a *Attempt) { a.Host = forwarded }),
 			[]Signal{{Proxy: 0, Kind: Killed, At: 6 * time.Second, Until: 7 * time.Second}}, CutForwarded, 1},
-		{"a hangup excuses nothing", cutAttempt(func(a *Attempt) { a.Host = forwarded }),
+		{"SIGHUP does not allow a cut", cutAttempt(func(a *Attempt) { a.Host = forwarded }),
 			[]Signal{{Proxy: 0, Kind: Hangup, At: 10 * time.Second, Until: 11 * time.Second}}, CutForwarded, 1},
-		{"the host broke off", cutAttempt(func(a *Attempt) { a.Host = HostView{Arrivals: 1, Ran: 1, BrokeOff: true} }), nil, HostAborted, 0},
+		{"the host aborted the request", cutAttempt(func(a *Attempt) { a.Host = HostView{Arrivals: 1, Ran: 1, BrokeOff: true} }), nil, HostAborted, 0},
 		{"crossed", cutAttempt(func(*Attempt) {}), nil, CrossedClose, 0},
-		{"not passed on, later than the slack", cutAttempt(func(a *Attempt) { a.EndedAt = a.SentAt + 250*time.Millisecond }), nil, CutLate, 1},
-		{"idled out", cutAttempt(func(a *Attempt) { a.IdleFor, a.EndedAt = 2*time.Second, a.SentAt+250*time.Millisecond }), nil, IdleTimeoutRace, 0},
-		{"rested for long, and passed on", cutAttempt(func(a *Attempt) { a.IdleFor, a.Host = 2*time.Second, forwarded }), nil, CutForwarded, 1},
-		{"terminated, passed on", cutAttempt(func(a *Attempt) { a.Host = forwarded }), []Signal{term}, CutForwardedShutdown, 1},
-		{"terminated, not passed on", cutAttempt(func(*Attempt) {}), []Signal{term}, CrossedShutdown, 0},
-		{"terminated, not passed on, later than the slack", cutAttempt(func(a *Attempt) { a.EndedAt = a.SentAt + time.Second }), []Signal{term},
+		{"not forwarded, closed later than the slack", cutAttempt(func(a *Attempt) { a.EndedAt = a.SentAt + 250*time.Millisecond }), nil, CutLate, 1},
+		{"idle for as long as the idle timeout", cutAttempt(func(a *Attempt) { a.IdleFor, a.EndedAt = 2*time.Second, a.SentAt+250*time.Millisecond }), nil, IdleTimeoutRace, 0},
+		{"idle for as long as the idle timeout, forwarded", cutAttempt(func(a *Attempt) { a.IdleFor, a.Host = 2*time.Second, forwarded }), nil, CutForwarded, 1},
+		{"terminated, forwarded", cutAttempt(func(a *Attempt) { a.Host = forwarded }), []Signal{term}, CutForwardedShutdown, 1},
+		{"terminated, not forwarded", cutAttempt(func(*Attempt) {}), []Signal{term}, CrossedShutdown, 0},
+		{"terminated, not forwarded, closed later than the slack", cutAttempt(func(a *Attempt) { a.EndedAt = a.SentAt + time.Second }), []Signal{term},
 			CutLateShutdown, 1},
-		{"terminated, at work in the last sixth of the grace", cutAttempt(func(a *Attempt) {
+		{"terminated, unanswered in the last sixth of the grace period", cutAttempt(func(a *Attempt) {
 			a.Host, a.Timeout, a.Deadline, a.EndedAt = forwarded, 10*time.Second, 20*time.Second, 14500*time.Millisecond
 		}), []Signal{term}, LateInGrace, 0},
-		{"the same, sent late", cutAttempt(func(a *Attempt) {
+		{"terminated, unanswered in the last sixth of the grace period, sent late", cutAttempt(func(a *Attempt) {
 			a.Host, a.SentAt, a.Timeout, a.Deadline, a.EndedAt = forwarded, 12500*time.Millisecond, 10*time.Second, 20*time.Second,
 				14500*time.Millisecond
 		}), []Signal{term}, CutForwardedShutdown, 1},
-		{"the client's time was up", cutAttempt(func(a *Attempt) { a.Host, a.EndedAt = forwarded, a.Deadline }), nil, TimeoutExpired, 0},
-		{"the route's time was up", cutAttempt(func(a *Attempt) { a.Host, a.Timeout = forwarded, 40*time.Millisecond }), nil, TimeoutExpired, 0},
-		{"no answer", cutAttempt(func(a *Attempt) { a.Outcome = TimedOut }), nil, ClientGaveUp, 0},
+		{"the client's timeout expired", cutAttempt(func(a *Attempt) { a.Host, a.EndedAt = forwarded, a.Deadline }), nil, TimeoutExpired, 0},
+		{"the route's timeout expired", cutAttempt(func(a *Attempt) { a.Host, a.Timeout = forwarded, 40*time.Millisecond }), nil, TimeoutExpired, 0},
+		{"no response", cutAttempt(func(a *Attempt) { a.Outcome = TimedOut }), nil, ClientGaveUp, 0},
 		{"not written", cutAttempt(func(a *Attempt) { a.Outcome = WriteFailed }), nil, NotWritten, 0},
-		{"behind the end", cutAttempt(func(a *Attempt) { a.Outcome = PipelinedBehind }), nil, BehindClose, 0},
-		{"behind the end, and passed on", cutAttempt(func(a *Attempt) { a.Outcome, a.Host = PipelinedBehind, forwarded }), nil, CutForwarded, 1},
-		{"another's answer", cutAttempt(func(a *Attempt) { a.Outcome = Mismatched }), nil, WrongAnswer, 1},
+		{"pipelined behind a close", cutAttempt(func(a *Attempt) { a.Outcome = PipelinedBehind }), nil, BehindClose, 0},
+		{"pipelined behind a close, forwarded", cutAttempt(func(a *Attempt) { a.Outcome, a.Host = PipelinedBehind, forwarded }), nil, CutForwarded, 1},
+		{"response to another request", cutAttempt(func(a *Attempt) { a.Outcome = Mismatched }), nil, WrongAnswer, 1},
 	} {
 		c := qt.New(t)
 		j := Judge{Terms: terms, SignalLog: x.signals}
@@ -81,19 +82,19 @@
 	}{
 		{"ran once", answered(200, func(a *Attempt) { a.Host = HostView{Arrivals: 2, Ran: 1} }), false},
 		{"ran twice", answered(200, func(a *Attempt) { a.Host = HostView{Arrivals: 2, Ran: 2} }), true},
-		{"a safe one ran twice", answered(200, func(a *Attempt) { a.Idempotent, a.Host = true, HostView{Arrivals: 2, Ran: 2} }), false},
-		{"a safe one ran more often than it may", answered(200, func(a *Attempt) { a.Idempotent, a.Host = true, HostView{Arrivals: 3, Ran: 3} }), true},
+		{"a safe request ran twice", answered(200, func(a *Attempt) { a.Idempotent, a.Host = true, HostView{Arrivals: 2, Ran: 2} }), false},
+		{"a safe request ran more often than allowed", answered(200, func(a *Attempt) { a.Idempotent, a.Host = true, HostView{Arrivals: 3, Ran: 3} }), true},
 		{"refused", answered(503, func(*Attempt) {}), false},
-		{"refused, and ran", answered(503, func(a *Attempt) { a.Host = HostView{Arrivals: 1, Ran: 1} }), true},
-		{"a safe one refused, and ran", answered(503, func(a *Attempt) { a.Idempotent, a.Host = true, HostView{Arrivals: 1, Ran: 1} }), false},
+		{"rejected, but ran", answered(503, func(a *Attempt) { a.Host = HostView{Arrivals: 1, Ran: 1} }), true},
+		{"a safe request rejected, but ran", answered(503, func(a *Attempt) { a.Idempotent, a.Host = true, HostView{Arrivals: 1, Ran: 1} }), false},
 		{"no route", answered(404, func(*Attempt) {}), false},
 		{"malformed", answered(400, func(*Attempt) {}), true},
 		{"too long", answered(413, func(*Attempt) {}), true},
-		{"502 of a host that broke off", answered(502, func(a *Attempt) { a.Host = HostView{Arrivals: 1, Ran: 1, BrokeOff: true} }), false},
-		{"502 of one that did not", answered(502, func(a *Attempt) { a.Host = HostView{Arrivals: 1, Ran: 1} }), true},
+		{"502, the host aborted the request", answered(502, func(a *Attempt) { a.Host = HostView{Arrivals: 1, Ran: 1, BrokeOff: true} }), false},
+		{"502, the host did not abort the request", answered(502, func(a *Attempt) { a.Host = HostView{Arrivals: 1, Ran: 1} }), true},
 		{"504 too early", answered(504, func(*Attempt) {}), true},
 		{"504 in time", answered(504, func(a *Attempt) { a.Timeout = 100 * time.Millisecond }), false},
-		{"another body arrived", answered(200, func(a *Attempt) { a.Host = HostView{Arrivals: 1, Ran: 1, Garbled: true} }), true},
+		{"the host received a different body", answered(200, func(a *Attempt) { a.Host = HostView{Arrivals: 1, Ran: 1, Garbled: true} }), true},
 	} {
 		c := qt.New(t)
 		c.Check(len(Judge{Terms: terms}.Violations(x.attempt)) > 0, qt.Equals, x.broken, qt.Commentf("%s", x.name))
