--- a/internal/lab/trial/layout.go
+++ b/internal/lab/trial/layout.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The processes, on loopback addresses of their zones, and what the platform and the terms say of them.
+// Number and ports of the processes, and timing of the hosts. Each process has a loopback address of its own.
 const (
 	zones          = 3
 	proxiesPerZone = 3
@@ -20,7 +20,7 @@
 	drainLimit        = 3 * time.Second
 )
 
-// terms are set for the processes and judged by.
+// terms are configured in the processes and applied by Judge.
 var terms = Terms{
 	Grace:         6 * time.Second,
 	LossSlack:     200 * time.Millisecond,
@@ -49,7 +49,7 @@
 	return all
 }
 
-// controlAddressesFrom returns all control processes' addresses, the one of this number first and the others after it in turn.
+// controlAddressesFrom returns the addresses of all control processes, rotated so that the one with index first comes first.
 func controlAddressesFrom(first int) []string {
 	all := controlAddresses()
 	first %= len(all)
--- a/internal/lab/trial/operator.go
+++ b/internal/lab/trial/operator.go
@@ -9,20 +9,20 @@
 	"portflow/internal/client"
 )
 
-// operator changes the items that are its own, one call after another.
+// operator changes its own items, one call at a time.
 type operator struct {
 	*operatorGroup
 	index        int
 	rng          *rand.Rand
-	items        map[Key]Item  // as last sent, dropped ones too
-	last         []Item        // the last call
-	previous     []Item        // the call before it
-	bulkPresent  bool          // its bulk routes are configured
-	unanswered   [][]Item      // calls without a clear answer
-	clientRoutes []clientRoute // its routes that clients use
+	items        map[Key]Item  // last sent version of each item, dropped ones included
+	last         []Item        // items of the last call
+	previous     []Item        // items of the call before it
+	bulkPresent  bool          // the last bulk call added the routes
+	unanswered   [][]Item      // items of calls whose result is unknown
+	clientRoutes []clientRoute // routes with traffic that it changes
 }
 
-// sendInitial sends all items.
+// sendInitial sends the initial configuration in one call.
 func (o *operator) sendInitial(ctx context.Context) error {
 	var all []Item
 	for _, s := range slices.Concat(services, transientServices) {
@@ -35,7 +35,8 @@
 	return o.submit(ctx, changeInitial, all)
 }
 
-// run sends changes as fast as they are answered. Those that had no clear answer before are sent again first, unchanged.
+// run sends changes until ctx is done, each after the previous response. It first resends, unchanged, the calls of the previous run
+// whose result is unknown.
 func (o *operator) run(ctx context.Context) {
 	again := o.unanswered
 	o.unanswered = nil
@@ -47,12 +48,12 @@
 	}
 }
 
-// send makes one call. Its error is dropped: the call's outcome is counted and judged by operatorGroup.call.
+// send calls submit and ignores the error, since operatorGroup.call records and checks the result.
 func (o *operator) send(ctx context.Context, kind changeKind, items ...Item) {
 	_ = o.submit(ctx, kind, items)
 }
 
-// submit makes one call, and remembers it.
+// submit makes one call, and records its items unless it repeats an earlier call.
 func (o *operator) submit(ctx context.Context, kind changeKind, items []Item) error {
 	err := o.call(ctx, kind, items, o.rng.IntN(zones))
 	if errors.Is(err, client.ErrNoAnswer) {
@@ -68,7 +69,7 @@
 	return err
 }
 
-// item gives fields the next version; nil drops the item.
+// item returns an item with the given fields and a new version; nil fields drop the item.
 func (o *operator) item(kind, name string, fields map[string]any) Item {
 	i := Item{Key: Key{kind, name}, Version: o.version.Add(uint64(1 + o.rng.IntN(4)))}
 	if fields == nil {
--- a/internal/lab/trial/operators.go
+++ b/internal/lab/trial/operators.go
@@ -14,20 +14,20 @@
 
 const (
 	operatorCount = 3
-	changeTimeout = 20 * time.Second // for one change, all its repetitions together
-	windowSlack   = time.Second      // beyond the time in which an acknowledged change must be in force everywhere
+	changeTimeout = 20 * time.Second // for one change, retries included
+	windowSlack   = time.Second      // added to Terms.Configuration for the end of a change's window
 )
 
-// operatorGroup is what operators share: the versions, and the record of their changes.
+// operatorGroup is the state that operators share: the version counter and the record of their changes.
 type operatorGroup struct {
 	rig     *rig
 	version atomic.Uint64
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	changes *Changes
-	windows []Interval         // from a call's sending until it must be in force everywhere
+	windows []Interval         // from the start of a call until all proxies must apply it; overlapping ones are merged
 	counts  map[changeKind]int // calls by kind
-	results map[string]int     // calls by status
+	results map[string]int     // calls by response status
 }
 
 func (g *operatorGroup) newOperator(index int, rng *rand.Rand) *operator {
@@ -40,7 +40,7 @@
 	return o
 }
 
-// call makes one call, to the control process of this number first, and records its outcome.
+// call makes one call, trying the control process with index first before the others, and records the result.
 func (g *operatorGroup) call(ctx context.Context, kind changeKind, items []Item, first int) error {
 	control := client.Client{Addresses: controlAddressesFrom(first), HTTP: g.rig.http, Timeout: changeTimeout}
 	g.mu.Lock()
@@ -57,7 +57,7 @@
 	return err
 }
 
-// recordResult counts and judges what a call returned; g.mu is held.
+// recordResult counts and checks the result of a call. The caller holds g.mu.
 func (g *operatorGroup) recordResult(kind changeKind, items []Item, err error) {
 	var refused *client.ResponseError
 	switch {
@@ -68,14 +68,14 @@
 		g.results[fmt.Sprint(refused.Status)]++
 		g.changes.Refused(items)
 		if kind != changeRace {
-			g.rig.violate(Violation{"CONFIGURATION: a change was refused", fmt.Sprintf("%s: %v: %v", kind, refused, items[0])})
+			g.rig.violate(Violation{"CONFIGURATION: a change was rejected", fmt.Sprintf("%s: %v: %v", kind, refused, items[0])})
 		}
 	default:
 		g.results["no clear answer"]++
 	}
 }
 
-// mergeInterval adds an interval to a list of them; one that overlaps the last is joined with it.
+// mergeInterval appends an interval to a list, or merges it with the last one if it does not start after it.
 func mergeInterval(all []Interval, i Interval) []Interval {
 	last := len(all) - 1
 	if last < 0 || i.From > all[last].To {
--- a/internal/lab/trial/options.go
+++ b/internal/lab/trial/options.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Options are how a trial runs.
+// Options configure a trial.
 type Options struct {
-	Program  string        // the deployed program
-	Lasts    time.Duration // of the load; the restarts at the end come on top
+	Program  string        // path of the deployed program
+	Lasts    time.Duration // duration of the load, without the restarts at the end
 	Seed     uint64
 	Clients  int
-	Kills    int          // processes that are sent a signal
-	Restarts int          // times that all control processes are killed at once at the end
-	Procs    int          // GOMAXPROCS of the processes, 0 for all
-	Requests int          // the most that are sent
-	Dir      string       // for logs and data, made where it is missing; empty for a temporary one
-	Keep     bool         // keep the control processes' data
-	Progress func(string) // is called with what the trial does now; may be nil
+	Kills    int          // number of SIGHUP, SIGTERM and SIGKILL that are sent during the load
+	Restarts int          // number of times that all control processes are killed together after the load
+	Procs    int          // GOMAXPROCS of the processes; 0 leaves it unset
+	Requests int          // clients stop at about this number of requests
+	Dir      string       // directory for logs and data, created if missing; a temporary one if empty
+	Keep     bool         // don't remove the control processes' data
+	Progress func(string) // called with a description of each step, also concurrently; may be nil
 }
 
-// Defaults are the options of the short form.
+// Defaults returns the options of a short trial.
 func Defaults() Options {
 	return Options{
 		Program:  "target/portflowd",
--- a/internal/lab/trial/process.go
+++ b/internal/lab/trial/process.go
@@ -11,33 +11,33 @@
 	"time"
 )
 
-// listenPoll is how often a process is asked whether it listens.
+// listenPoll is the interval between attempts to connect to a starting process.
 const listenPoll = 20 * time.Millisecond
 
-// process is one deployed process: it can be signalled, ended and started again. Each start makes a new incarnation of it.
+// process is a deployed process. Each start creates a new incarnation.
 type process struct {
 	name   string
 	ip     string
-	role   string // of the command line and the settings
-	duties string // of the settings' "serves"
+	role   string // argument of the program and role in the settings
+	duties string // value of "serves" in the settings
 	zone   int
-	index  int // among those of its role
+	index  int // index among the processes of its role
 	rig    *rig
 
-	mu            sync.Mutex // guards what follows
+	mu            sync.Mutex // guards the fields below
 	cmd           *exec.Cmd
-	exited        chan struct{} // closed when the present incarnation has ended
-	stopRequested bool          // the present incarnation was sent a signal that ends it
+	exited        chan struct{} // closed when the current incarnation has exited
+	stopRequested bool          // a terminating signal was sent to the current incarnation
 	starts        int
 
-	signalling sync.Mutex // held for one signal and its consequences; taken before mu
+	signalling sync.Mutex // held while a signal is sent and the process is restarted; acquired before mu
 }
 
 func (p *process) logPath() string      { return filepath.Join(p.rig.dir, p.name+".log") }
 func (p *process) dataPath() string     { return filepath.Join(p.rig.dir, p.name+".data") }
 func (p *process) settingsPath() string { return filepath.Join(p.rig.dir, p.name+".conf") }
 
-// start starts an incarnation.
+// start writes the settings and starts a new incarnation, which appends to the process's log.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,12 +46,12 @@
 	}
 	log, err := os.OpenFile(p.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return fmt.Errorf("log of %s: %w", p.name, err)
+		return fmt.Errorf("open log of %s: %w", p.name, err)
 	}
-	defer log.Close() // the process has its own
+	defer log.Close() // the child process has its own descriptor
 	cmd := p.command(log)
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("%s: %w", p.rig.options.Program, err)
+		return fmt.Errorf("start %s: %w", p.rig.options.Program, err)
 	}
 	p.starts++
 	p.cmd = cmd
@@ -61,15 +61,15 @@
 	return nil
 }
 
-// writeSettings writes the settings file of the next incarnation; p.mu is held.
+// writeSettings writes the settings file of the next incarnation. The caller holds p.mu.
 func (p *process) writeSettings() error {
 	if err := os.WriteFile(p.settingsPath(), []byte(p.settings()), 0o600); err != nil {
-		return fmt.Errorf("settings of %s: %w", p.name, err)
+		return fmt.Errorf("write settings of %s: %w", p.name, err)
 	}
 	return nil
 }
 
-// command makes the command of an incarnation, which ends with the trial's own process.
+// command returns the command of a new incarnation. The kernel kills the incarnation if the trial's own process dies.
 func (p *process) command(log *os.File) *exec.Cmd {
 	cmd := exec.Command(p.rig.options.Program, p.role)
 	cmd.Stdout, cmd.Stderr = log, log
@@ -81,7 +81,7 @@
 	return cmd
 }
 
-// awaitExit waits for an incarnation's end, and reports one that was not requested. It runs as a goroutine until then.
+// awaitExit waits until an incarnation exits, handles an unexpected exit and closes exited.
 func (p *process) awaitExit(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
@@ -93,7 +93,8 @@
 	close(exited)
 }
 
-// signal sends the present incarnation a signal, and returns the channel that its end closes; nil if it was never started.
+// signal sends a signal to the current incarnation. It returns the channel that is closed when the incarnation exits, or nil if the
+// process was never started.
 func (p *process) signal(s syscall.Signal) (exited chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,18 +102,18 @@
 		return nil
 	}
 	p.stopRequested = p.stopRequested || s != syscall.SIGHUP
-	_ = p.cmd.Process.Signal(s) // fails only for a process that has ended, which awaitExit handles
+	_ = p.cmd.Process.Signal(s) // fails only if the process has exited, which awaitExit handles
 	return p.exited
 }
 
-// kill ends the process at once, and waits for its end.
+// kill sends SIGKILL and waits until the process has exited.
 func (p *process) kill() {
 	if exited := p.signal(syscall.SIGKILL); exited != nil {
 		<-exited
 	}
 }
 
-// terminate sends a SIGTERM, and a SIGKILL at the end of the grace. It reports whether the process ended by itself.
+// terminate sends SIGTERM, and SIGKILL if the process has not exited after the grace period. It reports whether SIGTERM was enough.
 func (p *process) terminate(grace time.Duration) bool {
 	exited := p.signal(syscall.SIGTERM)
 	select {
@@ -124,7 +125,7 @@
 	return false
 }
 
-// hasExited reports whether the present incarnation has ended.
+// hasExited reports whether the current incarnation has exited.
 func (p *process) hasExited() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,8 +137,8 @@
 	}
 }
 
-// awaitListening waits until the process listens, and reports whether it does. A signal that comes between the start of a program and
-// that of its main function ends it whatever it would do with it, and says nothing of the program.
+// awaitListening waits until the process accepts connections, and reports whether it did so in time. Processes are not signalled
+// before that: until the program has installed its handlers, any signal has the default action and kills it.
 func (p *process) awaitListening(within time.Duration) bool {
 	address := addressOf(p.ip, controlPort)
 	if p.role == "proxy" {
--- a/internal/lab/trial/recorder.go
+++ b/internal/lab/trial/recorder.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// recorder keeps what both ends of each attempt saw, until the trial is judged. Its length is bounded by Options.Requests.
+// recorder keeps what clients and hosts saw of each attempt. Clients stop sending when it is full.
 type recorder struct {
-	limit int // attempts
+	limit int // number of attempts at which it is full
 
-	mu        sync.Mutex           // guards what follows
-	hostViews map[string]*HostView // by attempt
+	mu        sync.Mutex           // guards the fields below
+	hostViews map[string]*HostView // by attempt ID
 	attempts  []Attempt
 }
 
@@ -18,21 +18,20 @@
 	return &recorder{hostViews: map[string]*HostView{}, limit: limit}
 }
 
-// full reports whether the limit of attempts is reached.
 func (r *recorder) full() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.attempts) >= r.limit
 }
 
-// recordAttempt records how an attempt ended for its client.
+// recordAttempt records the client's view of an attempt that has ended.
 func (r *recorder) recordAttempt(a Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.attempts = append(r.attempts, a)
 }
 
-// updateHost changes what the hosts saw of an attempt.
+// updateHost applies change, with the lock held, to the hosts' view of an attempt.
 func (r *recorder) updateHost(id string, change func(*HostView)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,7 +43,7 @@
 	change(v)
 }
 
-// joinedAttempts returns all attempts with both their views.
+// joinedAttempts returns all attempts, with the hosts' views filled in.
 func (r *recorder) joinedAttempts() []Attempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,7 +57,7 @@
 	return all
 }
 
-// clock tells the time since the start of the trial.
+// clock measures the time since the start of the trial.
 type clock struct{ began time.Time }
 
 func (c clock) now() time.Duration { return time.Since(c.began) }
--- a/internal/lab/trial/report.go
+++ b/internal/lab/trial/report.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// report judges all attempts and sums up.
+// report checks all attempts and returns the report of the trial.
 func (r *rig) report() *Report {
 	r.operators.mu.Lock()
 	windows := slices.Clone(r.operators.windows)
@@ -38,7 +38,7 @@
 	return s
 }
 
-// Write writes the report as text.
+// Write writes the report as text. Write errors are ignored.
 func (r *Report) Write(w io.Writer) {
 	r.writeTotals(w)
 	r.writeCauses(w)
@@ -54,7 +54,7 @@
 }
 
 func (r *Report) writeTotals(w io.Writer) {
-	fmt.Fprintf(w, "seed %d: %d requests (%d unsafe, %d complete streams) in %.1f s beside changes and %.1f s without, logs in %s\n",
+	fmt.Fprintf(w, "seed %d: %d requests (%d unsafe, %d complete streams) in %.1f s during changes and %.1f s outside them, logs in %s\n",
 		r.Seed, r.Requests, r.Unsafe, r.Streams, r.Within.Seconds(), r.Outside.Seconds(), r.Dir)
 	changes := 0
 	for _, n := range r.Changes {
@@ -74,7 +74,7 @@
 	}
 }
 
-// writeSignalLog writes each signal that a proxy was sent.
+// writeSignalLog writes the signal log without control processes.
 func (r *Report) writeSignalLog(w io.Writer) {
 	for _, signal := range r.SignalLog {
 		if signal.Proxy >= 0 {
--- a/internal/lab/trial/request.go
+++ b/internal/lab/trial/request.go
@@ -10,18 +10,20 @@
 )
 
 const (
-	streamThreshold = 256 << 10 // bytes of an answer beyond which proxies pass it on as it comes
-	maxStreamExtra  = 1 << 20   // bytes beyond that
+	streamThreshold = 256 << 10 // response size in bytes beyond which proxies stream the body
+	maxStreamExtra  = 1 << 20   // maximum size in bytes beyond streamThreshold
 	maxSmallAnswer  = 2000      // bytes
 	maxSmallBody    = 3000
 	minLargeBody    = 50_000
-	bodyChunks      = 3 // of a body that is written in pieces
+	bodyChunks      = 3 // approximate number of writes for a chunked or slow body
 
 	maxClientTimeout = 5 * time.Second
-	minBodyPause     = time.Millisecond // between the pieces of a slow body
-	maxBodyPause     = 150 * time.Millisecond
+	// Bounds of the pause before each piece of a slow body.
+	minBodyPause = time.Millisecond
+	maxBodyPause = 150 * time.Millisecond
 
-	safePostOneIn  = 4 // of the safe requests, one in so many has a body
+	// One in this many requests has the property.
+	safePostOneIn  = 4 // body, for a safe request
 	largeBodyOneIn = 8
 	chunkedOneIn   = 3
 	slowBodyOneIn  = 10
@@ -29,7 +31,7 @@
 	paddedOneIn    = 12
 )
 
-// request is a request before it is sent.
+// request is a generated request and, in attempt, its result.
 type request struct {
 	attempt      Attempt
 	method       string
@@ -38,11 +40,11 @@
 	chunked      bool
 	answerBytes  int
 	paddedHeader bool
-	pause        time.Duration // between the head and the body, and within it
-	timeout      time.Duration // that the client sends with it
+	pause        time.Duration // before each piece of the body
+	timeout      time.Duration // sent in the Time-Remaining header
 }
 
-// drawRequest draws a request to a proxy.
+// drawRequest returns a random request for a proxy.
 func (c *trialClient) drawRequest(proxy int) request {
 	c.count++
 	r := c.rig.traffic[c.rng.IntN(len(c.rig.traffic))]
@@ -72,7 +74,7 @@
 	return q
 }
 
-// drawBody makes a request one with a body, and draws how that is sent.
+// drawBody turns a request into a POST with a random body size and transfer.
 func (c *trialClient) drawBody(q *request) {
 	q.method = http.MethodPost
 	q.bodyBytes = 1 + c.rng.IntN(maxSmallBody)
@@ -85,7 +87,7 @@
 	}
 }
 
-// head returns the request line and the header.
+// head returns the request line and the header, with the blank line at its end.
 func (q request) head() string {
 	var head strings.Builder
 	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", q.method, q.path, siteName)
@@ -103,7 +105,7 @@
 	return head.String()
 }
 
-// writeTo writes the request, in one piece if it is neither chunked nor slow.
+// writeTo writes the request, with a single Write if it is neither chunked nor slow.
 func (q request) writeTo(conn io.Writer) error {
 	body := bodyPattern(q.attempt.ID, q.bodyBytes)
 	if q.pause == 0 && !q.chunked {
@@ -131,12 +133,12 @@
 	return err
 }
 
-// requestPath returns the path that asks for an answer: a route's prefix, the length of the body, and that of the answer.
+// requestPath returns a path from which hosts read the sizes in bytes of the request body and of the response body.
 func requestPath(prefix string, body, answer int) string {
 	return fmt.Sprintf("%s%d/%d", prefix, body, answer)
 }
 
-// parseSizes reads the lengths from a path that requestPath made, 0 where they are missing.
+// parseSizes returns the sizes in a path from requestPath; 0 if they are missing or malformed.
 func parseSizes(path string) (body, answer int) {
 	parts := strings.Split(path, "/")
 	if len(parts) < 2 {
@@ -147,7 +149,7 @@
 	return body, answer
 }
 
-// bodyPattern returns a body of a size that repeats an attempt's id.
+// bodyPattern returns a body of the given size that repeats the attempt's ID.
 func bodyPattern(id string, size int) []byte {
 	if size <= 0 || id == "" {
 		return nil
@@ -155,7 +157,7 @@
 	return []byte(strings.Repeat(id, size/len(id)+1)[:size])
 }
 
-// matchesPattern reports whether a body is, from its first byte to its last, a pattern of this attempt.
+// matchesPattern reports whether a body of any size repeats the attempt's ID.
 func matchesPattern(body []byte, id string) bool {
 	return string(body) == string(bodyPattern(id, len(body)))
 }
--- a/internal/lab/trial/rig.go
+++ b/internal/lab/trial/rig.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	maxKeptViolations = 40 // further ones are counted only
+	maxKeptViolations = 40 // further violations are only counted
 
 	hostsPerService          = 4
 	hostsPerTransientService = 2
 
-	readyTimeout = 30 * time.Second // for all proxies to have the first configuration
+	readyTimeout = 30 * time.Second // for all proxies to receive the initial configuration
 	readyPoll    = 100 * time.Millisecond
-	readySettle  = time.Second // hosts that have just come are known everywhere then
+	readySettle  = time.Second // for endpoint updates about hosts that have just started to reach all proxies
 )
 
-// rig is a trial that runs.
+// rig is a running trial: its processes and the state that clients, hosts and operators share.
 type rig struct {
 	options   Options
 	dir       string
@@ -35,22 +35,22 @@
 	proxies   []*process
 	traffic   []clientRoute
 	operators *operatorGroup
-	loadDone  atomic.Bool // no signal is sent any more, and processes are not started again
+	loadDone  atomic.Bool // disables signalling and the restart of processes that exit unexpectedly
 
 	counters struct {
-		closedIdle         atomic.Int64 // connections that the proxy closed while they were idle
+		closedIdle         atomic.Int64 // idle connections that proxies closed
 		refusedConnections atomic.Int64
 		hostsLeft          atomic.Int64
 	}
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	signalLog    []Signal
 	signalCounts map[string]int // by role and signal
 	violations   []Violation    // the first maxKeptViolations
-	violated     int            // all of them
+	violated     int            // number of all violations
 }
 
-// violate records broken rules.
+// violate counts violations and keeps the first ones.
 func (r *rig) violate(all ...Violation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,7 +90,7 @@
 	return r, nil
 }
 
-// makeDir makes a folder where it is missing, a temporary one if no name is given.
+// makeDir creates dir if it does not exist, or a temporary directory if dir is empty.
 func makeDir(dir string) (string, error) {
 	if dir == "" {
 		return os.MkdirTemp("", "trial")
@@ -112,7 +112,7 @@
 	}
 }
 
-// rng returns the random source of one part of the trial.
+// rng returns a new random source that depends only on the seed and on the stream number.
 func (r *rig) rng(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(r.options.Seed, stream)) }
 
 func (r *rig) progress(text string) {
@@ -132,14 +132,14 @@
 	return nil
 }
 
-// restart starts a process that has ended; that it does not start is a violation.
+// restart starts a process that has exited, and records a violation if that fails.
 func (r *rig) restart(p *process) {
 	if err := p.start(); err != nil {
-		r.violate(Violation{"PROCESS: not started", err.Error()})
+		r.violate(Violation{"PROCESS: failed to start", err.Error()})
 	}
 }
 
-// stop kills all processes.
+// stop kills all processes and removes the control processes' data unless Options.Keep is set.
 func (r *rig) stop() {
 	for _, p := range r.processes() {
 		p.kill()
@@ -147,12 +147,12 @@
 			continue
 		}
 		if err := os.RemoveAll(p.dataPath()); err != nil {
-			r.progress(fmt.Sprintf("data of %s: %v", p.name, err))
+			r.progress(fmt.Sprintf("remove data of %s: %v", p.name, err))
 		}
 	}
 }
 
-// startHosts starts the hosts of each service, some of which leave now and then; the first of a service stays.
+// startHosts runs the hosts of all services in the background. The instances of the first host of a service don't leave.
 func (r *rig) startHosts(ctx context.Context, background *sync.WaitGroup) {
 	index := 0
 	start := func(service string, n int) {
@@ -166,7 +166,7 @@
 			}
 			background.Go(func() {
 				if err := h.run(ctx, i > 0); err != nil {
-					r.violate(Violation{"TRIAL: a host", err.Error()})
+					r.violate(Violation{"TRIAL: host failed", err.Error()})
 				}
 			})
 			index++
@@ -180,7 +180,7 @@
 	}
 }
 
-// awaitReady waits until all proxies answer that they are ready.
+// awaitReady waits until all proxies report that they are ready.
 func (r *rig) awaitReady() error {
 	for began := time.Now(); time.Since(began) < readyTimeout; time.Sleep(readyPoll) {
 		if r.readyProxies() == len(r.proxies) {
@@ -188,10 +188,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("the proxies are not ready after %v", readyTimeout)
+	return fmt.Errorf("proxies not ready after %v", readyTimeout)
 }
 
-// readyProxies counts the proxies that answer that they are ready.
+// readyProxies counts the proxies that report that they are ready.
 func (r *rig) readyProxies() (n int) {
 	for _, p := range r.proxies {
 		resp, err := r.http.Get("http://" + addressOf(p.ip, readinessPort) + "/-/readiness")
--- a/internal/lab/trial/routes.go
+++ b/internal/lab/trial/routes.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// What operators set; clients keep to all of it.
+// Bounds of the configuration that operators set. All requests stay within them.
 const (
 	siteName        = "desk.example"
-	trafficAttempts = 3 // the most maximum-attempts
+	trafficAttempts = 3 // highest maximum-attempts
 
 	trafficRoutes      = 9
-	shortTimeoutRoutes = 2 // of them: those whose timeouts go far down
+	shortTimeoutRoutes = 2 // number of trafficRoutes whose timeout may be shortTimeout
 	bulkRoutes         = 800
-	maxWeight          = 90 // of a split
+	maxWeight          = 90 // highest share-weight in a weighted-split
 
 	shortTimeout = 300 * time.Millisecond
 	longTimeout  = 3 * time.Second
 
-	minIdleTimeout = 2 * time.Second // idle-timeout-s
+	minIdleTimeout = 2 * time.Second // for idle-timeout-s
 	maxIdleTimeout = 8 * time.Second
-	minBodyBytes   = 1 << 20 // body-bytes
-	minHeaderBytes = 4096    // header-bytes
+	minBodyBytes   = 1 << 20 // lowest body-bytes
+	minHeaderBytes = 4096    // lowest header-bytes
 )
 
-// services are always configured; transient ones are dropped and added again together with their routes.
+// services stay configured throughout; transientServices are dropped and added again together with their routes.
 var (
 	services          = []string{"desk-a", "desk-b", "desk-c"}
 	transientServices = []string{"brief-a", "brief-b", "brief-c"}
@@ -36,11 +36,11 @@
 	name, prefix string
 	idempotent   bool
 	service      string
-	minTimeout   time.Duration // the shortest that operators set
-	transient    bool          // its service is dropped with it
+	minTimeout   time.Duration // shortest timeout that operators set
+	transient    bool          // it is dropped and added together with its service
 }
 
-// clientRoutes returns all routes that clients use.
+// clientRoutes returns all routes that clients use, in a fixed order.
 func clientRoutes() (all []clientRoute) {
 	for n := range trafficRoutes {
 		t := clientRoute{
@@ -68,7 +68,7 @@
 	return all
 }
 
-// routeItem draws a route's fields anew.
+// routeItem returns random fields for a route.
 func (r clientRoute) routeItem(rng *rand.Rand) map[string]any {
 	kind := "unsafe_method"
 	if r.idempotent {
@@ -100,7 +100,7 @@
 	return fields
 }
 
-// idleRoute draws the fields of a route that no client uses.
+// idleRoute returns random fields for a route that no client uses.
 func idleRoute(name string, rng *rand.Rand) map[string]any {
 	return map[string]any{
 		"name":             name,
@@ -115,7 +115,7 @@
 	}
 }
 
-// serviceItem draws a service's fields anew.
+// serviceItem returns random fields for a service.
 func serviceItem(name string, rng *rand.Rand) map[string]any {
 	return map[string]any{
 		"name":               name,
@@ -128,7 +128,7 @@
 	}
 }
 
-// limitsItem draws the limits anew, within what clients keep to.
+// limitsItem returns random limits that all requests stay within.
 func limitsItem(rng *rand.Rand) map[string]any {
 	idle := minIdleTimeout
 	if rng.IntN(2) == 0 {
--- a/internal/lab/trial/settings.go
+++ b/internal/lab/trial/settings.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// listenPorts are the ports of a process by their names in the settings.
+// listenPorts are the listening ports by their names in the settings.
 var listenPorts = map[string]int{"front": frontPort, "readiness": readinessPort, "control": controlPort, "directory": directoryPort}
 
-// bounds are the settings' terms by name, in the units of their names.
+// bounds are the values of terms.bounds in the settings, by name.
 var bounds = map[string]float64{
 	"acknowledge-s":      6,
 	"budget-slack":       64,
@@ -36,12 +36,12 @@
 	"ttl_max_s":          5,
 }
 
-// settingsFile collects the lines of a settings file.
+// settingsFile builds the text of a settings file.
 type settingsFile struct{ strings.Builder }
 
 func (f *settingsFile) set(name string, value any) { fmt.Fprintf(f, "%s=%v\n", name, value) }
 
-// settings returns the settings file of the process's next incarnation.
+// settings returns the text of the settings file for the next incarnation.
 func (p *process) settings() string {
 	var f settingsFile
 	p.describe(&f)
@@ -63,7 +63,7 @@
 	return f.String()
 }
 
-// describe sets what the process is; control processes have a data directory.
+// describe sets the self-description. Only control processes have a data directory.
 func (p *process) describe(f *settingsFile) {
 	f.set("self-description.node-name", p.name)
 	f.set("self-description.role", p.role)
--- a/internal/lab/trial/summary.go
+++ b/internal/lab/trial/summary.go
@@ -12,31 +12,30 @@
 type Report struct {
 	Seed         uint64             `json:"seed"`
 	Requests     int                `json:"requests"`
-	Within       time.Duration      `json:"within_ns"`  // of the load that is beside a change
-	Outside      time.Duration      `json:"outside_ns"` // and that isn't
+	Within       time.Duration      `json:"within_ns"`  // time of the load within the windows of changes
+	Outside      time.Duration      `json:"outside_ns"` // time of the load outside these windows
 	Causes       map[Cause]Counts   `json:"causes"`
 	Styles       map[Style]int      `json:"styles"`
-	Statuses     map[int]int        `json:"statuses"` // of complete answers
-	Streams      int                `json:"streams"`  // complete answers that proxies passed on as they came
+	Statuses     map[int]int        `json:"statuses"` // complete responses by status
+	Streams      int                `json:"streams"`  // complete responses with status 200 that were large enough to be streamed
 	Unsafe       int                `json:"unsafe"`
 	Changes      map[changeKind]int `json:"changes"`
-	Results      map[string]int     `json:"results"` // of changes, by status
-	SignalCounts map[string]int     `json:"signals"` // by role and signal
+	Results      map[string]int     `json:"results"` // changes by response status
+	SignalCounts map[string]int     `json:"signals"` // number by role and signal
 	SignalLog    []Signal           `json:"struck"`
 	Others       map[string]int64   `json:"others"`
 	Violated     int                `json:"violated"`
-	Incomplete   []string           `json:"cuts"` // the first requests without a complete answer, one a line
+	Incomplete   []string           `json:"cuts"` // first requests without a complete response, except for the causes ProxyKilled and BehindClose
 	Violations   []Violation        `json:"violations"`
 	Dir          string             `json:"dir"`
 }
 
-// Counts counts what began beside a change and what did not.
+// Counts counts attempts by whether they were sent or ended within the window of a change.
 type Counts struct {
 	Within  int `json:"within"`
 	Outside int `json:"outside"`
 }
 
-// add counts one more.
 func (c Counts) add(within bool) Counts {
 	if within {
 		c.Within++
@@ -46,7 +45,7 @@
 	return c
 }
 
-// Summarize counts attempts by their causes, within and outside the intervals of changes.
+// Summarize counts attempts by cause, within and outside the windows of changes. The windows must not overlap.
 func Summarize(j Judge, all []Attempt, windows []Interval) *Report {
 	s := &Report{Requests: len(all), Causes: map[Cause]Counts{}, Styles: map[Style]int{}, Statuses: map[int]int{}}
 	first, last := time.Duration(math.MaxInt64), time.Duration(0)
@@ -63,7 +62,7 @@
 	return s
 }
 
-// count adds one attempt.
+// count adds one attempt to the report.
 func (r *Report) count(a Attempt, cause Cause, within bool) {
 	r.Causes[cause] = r.Causes[cause].add(within)
 	r.Styles[a.Style]++
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -1,9 +1,9 @@
-// Package trial runs the deployed programs on loopback, three control processes and nine proxies, under load, while the
-// configuration changes and processes are signalled, and judges what clients, hosts and operators saw: whether each request that was
-// read got one complete answer, ran no more often than it may, and whether each acknowledged change is read back.
+// Package trial runs the deployed program on loopback as three control processes and nine proxies, puts them under load, changes the
+// configuration and signals the processes. From what clients, hosts and operators saw, it then checks that each request that a proxy
+// read got one complete response and ran no more often than allowed, and that each acknowledged change is read back.
 //
-// It owns the processes that it starts, its clients, hosts and operators, and their records. It never looks into a process: it knows
-// what goes over sockets, exit codes and logs. Begin reading at Run; the rules are in Judge and Changes, which are pure.
+// The package treats the processes as black boxes: it uses only sockets, exit codes and logs. Run is the entry point; Judge and Changes
+// contain the rules and do no I/O.
 package trial
 
 import (
@@ -13,14 +13,15 @@
 	"time"
 )
 
-// The fractions of the load's duration: calm, changes, changes beside signals; what is left is calm again.
+// Phases of the load as fractions of Options.Lasts: no changes, changes, changes with processes being signalled. The rest is without
+// changes again.
 const (
 	steadyFraction  = 0.12
 	changesFraction = 0.40
 	signalFraction  = 0.40
 )
 
-// Parts of the trial that have a random source of their own, see rig.rng.
+// Stream numbers for rig.rng. The first ones of a range are followed by one number per operator, restart, host or client.
 const (
 	firstOperatorStream = 1
 	signalStream        = 500
@@ -29,10 +30,11 @@
 	firstClientStream   = 10_000
 )
 
-// settleTime is how long after the load a second run of a request would still come.
+// settleTime is the wait after the load for hosts to record late duplicates of requests.
 const settleTime = time.Second
 
-// Run runs a trial and returns its report. The processes that it starts have ended when it returns.
+// Run runs a trial and returns its report. It returns an error only if the trial could not start; broken rules are in the report. All
+// processes that it started have exited when it returns.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	r, err := newRig(o)
 	if err != nil {
@@ -62,16 +64,16 @@
 	return r.report(), nil
 }
 
-// startConfiguration sends the first configuration, waits until the proxies have it, and returns the operators.
+// startConfiguration sends the initial configuration, waits until the proxies are ready, and returns the operators.
 func (r *rig) startConfiguration(ctx context.Context) ([]*operator, error) {
 	first := r.operators.newOperator(0, r.rng(firstOperatorStream))
 	if err := first.sendInitial(ctx); err != nil {
-		return nil, fmt.Errorf("the first configuration: %w", err)
+		return nil, fmt.Errorf("send initial configuration: %w", err)
 	}
 	if err := r.awaitReady(); err != nil {
 		return nil, err
 	}
-	r.progress("the configuration is acknowledged, all proxies are ready")
+	r.progress("initial configuration acknowledged, all proxies ready")
 	all := []*operator{first}
 	for n := 1; n < operatorCount; n++ {
 		all = append(all, r.operators.newOperator(n, r.rng(uint64(firstOperatorStream+n))))
@@ -79,7 +81,7 @@
 	return all, nil
 }
 
-// runLoad has clients send requests through all parts of the load.
+// runLoad runs the clients through all phases of the load.
 func (r *rig) runLoad(ctx context.Context, operators []*operator) {
 	stopClients := make(chan struct{})
 	var clients sync.WaitGroup
@@ -102,7 +104,7 @@
 	wait(ctx, settleTime)
 }
 
-// newClient makes the client of a number; styles take turns.
+// newClient returns client n. Styles are assigned round robin.
 func (r *rig) newClient(n int) *trialClient {
 	styles := []Style{KeepAlive, Pipelined, Idling, OneRequest}
 	return &trialClient{
@@ -113,7 +115,7 @@
 	}
 }
 
-// runOperators runs operators in the background. The function that it returns stops them and waits for their end.
+// runOperators runs operators in the background. The returned function stops them and waits for them.
 func runOperators(ctx context.Context, operators []*operator) (stop func()) {
 	changing, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -126,7 +128,7 @@
 	}
 }
 
-// wait waits for a duration, or until the context ends.
+// wait waits for a duration or until ctx is done.
 func wait(ctx context.Context, duration time.Duration) {
 	select {
 	case <-time.After(duration):
@@ -134,7 +136,7 @@
 	}
 }
 
-// restartControl kills all control processes at once, in the midst of changes, starts them again and reads from each.
+// restartControl kills all control processes together while operators send changes, restarts them and verifies the configuration.
 func (r *rig) restartControl(ctx context.Context, operators []*operator, n int) {
 	stopOperators := runOperators(ctx, operators)
 	wait(ctx, minChangeTime+time.Duration(r.rng(uint64(firstRestartStream+n)).Int64N(int64(minChangeTime))))
@@ -147,5 +149,5 @@
 	for _, p := range r.control {
 		r.restart(p)
 	}
-	r.verifyConfiguration(ctx, fmt.Sprintf("after all were killed, %d", n+1))
+	r.verifyConfiguration(ctx, fmt.Sprintf("after restart %d of all control processes", n+1))
 }
