--- a/internal/lab/trial/cause.go
+++ b/internal/lab/trial/cause.go
@@ -5,7 +5,8 @@
 // Cause classifies how an attempt ended. Its values are keys of the report.
 type Cause string
 
-// Values of Cause. Those that begin with LOST are violations.
+// Values of Cause. Those that begin with LOST are violations. A request crossed a close if it was in transit while the proxy closed the
+// connection, so that the proxy never read it.
 const (
 	Answered             Cause = "answered"
 	HostAborted          Cause = "host broke off"
--- a/internal/lab/trial/client.go
+++ b/internal/lab/trial/client.go
@@ -10,7 +10,7 @@
 
 const (
 	maxPipelined       = 4
-	maxRequestsPerConn = 40 // the client closes a connection after as many requests
+	maxRequestsPerConn = 40 // the client closes a connection after this many requests
 
 	// Bounds of a client's pause between exchanges.
 	minRequestPause = 5 * time.Millisecond
--- a/internal/lab/trial/disturb.go
+++ b/internal/lab/trial/disturb.go
@@ -30,7 +30,8 @@
 	return all
 }
 
-// signalProcesses sends signals to random processes at random times, and restarts those that exit. It returns when the last restart is done.
+// signalProcesses sends signals to random processes at random times, and restarts those that exit. It returns when the last restart is
+// done.
 func (r *rig) signalProcesses(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 	var pending sync.WaitGroup
 	defer pending.Wait()
--- a/internal/lab/trial/judge.go
+++ b/internal/lab/trial/judge.go
@@ -8,7 +8,7 @@
 // Terms are the bounds that Judge applies.
 type Terms struct {
 	Grace         time.Duration // time from SIGTERM to SIGKILL
-	LossSlack     time.Duration // time within which a request may fail unforwarded because its connection was being closed as it was sent
+	LossSlack     time.Duration // time after sending within which a request may be lost to a concurrent close of its connection
 	Idle          time.Duration // shortest idle timeout that operators configure
 	Configuration time.Duration // time from the acknowledgement of a change until all proxies apply it
 }
--- a/internal/lab/trial/operators.go
+++ b/internal/lab/trial/operators.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// mergeInterval appends an interval to a list, or merges it with the last one if it does not start after it.
+// mergeInterval appends an interval to a list, or merges it with the last one if it starts before that one ends.
 func mergeInterval(all []Interval, i Interval) []Interval {
 	last := len(all) - 1
 	if last < 0 || i.From > all[last].To {
--- a/internal/lab/trial/options.go
+++ b/internal/lab/trial/options.go
@@ -14,7 +14,7 @@
 	Requests int          // clients stop at about this number of requests
 	Dir      string       // directory for logs and data, created if missing; a temporary one if empty
 	Keep     bool         // don't remove the control processes' data
-	Progress func(string) // called with a description of each step, also concurrently; may be nil
+	Progress func(string) // called with a description of each step, on the goroutine of Run; may be nil
 }
 
 // Defaults returns the options of a short trial.
--- a/internal/lab/trial/process.go
+++ b/internal/lab/trial/process.go
@@ -138,7 +138,7 @@
 }
 
 // awaitListening waits until the process accepts connections, and reports whether it did so in time. Processes are not signalled
-// before that: until the program has installed its handlers, any signal has the default action and kills it.
+// before that: until the program has installed its handlers, a signal has its default action and kills it.
 func (p *process) awaitListening(within time.Duration) bool {
 	address := addressOf(p.ip, controlPort)
 	if p.role == "proxy" {
--- a/internal/lab/trial/request.go
+++ b/internal/lab/trial/request.go
@@ -22,8 +22,8 @@
 	minBodyPause = time.Millisecond
 	maxBodyPause = 150 * time.Millisecond
 
-	// One in this many requests has the property.
-	safePostOneIn  = 4 // body, for a safe request
+	// Each property applies to one in this many requests.
+	safePostOneIn  = 4 // among safe requests
 	largeBodyOneIn = 8
 	chunkedOneIn   = 3
 	slowBodyOneIn  = 10
--- a/internal/lab/trial/routes.go
+++ b/internal/lab/trial/routes.go
@@ -43,7 +43,7 @@
 // clientRoutes returns all routes that clients use, in a fixed order.
 func clientRoutes() (all []clientRoute) {
 	for n := range trafficRoutes {
-		t := clientRoute{
+		r := clientRoute{
 			name:       fmt.Sprintf("traffic-%d", n),
 			prefix:     fmt.Sprintf("/traffic/%d/", n),
 			idempotent: n%3 != 0,
@@ -51,9 +51,9 @@
 			minTimeout: longTimeout,
 		}
 		if n < shortTimeoutRoutes {
-			t.minTimeout = shortTimeout
+			r.minTimeout = shortTimeout
 		}
-		all = append(all, t)
+		all = append(all, r)
 	}
 	for n, s := range transientServices {
 		all = append(all, clientRoute{
--- a/internal/lab/trial/summary.go
+++ b/internal/lab/trial/summary.go
@@ -25,7 +25,7 @@
 	SignalLog    []Signal           `json:"struck"`
 	Others       map[string]int64   `json:"others"`
 	Violated     int                `json:"violated"`
-	Incomplete   []string           `json:"cuts"` // first requests without a complete response, except for the causes ProxyKilled and BehindClose
+	Incomplete   []string           `json:"cuts"` // first ones without a complete response, except ProxyKilled and BehindClose
 	Violations   []Violation        `json:"violations"`
 	Dir          string             `json:"dir"`
 }
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -21,7 +21,7 @@
 	signalFraction  = 0.40
 )
 
-// Stream numbers for rig.rng. The first ones of a range are followed by one number per operator, restart, host or client.
+// Stream numbers for rig.rng. Each operator, restart, host and client has its own, in a range that begins at the first one.
 const (
 	firstOperatorStream = 1
 	signalStream        = 500
--- a/internal/lab/trial/verify.go
+++ b/internal/lab/trial/verify.go
@@ -36,7 +36,7 @@
 	control := client.Client{Addresses: []string{addressOf(p.ip, controlPort)}, HTTP: r.http, Timeout: readTimeout}
 	raw, err := control.Call(ctx, "configuration.read", "", nil)
 	if err != nil {
-		return fmt.Errorf("read configuration, after %v: %w", time.Since(began), err)
+		return fmt.Errorf("read configuration: failed after %v: %w", time.Since(began), err)
 	}
 	current, err := ParseConfiguration(raw)
 	if err != nil {
