--- a/internal/lab/trial/routes.go
+++ b/internal/lab/trial/routes.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// What operators set; clients keep to all of it.
+// Bounds of the configuration that operators set. All requests stay within them.
 const (
 	siteName        = "desk.example"
-	trafficAttempts = 3 // the most maximum-attempts
+	trafficAttempts = 3 // highest maximum-attempts
 
 	trafficRoutes      = 9
-	shortTimeoutRoutes = 2 // of them: those whose timeouts go far down
+	shortTimeoutRoutes = 2 // number of trafficRoutes whose timeout may be shortTimeout
 	bulkRoutes         = 800
-	maxWeight          = 90 // of a split
+	maxWeight          = 90 // highest share-weight in a weighted-split
 
 	shortTimeout = 300 * time.Millisecond
 	longTimeout  = 3 * time.Second
 
-	minIdleTimeout = 2 * time.Second // idle-timeout-s
+	minIdleTimeout = 2 * time.Second // for idle-timeout-s
 	maxIdleTimeout = 8 * time.Second
-	minBodyBytes   = 1 << 20 // body-bytes
-	minHeaderBytes = 4096    // header-bytes
+	minBodyBytes   = 1 << 20 // lowest body-bytes
+	minHeaderBytes = 4096    // lowest header-bytes
 )
 
-// services are always configured; transient ones are dropped and added again together with their routes.
+// services stay configured throughout; transientServices are dropped and added again together with their routes.
 var (
 	services          = []string{"desk-a", "desk-b", "desk-c"}
 	transientServices = []string{"brief-a", "brief-b", "brief-c"}
 )
 
-// target is a route that clients use.
-type target struct {
+// clientRoute is a route that clients use.
+type clientRoute struct {
 	name, prefix string
 	idempotent   bool
 	service      string
-	minTimeout   time.Duration // the shortest that operators set
-	transient    bool          // its service is dropped with it
+	minTimeout   time.Duration // shortest timeout that operators set
+	transient    bool          // it is dropped and added together with its service
 }
 
-// targets returns all routes that clients use.
-func targets() (all []target) {
+// clientRoutes returns all routes that clients use, in a fixed order.
+func clientRoutes() (all []clientRoute) {
 	for n := range trafficRoutes {
-		t := target{
+		r := clientRoute{
 			name:       fmt.Sprintf("traffic-%d", n),
 			prefix:     fmt.Sprintf("/traffic/%d/", n),
 			idempotent: n%3 != 0,
@@ -51,12 +51,12 @@
 			minTimeout: longTimeout,
 		}
 		if n < shortTimeoutRoutes {
-			t.minTimeout = shortTimeout
+			r.minTimeout = shortTimeout
 		}
-		all = append(all, t)
+		all = append(all, r)
 	}
 	for n, s := range transientServices {
-		all = append(all, target{
+		all = append(all, clientRoute{
 			name:       "route-" + s,
 			prefix:     fmt.Sprintf("/%s/", s),
 			idempotent: n%2 == 0,
@@ -68,25 +68,25 @@
 	return all
 }
 
-// routeItem draws a route's fields anew.
-func (t target) routeItem(rng *rand.Rand) map[string]any {
+// routeItem returns random fields for a route.
+func (r clientRoute) routeItem(rng *rand.Rand) map[string]any {
 	kind := "unsafe_method"
-	if t.idempotent {
+	if r.idempotent {
 		kind = "safe_method"
 	}
 	fields := map[string]any{
-		"name":             t.name,
+		"name":             r.name,
 		"host-name":        siteName,
-		"path-prefix":      t.prefix,
+		"path-prefix":      r.prefix,
 		"route-kind":       kind,
-		"timeout-s":        t.minTimeout.Seconds() * float64(1+rng.IntN(3)),
+		"timeout-s":        r.minTimeout.Seconds() * float64(1+rng.IntN(3)),
 		"target-s":         0.2 + float64(rng.IntN(8))/10,
 		"priority-level":   rng.IntN(4),
 		"maximum-attempts": 1 + rng.IntN(trafficAttempts),
 	}
 	switch {
-	case t.transient:
-		fields["service"] = t.service
+	case r.transient:
+		fields["service"] = r.service
 	case rng.IntN(2) == 0:
 		fields["service"] = services[rng.IntN(len(services))]
 	default:
@@ -100,7 +100,7 @@
 	return fields
 }
 
-// idleRoute draws the fields of a route that no client uses.
+// idleRoute returns random fields for a route that no client uses.
 func idleRoute(name string, rng *rand.Rand) map[string]any {
 	return map[string]any{
 		"name":             name,
@@ -115,7 +115,7 @@
 	}
 }
 
-// serviceItem draws a service's fields anew.
+// serviceItem returns random fields for a service.
 func serviceItem(name string, rng *rand.Rand) map[string]any {
 	return map[string]any{
 		"name":               name,
@@ -128,7 +128,7 @@
 	}
 }
 
-// limitsItem draws the limits anew, within what clients keep to.
+// limitsItem returns random limits that all requests stay within.
 func limitsItem(rng *rand.Rand) map[string]any {
 	idle := minIdleTimeout
 	if rng.IntN(2) == 0 {
