--- a/internal/lab/simulation/answers_test.go
+++ b/internal/lab/simulation/answers_test.go
@@ -12,7 +12,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Answers of calls that are no struct have the same names as ever: hosts, clients and operators read them.
+// Responses that are not encoded from a struct keep their field names, which hosts, clients and operators read.
 func TestNamesOfAnswers(t *testing.T) {
 	playScenario(t, smallLayout, 4*time.Second, func(c *qt.C, h *Cluster) {
 		client := h.httpClient(h.Network.Process("10.1.201.3"), time.Second)
--- a/internal/lab/simulation/benchmark_test.go
+++ b/internal/lab/simulation/benchmark_test.go
@@ -16,9 +16,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The measurements of control: its write path, its members and how one that is behind catches up. They use what can be seen from
-// outside alone (calls, syncs of disks, bytes and frames on streams), so that this file also measures other versions. Times are
-// virtual: they are exact for the simulated delays, and a busy machine changes none of them.
+// Measurements of the control processes: the write path, membership, and how a process that is behind catches up. They use only
+// what is visible from outside (calls, disk syncs, bytes and frames on streams), so that they also work with other versions of the
+// control process. Times are virtual: exact for the simulated delays and independent of the load of the machine.
 //
 //	go test ./internal/lab/simulation -run 'TestMeasure' -v -timeout 60m -args -measure
 //	go test ./internal/lab/simulation -run 'TestMeasure/day' -v -timeout 120m -args -measure -day
@@ -28,23 +28,23 @@
 	longRunDuration = flag.Duration("lasts", 24*time.Hour, "of that day, virtual")
 )
 
-// benchmark is a cluster that is measured: in each zone an operator 0.1 ms from its control process.
+// benchmark is a cluster under measurement, with an operator in each zone, 0.1 ms from the zone's control process.
 type benchmark struct {
 	c        *qt.C
 	cluster  *Cluster
 	clients  []*http.Client
 	rng      *rand.Rand
 	mu       sync.Mutex
-	versions map[string]int // by route: its version
+	versions map[string]int // by route name
 	pending  sync.WaitGroup
-	calls    sync.WaitGroup // calls of streams
+	calls    sync.WaitGroup // calls sent by streamChanges
 }
 
 func layoutOf(zones, routers, hosts int, seed uint64) Layout {
 	return Layout{Zones: zones, ProxiesPerZone: routers, HostsPerZone: hosts, Services: []string{"desk"}, ServiceTime: 80 * time.Millisecond, Concurrency: 3, Rate: 4, Seed: seed}
 }
 
-// runBenchmark runs one measurement on a cluster that has been up for 12 s.
+// runBenchmark runs one measurement on a cluster that has been running for 12 s.
 func runBenchmark(t *testing.T, layout Layout, f func(b *benchmark)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -65,7 +65,7 @@
 	return b
 }
 
-// close waits for what is under way.
+// close waits for calls in flight and closes idle connections.
 func (b *benchmark) close() {
 	b.pending.Wait()
 	b.calls.Wait()
@@ -80,12 +80,12 @@
 	return b.rng.Float64()
 }
 
-// sleepAbout sleeps for a duration, by half less or more, so that no two loops run in step.
+// sleepAbout sleeps for d plus or minus up to 50%, so that loops don't run in lockstep.
 func (b *benchmark) sleepAbout(d time.Duration) {
 	time.Sleep(time.Duration(float64(d) * (0.5 + b.float64())))
 }
 
-// callOnce is one call by the operator of a zone to a control process; the status is 0 where no answer came within a second.
+// callOnce sends one call from a zone's operator to a control process. The status is 0 if there is no response within a second.
 func (b *benchmark) callOnce(from, control int, call, target string, body []byte) (status int, reply []byte) {
 	status, reply, err := callRPC(context.Background(), b.clients[from], b.cluster.Controls[control].Settings.ListenAddresses["control"], call, target, body)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return status, reply
 }
 
-// callResult is how a call ended that was sent again until it had a clear answer.
+// callResult is the result of a call that is retried until it has a definite response.
 type callResult struct {
 	sent     time.Time
 	latency  time.Duration
@@ -102,7 +102,8 @@
 	status   int
 }
 
-// callUntilAnswered sends a call to the operator's own control process and then to each in turn, 50 ms after an answer that isn't clear.
+// callUntilAnswered sends a call to the control process of the operator's zone, and then to the others in turn, 50 ms apart, until
+// the status is 200, 400, 404 or 409, or 30 s have passed.
 func (b *benchmark) callUntilAnswered(from int, call, target string, body []byte) callResult {
 	result := callResult{sent: time.Now()}
 	for control := from; time.Since(result.sent) < 30*time.Second; control = (control + 1) % len(b.cluster.Controls) {
@@ -116,7 +117,7 @@
 	return result
 }
 
-// nextChange is a change of one route to its next version.
+// nextChange returns a change that sets a route to its next version.
 func (b *benchmark) nextChange(route string) []byte {
 	b.mu.Lock()
 	b.versions[route]++
@@ -125,7 +126,7 @@
 	return b.cluster.ChangeBody(false, Route{Name: route, Prefix: fmt.Sprintf("/%s/%d/", route, n), Service: "desk", Version: fmt.Sprintf("%08x", n)})
 }
 
-// loadRoutes configures a number of routes.
+// loadRoutes configures n routes, 400 in a change.
 func (b *benchmark) loadRoutes(n int) {
 	var part []Route
 	for i := range n {
@@ -143,7 +144,7 @@
 	b.c.Assert(o.status, qt.Equals, 200, qt.Commentf("%+v of %.300s", o, change))
 }
 
-// sendChanges sends so many changes one after another from a zone, each resting for about so long before.
+// sendChanges sends n changes from a zone one after another, with a pause of about rest before each.
 func (b *benchmark) sendChanges(from, n int, rest time.Duration) (results []callResult) {
 	for range n {
 		b.sleepAbout(rest)
@@ -152,7 +153,8 @@
 	return results
 }
 
-// streamChanges sends changes at a rate, each from a zone of those given, without waiting for their ends; wait gives them.
+// streamChanges sends changes at a constant average rate, from the given zones in turn, without waiting for responses. wait returns
+// the results once all calls have ended.
 func (b *benchmark) streamChanges(perSecond float64, duration time.Duration, zones ...int) (wait func() []callResult) {
 	var mu sync.Mutex
 	var all []callResult
@@ -176,7 +178,8 @@
 	}
 }
 
-// coreView is what a control process answers about the members; versions that know no epochs answer which members are in contact.
+// coreView is the part of a control process's status that concerns the voting members. Versions without epochs report only which
+// members are connected.
 type coreView struct {
 	Status string `json:"standing"`
 	Voters []struct {
@@ -196,8 +199,8 @@
 	return s
 }
 
-// tolerance returns how many more losses the members would tolerate, as the process answers it; where it doesn't, it is computed
-// from the members that are in contact and caught up.
+// tolerance returns how many more losses the voting members tolerate. If the process doesn't report it, it is computed from the
+// members that are connected and caught up.
 func (s coreView) tolerance(size int) int {
 	if s.Tolerates != nil {
 		return *s.Tolerates
@@ -223,7 +226,7 @@
 	node.mustStart()
 }
 
-// setPartition has control processes cut off from all others, or joined; their clients reach them all the same.
+// setPartition blocks or restores the connections between the given control processes and all others. Clients still reach them.
 func (b *benchmark) setPartition(blocked bool, at ...int) {
 	for i, node := range b.cluster.Controls {
 		for _, x := range at {
@@ -243,8 +246,8 @@
 	return time.Since(start)
 }
 
-// TestMeasure measures with -measure; without it, it checks what a change costs at six members against bounds just above what was
-// measured.
+// TestMeasure runs all measurements with -measure. Without it, it only checks that the cost of a change with six voting members stays
+// within bounds.
 func TestMeasure(t *testing.T) {
 	if !*measureControl {
 		t.Run("guard", checkChangeCost)
@@ -259,13 +262,13 @@
 	}
 }
 
-// refuse has a disk refuse, and slow has it take so long for a sync.
+// setDisk sets the duration of a disk's syncs, and whether its writes fail.
 func (b *benchmark) setDisk(at int, delay time.Duration, refuses bool) {
 	b.cluster.Controls[at].Disk.SetFaults(delay, refuses)
 }
 
-// limitLink limits a machine's link to all outside of its zone, in bytes a second each way. It does that by the one function that
-// the network calls when something is sent: the delay. What was sent since the last call queues behind what was sent before.
+// limitLink limits the bandwidth between a machine and all other zones, in bytes per second in each direction. It wraps
+// Network.Delay, which the network calls for each send: bytes sent since the last call queue behind those sent before.
 func (b *benchmark) limitLink(ip string, perSecond float64) {
 	network, base := b.cluster.Network, b.cluster.Network.Delay
 	var mu sync.Mutex
@@ -292,7 +295,7 @@
 	}
 }
 
-// fillTo configures a number of quotas, beside the routes.
+// fillTo configures a number of quotas in addition to the routes.
 func (b *benchmark) fillTo(shares int) {
 	var rows [][]any
 	for i := range shares {
--- a/internal/lab/simulation/benchmarktable_test.go
+++ b/internal/lab/simulation/benchmarktable_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// tableRow is one row of a table of latencies: how many, p50, p99, worst, and how many needed more than one try.
+// tableRow formats a row of a latency table: number of calls, p50, p99 and maximum latency in milliseconds, calls that were retried,
+// and calls that failed.
 func tableRow(name string, results []callResult) string {
 	var latencies []time.Duration
 	retried, failed := 0, 0
--- a/internal/lab/simulation/clockskew_test.go
+++ b/internal/lab/simulation/clockskew_test.go
@@ -13,8 +13,7 @@
 	"portflow/internal/decision"
 )
 
-// A rollout runs for its duration whatever the control processes' clocks say: one whose clock has stepped by an hour, either way,
-// is started in the middle of it, and makes it end neither early nor late.
+// A control process that restarts during a rollout with its clock an hour off must not make the rollout end early or late.
 func TestClockSkew(t *testing.T) {
 	for at := range 2 {
 		for _, skew := range []time.Duration{time.Hour, -time.Hour} {
@@ -28,7 +27,7 @@
 					status, _, reply := cluster.Call("rollouts.begin", "", begin, 3*time.Second, 2)
 					c.Assert(status, qt.Equals, 200, qt.Commentf("%s", reply))
 					time.Sleep(2 * time.Second)
-					node := cluster.Controls[at] // the first member proposes; the second doesn't
+					node := cluster.Controls[at] // 0 is the proposer, 1 is not
 					node.Kill()
 					node.ClockSkew = skew
 					node.mustStart()
@@ -41,14 +40,15 @@
 					time.Sleep(10 * time.Second)
 					c.Check(rolloutStatus(), qt.Equals, "running")
 					time.Sleep(12 * time.Second)
-					c.Check(rolloutStatus(), qt.Equals, "rolled_back") // without votes, by its term
+					c.Check(rolloutStatus(), qt.Equals, "rolled_back") // timed out without votes
 				})
 			})
 		}
 	}
 }
 
-// startRollout starts a cluster of three control processes and a rollout of 20 s on it; rolloutStatus returns the rollout's status.
+// startRollout starts a cluster of three control processes, calls before, and begins a rollout of 20 s. rolloutStatus returns the
+// state of the rollout.
 func startRollout(c *qt.C, layout Layout, before func(cluster *Cluster)) (cluster *Cluster, rolloutStatus func() string) {
 	layout.Zones, layout.ProxiesPerZone, layout.HostsPerZone = 3, 1, 1
 	cluster = startCluster(c, layout)
@@ -63,8 +63,8 @@
 	}
 }
 
-// A rollout begins while only two of three control processes are in contact, whose clocks are an hour apart: they can't agree on a
-// time of day. It runs for its duration all the same, whether the third comes back at once or never.
+// A rollout begins while only two of three control processes are connected and their clocks are an hour apart, so that they can't
+// agree on the time of day. It still runs for its full duration, whether or not the third process returns.
 func TestClocksDisagree(t *testing.T) {
 	for _, skew := range []time.Duration{time.Hour, -time.Hour} {
 		for _, back := range []bool{true, false} {
@@ -89,15 +89,15 @@
 						c.Assert(rolloutStatus(), qt.Equals, "running")
 					}
 					time.Sleep(6 * time.Second)
-					c.Check(rolloutStatus(), qt.Equals, "rolled_back") // without votes, by its term
+					c.Check(rolloutStatus(), qt.Equals, "rolled_back") // timed out without votes
 				})
 			})
 		}
 	}
 }
 
-// All control processes are restarted in the middle of a rollout, so none has run since it began. It ends by the time of day where
-// they agree on that; else its duration begins again, so that it ends late and not early.
+// All control processes restart during a rollout, so that none has measured its whole duration. If their clocks agree, the rollout
+// ends by the time of day; otherwise its duration starts anew, so that it ends late rather than early.
 func TestAllRestartedDuringRollout(t *testing.T) {
 	for _, skewed := range []bool{false, true} {
 		t.Run(fmt.Sprint("apart ", skewed), func(t *testing.T) {
@@ -116,7 +116,7 @@
 				}
 				time.Sleep(6 * time.Second)
 				c.Check(rolloutStatus(), qt.Equals, "running")
-				time.Sleep(7 * time.Second) // 22 s after the beginning, 13 after the start
+				time.Sleep(7 * time.Second) // 22 s after the rollout began, 13 s after the restart
 				c.Check(rolloutStatus(), qt.Equals, map[bool]string{false: "rolled_back", true: "running"}[skewed])
 				time.Sleep(9 * time.Second)
 				c.Check(rolloutStatus(), qt.Equals, "rolled_back")
@@ -125,8 +125,8 @@
 	}
 }
 
-// A proxy that has received that a rollout is completed receives nothing else about it from any other process, also from one that
-// was partitioned while it was decided: operators' decisions are agreed on as the end is, and not by clocks.
+// Once one control process reports a rollout as completed, no other may report another outcome, not even one that was partitioned
+// when the rollout ended: the outcome is agreed on by consensus and not derived from local clocks.
 func TestCompletionIsReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -159,7 +159,7 @@
 		answers := 0
 		for range 100 {
 			time.Sleep(20 * time.Millisecond)
-			if s := read(2); s != "" { // 503 until it has caught up
+			if s := read(2); s != "" { // no state in a 503, which it answers until it has caught up
 				answers++
 				c.Assert(s, qt.Equals, "completed")
 			}
--- a/internal/lab/simulation/compaction_test.go
+++ b/internal/lab/simulation/compaction_test.go
@@ -15,17 +15,16 @@
 	"portflow/internal/control/store"
 )
 
-// bulkyChange is a share whose body doesn't shrink by packing.
+// bulkyChange returns a quota whose body is hardly compressible.
 func bulkyChange(draw *rand.Rand, n int, version uint64) config.Item {
 	return config.Item{Kind: config.KindQuotas, Name: fmt.Sprint("tenant-", n), Version: version,
 		Body: fmt.Appendf(nil, `{"name":"tenant-%d","x":"%x%x%x%x%x%x%x%x"}`, n, draw.Uint64(), draw.Uint64(), draw.Uint64(), draw.Uint64(),
 			draw.Uint64(), draw.Uint64(), draw.Uint64(), draw.Uint64())}
 }
 
-// While the store compacts, a change waits for its own sync, and now and then for one full buffer to be written, which is two more,
-// and for a table that is being made before it, two again: the store may miss its own signal that a buffer is full, and then writes
-// that one when the next is. Counted in virtual time, on a disk whose syncs last 5 ms, at 36,200 items and 10,000 changes. The disk
-// stays far under the 64 MB of small sites.
+// Compaction must not block writes. A change waits for its own sync, and occasionally for a full buffer to be flushed (two more syncs)
+// and for an earlier flush that is still running (another two): the store may miss the signal that a buffer is full, and then flushes
+// it only when the next one is full. Times are virtual. The disk usage stays far below the 64 MB of small sites.
 func TestCompactionDoesNotBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -71,11 +70,11 @@
 			}
 		}
 		slices.Sort(latencies)
-		t.Logf("worst write %v while loading, %v of 10,000 changes, %d of them over one sync; %d tables made; at most %.1f MB",
+		t.Logf("longest write: %v while loading, %v during 10,000 changes, %d of which took longer than one sync; %d tables written; disk usage at most %.1f MB",
 			loading, latencies[len(latencies)-1], late, tables, float64(highest)/1e6)
 		c.Check(loading <= 5*d.SyncDelay, qt.IsTrue)
 		c.Check(latencies[len(latencies)-1] <= 5*d.SyncDelay, qt.IsTrue)
-		c.Check(late <= 5, qt.IsTrue) // the changes fill so many buffers
+		c.Check(late <= 5, qt.IsTrue) // number of buffers that the changes fill
 		c.Check(tables > 8, qt.IsTrue)
 		c.Check(highest < 24<<20, qt.IsTrue, qt.Commentf("%d bytes", highest))
 		time.Sleep(2 * time.Second)
--- a/internal/lab/simulation/core_test.go
+++ b/internal/lab/simulation/core_test.go
@@ -12,8 +12,8 @@
 	"portflow/internal/random"
 )
 
-// A member that is removed while it runs isn't added again by itself, also not after a restart; an operator's change adds it, or a
-// new disk. A dry run changes nothing.
+// A voting member that is removed while it runs doesn't rejoin by itself, even after a restart; it returns when an operator adds it or
+// when it starts with an empty disk. A dry run changes nothing.
 func TestCoreRemovedAndAdded(t *testing.T) {
 	withControls(t, 6, 3, func(c *qt.C, cluster *Cluster) {
 		name := cluster.Controls[2].Settings.Name
@@ -26,7 +26,7 @@
 		c.Check(out.Tolerates, qt.Equals, [2]int{2, 2})
 		c.Check(cluster.coreStatus(1).Epoch, qt.Equals, coreStatus.Epoch)
 
-		for range 2 { // again it finds that it stands
+		for range 2 { // repeating the call succeeds and changes nothing
 			out, status, raw := cluster.changeCore(1, "remove", name, "", false, false)
 			c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
 			c.Check(out.Done, qt.IsTrue)
@@ -47,7 +47,7 @@
 
 		_, status, raw := cluster.changeCore(2, "add", name, "", false, false)
 		c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
-		waitUntil(c, time.Second, "it is in", func() bool { return cluster.converged(6) })
+		waitUntil(c, time.Second, "it is a member again", func() bool { return cluster.converged(6) })
 		c.Check(cluster.coreStatus(0).Excluded, qt.HasLen, 0)
 
 		_, status, _ = cluster.changeCore(0, "remove", name, "", false, false)
@@ -55,7 +55,7 @@
 		cluster.Controls[2].Kill()
 		cluster.Controls[2].Disk.Wipe()
 		cluster.Controls[2].mustStart()
-		waitUntil(c, 8*time.Second, "it is in with a new disk", func() bool { return cluster.converged(6) })
+		waitUntil(c, 8*time.Second, "it is a member again with an empty disk", func() bool { return cluster.converged(6) })
 		for _, x := range []struct {
 			do, who, with, says string
 			status              int
@@ -72,7 +72,8 @@
 	})
 }
 
-// What would leave no loss to bear is refused, and with --force done; what leaves no majority that is heard never is.
+// A removal that would leave the voting members without fault tolerance is rejected unless forced. One that would leave no connected
+// majority is rejected even then.
 func TestCoreRemovalRefused(t *testing.T) {
 	withControls(t, 3, 4, func(c *qt.C, cluster *Cluster) {
 		_, status, raw := cluster.changeCore(0, "remove", cluster.Controls[2].Settings.IP, "", false, false)
@@ -81,11 +82,11 @@
 		out, status, _ := cluster.changeCore(0, "remove", cluster.Controls[2].Settings.IP, "", false, true)
 		c.Check(status, qt.Equals, 200)
 		c.Check(out.Tolerates, qt.Equals, [2]int{1, 0})
-		waitUntil(c, 2*time.Second, "one core of two", func() bool { return cluster.converged(2) })
+		waitUntil(c, 2*time.Second, "converged with two members", func() bool { return cluster.converged(2) })
 		cluster.Controls[1].Kill()
 		time.Sleep(2 * time.Second)
 		_, status, _ = cluster.changeCore(0, "remove", cluster.Controls[0].Settings.IP, "", false, true)
-		c.Check(status, qt.Equals, 503) // without a majority nothing is ordered
+		c.Check(status, qt.Equals, 503) // nothing is committed without a majority
 	})
 	withControls(t, 3, 5, func(c *qt.C, cluster *Cluster) {
 		cluster.Controls[1].Kill()
@@ -94,11 +95,11 @@
 		c.Check(status, qt.Equals, 400)
 		c.Check(string(raw), qt.Contains, "can't be committed")
 		_, status, _ = cluster.changeCore(0, "remove", cluster.Controls[1].Settings.IP, "", false, true)
-		c.Check(status, qt.Equals, 200) // the lost one goes: two of two
+		c.Check(status, qt.Equals, 200) // removing the lost member leaves two of two
 	})
 }
 
-// A lost machine is replaced by order, at once: its successor is in another zone, so that it wouldn't go by itself.
+// An operator replaces a lost member by a machine in another zone, which would not become a voting member by itself.
 func TestCoreReplacedByOrder(t *testing.T) {
 	withControls(t, 6, 6, func(c *qt.C, cluster *Cluster) {
 		lost := cluster.Controls[5].Settings
@@ -106,24 +107,24 @@
 		node := cluster.Controls[5]
 		node.Settings.Zone, node.Settings.Region = cluster.Controls[4].Settings.Zone, cluster.Controls[4].Settings.Region
 		node.mustStart()
-		standsBy := func() bool { // its zone has a member: it is ready, and isn't voted in by itself
+		standsBy := func() bool { // its zone already has a member, so it stays a learner
 			coreStatus := cluster.coreStatus(0)
 			return len(coreStatus.Members) == 6 && len(coreStatus.Learners) == 1 && coreStatus.Learners[0].Name == node.Settings.Name && coreStatus.Learners[0].CaughtUp
 		}
-		waitUntil(c, 8*time.Second, "it stands by", standsBy)
+		waitUntil(c, 8*time.Second, "it is a learner that has caught up", standsBy)
 		time.Sleep(6 * time.Second)
 		c.Check(standsBy(), qt.IsTrue, qt.Commentf("%+v", cluster.coreStatus(0)))
 		_, status, raw := cluster.changeCore(3, "replace", lost.Name, node.Settings.Name, false, false)
 		c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
-		waitUntil(c, 2*time.Second, "one core", func() bool { return cluster.converged(6) })
+		waitUntil(c, 2*time.Second, "the cluster has converged", func() bool { return cluster.converged(6) })
 		c.Check(memberNames(cluster.coreStatus(0).Excluded), qt.DeepEquals, []string{lost.Name})
 	})
 }
 
-// The time from a loss until the core bears as much as before it, as it is and as a process counts it.
+// After a loss, fault tolerance is restored, and the control processes report correctly how long that took.
 func TestCoreTolerance(t *testing.T) {
 	for name, x := range map[string]struct {
-		harm func(cluster *Cluster) // at process 3
+		harm func(cluster *Cluster) // applied to control process 3
 		back func(cluster *Cluster)
 	}{
 		"killed, and started after 1 s": {func(cluster *Cluster) { cluster.Controls[3].Kill() }, func(cluster *Cluster) { time.Sleep(time.Second); cluster.Controls[3].mustStart() }},
@@ -144,7 +145,7 @@
 			cluster.Network.SetPoweredOff(cluster.Controls[3].Settings.IP, true)
 			cluster.Controls[3].Replace()
 		}, func(cluster *Cluster) { time.Sleep(10 * time.Second); cluster.Controls[3].mustStart() }},
-		"lost for good, and removed by order": {func(cluster *Cluster) {
+		"lost for good, and removed by an operator": {func(cluster *Cluster) {
 			cluster.Network.SetPoweredOff(cluster.Controls[3].Settings.IP, true)
 			cluster.Controls[3].Kill()
 		}, func(cluster *Cluster) {
@@ -162,11 +163,11 @@
 			start := time.Now()
 			x.harm(cluster)
 			cluster.background.Go(func() { x.back(cluster) })
-			seen := waitUntil(c, 5*time.Second, name+": the loss is seen", func() bool {
+			seen := waitUntil(c, 5*time.Second, name+": the loss is detected", func() bool {
 				coreStatus := cluster.coreStatus(1)
 				return coreStatus.Tolerance.SinceSeconds > 0 || coreStatus.Tolerance.LastSeconds > 0
 			})
-			waitUntil(c, 30*time.Second, name+": the margin is back", func() bool {
+			waitUntil(c, 30*time.Second, name+": fault tolerance is restored", func() bool {
 				coreStatus := cluster.coreStatus(1)
 				return coreStatus.Tolerates == 2 && coreStatus.Tolerance.LastSeconds > 0
 			})
@@ -176,7 +177,7 @@
 			writer.close()
 			c.Check(coreStatus.Tolerance.SinceSeconds, qt.Equals, 0.0)
 			c.Check(coreStatus.Tolerance.LastSeconds > 0 && coreStatus.Tolerance.LastSeconds <= restored.Seconds()+0.2, qt.IsTrue, qt.Commentf("%+v", coreStatus.Tolerance))
-			c.Logf("%s: seen after %v, margin back after %v (counted: %.2f s), %d members at the end; longest without a confirmed order %v", name,
+			c.Logf("%s: detected after %v, tolerance restored after %v (reported: %.2f s), %d members at the end; longest time without a confirmed change %v", name,
 				seen.Round(10*time.Millisecond), restored.Round(10*time.Millisecond), coreStatus.Tolerance.LastSeconds, len(coreStatus.Members), writer.longestGap(start).Round(10*time.Millisecond))
 			for i, node := range cluster.Controls {
 				if node.cancel != nil {
@@ -189,8 +190,8 @@
 
 func (r *membershipRecorder) close() int { close(r.stop); r.pending.Wait(); return len(r.byEpoch) }
 
-// A first start in any order of the machines, up to seconds apart, with a seed that starts late or only after changes have been
-// accepted: there is one set of members, of all in the end, and nothing that was confirmed is lost.
+// The control processes of a new cluster start in any order, up to seconds apart, and a seed node may start only after changes have
+// been accepted. They form a single member list, which includes all of them in the end, and no confirmed change is lost.
 func TestCoreFirstStart(t *testing.T) {
 	drawSeeds(t, 24, func(t *testing.T, seed int) {
 		synctest.Test(t, func(t *testing.T) {
@@ -210,7 +211,7 @@
 			}
 			late, apart := -1, []int{1, 300, 3000}[n(3)]
 			if n(2) == 0 {
-				late = n(3) // a seed that stays down
+				late = n(3) // a seed node that starts late
 			}
 			for _, i := range order {
 				if i != late {
@@ -224,7 +225,7 @@
 			if first == late {
 				first = order[1]
 			}
-			elapsed := waitUntil(c, 20*time.Second, "a core of those that are up", func() bool { return len(cluster.coreStatus(first).Members) == up && cluster.converged(up) })
+			elapsed := waitUntil(c, 20*time.Second, "converged with the running processes", func() bool { return len(cluster.coreStatus(first).Members) == up && cluster.converged(up) })
 			status, _, raw := cluster.Call("configuration.modify", "", cluster.ChangeBody(true, safeRoute), 5*time.Second, first)
 			c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
 			writer := cluster.startWriter()
@@ -232,20 +233,20 @@
 			if late >= 0 {
 				cluster.Controls[late].mustStart()
 			}
-			waitUntil(c, 20*time.Second, "a core of all", func() bool { return cluster.sameMembership(len(order), false) })
+			waitUntil(c, 20*time.Second, "all are members", func() bool { return cluster.sameMembership(len(order), false) })
 			writer.close()
-			waitUntil(c, 2*time.Second, "with one state", func() bool { return cluster.converged(len(order)) })
+			waitUntil(c, 2*time.Second, "all have the same index", func() bool { return cluster.converged(len(order)) })
 			for i := range cluster.Controls {
 				writer.checkConfirmed(c, i)
 			}
-			c.Logf("seed %d: %d processes in the order %v, up to %d ms apart, seed %d down: one core %v after the last start, %d epochs; at the end %v after its start",
+			c.Logf("seed %d: %d processes started in the order %v, up to %d ms apart, seed node %d late: converged %v after the last start, %d epochs; finished %v after it",
 				seed, len(order), order, apart, late, elapsed.Round(10*time.Millisecond), w.close(), time.Since(start).Round(time.Second))
 		})
 	})
 }
 
-// Among many proxies, of which each process knows a few, a member that the settings don't name is found at once all the same: it
-// connects to those that they name.
+// A control process that isn't a seed node is discovered quickly even among many proxies, of which each process knows only a few,
+// because it connects to the seed nodes.
 func TestCoreDiscoveredAmongMany(t *testing.T) {
 	for _, routers := range []int{15, 40} {
 		synctest.Test(t, func(t *testing.T) {
@@ -254,7 +255,7 @@
 			c.Assert(cluster.Start(), qt.IsNil)
 			defer cluster.Stop()
 			elapsed := waitUntil(c, 3*time.Second, "all are members", func() bool { return cluster.sameMembership(6, false) })
-			c.Logf("%d routers: %v", 6*routers, elapsed)
+			c.Logf("%d proxies: %v", 6*routers, elapsed)
 		})
 	}
 }
--- a/internal/lab/simulation/coreleaving_test.go
+++ b/internal/lab/simulation/coreleaving_test.go
@@ -14,11 +14,11 @@
 	"portflow/internal/random"
 )
 
-// A control process that shuts down is removed where the members then tolerate one loss more, so that an even number becomes an odd
-// one; else it stays a member. Either way changes are confirmed throughout, and it comes back by itself.
+// A control process that shuts down gracefully is removed from the voting members if the remaining ones then tolerate one more loss,
+// which is so for an even number; otherwise it stays a member. Changes are confirmed throughout, and it rejoins by itself.
 func TestCoreLeaving(t *testing.T) {
 	for zones := 3; zones <= 7; zones++ {
-		for _, at := range []int{0, 2} { // who proposes for the others, and another
+		for _, at := range []int{0, 2} { // the proposer, and another member
 			withControls(t, zones, uint64(50+zones), func(c *qt.C, cluster *Cluster) {
 				out := zones > 3 && zones%2 == 0
 				writer := cluster.startWriter()
@@ -35,24 +35,24 @@
 				c.Check(gap < 1500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", gap))
 				back := time.Now()
 				cluster.Controls[at].mustStart()
-				joined := waitUntil(c, 8*time.Second, "it is back", func() bool {
+				joined := waitUntil(c, 8*time.Second, "it is a member again", func() bool {
 					coreStatus := cluster.coreStatus(1)
 					return len(coreStatus.Members) == zones && coreStatus.Tolerates == zones-zones/2-1
 				})
 				time.Sleep(2 * time.Second)
 				gapBack := writer.longestGap(back)
 
-				cluster.Controls[at].Kill() // the same without a word
+				cluster.Controls[at].Kill() // without a graceful shutdown
 				killed := time.Now()
 				time.Sleep(5 * time.Second)
 				gapKilled := writer.longestGap(killed)
 				cluster.Controls[at].mustStart()
 				time.Sleep(5 * time.Second)
 				writer.close()
-				c.Logf("%d members, at %d: voted out %v in %v; without a confirmed order: calm %v, leaving %v, coming back %v (after %v), killed %v; %d orders",
+				c.Logf("%d members, process %d: removed %v in %v; longest time without a confirmed change: idle %v, leaving %v, rejoining %v (after %v), killed %v; %d changes",
 					zones, at, out, left.Round(time.Millisecond), idle.Round(time.Millisecond), gap.Round(time.Millisecond), gapBack.Round(time.Millisecond),
 					joined.Round(time.Millisecond), gapKilled.Round(time.Millisecond), len(writer.confirmedAt))
-				waitUntil(c, 5*time.Second, "one core", func() bool { return cluster.converged(zones) })
+				waitUntil(c, 5*time.Second, "the cluster has converged", func() bool { return cluster.converged(zones) })
 				for i := range cluster.Controls {
 					writer.checkConfirmed(c, i)
 				}
@@ -61,9 +61,8 @@
 	}
 }
 
-// Two processes shut down at once: they leave one after the other, and the second only if that improves the tolerance. If all shut
-// down at once, at most one is removed, and when all are started again there is one set of members with all that was confirmed,
-// also if one stays away.
+// When several processes shut down at once, a second one is removed only if that improves fault tolerance. If all shut down, at most
+// one is removed, and after a restart of all but one the members agree and have every confirmed change.
 func TestCoreLeavingTogether(t *testing.T) {
 	for seed := range uint64(4) {
 		for _, many := range []int{2, 6} {
@@ -92,11 +91,11 @@
 						node.mustStart()
 					}
 				}
-				waitUntil(c, 10*time.Second, "one core without one", func() bool {
+				waitUntil(c, 10*time.Second, "converged without one process", func() bool {
 					coreStatus := cluster.coreStatus((away + 1) % 6)
 					return coreStatus.Status == "in touch" && coreStatus.Current && coreStatus.Tolerates >= 1
 				})
-				c.Check(len(cluster.coreStatus((away+1)%6).Members) >= 5, qt.IsTrue) // one at most was voted out
+				c.Check(len(cluster.coreStatus((away+1)%6).Members) >= 5, qt.IsTrue) // at most one was removed
 				for i, node := range cluster.Controls {
 					if node.cancel != nil {
 						writer.checkConfirmed(c, i)
@@ -105,20 +104,20 @@
 				if cluster.Controls[away].cancel == nil {
 					cluster.Controls[away].mustStart()
 				}
-				waitUntil(c, 10*time.Second, "one core", func() bool { return cluster.converged(6) })
+				waitUntil(c, 10*time.Second, "the cluster has converged", func() bool { return cluster.converged(6) })
 			})
 		}
 	}
 }
 
-// A process that is partitioned from all others shuts down: it ends within half of its grace, and stays a member.
+// A process that shuts down while it is partitioned from all others exits within half of its grace period and stays a member.
 func TestCoreLeavingCutOff(t *testing.T) {
 	withControls(t, 6, 77, func(c *qt.C, cluster *Cluster) {
 		for i := 1; i < 6; i++ {
 			cluster.Network.SetPartition(cluster.Controls[0].Settings.IP, cluster.Controls[i].Settings.IP, true)
 		}
 		start := time.Now()
-		cluster.Controls[0].Shutdown() // before it knows
+		cluster.Controls[0].Shutdown() // before it detects the partition
 		c.Check(time.Since(start) <= 3*time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(start)))
 		time.Sleep(4 * time.Second)
 		coreStatus := cluster.coreStatus(3)
@@ -127,9 +126,8 @@
 	})
 }
 
-// A machine is lost for good and replaced, and at some step of that another one fails; at times a third, so that no majority is
-// left until they are back. Nothing that was confirmed is lost, each epoch has one list of members, and changes are confirmed again
-// without an operator.
+// While a lost machine is being replaced, a second one fails, and sometimes a third, so that there is no majority until they return.
+// No confirmed change is lost, each epoch has a single member list, and changes are confirmed again without an operator.
 func TestCoreSecondLoss(t *testing.T) {
 	drawSeeds(t, 40, func(t *testing.T, seed int) {
 		withControls(t, []int{4, 5, 6, 6, 7}[seed%5], uint64(seed), func(c *qt.C, cluster *Cluster) {
@@ -152,7 +150,7 @@
 			cluster.Controls[a].Replace()
 			var all sync.WaitGroup
 			comes := time.Duration(n([]int{50, 2000, 6000}[seed%3])) * time.Millisecond
-			all.Go(func() { // its successor comes at some time, and perhaps goes again at once and comes with another disk
+			all.Go(func() { // the successor may be killed soon after its start and restarted with an empty disk
 				time.Sleep(comes)
 				cluster.Controls[a].mustStart()
 				if seed%4 == 0 {
@@ -179,30 +177,30 @@
 			backToo()
 			all.Wait()
 			returned := time.Now()
-			waitUntil(c, 30*time.Second, "one core again", func() bool {
+			waitUntil(c, 30*time.Second, "fault tolerance is restored", func() bool {
 				coreStatus := cluster.coreStatus(0)
 				return coreStatus.Tolerates == len(coreStatus.Members)-len(coreStatus.Members)/2-1 && len(coreStatus.Members) >= zones && cluster.sameMembership(len(coreStatus.Members), false)
 			})
 			healed, worst := time.Since(returned), writer.longestGap(lost)
 			c.Check(writer.longestGap(returned) < 6*time.Second, qt.IsTrue, qt.Commentf("%v", writer.longestGap(returned)))
 			writer.close()
-			waitUntil(c, 2*time.Second, "with one state", func() bool { return cluster.converged(len(cluster.coreStatus(0).Members)) })
+			waitUntil(c, 2*time.Second, "all have the same index", func() bool { return cluster.converged(len(cluster.coreStatus(0).Members)) })
 			for i := range cluster.Controls {
 				writer.checkConfirmed(c, i)
 			}
-			c.Logf("seed %d: %d processes, %d replaced, %d %s, and %s: %d orders confirmed, longest without one %v since the second loss; one core %v after the last was back, %d epochs",
+			c.Logf("seed %d: %d processes, %d replaced, %d %s, and %s: %d changes confirmed, longest time without one %v since the second loss; converged %v after the last had returned, %d epochs",
 				seed, zones, a, b, outcome, cmp.Or(also, "no other"), len(writer.confirmedAt), worst.Round(10*time.Millisecond), healed.Round(10*time.Millisecond), w.close())
 		})
 	})
 }
 
-// The member that proposes is partitioned for 20 s, both ways or one way, or frozen, while changes are sent; it comes back to what
-// was decided meanwhile, and has confirmed nothing by itself.
+// The proposer is partitioned in one or both directions, or frozen, for 21 s while changes are sent. It confirms nothing on its own,
+// and afterwards adopts what the others have decided.
 func TestCoreProposerAway(t *testing.T) {
 	for name, x := range map[string]func(cluster *Cluster, ip, other string, on bool){
-		"cut":                  func(cluster *Cluster, ip, other string, on bool) { cluster.Network.SetPartition(ip, other, on) },
-		"cut, what it sends":   func(cluster *Cluster, ip, other string, on bool) { cluster.Network.SetOneWayPartition(ip, other, on) },
-		"cut, what it is sent": func(cluster *Cluster, ip, other string, on bool) { cluster.Network.SetOneWayPartition(other, ip, on) },
+		"cut":                func(cluster *Cluster, ip, other string, on bool) { cluster.Network.SetPartition(ip, other, on) },
+		"cut, outbound only": func(cluster *Cluster, ip, other string, on bool) { cluster.Network.SetOneWayPartition(ip, other, on) },
+		"cut, inbound only":  func(cluster *Cluster, ip, other string, on bool) { cluster.Network.SetOneWayPartition(other, ip, on) },
 		"frozen": func(cluster *Cluster, ip, other string, on bool) {
 			cluster.Network.Freeze(ip, on)
 			cluster.Controls[0].Disk.setHanging(on)
@@ -221,7 +219,7 @@
 				away(true)
 				time.Sleep(5 * time.Second)
 				alone := 0
-				for range 10 { // by now it knows; all in all 21 s
+				for range 10 { // the partition is detected by now; 21 s in total
 					if status, _ := cluster.callOne(0, "configuration.modify", json.RawMessage(cluster.ChangeBody(false, unsafeRoute))); status == 200 {
 						alone++
 					}
@@ -230,25 +228,25 @@
 				c.Check(alone, qt.Equals, 0, qt.Commentf(name))
 				away(false)
 				worst, back := writer.longestGap(start), time.Now()
-				waitUntil(c, 10*time.Second, "one core", func() bool { return cluster.sameMembership(zones, false) })
+				waitUntil(c, 10*time.Second, "the cluster has converged", func() bool { return cluster.sameMembership(zones, false) })
 				healed := time.Since(back)
 				time.Sleep(2 * time.Second)
 				again := writer.longestGap(back)
 				writer.close()
-				waitUntil(c, 2*time.Second, "with one state", func() bool { return cluster.converged(zones) })
+				waitUntil(c, 2*time.Second, "all have the same index", func() bool { return cluster.converged(zones) })
 				c.Check(worst < 4*time.Second && again < 2*time.Second, qt.IsTrue, qt.Commentf("%s: %v, %v", name, worst, again))
 				for i := range cluster.Controls {
 					writer.checkConfirmed(c, i)
 				}
-				c.Logf("%s of %d: longest without a confirmed order %v, when it came back %v; one core after %v, %d epochs, %d orders", name, zones,
+				c.Logf("%s, %d members: longest time without a confirmed change %v, after its return %v; converged after %v, %d epochs, %d changes", name, zones,
 					worst.Round(10*time.Millisecond), again.Round(10*time.Millisecond), healed.Round(10*time.Millisecond), w.close(), len(writer.confirmedAt))
 			})
 		}
 	}
 }
 
-// Of three one is gone for good, and the machine that came in its place loses its disk as soon as it is a member: whenever that
-// is, the two that were well all the time go on, as they were more than half before it came.
+// One of three members is replaced, and the replacement loses its disk as soon as it is a member. The two others, which are a majority
+// without it, must keep confirming changes whenever that happens.
 func TestCoreSuccessorWiped(t *testing.T) {
 	for _, after := range []time.Duration{0, 800 * time.Millisecond, 1500 * time.Millisecond, 2 * time.Second, 2400 * time.Millisecond, 4 * time.Second} {
 		withControls(t, 3, 97, func(c *qt.C, cluster *Cluster) {
@@ -265,7 +263,7 @@
 			status, _, raw := cluster.Call("configuration.modify", "", cluster.ChangeBody(false, unsafeRoute), 5*time.Second, 0)
 			c.Check(status, qt.Equals, 200, qt.Commentf("started after %v: %s", after, raw))
 			node.mustStart()
-			waitUntil(c, 10*time.Second, "one core", func() bool { return cluster.converged(3) })
+			waitUntil(c, 10*time.Second, "the cluster has converged", func() bool { return cluster.converged(3) })
 		})
 	}
 }
--- a/internal/lab/simulation/corerecovery_test.go
+++ b/internal/lab/simulation/corerecovery_test.go
@@ -13,9 +13,9 @@
 	"portflow/internal/control/server"
 )
 
-// Four of six never come back. The operator recovers with one of the other two as the only member; the other joins, two of the lost
-// ones come back after all with their disks, are fenced, and join: there is one set of members with one state, and changes are
-// confirmed.
+// Four of six members are lost, and the operator recovers with one of the remaining two as the only member. The other one joins, and
+// so do two of the lost ones, which return with their old disks and are fenced. All agree on members and state, and no confirmed change
+// is lost.
 func TestCoreRecovered(t *testing.T) {
 	for seed := range uint64(3) {
 		withControls(t, 6, 20+seed, func(c *qt.C, cluster *Cluster) {
@@ -31,7 +31,7 @@
 			writer.close()
 			start := time.Now()
 			status, _, _ = cluster.Call("configuration.modify", "", cluster.ChangeBody(false, unsafeRoute), 2*time.Second, 4)
-			c.Check(status, qt.Equals, 0) // two of six take nothing
+			c.Check(status, qt.Equals, 0) // two of six can't commit
 			at := 4
 			if cluster.coreStatus(5).Index > cluster.coreStatus(4).Index {
 				at = 5
@@ -41,33 +41,33 @@
 			c.Assert(status, qt.Equals, 200, qt.Commentf("%s", raw))
 			c.Assert(json.Unmarshal(raw, &r), qt.IsNil)
 			c.Check(r.Done, qt.IsFalse)
-			c.Check(r.Losses, qt.HasLen, 5) // four silent, and what only they hold
+			c.Check(r.Losses, qt.HasLen, 5) // four unreachable members, and the changes that only they may have
 			old := cluster.coreStatus(at)
 			c.Check(r.ConfirmPhrase, qt.Equals, fmt.Sprintf("epoch %d number %d", old.Epoch, old.Index))
 			status, _ = cluster.callOne(at, "core.recover", map[string]any{"confirm": "epoch 1 number 1"})
 			c.Check(status, qt.Equals, 400)
-			for range 2 { // the same once more finds that it is done
+			for range 2 { // repeating the call succeeds
 				status, raw = cluster.callOne(at, "core.recover", map[string]any{"confirm": r.ConfirmPhrase})
 				c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
 				c.Check(string(raw), qt.Contains, `"done":true`)
 			}
 			c.Check(cluster.coreStatus(at).Epoch > old.Epoch && cluster.coreStatus(at).Index > old.Index, qt.IsTrue)
-			waitUntil(c, 5*time.Second, "the other joins", func() bool { return cluster.converged(2) })
+			waitUntil(c, 5*time.Second, "the other one joins", func() bool { return cluster.converged(2) })
 			change := unsafeRoute
 			status, _, _ = cluster.Call("configuration.modify", "", cluster.ChangeBody(false, change), 2*time.Second, 9-at)
 			c.Check(status, qt.Equals, 200)
-			c.Logf("seed %d: %v from the call to the first confirmed order", seed, time.Since(start).Round(10*time.Millisecond))
+			c.Logf("seed %d: %v from the call to the first confirmed change", seed, time.Since(start).Round(10*time.Millisecond))
 			cluster.Controls[0].mustStart()
 			cluster.Controls[1].mustStart()
-			waitUntil(c, 10*time.Second, "two old ones join", func() bool { return cluster.converged(4) })
+			waitUntil(c, 10*time.Second, "two lost members join", func() bool { return cluster.converged(4) })
 			for i := range cluster.Controls {
 				if i < 2 || i > 3 {
 					_, raw := cluster.callOne(i, "configuration.read", nil)
 					c.Check(string(raw), qt.Contains, "/issue/")
-					writer.checkConfirmed(c, i) // the two had all that was confirmed
+					writer.checkConfirmed(c, i) // the two remaining members had every confirmed change
 				}
 			}
-			for _, node := range cluster.Controls { // and all of it is on disk
+			for _, node := range cluster.Controls { // all of it must be on disk
 				node.Kill()
 			}
 			time.Sleep(time.Second)
@@ -75,17 +75,17 @@
 				cluster.Controls[i].Disk.PowerLoss(i%2 == 0)
 				cluster.Controls[i].mustStart()
 			}
-			waitUntil(c, 10*time.Second, "one core again", func() bool { return cluster.converged(4) })
+			waitUntil(c, 10*time.Second, "converged after the restart", func() bool { return cluster.converged(4) })
 			cluster.Controls[2].mustStart()
 			cluster.Controls[3].mustStart()
-			waitUntil(c, 10*time.Second, "all six", func() bool { return cluster.converged(6) })
+			waitUntil(c, 10*time.Second, "all six are members", func() bool { return cluster.converged(6) })
 		})
 	}
 }
 
-// The members are partitioned, not lost, and the operator recovered by mistake: the four go on with the old members, and confirm
-// changes, until they are in contact with the recovered one. Then they give way, and nothing is confirmed by the old members any
-// more; what they confirmed meanwhile is lost, as the answer to the operator says.
+// The operator recovers by mistake, as the other members are only partitioned. These keep confirming changes under the old member list
+// until they reconnect; then they adopt the recovered list. What they confirmed meanwhile is lost, as the response to the operator
+// states.
 func TestCoreRecoveredWhileOthersRun(t *testing.T) {
 	withControls(t, 6, 31, func(c *qt.C, cluster *Cluster) {
 		partition := func(on bool) {
@@ -104,7 +104,7 @@
 		status, raw := cluster.callOne(4, "core.recover", map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", old.Epoch, old.Index)})
 		c.Assert(status, qt.Equals, 200, qt.Commentf("%s", raw))
 		partition(false)
-		waitUntil(c, 12*time.Second, "one core", func() bool { return cluster.converged(6) })
+		waitUntil(c, 12*time.Second, "the cluster has converged", func() bool { return cluster.converged(6) })
 		for i := range cluster.Controls {
 			_, raw := cluster.callOne(i, "configuration.read", nil)
 			c.Check(string(raw), qt.Not(qt.Contains), "/issue/")
@@ -113,9 +113,8 @@
 	})
 }
 
-// Two are recovered at once, each as the only member, in a partition from each other. Both confirm changes by themselves until they
-// are in contact: the one with the higher random draw has the later epoch and index, and the other gives way with all that it had
-// confirmed.
+// Two processes that are partitioned from each other are both recovered as the only member, and each confirms changes alone. Once they
+// reconnect, the one whose random draw gave it the higher epoch and index prevails, and the other discards what it had confirmed.
 func TestCoreRecoveredTwice(t *testing.T) {
 	for seed := range uint64(4) {
 		withControls(t, 6, 40+seed, func(c *qt.C, cluster *Cluster) {
@@ -139,7 +138,7 @@
 			for _, node := range cluster.Controls[:4] {
 				node.mustStart()
 			}
-			waitUntil(c, 15*time.Second, "one core", func() bool { return cluster.converged(6) })
+			waitUntil(c, 15*time.Second, "the cluster has converged", func() bool { return cluster.converged(6) })
 			for i := range cluster.Controls {
 				_, raw := cluster.callOne(i, "configuration.read", nil)
 				c.Check(string(raw), qt.Contains, fmt.Sprintf("/at/%d/", later))
@@ -149,8 +148,8 @@
 	}
 }
 
-// Routers go by the core that was recovered, also those that had followed the others: what only those had confirmed goes,
-// new routes and higher versions alike.
+// After a recovery all proxies adopt the state of the recovered member. Those that had followed the other members discard what only
+// these had confirmed: new routes as well as higher versions.
 func TestCoreRecoveredRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -179,7 +178,7 @@
 		status, raw := cluster.callOne(4, "core.recover", map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", old.Epoch, old.Index)})
 		c.Assert(status, qt.Equals, 200, qt.Commentf("%s", raw))
 		partition(false)
-		waitUntil(c, 12*time.Second, "one core", func() bool { return cluster.converged(6) })
+		waitUntil(c, 12*time.Second, "the cluster has converged", func() bool { return cluster.converged(6) })
 		time.Sleep(3 * time.Second)
 		for _, px := range cluster.Proxies {
 			c.Check(px.Running.RouteVersions(), qt.DeepEquals, map[string]uint64{"safe-look": 1}, qt.Commentf(px.Settings.Name))
@@ -193,10 +192,10 @@
 	})
 }
 
-// A machine that was replaced long ago is switched on again with its disk, and a member is started from an image of its disk that
-// was made hundreds of changes ago. Neither misleads another: their states are behind and don't count until they have caught up,
-// and no change is lost. (Were the two more than half of the old members, as of three, they would be a quorum again: a restored
-// disk has forgotten its vote on the members that came after. docs/operate/core.md says so.)
+// A machine that was replaced long ago is switched on again with its old disk, and a member is started from a disk image that is
+// hundreds of changes old. Neither counts towards a quorum until it has caught up, and no change is lost. (If the two were a majority
+// of the old members, as with three members, they could form a quorum, because a restored disk has lost its vote on later member
+// lists; see docs/operate/core.md.)
 func TestCoreOldDisk(t *testing.T) {
 	withControls(t, 4, 95, func(c *qt.C, cluster *Cluster) {
 		w := cluster.recordMemberships(c)
@@ -206,7 +205,7 @@
 		cluster.Controls[2].mustStart()
 		waitUntil(c, 10*time.Second, "replaced", func() bool { return cluster.converged(4) })
 		writer := cluster.startWriter()
-		time.Sleep(150 * time.Second) // more changes than are kept
+		time.Sleep(150 * time.Second) // more changes than the log keeps
 		writer.mu.Lock()
 		many := len(writer.confirmedAt)
 		writer.mu.Unlock()
@@ -223,7 +222,7 @@
 		}
 		old.mustStart()
 		cluster.Controls[1].mustStart()
-		time.Sleep(4 * time.Second) // the two by themselves
+		time.Sleep(4 * time.Second) // the two on their own
 		c.Check(old.Status(), qt.Equals, "adrift")
 		c.Check(cluster.Controls[1].Status(), qt.Equals, "adrift")
 		status, _ := cluster.callOne(1, "configuration.modify", json.RawMessage(cluster.ChangeBody(false, unsafeRoute)))
@@ -235,12 +234,12 @@
 			}
 		}
 		cluster.Controls = append(cluster.Controls, old)
-		waitUntil(c, 10*time.Second, "all are in touch, the old one stands by", func() bool {
+		waitUntil(c, 10*time.Second, "all have caught up, the replaced machine as a learner", func() bool {
 			learners := cluster.coreStatus(0).Learners
 			return cluster.sameMembership(4, false) && len(learners) == 1 && learners[0].IP == old.Settings.IP
 		})
 		writer.close()
-		waitUntil(c, 2*time.Second, "with one state", func() bool { return cluster.converged(4) })
+		waitUntil(c, 2*time.Second, "all have the same index", func() bool { return cluster.converged(4) })
 		for i := range cluster.Controls {
 			writer.checkConfirmed(c, i)
 		}
@@ -248,8 +247,7 @@
 	})
 }
 
-// The disk of the process that is to be the only member hangs: as long as the recovery isn't on it, the call isn't acknowledged,
-// however often it is sent.
+// A recovery is not acknowledged, even if the call is repeated, until it is on the disk of the process that becomes the only member.
 func TestRecoveryIsAcknowledgedFromDisk(t *testing.T) {
 	withControls(t, 3, 41, func(c *qt.C, h *Cluster) {
 		for _, m := range h.Controls[1:] {
@@ -270,7 +268,7 @@
 		h.Controls[0].Kill()
 		h.Controls[0].Disk.PowerLoss(false)
 		h.Controls[0].mustStart()
-		waitUntil(c, 5*time.Second, "one core of one", func() bool { return h.converged(1) })
+		waitUntil(c, 5*time.Second, "converged with one member", func() bool { return h.converged(1) })
 		c.Check(h.coreStatus(0).Epoch > old.Epoch, qt.IsTrue)
 	})
 }
--- a/internal/lab/simulation/corruption_test.go
+++ b/internal/lab/simulation/corruption_test.go
@@ -12,8 +12,9 @@
 	"portflow/internal/control/store"
 )
 
-// writeTestDisk is a small disk: what it holds lies in the journal alone, in a table alone (it was opened again), in tables and the
-// journal, or in files that the store began as the journal was full (the list of its files has grown by records of its own).
+// writeTestDisk returns a small disk and a printout of its content, which is in the journal alone, in a table alone (after reopening
+// the store), in tables and the journal, or in files that the store created because the journal was full (its list of files then has
+// further records).
 func writeTestDisk(c *qt.C, outcome string) (d *Disk, holds string) {
 	d = NewDisk()
 	open := func() *store.Store {
@@ -52,9 +53,9 @@
 	return d, fmt.Sprint(items, cells)
 }
 
-// Every byte of small disks is corrupted in turn, in up to four ways: the store reports an error, or that its content is
-// incomplete, or has all of it. It never reports an earlier state as complete; also not at the start after that, nor where the disk
-// fails at any step of the repair. Only a last byte that becomes zero reads as a write that was not finished.
+// Every byte of small disks is corrupted in turn, in up to four ways. The store must return an error, report that its content is
+// incomplete, or return all of it, but never report a partial or earlier state as complete, neither at the next start nor if the disk
+// fails during the repair. The one exception is a journal whose last byte becomes zero, which reads as an unfinished write.
 func TestEveryByteCorrupted(t *testing.T) {
 	outcomes := map[string]int{}
 	for _, outcome := range []string{"journal", "table", "table and journal", "full"} {
@@ -62,7 +63,7 @@
 		d, want := writeTestDisk(c, outcome)
 		for fd, f := range d.files {
 			for at := range f.data {
-				if outcome == "full" && fd.Type != storage.TypeManifest && (at+500 < len(f.data) || at%16 > 0) { // of long files their end, by samples
+				if outcome == "full" && fd.Type != storage.TypeManifest && (at+500 < len(f.data) || at%16 > 0) { // of long files only the end and a sample
 					continue
 				}
 				ways := map[storage.FileType][]byte{storage.TypeTable: {0x5a}, storage.TypeJournal: {0x5a, f.data[at]},
@@ -83,14 +84,14 @@
 						if start == 2 {
 							refusing.next(0)
 						}
-						word := "not whole"
+						word := "not complete"
 						switch {
 						case err != nil:
 							word = "error"
 						case complete && fmt.Sprint(items, cells) == want:
 							word = "unharmed"
 						case complete:
-							t.Fatalf("%s: %v byte %d of %d ^ %x, start %d: a part is said to be whole", outcome, fd, at, len(f.data), x, start)
+							t.Fatalf("%s: %v byte %d of %d ^ %x, start %d: partial content reported as complete", outcome, fd, at, len(f.data), x, start)
 						}
 						if start == 0 {
 							outcomes[word]++
@@ -104,11 +105,11 @@
 		}
 	}
 	t.Log(outcomes)
-	qt.Check(t, outcomes["not whole"] > 4000, qt.IsTrue)
+	qt.Check(t, outcomes["not complete"] > 4000, qt.IsTrue)
 	qt.Check(t, outcomes["error"], qt.Equals, 0)
 }
 
-// What was repaired stays so at later starts, until a write says that the disk holds all again.
+// A repaired store is reported as incomplete at later starts too, until a write marks its content as complete.
 func TestRepairUntilComplete(t *testing.T) {
 	c := qt.New(t)
 	d, _ := writeTestDisk(c, "journal")
@@ -121,7 +122,7 @@
 		st, _, _, complete, err := store.Open(d.Open())
 		c.Assert(err, qt.IsNil)
 		c.Check(complete, qt.IsFalse)
-		c.Check(st.Repaired, qt.IsTrue) // or a first start that is not over would be taken for intact
+		c.Check(st.Repaired, qt.IsTrue) // otherwise the disk would pass for an intact one whose first start isn't finished
 		c.Assert(st.Write([]config.Item{testItem("r", 9)}, nil, says), qt.IsNil)
 		c.Assert(st.Close(), qt.IsNil)
 	}
@@ -131,8 +132,8 @@
 	c.Check(st.Repaired, qt.IsFalse)
 }
 
-// An earlier image of the disk is consistent, and the store can't detect that it is old: it returns the index and the id that were
-// written then, by which the others detect it.
+// An old image of a disk is consistent, so the store can't detect that it is old. It returns the index and ID of that time, by which
+// the other members detect it.
 func TestOldDiskImage(t *testing.T) {
 	c := qt.New(t)
 	d := NewDisk()
--- a/internal/lab/simulation/drain_test.go
+++ b/internal/lab/simulation/drain_test.go
@@ -10,8 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A host that leaves is answered once a majority of the control processes has the leave: it ends on that answer. A process that was
-// partitioned a moment ago and doesn't know it answers nothing; the host goes on to another process.
+// A host may exit once its drain or leave is acknowledged, so the acknowledgement must wait until a majority of the control processes
+// knows. A process that hasn't detected yet that it is partitioned answers 503, and the host goes on to another one.
 func TestShutdownOnceMajorityKnows(t *testing.T) {
 	for _, call := range []string{"instances.heartbeat", "instances.leave"} {
 		t.Run(call, func(t *testing.T) {
@@ -30,19 +30,19 @@
 				first.Drain()
 				status, elapsed := cluster.startDraining(4, first, 1000, call)
 				c.Check(status, qt.Equals, 200)
-				c.Check(elapsed < 250*time.Millisecond, qt.IsTrue, qt.Commentf("%v in a calm", elapsed)) // a round trip between regions
+				c.Check(elapsed < 250*time.Millisecond, qt.IsTrue, qt.Commentf("%v without a partition", elapsed)) // one round trip between regions
 				status, elapsed = cluster.startDraining(4, first, 1001, call)
 				c.Check(status, qt.Equals, 200)
-				c.Check(elapsed < 150*time.Millisecond, qt.IsTrue, qt.Commentf("%v once more", elapsed)) // it is known: the connection and the call alone
+				c.Check(elapsed < 150*time.Millisecond, qt.IsTrue, qt.Commentf("%v when repeated", elapsed)) // known already: only the connection and the call
 
 				host := zoneHosts(5)[0]
 				cluster.setPartition(cluster.Controls[5], true)
 				time.Sleep(100 * time.Millisecond)
-				c.Check(cluster.Controls[5].Status(), qt.Equals, "in touch") // as far as it knows
+				c.Check(cluster.Controls[5].Status(), qt.Equals, "in touch") // it hasn't detected the partition yet
 				for n := range 3 {
 					status, elapsed := cluster.startDraining(5, host, 1000+n, call)
-					c.Check(status, qt.Equals, 503, qt.Commentf("try %d", n))
-					c.Check(elapsed < 900*time.Millisecond, qt.IsTrue, qt.Commentf("%v while it is cut off", elapsed))
+					c.Check(status, qt.Equals, 503, qt.Commentf("attempt %d", n))
+					c.Check(elapsed < 900*time.Millisecond, qt.IsTrue, qt.Commentf("%v while it is partitioned", elapsed))
 				}
 				status, _ = cluster.startDraining(0, host, 1003, call)
 				c.Check(status, qt.Equals, 200)
@@ -55,8 +55,8 @@
 	}
 }
 
-// The same by the host's own heartbeats: it reports that it drains to the process of its zone right after that was partitioned,
-// ends when its time is over, and no proxy of another zone may have sent it anything later than drain-limit-s after its answer.
+// Hosts announce their drain by heartbeats to a control process that was partitioned just before. No proxy of another zone may send a
+// host anything later than drain-limit-s after its drain was acknowledged.
 func TestDrainDuringPartition(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -78,9 +78,9 @@
 	}
 }
 
-// Two control processes are partitioned together. The host's call reaches one, which can't inform a majority and answers 503, but
-// informs the other, to which the host goes next. That one answers 503 too, whatever it knows from the first: proxies that
-// subscribe to the other four don't know yet. It does so for a repeated heartbeat as well.
+// Two control processes are partitioned together from the other four. The first that the host calls informs only the second and
+// answers 503. The second, already informed, must answer 503 too, also to a repeated call, because proxies subscribed to the other four
+// don't know yet.
 func TestShutdownWithTwoPartitioned(t *testing.T) {
 	for _, call := range []string{"instances.heartbeat", "instances.leave"} {
 		t.Run(call, func(t *testing.T) {
@@ -97,7 +97,7 @@
 				partition(true)
 				time.Sleep(50 * time.Millisecond)
 				for _, at := range []int{5, 4, 5} {
-					c.Check(cluster.Controls[at].Status(), qt.Equals, "in touch") // as far as it knows
+					c.Check(cluster.Controls[at].Status(), qt.Equals, "in touch") // it hasn't detected the partition yet
 					status, elapsed := cluster.startDraining(at, host, 1000, call)
 					c.Check(status, qt.Equals, 503, qt.Commentf("at %d", at))
 					c.Check(elapsed < 900*time.Millisecond, qt.IsTrue, qt.Commentf("%v", elapsed))
@@ -112,20 +112,19 @@
 				}
 				status, elapsed := cluster.startDraining(5, host, 1000, call)
 				c.Check(status, qt.Equals, 200)
-				c.Check(elapsed < 150*time.Millisecond, qt.IsTrue, qt.Commentf("%v once more", elapsed)) // it is known here: the connection and the call alone
+				c.Check(elapsed < 150*time.Millisecond, qt.IsTrue, qt.Commentf("%v when repeated", elapsed)) // known here already: only the connection and the call
 			}, 0.9)
 		})
 	}
 }
 
-// A host is redirected to the control process of its zone only while that accepts heartbeats: not while it shuts down, which lasts
-// a while, nor once it has started and has no quorum yet; then again. Else each process that the host goes to would report it anew
-// to all.
+// A host is redirected to the control process of its zone only while that accepts heartbeats: not while it shuts down, and not after a
+// restart until it has a quorum. Otherwise the host would move between processes, and each would announce it to all others again.
 func TestHeartbeatsGoWhereTheyAreAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		layout := smallLayout
-		layout.Zones, layout.Rate = 5, 2 // of an odd core nobody is voted out for ending
+		layout.Zones, layout.Rate = 5, 2 // with an odd number of members, none is removed when it shuts down
 		cluster := startCluster(c, layout)
 		time.Sleep(4 * time.Second)
 		node, sequence := cluster.Controls[4], 1000
@@ -141,7 +140,7 @@
 		c.Check(to(), qt.Equals, node.Settings.ListenAddresses["control"])
 		done := make(chan bool)
 		go func() { node.running.Leave(); close(done) }()
-		time.Sleep(100 * time.Millisecond) // the others have heard that it ends
+		time.Sleep(100 * time.Millisecond) // the others know that it is shutting down
 		for ended := false; !ended; {
 			c.Check(to(), qt.Equals, "")
 			select {
@@ -154,11 +153,11 @@
 		time.Sleep(300 * time.Millisecond)
 		node.mustStart()
 		for node.Status() != "in touch" {
-			if at := to(); node.Status() != "in touch" { // the call takes a while
+			if at := to(); node.Status() != "in touch" { // the status may change during the call
 				c.Check(at, qt.Equals, "")
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		waitUntil(c, 3*time.Second, "sent there again", func() bool { return to() == node.Settings.ListenAddresses["control"] })
+		waitUntil(c, 3*time.Second, "redirected there again", func() bool { return to() == node.Settings.ListenAddresses["control"] })
 	})
 }
--- a/internal/lab/simulation/evacuation_test.go
+++ b/internal/lab/simulation/evacuation_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The process that proposes is partitioned, and the others end an evacuation. Until it knows that it is partitioned it may not
-// confirm that the evacuation is in force: that it is so in its own state proves nothing.
+// The proposer is partitioned, and the others reverse the state of an evacuation. Before the proposer has detected the partition, it
+// must not confirm a call just because its own, stale state already agrees with it.
 func TestEvacuationNotConfirmedByStaleProposer(t *testing.T) {
 	for _, call := range []string{"evacuation.begin", "evacuation.finish"} {
 		withControls(t, 6, 98, func(c *qt.C, cluster *Cluster) {
--- a/internal/lab/simulation/faultyhost_test.go
+++ b/internal/lab/simulation/faultyhost_test.go
@@ -17,47 +17,47 @@
 
 var faultyHostRuns = flag.Int("rough", 6, "drawn days of hosts with bad answers to play")
 
-// responseFault is something that a bad host does with an answer.
+// responseFault is a way in which a faulty host handles a response.
 type responseFault uint8
 
 const (
-	noResponse        responseFault = iota // it runs, says nothing and keeps the connection
-	resetAfterRun                          // it runs and resets the connection
-	closedAfterRun                         // it runs and closes it
-	closedBeforeRun                        // it closes it without having run
-	lateResponse                           // it answers after a second or two
-	duplicateResponse                      // its answer comes twice at once
-	lateDuplicate                          // and once more some time later, in the place of another's
-	rejectedTwice                          // it turns it away, in two copies
-	rejectedTwiceLate                      // it turns it away, and once more some time later
-	truncatedResponse                      // its answer ends early
-	leadingGarbage                         // it sends bytes that are no answer
-	trailingGarbage                        // it sends some behind its answer
-	wrongAttemptID                         // it says another's id
-	missingAttemptID                       // it says none
-	protocolSwitch                         // it changes the protocol
-	interimResponses                       // it sends 1xx before
-	chunkedResponse                        // it answers in chunks, with trailers
-	unframedReset                          // its answer has no stated end, and is reset on the way
-	unframedResponse                       // its answer has no stated end, and ends with its connection
-	earlyRejection                         // it turns it away, or answers, before it has read its body, and reads on
-	bare429                                // it runs, and answers 429 without a word that it did not
+	noResponse        responseFault = iota // runs the request, doesn't respond, keeps the connection
+	resetAfterRun                          // runs the request and resets the connection
+	closedAfterRun                         // runs the request and closes the connection
+	closedBeforeRun                        // closes the connection without running the request
+	lateResponse                           // responds after 0.5 to 2.5 s
+	duplicateResponse                      // sends the response twice in one write
+	lateDuplicate                          // sends the response again later, where another one is expected
+	rejectedTwice                          // rejects the request twice
+	rejectedTwiceLate                      // rejects the request, and again some time later
+	truncatedResponse                      // sends only the start of the response
+	leadingGarbage                         // sends invalid bytes before the response
+	trailingGarbage                        // sends invalid bytes after the response
+	wrongAttemptID                         // responds with the ID of another attempt
+	missingAttemptID                       // responds without an attempt ID
+	protocolSwitch                         // responds with 101 Switching Protocols
+	interimResponses                       // sends 1xx responses first
+	chunkedResponse                        // sends a chunked response with trailers
+	unframedReset                          // sends a response without a length and resets the connection during the body
+	unframedResponse                       // sends a response without a length, ended by closing the connection
+	earlyRejection                         // rejects the request before reading its body, and then reads it
+	bare429                                // runs the request and responds with 429, without stating that it didn't run
 	responseFaults
 )
 
 var responseFaultNames = [responseFaults]string{"lost", "broken", "closed", "unread", "late", "doubled", "copied", "unrun", "unrun late", "cut", "noise", "behind",
 	"another's", "nobody's", "switched", "hinted", "chunked", "endless", "unframed", "early", "promising"}
 
-// faultyHostRun is one drawn run with faulty hosts.
+// faultyHostRun is a randomized run with faulty hosts.
 type faultyHostRun struct {
 	*Cluster
 	mu      sync.Mutex
 	rng     random.Source
 	counts  map[string]int
-	stopped map[string]bool // addresses whose first host has ended, and routers that were stopped
+	stopped map[string]bool // addresses whose first host was crashed, and names of proxies that were stopped
 }
 
-// takeProxy is one that was not stopped yet.
+// takeProxy picks a proxy that was not stopped yet, and marks it as stopped.
 func (r *faultyHostRun) takeProxy() *ProxyNode {
 	for {
 		if proxyNode := r.Proxies[r.intn(len(r.Proxies))]; !r.stopped[proxyNode.Settings.Name] {
@@ -79,7 +79,7 @@
 	r.counts[label]++
 }
 
-// crashHost crashes a host that has its address to itself.
+// crashHost crashes a host at an address where none was crashed before.
 func (r *faultyHostRun) crashHost() *Host {
 	for {
 		if host := r.Hosts[r.intn(len(r.Hosts))]; !r.stopped[host.Address] {
@@ -90,22 +90,22 @@
 	}
 }
 
-// disturbances are what happens besides in such a run.
+// disturbances are faults of proxies, hosts and the network that are added to a run.
 var disturbances = []struct {
 	name string
 	do   func(d *faultyHostRun) (undo func())
 }{
 	{"nothing", func(d *faultyHostRun) func() { return nil }},
-	{"a router is killed while it is busy", func(d *faultyHostRun) func() {
+	{"a proxy is killed under load", func(d *faultyHostRun) func() {
 		f := d.takeProxy()
 		f.Kill()
 		return func() {
 			if err := f.Start(); err != nil {
-				d.violation("a router does not start: %v", err)
+				d.violation("proxy failed to start: %v", err)
 			}
 		}
 	}},
-	{"a router drains, and is killed before it is done", func(d *faultyHostRun) func() {
+	{"a proxy is killed while it drains", func(d *faultyHostRun) func() {
 		f, done := d.takeProxy(), make(chan bool)
 		d.background.Go(func() {
 			defer close(done)
@@ -116,16 +116,16 @@
 		return func() {
 			<-done
 			if err := f.Start(); err != nil {
-				d.violation("a router does not start: %v", err)
+				d.violation("proxy failed to start: %v", err)
 			}
 		}
 	}},
-	{"a router is cut off from hosts", func(d *faultyHostRun) func() {
+	{"a proxy is partitioned from a host", func(d *faultyHostRun) func() {
 		f, q := d.Proxies[d.intn(len(d.Proxies))], d.Hosts[d.intn(len(d.Hosts))]
 		d.Network.SetPartition(f.Settings.IP, q.IP(), true)
 		return func() { d.Network.SetPartition(f.Settings.IP, q.IP(), false) }
 	}},
-	{"an address is another's", func(d *faultyHostRun) func() {
+	{"an address is reused by another service", func(d *faultyHostRun) func() {
 		q := d.crashHost()
 		time.Sleep(time.Duration(d.intn(300)) * time.Millisecond)
 		var z int
@@ -133,21 +133,21 @@
 		d.startFaultyHost("mail", z, q.Address, 0)
 		return func() { d.startFaultyHost("desk", z, "", 0) }
 	}},
-	{"an address is a new life's", func(d *faultyHostRun) func() {
+	{"an address is reused by a new instance", func(d *faultyHostRun) func() {
 		q := d.crashHost()
 		var z int
 		fmt.Sscanf(q.Zone, "z%d", &z)
 		d.startFaultyHost("desk", z, q.Address, 0)
 		return nil
 	}},
-	{"a host is dark", func(d *faultyHostRun) func() {
+	{"a host is powered off", func(d *faultyHostRun) func() {
 		q := d.Hosts[d.intn(len(d.Hosts))]
 		d.Network.SetPoweredOff(q.IP(), true)
 		return func() { d.Network.SetPoweredOff(q.IP(), false) }
 	}},
 }
 
-// playFaultyHosts plays one run in virtual time, and returns what was done and how many requests were served.
+// playFaultyHosts plays one run in virtual time. It returns how often each fault occurred, and how many requests were served and sent.
 func playFaultyHosts(t *testing.T, seed int) (counts map[string]int, served, requests int) {
 	firstDisturbance, secondDisturbance := disturbances[seed%len(disturbances)], disturbances[seed/len(disturbances)%len(disturbances)]
 	synctest.Test(t, func(t *testing.T) {
@@ -196,9 +196,9 @@
 	return counts, served, requests
 }
 
-// Hosts' responses are lost, late, doubled and corrupted, addresses are reused, proxies are killed while they are busy or drain,
-// and clients pipeline and go away: no response goes to another request, nothing runs twice, and what is rejected has not run.
-// -args -rough 10000 plays as many runs, from -from on.
+// With lost, late, duplicate and corrupted responses, reused addresses, proxies killed under load, and clients that pipeline and
+// disconnect, no response may reach another request, no request may run twice, and a rejected request must not have run.
+// -args -rough N plays N runs, with seeds from -from on.
 func TestFaultyHostResponses(t *testing.T) {
 	counts, served, requests := map[string]int{}, 0, 0
 	for seed := *firstSeed; seed < *firstSeed+*faultyHostRuns; seed++ {
@@ -210,14 +210,14 @@
 			served, requests = served+runServed, requests+runRequests
 		})
 		if (seed-*firstSeed+1)%500 == 0 {
-			t.Logf("%d days: %d of %d served, %v", seed-*firstSeed+1, served, requests, counts)
+			t.Logf("%d runs: %d of %d requests served, %v", seed-*firstSeed+1, served, requests, counts)
 		}
 	}
-	t.Logf("%d days: %d of %d served", *faultyHostRuns, served, requests)
+	t.Logf("%d runs: %d of %d requests served", *faultyHostRuns, served, requests)
 	for _, label := range slices.Sorted(maps.Keys(counts)) {
 		t.Logf("%s: %d", label, counts[label])
 	}
 	if requests == 0 || float64(served) < 0.5*float64(requests) {
-		t.Errorf("%d of %d served", served, requests)
+		t.Errorf("%d of %d requests served, want at least half", served, requests)
 	}
 }
--- a/internal/lab/simulation/faultyresponse_test.go
+++ b/internal/lab/simulation/faultyresponse_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// startFaultyHost starts a host that writes its responses itself, at an address that may have been another's; faultPercent of its
-// requests are answered with one of its faults.
+// startFaultyHost starts a host that writes raw responses, at the given address or, if that is empty, at a new one. It applies one of
+// the faults to faultPercent of its requests.
 func (r *faultyHostRun) startFaultyHost(service string, zoneIndex int, address string, faultPercent int, faults ...responseFault) *Host {
 	r.Cluster.mu.Lock()
 	r.lastHost++
@@ -67,8 +67,8 @@
 	faultPercent int
 	faults       []responseFault
 
-	writing    sync.Mutex // held for one complete response; responses are written by two goroutines
-	previousID string     // of the attempt that was answered last
+	writing    sync.Mutex // held for a complete response, as two goroutines write them
+	previousID string     // ID of the attempt that was answered last
 }
 
 // serveConn serves a connection to a faulty host until it ends.
@@ -84,14 +84,14 @@
 	}
 }
 
-// write writes a complete response, or a part of one.
+// write writes a complete or partial response.
 func (c *faultyConn) write(text string) {
 	c.writing.Lock()
 	defer c.writing.Unlock()
-	_, _ = io.WriteString(c.conn, text) // the next read fails too
+	_, _ = io.WriteString(c.conn, text) // after an error the next read fails too
 }
 
-// wait waits for a duration, or until the host ends.
+// wait waits for a duration, or until the host stops.
 func (c *faultyConn) wait(duration time.Duration) {
 	select {
 	case <-time.After(duration):
@@ -99,10 +99,9 @@
 	}
 }
 
-// waitUpTo waits for a drawn number of milliseconds.
+// waitUpTo waits for a random time below a number of milliseconds.
 func (c *faultyConn) waitUpTo(millis int) { c.wait(time.Duration(c.intn(millis)) * time.Millisecond) }
 
-// reset resets the connection.
 func (c *faultyConn) reset() { c.conn.(*conn).reset() }
 
 func idHeader(id string) string { return "Attempt-Id: " + id + "\r\n" }
@@ -111,7 +110,7 @@
 	return "HTTP/1.1 503 Service Unavailable\r\n" + idHeader(id) + "Request-Not-Run: full\r\nContent-Length: 0\r\n\r\n"
 }
 
-// serve answers one request, and reports whether the connection goes on.
+// serve answers one request, and reports whether the connection stays open.
 func (c *faultyConn) serve(req *http.Request) bool {
 	id := req.Header.Get("Attempt-Id")
 	expected := req.Header.Get("Expected-Instance") == c.host.ID
@@ -136,7 +135,7 @@
 	select {
 	case c.host.slots <- struct{}{}:
 		release = func() { <-c.host.slots }
-	default: // it has no queue
+	default: // hosts don't queue requests
 		fault = rejectedTwice
 	}
 	switch fault {
@@ -153,7 +152,7 @@
 	return c.respond(fault, id)
 }
 
-// rejectEarly rejects a request before its body has come, and reads that afterwards.
+// rejectEarly rejects a request before its body has arrived, and then reads the body.
 func (c *faultyConn) rejectEarly(req *http.Request, id string) bool {
 	c.count(responseFaultNames[earlyRejection])
 	c.host.recordArrival(id)
@@ -161,12 +160,12 @@
 	c.waitUpTo(400)
 	rest, err := io.ReadAll(req.Body)
 	if strings.Trim(string(rest), "b") != "" {
-		c.violation("UNASKED: other bytes in the body of %s", id)
+		c.violation("UNASKED: unexpected bytes in the body of %s", id)
 	}
 	return err == nil
 }
 
-// rejectTwice answers one request with two rejections.
+// rejectTwice sends two rejections for one request.
 func (c *faultyConn) rejectTwice(id string, late bool) {
 	c.write(rejection(id))
 	if late {
@@ -176,7 +175,7 @@
 	c.previousID = id
 }
 
-// execute runs a request.
+// execute simulates running a request, and records it.
 func (c *faultyConn) execute(id string) {
 	c.Cluster.mu.Lock()
 	c.executions[id]++
@@ -185,7 +184,7 @@
 	c.wait(c.host.ServiceTime/2 + time.Duration(c.intn(int(c.host.ServiceTime))))
 }
 
-// respond answers a request that has run with a fault, or well, and reports whether the connection goes on.
+// respond sends the response to a request that has run, altered by the fault, and reports whether the connection stays open.
 func (c *faultyConn) respond(fault responseFault, id string) bool {
 	body := c.host.ID + " ran " + id
 	head := "HTTP/1.1 200 OK\r\n" + idHeader(id) + "Server-Seal: " + c.host.ID + "\r\n"
@@ -227,7 +226,8 @@
 	return true
 }
 
-// alteredResponse returns what a fault makes of a good response that is written at once; without a fault it stays as it is.
+// alteredResponse applies a fault that consists of a single write to a valid response. Without such a fault it returns the response
+// unchanged.
 func (c *faultyConn) alteredResponse(fault responseFault, id, okResponse string) string {
 	switch fault {
 	case duplicateResponse:
--- a/internal/lab/simulation/faultystorage_test.go
+++ b/internal/lab/simulation/faultystorage_test.go
@@ -7,14 +7,14 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// faultyStorage is a disk whose next so many steps are refused, of the kinds that are chosen.
+// faultyStorage is a disk on which the next failAt operations of one kind, or of any kind, fail.
 type faultyStorage struct {
 	storage.Storage
-	mu        sync.Mutex // over what follows: the store compacts beside
+	mu        sync.Mutex // guards the fields below; the store compacts in the background
 	failAt    int
-	kind      string // "" for all
+	kind      string // kind of the operations that fail, "" for all
 	failures  int
-	openFiles int // files that are open
+	openFiles int // number of open files
 }
 
 func (f *faultyStorage) step(kind string) error {
@@ -110,7 +110,7 @@
 	return w.Writer.Close()
 }
 
-// copied is what a disk holds at this moment.
+// copyDisk returns a copy of a disk's current content, without its faults and delays.
 func copyDisk(d *Disk) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/simulation/hardhistory_test.go
+++ b/internal/lab/simulation/hardhistory_test.go
@@ -13,24 +13,24 @@
 	"github.com/samber/lo"
 )
 
-// Hard histories: the same operators and checks as those of TestHistories, beside the harms that it lacks, two of one kind at
-// once among them, and a closing fault right after an order was acknowledged. Their seeds lie above hard.
+// Hard histories have the operators and checks of TestHistories, but further faults: some strike two processes at once, and a closing
+// fault follows directly after an acknowledgement. Their seeds are above hardSeedBase.
 
 var hardHistories = flag.Int("hard", 0, "hard histories to play, instead of a few")
 
 const (
 	hardSeedBase   = 1_000_000
-	toleranceLimit = 15 * time.Second // until the core bears again what it bore, once the harms are over
+	toleranceLimit = 15 * time.Second // for all processes to be members again and fault tolerance to be restored after faults
 )
 
 // faultInjector injects the faults of one history.
 type faultInjector struct {
 	*recorder
-	diskSince map[*ControlNode]time.Time // since when its disk has lasted
+	diskSince map[*ControlNode]time.Time // when the process got its current disk content
 }
 
-// injectHardFaults injects a few faults, one kind after the other, each waiting until the members tolerate a loss again, and a
-// closing fault.
+// injectHardFaults injects one to three rounds of faults, waiting after each until fault tolerance is restored, and usually a closing
+// fault.
 func (rc *recorder) injectHardFaults() {
 	in := &faultInjector{recorder: rc, diskSince: map[*ControlNode]time.Time{}}
 	for _, node := range rc.cluster.Controls {
@@ -45,8 +45,8 @@
 	}
 }
 
-// injectRound injects faults of one kind into one process or, where the members tolerate it, into two; at times a lesser fault of
-// another beside it.
+// injectRound injects one kind of fault into one process or, with six or more, at times into two. At times it adds a minor fault of
+// another process.
 func (in *faultInjector) injectRound() {
 	cluster := in.cluster
 	nodes := []*ControlNode{cluster.Controls[in.pickVictim()]}
@@ -70,25 +70,25 @@
 	in.sleepBetween(300, 1500)
 }
 
-// awaitTolerance waits until all are members and in contact, which must happen without an operator.
+// awaitTolerance waits until all processes are members and fault tolerance is restored, which must not need an operator.
 func (in *faultInjector) awaitTolerance() {
 	size := len(in.cluster.Controls)
 	for deadline := time.Now().Add(toleranceLimit); !in.cluster.sameMembership(size, false) || in.cluster.coreStatus(0).Tolerates != size-size/2-1; time.Sleep(100 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			in.mu.Lock()
 			defer in.mu.Unlock()
-			in.violation("the margin isn't back", "%v after %v", toleranceLimit, in.faults[len(in.faults)-1])
+			in.violation("fault tolerance not restored", "%v after %v", toleranceLimit, in.faults[len(in.faults)-1])
 			return
 		}
 	}
 }
 
-// pickVictim picks a process on which more depends: the one that confirmed or was read last, the proposer, the one whose disk has
-// lasted longest; or any.
+// pickVictim picks a process whose failure is critical: the proposer, the one with the oldest disk, the one that confirmed or answered
+// a read last; or a random one.
 func (in *faultInjector) pickVictim() int {
 	switch in.intn(4) {
 	case 0:
-		return 0 // the lowest IP number
+		return 0 // the proposer: the lowest IP address
 	case 1:
 		oldest := slices.MinFunc(in.cluster.Controls, func(a, b *ControlNode) int { return in.diskSince[a].Compare(in.diskSince[b]) })
 		return slices.Index(in.cluster.Controls, oldest)
@@ -96,7 +96,7 @@
 	return in.pickTarget()
 }
 
-// applyToAll does something to each, and undoes it.
+// applyToAll applies a fault to each node. The function returned undoes all of them.
 func applyToAll(nodes []*ControlNode, apply func(*ControlNode) func()) func() {
 	var undo []func()
 	for _, node := range nodes {
@@ -109,7 +109,7 @@
 	}
 }
 
-// injectFault does one kind of harm to some, and gives what undoes it.
+// injectFault injects one random kind of fault into the nodes, and returns the function that undoes it.
 func (in *faultInjector) injectFault(nodes []*ControlNode) (undo func()) {
 	cluster := in.cluster
 	record := func(label string) {
@@ -129,7 +129,7 @@
 	}
 	nothing := func() {}
 	switch in.intn(17) {
-	case 0: // the time of day jumps and later jumps back; who starts meanwhile, or afterwards, goes by it
+	case 0: // clocks step and later step back; a process takes the new time when it restarts
 		record("clocks step")
 		sign := lo.Ternary(in.intn(2) == 0, time.Duration(1), -1)
 		skew, restart := sign*time.Duration(100+in.intn(7_200_000))*time.Millisecond, in.intn(2) == 0
@@ -146,7 +146,7 @@
 				}
 			}
 		})
-	case 1: // for long
+	case 1: // for longer than other faults last
 		nodes = nodes[:1]
 		nodes[0] = cluster.Controls[0]
 		record("proposer frozen")
@@ -156,18 +156,18 @@
 	case 2:
 		record("frozen")
 		return applyToAll(nodes, in.freeze)
-	case 3: // the new machine first, then SIGTERM
+	case 3: // start the new machine first, then shut down the old one
 		record("replaced as planned")
 		return applyToAll(nodes, in.replaceAsPlanned)
 	case 4:
-		record("gone for good")
+		record("lost for good")
 		return applyToAll(nodes, func(node *ControlNode) func() {
 			node.Replace()
 			in.diskSince[node] = time.Now()
 			return node.mustStart
 		})
 	case 5:
-		record("other seeds")
+		record("other seed nodes")
 		in.changeSeeds()
 		return applyToAll(nodes, func(node *ControlNode) func() {
 			node.Kill()
@@ -195,7 +195,7 @@
 			in.sleepBetween(50, 800)
 		}
 		return nothing
-	case 9: // an operator sends the same again
+	case 9: // operators have to retry
 		record("acknowledgements lost")
 		return applyToAll(cluster.Controls, func(node *ControlNode) func() {
 			ip := node.Settings.IP
@@ -208,8 +208,8 @@
 				}
 			}
 		})
-	case 10: // acknowledged or not
-		record("without power after a change was sent")
+	case 10: // whether the change is acknowledged or not
+		record("powered off after a change was sent")
 		var sent sync.WaitGroup
 		sent.Go(func() { in.sendChange(in.intn(2), in.newChanges(false, false)[0], 4, false) })
 		in.sleepBetween(5, 400)
@@ -226,14 +226,14 @@
 		}
 		return applyToAll(nodes, func(node *ControlNode) func() { return powerOff(node, true) })
 	case 12, 13, 14:
-		direction := []string{"both ways", "what it sends", "what it is sent"}[in.intn(3)]
-		if in.intn(3) == 0 { // from the other control processes alone
-			record("cut off, " + direction)
+		direction := []string{"both ways", "outbound only", "inbound only"}[in.intn(3)]
+		if in.intn(3) == 0 { // from the other control processes only
+			record("partitioned, " + direction)
 			return applyToAll(nodes, func(node *ControlNode) func() { return in.cutOff(node, direction, false) })
 		}
-		record("zone cut, " + direction) // its control process and its routers; clients still reach it
+		record("zone partitioned, " + direction) // its control process and its proxies; clients still reach them
 		return applyToAll(nodes, func(node *ControlNode) func() { return in.cutOff(node, direction, true) })
-	case 15: // SIGTERM, one after the other
+	case 15: // gracefully, one after the other
 		record("all restarted in turn")
 		for _, node := range cluster.Controls {
 			node.Shutdown()
@@ -243,14 +243,14 @@
 		}
 		return nothing
 	}
-	record("refusing disk")
+	record("failing disk")
 	return applyToAll(nodes, func(node *ControlNode) func() {
 		node.Disk.SetFaults(5*time.Millisecond, true)
 		return func() { node.Disk.SetFaults(5*time.Millisecond, false) }
 	})
 }
 
-// freeze stops a machine's traffic.
+// freeze freezes a machine: its network traffic stops and its disk hangs.
 func (in *faultInjector) freeze(node *ControlNode) func() {
 	in.cluster.Network.Freeze(node.Settings.IP, true)
 	node.Disk.setHanging(true)
@@ -260,7 +260,7 @@
 	}
 }
 
-// replaceAsPlanned has a new machine start, and the old one leave within a second or once the new one is in touch.
+// replaceAsPlanned starts a new machine and shuts down the old one after a second, or once the new one has caught up.
 func (in *faultInjector) replaceAsPlanned(node *ControlNode) func() {
 	next := node.NewSuccessor()
 	next.mustStart()
@@ -277,7 +277,7 @@
 	return func() {}
 }
 
-// changeSeeds has the settings name other seeds, of as many zones; processes that start from now on use them.
+// changeSeeds sets three other seed nodes in all settings, for processes that start from now on.
 func (in *faultInjector) changeSeeds() {
 	cluster, from := in.cluster, in.intn(len(in.cluster.Controls))
 	cluster.mu.Lock()
@@ -294,7 +294,7 @@
 	}
 }
 
-// cutOff cuts a control process off from the others, or all machines of its zone from those of the other zones.
+// cutOff partitions a control process from the others, or with zone also the proxies of its zone, in the given direction.
 func (in *faultInjector) cutOff(node *ControlNode, way string, zone bool) (undo func()) {
 	cluster := in.cluster
 	var ips []string
@@ -313,10 +313,10 @@
 				if zoneIndexOf(in) != z || zoneIndexOf(out) == z {
 					continue
 				}
-				if way != "what it is sent" {
+				if way != "inbound only" {
 					cluster.Network.SetOneWayPartition(in, out, cut)
 				}
-				if way != "what it sends" {
+				if way != "outbound only" {
 					cluster.Network.SetOneWayPartition(out, in, cut)
 				}
 			}
@@ -326,11 +326,11 @@
 	return func() { turn(false) }
 }
 
-// sendAcknowledged sends a change of some kind, and reports whether it was acknowledged just now.
+// sendAcknowledged sends random calls that change the state until one is acknowledged, at most six, and reports whether one was.
 func (in *faultInjector) sendAcknowledged() bool {
 	for range 6 {
 		switch in.intn(4) {
-		case 0: // an evacuation, begun or ended
+		case 0: // begin or end an evacuation
 			if in.sendEvacuation(in.intn(2), in.intn(len(in.cluster.Controls)), in.intn(2) == 0) {
 				return true
 			}
@@ -363,9 +363,9 @@
 	return false
 }
 
-// injectClosingFault injects a fault within 4 ms of an acknowledgement: all lose power, all are killed, or one loses its disk and
-// the others their power or nothing. Half of the time most disks are slow, as what isn't synced would else be synced long before
-// the acknowledgement has come. Processes that answer afterwards must have what was confirmed, from their first answer on.
+// injectClosingFault injects a fault within 4 ms of an acknowledgement: all processes lose power, all are killed, or one loses its disk
+// while the others lose power or continue. Half of the time some disks are slow, because otherwise unsynced data would be synced long
+// before the acknowledgement arrives. After that, every response must include what was confirmed.
 func (in *faultInjector) injectClosingFault() {
 	cluster := in.cluster
 	if in.intn(2) == 0 {
@@ -378,7 +378,7 @@
 	in.mu.Lock()
 	took := in.lastConfirmedBy
 	in.mu.Unlock()
-	label := []string{"all without power", "wiped, the others without power", "wiped", "all killed"}[in.intn(4)]
+	label := []string{"all powered off", "wiped, the others powered off", "wiped", "all killed"}[in.intn(4)]
 	at := took
 	if in.intn(3) == 0 {
 		at = in.pickVictim()
@@ -419,7 +419,7 @@
 	in.awaitTolerance()
 }
 
-// Hard histories; -args -hard 1000 -from 1 plays as many, and TestHistories with -from 1000001 the same ones.
+// -args -hard 1000 -from 1 plays 1,000 hard histories; TestHistories with -from 1000001 plays the same ones.
 func TestHardHistories(t *testing.T) {
 	n := *hardHistories
 	if n == 0 {
@@ -439,7 +439,7 @@
 				}
 				for _, kind := range slices.Sorted(maps.Keys(r.violations)) {
 					faults[kind] = append(faults[kind], seed)
-					t.Errorf("%s (%d times): %s; %v", kind, len(r.violations[kind]), r.violations[kind][0], strings.Join(r.faults, ", "))
+					t.Errorf("%s (%d times): %s; faults: %v", kind, len(r.violations[kind]), r.violations[kind][0], strings.Join(r.faults, ", "))
 				}
 			})
 		}
--- a/internal/lab/simulation/history_test.go
+++ b/internal/lab/simulation/history_test.go
@@ -22,8 +22,8 @@
 
 var printHistory = flag.Bool("show", false, "write a history down whose calls have no order that a model allows")
 
-// historyCount returns how many histories TestHistories plays: as -histories says, else some that need less than two minutes of a
-// processor core, fewer with the race detector.
+// historyCount returns the number of histories that TestHistories plays: the value of -histories if set, otherwise a default, which is
+// lower with the race detector.
 func historyCount() int {
 	n := lo.Ternary(raceEnabled, 10, 240)
 	flag.Visit(func(f *flag.Flag) {
@@ -35,31 +35,31 @@
 }
 
 const (
-	settleTime         = 6 * time.Second // from the last harm's end on nothing that was left unclear changes any more
-	workersPerOperator = 4               // of each operator: so many of its calls are under way at once
-	maxOrders          = 90              // orders of routes in one history, less those for hundreds of later changes
-	rolloutSeconds     = 6               // seconds of a rollout
+	settleTime         = 6 * time.Second // after the last fault, until which calls without a definite response may still take effect
+	workersPerOperator = 4               // concurrent calls of each operator
+	maxOrders          = 90              // changes in one history, not counting those that resendAll adds
+	rolloutSeconds     = 6               // duration of a rollout
 	oneSecond          = int64(time.Second)
-	resendWindow       = 4 * oneSecond // an order for a rollout is sent again within this, and a call's time, of acknowledge-s
+	resendWindow       = 4 * oneSecond // a call to begin a rollout is repeated within this time; with the time of a call it stays below acknowledge-s
 )
 
-// change is a change of some routes, which is sent once or more often. Times are nanoseconds of the virtual clock.
+// change is a change of one or more routes, which may be sent several times. Times are virtual, in Unix nanoseconds.
 type change struct {
 	id         int
 	items      []content
-	firstSent  int64 // the first time that it was sent, 0 for never
-	answeredAt int64 // the first clear answer
-	status     int   // that answer: 200, 409, or what nobody should be told; 0 while it is unclear
-	repeats    []response
+	firstSent  int64      // time of the first call, 0 if it was never sent
+	answeredAt int64      // time of the first definite response
+	status     int        // of that response: 200, 409, or any other, which is a violation; 0 while there is none
+	repeats    []response // definite responses after the first
 }
 
-// response is a later clear one.
+// response is a definite response to a repeated call.
 type response struct {
 	calledAt, returnedAt int64
 	status               int
 }
 
-// read is one of the configuration that was answered with 200.
+// read is a read of the configuration that was answered with 200. Routes that are not configured have content and version 0.
 type read struct {
 	calledAt, returnedAt int64
 	control              int
@@ -67,26 +67,26 @@
 	versions             [routeCount]uint64
 }
 
-// timedCall is a call of an evacuation or a rollout.
+// timedCall is a call that concerns an evacuation or a rollout.
 type timedCall struct {
 	calledAt, returnedAt int64
 	op                   any
 }
 
-// history is what one history's operators saw.
+// history records one run: all calls and responses, the faults, and the violations found.
 type history struct {
 	seed        int
-	contents    []content // by id, from 1
+	contents    []content // by ID, from 1
 	conflicts   int
 	changes     []*change
 	reads       []read
 	evacuations []timedCall
 	rollouts    []timedCall
-	votedAt     []int64 // when routers voted
-	settledAt   int64   // when the last harm was over, and settled has passed
+	votedAt     []int64 // when proxies voted
+	settledAt   int64   // settleTime after the last fault
 	faults      []string
 	violations  map[string][]string
-	active      map[int16]string // contents that were in force at some router: where
+	active      map[int16]string // proxy at which a content was in force, by content ID
 }
 
 func (hs *history) violation(kind, format string, args ...any) {
@@ -97,11 +97,11 @@
 type recorder struct {
 	*history
 	cluster         *Cluster
-	mu              sync.Mutex // over the record, the chance and what follows
+	mu              sync.Mutex // guards history, rng and the fields below
 	rng             random.Source
 	version         uint64
-	lastConfirmedBy int // who confirmed an order last
-	lastReadFrom    int // who was read last
+	lastConfirmedBy int // process that confirmed a change last
+	lastReadFrom    int // process that answered a read last
 	done            bool
 	clients         [2]*http.Client
 	targets         int
@@ -125,7 +125,7 @@
 
 func nowNanos() int64 { return time.Now().UnixNano() }
 
-// callOne sends one call of an operator to one process.
+// callOne sends an operator's call to one control process. The status is 0 if there is no response.
 func (rc *recorder) callOne(operator, at int, call, target string, body []byte) (status int, raw []byte) {
 	status, raw, err := callRPC(context.Background(), rc.clients[operator], rc.cluster.controlAddress(at), call, target, body)
 	if err != nil {
@@ -172,7 +172,7 @@
 		before := rc.checkAgreement("settled")
 		time.Sleep(2 * time.Second)
 		if after := rc.checkAgreement("later"); after.contents != before.contents {
-			rc.violation("changed in a calm", "%v, then %v", before.contents, after.contents)
+			rc.violation("changed after settling", "%v, then %v", before.contents, after.contents)
 		}
 		rc.resendAll()
 		time.Sleep(time.Second)
@@ -190,8 +190,8 @@
 
 func operatorIP(i int) string { return fmt.Sprintf("10.200.0.%d", 11+i) }
 
-// Histories of all operators' calls, drawn by seeds, while faults come and go; -args -histories 10000 -from 1 plays as many, and
-// -show writes down those that no model allows.
+// Operators send random calls while faults are injected, and the recorded histories must be linearizable. -args -histories 10000 -from 1
+// plays 10,000 of them; -show prints those that no model allows.
 func TestHistories(t *testing.T) {
 	var mu sync.Mutex
 	counts, faults, injected := map[string]int{}, map[string][]int{}, map[string]int{}
@@ -216,7 +216,7 @@
 				}
 				for _, kind := range slices.Sorted(maps.Keys(hist.violations)) {
 					faults[kind] = append(faults[kind], seed)
-					t.Errorf("%s (%d times): %s; %v", kind, len(hist.violations[kind]), hist.violations[kind][0], strings.Join(hist.faults, ", "))
+					t.Errorf("%s (%d times): %s; faults: %v", kind, len(hist.violations[kind]), hist.violations[kind][0], strings.Join(hist.faults, ", "))
 				}
 			})
 		}
--- a/internal/lab/simulation/historychanges_test.go
+++ b/internal/lab/simulation/historychanges_test.go
@@ -11,7 +11,7 @@
 	"portflow/internal/cluster/config"
 )
 
-// internContent is the content with this prefix; the lock is held.
+// internContent returns the content with the given route, version and prefix, and adds it if it is new; rc.mu is held.
 func (rc *recorder) internContent(route int, version uint64, prefix string) content {
 	for _, c := range rc.contents[1:] {
 		if c.route == route && c.version == version && c.prefix == prefix {
@@ -23,8 +23,8 @@
 	return c
 }
 
-// newChanges draws a change of one to three routes, and at times a rival: another of which one version at least has another content.
-// Older ones lie under what was sent before.
+// newChanges returns a random change of one to three routes and, if conflicting is set, usually a second one that has another content
+// under at least one of the same versions. If older is set, the version is lower than some that were used before.
 func (rc *recorder) newChanges(conflicting, older bool) []*change {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
@@ -34,7 +34,7 @@
 	n := func(n int) int { return int(rc.rng.Float64() * float64(n)) }
 	version := rc.version + 2
 	rc.version = version
-	if older { // the odd ones are for these
+	if older { // odd versions are reserved for these
 		below := version - min(version-1, uint64(2*n(8)+1))
 		if !slices.ContainsFunc(rc.contents, func(c content) bool { return c.version == below }) {
 			version = below
@@ -56,7 +56,7 @@
 	}
 	if conflicting {
 		other := &change{id: len(rc.changes) + 1}
-		first := n(count) // one of these at least is in both
+		first := n(count) // at least one of these routes is in both changes
 		for i, r := range routes[first:min(routeCount, first+1+n(3))] {
 			prefix := fmt.Sprintf("/r%d-%x-%d/", r, version, other.id)
 			if first+i < count && n(6) == 0 && changes[0].items[first+i].prefix != "" {
@@ -64,7 +64,7 @@
 			}
 			other.items = append(other.items, rc.internContent(r, version, prefix))
 			if first+i >= count {
-				continue // the rival's alone
+				continue // only in the conflicting change
 			}
 			ours, theirs := &changes[0].items[first+i], &other.items[i]
 			ours.conflict, theirs.conflict = rc.conflicts, rc.conflicts
@@ -77,7 +77,7 @@
 	return changes
 }
 
-// changeBody returns a change's body; its meaning doesn't depend on the order of its columns and rows.
+// changeBody returns the body of a change, with its columns and rows rotated, which must not change its meaning.
 func changeBody(items []content, rotation int) []byte {
 	columns := []string{"name", "host-name", "path-prefix", "route-kind", "timeout-s", "target-s", "priority-level", "service",
 		"maximum-attempts", "version"}
@@ -101,7 +101,8 @@
 	return raw
 }
 
-// sendChange sends a change, to one process after the other, until there is a clear answer or the attempts are used up.
+// sendChange sends a change to one process after the other until there is a definite response or no attempt is left, which is a
+// violation if settled is set.
 func (rc *recorder) sendChange(operator int, ch *change, attempts int, settled bool) {
 	raw, index := changeBody(ch.items, rc.intn(10)), rc.intn(len(rc.cluster.Controls))
 	for range attempts {
@@ -126,7 +127,7 @@
 			case 409:
 				rc.checkConflict(ch, answered)
 			default:
-				rc.violation("refused without cause", "order %d got %d: %s", ch.id, status, answered)
+				rc.violation("rejected without cause", "change %d got %d: %s", ch.id, status, answered)
 			}
 			return
 		}
@@ -136,32 +137,32 @@
 	if settled {
 		rc.mu.Lock()
 		defer rc.mu.Unlock()
-		rc.violation("unanswered in a calm", "order %d", ch.id)
+		rc.violation("unanswered after settling", "change %d", ch.id)
 	}
 }
 
-// checkConflict checks what a 409 must say: its kind, the route and the content that is in force; rc.mu is held.
+// checkConflict checks that a 409 has the error kind "conflict" and names the route and the content in force; rc.mu is held.
 func (rc *recorder) checkConflict(ch *change, raw []byte) {
 	var reply struct{ Error string }
 	json.Unmarshal(raw, &reply)
 	if reply.Error != "conflict" {
-		rc.violation("409 of another kind", "order %d: %s", ch.id, raw)
+		rc.violation("409 with another error kind", "change %d: %s", ch.id, raw)
 		return
 	}
 	for _, c := range ch.items {
 		for _, other := range rc.contents[1:] {
 			rival := other.version == c.version && other.id != c.id
-			later := other.version > c.version // the rival was passed since: then what stands now is named
+			later := other.version > c.version // has replaced the rival since: the response then names the current content
 			named := other.prefix == "" && strings.Contains(string(raw), "dropped") || other.prefix != "" && strings.Contains(string(raw), other.prefix)
 			if other.route == c.route && (rival || later) && named && strings.Contains(string(raw), fmt.Sprint("r", c.route)) {
 				return
 			}
 		}
 	}
-	rc.violation("409 doesn't say what stands", "order %d: %s", ch.id, raw)
+	rc.violation("409 without the content in force", "change %d: %s", ch.id, raw)
 }
 
-// readConfiguration reads the configuration from one process; ok is whether it answered.
+// readConfiguration reads and records the configuration of one process; ok reports whether the read succeeded.
 func (rc *recorder) readConfiguration(operator, at int) (rd read, ok bool) {
 	rd = read{calledAt: nowNanos(), control: at}
 	status, raw := rc.callOne(operator, at, "configuration.read", "", nil)
@@ -170,7 +171,7 @@
 	defer rc.mu.Unlock()
 	if status != 200 {
 		if status != 0 && status != 503 {
-			rc.violation("refused without cause", "reading got %d: %s", status, raw)
+			rc.violation("rejected without cause", "read got %d: %s", status, raw)
 		}
 		return rd, false
 	}
@@ -199,7 +200,8 @@
 	return rd, true
 }
 
-// runWorker is one of an operator's hands, for as long as the history lasts.
+// runWorker sends an operator's changes and reads, one call at a time, until the history ends. Conflicting changes are sent by
+// goroutines added to pending.
 func (rc *recorder) runWorker(operator int, pending *sync.WaitGroup) {
 	for !rc.finished() {
 		rc.sleepBetween(150, 1500)
@@ -217,7 +219,7 @@
 				})
 			}
 			rc.sendChange(operator, pair[0], 1+rc.intn(4), false)
-			if rc.intn(2) == 0 { // at once at another
+			if rc.intn(2) == 0 { // directly afterwards, possibly at another process
 				rc.readConfiguration(operator, rc.intn(len(rc.cluster.Controls)))
 			}
 		case choice < 7 && sent > 0:
@@ -233,7 +235,7 @@
 	}
 }
 
-// resendAll sends all changes again, some after hundreds of later changes, some after all processes were restarted.
+// resendAll sends all changes again; for some seeds hundreds of new changes or a restart of all processes come first.
 func (rc *recorder) resendAll() {
 	rc.mu.Lock()
 	changes := slices.Clone(rc.changes)
--- a/internal/lab/simulation/historyevacuation_test.go
+++ b/internal/lab/simulation/historyevacuation_test.go
@@ -8,12 +8,12 @@
 	"github.com/samber/lo"
 )
 
-// runEvacuations begins and ends the evacuation of z0, and looks at several processes.
+// runEvacuations begins and ends evacuations of z0, and reads their state from random processes.
 func (rc *recorder) runEvacuations() {
 	for !rc.finished() {
 		rc.sleepBetween(400, 2500)
 		var both sync.WaitGroup
-		for operator := range 1 + max(0, rc.intn(4)-2) { // one, or two at once
+		for operator := range 1 + max(0, rc.intn(4)-2) { // one operator, or both at once
 			begun := rc.intn(2) == 0
 			attempts := 1 + rc.intn(2)
 			both.Go(func() {
@@ -33,14 +33,14 @@
 	}
 }
 
-// sendEvacuation sends one call, and reports whether it was confirmed.
+// sendEvacuation sends one call that begins or ends the evacuation of z0, and reports whether it was confirmed.
 func (rc *recorder) sendEvacuation(operator, at int, begun bool) bool {
 	call := nowNanos()
 	status, raw := rc.callOne(operator, at, lo.Ternary(begun, "evacuation.begin", "evacuation.finish"), "z0", nil)
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	if status/100 == 4 {
-		rc.violation("refused without cause", "evacuation got %d: %s", status, raw)
+		rc.violation("rejected without cause", "evacuation got %d: %s", status, raw)
 	}
 	rc.evacuations = append(rc.evacuations, timedCall{call, lo.Ternary(status == 200, nowNanos(), never), evacuationOp{evacuated: begun, status: status}})
 	return status == 200
--- a/internal/lab/simulation/historyfaults_test.go
+++ b/internal/lab/simulation/historyfaults_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// injectFaults does a few harms of those that the settings tolerate, one after the other or two at once, and undoes them.
+// injectFaults injects and undoes one to three faults that the cluster must tolerate, some of them together with a minor one.
 func (rc *recorder) injectFaults() {
 	if rc.seed > hardSeedBase {
 		rc.injectHardFaults()
@@ -19,7 +19,7 @@
 		if rc.intn(5) == 0 {
 			lasts = 20 + rc.intn(6)
 		}
-		if rc.intn(2) == 0 { // beside it what takes nobody away
+		if rc.intn(2) == 0 { // add a fault that doesn't stop a control process
 			time.Sleep(time.Duration(rc.intn(800)) * time.Millisecond)
 			undo = append(undo, rc.injectMinorFault(m))
 		}
@@ -32,11 +32,11 @@
 				break
 			}
 		}
-		rc.sleepBetween(500, 2500) // back for good before the next
+		rc.sleepBetween(500, 2500) // let all recover before the next fault
 	}
 }
 
-// pickTarget picks a random process, the one that confirmed a change last, or the one that was read last.
+// pickTarget picks a random process, the one that confirmed a change last, or the one that answered a read last.
 func (rc *recorder) pickTarget() int {
 	at := rc.intn(3 * len(rc.cluster.Controls))
 	rc.mu.Lock()
@@ -50,7 +50,8 @@
 	return at / 3
 }
 
-// injectMinorFault does a lesser harm beside another one, at another process.
+// injectMinorFault slows down the disk of a control process other than at, loses responses to an operator for a while, or kills a
+// proxy.
 func (rc *recorder) injectMinorFault(at int) (undo func()) {
 	cluster := rc.cluster
 	other := cluster.Controls[(at+1+rc.intn(len(cluster.Controls)-1))%len(cluster.Controls)]
@@ -60,8 +61,8 @@
 		rc.faults = append(rc.faults, "slow disk "+other.Settings.IP)
 		other.Disk.SetFaults(125*time.Millisecond, false)
 		return func() { other.Disk.SetFaults(5*time.Millisecond, false) }
-	case 1: // lost answers, or late ones: the connections go on after a while
-		rc.faults = append(rc.faults, "answers lost to "+operator)
+	case 1: // responses are lost or late, as the connections continue after a while
+		rc.faults = append(rc.faults, "responses lost to "+operator)
 		duration := time.Duration(300+rc.intn(2500)) * time.Millisecond
 		var ips []string
 		for _, node := range cluster.Controls {
@@ -77,16 +78,16 @@
 		return func() {}
 	}
 	px := cluster.Proxies[rc.intn(len(cluster.Proxies))]
-	rc.faults = append(rc.faults, "router killed "+px.Settings.IP)
+	rc.faults = append(rc.faults, "proxy killed "+px.Settings.IP)
 	px.Kill()
 	return func() {
 		if err := px.Start(); err != nil {
-			cluster.violation("a router does not start: %v", err)
+			cluster.violation("proxy failed to start: %v", err)
 		}
 	}
 }
 
-// injectFault does one harm to a process, and gives what undoes it.
+// injectFault injects a random fault into a process, and returns the function that undoes it.
 func (rc *recorder) injectFault(at int) (undo func()) {
 	cluster := rc.cluster
 	node := cluster.Controls[at]
@@ -120,7 +121,7 @@
 		node.Kill()
 		cluster.Network.SetPoweredOff(ip, true)
 		disk.PowerLoss(rc.intn(2) == 0)
-		return did("without power", func() { cluster.Network.SetPoweredOff(ip, false); node.mustStart() })
+		return did("powered off", func() { cluster.Network.SetPoweredOff(ip, false); node.mustStart() })
 	case 2:
 		node.Kill()
 		disk.Wipe()
@@ -128,17 +129,17 @@
 	case 3, 4:
 		return did("cut", cut(cluster.Network.SetPartition, every))
 	case 5, 6:
-		return did("cut, what it sends", cut(cluster.Network.SetOneWayPartition, every))
+		return did("cut, outbound only", cut(cluster.Network.SetOneWayPartition, every))
 	case 7:
-		return did("cut, what it is sent", cut(func(a, b string, cut bool) { cluster.Network.SetOneWayPartition(b, a, cut) }, every))
+		return did("cut, inbound only", cut(func(a, b string, cut bool) { cluster.Network.SetOneWayPartition(b, a, cut) }, every))
 	case 8:
-		return did("half cut", cut(cluster.Network.SetPartition, func(i int) bool { return i%2 == 0 }))
+		return did("cut from half", cut(cluster.Network.SetPartition, func(i int) bool { return i%2 == 0 }))
 	case 9:
 		disk.SetFaults(125*time.Millisecond, false)
 		return did("slow disk", func() { disk.SetFaults(5*time.Millisecond, false) })
 	case 10:
 		disk.SetFaults(5*time.Millisecond, true)
-		return did("refusing disk", func() { disk.SetFaults(5*time.Millisecond, false) })
+		return did("failing disk", func() { disk.SetFaults(5*time.Millisecond, false) })
 	case 11:
 		disk.setHanging(true)
 		return did("hanging disk", func() { disk.setHanging(false) })
@@ -156,13 +157,13 @@
 			cluster.Network.SetPoweredOff(x.Settings.IP, true)
 			x.Disk.PowerLoss(rc.intn(2) == 0)
 		}
-		return did("region without power", func() {
+		return did("region powered off", func() {
 			for _, x := range two {
 				cluster.Network.SetPoweredOff(x.Settings.IP, false)
 				x.mustStart()
 			}
 		})
-	case 14: // its clock steps, which it sees at its next start
+	case 14: // its clock steps, and it restarts with the new time
 		node.Kill()
 		node.ClockSkew = time.Duration(rc.intn(7200)-3600) * time.Second
 		return did("clock stepped", node.mustStart)
--- a/internal/lab/simulation/historyproxies_test.go
+++ b/internal/lab/simulation/historyproxies_test.go
@@ -9,8 +9,8 @@
 	"portflow/internal/proxy"
 )
 
-// watchProxies probes all proxies ten times a second: none goes back to an older version, and none has a change of several routes
-// in part.
+// watchProxies checks all proxies ten times a second: none may go back to an older version, or apply a change of several routes only
+// partly. It probes which of several conflicting contents is in force.
 func (rc *recorder) watchProxies(stop chan bool, client *http.Client) {
 	seen := map[*proxy.Proxy]map[string]uint64{}
 	probes := map[string]int{}
@@ -32,7 +32,7 @@
 			old := seen[running]
 			for name, v := range old {
 				if versions[name] < v {
-					rc.violation("a router went back", "%s: %s from %d to %d", proxyNode.Settings.Name, name, v, versions[name])
+					rc.violation("a proxy went back", "%s: %s from %d to %d", proxyNode.Settings.Name, name, v, versions[name])
 				}
 			}
 			seen[running] = versions
@@ -40,7 +40,7 @@
 				if at := slices.IndexFunc(ch.items, func(c content) bool { return c.conflict < 0 && versions[fmt.Sprint("r", c.route)] == c.version }); at >= 0 {
 					for _, c := range ch.items {
 						if versions[fmt.Sprint("r", c.route)] < c.version {
-							rc.violation("in part at a router", "order %d at %s: r%d is at %d", ch.id, proxyNode.Settings.Name, c.route, versions[fmt.Sprint("r", c.route)])
+							rc.violation("change partly applied at a proxy", "change %d at %s: r%d is at %d", ch.id, proxyNode.Settings.Name, c.route, versions[fmt.Sprint("r", c.route)])
 						}
 					}
 				}
@@ -56,7 +56,7 @@
 			}
 			rc.mu.Unlock()
 			for _, c := range toProbe {
-				if !rc.probePrefix(client, proxyNode, c) { // it is asked again at the next look
+				if !rc.probePrefix(client, proxyNode, c) { // probe again in the next round
 					rc.mu.Lock()
 					probes[fmt.Sprint(proxyNode.Settings.Name, c.id)]--
 					rc.mu.Unlock()
@@ -66,8 +66,8 @@
 	}
 }
 
-// probePrefix asks a proxy for a content's prefix, and reports whether the answer is clear: 404 means that the content isn't in
-// force there, 503 nothing, as a proxy that has just started answers that to all requests.
+// probePrefix requests a content's prefix from a proxy, and reports whether the response is conclusive. 404 means that the content isn't
+// in force there; 503 means nothing, as a proxy that has just started answers all requests with it.
 func (rc *recorder) probePrefix(client *http.Client, proxyNode *ProxyNode, c content) bool {
 	req, _ := http.NewRequest("GET", "http://"+proxyNode.Settings.ListenAddresses["front"]+c.prefix+"x", nil)
 	req.Host = "desk.example"
@@ -86,7 +86,7 @@
 	return true
 }
 
-// checkAgreement has all processes read and all routers looked at, which must all say the same.
+// checkAgreement reads the configuration of all control processes and proxies, which must agree, and returns it.
 func (rc *recorder) checkAgreement(when string) (agreed read) {
 	for at := range rc.cluster.Controls {
 		rd, ok := rc.readConfiguration(0, at)
@@ -96,9 +96,9 @@
 		rc.mu.Lock()
 		switch {
 		case !ok:
-			rc.violation("unanswered in a calm", "%s: reading at %d", when, at)
+			rc.violation("unanswered after settling", "%s: read at process %d", when, at)
 		case at > 0 && rd.contents != agreed.contents && agreed.returnedAt > 0:
-			rc.violation("processes disagree", "%s: %v at %d, %v at %d", when, agreed.contents, agreed.control, rd.contents, at)
+			rc.violation("processes disagree", "%s: %v at process %d, %v at process %d", when, agreed.contents, agreed.control, rd.contents, at)
 		default:
 			agreed = rd
 		}
@@ -112,7 +112,7 @@
 			if id > 0 && v != c.version || id == 0 && v > 0 && !slices.ContainsFunc(rc.contents[1:], func(c content) bool {
 				return c.route == rd && c.version == v && c.prefix == ""
 			}) {
-				rc.violation("a router disagrees", "%s: %s has r%d at %d, the core at %d", when, proxyNode.Settings.Name, rd, v, c.version)
+				rc.violation("a proxy disagrees", "%s: %s has r%d at %d, the control processes at %d", when, proxyNode.Settings.Name, rd, v, c.version)
 			}
 		}
 		rc.mu.Unlock()
--- a/internal/lab/simulation/historyrollout_test.go
+++ b/internal/lab/simulation/historyrollout_test.go
@@ -12,9 +12,10 @@
 	"portflow/internal/decision"
 )
 
-// runRollouts begins rollouts, two targets at once or one twice, looks at several processes, and has routers vote.
+// runRollouts begins rollouts, at times two at once with the same or different target versions, reads their state from random processes
+// and lets proxies vote.
 func (rc *recorder) runRollouts() {
-	previous, previousAt, accepted := "", int64(0), false // the first target of the voyage before
+	previous, previousAt, accepted := "", int64(0), false // first target version of the previous round
 	for !rc.finished() {
 		rc.sleepBetween(300, 1500)
 		rc.mu.Lock()
@@ -38,7 +39,7 @@
 		}
 		previous, previousAt, accepted = first, start, status == 200
 		if rc.intn(2) == 0 {
-			rc.beginRollout(rc.intn(2), first, 1) // again
+			rc.beginRollout(rc.intn(2), first, 1) // repeat the call
 		}
 		withoutVotes := rc.intn(2) == 0
 		for k := range 26 {
@@ -56,7 +57,7 @@
 	}
 }
 
-// castVotes has the proxies vote either way on the rollout that may run.
+// castVotes lets all proxies vote, for or against, on the rollout that may be running.
 func (rc *recorder) castVotes() {
 	rc.mu.Lock()
 	seen := map[string]bool{}
@@ -76,8 +77,8 @@
 	}
 }
 
-// beginRollout sends a call to begin a rollout, to one process after the other, until there is a clear answer; it is one call in
-// the history, as a target is begun once. It returns that answer's status, 0 for none.
+// beginRollout sends a call that begins a rollout to one process after the other until there is a definite response, and returns its
+// status, or 0. The attempts count as one call in the history, because a rollout to a target version begins only once.
 func (rc *recorder) beginRollout(operator int, target string, attempts int) int {
 	at := rc.intn(len(rc.cluster.Controls))
 	op := rolloutOp{target: target, calledAt: nowNanos(), returnedAt: never}
@@ -89,7 +90,7 @@
 		}
 		if status/100 == 4 {
 			rc.mu.Lock()
-			rc.violation("refused without cause", "rollout got %d: %s", status, raw)
+			rc.violation("rejected without cause", "rollout got %d: %s", status, raw)
 			rc.mu.Unlock()
 		}
 		at = (at + 1) % len(rc.cluster.Controls)
@@ -100,15 +101,15 @@
 	return op.status
 }
 
-// repeatRollout repeats a call that began a rollout and was confirmed, while another may run since: it is never refused, and it
-// begins nothing, so the history doesn't have it.
+// repeatRollout repeats a confirmed call that began a rollout, while another rollout may be running. It must not be rejected. As it
+// begins nothing, it isn't recorded in the history.
 func (rc *recorder) repeatRollout(target string) {
 	at := rc.intn(len(rc.cluster.Controls))
 	status, raw := rc.callOne(rc.intn(2), at, "rollouts.begin", "", fmt.Appendf(nil, `{"service":"desk","target-version":%q,"duration-s":%d}`, target, rolloutSeconds))
 	if status/100 == 4 {
 		rc.mu.Lock()
 		defer rc.mu.Unlock()
-		rc.violation("refused though it was taken", "rollout to %s got %d: %s", target, status, raw)
+		rc.violation("rejected after it was confirmed", "rollout to %s got %d: %s", target, status, raw)
 	}
 }
 
--- a/internal/lab/simulation/idlecost_test.go
+++ b/internal/lab/simulation/idlecost_test.go
@@ -8,12 +8,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Without a request, the traffic between regions grows with the voters and with gossip, one small datagram a process every four
-// seconds, and not with routers times hosts; a host's drain crosses once for each control process, whatever the number of routers.
+// Without requests, traffic between regions must grow only with the number of voting members and with gossip (one small datagram per
+// process every four seconds), not with proxies times hosts. A host's drain crosses once per control process, not once per proxy.
 func TestIdleCost(t *testing.T) {
 	type cost struct{ calm, drain int64 }
 	costs := map[int]cost{}
-	for _, routers := range []int{2, 15} { // in each of six zones
+	for _, routers := range []int{2, 15} { // per zone, in six zones
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			layout := smallLayout
@@ -39,13 +39,13 @@
 			}
 		})
 	}
-	t.Logf("bytes a second between regions, and for a host's drain, by routers a zone: %+v", costs)
+	t.Logf("bytes between regions, per second when idle and per drain of a host, by proxies per zone: %+v", costs)
 	c := qt.New(t)
-	c.Check(costs[15].calm-costs[2].calm < 78*110, qt.IsTrue) // a shuffle of each router more
-	c.Check(costs[15].drain < 6000, qt.IsTrue)                // the calm's own chance is in it; a copy for each router would be 9,000
+	c.Check(costs[15].calm-costs[2].calm < 78*110, qt.IsTrue) // the gossip of 78 more proxies
+	c.Check(costs[15].drain < 6000, qt.IsTrue)                // includes variations of the idle traffic; a copy per proxy would take 9,000
 }
 
-// crossTraffic returns how many bytes have gone between regions, and how many within zones.
+// crossTraffic returns the number of bytes sent between regions and within zones so far.
 func (n *Network) crossTraffic() (regions, zones int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
