--- a/internal/lab/simulation/answers_test.go
+++ b/internal/lab/simulation/answers_test.go
@@ -13,12 +13,12 @@
 )
 
 // Responses that are not encoded from a struct keep their field names, which hosts, clients and operators read.
-func TestNamesOfAnswers(t *testing.T) {
+func TestResponseFormats(t *testing.T) {
 	playScenario(t, smallLayout, 4*time.Second, func(c *qt.C, h *Cluster) {
 		client := h.httpClient(h.Network.Process("10.1.201.3"), time.Second)
 		defer client.CloseIdleConnections()
-		call := func(z int, name, of, body string) string {
-			status, answer, err := callRPC(context.Background(), client, h.Controls[z].Settings.ListenAddresses["control"], name, of, []byte(body))
+		call := func(z int, name, target, body string) string {
+			status, answer, err := callRPC(context.Background(), client, h.Controls[z].Settings.ListenAddresses["control"], name, target, []byte(body))
 			c.Assert(err, qt.IsNil)
 			return fmt.Sprintf("%d %s", status, answer)
 		}
--- a/internal/lab/simulation/benchmark_test.go
+++ b/internal/lab/simulation/benchmark_test.go
@@ -40,8 +40,8 @@
 	calls    sync.WaitGroup // calls sent by streamChanges
 }
 
-func layoutOf(zones, routers, hosts int, seed uint64) Layout {
-	return Layout{Zones: zones, ProxiesPerZone: routers, HostsPerZone: hosts, Services: []string{"desk"}, ServiceTime: 80 * time.Millisecond, Concurrency: 3, Rate: 4, Seed: seed}
+func newLayout(zones, proxies, hosts int, seed uint64) Layout {
+	return Layout{Zones: zones, ProxiesPerZone: proxies, HostsPerZone: hosts, Services: []string{"desk"}, ServiceTime: 80 * time.Millisecond, Concurrency: 3, Rate: 4, Seed: seed}
 }
 
 // runBenchmark runs one measurement on a cluster that has been running for 12 s.
@@ -128,13 +128,13 @@
 
 // loadRoutes configures n routes, 400 in a change.
 func (b *benchmark) loadRoutes(n int) {
-	var part []Route
+	var batch []Route
 	for i := range n {
 		b.versions[fmt.Sprintf("load-%05d", i)] = 1
-		part = append(part, Route{Name: fmt.Sprintf("load-%05d", i), Prefix: fmt.Sprintf("/load/%05d/", i), Service: "desk", Version: "00000001"})
-		if len(part) == 400 || i == n-1 {
-			b.mustChange(b.cluster.ChangeBody(false, part...))
-			part = nil
+		batch = append(batch, Route{Name: fmt.Sprintf("load-%05d", i), Prefix: fmt.Sprintf("/load/%05d/", i), Service: "desk", Version: "00000001"})
+		if len(batch) == 400 || i == n-1 {
+			b.mustChange(b.cluster.ChangeBody(false, batch...))
+			batch = nil
 		}
 	}
 }
@@ -263,8 +263,8 @@
 }
 
 // setDisk sets the duration of a disk's syncs, and whether its writes fail.
-func (b *benchmark) setDisk(at int, delay time.Duration, refuses bool) {
-	b.cluster.Controls[at].Disk.SetFaults(delay, refuses)
+func (b *benchmark) setDisk(at int, delay time.Duration, failing bool) {
+	b.cluster.Controls[at].Disk.SetFaults(delay, failing)
 }
 
 // limitLink limits the bandwidth between a machine and all other zones, in bytes per second in each direction. It wraps
@@ -295,12 +295,12 @@
 	}
 }
 
-// fillTo configures a number of quotas in addition to the routes.
-func (b *benchmark) fillTo(shares int) {
+// loadQuotas configures a number of quotas in addition to the routes.
+func (b *benchmark) loadQuotas(count int) {
 	var rows [][]any
-	for i := range shares {
+	for i := range count {
 		rows = append(rows, []any{fmt.Sprintf("s-%05d", i), "desk", "X-Agency", fmt.Sprintf("tenant-%05d", i), 0.01, 1, "00000001"})
-		if len(rows) == 1000 || i == shares-1 {
+		if len(rows) == 1000 || i == count-1 {
 			raw, _ := json.Marshal(map[string]any{"set-items": map[string]any{"shares": map[string]any{
 				"table-columns": []string{"name", "service", "caller-header", "caller", "per-s", "burst", "version"}, "table-rows": rows}}})
 			b.mustChange(raw)
--- a/internal/lab/simulation/compaction_test.go
+++ b/internal/lab/simulation/compaction_test.go
@@ -15,11 +15,11 @@
 	"portflow/internal/control/store"
 )
 
-// bulkyChange returns a quota whose body is hardly compressible.
-func bulkyChange(draw *rand.Rand, n int, version uint64) config.Item {
+// newIncompressibleItem returns a quota whose body is hardly compressible.
+func newIncompressibleItem(rng *rand.Rand, n int, version uint64) config.Item {
 	return config.Item{Kind: config.KindQuotas, Name: fmt.Sprint("tenant-", n), Version: version,
-		Body: fmt.Appendf(nil, `{"name":"tenant-%d","x":"%x%x%x%x%x%x%x%x"}`, n, draw.Uint64(), draw.Uint64(), draw.Uint64(), draw.Uint64(),
-			draw.Uint64(), draw.Uint64(), draw.Uint64(), draw.Uint64())}
+		Body: fmt.Appendf(nil, `{"name":"tenant-%d","x":"%x%x%x%x%x%x%x%x"}`, n, rng.Uint64(), rng.Uint64(), rng.Uint64(), rng.Uint64(),
+			rng.Uint64(), rng.Uint64(), rng.Uint64(), rng.Uint64())}
 }
 
 // Compaction must not block writes. A change waits for its own sync, and occasionally for a full buffer to be flushed (two more syncs)
@@ -32,7 +32,7 @@
 		d.SyncDelay = 5 * time.Millisecond
 		st, _, _, _, err := store.Open(d.Open())
 		c.Assert(err, qt.IsNil)
-		draw := rand.New(rand.NewPCG(1, 1))
+		rng := rand.New(rand.NewPCG(1, 1))
 		var latencies []time.Duration
 		highest, tables, last := 0, 0, int64(0)
 		write := func(items ...config.Item) {
@@ -52,29 +52,29 @@
 		}
 		var all []config.Item
 		for n := range 36200 {
-			all = append(all, bulkyChange(draw, n, 1))
+			all = append(all, newIncompressibleItem(rng, n, 1))
 		}
-		for part := range slices.Chunk(all, 500) {
-			write(part...)
+		for batch := range slices.Chunk(all, 500) {
+			write(batch...)
 		}
-		loading := slices.Max(latencies)
+		maxLoading := slices.Max(latencies)
 		latencies = nil
 		for n := range 10000 {
-			write(bulkyChange(draw, draw.IntN(36200), uint64(n+2)))
+			write(newIncompressibleItem(rng, rng.IntN(36200), uint64(n+2)))
 		}
 		c.Assert(st.Close(), qt.IsNil)
-		late := 0
+		slow := 0
 		for _, x := range latencies {
 			if x > d.SyncDelay {
-				late++
+				slow++
 			}
 		}
 		slices.Sort(latencies)
 		t.Logf("longest write: %v while loading, %v during 10,000 changes, %d of which took longer than one sync; %d tables written; disk usage at most %.1f MB",
-			loading, latencies[len(latencies)-1], late, tables, float64(highest)/1e6)
-		c.Check(loading <= 5*d.SyncDelay, qt.IsTrue)
+			maxLoading, latencies[len(latencies)-1], slow, tables, float64(highest)/1e6)
+		c.Check(maxLoading <= 5*d.SyncDelay, qt.IsTrue)
 		c.Check(latencies[len(latencies)-1] <= 5*d.SyncDelay, qt.IsTrue)
-		c.Check(late <= 5, qt.IsTrue) // number of buffers that the changes fill
+		c.Check(slow <= 5, qt.IsTrue) // number of buffers that the changes fill
 		c.Check(tables > 8, qt.IsTrue)
 		c.Check(highest < 24<<20, qt.IsTrue, qt.Commentf("%d bytes", highest))
 		time.Sleep(2 * time.Second)
--- a/internal/lab/simulation/core_test.go
+++ b/internal/lab/simulation/core_test.go
@@ -31,18 +31,18 @@
 			c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
 			c.Check(out.Done, qt.IsTrue)
 		}
-		out1 := func() bool {
+		removedAndLearner := func() bool {
 			coreStatus := cluster.coreStatus(4)
 			return len(coreStatus.Members) == 5 && slices.Contains(memberNames(coreStatus.Learners), name) && slices.Contains(memberNames(coreStatus.Excluded), name)
 		}
 		time.Sleep(8 * time.Second)
-		c.Check(out1(), qt.IsTrue, qt.Commentf("%+v", cluster.coreStatus(4)))
+		c.Check(removedAndLearner(), qt.IsTrue, qt.Commentf("%+v", cluster.coreStatus(4)))
 		epoch := cluster.coreStatus(4).Epoch
 		c.Check(epoch, qt.Equals, coreStatus.Epoch+1)
 		cluster.Controls[2].Kill()
 		cluster.Controls[2].mustStart()
 		time.Sleep(8 * time.Second)
-		c.Check(out1(), qt.IsTrue, qt.Commentf("%+v", cluster.coreStatus(4)))
+		c.Check(removedAndLearner(), qt.IsTrue, qt.Commentf("%+v", cluster.coreStatus(4)))
 		c.Check(cluster.coreStatus(2).Status, qt.Equals, "in touch")
 
 		_, status, raw := cluster.changeCore(2, "add", name, "", false, false)
@@ -57,17 +57,17 @@
 		cluster.Controls[2].mustStart()
 		waitUntil(c, 8*time.Second, "it is a member again with an empty disk", func() bool { return cluster.converged(6) })
 		for _, x := range []struct {
-			do, who, with, says string
-			status              int
+			action, member, replacement, reason string
+			status                              int
 		}{
 			{"remove", "nobody", "", "no member or learner", 404},
 			{"add", "nobody", "", "is not connected", 404},
 			{"replace", name, "nobody", "is not connected", 404},
 			{"burn", name, "", "must be remove, add or replace", 400},
 		} {
-			_, status, raw := cluster.changeCore(1, x.do, x.who, x.with, false, false)
+			_, status, raw := cluster.changeCore(1, x.action, x.member, x.replacement, false, false)
 			c.Check(status, qt.Equals, x.status, qt.Commentf("%s", raw))
-			c.Check(string(raw), qt.Contains, x.says)
+			c.Check(string(raw), qt.Contains, x.reason)
 		}
 	})
 }
@@ -100,20 +100,20 @@
 }
 
 // An operator replaces a lost member by a machine in another zone, which would not become a voting member by itself.
-func TestCoreReplacedByOrder(t *testing.T) {
+func TestCoreReplacedByOperator(t *testing.T) {
 	withControls(t, 6, 6, func(c *qt.C, cluster *Cluster) {
 		lost := cluster.Controls[5].Settings
 		cluster.Controls[5].Replace()
 		node := cluster.Controls[5]
 		node.Settings.Zone, node.Settings.Region = cluster.Controls[4].Settings.Zone, cluster.Controls[4].Settings.Region
 		node.mustStart()
-		standsBy := func() bool { // its zone already has a member, so it stays a learner
+		caughtUpLearner := func() bool { // its zone already has a member, so it stays a learner
 			coreStatus := cluster.coreStatus(0)
 			return len(coreStatus.Members) == 6 && len(coreStatus.Learners) == 1 && coreStatus.Learners[0].Name == node.Settings.Name && coreStatus.Learners[0].CaughtUp
 		}
-		waitUntil(c, 8*time.Second, "it is a learner that has caught up", standsBy)
+		waitUntil(c, 8*time.Second, "it is a learner that has caught up", caughtUpLearner)
 		time.Sleep(6 * time.Second)
-		c.Check(standsBy(), qt.IsTrue, qt.Commentf("%+v", cluster.coreStatus(0)))
+		c.Check(caughtUpLearner(), qt.IsTrue, qt.Commentf("%+v", cluster.coreStatus(0)))
 		_, status, raw := cluster.changeCore(3, "replace", lost.Name, node.Settings.Name, false, false)
 		c.Check(status, qt.Equals, 200, qt.Commentf("%s", raw))
 		waitUntil(c, 2*time.Second, "the cluster has converged", func() bool { return cluster.converged(6) })
@@ -124,8 +124,8 @@
 // After a loss, fault tolerance is restored, and the control processes report correctly how long that took.
 func TestCoreTolerance(t *testing.T) {
 	for name, x := range map[string]struct {
-		harm func(cluster *Cluster) // applied to control process 3
-		back func(cluster *Cluster)
+		fail    func(cluster *Cluster) // applied to control process 3
+		restore func(cluster *Cluster)
 	}{
 		"killed, and started after 1 s": {func(cluster *Cluster) { cluster.Controls[3].Kill() }, func(cluster *Cluster) { time.Sleep(time.Second); cluster.Controls[3].mustStart() }},
 		"without power, and started after 10 s": {func(cluster *Cluster) {
@@ -161,9 +161,9 @@
 			writer := cluster.startWriter()
 			time.Sleep(time.Second)
 			start := time.Now()
-			x.harm(cluster)
-			cluster.background.Go(func() { x.back(cluster) })
-			seen := waitUntil(c, 5*time.Second, name+": the loss is detected", func() bool {
+			x.fail(cluster)
+			cluster.background.Go(func() { x.restore(cluster) })
+			detected := waitUntil(c, 5*time.Second, name+": the loss is detected", func() bool {
 				coreStatus := cluster.coreStatus(1)
 				return coreStatus.Tolerance.SinceSeconds > 0 || coreStatus.Tolerance.LastSeconds > 0
 			})
@@ -178,7 +178,7 @@
 			c.Check(coreStatus.Tolerance.SinceSeconds, qt.Equals, 0.0)
 			c.Check(coreStatus.Tolerance.LastSeconds > 0 && coreStatus.Tolerance.LastSeconds <= restored.Seconds()+0.2, qt.IsTrue, qt.Commentf("%+v", coreStatus.Tolerance))
 			c.Logf("%s: detected after %v, tolerance restored after %v (reported: %.2f s), %d members at the end; longest time without a confirmed change %v", name,
-				seen.Round(10*time.Millisecond), restored.Round(10*time.Millisecond), coreStatus.Tolerance.LastSeconds, len(coreStatus.Members), writer.longestGap(start).Round(10*time.Millisecond))
+				detected.Round(10*time.Millisecond), restored.Round(10*time.Millisecond), coreStatus.Tolerance.LastSeconds, len(coreStatus.Members), writer.longestGap(start).Round(10*time.Millisecond))
 			for i, node := range cluster.Controls {
 				if node.cancel != nil {
 					writer.checkConfirmed(c, i)
@@ -248,14 +248,14 @@
 // A control process that isn't a seed node is discovered quickly even among many proxies, of which each process knows only a few,
 // because it connects to the seed nodes.
 func TestCoreDiscoveredAmongMany(t *testing.T) {
-	for _, routers := range []int{15, 40} {
+	for _, proxies := range []int{15, 40} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			cluster := New(Layout{Zones: 6, ProxiesPerZone: routers, Services: []string{"desk"}, Seed: uint64(routers)})
+			cluster := New(Layout{Zones: 6, ProxiesPerZone: proxies, Services: []string{"desk"}, Seed: uint64(proxies)})
 			c.Assert(cluster.Start(), qt.IsNil)
 			defer cluster.Stop()
 			elapsed := waitUntil(c, 3*time.Second, "all are members", func() bool { return cluster.sameMembership(6, false) })
-			c.Logf("%d proxies: %v", 6*routers, elapsed)
+			c.Logf("%d proxies: %v", 6*proxies, elapsed)
 		})
 	}
 }
--- a/internal/lab/simulation/coreleaving_test.go
+++ b/internal/lab/simulation/coreleaving_test.go
@@ -20,7 +20,7 @@
 	for zones := 3; zones <= 7; zones++ {
 		for _, at := range []int{0, 2} { // the proposer, and another member
 			withControls(t, zones, uint64(50+zones), func(c *qt.C, cluster *Cluster) {
-				out := zones > 3 && zones%2 == 0
+				removed := zones > 3 && zones%2 == 0
 				writer := cluster.startWriter()
 				time.Sleep(3 * time.Second)
 				idle, start := writer.longestGap(time.Now().Add(-3*time.Second)), time.Now()
@@ -29,8 +29,8 @@
 				time.Sleep(5 * time.Second)
 				gap := writer.longestGap(start)
 				coreStatus := cluster.coreStatus(1)
-				c.Check(coreStatus.Members, qt.HasLen, zones-lo.Ternary(out, 1, 0))
-				c.Check(coreStatus.Tolerates, qt.Equals, lo.Ternary(out, (zones-1)/2, zones-1-zones/2-1))
+				c.Check(coreStatus.Members, qt.HasLen, zones-lo.Ternary(removed, 1, 0))
+				c.Check(coreStatus.Tolerates, qt.Equals, lo.Ternary(removed, (zones-1)/2, zones-1-zones/2-1))
 				c.Check(left < 3*time.Second, qt.IsTrue, qt.Commentf("%v", left))
 				c.Check(gap < 1500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", gap))
 				back := time.Now()
@@ -50,7 +50,7 @@
 				time.Sleep(5 * time.Second)
 				writer.close()
 				c.Logf("%d members, process %d: removed %v in %v; longest time without a confirmed change: idle %v, leaving %v, rejoining %v (after %v), killed %v; %d changes",
-					zones, at, out, left.Round(time.Millisecond), idle.Round(time.Millisecond), gap.Round(time.Millisecond), gapBack.Round(time.Millisecond),
+					zones, at, removed, left.Round(time.Millisecond), idle.Round(time.Millisecond), gap.Round(time.Millisecond), gapBack.Round(time.Millisecond),
 					joined.Round(time.Millisecond), gapKilled.Round(time.Millisecond), len(writer.confirmedAt))
 				waitUntil(c, 5*time.Second, "the cluster has converged", func() bool { return cluster.converged(zones) })
 				for i := range cluster.Controls {
@@ -65,12 +65,12 @@
 // one is removed, and after a restart of all but one the members agree and have every confirmed change.
 func TestCoreLeavingTogether(t *testing.T) {
 	for seed := range uint64(4) {
-		for _, many := range []int{2, 6} {
+		for _, count := range []int{2, 6} {
 			withControls(t, 6, 70+seed, func(c *qt.C, cluster *Cluster) {
 				writer := cluster.startWriter()
 				time.Sleep(time.Second)
 				var all sync.WaitGroup
-				for i := range many {
+				for i := range count {
 					all.Go(func() {
 						time.Sleep(time.Duration(i) * time.Duration(seed) * 7 * time.Millisecond)
 						cluster.Controls[i].Shutdown()
@@ -78,7 +78,7 @@
 				}
 				all.Wait()
 				time.Sleep(3 * time.Second)
-				if many == 2 {
+				if count == 2 {
 					coreStatus := cluster.coreStatus(4)
 					c.Check(coreStatus.Members, qt.HasLen, 5)
 					c.Check(coreStatus.Tolerates, qt.Equals, 1)
@@ -111,7 +111,7 @@
 }
 
 // A process that shuts down while it is partitioned from all others exits within half of its grace period and stays a member.
-func TestCoreLeavingCutOff(t *testing.T) {
+func TestCoreLeavingWhilePartitioned(t *testing.T) {
 	withControls(t, 6, 77, func(c *qt.C, cluster *Cluster) {
 		for i := 1; i < 6; i++ {
 			cluster.Network.SetPartition(cluster.Controls[0].Settings.IP, cluster.Controls[i].Settings.IP, true)
@@ -149,9 +149,9 @@
 			cluster.Network.SetPoweredOff(cluster.Controls[a].Settings.IP, true)
 			cluster.Controls[a].Replace()
 			var all sync.WaitGroup
-			comes := time.Duration(n([]int{50, 2000, 6000}[seed%3])) * time.Millisecond
+			startDelay := time.Duration(n([]int{50, 2000, 6000}[seed%3])) * time.Millisecond
 			all.Go(func() { // the successor may be killed soon after its start and restarted with an empty disk
-				time.Sleep(comes)
+				time.Sleep(startDelay)
 				cluster.Controls[a].mustStart()
 				if seed%4 == 0 {
 					time.Sleep(time.Duration(seed%7) * 100 * time.Millisecond)
@@ -163,18 +163,18 @@
 			ms(8000)
 			outcome, back := cluster.replaceLost(n, cluster.Controls[b])
 			lost := time.Now()
-			also, backToo := "", func() {}
+			thirdOutcome, thirdBack := "", func() {}
 			if n(3) == 0 {
 				ms(3000)
-				also, backToo = cluster.replaceLost(n, cluster.Controls[third])
+				thirdOutcome, thirdBack = cluster.replaceLost(n, cluster.Controls[third])
 			}
 			time.Sleep(time.Duration(1+n(8)) * time.Second)
 			if n(2) == 0 {
-				back, backToo = backToo, back
+				back, thirdBack = thirdBack, back
 			}
 			back()
 			ms(2000)
-			backToo()
+			thirdBack()
 			all.Wait()
 			returned := time.Now()
 			waitUntil(c, 30*time.Second, "fault tolerance is restored", func() bool {
@@ -189,14 +189,14 @@
 				writer.checkConfirmed(c, i)
 			}
 			c.Logf("seed %d: %d processes, %d replaced, %d %s, and %s: %d changes confirmed, longest time without one %v since the second loss; converged %v after the last had returned, %d epochs",
-				seed, zones, a, b, outcome, cmp.Or(also, "no other"), len(writer.confirmedAt), worst.Round(10*time.Millisecond), healed.Round(10*time.Millisecond), w.close())
+				seed, zones, a, b, outcome, cmp.Or(thirdOutcome, "no other"), len(writer.confirmedAt), worst.Round(10*time.Millisecond), healed.Round(10*time.Millisecond), w.close())
 		})
 	})
 }
 
 // The proposer is partitioned in one or both directions, or frozen, for 21 s while changes are sent. It confirms nothing on its own,
 // and afterwards adopts what the others have decided.
-func TestCoreProposerAway(t *testing.T) {
+func TestCoreProposerUnreachable(t *testing.T) {
 	for name, x := range map[string]func(cluster *Cluster, ip, other string, on bool){
 		"cut":                func(cluster *Cluster, ip, other string, on bool) { cluster.Network.SetPartition(ip, other, on) },
 		"cut, outbound only": func(cluster *Cluster, ip, other string, on bool) { cluster.Network.SetOneWayPartition(ip, other, on) },
@@ -218,14 +218,14 @@
 				start := time.Now()
 				away(true)
 				time.Sleep(5 * time.Second)
-				alone := 0
+				confirmed := 0
 				for range 10 { // the partition is detected by now; 21 s in total
 					if status, _ := cluster.callOne(0, "configuration.modify", json.RawMessage(cluster.ChangeBody(false, unsafeRoute))); status == 200 {
-						alone++
+						confirmed++
 					}
 					time.Sleep(1650 * time.Millisecond)
 				}
-				c.Check(alone, qt.Equals, 0, qt.Commentf(name))
+				c.Check(confirmed, qt.Equals, 0, qt.Commentf(name))
 				away(false)
 				worst, back := writer.longestGap(start), time.Now()
 				waitUntil(c, 10*time.Second, "the cluster has converged", func() bool { return cluster.sameMembership(zones, false) })
--- a/internal/lab/simulation/corerecovery_test.go
+++ b/internal/lab/simulation/corerecovery_test.go
@@ -150,7 +150,7 @@
 
 // After a recovery all proxies adopt the state of the recovered member. Those that had followed the other members discard what only
 // these had confirmed: new routes as well as higher versions.
-func TestCoreRecoveredRouters(t *testing.T) {
+func TestCoreRecoveredProxies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		cluster := New(Layout{Zones: 6, ProxiesPerZone: 1, Services: []string{"desk"}, Seed: 33})
@@ -207,9 +207,9 @@
 		writer := cluster.startWriter()
 		time.Sleep(150 * time.Second) // more changes than the log keeps
 		writer.mu.Lock()
-		many := len(writer.confirmedAt)
+		confirmed := len(writer.confirmedAt)
 		writer.mu.Unlock()
-		c.Check(many > 560, qt.IsTrue, qt.Commentf("%d", many))
+		c.Check(confirmed > 560, qt.IsTrue, qt.Commentf("%d", confirmed))
 
 		cluster.Controls[1].Kill()
 		image.SyncDelay = 5 * time.Millisecond
--- a/internal/lab/simulation/corruption_test.go
+++ b/internal/lab/simulation/corruption_test.go
@@ -15,7 +15,7 @@
 // writeTestDisk returns a small disk and a printout of its content, which is in the journal alone, in a table alone (after reopening
 // the store), in tables and the journal, or in files that the store created because the journal was full (its list of files then has
 // further records).
-func writeTestDisk(c *qt.C, outcome string) (d *Disk, holds string) {
+func writeTestDisk(c *qt.C, layout string) (d *Disk, printed string) {
 	d = NewDisk()
 	open := func() *store.Store {
 		st, _, _, _, err := store.Open(d.Open())
@@ -23,15 +23,15 @@
 		return st
 	}
 	st := open()
-	write := func(from, to, long int) {
+	write := func(from, to, bodySize int) {
 		for n := from; n < to; n++ {
 			i := testItem(fmt.Sprint("r", n%7), uint64(n))
-			i.Body = []byte(`{"x":"` + strings.Repeat("x", long) + `"}`)
+			i.Body = []byte(`{"x":"` + strings.Repeat("x", bodySize) + `"}`)
 			c.Assert(st.Write([]config.Item{i}, map[string][]byte{"number": []byte(fmt.Sprint(n))}, n == 0), qt.IsNil)
 		}
 	}
 	write(0, 12, 9)
-	switch outcome {
+	switch layout {
 	case "table":
 		st.Close()
 		st = open()
@@ -58,12 +58,12 @@
 // fails during the repair. The one exception is a journal whose last byte becomes zero, which reads as an unfinished write.
 func TestEveryByteCorrupted(t *testing.T) {
 	outcomes := map[string]int{}
-	for _, outcome := range []string{"journal", "table", "table and journal", "full"} {
+	for _, layout := range []string{"journal", "table", "table and journal", "full"} {
 		c := qt.New(t)
-		d, want := writeTestDisk(c, outcome)
+		d, want := writeTestDisk(c, layout)
 		for fd, f := range d.files {
 			for at := range f.data {
-				if outcome == "full" && fd.Type != storage.TypeManifest && (at+500 < len(f.data) || at%16 > 0) { // of long files only the end and a sample
+				if layout == "full" && fd.Type != storage.TypeManifest && (at+500 < len(f.data) || at%16 > 0) { // of long files only the end and a sample
 					continue
 				}
 				ways := map[storage.FileType][]byte{storage.TypeTable: {0x5a}, storage.TypeJournal: {0x5a, f.data[at]},
@@ -74,7 +74,7 @@
 					}
 					corrupted := copyDisk(d)
 					corrupted.files[fd].data[at] ^= x
-					refusing := &faultyStorage{Storage: copyDisk(corrupted).Open(), failAt: at / 4 % 9}
+					refusing := &faultyStorage{Storage: copyDisk(corrupted).Open(), failuresLeft: at / 4 % 9}
 					starts := []storage.Storage{corrupted.Open()}
 					if x == 0x5a && at%4 == 0 {
 						starts = append(starts, corrupted.Open(), refusing, refusing)
@@ -82,19 +82,19 @@
 					for start, disk := range starts {
 						st, items, cells, complete, err := store.Open(disk)
 						if start == 2 {
-							refusing.next(0)
+							refusing.failNext(0)
 						}
-						word := "not complete"
+						outcome := "not complete"
 						switch {
 						case err != nil:
-							word = "error"
+							outcome = "error"
 						case complete && fmt.Sprint(items, cells) == want:
-							word = "unharmed"
+							outcome = "unharmed"
 						case complete:
-							t.Fatalf("%s: %v byte %d of %d ^ %x, start %d: partial content reported as complete", outcome, fd, at, len(f.data), x, start)
+							t.Fatalf("%s: %v byte %d of %d ^ %x, start %d: partial content reported as complete", layout, fd, at, len(f.data), x, start)
 						}
 						if start == 0 {
-							outcomes[word]++
+							outcomes[outcome]++
 						}
 						if st != nil {
 							st.Close()
@@ -118,12 +118,12 @@
 			f.data[len(f.data)/2] ^= 0x10
 		}
 	}
-	for _, says := range []bool{false, false, true} {
+	for _, markComplete := range []bool{false, false, true} {
 		st, _, _, complete, err := store.Open(d.Open())
 		c.Assert(err, qt.IsNil)
 		c.Check(complete, qt.IsFalse)
 		c.Check(st.Repaired, qt.IsTrue) // otherwise the disk would pass for an intact one whose first start isn't finished
-		c.Assert(st.Write([]config.Item{testItem("r", 9)}, nil, says), qt.IsNil)
+		c.Assert(st.Write([]config.Item{testItem("r", 9)}, nil, markComplete), qt.IsNil)
 		c.Assert(st.Close(), qt.IsNil)
 	}
 	st, _, _, complete, err := store.Open(d.Open())
--- a/internal/lab/simulation/drain_test.go
+++ b/internal/lab/simulation/drain_test.go
@@ -120,7 +120,7 @@
 
 // A host is redirected to the control process of its zone only while that accepts heartbeats: not while it shuts down, and not after a
 // restart until it has a quorum. Otherwise the host would move between processes, and each would announce it to all others again.
-func TestHeartbeatsGoWhereTheyAreAccepted(t *testing.T) {
+func TestHeartbeatRedirection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		layout := smallLayout
@@ -128,7 +128,7 @@
 		cluster := startCluster(c, layout)
 		time.Sleep(4 * time.Second)
 		node, sequence := cluster.Controls[4], 1000
-		to := func() string {
+		redirectAddress := func() string {
 			sequence++
 			status, raw := cluster.callOneFor(0, "instances.heartbeat", "i-more", fmt.Appendf(nil, `{"address":"10.5.64.250:9000","information":{"service":"desk","version":"v1",`+
 				`"zone-name":%q,"slot-count":3},"current-status":{"server-state":"ready","sequence":%d,"cold-remaining-s":0}}`, node.Settings.Zone, sequence))
@@ -137,12 +137,12 @@
 			c.Assert(json.Unmarshal(raw, &v), qt.IsNil)
 			return v["heartbeat-address"]
 		}
-		c.Check(to(), qt.Equals, node.Settings.ListenAddresses["control"])
+		c.Check(redirectAddress(), qt.Equals, node.Settings.ListenAddresses["control"])
 		done := make(chan bool)
 		go func() { node.running.Leave(); close(done) }()
 		time.Sleep(100 * time.Millisecond) // the others know that it is shutting down
 		for ended := false; !ended; {
-			c.Check(to(), qt.Equals, "")
+			c.Check(redirectAddress(), qt.Equals, "")
 			select {
 			case <-done:
 				ended = true
@@ -153,11 +153,11 @@
 		time.Sleep(300 * time.Millisecond)
 		node.mustStart()
 		for node.Status() != "in touch" {
-			if at := to(); node.Status() != "in touch" { // the status may change during the call
+			if at := redirectAddress(); node.Status() != "in touch" { // the status may change during the call
 				c.Check(at, qt.Equals, "")
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		waitUntil(c, 3*time.Second, "redirected there again", func() bool { return to() == node.Settings.ListenAddresses["control"] })
+		waitUntil(c, 3*time.Second, "redirected there again", func() bool { return redirectAddress() == node.Settings.ListenAddresses["control"] })
 	})
 }
--- a/internal/lab/simulation/faultyhost_test.go
+++ b/internal/lab/simulation/faultyhost_test.go
@@ -42,10 +42,10 @@
 	unframedResponse                       // sends a response without a length, ended by closing the connection
 	earlyRejection                         // rejects the request before reading its body, and then reads it
 	bare429                                // runs the request and responds with 429, without stating that it didn't run
-	responseFaults
+	responseFaultCount
 )
 
-var responseFaultNames = [responseFaults]string{"lost", "broken", "closed", "unread", "late", "doubled", "copied", "unrun", "unrun late", "cut", "noise", "behind",
+var responseFaultNames = [responseFaultCount]string{"lost", "broken", "closed", "unread", "late", "doubled", "copied", "unrun", "unrun late", "cut", "noise", "behind",
 	"another's", "nobody's", "switched", "hinted", "chunked", "endless", "unframed", "early", "promising"}
 
 // faultyHostRun is a randomized run with faulty hosts.
@@ -57,8 +57,8 @@
 	stopped map[string]bool // addresses whose first host was crashed, and names of proxies that were stopped
 }
 
-// takeProxy picks a proxy that was not stopped yet, and marks it as stopped.
-func (r *faultyHostRun) takeProxy() *ProxyNode {
+// pickUnstoppedProxy picks a proxy that was not stopped yet, and marks it as stopped.
+func (r *faultyHostRun) pickUnstoppedProxy() *ProxyNode {
 	for {
 		if proxyNode := r.Proxies[r.intn(len(r.Proxies))]; !r.stopped[proxyNode.Settings.Name] {
 			r.stopped[proxyNode.Settings.Name] = true
@@ -97,7 +97,7 @@
 }{
 	{"nothing", func(d *faultyHostRun) func() { return nil }},
 	{"a proxy is killed under load", func(d *faultyHostRun) func() {
-		f := d.takeProxy()
+		f := d.pickUnstoppedProxy()
 		f.Kill()
 		return func() {
 			if err := f.Start(); err != nil {
@@ -106,7 +106,7 @@
 		}
 	}},
 	{"a proxy is killed while it drains", func(d *faultyHostRun) func() {
-		f, done := d.takeProxy(), make(chan bool)
+		f, done := d.pickUnstoppedProxy(), make(chan bool)
 		d.background.Go(func() {
 			defer close(done)
 			f.Running.Drain()
@@ -162,7 +162,7 @@
 				var faults []responseFault
 				faultPercent := []int{0, 5, 20, 40}[run.intn(4)]
 				for range 1 + run.intn(4) {
-					faults = append(faults, responseFault(run.intn(int(responseFaults))))
+					faults = append(faults, responseFault(run.intn(int(responseFaultCount))))
 				}
 				run.startFaultyHost("desk", z, "", faultPercent, faults...)
 			}
--- a/internal/lab/simulation/faultyresponse_test.go
+++ b/internal/lab/simulation/faultyresponse_test.go
@@ -126,7 +126,7 @@
 		return true
 	}
 	c.host.recordArrival(id)
-	fault := responseFaults
+	fault := responseFaultCount
 	if c.intn(100) < c.faultPercent {
 		fault = c.faults[c.intn(len(c.faults))]
 		c.count(responseFaultNames[fault])
--- a/internal/lab/simulation/faultystorage_test.go
+++ b/internal/lab/simulation/faultystorage_test.go
@@ -7,23 +7,23 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// faultyStorage is a disk on which the next failAt operations of one kind, or of any kind, fail.
+// faultyStorage is a disk on which the next failuresLeft operations of one kind, or of any kind, fail.
 type faultyStorage struct {
 	storage.Storage
-	mu        sync.Mutex // guards the fields below; the store compacts in the background
-	failAt    int
-	kind      string // kind of the operations that fail, "" for all
-	failures  int
-	openFiles int // number of open files
+	mu           sync.Mutex // guards the fields below; the store compacts in the background
+	failuresLeft int
+	kind         string // kind of the operations that fail, "" for all
+	failures     int
+	openFiles    int // number of open files
 }
 
 func (f *faultyStorage) step(kind string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.failAt == 0 || f.kind != "" && f.kind != kind {
+	if f.failuresLeft == 0 || f.kind != "" && f.kind != kind {
 		return nil
 	}
-	f.failAt--
+	f.failuresLeft--
 	f.failures++
 	return errWriteFailed
 }
@@ -35,10 +35,10 @@
 	return f.openFiles
 }
 
-func (f *faultyStorage) next(n int) {
+func (f *faultyStorage) failNext(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.failAt = n
+	f.failuresLeft = n
 }
 
 func (f *faultyStorage) Create(fd storage.FileDesc) (storage.Writer, error) {
--- a/internal/lab/simulation/hardhistory_test.go
+++ b/internal/lab/simulation/hardhistory_test.go
@@ -295,7 +295,7 @@
 }
 
 // cutOff partitions a control process from the others, or with zone also the proxies of its zone, in the given direction.
-func (in *faultInjector) cutOff(node *ControlNode, way string, zone bool) (undo func()) {
+func (in *faultInjector) cutOff(node *ControlNode, direction string, zone bool) (undo func()) {
 	cluster := in.cluster
 	var ips []string
 	for _, node := range cluster.Controls {
@@ -307,23 +307,23 @@
 		}
 	}
 	z := zoneIndexOf(node.Settings.IP)
-	turn := func(cut bool) {
+	setCut := func(cut bool) {
 		for _, in := range ips {
 			for _, out := range ips {
 				if zoneIndexOf(in) != z || zoneIndexOf(out) == z {
 					continue
 				}
-				if way != "inbound only" {
+				if direction != "inbound only" {
 					cluster.Network.SetOneWayPartition(in, out, cut)
 				}
-				if way != "outbound only" {
+				if direction != "outbound only" {
 					cluster.Network.SetOneWayPartition(out, in, cut)
 				}
 			}
 		}
 	}
-	turn(true)
-	return func() { turn(false) }
+	setCut(true)
+	return func() { setCut(false) }
 }
 
 // sendAcknowledged sends random calls that change the state until one is acknowledged, at most six, and reports whether one was.
@@ -353,9 +353,9 @@
 			o := in.newChanges(false, false)[0]
 			in.sendChange(in.intn(2), o, 4, false)
 			in.mu.Lock()
-			taken := o.status == 200
+			confirmed := o.status == 200
 			in.mu.Unlock()
-			if taken {
+			if confirmed {
 				return true
 			}
 		}
@@ -376,10 +376,10 @@
 	in.sendAcknowledged()
 	time.Sleep(time.Duration(in.intn(4000)) * time.Microsecond)
 	in.mu.Lock()
-	took := in.lastConfirmedBy
+	confirmedBy := in.lastConfirmedBy
 	in.mu.Unlock()
 	label := []string{"all powered off", "wiped, the others powered off", "wiped", "all killed"}[in.intn(4)]
-	at := took
+	at := confirmedBy
 	if in.intn(3) == 0 {
 		at = in.pickVictim()
 	}
--- a/internal/lab/simulation/history_test.go
+++ b/internal/lab/simulation/history_test.go
@@ -37,7 +37,7 @@
 const (
 	settleTime         = 6 * time.Second // after the last fault, until which calls without a definite response may still take effect
 	workersPerOperator = 4               // concurrent calls of each operator
-	maxOrders          = 90              // changes in one history, not counting those that resendAll adds
+	maxChanges         = 90              // changes in one history, not counting those that resendAll adds
 	rolloutSeconds     = 6               // duration of a rollout
 	oneSecond          = int64(time.Second)
 	resendWindow       = 4 * oneSecond // a call to begin a rollout is repeated within this time; with the time of a call it stays below acknowledge-s
--- a/internal/lab/simulation/historychanges_test.go
+++ b/internal/lab/simulation/historychanges_test.go
@@ -81,12 +81,12 @@
 func changeBody(items []content, rotation int) []byte {
 	columns := []string{"name", "host-name", "path-prefix", "route-kind", "timeout-s", "target-s", "priority-level", "service",
 		"maximum-attempts", "version"}
-	rows, drops := [][]any{}, []any{}
+	rows, removed := [][]any{}, []any{}
 	for i := range items {
 		c := items[(i+rotation)%len(items)]
 		name := fmt.Sprint("r", c.route)
 		if c.prefix == "" {
-			drops = append(drops, map[string]any{"name": name, "version": config.FormatVersion(c.version)})
+			removed = append(removed, map[string]any{"name": name, "version": config.FormatVersion(c.version)})
 			continue
 		}
 		rows = append(rows, []any{name, "desk.example", c.prefix, "safe_method", 2, 0.8, 1, "desk", 2, config.FormatVersion(c.version)})
@@ -97,7 +97,7 @@
 		rows[i] = append(slices.Clone(row[k:]), row[:k]...)
 	}
 	raw, _ := json.Marshal(map[string]any{"set-items": map[string]any{"routes": map[string]any{"table-columns": columns, "table-rows": rows}},
-		"drop-names": map[string]any{"routes": drops}})
+		"drop-names": map[string]any{"routes": removed}})
 	return raw
 }
 
@@ -209,7 +209,7 @@
 		sent := len(rc.changes)
 		rc.mu.Unlock()
 		switch choice := rc.intn(10); {
-		case choice < 5 && sent < maxOrders:
+		case choice < 5 && sent < maxChanges:
 			pair := rc.newChanges(rc.intn(3) == 0, rc.intn(6) == 0)
 			if len(pair) > 1 {
 				attempts := 1 + rc.intn(4)
--- a/internal/lab/simulation/historycheck_test.go
+++ b/internal/lab/simulation/historycheck_test.go
@@ -189,9 +189,9 @@
 
 // The checks of 409 responses and histories find the violations in a handwritten history of two conflicting changes, to which each case
 // adds calls or responses.
-func TestHistoryRules(t *testing.T) {
+func TestHistoryChecks(t *testing.T) {
 	c := qt.New(t)
-	made := func() *recorder {
+	newRecorder := func() *recorder {
 		w := &recorder{cluster: &Cluster{}, history: &history{contents: []content{{conflict: -1}}, violations: map[string][]string{}, active: map[int16]string{}, conflicts: 1}}
 		one, two := w.internContent(0, 2, "/a/"), w.internContent(0, 2, "/b/")
 		alone := w.internContent(1, 2, "/c/")
@@ -260,7 +260,7 @@
 			w.changes[1].repeats = []response{{7, 8, 200}}
 		}, []string{"not linearizable: configuration"}},
 	} {
-		w := made()
+		w := newRecorder()
 		x.do(w)
 		w.checkHistory()
 		c.Check(kinds(w), qt.DeepEquals, x.want, qt.Commentf(name))
--- a/internal/lab/simulation/historyevacuation_test.go
+++ b/internal/lab/simulation/historyevacuation_test.go
@@ -14,12 +14,12 @@
 		rc.sleepBetween(400, 2500)
 		var both sync.WaitGroup
 		for operator := range 1 + max(0, rc.intn(4)-2) { // one operator, or both at once
-			begun := rc.intn(2) == 0
+			begin := rc.intn(2) == 0
 			attempts := 1 + rc.intn(2)
 			both.Go(func() {
 				at := rc.intn(len(rc.cluster.Controls))
 				for range attempts {
-					if rc.sendEvacuation(operator, at, begun) {
+					if rc.sendEvacuation(operator, at, begin) {
 						return
 					}
 					at = (at + 1) % len(rc.cluster.Controls)
@@ -34,15 +34,15 @@
 }
 
 // sendEvacuation sends one call that begins or ends the evacuation of z0, and reports whether it was confirmed.
-func (rc *recorder) sendEvacuation(operator, at int, begun bool) bool {
+func (rc *recorder) sendEvacuation(operator, at int, begin bool) bool {
 	call := nowNanos()
-	status, raw := rc.callOne(operator, at, lo.Ternary(begun, "evacuation.begin", "evacuation.finish"), "z0", nil)
+	status, raw := rc.callOne(operator, at, lo.Ternary(begin, "evacuation.begin", "evacuation.finish"), "z0", nil)
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	if status/100 == 4 {
 		rc.violation("rejected without cause", "evacuation got %d: %s", status, raw)
 	}
-	rc.evacuations = append(rc.evacuations, timedCall{call, lo.Ternary(status == 200, nowNanos(), never), evacuationOp{evacuated: begun, status: status}})
+	rc.evacuations = append(rc.evacuations, timedCall{call, lo.Ternary(status == 200, nowNanos(), never), evacuationOp{evacuated: begin, status: status}})
 	return status == 200
 }
 
--- a/internal/lab/simulation/historyfaults_test.go
+++ b/internal/lab/simulation/historyfaults_test.go
@@ -15,15 +15,15 @@
 	for range 1 + rc.intn(3) {
 		m := rc.pickTarget()
 		undo := []func(){rc.injectFault(m)}
-		lasts := 2 + rc.intn(5)
+		seconds := 2 + rc.intn(5)
 		if rc.intn(5) == 0 {
-			lasts = 20 + rc.intn(6)
+			seconds = 20 + rc.intn(6)
 		}
 		if rc.intn(2) == 0 { // add a fault that doesn't stop a control process
 			time.Sleep(time.Duration(rc.intn(800)) * time.Millisecond)
 			undo = append(undo, rc.injectMinorFault(m))
 		}
-		time.Sleep(time.Duration(lasts) * time.Second)
+		time.Sleep(time.Duration(seconds) * time.Second)
 		for _, u := range slices.Backward(undo) {
 			u()
 		}
@@ -92,61 +92,61 @@
 	cluster := rc.cluster
 	node := cluster.Controls[at]
 	ip, disk := node.Settings.IP, node.Disk
-	did := func(label string, undo func()) func() {
+	record := func(label string, undo func()) func() {
 		rc.faults = append(rc.faults, label+" "+ip)
 		return undo
 	}
-	cut := func(way func(a, b string, cut bool), some func(i int) bool) func() {
+	cut := func(setPartition func(a, b string, cut bool), selected func(i int) bool) func() {
 		var others []string
 		for i, x := range cluster.Controls {
-			if x != node && some(i) {
+			if x != node && selected(i) {
 				others = append(others, x.Settings.IP)
 			}
 		}
 		for _, x := range others {
-			way(ip, x, true)
+			setPartition(ip, x, true)
 		}
 		return func() {
 			for _, x := range others {
-				way(ip, x, false)
+				setPartition(ip, x, false)
 			}
 		}
 	}
-	every := func(int) bool { return true }
+	all := func(int) bool { return true }
 	switch rc.intn(16) {
 	case 0:
 		node.Kill()
-		return did("killed", node.mustStart)
+		return record("killed", node.mustStart)
 	case 1:
 		node.Kill()
 		cluster.Network.SetPoweredOff(ip, true)
 		disk.PowerLoss(rc.intn(2) == 0)
-		return did("powered off", func() { cluster.Network.SetPoweredOff(ip, false); node.mustStart() })
+		return record("powered off", func() { cluster.Network.SetPoweredOff(ip, false); node.mustStart() })
 	case 2:
 		node.Kill()
 		disk.Wipe()
-		return did("wiped", node.mustStart)
+		return record("wiped", node.mustStart)
 	case 3, 4:
-		return did("cut", cut(cluster.Network.SetPartition, every))
+		return record("cut", cut(cluster.Network.SetPartition, all))
 	case 5, 6:
-		return did("cut, outbound only", cut(cluster.Network.SetOneWayPartition, every))
+		return record("cut, outbound only", cut(cluster.Network.SetOneWayPartition, all))
 	case 7:
-		return did("cut, inbound only", cut(func(a, b string, cut bool) { cluster.Network.SetOneWayPartition(b, a, cut) }, every))
+		return record("cut, inbound only", cut(func(a, b string, cut bool) { cluster.Network.SetOneWayPartition(b, a, cut) }, all))
 	case 8:
-		return did("cut from half", cut(cluster.Network.SetPartition, func(i int) bool { return i%2 == 0 }))
+		return record("cut from half", cut(cluster.Network.SetPartition, func(i int) bool { return i%2 == 0 }))
 	case 9:
 		disk.SetFaults(125*time.Millisecond, false)
-		return did("slow disk", func() { disk.SetFaults(5*time.Millisecond, false) })
+		return record("slow disk", func() { disk.SetFaults(5*time.Millisecond, false) })
 	case 10:
 		disk.SetFaults(5*time.Millisecond, true)
-		return did("failing disk", func() { disk.SetFaults(5*time.Millisecond, false) })
+		return record("failing disk", func() { disk.SetFaults(5*time.Millisecond, false) })
 	case 11:
 		disk.setHanging(true)
-		return did("hanging disk", func() { disk.setHanging(false) })
+		return record("hanging disk", func() { disk.setHanging(false) })
 	case 12:
 		cluster.Network.Freeze(ip, true)
 		disk.setHanging(true)
-		return did("frozen", func() { disk.setHanging(false); cluster.Network.Freeze(ip, false) })
+		return record("frozen", func() { disk.setHanging(false); cluster.Network.Freeze(ip, false) })
 	case 13:
 		if len(cluster.Controls) < 6 {
 			return rc.injectFault(at)
@@ -157,7 +157,7 @@
 			cluster.Network.SetPoweredOff(x.Settings.IP, true)
 			x.Disk.PowerLoss(rc.intn(2) == 0)
 		}
-		return did("region powered off", func() {
+		return record("region powered off", func() {
 			for _, x := range two {
 				cluster.Network.SetPoweredOff(x.Settings.IP, false)
 				x.mustStart()
@@ -166,7 +166,7 @@
 	case 14: // its clock steps, and it restarts with the new time
 		node.Kill()
 		node.ClockSkew = time.Duration(rc.intn(7200)-3600) * time.Second
-		return did("clock stepped", node.mustStart)
+		return record("clock stepped", node.mustStart)
 	}
 	if rc.intn(2) == 0 {
 		for _, x := range cluster.Controls {
@@ -176,8 +176,8 @@
 		for _, x := range cluster.Controls {
 			x.mustStart()
 		}
-		return did("all killed", func() {})
+		return record("all killed", func() {})
 	}
 	node.Replace()
-	return did("replaced", node.mustStart)
+	return record("replaced", node.mustStart)
 }
--- a/internal/lab/simulation/idlecost_test.go
+++ b/internal/lab/simulation/idlecost_test.go
@@ -13,11 +13,11 @@
 func TestIdleCost(t *testing.T) {
 	type cost struct{ calm, drain int64 }
 	costs := map[int]cost{}
-	for _, routers := range []int{2, 15} { // per zone, in six zones
+	for _, proxies := range []int{2, 15} { // per zone, in six zones
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			layout := smallLayout
-			layout.Zones, layout.ProxiesPerZone, layout.HostsPerZone = 6, routers, 4
+			layout.Zones, layout.ProxiesPerZone, layout.HostsPerZone = 6, proxies, 4
 			cluster := New(layout)
 			c.Assert(cluster.Start(), qt.IsNil)
 			defer cluster.Stop()
@@ -33,7 +33,7 @@
 			}
 			time.Sleep(20 * time.Second)
 			drain, _ := cluster.Network.crossTraffic()
-			costs[routers] = cost{(idle - before) / 20, (drain - 2*idle + before) / 4}
+			costs[proxies] = cost{(idle - before) / 20, (drain - 2*idle + before) / 4}
 			for _, px := range cluster.Proxies {
 				c.Check(px.Running.UsableHosts("desk"), qt.Equals, 20)
 			}
--- a/internal/lab/simulation/measurecatchup_test.go
+++ b/internal/lab/simulation/measurecatchup_test.go
@@ -16,7 +16,7 @@
 func measureJoin(t *testing.T) {
 	t.Log("| routes | until it is in touch ms | until the next loss is borne ms | bytes to it | of all to it in the same time when calm |")
 	for _, n := range []int{10, 100, 1000, 3200} {
-		runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
+		runBenchmark(t, newLayout(6, 0, 0, 1), func(b *benchmark) {
 			b.loadRoutes(n)
 			time.Sleep(5 * time.Second)
 			node := b.cluster.Controls[5]
@@ -56,9 +56,9 @@
 		{1000, 0, 1000, 40, 0}, {3200, 0, 1000, 40, 0}, {3200, 0, 1000, 40, 250e3}, {3200, 10000, 100, 40, 250e3}, {3200, 10000, 1000, 40, 250e3},
 	} {
 		t.Run(fmt.Sprintf("%d+%d missed %d at %.0f link %.0f", x.routes, x.shares, x.missed, x.perS, x.link), func(t *testing.T) {
-			runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
+			runBenchmark(t, newLayout(6, 0, 0, 1), func(b *benchmark) {
 				b.loadRoutes(x.routes)
-				b.fillTo(x.shares)
+				b.loadQuotas(x.shares)
 				time.Sleep(3 * time.Second)
 				node := b.cluster.Controls[5]
 				b.setPoweredOff(5, true)
@@ -118,7 +118,7 @@
 func measureRestart(t *testing.T) {
 	first := map[string][]time.Duration{}
 	for seed := range uint64(20) {
-		runBenchmark(t, layoutOf(6, 2, 1, seed+1), func(b *benchmark) {
+		runBenchmark(t, newLayout(6, 2, 1, seed+1), func(b *benchmark) {
 			b.loadRoutes(100)
 			const at = 5
 			b.sleepAbout(2 * time.Second)
@@ -168,7 +168,7 @@
 	start := time.Now()
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		b := newBenchmark(c, startCluster(c, layoutOf(6, 1, 1, 1)))
+		b := newBenchmark(c, startCluster(c, newLayout(6, 1, 1, 1)))
 		time.Sleep(10 * time.Second)
 		const changes, restarts = 1100, 330
 		var mu sync.Mutex
--- a/internal/lab/simulation/measurecost_test.go
+++ b/internal/lab/simulation/measurecost_test.go
@@ -46,7 +46,7 @@
 }
 
 func checkChangeCost(t *testing.T) {
-	runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
+	runBenchmark(t, newLayout(6, 0, 0, 1), func(b *benchmark) {
 		calm := b.idleCost()
 		for _, at := range []int{0, 5} {
 			a := b.costSoFar()
@@ -65,7 +65,7 @@
 
 func measureCost(t *testing.T) {
 	t.Log("| six members, no routers | frames on lines | syncs | bytes between regions |")
-	runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
+	runBenchmark(t, newLayout(6, 0, 0, 1), func(b *benchmark) {
 		calm := b.idleCost()
 		t.Logf("| a calm second | %.1f | %.2f | %.0f |", calm.frames, calm.syncs, calm.crossRegionBytes)
 		logCost := func(name string, n int, a controlCost) {
--- a/internal/lab/simulation/measurefaults_test.go
+++ b/internal/lab/simulation/measurefaults_test.go
@@ -21,7 +21,7 @@
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			cluster := New(layoutOf(6, 0, 0, seed+1))
+			cluster := New(newLayout(6, 0, 0, seed+1))
 			defer cluster.Stop()
 			b := newBenchmark(c, cluster)
 			for _, i := range b.rng.Perm(6) { // in any order, within 0.3 s
@@ -94,7 +94,7 @@
 		var gaps, repaired []time.Duration
 		longest, slowest, when, whence := time.Duration(0), time.Duration(0), time.Duration(0), time.Duration(0)
 		for seed := range uint64(10) {
-			runBenchmark(t, layoutOf(6, 0, 0, seed+1), func(b *benchmark) {
+			runBenchmark(t, newLayout(6, 0, 0, seed+1), func(b *benchmark) {
 				zones := slices.DeleteFunc([]int{0, 1, 2, 3, 4, 5}, func(z int) bool { return z == x.lost })
 				b.sleepAbout(time.Second)
 				wait := b.streamChanges(20, 12*time.Second, zones...)
@@ -172,7 +172,7 @@
 		{"connections give nothing up: ", true, time.Hour}} {
 		last := map[string][]time.Duration{}
 		for seed := range uint64(20) {
-			runBenchmark(t, layoutOf(6, 2, 1, seed+1), func(b *benchmark) {
+			runBenchmark(t, newLayout(6, 2, 1, seed+1), func(b *benchmark) {
 				b.cluster.Network.AckTimeout = x.silent
 				b.measurePartition(5, x.asked, last)
 			})
--- a/internal/lab/simulation/measurelatency_test.go
+++ b/internal/lab/simulation/measurelatency_test.go
@@ -30,7 +30,7 @@
 		{"refusing disk at another", func(b *benchmark) { b.setDisk(3, 5*time.Millisecond, true) }, []int{0, 3, 5}},
 	} {
 		for _, at := range x.at {
-			runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
+			runBenchmark(t, newLayout(6, 0, 0, 1), func(b *benchmark) {
 				x.do(b)
 				t.Log(tableRow(fmt.Sprintf("%s; at process %d", x.name, at), b.sendChanges(at, n, 100*time.Millisecond)))
 			})
@@ -43,7 +43,7 @@
 		zones []int
 	}{{"one just gone (power)", []int{1}, []int{0, 2, 3, 4, 5}}, {"the proposer just gone (power)", []int{0}, zones[1:]},
 		{"a region just gone (not the proposer's)", []int{4, 5}, zones[:4]}, {"the proposer's region just gone", []int{0, 1}, zones[2:]}} {
-		runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
+		runBenchmark(t, newLayout(6, 0, 0, 1), func(b *benchmark) {
 			var all []callResult
 			for range 15 {
 				for _, i := range x.lost {
@@ -60,7 +60,7 @@
 			t.Log(tableRow(x.name, all))
 		})
 	}
-	runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
+	runBenchmark(t, newLayout(6, 0, 0, 1), func(b *benchmark) {
 		var all []callResult
 		var mu sync.Mutex
 		var each sync.WaitGroup
@@ -78,7 +78,7 @@
 		t.Log(tableRow("eight under way at once, at all processes", all))
 	})
 	for _, perSecond := range []float64{40, 100} {
-		runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
+		runBenchmark(t, newLayout(6, 0, 0, 1), func(b *benchmark) {
 			t.Log(tableRow(fmt.Sprintf("%.0f a second for 30 s, at all processes", perSecond), b.streamChanges(perSecond, 30*time.Second, zones...)()))
 		})
 	}
@@ -97,7 +97,7 @@
 		{"the proposer's region gone for 5 s", func(b *benchmark) { b.setPoweredOff(0, true); b.setPoweredOff(1, true); time.Sleep(5 * time.Second) }, []int{2, 4}},
 	} {
 		for _, at := range x.at {
-			runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
+			runBenchmark(t, newLayout(6, 0, 0, 1), func(b *benchmark) {
 				o := b.callUntilAnswered(0, "rollouts.begin", "", []byte(`{"service":"desk","target-version":"v2","duration-s":80000}`))
 				b.c.Assert(o.status, qt.Equals, 200)
 				x.do(b)
@@ -112,7 +112,7 @@
 			})
 		}
 	}
-	runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
+	runBenchmark(t, newLayout(6, 0, 0, 1), func(b *benchmark) {
 		var all []callResult
 		for range 15 {
 			b.setPoweredOff(4, true)
@@ -132,7 +132,7 @@
 
 // measureRaces has two operators send two contents of one number at two processes.
 func measureRaces(t *testing.T) {
-	runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
+	runBenchmark(t, newLayout(6, 0, 0, 1), func(b *benchmark) {
 		ends := map[string]int{}
 		untilClear := map[string]int{}
 		for n := range 1000 {
--- a/internal/lab/simulation/writefailure_test.go
+++ b/internal/lab/simulation/writefailure_test.go
@@ -38,7 +38,7 @@
 	want := map[string]uint64{}
 	for version := uint64(1); version < 120; version++ {
 		if n(10) == 0 {
-			f.next(1 + n(6))
+			f.failNext(1 + n(6))
 		}
 		name := fmt.Sprint("r", n(30))
 		i := testItem(name, version)
@@ -53,7 +53,7 @@
 			want[name] = version
 		}
 	}
-	f.next(0)
+	f.failNext(0)
 	c.Assert(st.Write([]config.Item{testItem("last", 999)}, nil, false), qt.IsNil, qt.Commentf("%s %d", kind, seed))
 	want["last"] = 999
 	left := copyDisk(d) // as a loss of power at this moment leaves it
