--- a/internal/lab/simulation/clockskew_test.go
+++ b/internal/lab/simulation/clockskew_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// startRollout starts a cluster of three control processes, calls before, and begins a rollout of 20 s. rolloutStatus returns the
-// state of the rollout.
+// startRollout starts a cluster of three control processes, calls before to prepare it, and begins a rollout of 20 s. rolloutStatus
+// returns the state of the rollout.
 func startRollout(c *qt.C, layout Layout, before func(cluster *Cluster)) (cluster *Cluster, rolloutStatus func() string) {
 	layout.Zones, layout.ProxiesPerZone, layout.HostsPerZone = 3, 1, 1
 	cluster = startCluster(c, layout)
--- a/internal/lab/simulation/core_test.go
+++ b/internal/lab/simulation/core_test.go
@@ -128,7 +128,7 @@
 		restore func(cluster *Cluster)
 	}{
 		"killed, and started after 1 s": {func(cluster *Cluster) { cluster.Controls[3].Kill() }, func(cluster *Cluster) { time.Sleep(time.Second); cluster.Controls[3].mustStart() }},
-		"without power, and started after 10 s": {func(cluster *Cluster) {
+		"powered off, and started after 10 s": {func(cluster *Cluster) {
 			cluster.Network.SetPoweredOff(cluster.Controls[3].Settings.IP, true)
 			cluster.Controls[3].Kill()
 		}, func(cluster *Cluster) {
--- a/internal/lab/simulation/drain_test.go
+++ b/internal/lab/simulation/drain_test.go
@@ -11,7 +11,7 @@
 )
 
 // A host may exit once its drain or leave is acknowledged, so the acknowledgement must wait until a majority of the control processes
-// knows. A process that hasn't detected yet that it is partitioned answers 503, and the host goes on to another one.
+// knows that it leaves. A process that hasn't detected yet that it is partitioned answers 503, and the host goes on to another one.
 func TestShutdownOnceMajorityKnows(t *testing.T) {
 	for _, call := range []string{"instances.heartbeat", "instances.leave"} {
 		t.Run(call, func(t *testing.T) {
@@ -80,7 +80,7 @@
 
 // Two control processes are partitioned together from the other four. The first that the host calls informs only the second and
 // answers 503. The second, already informed, must answer 503 too, also to a repeated call, because proxies subscribed to the other four
-// don't know yet.
+// still send requests to the host.
 func TestShutdownWithTwoPartitioned(t *testing.T) {
 	for _, call := range []string{"instances.heartbeat", "instances.leave"} {
 		t.Run(call, func(t *testing.T) {
--- a/internal/lab/simulation/history_test.go
+++ b/internal/lab/simulation/history_test.go
@@ -40,7 +40,9 @@
 	maxChanges         = 90              // changes in one history, not counting those that resendAll adds
 	rolloutSeconds     = 6               // duration of a rollout
 	oneSecond          = int64(time.Second)
-	resendWindow       = 4 * oneSecond // a call to begin a rollout is repeated within this time; with the time of a call it stays below acknowledge-s
+	// resendWindow is how long after a rollout's duration the call that began it is repeated at the latest. Together with the duration of
+	// a call it is within acknowledge-s.
+	resendWindow = 4 * oneSecond
 )
 
 // change is a change of one or more routes, which may be sent several times. Times are virtual, in Unix nanoseconds.
--- a/internal/lab/simulation/historycheck_test.go
+++ b/internal/lab/simulation/historycheck_test.go
@@ -65,7 +65,8 @@
 	return observed
 }
 
-// checkRivals checks that no rejected content is observed and, of several contents of a version, only one, and the one confirmed.
+// checkRivals checks that no rejected content is observed, that at most one of several rival contents (those of the same route and
+// version) is, and that none of its rivals was confirmed.
 func (rc *recorder) checkRivals(changeOf map[int16]*change) {
 	observed := rc.observedContents()
 	rivals := map[int]int16{}
--- a/internal/lab/simulation/historyrollout_test.go
+++ b/internal/lab/simulation/historyrollout_test.go
@@ -15,7 +15,7 @@
 // runRollouts begins rollouts, at times two at once with the same or different target versions, reads their state from random processes
 // and lets proxies vote.
 func (rc *recorder) runRollouts() {
-	previous, previousAt, accepted := "", int64(0), false // first target version of the previous round
+	previous, previousAt, accepted := "", int64(0), false // the first rollout of the previous round
 	for !rc.finished() {
 		rc.sleepBetween(300, 1500)
 		rc.mu.Lock()
