--- a/internal/lab/simulation/clockskew_test.go
+++ b/internal/lab/simulation/clockskew_test.go
@@ -131,7 +131,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		cluster, _ := startRollout(c, Layout{Services: []string{"desk"}, Seed: 4}, func(*Cluster) {})
-		late := cluster.Controls[2]
+		partitioned := cluster.Controls[2]
 		read := func(at int) string {
 			var v map[string]string
 			_, raw := cluster.callOneFor(at, "rollouts.read", "desk", nil)
@@ -139,7 +139,7 @@
 			return v["server-state"]
 		}
 		time.Sleep(15 * time.Second)
-		cluster.setPartition(late, true)
+		cluster.setPartition(partitioned, true)
 		completed := false
 		for range 60 {
 			for _, px := range cluster.Proxies[:2] {
@@ -155,7 +155,7 @@
 			}
 		}
 		c.Assert(completed, qt.IsTrue)
-		cluster.setPartition(late, false)
+		cluster.setPartition(partitioned, false)
 		answers := 0
 		for range 100 {
 			time.Sleep(20 * time.Millisecond)
--- a/internal/lab/simulation/compaction_test.go
+++ b/internal/lab/simulation/compaction_test.go
@@ -34,7 +34,7 @@
 		c.Assert(err, qt.IsNil)
 		rng := rand.New(rand.NewPCG(1, 1))
 		var latencies []time.Duration
-		highest, tables, last := 0, 0, int64(0)
+		maxDiskUsage, tables, lastTable := 0, 0, int64(0)
 		write := func(items ...config.Item) {
 			start := time.Now()
 			c.Assert(st.Write(items, map[string][]byte{"number": fmt.Append(nil, len(latencies))}, false), qt.IsNil)
@@ -43,12 +43,12 @@
 			d.mu.Lock()
 			for fd, f := range d.files {
 				size += len(f.data)
-				if fd.Type == storage.TypeTable && fd.Num > last {
-					tables, last = tables+1, fd.Num
+				if fd.Type == storage.TypeTable && fd.Num > lastTable {
+					tables, lastTable = tables+1, fd.Num
 				}
 			}
 			d.mu.Unlock()
-			highest = max(highest, size)
+			maxDiskUsage = max(maxDiskUsage, size)
 		}
 		var all []config.Item
 		for n := range 36200 {
@@ -71,12 +71,12 @@
 		}
 		slices.Sort(latencies)
 		t.Logf("longest write: %v while loading, %v during 10,000 changes, %d of which took longer than one sync; %d tables written; disk usage at most %.1f MB",
-			maxLoading, latencies[len(latencies)-1], slow, tables, float64(highest)/1e6)
+			maxLoading, latencies[len(latencies)-1], slow, tables, float64(maxDiskUsage)/1e6)
 		c.Check(maxLoading <= 5*d.SyncDelay, qt.IsTrue)
 		c.Check(latencies[len(latencies)-1] <= 5*d.SyncDelay, qt.IsTrue)
 		c.Check(slow <= 5, qt.IsTrue) // number of buffers that the changes fill
 		c.Check(tables > 8, qt.IsTrue)
-		c.Check(highest < 24<<20, qt.IsTrue, qt.Commentf("%d bytes", highest))
+		c.Check(maxDiskUsage < 24<<20, qt.IsTrue, qt.Commentf("%d bytes", maxDiskUsage))
 		time.Sleep(2 * time.Second)
 	})
 }
--- a/internal/lab/simulation/coreleaving_test.go
+++ b/internal/lab/simulation/coreleaving_test.go
@@ -85,24 +85,24 @@
 					c.Check(coreStatus.Current, qt.IsTrue)
 				}
 				writer.close()
-				away := 1 + int(seed)
+				absent := 1 + int(seed)
 				for i, node := range cluster.Controls {
-					if i != away && node.cancel == nil {
+					if i != absent && node.cancel == nil {
 						node.mustStart()
 					}
 				}
 				waitUntil(c, 10*time.Second, "converged without one process", func() bool {
-					coreStatus := cluster.coreStatus((away + 1) % 6)
+					coreStatus := cluster.coreStatus((absent + 1) % 6)
 					return coreStatus.Status == "in touch" && coreStatus.Current && coreStatus.Tolerates >= 1
 				})
-				c.Check(len(cluster.coreStatus((away+1)%6).Members) >= 5, qt.IsTrue) // at most one was removed
+				c.Check(len(cluster.coreStatus((absent+1)%6).Members) >= 5, qt.IsTrue) // at most one was removed
 				for i, node := range cluster.Controls {
 					if node.cancel != nil {
 						writer.checkConfirmed(c, i)
 					}
 				}
-				if cluster.Controls[away].cancel == nil {
-					cluster.Controls[away].mustStart()
+				if cluster.Controls[absent].cancel == nil {
+					cluster.Controls[absent].mustStart()
 				}
 				waitUntil(c, 10*time.Second, "the cluster has converged", func() bool { return cluster.converged(6) })
 			})
--- a/internal/lab/simulation/corerecovery_test.go
+++ b/internal/lab/simulation/corerecovery_test.go
@@ -97,9 +97,9 @@
 		}
 		partition(true)
 		time.Sleep(4 * time.Second)
-		status, by, _ := cluster.Call("configuration.modify", "", cluster.ChangeBody(false, unsafeRoute), 2*time.Second, 0)
+		status, confirmedBy, _ := cluster.Call("configuration.modify", "", cluster.ChangeBody(false, unsafeRoute), 2*time.Second, 0)
 		c.Check(status, qt.Equals, 200)
-		c.Check(by < 4, qt.IsTrue)
+		c.Check(confirmedBy < 4, qt.IsTrue)
 		old := cluster.coreStatus(4)
 		status, raw := cluster.callOne(4, "core.recover", map[string]any{"confirm": fmt.Sprintf("epoch %d number %d", old.Epoch, old.Index)})
 		c.Assert(status, qt.Equals, 200, qt.Commentf("%s", raw))
--- a/internal/lab/simulation/faultyhost_test.go
+++ b/internal/lab/simulation/faultyhost_test.go
@@ -97,53 +97,53 @@
 }{
 	{"nothing", func(d *faultyHostRun) func() { return nil }},
 	{"a proxy is killed under load", func(d *faultyHostRun) func() {
-		f := d.pickUnstoppedProxy()
-		f.Kill()
+		px := d.pickUnstoppedProxy()
+		px.Kill()
 		return func() {
-			if err := f.Start(); err != nil {
+			if err := px.Start(); err != nil {
 				d.violation("proxy failed to start: %v", err)
 			}
 		}
 	}},
 	{"a proxy is killed while it drains", func(d *faultyHostRun) func() {
-		f, done := d.pickUnstoppedProxy(), make(chan bool)
+		px, done := d.pickUnstoppedProxy(), make(chan bool)
 		d.background.Go(func() {
 			defer close(done)
-			f.Running.Drain()
+			px.Running.Drain()
 		})
 		time.Sleep(time.Duration(d.intn(1500)) * time.Millisecond)
-		f.Kill()
+		px.Kill()
 		return func() {
 			<-done
-			if err := f.Start(); err != nil {
+			if err := px.Start(); err != nil {
 				d.violation("proxy failed to start: %v", err)
 			}
 		}
 	}},
 	{"a proxy is partitioned from a host", func(d *faultyHostRun) func() {
-		f, q := d.Proxies[d.intn(len(d.Proxies))], d.Hosts[d.intn(len(d.Hosts))]
-		d.Network.SetPartition(f.Settings.IP, q.IP(), true)
-		return func() { d.Network.SetPartition(f.Settings.IP, q.IP(), false) }
+		px, host := d.Proxies[d.intn(len(d.Proxies))], d.Hosts[d.intn(len(d.Hosts))]
+		d.Network.SetPartition(px.Settings.IP, host.IP(), true)
+		return func() { d.Network.SetPartition(px.Settings.IP, host.IP(), false) }
 	}},
 	{"an address is reused by another service", func(d *faultyHostRun) func() {
-		q := d.crashHost()
+		host := d.crashHost()
 		time.Sleep(time.Duration(d.intn(300)) * time.Millisecond)
 		var z int
-		fmt.Sscanf(q.Zone, "z%d", &z)
-		d.startFaultyHost("mail", z, q.Address, 0)
+		fmt.Sscanf(host.Zone, "z%d", &z)
+		d.startFaultyHost("mail", z, host.Address, 0)
 		return func() { d.startFaultyHost("desk", z, "", 0) }
 	}},
 	{"an address is reused by a new instance", func(d *faultyHostRun) func() {
-		q := d.crashHost()
+		host := d.crashHost()
 		var z int
-		fmt.Sscanf(q.Zone, "z%d", &z)
-		d.startFaultyHost("desk", z, q.Address, 0)
+		fmt.Sscanf(host.Zone, "z%d", &z)
+		d.startFaultyHost("desk", z, host.Address, 0)
 		return nil
 	}},
 	{"a host is powered off", func(d *faultyHostRun) func() {
-		q := d.Hosts[d.intn(len(d.Hosts))]
-		d.Network.SetPoweredOff(q.IP(), true)
-		return func() { d.Network.SetPoweredOff(q.IP(), false) }
+		host := d.Hosts[d.intn(len(d.Hosts))]
+		d.Network.SetPoweredOff(host.IP(), true)
+		return func() { d.Network.SetPoweredOff(host.IP(), false) }
 	}},
 }
 
--- a/internal/lab/simulation/faultyresponse_test.go
+++ b/internal/lab/simulation/faultyresponse_test.go
@@ -67,7 +67,7 @@
 	faultPercent int
 	faults       []responseFault
 
-	writing    sync.Mutex // held for a complete response, as two goroutines write them
+	writeMu    sync.Mutex // held for a complete response, as two goroutines write them
 	previousID string     // ID of the attempt that was answered last
 }
 
@@ -86,8 +86,8 @@
 
 // write writes a complete or partial response.
 func (c *faultyConn) write(text string) {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	_, _ = io.WriteString(c.conn, text) // after an error the next read fails too
 }
 
@@ -187,8 +187,8 @@
 // respond sends the response to a request that has run, altered by the fault, and reports whether the connection stays open.
 func (c *faultyConn) respond(fault responseFault, id string) bool {
 	body := c.host.ID + " ran " + id
-	head := "HTTP/1.1 200 OK\r\n" + idHeader(id) + "Server-Seal: " + c.host.ID + "\r\n"
-	okResponse := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
+	header := "HTTP/1.1 200 OK\r\n" + idHeader(id) + "Server-Seal: " + c.host.ID + "\r\n"
+	okResponse := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", header, len(body), body)
 	switch fault {
 	case noResponse:
 		return true
@@ -201,15 +201,15 @@
 		c.write(okResponse[:c.intn(len(okResponse))])
 		return false
 	case unframedReset:
-		c.write(head + "\r\n" + body[:c.intn(len(body))])
+		c.write(header + "\r\n" + body[:c.intn(len(body))])
 		c.waitUpTo(10)
 		c.reset()
 		return false
 	case unframedResponse:
-		c.write(head + "\r\n" + body)
+		c.write(header + "\r\n" + body)
 		return false
 	case chunkedResponse:
-		c.write(fmt.Sprintf("%sTransfer-Encoding: chunked\r\nTrailer: X\r\n\r\n%x;y\r\n%s\r\n0\r\nX: 1\r\n\r\n", head, len(body), body))
+		c.write(fmt.Sprintf("%sTransfer-Encoding: chunked\r\nTrailer: X\r\n\r\n%x;y\r\n%s\r\n0\r\nX: 1\r\n\r\n", header, len(body), body))
 	case lateResponse:
 		c.wait(time.Duration(500+c.intn(2000)) * time.Millisecond)
 		c.write(okResponse)
--- a/internal/lab/simulation/historycheck_test.go
+++ b/internal/lab/simulation/historycheck_test.go
@@ -140,13 +140,13 @@
 // checkAtomic checks that a read returns changes of several routes either completely or not at all.
 func (rc *recorder) checkAtomic(rd read) {
 	for _, ch := range rc.changes {
-		part, missing := false, false
+		visible, missing := false, false
 		for _, c := range ch.items {
 			version, id := rd.versions[c.route], rd.contents[c.route]
-			part = part || c.prefix != "" && id == c.id
+			visible = visible || c.prefix != "" && id == c.id
 			missing = missing || version < c.version && id != 0 || version == c.version && id != c.id
 		}
-		if part && missing {
+		if visible && missing {
 			rc.violation("change partly visible in a read", "change %d at process %d", ch.id, rd.control)
 		}
 	}
