--- a/internal/lab/simulation/drain_test.go
+++ b/internal/lab/simulation/drain_test.go
@@ -99,7 +99,7 @@
 				for _, at := range []int{5, 4, 5} {
 					c.Check(cluster.Controls[at].Status(), qt.Equals, "in touch") // it hasn't detected the partition yet
 					status, elapsed := cluster.startDraining(at, host, 1000, call)
-					c.Check(status, qt.Equals, 503, qt.Commentf("at %d", at))
+					c.Check(status, qt.Equals, 503, qt.Commentf("process %d", at))
 					c.Check(elapsed < 900*time.Millisecond, qt.IsTrue, qt.Commentf("%v", elapsed))
 				}
 				status, _ := cluster.startDraining(0, host, 1000, call)
@@ -108,7 +108,7 @@
 				time.Sleep(4 * time.Second)
 				for _, at := range []int{4, 5} {
 					status, _ = cluster.startDraining(at, host, 1000, call)
-					c.Check(status, qt.Equals, 200, qt.Commentf("at %d", at))
+					c.Check(status, qt.Equals, 200, qt.Commentf("process %d", at))
 				}
 				status, elapsed := cluster.startDraining(5, host, 1000, call)
 				c.Check(status, qt.Equals, 200)
