--- a/internal/lab/simulation/corruption_test.go
+++ b/internal/lab/simulation/corruption_test.go
@@ -12,9 +12,10 @@
 	"portflow/internal/control/store"
 )
 
-// writeTestDisk is a small disk: what it holds lies in the journal alone, in a table alone (it was opened again), in tables and the
-// journal, or in files that the store began as the journal was full (the list of its files has grown by records of its own).
-func writeTestDisk(c *qt.C, outcome string) (d *Disk, holds string) {
+// writeTestDisk returns a small disk and a printout of its content, which is in the journal alone, in a table alone (after reopening
+// the store), in tables and the journal, or in files that the store created because the journal was full (its list of files then has
+// further records).
+func writeTestDisk(c *qt.C, layout string) (d *Disk, printed string) {
 	d = NewDisk()
 	open := func() *store.Store {
 		st, _, _, _, err := store.Open(d.Open())
@@ -22,15 +23,15 @@
 		return st
 	}
 	st := open()
-	write := func(from, to, long int) {
+	write := func(from, to, bodySize int) {
 		for n := from; n < to; n++ {
 			i := testItem(fmt.Sprint("r", n%7), uint64(n))
-			i.Body = []byte(`{"x":"` + strings.Repeat("x", long) + `"}`)
+			i.Body = []byte(`{"x":"` + strings.Repeat("x", bodySize) + `"}`)
 			c.Assert(st.Write([]config.Item{i}, map[string][]byte{"number": []byte(fmt.Sprint(n))}, n == 0), qt.IsNil)
 		}
 	}
 	write(0, 12, 9)
-	switch outcome {
+	switch layout {
 	case "table":
 		st.Close()
 		st = open()
@@ -52,17 +53,17 @@
 	return d, fmt.Sprint(items, cells)
 }
 
-// Every byte of small disks is corrupted in turn, in up to four ways: the store reports an error, or that its content is
-// incomplete, or has all of it. It never reports an earlier state as complete; also not at the start after that, nor where the disk
-// fails at any step of the repair. Only a last byte that becomes zero reads as a write that was not finished.
+// Every byte of small disks is corrupted in turn, in up to four ways. The store must return an error, report that its content is
+// incomplete, or return all of it, but never report a partial or earlier state as complete, neither at the next start nor if the disk
+// fails during the repair. The one exception is a journal whose last byte becomes zero, which reads as an unfinished write.
 func TestEveryByteCorrupted(t *testing.T) {
 	outcomes := map[string]int{}
-	for _, outcome := range []string{"journal", "table", "table and journal", "full"} {
+	for _, layout := range []string{"journal", "table", "table and journal", "full"} {
 		c := qt.New(t)
-		d, want := writeTestDisk(c, outcome)
+		d, want := writeTestDisk(c, layout)
 		for fd, f := range d.files {
 			for at := range f.data {
-				if outcome == "full" && fd.Type != storage.TypeManifest && (at+500 < len(f.data) || at%16 > 0) { // of long files their end, by samples
+				if layout == "full" && fd.Type != storage.TypeManifest && (at+500 < len(f.data) || at%16 > 0) { // of long files only the end and a sample
 					continue
 				}
 				ways := map[storage.FileType][]byte{storage.TypeTable: {0x5a}, storage.TypeJournal: {0x5a, f.data[at]},
@@ -73,7 +74,7 @@
 					}
 					corrupted := copyDisk(d)
 					corrupted.files[fd].data[at] ^= x
-					refusing := &faultyStorage{Storage: copyDisk(corrupted).Open(), failAt: at / 4 % 9}
+					refusing := &faultyStorage{Storage: copyDisk(corrupted).Open(), failuresLeft: at / 4 % 9}
 					starts := []storage.Storage{corrupted.Open()}
 					if x == 0x5a && at%4 == 0 {
 						starts = append(starts, corrupted.Open(), refusing, refusing)
@@ -81,19 +82,19 @@
 					for start, disk := range starts {
 						st, items, cells, complete, err := store.Open(disk)
 						if start == 2 {
-							refusing.next(0)
+							refusing.failNext(0)
 						}
-						word := "not whole"
+						outcome := "not complete"
 						switch {
 						case err != nil:
-							word = "error"
+							outcome = "error"
 						case complete && fmt.Sprint(items, cells) == want:
-							word = "unharmed"
+							outcome = "unharmed"
 						case complete:
-							t.Fatalf("%s: %v byte %d of %d ^ %x, start %d: a part is said to be whole", outcome, fd, at, len(f.data), x, start)
+							t.Fatalf("%s: %v byte %d of %d ^ %x, start %d: partial content reported as complete", layout, fd, at, len(f.data), x, start)
 						}
 						if start == 0 {
-							outcomes[word]++
+							outcomes[outcome]++
 						}
 						if st != nil {
 							st.Close()
@@ -104,11 +105,11 @@
 		}
 	}
 	t.Log(outcomes)
-	qt.Check(t, outcomes["not whole"] > 4000, qt.IsTrue)
+	qt.Check(t, outcomes["not complete"] > 4000, qt.IsTrue)
 	qt.Check(t, outcomes["error"], qt.Equals, 0)
 }
 
-// What was repaired stays so at later starts, until a write says that the disk holds all again.
+// A repaired store is reported as incomplete at later starts too, until a write marks its content as complete.
 func TestRepairUntilComplete(t *testing.T) {
 	c := qt.New(t)
 	d, _ := writeTestDisk(c, "journal")
@@ -117,12 +118,12 @@
 			f.data[len(f.data)/2] ^= 0x10
 		}
 	}
-	for _, says := range []bool{false, false, true} {
+	for _, markComplete := range []bool{false, false, true} {
 		st, _, _, complete, err := store.Open(d.Open())
 		c.Assert(err, qt.IsNil)
 		c.Check(complete, qt.IsFalse)
-		c.Check(st.Repaired, qt.IsTrue) // or a first start that is not over would be taken for intact
-		c.Assert(st.Write([]config.Item{testItem("r", 9)}, nil, says), qt.IsNil)
+		c.Check(st.Repaired, qt.IsTrue) // otherwise the disk would pass for an intact one whose first start isn't finished
+		c.Assert(st.Write([]config.Item{testItem("r", 9)}, nil, markComplete), qt.IsNil)
 		c.Assert(st.Close(), qt.IsNil)
 	}
 	st, _, _, complete, err := store.Open(d.Open())
@@ -131,8 +132,8 @@
 	c.Check(st.Repaired, qt.IsFalse)
 }
 
-// An earlier image of the disk is consistent, and the store can't detect that it is old: it returns the index and the id that were
-// written then, by which the others detect it.
+// An old image of a disk is consistent, so the store can't detect that it is old. It returns the index and ID of that time, by which
+// the other members detect it.
 func TestOldDiskImage(t *testing.T) {
 	c := qt.New(t)
 	d := NewDisk()
--- a/internal/lab/simulation/faultystorage_test.go
+++ b/internal/lab/simulation/faultystorage_test.go
@@ -7,23 +7,23 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// faultyStorage is a disk whose next so many steps are refused, of the kinds that are chosen.
+// faultyStorage is a disk on which the next failuresLeft operations of one kind, or of any kind, fail.
 type faultyStorage struct {
 	storage.Storage
-	mu        sync.Mutex // over what follows: the store compacts beside
-	failAt    int
-	kind      string // "" for all
-	failures  int
-	openFiles int // files that are open
+	mu           sync.Mutex // guards the fields below; the store compacts in the background
+	failuresLeft int
+	kind         string // kind of the operations that fail, "" for all
+	failures     int
+	openFiles    int // number of open files
 }
 
 func (f *faultyStorage) step(kind string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.failAt == 0 || f.kind != "" && f.kind != kind {
+	if f.failuresLeft == 0 || f.kind != "" && f.kind != kind {
 		return nil
 	}
-	f.failAt--
+	f.failuresLeft--
 	f.failures++
 	return errWriteFailed
 }
@@ -35,10 +35,10 @@
 	return f.openFiles
 }
 
-func (f *faultyStorage) next(n int) {
+func (f *faultyStorage) failNext(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.failAt = n
+	f.failuresLeft = n
 }
 
 func (f *faultyStorage) Create(fd storage.FileDesc) (storage.Writer, error) {
@@ -110,7 +110,7 @@
 	return w.Writer.Close()
 }
 
-// copied is what a disk holds at this moment.
+// copyDisk returns a copy of a disk's current content, without its faults and delays.
 func copyDisk(d *Disk) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
