--- a/internal/lab/simulation/benchmark_test.go
+++ b/internal/lab/simulation/benchmark_test.go
@@ -254,7 +254,7 @@
 		name string
 		f    func(*testing.T)
 	}{{"ack", measureAck}, {"cost", measureCost}, {"reads", measureReads}, {"races", measureRaces}, {"start", measureStart}, {"loss", measureLoss},
-		{"cutoff", measurePartitions}, {"join", measureJoin}, {"behind", measureBehind}, {"restart", measureRestart}, {"size", measureSize}, {"day", measureLongDay}} {
+		{"cutoff", measurePartitions}, {"join", measureJoin}, {"behind", measureCatchUp}, {"restart", measureRestart}, {"size", measureSize}, {"day", measureSoak}} {
 		t.Run(x.name, x.f)
 	}
 }
--- a/internal/lab/simulation/leaverefused_test.go
+++ b/internal/lab/simulation/leaverefused_test.go
@@ -15,7 +15,7 @@
 // A proxy shuts down while clients that still have its address send requests. Hosts need 1.9 s for a request. What is sent within 3
 // s is served, or may be cut where the grace doesn't suffice; what is sent later is never cut: the proxy rejects it at once, with
 // Retry-After, and what it rejects hasn't run.
-func TestLeavingRefusesWhatCantEnd(t *testing.T) {
+func TestDrainRejectsRequestsItCannotFinish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		layout := smallLayout
--- a/internal/lab/simulation/linearizability_test.go
+++ b/internal/lab/simulation/linearizability_test.go
@@ -37,7 +37,7 @@
 		items := lo.Map(ch.items, func(c content, _ int) content { return rc.contents[c.id] })
 		call, ret := ch.firstSent, lo.Ternary(ch.status == 0, never, ch.answeredAt)
 		if ch.status == 0 || ch.status == 200 {
-			call, ret = rc.narrowed(items, call, ret)
+			call, ret = rc.narrowInterval(items, call, ret)
 		}
 		add(configOp{items: items, status: lo.Ternary(ch.status == 200 || ch.status == 409, ch.status, 0), removable: ch.status != 409 && rc.removable(items, ret)}, call, ret)
 		for _, a := range ch.repeats {
@@ -75,7 +75,7 @@
 }
 
 // narrowed returns the interval in which a change can have come into force, from the interval between its call and its answer.
-func (rc *recorder) narrowed(items []content, call, ret int64) (from, by int64) {
+func (rc *recorder) narrowInterval(items []content, call, ret int64) (from, by int64) {
 	from, by = call, ret
 	for _, r := range rc.reads {
 		for _, c := range items {
@@ -108,8 +108,8 @@
 // there is one with them. If there is none, all are searched.
 func (rc *recorder) checkLinearizable(label string, model porcupine.Model, ops []porcupine.Operation) {
 	required := slices.DeleteFunc(slices.Clone(ops), func(o porcupine.Operation) bool {
-		op, is := o.Input.(configOp)
-		return is && op.removable
+		op, isConfig := o.Input.(configOp)
+		return isConfig && op.removable
 	})
 	if len(required) < len(ops) {
 		if ok, _ := findOrder(model, required); ok {
--- a/internal/lab/simulation/measurecatchup_test.go
+++ b/internal/lab/simulation/measurecatchup_test.go
@@ -45,7 +45,7 @@
 }
 
 // measureBehind is how long one that missed changes is behind, while 40 a second go on.
-func measureBehind(t *testing.T) {
+func measureCatchUp(t *testing.T) {
 	t.Log("| items | missed | a second meanwhile | link | until in touch ms | until all that was confirmed at the start is had ms | bytes to it | heap at its most MB, over before | worst order meanwhile ms |")
 	for _, x := range []struct {
 		routes, shares, missed int
@@ -84,21 +84,21 @@
 				heap, most := mem.HeapAlloc, uint64(0)
 				before, start := b.cluster.Network.ReceivedBytes(node.Settings.IP), time.Now()
 				b.setPoweredOff(5, false)
-				touch := time.Duration(0)
+				caughtUp := time.Duration(0)
 				for time.Since(start) < 60*time.Second {
 					runtime.ReadMemStats(&mem)
 					most = max(most, mem.HeapAlloc)
 					if node.Status() == "in touch" {
-						touch = time.Since(start)
+						caughtUp = time.Since(start)
 						break
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
 				bytes := b.cluster.Network.ReceivedBytes(node.Settings.IP) - before
-				had := time.Duration(0)
+				readable := time.Duration(0)
 				for time.Since(start) < 60*time.Second {
 					if status, raw := b.callOnce(5, 5, "configuration.read", "", nil); status == 200 && strings.Contains(string(raw), "/mark/") {
-						had = time.Since(start)
+						readable = time.Since(start)
 						break
 					}
 					time.Sleep(10 * time.Millisecond)
@@ -108,7 +108,7 @@
 					worst = max(worst, o.latency)
 				}
 				t.Logf("| %d routes, %d shares | %d | %.0f | %s | %s | %s | %d | %.1f | %s |", x.routes, x.shares, x.missed, x.perS,
-					map[bool]string{true: "2 Mbit/s", false: "free"}[x.link > 0], formatMillis(touch), formatMillis(had), bytes, float64(most-min(heap, most))/1e6, formatMillis(worst))
+					map[bool]string{true: "2 Mbit/s", false: "free"}[x.link > 0], formatMillis(caughtUp), formatMillis(readable), bytes, float64(most-min(heap, most))/1e6, formatMillis(worst))
 			})
 		})
 	}
@@ -161,7 +161,7 @@
 
 // measureLongDay is the long run: 1,100 changes and 330 restarts, some of them with a loss of power and a few with a lost disk. At
 // the end all processes have what was confirmed, and have caught up.
-func measureLongDay(t *testing.T) {
+func measureSoak(t *testing.T) {
 	if !*measureLongRun {
 		t.Skip("only with -day")
 	}
@@ -173,7 +173,7 @@
 		const changes, restarts = 1100, 330
 		var mu sync.Mutex
 		var all []callResult
-		stands := map[string]int{}
+		confirmed := map[string]int{}
 		var each sync.WaitGroup
 		each.Go(func() {
 			for range changes {
@@ -184,7 +184,7 @@
 				mu.Lock()
 				all = append(all, o)
 				if o.status == 200 {
-					stands[route] = b.versions[route]
+					confirmed[route] = b.versions[route]
 				}
 				mu.Unlock()
 			}
@@ -207,25 +207,25 @@
 		})
 		each.Wait()
 		time.Sleep(30 * time.Second)
-		lost, unlike := 0, 0
-		var one string
+		lost, differing := 0, 0
+		var first string
 		for i := range b.cluster.Controls {
 			c.Check(b.cluster.Controls[i].Status(), qt.Equals, "in touch")
 			status, raw := b.callOnce(i, i, "configuration.read", "", nil)
 			c.Check(status, qt.Equals, 200)
 			if i == 0 {
-				one = string(raw)
-				for name, n := range stands {
-					if !strings.Contains(one, fmt.Sprintf("/%s/%d/", name, n)) {
+				first = string(raw)
+				for name, n := range confirmed {
+					if !strings.Contains(first, fmt.Sprintf("/%s/%d/", name, n)) {
 						lost++
 					}
 				}
-			} else if string(raw) != one {
-				unlike++
+			} else if string(raw) != first {
+				differing++
 			}
 		}
 		c.Check(lost, qt.Equals, 0)
-		c.Check(unlike, qt.Equals, 0)
+		c.Check(differing, qt.Equals, 0)
 		disk := 0
 		for _, node := range b.cluster.Controls {
 			size := 0
@@ -238,7 +238,7 @@
 		}
 		t.Log("| a day | orders | p50 ms | p99 ms | worst ms | sent again | not confirmed |")
 		t.Log(tableRow(fmt.Sprintf("%d changes, %d restarts (%d of them with a lost disk) in %v", changes, restarts, wiped, *longRunDuration), all))
-		t.Logf("| started until in touch | %d | %s | lost %d | unlike %d | largest disk %d bytes | %d routes |", len(caughtUp), percentiles(caughtUp), lost, unlike, disk, len(stands))
+		t.Logf("| started until in touch | %d | %s | lost %d | unlike %d | largest disk %d bytes | %d routes |", len(caughtUp), percentiles(caughtUp), lost, differing, disk, len(confirmed))
 		b.close()
 	})
 	t.Logf("took %v of this machine", time.Since(start).Round(time.Second))
--- a/internal/lab/simulation/measurecost_test.go
+++ b/internal/lab/simulation/measurecost_test.go
@@ -19,7 +19,7 @@
 	takenAt                         time.Time
 }
 
-func (b *benchmark) costSoFar() controlCost {
+func (b *benchmark) currentCost() controlCost {
 	s := controlCost{frames: float64(stream.FramesWritten.Load()), takenAt: time.Now()}
 	for _, node := range b.cluster.Controls {
 		node.Disk.mu.Lock()
@@ -40,18 +40,18 @@
 
 // idleCost is what control spends a second on nothing.
 func (b *benchmark) idleCost() controlCost {
-	a := b.costSoFar()
+	a := b.currentCost()
 	time.Sleep(20 * time.Second)
-	return a.perChange(b.costSoFar(), controlCost{}, 20)
+	return a.perChange(b.currentCost(), controlCost{}, 20)
 }
 
 func checkChangeCost(t *testing.T) {
 	runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
-		calm := b.idleCost()
+		idle := b.idleCost()
 		for _, at := range []int{0, 5} {
-			a := b.costSoFar()
+			a := b.currentCost()
 			all := b.sendChanges(at, 40, 200*time.Millisecond)
-			x := a.perChange(b.costSoFar(), calm, len(all))
+			x := a.perChange(b.currentCost(), idle, len(all))
 			b.c.Logf("at %d: %.1f frames, %.1f syncs, %.0f bytes between regions an order", at, x.frames, x.syncs, x.crossRegionBytes)
 			b.c.Check(x.frames <= maxFrames, qt.IsTrue, qt.Commentf("%.1f frames an order", x.frames))
 			b.c.Check(x.syncs <= maxSyncs, qt.IsTrue, qt.Commentf("%.1f syncs an order", x.syncs))
@@ -66,22 +66,22 @@
 func measureCost(t *testing.T) {
 	t.Log("| six members, no routers | frames on lines | syncs | bytes between regions |")
 	runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
-		calm := b.idleCost()
-		t.Logf("| a calm second | %.1f | %.2f | %.0f |", calm.frames, calm.syncs, calm.crossRegionBytes)
+		idle := b.idleCost()
+		t.Logf("| a calm second | %.1f | %.2f | %.0f |", idle.frames, idle.syncs, idle.crossRegionBytes)
 		logCost := func(name string, n int, a controlCost) {
-			x := a.perChange(b.costSoFar(), calm, n)
+			x := a.perChange(b.currentCost(), idle, n)
 			t.Logf("| %s | %.1f | %.2f | %.0f |", name, x.frames, x.syncs, x.crossRegionBytes)
 		}
 		for _, at := range []int{0, 1, 5} {
-			a := b.costSoFar()
+			a := b.currentCost()
 			all := b.sendChanges(at, 200, 200*time.Millisecond)
 			logCost(fmt.Sprintf("an order at process %d", at), len(all), a)
 		}
-		a := b.costSoFar()
+		a := b.currentCost()
 		all := b.streamChanges(40, 30*time.Second, 0, 1, 2, 3, 4, 5)()
 		logCost("an order of 40 a second", len(all), a)
 		for _, at := range []int{0, 5} {
-			a = b.costSoFar()
+			a = b.currentCost()
 			for range 200 {
 				b.sleepAbout(100 * time.Millisecond)
 				b.callOnce(at, at, "configuration.read", "", nil)
--- a/internal/lab/simulation/measurefaults_test.go
+++ b/internal/lab/simulation/measurefaults_test.go
@@ -52,7 +52,7 @@
 // Changes are sent at 20 a second from 1 s before to 11 s after, to the processes that are left.
 func measureLoss(t *testing.T) {
 	t.Log("| event, 10 seeds each | orders after it | p50 ms | p99 ms | worst ms | sent again | not confirmed | longest without a confirmation ms (p50, p99, worst) | until the next loss is borne again s (p50, worst) | when that longest, and the worst order, began, s after the event |")
-	type parts struct {
+	type faultCase struct {
 		name  string
 		do    func(b *benchmark) // the loss
 		after time.Duration
@@ -60,13 +60,13 @@
 		lost  int
 	}
 	freeze := func(b *benchmark, at int, on bool) bool {
-		x, can := any(b.cluster.Network).(interface{ Freeze(string, bool) })
-		if can {
+		x, ok := any(b.cluster.Network).(interface{ Freeze(string, bool) })
+		if ok {
 			x.Freeze(b.cluster.Controls[at].Settings.IP, on)
 		}
-		return can
+		return ok
 	}
-	for _, x := range []parts{
+	for _, x := range []faultCase{
 		{"nothing", func(b *benchmark) {}, 0, func(b *benchmark) {}, 5},
 		{"the proposer is killed, and started after 3 s", func(b *benchmark) { b.cluster.Controls[0].Kill() }, 3 * time.Second, func(b *benchmark) { b.cluster.Controls[0].mustStart() }, 0},
 		{"the proposer loses power for 3 s", func(b *benchmark) { b.setPoweredOff(0, true) }, 3 * time.Second, func(b *benchmark) { b.setPoweredOff(0, false) }, 0},
@@ -92,7 +92,7 @@
 		}
 		var all []callResult
 		var gaps, repaired []time.Duration
-		longest, slowest, when, whence := time.Duration(0), time.Duration(0), time.Duration(0), time.Duration(0)
+		longest, slowest, longestStart, slowestStart := time.Duration(0), time.Duration(0), time.Duration(0), time.Duration(0)
 		for seed := range uint64(10) {
 			runBenchmark(t, layoutOf(6, 0, 0, seed+1), func(b *benchmark) {
 				zones := slices.DeleteFunc([]int{0, 1, 2, 3, 4, 5}, func(z int) bool { return z == x.lost })
@@ -130,7 +130,7 @@
 					if o.sent.After(at) {
 						all = append(all, o)
 						if o.latency > slowest {
-							slowest, whence = o.latency, o.sent.Sub(at)
+							slowest, slowestStart = o.latency, o.sent.Sub(at)
 						}
 					}
 					if o.status == 200 {
@@ -143,7 +143,7 @@
 					if ends[i+1].After(at) {
 						worst = max(worst, ends[i+1].Sub(ends[i]))
 						if worst > longest {
-							longest, when = worst, ends[i].Sub(at)
+							longest, longestStart = worst, ends[i].Sub(at)
 						}
 					}
 				}
@@ -155,7 +155,7 @@
 		if len(repaired) > 0 {
 			until = fmt.Sprintf("%.1f, %.1f", repaired[(len(repaired)-1)/2].Seconds(), repaired[len(repaired)-1].Seconds())
 		}
-		t.Logf("%s %s | %s | %.1f, %.1f |", tableRow(x.name, all), strings.ReplaceAll(percentiles(gaps), " | ", ", "), until, when.Seconds(), whence.Seconds())
+		t.Logf("%s %s | %s | %.1f, %.1f |", tableRow(x.name, all), strings.ReplaceAll(percentiles(gaps), " | ", ", "), until, longestStart.Seconds(), slowestStart.Seconds())
 	}
 }
 
@@ -165,16 +165,16 @@
 func measurePartitions(t *testing.T) {
 	t.Log("| cut off from all others, 20 seeds: last answered with 200 after the cut | p50 ms | p99 ms | worst ms |")
 	for _, x := range []struct {
-		name   string
-		asked  bool
-		silent time.Duration // after which connections give up what nobody acknowledges
+		name       string
+		withCalls  bool
+		ackTimeout time.Duration // after which connections give up what nobody acknowledges
 	}{{"", true, 1500 * time.Millisecond}, {"nobody reads or orders there: ", false, 1500 * time.Millisecond},
 		{"connections give nothing up: ", true, time.Hour}} {
 		last := map[string][]time.Duration{}
 		for seed := range uint64(20) {
 			runBenchmark(t, layoutOf(6, 2, 1, seed+1), func(b *benchmark) {
-				b.cluster.Network.AckTimeout = x.silent
-				b.measurePartition(5, x.asked, last)
+				b.cluster.Network.AckTimeout = x.ackTimeout
+				b.measurePartition(5, x.withCalls, last)
 			})
 		}
 		for _, name := range slices.Sorted(maps.Keys(last)) {
@@ -183,40 +183,40 @@
 	}
 }
 
-func (b *benchmark) measurePartition(at int, asked bool, last map[string][]time.Duration) {
+func (b *benchmark) measurePartition(at int, withCalls bool, last map[string][]time.Duration) {
 	o := b.callUntilAnswered(0, "rollouts.begin", "", []byte(`{"service":"desk","target-version":"v2","duration-s":80000}`))
 	b.c.Assert(o.status, qt.Equals, 200)
 	b.sleepAbout(2 * time.Second)
 	b.setPartition(true, at)
 	cut := time.Now()
-	const lasts = 12 * time.Second
+	const duration = 12 * time.Second
 	var mu sync.Mutex
-	record := func(name string, late time.Duration) {
+	record := func(name string, elapsed time.Duration) {
 		mu.Lock()
 		defer mu.Unlock()
-		last[name] = append(last[name], late)
+		last[name] = append(last[name], elapsed)
 	}
 	probe := func(name string, every time.Duration, ask func() bool) {
 		b.pending.Go(func() {
 			b.sleepAbout(20 * time.Millisecond)
-			late := time.Duration(0)
-			for time.Since(cut) < lasts {
+			elapsed := time.Duration(0)
+			for time.Since(cut) < duration {
 				if ask() {
-					late = time.Since(cut)
+					elapsed = time.Since(cut)
 				}
 				time.Sleep(every)
 			}
-			record(name, late)
+			record(name, elapsed)
 		})
 	}
-	call := func(call, of string, body func() []byte) func() bool {
+	call := func(call, object string, body func() []byte) func() bool {
 		return func() bool {
-			status, _ := b.callOnce(at, at, call, of, body())
+			status, _ := b.callOnce(at, at, call, object, body())
 			return status == 200
 		}
 	}
 	empty := func() []byte { return nil }
-	if asked {
+	if withCalls {
 		probe("configuration.read", 20*time.Millisecond, call("configuration.read", "", empty))
 		probe("rollouts.read", 20*time.Millisecond, call("rollouts.read", "desk", empty))
 		probe("configuration.modify", 20*time.Millisecond, call("configuration.modify", "", func() []byte { return b.nextChange("cut") }))
@@ -233,7 +233,7 @@
 	})
 	b.pending.Go(func() { // when its router goes, and how long it hangs there in all, as it looks again now and then
 		leftAfter, subscribed := time.Duration(0), time.Duration(0)
-		for time.Since(cut) < lasts {
+		for time.Since(cut) < duration {
 			if b.dialStream(at) {
 				subscribed += 5 * time.Millisecond
 			} else if leftAfter == 0 {
--- a/internal/lab/simulation/measurelatency_test.go
+++ b/internal/lab/simulation/measurelatency_test.go
@@ -133,8 +133,8 @@
 // measureRaces has two operators send two contents of one number at two processes.
 func measureRaces(t *testing.T) {
 	runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
-		ends := map[string]int{}
-		untilClear := map[string]int{}
+		firstStatuses := map[string]int{}
+		finalStatuses := map[string]int{}
 		for n := range 1000 {
 			one, two := n%6, (n+1+n/6%5)%6
 			send := func(at int, prefix string) (int, callResult) {
@@ -154,12 +154,12 @@
 			each.Wait()
 			x := []int{first, second}
 			slices.Sort(x)
-			ends[fmt.Sprint(x)]++
+			firstStatuses[fmt.Sprint(x)]++
 			x = []int{a.status, z.status}
 			slices.Sort(x)
-			untilClear[fmt.Sprint(x)]++
+			finalStatuses[fmt.Sprint(x)]++
 			time.Sleep(50 * time.Millisecond)
 		}
-		t.Logf("| 1,000 pairs of rivals, 0 to 100 ms apart | first answers %v | once sent until clear %v |", ends, untilClear)
+		t.Logf("| 1,000 pairs of rivals, 0 to 100 ms apart | first answers %v | once sent until clear %v |", firstStatuses, finalStatuses)
 	})
 }
--- a/internal/lab/simulation/quota_test.go
+++ b/internal/lab/simulation/quota_test.go
@@ -17,7 +17,7 @@
 var historyRuns = flag.Int("histories", 8, "drawn histories of shares to play")
 
 // withQuotas is a change that sets them: a caller and its requests a second each.
-func withQuotas(version string, all map[string]float64) []byte {
+func quotaChangeBody(version string, all map[string]float64) []byte {
 	rows := [][]any{}
 	for caller, perSecond := range all {
 		rows = append(rows, []any{"s-" + caller, "desk", "X-Agency", caller, perSecond, perSecond, version})
@@ -36,7 +36,7 @@
 		layout := Layout{Zones: 4, ProxiesPerZone: 2, HostsPerZone: 2, Services: []string{"desk"}, ServiceTime: 80 * time.Millisecond, Concurrency: 3, Seed: 3} // 300 a second
 		cluster := startCluster(c, layout)
 		if on {
-			configure(c, cluster, withQuotas("00000002", map[string]float64{"rush": 30, "one": 60, "two": 60}), 0)
+			configure(c, cluster, quotaChangeBody("00000002", map[string]float64{"rush": 30, "one": 60, "two": 60}), 0)
 		}
 		time.Sleep(2 * time.Second)
 		duration := 9 * time.Second
@@ -101,18 +101,18 @@
 	}
 	for _, lose := range losses {
 		c := qt.New(t)
-		part := func(x *Tally) (float64, string) {
+		servedFraction := func(x *Tally) (float64, string) {
 			good, requests, outcome := x.Counts()
 			return float64(good) / float64(requests), fmt.Sprintf("%d of %d, p99 %v: %s", good, requests, x.p99(), outcome)
 		}
 		calm, _ := playPeakLoad(t, true, 20, lose)
 		with, rushing := playPeakLoad(t, true, 600, lose)
 		without, taken := playPeakLoad(t, false, 600, lose)
-		a, sayA := part(calm)
-		b, sayB := part(with)
-		d, sayD := part(without)
-		r, sayR := part(rushing)
-		_, sayT := part(taken)
+		a, sayA := servedFraction(calm)
+		b, sayB := servedFraction(with)
+		d, sayD := servedFraction(without)
+		r, sayR := servedFraction(rushing)
+		_, sayT := servedFraction(taken)
 		t.Logf("zone lost %v\nothers, calm day: %s\nothers, with shares: %s\nothers, without: %s\nthe rush, with: %s\nthe rush, without: %s", lose, sayA, sayB, sayD, sayR, sayT)
 		c.Check(b > a-0.04, qt.IsTrue)
 		c.Check(b > d, qt.IsTrue)
@@ -131,7 +131,7 @@
 		defer cluster.Stop()
 		time.Sleep(time.Second)
 		configure(c, cluster, cluster.ChangeBody(true, safeRoute, unsafeRoute), 0)
-		configure(c, cluster, withQuotas("00000002", map[string]float64{"a": 8, "b": 4}), 1)
+		configure(c, cluster, quotaChangeBody("00000002", map[string]float64{"a": 8, "b": 4}), 1)
 		rng := random.Source{Seed: seed * 31}
 		n := func(n int) int { return int(rng.Float64() * float64(n)) }
 		var tally Tally
@@ -173,15 +173,15 @@
 }
 
 // counter sums up how requests ended.
-type counter map[string]int
+type outcomeCounts map[string]int
 
-func (c counter) add(all map[string]int) {
+func (c outcomeCounts) add(all map[string]int) {
 	for outcome, n := range all {
 		c[outcome] += n
 	}
 }
 
-var quotaOutcomes = counter{}
+var quotaOutcomes = outcomeCounts{}
 
 // -args -histories 10000 plays as many.
 func TestQuotaHistories(t *testing.T) {
--- a/internal/lab/simulation/randomschedule_test.go
+++ b/internal/lab/simulation/randomschedule_test.go
@@ -38,7 +38,7 @@
 	acceptedPrefix  map[string]string          // by route and version: the one that was acknowledged
 	ackedVersion    map[string]string          // by route: the newest version that was acknowledged
 	nextVersion     int
-	overdue         int               // orders that a calm core did not take in time
+	unacknowledged  int               // orders that a calm core did not take in time
 	mu              sync.Mutex        // over the chance and what follows
 	currentFault    string            // the harm that goes on
 	lastAckedBy     int               // who acknowledged last
@@ -65,7 +65,7 @@
 	if status, _, _ := o.cluster.Call(call, "z0", nil, 8*time.Second, o.intn(len(o.cluster.Controls))); status == 200 {
 		o.ackedEvacuation = call
 	} else {
-		o.overdue++
+		o.unacknowledged++
 	}
 }
 
@@ -353,7 +353,7 @@
 			rolloutOutcomes[end]++
 		}
 		c.Check(cluster.Violations, qt.HasLen, 0)
-		c.Check(op.overdue, qt.Equals, 0, qt.Commentf("orders not taken; %v", faults))
+		c.Check(op.unacknowledged, qt.Equals, 0, qt.Commentf("orders not taken; %v", faults))
 		stored := op.readAll(c, faults, closing)
 		op.checkStored(c, stored, faults, closing)
 		op.checkEvacuation(c, faults)
@@ -389,11 +389,11 @@
 	if conflicting {
 		senders = 2
 	}
-	type callEnd struct {
+	type callOutcome struct {
 		prefix string
 		status int
 	}
-	results := make(chan callEnd, senders)
+	results := make(chan callOutcome, senders)
 	for k := range senders {
 		prefix := fmt.Sprintf("/%s-%s-%d/", route, version, k)
 		if o.sent[route+version] == nil {
@@ -407,7 +407,7 @@
 			o.mu.Lock()
 			o.lastAckedBy = max(0, answeredBy)
 			o.mu.Unlock()
-			results <- callEnd{prefix, status}
+			results <- callOutcome{prefix, status}
 		}()
 	}
 	start, refused := time.Now(), 0
@@ -421,11 +421,11 @@
 		case result.status == 409:
 			refused++
 		default:
-			o.overdue++
+			o.unacknowledged++
 		}
 	}
 	if refused > 0 && o.acceptedPrefix[route+version] == "" { // right only where the other one was taken
-		o.overdue += refused
+		o.unacknowledged += refused
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/lab/simulation/randomtraffic_test.go
+++ b/internal/lab/simulation/randomtraffic_test.go
@@ -11,7 +11,7 @@
 )
 
 // trafficRuns are the troubles of the traffic side; each is done at one time and undone later, where it can be.
-var trafficRuns = []struct {
+var trafficFaults = []struct {
 	name string
 	do   func(h *Cluster, n func(int) int) (undo func())
 }{
@@ -118,10 +118,10 @@
 	}},
 	{"hosts fail and hang", func(h *Cluster, n func(int) int) func() {
 		a, b := h.Hosts[n(len(h.Hosts))], h.Hosts[n(len(h.Hosts))]
-		set := func(part float64) {
+		set := func(rate float64) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			a.FailRate, b.HangRate = part, part
+			a.FailRate, b.HangRate = rate, rate
 		}
 		set(0.5)
 		return func() { set(0) }
@@ -140,11 +140,11 @@
 }
 
 // playRandomTraffic plays one fault, or two at once, under traffic, and checks all that hosts and clients saw against the rules.
-func playRandomTraffic(t *testing.T, seed int) (part float64) {
-	one, two := seed%len(trafficRuns), seed/len(trafficRuns)%(len(trafficRuns)+1)
-	name := trafficRuns[one].name
-	if two < len(trafficRuns) && two != one {
-		name += ", " + trafficRuns[two].name
+func playRandomTraffic(t *testing.T, seed int) (servedFraction float64) {
+	one, two := seed%len(trafficFaults), seed/len(trafficFaults)%(len(trafficFaults)+1)
+	name := trafficFaults[one].name
+	if two < len(trafficFaults) && two != one {
+		name += ", " + trafficFaults[two].name
 	}
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -160,10 +160,10 @@
 		rng := random.Source{Seed: uint64(seed) * 7919}
 		n := func(n int) int { return int(rng.Float64() * float64(n)) }
 		time.Sleep(time.Second)
-		undo := []func(){trafficRuns[one].do(cluster, n)}
-		if two < len(trafficRuns) && two != one {
+		undo := []func(){trafficFaults[one].do(cluster, n)}
+		if two < len(trafficFaults) && two != one {
 			time.Sleep(time.Duration(n(1500)) * time.Millisecond)
-			undo = append(undo, trafficRuns[two].do(cluster, n))
+			undo = append(undo, trafficFaults[two].do(cluster, n))
 		}
 		time.Sleep(4500 * time.Millisecond)
 		for _, f := range undo {
@@ -173,12 +173,12 @@
 		}
 		time.Sleep(duration)
 		served, requests, outcome := tally.Counts()
-		part = float64(served) / float64(requests)
+		servedFraction = float64(served) / float64(requests)
 		c.Check(cluster.Verify(), qt.HasLen, 0, qt.Commentf("seed %d, %s: %s", seed, name, outcome))
-		c.Check(part > 0.6, qt.IsTrue, qt.Commentf("seed %d, %s: %d of %d, %s", seed, name, served, requests, outcome))
-		t.Logf("seed %d, %s: %.3f of %d, %s", seed, name, part, requests, outcome)
+		c.Check(servedFraction > 0.6, qt.IsTrue, qt.Commentf("seed %d, %s: %d of %d, %s", seed, name, served, requests, outcome))
+		t.Logf("seed %d, %s: %.3f of %d, %s", seed, name, servedFraction, requests, outcome)
 	})
-	return part
+	return servedFraction
 }
 
 // -args -seeds 132 plays each trouble and each two of them once.
--- a/internal/lab/simulation/restart_test.go
+++ b/internal/lab/simulation/restart_test.go
@@ -41,7 +41,7 @@
 // restarted process has never had a heartbeat of it, and the others leave the hosts of a process that is in contact to that one.
 // All proxies are informed all the same that the host is silent; the other hosts stay, also where the process comes back before a
 // heartbeat was missed.
-func TestHostLostWhileItsProcessRestarts(t *testing.T) {
+func TestHostLostWhileControlRestarts(t *testing.T) {
 	for name, down := range map[string]time.Duration{"1 s": time.Second, "300 ms": 300 * time.Millisecond, "longer than beats are missed": 6 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -75,19 +75,19 @@
 
 // The same of proxies: one that subscribes to the process loses power while that is down, and doesn't come back. It leaves the list
 // of proxies, by which proxies count themselves, vote and are named to clients, at every control process; the others stay.
-func TestRouterLostWhileItsProcessRestarts(t *testing.T) {
+func TestProxyLostWhileControlRestarts(t *testing.T) {
 	for name, down := range map[string]time.Duration{"300 ms": 300 * time.Millisecond, "1 s": time.Second, "4 s": 4 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				cluster := startSixZones(c)
-				routers := func(at int) []string {
+				proxies := func(at int) []string {
 					names, err := cluster.readyProxies(at)
 					c.Assert(err, qt.IsNil)
 					return names
 				}
 				for at := range cluster.Controls {
-					c.Assert(routers(at), qt.HasLen, 12)
+					c.Assert(proxies(at), qt.HasLen, 12)
 				}
 				node, lost := cluster.Controls[5], (*ProxyNode)(nil)
 				for _, px := range cluster.Proxies {
@@ -103,7 +103,7 @@
 				time.Sleep(5 * time.Second)
 				for range 6 {
 					for at := range cluster.Controls {
-						names := routers(at)
+						names := proxies(at)
 						c.Check(names, qt.HasLen, 11, qt.Commentf("at %d", at))
 						c.Check(slices.Contains(names, lost.Settings.Name), qt.IsFalse, qt.Commentf("at %d: %v", at, names))
 					}
@@ -117,7 +117,7 @@
 // A control process is partitioned for longer than proxies may be between two subscriptions: it removes the others' proxies, and
 // the others remove its own, which subscribe elsewhere meanwhile. Once it is back all have all proxies; for that a process reports
 // its own once more, and it does so to none that starts, as that gets the complete list.
-func TestRouterListAfterPartition(t *testing.T) {
+func TestProxyListAfterPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		cluster := startSixZones(c)
--- a/internal/lab/simulation/size_test.go
+++ b/internal/lab/simulation/size_test.go
@@ -48,7 +48,7 @@
 		defer cluster.Stop()
 		time.Sleep(5 * time.Second)
 		t.Logf("| %d hosts, %d routers started |", len(cluster.Hosts), len(cluster.Proxies))
-		take := func(label string, change []byte) {
+		applyChange := func(label string, change []byte) {
 			at := time.Now()
 			status, by, reply := cluster.Call("configuration.modify", "", change, 60*time.Second, 0)
 			t.Logf("| %s: %d bytes, %d by %d | %v |", label, len(change), status, by, time.Since(at))
@@ -58,15 +58,15 @@
 		for n := range 3200 {
 			routes = append(routes, Route{Name: fmt.Sprintf("wide-%05d", n), Prefix: fmt.Sprintf("/wide/%d/", n), Service: layout.Services[n%200], Version: "00000001"})
 		}
-		take("routes", cluster.ChangeBody(true, routes...))
-		for part := range 11 {
+		applyChange("routes", cluster.ChangeBody(true, routes...))
+		for batch := range 11 {
 			rows := [][]any{}
-			for n := part * 3000; n < (part+1)*3000; n++ {
+			for n := batch * 3000; n < (batch+1)*3000; n++ {
 				rows = append(rows, []any{fmt.Sprintf("share-%05d", n), layout.Services[n%200], "X-Agency", fmt.Sprintf("tenant-%05d", n), 1, 10, "00000001"})
 			}
 			raw, _ := json.Marshal(map[string]any{"set-items": map[string]any{"shares": map[string]any{"table-columns": []string{"name", "service",
 				"caller-header", "caller", "per-s", "burst", "version"}, "table-rows": rows}}})
-			take(fmt.Sprint("shares to ", (part+1)*3000), raw)
+			applyChange(fmt.Sprint("shares to ", (batch+1)*3000), raw)
 		}
 		all := func(n int) bool {
 			for _, px := range cluster.Proxies {
@@ -94,7 +94,7 @@
 		wait("30 routers started at once", 1)
 		for n := range 5 {
 			routes[7].Version, routes[7].Prefix = fmt.Sprintf("%08x", n+2), fmt.Sprintf("/turn/%d/", n)
-			take("one route", cluster.ChangeBody(false, routes[7]))
+			applyChange("one route", cluster.ChangeBody(false, routes[7]))
 			wait("it", n+2)
 		}
 	})
--- a/internal/lab/simulation/snapshot_test.go
+++ b/internal/lab/simulation/snapshot_test.go
@@ -20,17 +20,17 @@
 // testSubscriber is a proxy made by hand: it subscribes to a control process and reads a snapshot, with a pause after each chunk,
 // and closes its stream after a number of them.
 type testSubscriber struct {
-	cluster      *Cluster
-	ip           string
-	chunks       bool // it takes them; routers of before don't
-	pause        time.Duration
-	breakAfter   int // chunks after which it lets go, 0 for never
-	assembly     update.Assembly
-	chunkSizes   []int // notes that it had when each chunk came, over all lines
-	frames       int   // snapshots that came in one
-	changes      []update.Change
-	subscription update.Subscription
-	took         time.Duration
+	cluster              *Cluster
+	ip                   string
+	acceptsChunks        bool // it takes them; routers of before don't
+	pause                time.Duration
+	breakAfter           int // chunks after which it lets go, 0 for never
+	assembly             update.Assembly
+	chunkStarts          []int // notes that it had when each chunk came, over all lines
+	singleFrameSnapshots int   // snapshots that came in one
+	changes              []update.Change
+	subscription         update.Subscription
+	elapsed              time.Duration
 }
 
 // subscribe takes news until it has a whole snapshot, or its line ends.
@@ -42,42 +42,42 @@
 	if err != nil {
 		return err
 	}
-	l := stream.Open[update.Message](c, stream.ProxyKeepalive)
-	part := s.assembly.Progress()
+	proxyStream := stream.Open[update.Message](c, stream.ProxyKeepalive)
+	progress := s.assembly.Progress()
 	w := update.Message{Hello: &update.Hello{Name: "hand-" + s.ip, IP: s.ip, Zone: zoneName(at)}}
-	if s.chunks {
-		w.Progress = &part
+	if s.acceptsChunks {
+		w.Progress = &progress
 	}
-	l.Send(w)
+	proxyStream.Send(w)
 	n := 0
-	return l.Run(func(w update.Message) {
+	return proxyStream.Run(func(w update.Message) {
 		switch {
 		case w.Chunk != nil:
-			s.chunkSizes = append(s.chunkSizes, w.Chunk.From)
+			s.chunkStarts = append(s.chunkStarts, w.Chunk.From)
 			if err := s.assembly.Add(*w.Chunk); err != nil {
-				l.Close(err)
+				proxyStream.Close(err)
 				return
 			}
 			if n++; n == s.breakAfter {
-				l.Close(fmt.Errorf("broken after %d", n))
+				proxyStream.Close(fmt.Errorf("broken after %d", n))
 				return
 			}
 			time.Sleep(s.pause)
-			part := s.assembly.Progress()
-			l.Send(update.Message{Progress: &part})
+			progress := s.assembly.Progress()
+			proxyStream.Send(update.Message{Progress: &progress})
 		case w.Batch != nil:
-			notes, ok := s.assembly.Finish(*w.Batch)
+			received, ok := s.assembly.Finish(*w.Batch)
 			if w.Batch.Snapshot {
-				s.frames++
-				notes, ok = w.Batch.Changes, true
+				s.singleFrameSnapshots++
+				received, ok = w.Batch.Changes, true
 			}
 			if !ok {
-				l.Close(fmt.Errorf("news does not follow"))
+				proxyStream.Close(fmt.Errorf("news does not follow"))
 				return
 			}
-			s.changes, s.took = notes, time.Since(start)
+			s.changes, s.elapsed = received, time.Since(start)
 			s.subscription.Advance(w.Batch.Incarnation, 0, w.Batch.To, true)
-			l.Close(nil)
+			proxyStream.Close(nil)
 		}
 	})
 }
@@ -97,7 +97,7 @@
 }
 
 // wideLayout is a cluster of three control processes and many routes, whose bodies don't compress well.
-func wideLayout(c *qt.C, routes int) *Cluster {
+func startWithRoutes(c *qt.C, routes int) *Cluster {
 	layout := smallLayout
 	layout.Zones, layout.ProxiesPerZone, layout.HostsPerZone = 3, 1, 1
 	cluster := startCluster(c, layout)
@@ -112,7 +112,7 @@
 }
 
 // nextVersion changes a route, which is everywhere when it returns.
-func nextVersion(c *qt.C, cluster *Cluster, n int) string {
+func changeRoute(c *qt.C, cluster *Cluster, n int) string {
 	prefix := fmt.Sprintf("/turn/%d/", n)
 	configure(c, cluster, cluster.ChangeBody(false, Route{Name: "wide-00007", Prefix: prefix, Service: "desk", Version: fmt.Sprintf("%08x", 10+n)}), 0)
 	return prefix
@@ -123,32 +123,32 @@
 func TestSnapshotStreamBreaks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		cluster := wideLayout(c, 2000)
-		uninterrupted := &testSubscriber{cluster: cluster, ip: "10.1.0.90", chunks: true}
+		cluster := startWithRoutes(c, 2000)
+		uninterrupted := &testSubscriber{cluster: cluster, ip: "10.1.0.90", acceptsChunks: true}
 		uninterrupted.subscribe(0)
-		n := len(uninterrupted.chunkSizes)
+		n := len(uninterrupted.chunkStarts)
 		c.Assert(n >= 6, qt.IsTrue, qt.Commentf("%d chunks", n))
 		want := ""
 		for breaks := 1; breaks < n; breaks++ {
-			sub := &testSubscriber{cluster: cluster, ip: fmt.Sprintf("10.1.0.%d", 100+breaks), chunks: true, breakAfter: breaks}
+			sub := &testSubscriber{cluster: cluster, ip: fmt.Sprintf("10.1.0.%d", 100+breaks), acceptsChunks: true, breakAfter: breaks}
 			c.Assert(sub.subscribe(0), qt.ErrorMatches, "broken after.*")
 			c.Assert(sub.changes, qt.HasLen, 0)
-			want = nextVersion(c, cluster, breaks)
+			want = changeRoute(c, cluster, breaks)
 			sub.breakAfter = 0
 			sub.subscribe(0)
-			c.Assert(sub.chunkSizes, qt.DeepEquals, uninterrupted.chunkSizes)
+			c.Assert(sub.chunkStarts, qt.DeepEquals, uninterrupted.chunkStarts)
 			c.Assert(sub.prefix("wide-00007"), qt.Equals, want)
 		}
 		// another control process holds no part of it: it is begun anew there
-		sub := &testSubscriber{cluster: cluster, ip: "10.1.0.99", chunks: true, breakAfter: 5}
+		sub := &testSubscriber{cluster: cluster, ip: "10.1.0.99", acceptsChunks: true, breakAfter: 5}
 		sub.subscribe(0)
 		sub.breakAfter = 0
 		sub.subscribe(1)
-		c.Check(sub.chunkSizes[5], qt.Equals, 0)
-		c.Check(sub.chunkSizes[5:], qt.HasLen, n)
+		c.Check(sub.chunkStarts[5], qt.Equals, 0)
+		c.Check(sub.chunkStarts[5:], qt.HasLen, n)
 		c.Check(sub.prefix("wide-00007"), qt.Equals, want)
 		// and so it is with this one once it was restarted
-		sub = &testSubscriber{cluster: cluster, ip: "10.1.0.98", chunks: true, breakAfter: 5}
+		sub = &testSubscriber{cluster: cluster, ip: "10.1.0.98", acceptsChunks: true, breakAfter: 5}
 		sub.subscribe(0)
 		cluster.Controls[0].Kill()
 		time.Sleep(time.Second)
@@ -156,37 +156,37 @@
 		time.Sleep(2 * time.Second)
 		sub.breakAfter = 0
 		sub.subscribe(0)
-		c.Check(sub.chunkSizes[5], qt.Equals, 0)
-		c.Check(sub.chunkSizes[5:], qt.HasLen, n)
+		c.Check(sub.chunkStarts[5], qt.Equals, 0)
+		c.Check(sub.chunkStarts[5:], qt.HasLen, n)
 		c.Check(sub.prefix("wide-00007"), qt.Equals, want)
 	})
 }
 
 // Routers that are slow hold up none that are quick, changes that come meanwhile are in what each ends with, and a router of
 // before is sent one frame.
-func TestSnapshotSlowBesideFast(t *testing.T) {
+func TestSlowSubscriberDoesNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		cluster := wideLayout(c, 8000)
-		slow := &testSubscriber{cluster: cluster, ip: "10.1.0.90", chunks: true, pause: 700 * time.Millisecond}
+		cluster := startWithRoutes(c, 8000)
+		slow := &testSubscriber{cluster: cluster, ip: "10.1.0.90", acceptsChunks: true, pause: 700 * time.Millisecond}
 		done := make(chan error, 1)
 		go func() { done <- slow.subscribe(0) }()
 		last := ""
 		for n := range 8 {
-			last = nextVersion(c, cluster, n)
-			sub := &testSubscriber{cluster: cluster, ip: fmt.Sprintf("10.1.0.%d", 100+n), chunks: true}
+			last = changeRoute(c, cluster, n)
+			sub := &testSubscriber{cluster: cluster, ip: fmt.Sprintf("10.1.0.%d", 100+n), acceptsChunks: true}
 			why := sub.subscribe(0)
 			c.Assert(sub.prefix("wide-00007"), qt.Equals, last, qt.Commentf("turn %d: %v", n, why))
-			c.Assert(sub.took < time.Second, qt.IsTrue, qt.Commentf("%v", sub.took))
+			c.Assert(sub.elapsed < time.Second, qt.IsTrue, qt.Commentf("%v", sub.elapsed))
 		}
 		c.Check(slow.changes, qt.HasLen, 0)
 		<-done
 		c.Check(slow.prefix("wide-00007"), qt.Equals, last)
-		c.Check(slow.took > 10*time.Second, qt.IsTrue)
+		c.Check(slow.elapsed > 10*time.Second, qt.IsTrue)
 		old := &testSubscriber{cluster: cluster, ip: "10.1.0.91"}
 		old.subscribe(0)
-		c.Check(old.frames, qt.Equals, 1)
-		c.Check(old.chunkSizes, qt.HasLen, 0)
+		c.Check(old.singleFrameSnapshots, qt.Equals, 1)
+		c.Check(old.chunkStarts, qt.HasLen, 0)
 		c.Check(old.prefix("wide-00007"), qt.Equals, last)
 		c.Check(strings.HasPrefix(old.subscription.Incarnation, slow.subscription.Incarnation), qt.IsTrue)
 	})
--- a/internal/lab/simulation/store_test.go
+++ b/internal/lab/simulation/store_test.go
@@ -55,7 +55,7 @@
 	c.Check(st.Write([]config.Item{testItem("r", 3)}, nil, false), qt.IsNil)
 	_, items, _, _, err := store.Open(d.Open())
 	c.Assert(err, qt.IsNil)
-	c.Check(newestFile(items), qt.Equals, uint64(3))
+	c.Check(newestVersion(items), qt.Equals, uint64(3))
 }
 
 // A disk with corrupted bytes is never taken for an empty or an earlier one: there is an error at the start, or what can still be
@@ -80,10 +80,10 @@
 		switch {
 		case err != nil:
 			outcomes["error"]++
-		case complete && len(items) == 50 && newestFile(items) == 899:
+		case complete && len(items) == 50 && newestVersion(items) == 899:
 			outcomes["unharmed"]++ // the byte was in nothing that is read
 		case complete:
-			t.Errorf("byte %d: %d of 50 items, the newest %d, and said to be whole", at, len(items), newestFile(items))
+			t.Errorf("byte %d: %d of 50 items, the newest %d, and said to be whole", at, len(items), newestVersion(items))
 		default:
 			outcomes["not whole"]++
 		}
@@ -94,7 +94,7 @@
 	t.Log(outcomes)
 }
 
-func newestFile(items []config.Item) (last uint64) {
+func newestVersion(items []config.Item) (last uint64) {
 	for _, i := range items {
 		last = max(last, i.Version)
 	}
@@ -174,9 +174,9 @@
 
 // After a partition the bytes to the process that was partitioned grow with what changed, and not with how much there is; and a
 // change costs one sync on each disk, and its own bytes to each.
-func TestRepairFollowsWhatChanged(t *testing.T) {
-	const orders = 5
-	var cost, order []int64
+func TestRepairCostFollowsChanges(t *testing.T) {
+	const changes = 5
+	var repairCost, changeCost []int64
 	for _, routes := range []int{10, 100, 1000} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
@@ -198,20 +198,20 @@
 				syncs -= node.Disk.syncCount()
 			}
 			before, _ := cluster.Network.crossTraffic()
-			time.Sleep(orders * 2400 * time.Millisecond)
+			time.Sleep(changes * 2400 * time.Millisecond)
 			idle, _ := cluster.Network.crossTraffic()
-			for n := range orders { // gossip by chance and words by turns are as much as one order, and not as five
+			for n := range changes { // gossip by chance and words by turns are as much as one order, and not as five
 				all[3].Version = fmt.Sprintf("%08d", n+2)
 				status, _, _ = cluster.Call("configuration.modify", "", cluster.ChangeBody(false, all[3]), 2400*time.Millisecond, 1)
 				c.Assert(status, qt.Equals, 200)
 				time.Sleep(2400 * time.Millisecond)
 			}
 			after, _ := cluster.Network.crossTraffic()
-			order = append(order, (after-idle-(idle-before))/orders)
+			changeCost = append(changeCost, (after-idle-(idle-before))/changes)
 			for _, node := range cluster.Controls {
 				syncs += node.Disk.syncCount()
 			}
-			c.Check(syncs, qt.Equals, orders*len(cluster.Controls))
+			c.Check(syncs, qt.Equals, changes*len(cluster.Controls))
 
 			cut := cluster.Controls[5]
 			for _, node := range cluster.Controls[:5] {
@@ -230,13 +230,13 @@
 			c.Check(cut.Status(), qt.Equals, "in touch")
 			_, _, reply = cluster.Call("configuration.read", "", nil, time.Second, 5)
 			c.Check(string(reply), qt.Contains, `"00000003"`)
-			cost = append(cost, cluster.Network.ReceivedBytes(cut.Settings.IP)-before)
+			repairCost = append(repairCost, cluster.Network.ReceivedBytes(cut.Settings.IP)-before)
 		})
 	}
-	t.Log("bytes to the one that was cut off, at 10, 100 and 1000 routes:", cost)
-	t.Log("bytes between regions for an order of one route, the calm's taken off:", order)
-	qt.Check(t, max(order[0], order[1], order[2]) < 6000, qt.IsTrue, qt.Commentf("%v", order))
-	qt.Check(t, cost[2] < 3*cost[0], qt.IsTrue, qt.Commentf("%v", cost))
+	t.Log("bytes to the one that was cut off, at 10, 100 and 1000 routes:", repairCost)
+	t.Log("bytes between regions for an order of one route, the calm's taken off:", changeCost)
+	qt.Check(t, max(changeCost[0], changeCost[1], changeCost[2]) < 6000, qt.IsTrue, qt.Commentf("%v", changeCost))
+	qt.Check(t, repairCost[2] < 3*repairCost[0], qt.IsTrue, qt.Commentf("%v", repairCost))
 }
 
 // A full disk fails what it can't store, and half a record stays behind. Once there is space the next write succeeds without a
@@ -260,7 +260,7 @@
 		d.setFull(false)
 		_, items, _, complete, err := store.Open(d.Open())
 		c.Assert(err, qt.IsNil)
-		c.Check(newestFile(items), qt.Equals, uint64(59))
+		c.Check(newestVersion(items), qt.Equals, uint64(59))
 		c.Check(complete, qt.IsTrue)
 	}
 }
--- a/internal/lab/simulation/writefailure_test.go
+++ b/internal/lab/simulation/writefailure_test.go
@@ -65,11 +65,11 @@
 	}
 	again, items, _, complete, err := store.Open(left.Open())
 	c.Assert(err, qt.IsNil)
-	have := map[string]uint64{}
+	got := map[string]uint64{}
 	for _, i := range items {
-		have[i.Name] = i.Version
+		got[i.Name] = i.Version
 	}
-	c.Assert(maps.Equal(have, want), qt.IsTrue, qt.Commentf("%s %d, %d refused, whole %v: have %v, want %v", kind, seed, f.failures, complete, have, want))
+	c.Assert(maps.Equal(got, want), qt.IsTrue, qt.Commentf("%s %d, %d refused, whole %v: have %v, want %v", kind, seed, f.failures, complete, got, want))
 	c.Assert(complete, qt.IsTrue)
 	again.Close()
 	time.Sleep(2 * time.Second) // the store's own goroutines end
