--- a/internal/lab/simulation/leaverefused_test.go
+++ b/internal/lab/simulation/leaverefused_test.go
@@ -12,9 +12,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A proxy shuts down while clients that still have its address send requests. Hosts need 1.9 s for a request. What is sent within 3
-// s is served, or may be cut where the grace doesn't suffice; what is sent later is never cut: the proxy rejects it at once, with
-// Retry-After, and what it rejects hasn't run.
+// A draining proxy must not accept a request that it cannot finish in time. Clients keep sending requests that take a host 1.9 s.
+// Requests of the first 3 s are served, rejected or cut off at the end of the grace period; later ones are rejected at once, with
+// Retry-After, and never cut off.
 func TestDrainRejectsRequestsItCannotFinish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -41,8 +41,8 @@
 				elapsed := time.Since(start) - sent
 				mu.Lock()
 				defer mu.Unlock()
-				if err != nil { // not listened for any more is no cut
-					c.Check(sent <= 3*time.Second || elapsed < 200*time.Millisecond, qt.IsTrue, qt.Commentf("sent after %v, cut after %v: %v", sent, elapsed, err))
+				if err != nil { // a refused connection is not a cut-off request
+					c.Check(sent <= 3*time.Second || elapsed < 200*time.Millisecond, qt.IsTrue, qt.Commentf("request sent at %v failed after %v: %v", sent, elapsed, err))
 					return
 				}
 				io.Copy(io.Discard, resp.Body)
@@ -52,21 +52,21 @@
 					served++
 					c.Check(sent <= 3*time.Second, qt.IsTrue)
 				case 503:
-					if sent < 2600*time.Millisecond { // as it takes its last ones, for want of room
+					if sent < 2600*time.Millisecond { // rejected for lack of capacity, not because of the shutdown
 						break
 					}
 					refused++
-					c.Check(elapsed < 200*time.Millisecond, qt.IsTrue, qt.Commentf("sent after %v, refused after %v", sent, elapsed))
+					c.Check(elapsed < 200*time.Millisecond, qt.IsTrue, qt.Commentf("request sent at %v rejected after %v", sent, elapsed))
 					c.Check(resp.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
 					c.Check(resp.Header.Get("Connection") == "close" || resp.Close, qt.IsTrue)
 				default:
-					c.Errorf("sent after %v: %d", sent, resp.StatusCode)
+					c.Errorf("request sent at %v: got status %d, want 200 or 503", sent, resp.StatusCode)
 				}
 			})
 			time.Sleep(300 * time.Millisecond)
 		}
 		all.Wait()
-		c.Check(served >= 6, qt.IsTrue, qt.Commentf("%d served", served))
-		c.Check(refused >= 5, qt.IsTrue, qt.Commentf("%d refused", refused))
+		c.Check(served >= 6, qt.IsTrue, qt.Commentf("got %d requests served, want at least 6", served))
+		c.Check(refused >= 5, qt.IsTrue, qt.Commentf("got %d requests rejected, want at least 5", refused))
 	})
 }
--- a/internal/lab/simulation/linearizability_test.go
+++ b/internal/lab/simulation/linearizability_test.go
@@ -11,8 +11,8 @@
 	"github.com/samber/lo"
 )
 
-// earliestEnd is when at the earliest a rollout has ended that was begun at one time or later: routers have voted, or its term is
-// nearly over.
+// earliestEnd returns the earliest time at which a rollout that began at from or later can have ended: when proxies next voted, or
+// 2 s before its duration expires.
 func (rc *recorder) earliestEnd(from int64) int64 {
 	end := from + (rolloutSeconds-2)*int64(time.Second)
 	for _, at := range rc.votedAt {
@@ -23,9 +23,9 @@
 	return end
 }
 
-// configOps returns the calls about the configuration as operations of the model. What reads show narrows when a change that wasn't
-// refused can have come into force, as a version is never followed by a lower one: not after the end of the first read that saw it,
-// and not before the beginning of the last one that saw a lower version. The model decides as before, it only searches less.
+// configOps returns the configuration calls as operations of the model. Because versions never decrease, reads narrow the interval in
+// which a change that wasn't rejected can have come into force: not after the end of the first read that saw it, and not before the
+// start of the last read that saw a lower version. This reduces the search without changing its result.
 func (rc *recorder) configOps() (ops []porcupine.Operation) {
 	add := func(op configOp, call, ret int64) {
 		ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: op, Call: call, Return: ret})
@@ -41,7 +41,7 @@
 		}
 		add(configOp{items: items, status: lo.Ternary(ch.status == 200 || ch.status == 409, ch.status, 0), removable: ch.status != 409 && rc.removable(items, ret)}, call, ret)
 		for _, a := range ch.repeats {
-			if ch.status == 409 && a.status == 200 { // only where nothing of it could come in force any more
+			if ch.status == 409 && a.status == 200 { // allowed only if all of its items were superseded already
 				add(configOp{items: items, status: 200}, a.calledAt, a.returnedAt)
 			}
 		}
@@ -52,9 +52,9 @@
 	return ops
 }
 
-// removable reports whether a change that wasn't refused may come into force last of all and then change nothing, or nothing that
-// is seen, and is unlikely to have been needed before: it has no end, or all its routes were read at later versions before its end;
-// no read saw any of it, it drops nothing, and no rival of it was refused.
+// removable reports whether a change that wasn't rejected can be ordered after all other operations, where no read observes it, and
+// is unlikely to be needed earlier: it has no return time, or all its routes were read at later versions before it returned; no read
+// saw any of it, it deletes no route, and no conflicting change was rejected.
 func (rc *recorder) removable(items []content, ret int64) bool {
 	passed := ret == never
 	for _, r := range rc.reads {
@@ -74,7 +74,8 @@
 	})
 }
 
-// narrowed returns the interval in which a change can have come into force, from the interval between its call and its answer.
+// narrowInterval narrows the interval between the call and the return of a change to the interval in which it can have come into
+// force, given what reads saw.
 func (rc *recorder) narrowInterval(items []content, call, ret int64) (from, by int64) {
 	from, by = call, ret
 	for _, r := range rc.reads {
@@ -87,7 +88,7 @@
 			}
 		}
 	}
-	if from > by { // no model allows that: it is to be found and shown as it was
+	if from > by { // not linearizable: keep the original interval for the report
 		return call, ret
 	}
 	return from, by
@@ -96,7 +97,7 @@
 func (rc *recorder) timedOperations(all []timedCall) (ops []porcupine.Operation) {
 	for _, t := range all {
 		ret := t.returnedAt
-		if ret == never && t.calledAt < rc.settledAt { // what is unclear is decided or gone by then
+		if ret == never && t.calledAt < rc.settledAt { // an unanswered call has taken effect by then, or never will
 			ret = rc.settledAt
 		}
 		ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: t.op, Call: t.calledAt, Return: ret})
@@ -104,8 +105,8 @@
 	return ops
 }
 
-// checkLinearizable checks calls against a model, first without those that are removable: where there is an order without them
-// there is one with them. If there is none, all are searched.
+// checkLinearizable checks operations against a model, first without the removable ones: a valid order of the others can be extended
+// by them. If there is none, it searches for an order of all operations.
 func (rc *recorder) checkLinearizable(label string, model porcupine.Model, ops []porcupine.Operation) {
 	required := slices.DeleteFunc(slices.Clone(ops), func(o porcupine.Operation) bool {
 		op, isConfig := o.Input.(configOp)
@@ -128,8 +129,8 @@
 	}
 }
 
-// findOrder reports whether a model allows the calls in some order, and how many of its steps that needed; it gives up after
-// mostSteps.
+// findOrder reports whether the operations are linearizable, and the number of model steps that the search took. It gives up after
+// maxSteps.
 func findOrder(m porcupine.Model, ops []porcupine.Operation) (ok bool, steps int64) {
 	var n atomic.Int64
 	step := m.Step
@@ -143,7 +144,7 @@
 	return ok, n.Load()
 }
 
-// printOperations writes a history down by the times of the calls, in milliseconds.
+// printOperations prints operations in the order of their call times, with times in milliseconds since the first call.
 func (rc *recorder) printOperations(label string, ops []porcupine.Operation) {
 	slices.SortFunc(ops, func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) })
 	fmt.Println(label, rc.seed)
--- a/internal/lab/simulation/measurecatchup_test.go
+++ b/internal/lab/simulation/measurecatchup_test.go
@@ -12,9 +12,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// measureJoin is what it costs to bring in one whose disk was lost.
+// measureJoin measures how long a control process that lost its disk takes to rejoin, and the bytes that it receives.
 func measureJoin(t *testing.T) {
-	t.Log("| routes | until it is in touch ms | until the next loss is borne ms | bytes to it | of all to it in the same time when calm |")
+	t.Log("| routes | until in touch ms | until two failures are tolerated ms | bytes received | bytes received when idle, same time |")
 	for _, n := range []int{10, 100, 1000, 3200} {
 		runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
 			b.loadRoutes(n)
@@ -44,9 +44,9 @@
 	}
 }
 
-// measureBehind is how long one that missed changes is behind, while 40 a second go on.
+// measureCatchUp measures how long a control process that missed changes takes to catch up, with and without concurrent changes.
 func measureCatchUp(t *testing.T) {
-	t.Log("| items | missed | a second meanwhile | link | until in touch ms | until all that was confirmed at the start is had ms | bytes to it | heap at its most MB, over before | worst order meanwhile ms |")
+	t.Log("| items | missed changes | concurrent changes/s | link | until in touch ms | until it has all changes acknowledged before its start ms | bytes received | peak heap growth MB | slowest concurrent change ms |")
 	for _, x := range []struct {
 		routes, shares, missed int
 		perS, link             float64
@@ -55,7 +55,7 @@
 		{10, 0, 10, 40, 0}, {10, 0, 100, 40, 0}, {10, 0, 1000, 40, 0}, {10, 0, 10000, 40, 0},
 		{1000, 0, 1000, 40, 0}, {3200, 0, 1000, 40, 0}, {3200, 0, 1000, 40, 250e3}, {3200, 10000, 100, 40, 250e3}, {3200, 10000, 1000, 40, 250e3},
 	} {
-		t.Run(fmt.Sprintf("%d+%d missed %d at %.0f link %.0f", x.routes, x.shares, x.missed, x.perS, x.link), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d routes, %d quotas, %d missed, %.0f changes/s, link %.0f", x.routes, x.shares, x.missed, x.perS, x.link), func(t *testing.T) {
 			runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
 				b.loadRoutes(x.routes)
 				b.fillTo(x.shares)
@@ -107,14 +107,14 @@
 				for _, o := range wait() {
 					worst = max(worst, o.latency)
 				}
-				t.Logf("| %d routes, %d shares | %d | %.0f | %s | %s | %s | %d | %.1f | %s |", x.routes, x.shares, x.missed, x.perS,
+				t.Logf("| %d routes, %d quotas | %d | %.0f | %s | %s | %s | %d | %.1f | %s |", x.routes, x.shares, x.missed, x.perS,
 					map[bool]string{true: "2 Mbit/s", false: "free"}[x.link > 0], formatMillis(caughtUp), formatMillis(readable), bytes, float64(most-min(heap, most))/1e6, formatMillis(worst))
 			})
 		})
 	}
 }
 
-// measureRestart is how soon a process that was ended and started again serves.
+// measureRestart measures how soon a restarted control process serves calls of each kind.
 func measureRestart(t *testing.T) {
 	first := map[string][]time.Duration{}
 	for seed := range uint64(20) {
@@ -149,18 +149,18 @@
 				status, _ := b.callOnce(at, at, "configuration.modify", "", b.nextChange("back"))
 				return status == 200
 			})
-			probe("a line of a router of its zone", func() bool { return b.dialStream(at) })
+			probe("a subscription of a proxy of its zone", func() bool { return b.dialStream(at) })
 			wait()
 		})
 	}
-	t.Log("| restarted after 2 to 6 s, 40 changes a second, 20 seeds: first | p50 ms | p99 ms | worst ms |")
-	for _, name := range []string{"in touch", "a heartbeat", "configuration.read", "configuration.modify", "a line of a router of its zone"} {
+	t.Log("| first success after a restart (40 changes/s, 20 seeds) | p50 ms | p99 ms | worst ms |")
+	for _, name := range []string{"in touch", "a heartbeat", "configuration.read", "configuration.modify", "a subscription of a proxy of its zone"} {
 		t.Logf("| %s | %s |", name, percentiles(first[name]))
 	}
 }
 
-// measureLongDay is the long run: 1,100 changes and 330 restarts, some of them with a loss of power and a few with a lost disk. At
-// the end all processes have what was confirmed, and have caught up.
+// measureSoak makes 1,100 changes during 330 power losses, a few of which also lose the disk. Afterwards all control processes must
+// have caught up and hold every acknowledged change.
 func measureSoak(t *testing.T) {
 	if !*measureLongRun {
 		t.Skip("only with -day")
@@ -236,10 +236,10 @@
 			node.Disk.mu.Unlock()
 			disk = max(disk, size)
 		}
-		t.Log("| a day | orders | p50 ms | p99 ms | worst ms | sent again | not confirmed |")
-		t.Log(tableRow(fmt.Sprintf("%d changes, %d restarts (%d of them with a lost disk) in %v", changes, restarts, wiped, *longRunDuration), all))
-		t.Logf("| started until in touch | %d | %s | lost %d | unlike %d | largest disk %d bytes | %d routes |", len(caughtUp), percentiles(caughtUp), lost, differing, disk, len(confirmed))
+		t.Log("| soak run | changes | p50 ms | p99 ms | worst ms | retried | unacknowledged |")
+		t.Log(tableRow(fmt.Sprintf("%d changes, %d restarts (%d with a wiped disk) in %v", changes, restarts, wiped, *longRunDuration), all))
+		t.Logf("| from start until in touch | %d | %s | lost %d | differing %d | largest disk %d bytes | %d routes |", len(caughtUp), percentiles(caughtUp), lost, differing, disk, len(confirmed))
 		b.close()
 	})
-	t.Logf("took %v of this machine", time.Since(start).Round(time.Second))
+	t.Logf("took %v of real time", time.Since(start).Round(time.Second))
 }
--- a/internal/lab/simulation/measurecost_test.go
+++ b/internal/lab/simulation/measurecost_test.go
@@ -13,10 +13,10 @@
 	"portflow/internal/cluster/stream"
 )
 
-// controlCost is what control spent: frames on streams, syncs, bytes between regions.
+// controlCost is the cost of all control processes together: totals, or averages per change or second.
 type controlCost struct {
 	frames, syncs, crossRegionBytes float64
-	takenAt                         time.Time
+	takenAt                         time.Time // when the totals were read
 }
 
 func (b *benchmark) currentCost() controlCost {
@@ -31,14 +31,14 @@
 	return s
 }
 
-// perChange returns what each of n changes cost between two times, less what an idle period of the same length does; idle is per
+// perChange returns the average cost of n changes between totals a and z, after subtracting the cost of an idle cluster; idle is per
 // second.
 func (a controlCost) perChange(z, idle controlCost, n int) controlCost {
 	s, k := z.takenAt.Sub(a.takenAt).Seconds(), float64(n)
 	return controlCost{frames: (z.frames - a.frames - idle.frames*s) / k, syncs: (z.syncs - a.syncs - idle.syncs*s) / k, crossRegionBytes: (z.crossRegionBytes - a.crossRegionBytes - idle.crossRegionBytes*s) / k}
 }
 
-// idleCost is what control spends a second on nothing.
+// idleCost measures the cost per second of an idle cluster.
 func (b *benchmark) idleCost() controlCost {
 	a := b.currentCost()
 	time.Sleep(20 * time.Second)
@@ -52,10 +52,10 @@
 			a := b.currentCost()
 			all := b.sendChanges(at, 40, 200*time.Millisecond)
 			x := a.perChange(b.currentCost(), idle, len(all))
-			b.c.Logf("at %d: %.1f frames, %.1f syncs, %.0f bytes between regions an order", at, x.frames, x.syncs, x.crossRegionBytes)
-			b.c.Check(x.frames <= maxFrames, qt.IsTrue, qt.Commentf("%.1f frames an order", x.frames))
-			b.c.Check(x.syncs <= maxSyncs, qt.IsTrue, qt.Commentf("%.1f syncs an order", x.syncs))
-			b.c.Check(x.crossRegionBytes <= maxCrossRegionBytes, qt.IsTrue, qt.Commentf("%.0f bytes an order", x.crossRegionBytes))
+			b.c.Logf("process %d, per change: %.1f frames, %.1f syncs, %.0f bytes between regions", at, x.frames, x.syncs, x.crossRegionBytes)
+			b.c.Check(x.frames <= maxFrames, qt.IsTrue, qt.Commentf("%.1f frames per change", x.frames))
+			b.c.Check(x.syncs <= maxSyncs, qt.IsTrue, qt.Commentf("%.1f syncs per change", x.syncs))
+			b.c.Check(x.crossRegionBytes <= maxCrossRegionBytes, qt.IsTrue, qt.Commentf("%.0f bytes between regions per change", x.crossRegionBytes))
 			for _, o := range all {
 				b.c.Check(o.status == 200 && o.attempts == 1 && o.latency < 300*time.Millisecond, qt.IsTrue, qt.Commentf("%+v", o))
 			}
@@ -64,10 +64,10 @@
 }
 
 func measureCost(t *testing.T) {
-	t.Log("| six members, no routers | frames on lines | syncs | bytes between regions |")
+	t.Log("| six members, no proxies | stream frames | syncs | bytes between regions |")
 	runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
 		idle := b.idleCost()
-		t.Logf("| a calm second | %.1f | %.2f | %.0f |", idle.frames, idle.syncs, idle.crossRegionBytes)
+		t.Logf("| an idle second | %.1f | %.2f | %.0f |", idle.frames, idle.syncs, idle.crossRegionBytes)
 		logCost := func(name string, n int, a controlCost) {
 			x := a.perChange(b.currentCost(), idle, n)
 			t.Logf("| %s | %.1f | %.2f | %.0f |", name, x.frames, x.syncs, x.crossRegionBytes)
@@ -75,11 +75,11 @@
 		for _, at := range []int{0, 1, 5} {
 			a := b.currentCost()
 			all := b.sendChanges(at, 200, 200*time.Millisecond)
-			logCost(fmt.Sprintf("an order at process %d", at), len(all), a)
+			logCost(fmt.Sprintf("a change at process %d", at), len(all), a)
 		}
 		a := b.currentCost()
 		all := b.streamChanges(40, 30*time.Second, 0, 1, 2, 3, 4, 5)()
-		logCost("an order of 40 a second", len(all), a)
+		logCost("a change, at 40 changes/s", len(all), a)
 		for _, at := range []int{0, 5} {
 			a = b.currentCost()
 			for range 200 {
@@ -91,10 +91,10 @@
 	})
 }
 
-// measureSize measures a change of one route by the number of items: in real time, unlike all else here. The proposer checks each
-// change, and each process builds the routing table for each change.
+// measureSize measures how the cost of changing one route grows with the number of items, in real time. The proposer validates each
+// change, and each process rebuilds its routing table for it.
 func measureSize(t *testing.T) {
-	t.Log("| items | check of one route's change ms | drawing the chart ms | a copy of the set ms |")
+	t.Log("| items | validating a change of one route ms | building the routing table ms | cloning the set ms |")
 	for _, x := range [][2]int{{10, 0}, {1000, 0}, {3200, 0}, {3200, 10000}, {3200, 33000}} {
 		set := config.NewSet()
 		set.Merge(config.Item{Kind: config.KindServices, Name: "desk", Version: 1, Body: json.RawMessage(`{"cold-per-s":3,"cold-start-s":3,` +
@@ -126,11 +126,11 @@
 				t.Fatal(err)
 			}
 		})
-		t.Logf("| %d routes, %d shares | %s | %s | %s |", x[0], x[1], check, timed(func() { config.NewRoutingTable(set) }), timed(func() { set.Clone() }))
+		t.Logf("| %d routes, %d quotas | %s | %s | %s |", x[0], x[1], check, timed(func() { config.NewRoutingTable(set) }), timed(func() { set.Clone() }))
 	}
 }
 
-// The bounds are some 10% above what was measured; see docs/hardening/measured.md.
+// Upper bounds per change, about 10% above the figures in docs/hardening/measured.md.
 const (
 	maxFrames           = 48.0
 	maxSyncs            = 6.2
--- a/internal/lab/simulation/measurefaults_test.go
+++ b/internal/lab/simulation/measurefaults_test.go
@@ -15,7 +15,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// measureStart measures how long a first start lasts: until changes are accepted, and until all are members.
+// measureStart measures how long a new cluster takes to accept its first change, and to tolerate two failures.
 func measureStart(t *testing.T) {
 	var taken, members []time.Duration
 	for seed := range uint64(20) {
@@ -24,7 +24,7 @@
 			cluster := New(layoutOf(6, 0, 0, seed+1))
 			defer cluster.Stop()
 			b := newBenchmark(c, cluster)
-			for _, i := range b.rng.Perm(6) { // in any order, within 0.3 s
+			for _, i := range b.rng.Perm(6) { // in random order, within about 0.3 s
 				c.Assert(cluster.Controls[i].Start(), qt.IsNil)
 				b.sleepAbout(50 * time.Millisecond)
 			}
@@ -43,21 +43,21 @@
 			b.close()
 		})
 	}
-	t.Log("| after the last of a first start in any order, 20 seeds | p50 ms | p99 ms | worst ms |")
-	t.Logf("| until the first order is confirmed | %s |", percentiles(taken))
-	t.Logf("| until all six are counted | %s |", percentiles(members))
+	t.Log("| after the last process of a new cluster started, random order, 20 seeds | p50 ms | p99 ms | worst ms |")
+	t.Logf("| until the first change is acknowledged | %s |", percentiles(taken))
+	t.Logf("| until two failures are tolerated | %s |", percentiles(members))
 }
 
-// measureLoss measures how changes suffer from a loss or a change of members, and how long the members tolerate one loss fewer.
-// Changes are sent at 20 a second from 1 s before to 11 s after, to the processes that are left.
+// measureLoss measures the latency of changes around the failure or replacement of a member, and the time until the cluster tolerates
+// two failures again. Changes are sent to the other processes, 20 a second from 1 s before the event to 11 s after it.
 func measureLoss(t *testing.T) {
-	t.Log("| event, 10 seeds each | orders after it | p50 ms | p99 ms | worst ms | sent again | not confirmed | longest without a confirmation ms (p50, p99, worst) | until the next loss is borne again s (p50, worst) | when that longest, and the worst order, began, s after the event |")
+	t.Log("| event, 10 seeds each | changes after it | p50 ms | p99 ms | worst ms | retried | unacknowledged | longest time without an acknowledgement ms (p50, p99, worst) | until two failures are tolerated again s (p50, worst) | start of that longest time and of the slowest change, s after the event |")
 	type faultCase struct {
 		name  string
-		do    func(b *benchmark) // the loss
-		after time.Duration
-		back  func(b *benchmark) // what is done against it
-		lost  int
+		do    func(b *benchmark) // causes the failure
+		after time.Duration      // from the failure to its repair
+		back  func(b *benchmark) // repairs it
+		lost  int                // the process that fails
 	}
 	freeze := func(b *benchmark, at int, on bool) bool {
 		x, ok := any(b.cluster.Network).(interface{ Freeze(string, bool) })
@@ -68,14 +68,14 @@
 	}
 	for _, x := range []faultCase{
 		{"nothing", func(b *benchmark) {}, 0, func(b *benchmark) {}, 5},
-		{"the proposer is killed, and started after 3 s", func(b *benchmark) { b.cluster.Controls[0].Kill() }, 3 * time.Second, func(b *benchmark) { b.cluster.Controls[0].mustStart() }, 0},
+		{"the proposer is killed, and restarted after 3 s", func(b *benchmark) { b.cluster.Controls[0].Kill() }, 3 * time.Second, func(b *benchmark) { b.cluster.Controls[0].mustStart() }, 0},
 		{"the proposer loses power for 3 s", func(b *benchmark) { b.setPoweredOff(0, true) }, 3 * time.Second, func(b *benchmark) { b.setPoweredOff(0, false) }, 0},
-		{"the proposer is cut off for 6 s", func(b *benchmark) { b.setPartition(true, 0) }, 6 * time.Second, func(b *benchmark) { b.setPartition(false, 0) }, 0},
+		{"the proposer is partitioned for 6 s", func(b *benchmark) { b.setPartition(true, 0) }, 6 * time.Second, func(b *benchmark) { b.setPartition(false, 0) }, 0},
 		{"the proposer is frozen for 6 s", func(b *benchmark) { freeze(b, 0, true) }, 6 * time.Second, func(b *benchmark) { freeze(b, 0, false) }, 0},
-		{"another is killed, and started after 3 s", func(b *benchmark) { b.cluster.Controls[5].Kill() }, 3 * time.Second, func(b *benchmark) { b.cluster.Controls[5].mustStart() }, 5},
-		{"another loses its disk, and is started at once", func(b *benchmark) { b.cluster.Controls[5].Kill(); b.cluster.Controls[5].Disk.Wipe() }, 100 * time.Millisecond, func(b *benchmark) { b.cluster.Controls[5].mustStart() }, 5},
-		{"the proposer loses its disk, and is started at once", func(b *benchmark) { b.cluster.Controls[0].Kill(); b.cluster.Controls[0].Disk.Wipe() }, 100 * time.Millisecond, func(b *benchmark) { b.cluster.Controls[0].mustStart() }, 0},
-		{"another is replaced by a new machine after 3 s", func(b *benchmark) { b.setPoweredOff(5, true) }, 3 * time.Second, func(b *benchmark) {
+		{"another process is killed, and restarted after 3 s", func(b *benchmark) { b.cluster.Controls[5].Kill() }, 3 * time.Second, func(b *benchmark) { b.cluster.Controls[5].mustStart() }, 5},
+		{"another process loses its disk, and is restarted at once", func(b *benchmark) { b.cluster.Controls[5].Kill(); b.cluster.Controls[5].Disk.Wipe() }, 100 * time.Millisecond, func(b *benchmark) { b.cluster.Controls[5].mustStart() }, 5},
+		{"the proposer loses its disk, and is restarted at once", func(b *benchmark) { b.cluster.Controls[0].Kill(); b.cluster.Controls[0].Disk.Wipe() }, 100 * time.Millisecond, func(b *benchmark) { b.cluster.Controls[0].mustStart() }, 0},
+		{"another process is replaced by a new machine after 3 s", func(b *benchmark) { b.setPoweredOff(5, true) }, 3 * time.Second, func(b *benchmark) {
 			any(b.cluster.Controls[5]).(interface{ Replace() }).Replace()
 			b.cluster.Controls[5].mustStart()
 		}, 5},
@@ -87,7 +87,7 @@
 		_, replaces := any(&ControlNode{}).(interface{ Replace() })
 		_, freezes := any(&Network{}).(interface{ Freeze(string, bool) })
 		if !replaces && strings.Contains(x.name, "replaced") || !freezes && strings.Contains(x.name, "frozen") {
-			t.Logf("| %s | not measured: this version's emulator can't |", x.name)
+			t.Logf("| %s | not measured: not supported by this emulator |", x.name)
 			continue
 		}
 		var all []callResult
@@ -107,7 +107,7 @@
 				})
 				watcher := 2
 				b.pending.Go(func() {
-					// the loss must be seen before it can be mended
+					// the failure must be detected before the repair counts
 					down := false
 					for time.Since(at) < 40*time.Second {
 						s := b.readCore(watcher)
@@ -160,16 +160,16 @@
 }
 
 // measurePartitions measures how long a control process that is partitioned from all others still answers, and how long proxies
-// stay subscribed to it: while it gets calls of all kinds, and while only hosts and the directory's clients call it, so that it
-// sends little to the others.
+// stay subscribed to it: with calls of all kinds, and with calls only from hosts and clients of the directory, where it sends little
+// to the other processes.
 func measurePartitions(t *testing.T) {
-	t.Log("| cut off from all others, 20 seeds: last answered with 200 after the cut | p50 ms | p99 ms | worst ms |")
+	t.Log("| last success after a partition from all others, 20 seeds | p50 ms | p99 ms | worst ms |")
 	for _, x := range []struct {
 		name       string
 		withCalls  bool
-		ackTimeout time.Duration // after which connections give up what nobody acknowledges
-	}{{"", true, 1500 * time.Millisecond}, {"nobody reads or orders there: ", false, 1500 * time.Millisecond},
-		{"connections give nothing up: ", true, time.Hour}} {
+		ackTimeout time.Duration // after which connections with unacknowledged data fail
+	}{{"", true, 1500 * time.Millisecond}, {"no reads or changes there: ", false, 1500 * time.Millisecond},
+		{"connections never time out: ", true, time.Hour}} {
 		last := map[string][]time.Duration{}
 		for seed := range uint64(20) {
 			runBenchmark(t, layoutOf(6, 2, 1, seed+1), func(b *benchmark) {
@@ -231,7 +231,7 @@
 		io.Copy(io.Discard, resp.Body)
 		return resp.StatusCode == 200
 	})
-	b.pending.Go(func() { // when its router goes, and how long it hangs there in all, as it looks again now and then
+	b.pending.Go(func() { // a proxy that left may subscribe again for a while when it probes the process
 		leftAfter, subscribed := time.Duration(0), time.Duration(0)
 		for time.Since(cut) < duration {
 			if b.dialStream(at) {
@@ -241,13 +241,13 @@
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		record("the line of a router of its zone: until it first goes", leftAfter)
-		record("the line of a router of its zone: in all of the 12 s", subscribed)
+		record("subscription of a proxy of its zone: until it first ends", leftAfter)
+		record("subscription of a proxy of its zone: total within 12 s", subscribed)
 	})
 }
 
-// countHeartbeats returns a function that sends a process the heartbeat of another host with each call, and reports whether it was
-// accepted.
+// countHeartbeats returns a function that sends the process a heartbeat of an additional host, with the next sequence number, and
+// reports whether it was accepted.
 func (b *benchmark) countHeartbeats(at int) func() bool {
 	n := 0
 	return func() bool {
--- a/internal/lab/simulation/measurelatency_test.go
+++ b/internal/lab/simulation/measurelatency_test.go
@@ -11,23 +11,23 @@
 )
 
 func measureAck(t *testing.T) {
-	t.Log("| acknowledgement | orders | p50 ms | p99 ms | worst ms | sent again | not confirmed |")
+	t.Log("| acknowledgement | changes | p50 ms | p99 ms | worst ms | retried | unacknowledged |")
 	const n = 300
 	zones := []int{0, 1, 2, 3, 4, 5}
 	for _, x := range []struct {
 		name string
 		do   func(b *benchmark)
-		at   []int // where orders come
+		at   []int // the processes that receive changes
 	}{
 		{"calm", func(b *benchmark) {}, []int{0, 1, 5}},
-		{"one down for 5 s", func(b *benchmark) { b.setPoweredOff(1, true); time.Sleep(5 * time.Second) }, []int{0, 5}},
+		{"one process down for 5 s", func(b *benchmark) { b.setPoweredOff(1, true); time.Sleep(5 * time.Second) }, []int{0, 5}},
 		{"the proposer down for 5 s", func(b *benchmark) { b.setPoweredOff(0, true); time.Sleep(5 * time.Second) }, []int{1, 5}},
-		{"a region gone for 5 s (not the proposer's)", func(b *benchmark) { b.setPoweredOff(4, true); b.setPoweredOff(5, true); time.Sleep(5 * time.Second) }, []int{0, 2}},
-		{"the proposer's region gone for 5 s", func(b *benchmark) { b.setPoweredOff(0, true); b.setPoweredOff(1, true); time.Sleep(5 * time.Second) }, []int{2, 4}},
+		{"a region down for 5 s (not the proposer's)", func(b *benchmark) { b.setPoweredOff(4, true); b.setPoweredOff(5, true); time.Sleep(5 * time.Second) }, []int{0, 2}},
+		{"the proposer's region down for 5 s", func(b *benchmark) { b.setPoweredOff(0, true); b.setPoweredOff(1, true); time.Sleep(5 * time.Second) }, []int{2, 4}},
 		{"slow disk (125 ms) at the proposer", func(b *benchmark) { b.setDisk(0, 125*time.Millisecond, false) }, []int{0, 5}},
-		{"slow disk (125 ms) at another", func(b *benchmark) { b.setDisk(3, 125*time.Millisecond, false) }, []int{0, 3, 5}},
-		{"refusing disk at the proposer", func(b *benchmark) { b.setDisk(0, 5*time.Millisecond, true) }, []int{0, 5}},
-		{"refusing disk at another", func(b *benchmark) { b.setDisk(3, 5*time.Millisecond, true) }, []int{0, 3, 5}},
+		{"slow disk (125 ms) at another process", func(b *benchmark) { b.setDisk(3, 125*time.Millisecond, false) }, []int{0, 3, 5}},
+		{"failing disk at the proposer", func(b *benchmark) { b.setDisk(0, 5*time.Millisecond, true) }, []int{0, 5}},
+		{"failing disk at another process", func(b *benchmark) { b.setDisk(3, 5*time.Millisecond, true) }, []int{0, 3, 5}},
 	} {
 		for _, at := range x.at {
 			runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
@@ -36,13 +36,13 @@
 			})
 		}
 	}
-	// just gone: the first two seconds after a loss, over many losses
+	// the first two seconds after a failure, over many failures
 	for _, x := range []struct {
 		name  string
 		lost  []int
 		zones []int
-	}{{"one just gone (power)", []int{1}, []int{0, 2, 3, 4, 5}}, {"the proposer just gone (power)", []int{0}, zones[1:]},
-		{"a region just gone (not the proposer's)", []int{4, 5}, zones[:4]}, {"the proposer's region just gone", []int{0, 1}, zones[2:]}} {
+	}{{"one process just lost power", []int{1}, []int{0, 2, 3, 4, 5}}, {"the proposer just lost power", []int{0}, zones[1:]},
+		{"a region just lost power (not the proposer's)", []int{4, 5}, zones[:4]}, {"the proposer's region just lost power", []int{0, 1}, zones[2:]}} {
 		runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
 			var all []callResult
 			for range 15 {
@@ -75,17 +75,17 @@
 			})
 		}
 		each.Wait()
-		t.Log(tableRow("eight under way at once, at all processes", all))
+		t.Log(tableRow("eight concurrent changes, at all processes", all))
 	})
 	for _, perSecond := range []float64{40, 100} {
 		runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
-			t.Log(tableRow(fmt.Sprintf("%.0f a second for 30 s, at all processes", perSecond), b.streamChanges(perSecond, 30*time.Second, zones...)()))
+			t.Log(tableRow(fmt.Sprintf("%.0f changes/s for 30 s, at all processes", perSecond), b.streamChanges(perSecond, 30*time.Second, zones...)()))
 		})
 	}
 }
 
 func measureReads(t *testing.T) {
-	t.Log("| reads | calls | p50 ms | p99 ms | worst ms | sent again | not 200 |")
+	t.Log("| reads | calls | p50 ms | p99 ms | worst ms | retried | not 200 |")
 	for _, x := range []struct {
 		name string
 		do   func(b *benchmark)
@@ -93,8 +93,8 @@
 	}{
 		{"calm", func(b *benchmark) {}, []int{0, 5}},
 		{"40 changes a second", func(b *benchmark) { b.streamChanges(40, 120*time.Second, 0, 1, 2, 3, 4, 5) }, []int{0, 5}},
-		{"a region gone for 5 s (not the proposer's)", func(b *benchmark) { b.setPoweredOff(4, true); b.setPoweredOff(5, true); time.Sleep(5 * time.Second) }, []int{0, 2}},
-		{"the proposer's region gone for 5 s", func(b *benchmark) { b.setPoweredOff(0, true); b.setPoweredOff(1, true); time.Sleep(5 * time.Second) }, []int{2, 4}},
+		{"a region down for 5 s (not the proposer's)", func(b *benchmark) { b.setPoweredOff(4, true); b.setPoweredOff(5, true); time.Sleep(5 * time.Second) }, []int{0, 2}},
+		{"the proposer's region down for 5 s", func(b *benchmark) { b.setPoweredOff(0, true); b.setPoweredOff(1, true); time.Sleep(5 * time.Second) }, []int{2, 4}},
 	} {
 		for _, at := range x.at {
 			runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
@@ -126,11 +126,11 @@
 			b.setPoweredOff(5, false)
 			time.Sleep(8 * time.Second)
 		}
-		t.Log(tableRow("configuration.read; a region just gone", all))
+		t.Log(tableRow("configuration.read; a region just lost power", all))
 	})
 }
 
-// measureRaces has two operators send two contents of one number at two processes.
+// measureRaces has two operators send different contents for the same version of a route to two processes.
 func measureRaces(t *testing.T) {
 	runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
 		firstStatuses := map[string]int{}
@@ -160,6 +160,6 @@
 			finalStatuses[fmt.Sprint(x)]++
 			time.Sleep(50 * time.Millisecond)
 		}
-		t.Logf("| 1,000 pairs of rivals, 0 to 100 ms apart | first answers %v | once sent until clear %v |", firstStatuses, finalStatuses)
+		t.Logf("| 1,000 pairs of conflicting changes, 0 to 100 ms apart | first responses %v | after retries %v |", firstStatuses, finalStatuses)
 	})
 }
