--- a/internal/lab/simulation/model_test.go
+++ b/internal/lab/simulation/model_test.go
@@ -9,44 +9,44 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// What a history is held against: the configuration as one object of some routes' registers, an evacuation as a register of
-// yes and no, and a service's rollouts. Times are nanoseconds.
+// Sequential models for the linearizability check of histories: the configuration as a set of route registers, an evacuation as a
+// boolean register, and the rollouts of a service. Times are in nanoseconds.
 
 const (
-	routeCount   = 5  // registers
-	maxConflicts = 40 // versions under which there are several contents
+	routeCount   = 5
+	maxConflicts = 40 // versions that are sent with more than one content
 	never        = int64(math.MaxInt64)
 
-	maxSteps = int64(20_000_000) // of a model, for one history: a count, as the machine's time is not the test's
+	// maxSteps bounds the model steps of one search. It is a count, not a duration, so that the result doesn't depend on the machine.
+	maxSteps = int64(20_000_000)
 )
 
-// configState is the state of the configuration: by route the content that is in force, 0 for none, and by version under which
-// there are several contents the one that was decided for it.
+// configState is the state of the configuration, as content IDs; 0 stands for none.
 type configState struct {
-	current [routeCount]int16
-	decided [maxConflicts]int16
+	current [routeCount]int16   // by route: the content in force
+	decided [maxConflicts]int16 // by conflict: the content that was chosen
 }
 
-// content is what a change sets for one route under one version.
+// content is the value that a change sets for one version of a route.
 type content struct {
 	id       int16 // from 1
 	route    int
 	version  uint64
-	prefix   string // empty: the route is dropped
-	conflict int    // the number of a version that has several contents, from 0; -1 where this is the only one
+	prefix   string // empty if the route is deleted
+	conflict int    // index of the conflict if the version was sent with several contents, otherwise -1
 }
 
-// configOp is a call: a change, or a read, with its answer.
+// configOp is a call that changes or reads the configuration, with its result.
 type configOp struct {
 	items     []content
-	status    int // of a change; 0 for none that is clear
+	status    int // of a change; 0 if the outcome is unknown
 	read      bool
-	contents  [routeCount]int16 // by a reading: the contents, 0 for no route
-	removable bool              // the history needn't have it: see watch.spare
+	contents  [routeCount]int16 // read content IDs by route, 0 for no route
+	removable bool              // see recorder.removable
 }
 
-// configModel is the model of the configuration: the highest version is in force, a version has one content for ever, and a change
-// comes into force completely or not at all. all are the contents, by id.
+// configModel is the model of the configuration: the highest version is in force, a version never has more than one content, and a
+// change takes effect completely or not at all. contents are indexed by ID.
 func configModel(contents []content) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return configState{} },
@@ -71,7 +71,7 @@
 			switch {
 			case op.status == 409:
 				return conflicts, st
-			case conflicts && op.status == 200: // it changes nothing, and no part of it could any more
+			case conflicts && op.status == 200: // accepted without effect, as all of its items are superseded
 				return superseded, st
 			case conflicts:
 				return true, st
@@ -89,13 +89,13 @@
 	}
 }
 
-// evacuationOp is a call that begins or ends an evacuation, or looks.
+// evacuationOp is a call that begins, ends or reads an evacuation.
 type evacuationOp struct {
 	read, evacuated bool
 	status          int
 }
 
-// evacuationModel is the model of one zone's evacuation. A call without a clear answer comes into force at some time or never.
+// evacuationModel is the model of one zone's evacuation. A call whose outcome is unknown takes effect at some later time or never.
 var evacuationModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{false} },
 	Step: func(state, input, _ any) []any {
@@ -112,27 +112,27 @@
 	},
 }).ToModel()
 
-// rolloutState is the state of a service's rollouts: the newest one.
+// rolloutState is the state of the newest rollout of a service.
 type rolloutState struct {
-	target     string // empty: there was none
-	phase      string // running, completed, rolled_back
-	beganAfter int64  // it began then or later
-	notBefore  int64  // this state can't have come before then
+	target     string // empty if there was no rollout
+	phase      string // none, running, completed, rolled_back
+	beganAfter int64  // earliest time at which the rollout began
+	notBefore  int64  // earliest time at which this state was reached
 }
 
-// rolloutOp is a call that begins a rollout, or looks.
+// rolloutOp is a call that begins or reads a rollout.
 type rolloutOp struct {
 	read                 bool
-	target, phase        string // phase none: there is no rollout
+	target, phase        string // phase is none if there is no rollout
 	status               int
 	calledAt, returnedAt int64
 }
 
-// rolloutModel is the model of one service's rollouts: at most one runs, and each ends once. ends returns when at the earliest one
-// has ended that was begun at a time or later.
+// rolloutModel is the model of one service's rollouts: at most one is running, and each ends once. earliestEnd returns the earliest
+// time at which a rollout that began at from or later can have ended.
 func rolloutModel(earliestEnd func(from int64) int64) porcupine.Model {
 	begin := func(v rolloutState, op rolloutOp) (all []any) {
-		if v.target == op.target { // it stands, or is told as what it was
+		if v.target == op.target { // idempotent: it is running, or has ended and its result is returned
 			all = append(all, v)
 		}
 		due := v.notBefore
@@ -173,7 +173,7 @@
 	}).ToModel()
 }
 
-// The models themselves: what must pass, and each fault that must not.
+// The models must accept valid histories and reject each kind of invalid one.
 func TestModels(t *testing.T) {
 	contents := []content{{}, {id: 1, route: 0, version: 2, prefix: "/a/", conflict: 0}, {id: 2, route: 0, version: 2, prefix: "/b/", conflict: 0},
 		{id: 3, route: 1, version: 2, prefix: "/c/", conflict: -1}, {id: 4, route: 0, version: 3, prefix: "/d/", conflict: -1},
@@ -202,48 +202,48 @@
 		good  bool
 		ops   []timedOp
 	}{
-		"an order is seen":                    {configM, true, []timedOp{{0, 1, set(200, 1)}, {2, 3, see(1)}}},
-		"it is not":                           {configM, false, []timedOp{{0, 1, set(200, 1)}, {2, 3, see()}}},
-		"a reading beside it may see either":  {configM, true, []timedOp{{0, 9, set(200, 1)}, {2, 3, see()}, {4, 5, see(1)}}},
-		"and not go back":                     {configM, false, []timedOp{{0, 9, set(200, 1)}, {2, 3, see(1)}, {4, 5, see()}}},
-		"two contents, one refused":           {configM, true, []timedOp{{0, 9, set(200, 1)}, {0, 9, set(409, 2)}, {10, 11, see(1)}}},
-		"two contents, both confirmed":        {configM, false, []timedOp{{0, 9, set(200, 1)}, {0, 9, set(200, 2)}, {10, 11, see(2)}}},
-		"both refused":                        {configM, false, []timedOp{{0, 9, set(409, 1)}, {0, 9, set(409, 2)}}},
-		"both refused, a third is unclear":    {configM, false, []timedOp{{0, 9, set(0, 3)}, {0, 9, set(409, 1)}, {0, 9, set(409, 2)}}},
-		"refused without a rival":             {configM, false, []timedOp{{0, 9, set(409, 3)}}},
-		"refused for one that is unclear":     {configM, true, []timedOp{{0, never, set(0, 1)}, {2, 9, set(409, 2)}, {10, 11, see(1)}}},
-		"which must then be seen":             {configM, false, []timedOp{{0, never, set(0, 1)}, {2, 9, set(409, 2)}, {10, 11, see()}}},
-		"the refused one comes in force":      {configM, false, []timedOp{{0, 1, set(200, 1)}, {2, 3, set(409, 2)}, {4, 5, see(2)}}},
-		"an order of two in part":             {configM, false, []timedOp{{0, 1, set(200, 1)}, {2, 3, set(409, 2, 3)}, {4, 5, see(1, 3)}}},
-		"an unclear one in part":              {configM, false, []timedOp{{0, never, set(0, 1, 3)}, {4, 5, see(1)}}},
-		"an unclear one late":                 {configM, true, []timedOp{{0, never, set(0, 1, 3)}, {4, 5, see()}, {6, 7, see(1, 3)}}},
-		"an unclear one never":                {configM, true, []timedOp{{0, never, set(0, 1, 3)}, {4, 5, see()}, {6, 7, set(200, 2)}, {8, 9, see(2)}}},
-		"an older one changes nothing":        {configM, true, []timedOp{{0, 1, set(200, 4)}, {2, 3, set(200, 1)}, {4, 5, see(4)}}},
-		"it may not":                          {configM, false, []timedOp{{0, 1, set(200, 4)}, {2, 3, set(200, 1)}, {4, 5, see(1)}}},
-		"dropped":                             {configM, true, []timedOp{{0, 1, set(200, 4)}, {2, 3, set(200, 5)}, {4, 5, see()}}},
-		"and back by an older one":            {configM, false, []timedOp{{0, 1, set(200, 5)}, {2, 3, set(200, 4)}, {4, 5, see(4)}}},
-		"a loser that is wholly over":         {configM, true, []timedOp{{0, 1, set(200, 1)}, {2, 3, set(409, 2)}, {4, 5, set(200, 4)}, {6, 7, set(200, 2)}}},
-		"a loser that is over in part":        {configM, false, []timedOp{{0, 1, set(200, 1)}, {2, 3, set(200, 4)}, {4, 5, set(200, 2, 3)}, {6, 7, see(4, 3)}}},
-		"evacuated":                           {evacuationModel, true, []timedOp{{0, 1, evacuationOp{evacuated: true, status: 200}}, {2, 3, evacuationOp{read: true, evacuated: true}}}},
-		"not evacuated":                       {evacuationModel, false, []timedOp{{0, 1, evacuationOp{evacuated: true, status: 200}}, {2, 3, evacuationOp{read: true}}}},
-		"a later end is lost":                 {evacuationModel, false, []timedOp{{0, 1, evacuationOp{evacuated: true, status: 200}}, {2, 3, evacuationOp{status: 200}}, {4, 5, evacuationOp{read: true, evacuated: true}}}},
-		"unclear, over the bound":             {evacuationModel, false, []timedOp{{0, 4, evacuationOp{evacuated: true}}, {5, 6, evacuationOp{read: true}}, {7, 8, evacuationOp{read: true, evacuated: true}}}},
-		"unclear, in time":                    {evacuationModel, true, []timedOp{{0, 9, evacuationOp{evacuated: true}}, {5, 6, evacuationOp{read: true}}, {7, 8, evacuationOp{read: true, evacuated: true}}}},
-		"two targets, one begins":             {rolloutM, true, []timedOp{{0, 9, begin("a", 200)}, {0, 9, begin("b", 409)}, {10, 11, look("a", "running")}}},
-		"two targets begin":                   {rolloutM, false, []timedOp{{0, 9, begin("a", 200)}, {0, 9, begin("b", 200)}}},
-		"neither begins":                      {rolloutM, false, []timedOp{{0, 9, begin("a", 409)}, {0, 9, begin("b", 409)}}},
-		"the same twice":                      {rolloutM, true, []timedOp{{0, 9, begin("a", 200)}, {0, 9, begin("a", 200)}, {10, 11, look("a", "running")}}},
-		"the same is refused":                 {rolloutM, false, []timedOp{{0, 9, begin("a", 200)}, {10, 19, begin("a", 409)}}},
-		"the other is seen":                   {rolloutM, false, []timedOp{{0, 9, begin("a", 200)}, {0, 9, begin("b", 409)}, {10, 11, look("b", "running")}}},
-		"begun and not seen":                  {rolloutM, false, []timedOp{{0, 9, begin("a", 200)}, {10, 11, look("", "none")}}},
-		"one end":                             {rolloutM, true, []timedOp{{0, 9, begin("a", 200)}, {150, 151, look("a", "completed")}, {160, 161, begin("b", 200)}}},
-		"another end":                         {rolloutM, false, []timedOp{{0, 9, begin("a", 200)}, {150, 151, look("a", "completed")}, {160, 161, look("a", "rolled_back")}}},
-		"an end too early":                    {rolloutM, false, []timedOp{{0, 9, begin("a", 200)}, {50, 51, look("a", "completed")}}},
-		"the next before the end":             {rolloutM, false, []timedOp{{0, 9, begin("a", 200)}, {50, 51, begin("b", 200)}}},
-		"an unclear begin, refused for it":    {rolloutM, true, []timedOp{{0, never, begin("a", 0)}, {10, 11, begin("b", 409)}, {20, 21, look("a", "running")}}},
-		"an unclear one and two targets":      {rolloutM, false, []timedOp{{0, 9, begin("a", 200)}, {0, never, begin("b", 0)}, {20, 29, begin("b", 200)}}},
-		"an unclear one after the end":        {rolloutM, true, []timedOp{{0, 9, begin("a", 200)}, {0, never, begin("b", 0)}, {120, 129, begin("b", 200)}}},
-		"an unclear begin is running by half": {rolloutM, false, []timedOp{{0, never, begin("a", 0)}, {10, 11, look("a", "running")}, {20, 21, look("", "none")}}},
+		"acknowledged change is read":                           {configM, true, []timedOp{{0, 1, set(200, 1)}, {2, 3, see(1)}}},
+		"acknowledged change is not read":                       {configM, false, []timedOp{{0, 1, set(200, 1)}, {2, 3, see()}}},
+		"concurrent read sees either state":                     {configM, true, []timedOp{{0, 9, set(200, 1)}, {2, 3, see()}, {4, 5, see(1)}}},
+		"read goes back to the old state":                       {configM, false, []timedOp{{0, 9, set(200, 1)}, {2, 3, see(1)}, {4, 5, see()}}},
+		"two contents, one rejected":                            {configM, true, []timedOp{{0, 9, set(200, 1)}, {0, 9, set(409, 2)}, {10, 11, see(1)}}},
+		"two contents, both acknowledged":                       {configM, false, []timedOp{{0, 9, set(200, 1)}, {0, 9, set(200, 2)}, {10, 11, see(2)}}},
+		"two contents, both rejected":                           {configM, false, []timedOp{{0, 9, set(409, 1)}, {0, 9, set(409, 2)}}},
+		"two contents, both rejected, unrelated change unknown": {configM, false, []timedOp{{0, 9, set(0, 3)}, {0, 9, set(409, 1)}, {0, 9, set(409, 2)}}},
+		"rejected without a conflict":                           {configM, false, []timedOp{{0, 9, set(409, 3)}}},
+		"rejected for an unknown change":                        {configM, true, []timedOp{{0, never, set(0, 1)}, {2, 9, set(409, 2)}, {10, 11, see(1)}}},
+		"rejected for an unknown change that is not read":       {configM, false, []timedOp{{0, never, set(0, 1)}, {2, 9, set(409, 2)}, {10, 11, see()}}},
+		"rejected change takes effect":                          {configM, false, []timedOp{{0, 1, set(200, 1)}, {2, 3, set(409, 2)}, {4, 5, see(2)}}},
+		"rejected change takes effect partially":                {configM, false, []timedOp{{0, 1, set(200, 1)}, {2, 3, set(409, 2, 3)}, {4, 5, see(1, 3)}}},
+		"unknown change takes effect partially":                 {configM, false, []timedOp{{0, never, set(0, 1, 3)}, {4, 5, see(1)}}},
+		"unknown change takes effect late":                      {configM, true, []timedOp{{0, never, set(0, 1, 3)}, {4, 5, see()}, {6, 7, see(1, 3)}}},
+		"unknown change never takes effect":                     {configM, true, []timedOp{{0, never, set(0, 1, 3)}, {4, 5, see()}, {6, 7, set(200, 2)}, {8, 9, see(2)}}},
+		"older version changes nothing":                         {configM, true, []timedOp{{0, 1, set(200, 4)}, {2, 3, set(200, 1)}, {4, 5, see(4)}}},
+		"older version takes effect":                            {configM, false, []timedOp{{0, 1, set(200, 4)}, {2, 3, set(200, 1)}, {4, 5, see(1)}}},
+		"dropped":                                               {configM, true, []timedOp{{0, 1, set(200, 4)}, {2, 3, set(200, 5)}, {4, 5, see()}}},
+		"deleted route is restored by an older version":         {configM, false, []timedOp{{0, 1, set(200, 5)}, {2, 3, set(200, 4)}, {4, 5, see(4)}}},
+		"conflicting change, all items superseded":              {configM, true, []timedOp{{0, 1, set(200, 1)}, {2, 3, set(409, 2)}, {4, 5, set(200, 4)}, {6, 7, set(200, 2)}}},
+		"conflicting change, some items superseded":             {configM, false, []timedOp{{0, 1, set(200, 1)}, {2, 3, set(200, 4)}, {4, 5, set(200, 2, 3)}, {6, 7, see(4, 3)}}},
+		"evacuated":                     {evacuationModel, true, []timedOp{{0, 1, evacuationOp{evacuated: true, status: 200}}, {2, 3, evacuationOp{read: true, evacuated: true}}}},
+		"not evacuated":                 {evacuationModel, false, []timedOp{{0, 1, evacuationOp{evacuated: true, status: 200}}, {2, 3, evacuationOp{read: true}}}},
+		"end of the evacuation is lost": {evacuationModel, false, []timedOp{{0, 1, evacuationOp{evacuated: true, status: 200}}, {2, 3, evacuationOp{status: 200}}, {4, 5, evacuationOp{read: true, evacuated: true}}}},
+		"unknown begin takes effect after its bound":  {evacuationModel, false, []timedOp{{0, 4, evacuationOp{evacuated: true}}, {5, 6, evacuationOp{read: true}}, {7, 8, evacuationOp{read: true, evacuated: true}}}},
+		"unknown begin takes effect within its bound": {evacuationModel, true, []timedOp{{0, 9, evacuationOp{evacuated: true}}, {5, 6, evacuationOp{read: true}}, {7, 8, evacuationOp{read: true, evacuated: true}}}},
+		"two targets, one begins":                     {rolloutM, true, []timedOp{{0, 9, begin("a", 200)}, {0, 9, begin("b", 409)}, {10, 11, look("a", "running")}}},
+		"two targets, both begin":                     {rolloutM, false, []timedOp{{0, 9, begin("a", 200)}, {0, 9, begin("b", 200)}}},
+		"two targets, neither begins":                 {rolloutM, false, []timedOp{{0, 9, begin("a", 409)}, {0, 9, begin("b", 409)}}},
+		"same target begun twice":                     {rolloutM, true, []timedOp{{0, 9, begin("a", 200)}, {0, 9, begin("a", 200)}, {10, 11, look("a", "running")}}},
+		"same target rejected":                        {rolloutM, false, []timedOp{{0, 9, begin("a", 200)}, {10, 19, begin("a", 409)}}},
+		"rejected target is read":                     {rolloutM, false, []timedOp{{0, 9, begin("a", 200)}, {0, 9, begin("b", 409)}, {10, 11, look("b", "running")}}},
+		"begun rollout is not read":                   {rolloutM, false, []timedOp{{0, 9, begin("a", 200)}, {10, 11, look("", "none")}}},
+		"one end, then the next rollout":              {rolloutM, true, []timedOp{{0, 9, begin("a", 200)}, {150, 151, look("a", "completed")}, {160, 161, begin("b", 200)}}},
+		"two different ends":                          {rolloutM, false, []timedOp{{0, 9, begin("a", 200)}, {150, 151, look("a", "completed")}, {160, 161, look("a", "rolled_back")}}},
+		"end is too early":                            {rolloutM, false, []timedOp{{0, 9, begin("a", 200)}, {50, 51, look("a", "completed")}}},
+		"next rollout before the end":                 {rolloutM, false, []timedOp{{0, 9, begin("a", 200)}, {50, 51, begin("b", 200)}}},
+		"rejected for an unknown begin":               {rolloutM, true, []timedOp{{0, never, begin("a", 0)}, {10, 11, begin("b", 409)}, {20, 21, look("a", "running")}}},
+		"two targets begin, one unknown at first":     {rolloutM, false, []timedOp{{0, 9, begin("a", 200)}, {0, never, begin("b", 0)}, {20, 29, begin("b", 200)}}},
+		"unknown begin takes effect after the end":    {rolloutM, true, []timedOp{{0, 9, begin("a", 200)}, {0, never, begin("b", 0)}, {120, 129, begin("b", 200)}}},
+		"running rollout disappears":                  {rolloutM, false, []timedOp{{0, never, begin("a", 0)}, {10, 11, look("a", "running")}, {20, 21, look("", "none")}}},
 	} {
 		var ops []porcupine.Operation
 		for i, o := range x.ops {
@@ -255,6 +255,6 @@
 		}
 		qt.Check(t, porcupine.CheckOperations(x.model, ops), qt.Equals, x.good, qt.Commentf(name))
 		slices.Reverse(ops)
-		qt.Check(t, porcupine.CheckOperations(x.model, ops), qt.Equals, x.good, qt.Commentf("%s, noted in another order", name))
+		qt.Check(t, porcupine.CheckOperations(x.model, ops), qt.Equals, x.good, qt.Commentf("%s, operations in reverse order", name))
 	}
 }
--- a/internal/lab/simulation/nearercontrol_test.go
+++ b/internal/lab/simulation/nearercontrol_test.go
@@ -9,13 +9,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The control process of a proxy's zone is of no use for 20 s: partitioned from the others, without power, frozen. The proxy
-// subscribes to another one. It probes now and then whether the nearer one is of use again, and keeps its subscription meanwhile: a
-// change that is confirmed then is in force there as soon as at other times. Once the nearer one is of use, it moves.
+// A proxy whose own zone's control process fails subscribes to another one. It must probe the nearer process without interrupting its
+// subscription, so that changes still reach it without delay, and move back once the nearer process has recovered.
 func TestNearerControlIsTriedWhileConnected(t *testing.T) {
 	for name, fault := range map[string]func(cluster *Cluster, node *ControlNode, on bool){
-		"cut off from the others": func(cluster *Cluster, node *ControlNode, on bool) { cluster.setPartition(node, on) },
-		"heard, and hears nobody": func(cluster *Cluster, node *ControlNode, on bool) {
+		"partitioned from the others": func(cluster *Cluster, node *ControlNode, on bool) { cluster.setPartition(node, on) },
+		"receives nothing from the others": func(cluster *Cluster, node *ControlNode, on bool) {
 			for _, x := range cluster.Controls {
 				if x != node {
 					cluster.Network.SetOneWayPartition(x.Settings.IP, node.Settings.IP, on)
@@ -46,9 +45,9 @@
 						px = x
 					}
 				}
-				waitUntil(c, 5*time.Second, "hangs on its zone's", func() bool { return cluster.connectedControl(px.Settings.IP, node.Settings.IP) })
+				waitUntil(c, 5*time.Second, "proxy subscribes to its own zone's control process", func() bool { return cluster.connectedControl(px.Settings.IP, node.Settings.IP) })
 				fault(cluster, node, true)
-				time.Sleep(4500 * time.Millisecond) // until it knows, and has left
+				time.Sleep(4500 * time.Millisecond) // until the proxy has detected the fault and moved
 				start, worst := time.Now(), time.Duration(0)
 				for n := 0; time.Since(start) < 15*time.Second; n++ {
 					changed := safeRoute
@@ -61,12 +60,12 @@
 					worst = max(worst, time.Since(at))
 					time.Sleep(130 * time.Millisecond)
 				}
-				c.Check(worst < 200*time.Millisecond, qt.IsTrue, qt.Commentf("in force %v after it was confirmed", worst))
+				c.Check(worst < 200*time.Millisecond, qt.IsTrue, qt.Commentf("change in force %v after its acknowledgement, want less than 200ms", worst))
 				fault(cluster, node, false)
-				back := waitUntil(c, 8*time.Second, "moves once it is of use", func() bool {
+				back := waitUntil(c, 8*time.Second, "proxy moves back after the fault", func() bool {
 					return cluster.connectedControl(px.Settings.IP, node.Settings.IP) && !cluster.connectedControl(px.Settings.IP, cluster.Controls[4].Settings.IP) && node.Status() == "in touch"
 				})
-				c.Logf("%s: in force after %v at the most, back after %v", name, worst, back)
+				c.Logf("%s: changes in force after at most %v, proxy moved back after %v", name, worst, back)
 			})
 		})
 	}
--- a/internal/lab/simulation/network_test.go
+++ b/internal/lab/simulation/network_test.go
@@ -13,8 +13,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A machine that loses its power sends nothing: the other side's writes succeed until it gives up, also where the process is ended
-// afterwards. Once the power is back, what comes on an old connection is refused at once.
+// A machine without power sends nothing, not even when its process is killed: the peer's writes succeed until the acknowledgement
+// timeout. Once power is restored, data on an old connection is answered with a reset.
 func TestPowerLossSendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -37,7 +37,7 @@
 		c.Check(err, qt.IsNil)
 		_, err = here.Read(make([]byte, 1))
 		c.Check(err != nil, qt.IsTrue)
-		c.Check(time.Since(start) >= network.AckTimeout, qt.IsTrue, qt.Commentf("told after %v: %v", time.Since(start), err))
+		c.Check(time.Since(start) >= network.AckTimeout, qt.IsTrue, qt.Commentf("read failed after %v, before AckTimeout: %v", time.Since(start), err))
 
 		network, dead, here = open()
 		network.SetPoweredOff("10.1.0.1", true)
@@ -51,8 +51,7 @@
 	})
 }
 
-// A writer that waits for room, with a deadline, doesn't put off the reader's own wake: it was for ever, and the write timed out
-// though all were well.
+// A writer that waits for window space with a deadline must not delay the reader's wake-up, which would make the write time out.
 func TestWriteBlocksOnFullWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -65,7 +64,7 @@
 		}()
 		start := time.Now()
 		for range 20 {
-			synctest.Wait() // the reader waits for what is on its way
+			synctest.Wait() // the reader waits for data in flight
 			a.SetWriteDeadline(time.Now().Add(time.Second))
 			_, err := a.Write(make([]byte, sendWindow/2))
 			c.Assert(err, qt.IsNil)
@@ -77,7 +76,7 @@
 	})
 }
 
-// Connections that are reset, and answers that are lost: both sides are told, others' connections go on.
+// Reset connections and connections that lose data in one direction fail at both ends; other connections are not affected.
 func TestConnectionResets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -104,7 +103,7 @@
 
 		one, there = open("10.2.0.1")
 		network.SetLoss("10.1.0.1", "10.2.0.1", 1)
-		one.Write([]byte("x")) // the way there is good
+		one.Write([]byte("x")) // only the other direction loses data
 		n, err := there.Read(make([]byte, 1))
 		c.Check(n, qt.Equals, 1)
 		c.Check(err, qt.IsNil)
--- a/internal/lab/simulation/quota_test.go
+++ b/internal/lab/simulation/quota_test.go
@@ -16,7 +16,7 @@
 
 var historyRuns = flag.Int("histories", 8, "drawn histories of shares to play")
 
-// withQuotas is a change that sets them: a caller and its requests a second each.
+// quotaChangeBody returns the body of a change that sets quotas, in requests per second by caller.
 func quotaChangeBody(version string, all map[string]float64) []byte {
 	rows := [][]any{}
 	for caller, perSecond := range all {
@@ -27,8 +27,8 @@
 	return raw
 }
 
-// playPeakLoad plays a peak: one caller sends many times its quota, two others stay within theirs; a zone is lost in the middle. It
-// returns how the others and the heavy caller were served.
+// playPeakLoad runs a load in which two callers stay within their quotas and a third sends rush requests per second; quotas are
+// configured if on is set. If lose is set, a zone fails halfway. It returns the tallies of the two callers and of the third.
 func playPeakLoad(t *testing.T, on bool, rush float64, lose bool) (quiet, rushing *Tally) {
 	quiet, rushing = &Tally{}, &Tally{}
 	synctest.Test(t, func(t *testing.T) {
@@ -73,7 +73,7 @@
 		} else {
 			time.Sleep(duration)
 		}
-		if on { // what control shows
+		if on { // the quotas that control reports
 			_, _, raw := cluster.Call("harbour.read", "", nil, time.Second, 0)
 			var s server.ClusterStatus
 			c.Assert(json.Unmarshal(raw, &s), qt.IsNil)
@@ -92,8 +92,8 @@
 	return quiet, rushing
 }
 
-// One caller at ten times its quota displaces the others, and with quotas it doesn't: those within their quotas are served as
-// without it, and the caller gets its quota and what is left over, also with a zone lost in the middle.
+// A caller at twenty times its quota must not displace callers that stay within theirs, also when a zone fails; it still gets its
+// quota and unused capacity. Without quotas it does displace them.
 func TestPeak(t *testing.T) {
 	losses := []bool{true}
 	if testing.Verbose() {
@@ -113,16 +113,16 @@
 		d, sayD := servedFraction(without)
 		r, sayR := servedFraction(rushing)
 		_, sayT := servedFraction(taken)
-		t.Logf("zone lost %v\nothers, calm day: %s\nothers, with shares: %s\nothers, without: %s\nthe rush, with: %s\nthe rush, without: %s", lose, sayA, sayB, sayD, sayR, sayT)
+		t.Logf("zone lost: %v\nother callers, normal load: %s\nother callers, peak with quotas: %s\nother callers, peak without quotas: %s\nheavy caller, with quotas: %s\nheavy caller, without quotas: %s", lose, sayA, sayB, sayD, sayR, sayT)
 		c.Check(b > a-0.04, qt.IsTrue)
 		c.Check(b > d, qt.IsTrue)
-		c.Check(r > 0.04, qt.IsTrue)                          // its share is a twentieth of what it asks for
-		c.Check(with.p99() < 400*time.Millisecond, qt.IsTrue) // half of their aim
+		c.Check(r > 0.04, qt.IsTrue)                          // its quota is a twentieth of its demand
+		c.Check(with.p99() < 400*time.Millisecond, qt.IsTrue) // half of the latency target
 	}
 }
 
-// playQuotaHistory plays a few seconds in which callers exceed their quotas, and a random fault: no unsafe request runs twice, and
-// none runs that was rejected with Retry-After, over kills, partitions, hosts that end or fail, and late responses.
+// playQuotaHistory runs a few seconds in which callers exceed their quotas while one or two random faults occur. No unsafe request may
+// run twice, and none that was rejected with Retry-After may run at all.
 func playQuotaHistory(t *testing.T, seed uint64) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -154,7 +154,7 @@
 				cluster.Hosts[z].Crash()
 			case 3:
 				cluster.Hosts[z].Drain()
-			case 4: // late answers, and ones that never come
+			case 4: // responses are lost
 				cluster.Network.SetPartition(cluster.Proxies[z].Settings.IP, cluster.Hosts[n(3)].IP(), true)
 			case 5:
 				cluster.Network.SetPartition(cluster.Proxies[z].Settings.IP, cluster.Controls[z].Settings.IP, true)
@@ -172,7 +172,7 @@
 	})
 }
 
-// counter sums up how requests ended.
+// outcomeCounts counts requests by outcome.
 type outcomeCounts map[string]int
 
 func (c outcomeCounts) add(all map[string]int) {
@@ -183,13 +183,13 @@
 
 var quotaOutcomes = outcomeCounts{}
 
-// -args -histories 10000 plays as many.
+// Use -args -histories 10000 to run more histories.
 func TestQuotaHistories(t *testing.T) {
 	for seed := range *historyRuns {
 		playQuotaHistory(t, uint64(*firstSeed+seed))
 	}
-	t.Log("requests ended", quotaOutcomes)
+	t.Log("requests by outcome", quotaOutcomes)
 	if quotaOutcomes["429"] == 0 || quotaOutcomes["200"] == 0 {
-		t.Error("nothing was held back, or nothing served")
+		t.Error("no request was rejected with 429, or none was served")
 	}
 }
--- a/internal/lab/simulation/race_test.go
+++ b/internal/lab/simulation/race_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// raceEnabled says that the race detector is on: a history costs some eight times as much.
+// raceEnabled reports whether the race detector is on, which makes a history about eight times slower.
 const raceEnabled = true
--- a/internal/lab/simulation/randomschedule_test.go
+++ b/internal/lab/simulation/randomschedule_test.go
@@ -25,25 +25,25 @@
 )
 
 var (
-	rolloutOutcomes = map[string]int{}             // of all rollouts, to see that both kinds came
-	ackLatencies    = map[string][]time.Duration{} // until an order was acknowledged, by the harm that went on
-	recoveryTimes   []time.Duration                // from the closing fault's end until all control processes are in touch
+	rolloutOutcomes = map[string]int{}             // number of rollouts by outcome
+	ackLatencies    = map[string][]time.Duration{} // latencies of changes, by the current fault
+	recoveryTimes   []time.Duration                // from the end of the closing fault until all control processes are in touch
 )
 
-// randomOperator sends changes and remembers what was sent and acknowledged.
+// randomOperator sends random changes, injects faults and records what was sent and acknowledged.
 type randomOperator struct {
 	cluster         *Cluster
 	rng             random.Source
 	sent            map[string]map[string]bool // by route and version: the prefixes that were sent
-	acceptedPrefix  map[string]string          // by route and version: the one that was acknowledged
-	ackedVersion    map[string]string          // by route: the newest version that was acknowledged
+	acceptedPrefix  map[string]string          // by route and version: the acknowledged prefix
+	ackedVersion    map[string]string          // by route: the newest acknowledged version
 	nextVersion     int
-	unacknowledged  int               // orders that a calm core did not take in time
-	mu              sync.Mutex        // over the chance and what follows
-	currentFault    string            // the harm that goes on
-	lastAckedBy     int               // who acknowledged last
-	rolloutEnds     map[string]string // by version: how its rollout ended
-	ackedEvacuation string            // the state that z0 was last ordered into, if that was acknowledged
+	unacknowledged  int        // calls without a reply in time, and changes rejected without a conflict
+	mu              sync.Mutex // guards rng, currentFault and lastAckedBy
+	currentFault    string
+	lastAckedBy     int               // index of the control process that replied last
+	rolloutEnds     map[string]string // by target version: the outcome
+	ackedEvacuation string            // the last evacuation call for z0; empty if it was not acknowledged
 }
 
 func (o *randomOperator) intn(n int) int {
@@ -52,7 +52,6 @@
 	return int(o.rng.Float64() * float64(n))
 }
 
-// setFault notes the harm that goes on.
 func (o *randomOperator) setFault(fault string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -69,19 +68,19 @@
 	}
 }
 
-// injectFault injects one fault of those that the settings tolerate, and undoes it. It returns which.
+// injectFault injects a random fault that the cluster must tolerate, repairs it, and returns its description.
 func (o *randomOperator) injectFault() string {
 	cluster := o.cluster
 	index := o.intn(len(cluster.Controls))
 	node := cluster.Controls[index]
 	duration := time.Duration(1+o.intn(4)) * time.Second
 	defer o.setFault("calm")
-	if other := cluster.Controls[(index+1+o.intn(5))%6]; o.intn(3) == 0 { // two at once: another's disk is slow
+	if other := cluster.Controls[(index+1+o.intn(5))%6]; o.intn(3) == 0 { // at the same time, the disk of another process is slow
 		other.Disk.SetFaults(125*time.Millisecond, false)
 		defer other.Disk.SetFaults(5*time.Millisecond, false)
 	}
 	switch kind := o.intn(9); kind {
-	case 0, 1: // killed, or without power
+	case 0, 1: // killed, or power lost
 		o.setFault("down")
 		node.Kill()
 		if kind == 1 {
@@ -99,7 +98,7 @@
 		time.Sleep(duration)
 		node.mustStart()
 		return fmt.Sprint("wiped ", node.Settings.IP)
-	case 3, 4: // cut off from the others, or from half of them
+	case 3, 4: // partitioned from all others, or from about half of them
 		o.setFault("cut")
 		for i, peer := range cluster.Controls {
 			if peer != node && (kind == 3 || i%2 == 0) {
@@ -123,7 +122,7 @@
 		time.Sleep(duration)
 		node.Disk.SetFaults(5*time.Millisecond, false)
 		return fmt.Sprint("refusing disk ", node.Settings.IP)
-	case 7: // a region is without power
+	case 7: // a region loses power
 		o.setFault("region")
 		region := []*ControlNode{node, cluster.Controls[index^1]}
 		for _, peer := range region {
@@ -137,7 +136,7 @@
 			peer.mustStart()
 		}
 		return "region down"
-	default: // all at once; the disks stay
+	default: // all processes are killed; their disks are intact
 		o.setFault("all killed")
 		for _, peer := range cluster.Controls {
 			peer.Kill()
@@ -150,7 +149,7 @@
 	}
 }
 
-// checkAcked reads the configuration at one control process; if it answers, nothing acknowledged may be missing.
+// checkAcked reads the configuration from one control process. If it answers, no acknowledged change may be missing.
 func (o *randomOperator) checkAcked(c *qt.C, index int, faults []string) {
 	client := o.cluster.httpClient(o.cluster.Network.Process("10.200.0.2"), time.Second)
 	defer client.CloseIdleConnections()
@@ -165,12 +164,11 @@
 		stored[i.Name] = i.Version
 	}
 	for route, version := range o.ackedVersion {
-		c.Check(config.FormatVersion(stored[route]) >= version, qt.IsTrue, qt.Commentf("LOST: %s answered without %s %s; %v",
+		c.Check(config.FormatVersion(stored[route]) >= version, qt.IsTrue, qt.Commentf("LOST: %s returned the configuration without %s at version %s; faults %v",
 			o.cluster.Controls[index].Settings.Name, route, version, faults))
 	}
 }
 
-// newRandomOperator makes the operator of a seed.
 func newRandomOperator(cluster *Cluster, seed int) *randomOperator {
 	return &randomOperator{
 		cluster:        cluster,
@@ -183,7 +181,7 @@
 	}
 }
 
-// runUntilStopped runs a function in the background. The function that it returns stops it and waits for its end.
+// runUntilStopped runs a function in the background. The returned function stops it and waits until it has returned.
 func runUntilStopped(run func(stop chan bool)) (stopAndWait func()) {
 	stop, done := make(chan bool), make(chan bool)
 	go func() {
@@ -196,7 +194,7 @@
 	}
 }
 
-// watchRoutes checks that no proxy goes back to an older version of a route.
+// watchRoutes checks that no proxy ever reverts to an older version of a route.
 func (o *randomOperator) watchRoutes(stop chan bool) {
 	highest := map[string]uint64{}
 	for {
@@ -209,7 +207,7 @@
 			for name, version := range proxyNode.Running.RouteVersions() {
 				key := proxyNode.Settings.Name + " " + name
 				if version < highest[key] {
-					o.cluster.violation("CONFIG: %s went back from %d to %d", key, highest[key], version)
+					o.cluster.violation("CONFIG: %s reverted from version %d to %d", key, highest[key], version)
 				}
 				highest[key] = max(highest[key], version)
 			}
@@ -217,7 +215,7 @@
 	}
 }
 
-// sendDuringFaults injects three faults, one after the other, and sends changes meanwhile. It returns the faults.
+// sendDuringFaults injects three faults, one after the other, while sending changes. It returns the descriptions of the faults.
 func (o *randomOperator) sendDuringFaults() (faults []string) {
 	for range 3 {
 		faultOver := make(chan bool)
@@ -235,13 +233,13 @@
 			}
 		}
 		<-faultOver
-		time.Sleep(5 * time.Second) // recovered before the next
+		time.Sleep(5 * time.Second) // recover before the next fault
 	}
 	return faults
 }
 
-// restartAll ends all control processes at once and starts them again: 0 for killed, 1 for a loss of power, 2 for that and the loss
-// of the disk of the one that acknowledged last.
+// restartAll stops all control processes at once and restarts them. closing is 0 if they are killed, 1 if they lose power, and 2 if
+// they lose power and the one that replied last also loses its disk.
 func (o *randomOperator) restartAll(closing int) {
 	for i, node := range o.cluster.Controls {
 		node.Kill()
@@ -259,7 +257,7 @@
 	}
 }
 
-// recordRecovery records how long it is until all control processes have a quorum, 4 s at most.
+// recordRecovery records the time until all control processes are in touch, up to 4 s.
 func (o *randomOperator) recordRecovery() (recovered chan bool) {
 	recovered = make(chan bool)
 	start := time.Now()
@@ -275,12 +273,12 @@
 	return recovered
 }
 
-// readAll reads the configuration from all control processes, which must be the same, and returns its items by name.
+// readAll reads the configuration from all control processes, checks that they agree, and returns its items by name.
 func (o *randomOperator) readAll(c *qt.C, faults []string, closing int) map[string]config.Item {
 	var first string
 	for i, node := range o.cluster.Controls {
 		status, by, reply := o.cluster.Call("configuration.read", "", nil, time.Second, i)
-		c.Assert([2]int{status, by}, qt.Equals, [2]int{200, i}, qt.Commentf("%v, closing %d: %s is %s", faults, closing, node.Settings.Name, node.Status()))
+		c.Assert([2]int{status, by}, qt.Equals, [2]int{200, i}, qt.Commentf("faults %v, closing %d: %s is %s", faults, closing, node.Settings.Name, node.Status()))
 		if first == "" {
 			first = string(reply)
 		}
@@ -295,22 +293,22 @@
 	return stored
 }
 
-// checkStored checks that what was acknowledged is stored, and nothing that was not sent.
+// checkStored checks that every acknowledged change is stored, and nothing that was never sent.
 func (o *randomOperator) checkStored(c *qt.C, stored map[string]config.Item, faults []string, closing int) {
 	for route, version := range o.ackedVersion {
 		i, found := stored[route]
 		c.Check(found && config.FormatVersion(i.Version) >= version, qt.IsTrue,
-			qt.Commentf("LOST: %s %s was acknowledged, %d stands; %v, closing %d", route, version, i.Version, faults, closing))
+			qt.Commentf("LOST: %s: version %s was acknowledged, version %d is stored; faults %v, closing %d", route, version, i.Version, faults, closing))
 		prefix, _ := i.Tree()["path-prefix"].(string)
 		key := route + config.FormatVersion(i.Version)
-		c.Check(o.sent[key][prefix], qt.IsTrue, qt.Commentf("%s %s was never sent", route, prefix))
+		c.Check(o.sent[key][prefix], qt.IsTrue, qt.Commentf("%s: stored prefix %s was never sent", route, prefix))
 		if accepted := o.acceptedPrefix[key]; accepted != "" {
-			c.Check(prefix, qt.Equals, accepted, qt.Commentf("LOST: of two contents of one version; %v, closing %d", faults, closing))
+			c.Check(prefix, qt.Equals, accepted, qt.Commentf("LOST: stored prefix differs from the acknowledged prefix of the same version; faults %v, closing %d", faults, closing))
 		}
 	}
 }
 
-// checkEvacuation checks that the last evacuation or its end, if it was acknowledged, is in force.
+// checkEvacuation checks that the last evacuation call, if acknowledged, is in force.
 func (o *randomOperator) checkEvacuation(c *qt.C, faults []string) {
 	if o.ackedEvacuation == "" {
 		return
@@ -318,11 +316,11 @@
 	_, _, reply := o.cluster.Call("harbour.read", "", nil, time.Second, 0)
 	var status struct{ Evacuated []string }
 	c.Assert(json.Unmarshal(reply, &status), qt.IsNil)
-	c.Check(len(status.Evacuated) == 1, qt.Equals, o.ackedEvacuation == "evacuation.begin", qt.Commentf("LOST: %s; %v", o.ackedEvacuation, faults))
+	c.Check(len(status.Evacuated) == 1, qt.Equals, o.ackedEvacuation == "evacuation.begin", qt.Commentf("LOST: %s is not in force; faults %v", o.ackedEvacuation, faults))
 }
 
-// playRandomSchedule plays the schedule of a seed: changes, races, evacuations and faults, a closing fault right after an
-// acknowledgement, and then all is checked against what was acknowledged.
+// playRandomSchedule runs the random schedule of a seed: changes, conflicting changes, rollouts, evacuations and faults, with a restart
+// of all control processes right after the last change. It then checks the state against what was acknowledged.
 func playRandomSchedule(t *testing.T, seed int) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -341,7 +339,7 @@
 		closing := op.intn(3)
 		op.restartAll(closing)
 		recovered := op.recordRecovery()
-		for i := range 60 { // processes that answer have all that was acknowledged, from their first answer on
+		for i := range 60 { // from its first response on, a process must have every acknowledged change
 			op.checkAcked(c, i%len(cluster.Controls), faults)
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -353,34 +351,34 @@
 			rolloutOutcomes[end]++
 		}
 		c.Check(cluster.Violations, qt.HasLen, 0)
-		c.Check(op.unacknowledged, qt.Equals, 0, qt.Commentf("orders not taken; %v", faults))
+		c.Check(op.unacknowledged, qt.Equals, 0, qt.Commentf("unacknowledged calls; faults %v", faults))
 		stored := op.readAll(c, faults, closing)
 		op.checkStored(c, stored, faults, closing)
 		op.checkEvacuation(c, faults)
 		for _, proxyNode := range cluster.Proxies {
 			for name, version := range proxyNode.Running.RouteVersions() {
-				c.Check(version, qt.Equals, stored[name].Version, qt.Commentf("%s has %s", proxyNode.Settings.Name, name))
+				c.Check(version, qt.Equals, stored[name].Version, qt.Commentf("%s: version of %s differs from the stored one", proxyNode.Settings.Name, name))
 			}
 		}
 	})
 }
 
-// Days drawn by seeds; -args -seeds 1000 plays as many.
+// No acknowledged change may be lost under random faults. Use -args -seeds 1000 to run more schedules.
 func TestRandomSchedules(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+*randomRuns; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRandomSchedule(t, seed) })
 	}
-	t.Log("rollouts ended", rolloutOutcomes)
+	t.Log("rollouts by outcome", rolloutOutcomes)
 	for fault, all := range ackLatencies {
 		slices.Sort(all)
-		t.Logf("%s: %d orders, acknowledged after %v (median), %v (worst)", fault, len(all), all[len(all)/2], all[len(all)-1])
+		t.Logf("%s: %d changes, acknowledged after %v (median), %v (worst)", fault, len(all), all[len(all)/2], all[len(all)-1])
 	}
 	slices.Sort(recoveryTimes)
-	t.Logf("all in touch %v (median), %v (worst) after the last one's start", recoveryTimes[len(recoveryTimes)/2], recoveryTimes[len(recoveryTimes)-1])
+	t.Logf("all in touch %v (median), %v (worst) after the restart of the last process", recoveryTimes[len(recoveryTimes)/2], recoveryTimes[len(recoveryTimes)-1])
 }
 
-// sendChange sends one change of one of four routes to a control process by chance; twice sends another of the same version to
-// another at once.
+// sendChange sends a change of one of four routes to a random control process. If conflicting is set, it concurrently sends different
+// content for the same version.
 func (o *randomOperator) sendChange(conflicting bool) {
 	o.nextVersion += 1 + o.intn(3)
 	version := config.FormatVersion(uint64(o.nextVersion))
@@ -414,7 +412,7 @@
 	for range senders {
 		switch result := <-results; {
 		case result.status == 200 && o.acceptedPrefix[route+version] != "":
-			o.cluster.violation("TWICE: %s %s was acknowledged as %s and as %s", route, version, o.acceptedPrefix[route+version], result.prefix)
+			o.cluster.violation("TWICE: %s version %s was acknowledged with prefix %s and with prefix %s", route, version, o.acceptedPrefix[route+version], result.prefix)
 		case result.status == 200:
 			o.acceptedPrefix[route+version] = result.prefix
 			o.ackedVersion[route] = max(o.ackedVersion[route], version)
@@ -424,7 +422,7 @@
 			o.unacknowledged++
 		}
 	}
-	if refused > 0 && o.acceptedPrefix[route+version] == "" { // right only where the other one was taken
+	if refused > 0 && o.acceptedPrefix[route+version] == "" { // a rejection requires that the other change was accepted
 		o.unacknowledged += refused
 	}
 	o.mu.Lock()
@@ -432,8 +430,8 @@
 	ackLatencies[o.currentFault] = append(ackLatencies[o.currentFault], time.Since(start))
 }
 
-// runRollouts begins one rollout after the other, has proxies vote either way, and records every end that any control process
-// reports: each rollout has one only.
+// runRollouts begins one rollout after another, sends random votes from the proxies, and records the outcomes that control processes
+// report. A rollout must not have two different outcomes.
 func (o *randomOperator) runRollouts(stop chan bool) {
 	cluster, rng := o.cluster, random.Source{Seed: uint64(o.intn(1 << 30))}
 	client := cluster.httpClient(cluster.Network.Process("10.200.0.3"), time.Second)
@@ -441,7 +439,7 @@
 	for n := 2; ; n++ {
 		target := fmt.Sprint("v", n)
 		status, _, _ := cluster.Call("rollouts.begin", "", []byte(`{"service":"desk","target-version":"`+target+`","duration-s":5}`), 8*time.Second, int(rng.Float64()*6))
-		rollbackShare := []float64{0, 0.02, 0.1, 0.5}[int(rng.Float64()*4)] // how many of the votes
+		rollbackShare := []float64{0, 0.02, 0.1, 0.5}[int(rng.Float64()*4)] // fraction of the votes
 		for range 24 {
 			select {
 			case <-stop:
@@ -459,7 +457,7 @@
 				json.Unmarshal(raw, &reply)
 				if outcome := reply["server-state"]; outcome != "running" {
 					if previous := o.rolloutEnds[reply["target-version"]]; previous != "" && previous != outcome {
-						cluster.violation("LOST: %s was %s and is %s", reply["target-version"], previous, outcome)
+						cluster.violation("LOST: rollout to %s was %s and is now %s", reply["target-version"], previous, outcome)
 					}
 					o.rolloutEnds[reply["target-version"]] = outcome
 				}
--- a/internal/lab/simulation/randomtraffic_test.go
+++ b/internal/lab/simulation/randomtraffic_test.go
@@ -10,13 +10,13 @@
 	"portflow/internal/random"
 )
 
-// trafficRuns are the troubles of the traffic side; each is done at one time and undone later, where it can be.
+// trafficFaults are faults and load changes that affect traffic. undo is nil if there is nothing to repair.
 var trafficFaults = []struct {
 	name string
 	do   func(h *Cluster, n func(int) int) (undo func())
 }{
 	{"a host crashes", func(h *Cluster, n func(int) int) func() { h.Hosts[n(len(h.Hosts))].Crash(); return nil }},
-	{"hosts go dark", func(h *Cluster, n func(int) int) func() {
+	{"hosts lose power", func(h *Cluster, n func(int) int) func() {
 		a, b := h.Hosts[n(len(h.Hosts))], h.Hosts[n(len(h.Hosts))]
 		h.Network.SetPoweredOff(a.IP(), true)
 		h.Network.SetPoweredOff(b.IP(), true)
@@ -35,7 +35,7 @@
 		}
 		return nil
 	}},
-	{"a zone is lost and comes back cold", func(h *Cluster, n func(int) int) func() {
+	{"a zone fails and returns with cold hosts", func(h *Cluster, n func(int) int) func() {
 		z := n(h.Zones)
 		lost := 0
 		for _, q := range h.Hosts[:len(h.Hosts):len(h.Hosts)] {
@@ -59,7 +59,7 @@
 				if f.Settings.Zone == zoneName(z) {
 					h.Network.SetPoweredOff(f.Settings.IP, false)
 					if err := f.Start(); err != nil {
-						h.violation("a router does not start: %v", err)
+						h.violation("cannot start proxy: %v", err)
 					}
 				}
 			}
@@ -68,7 +68,7 @@
 			}
 		}
 	}},
-	{"half of the routers are killed", func(h *Cluster, n func(int) int) func() {
+	{"half of the proxies are killed", func(h *Cluster, n func(int) int) func() {
 		for i, f := range h.Proxies {
 			if i%2 == 0 {
 				f.Kill()
@@ -78,13 +78,13 @@
 			for i, f := range h.Proxies {
 				if i%2 == 0 {
 					if err := f.Start(); err != nil {
-						h.violation("a router does not start: %v", err)
+						h.violation("cannot start proxy: %v", err)
 					}
 				}
 			}
 		}
 	}},
-	{"a router is told to leave", func(h *Cluster, n func(int) int) func() {
+	{"a proxy drains", func(h *Cluster, n func(int) int) func() {
 		f := h.Proxies[n(len(h.Proxies))]
 		done := make(chan bool)
 		h.background.Go(func() {
@@ -95,11 +95,11 @@
 			<-done
 			f.Kill()
 			if err := f.Start(); err != nil {
-				h.violation("a router does not start: %v", err)
+				h.violation("cannot start proxy: %v", err)
 			}
 		}
 	}},
-	{"a router is cut off from control", func(h *Cluster, n func(int) int) func() {
+	{"a proxy is partitioned from control", func(h *Cluster, n func(int) int) func() {
 		f := h.Proxies[n(len(h.Proxies))]
 		cut := func(on bool) {
 			for _, m := range h.Controls {
@@ -131,7 +131,7 @@
 		h.Call("evacuation.begin", z, nil, 6*time.Second, n(len(h.Controls)))
 		return func() { h.Call("evacuation.finish", z, nil, 6*time.Second, n(len(h.Controls))) }
 	}},
-	{"twice the traffic", func(h *Cluster, n func(int) int) func() {
+	{"additional traffic", func(h *Cluster, n func(int) int) func() {
 		for z := range h.Zones {
 			h.GenerateTraffic(&Tally{}, z, Route{Name: "safe-rush", Prefix: safeRoute.Prefix, Service: "desk", Idempotent: true}, 25, 4*time.Second)
 		}
@@ -139,7 +139,8 @@
 	}},
 }
 
-// playRandomTraffic plays one fault, or two at once, under traffic, and checks all that hosts and clients saw against the rules.
+// playRandomTraffic runs traffic with one fault, or two at once, and checks what hosts and clients observed. It returns the fraction of
+// requests that were served.
 func playRandomTraffic(t *testing.T, seed int) (servedFraction float64) {
 	one, two := seed%len(trafficFaults), seed/len(trafficFaults)%(len(trafficFaults)+1)
 	name := trafficFaults[one].name
@@ -175,13 +176,13 @@
 		served, requests, outcome := tally.Counts()
 		servedFraction = float64(served) / float64(requests)
 		c.Check(cluster.Verify(), qt.HasLen, 0, qt.Commentf("seed %d, %s: %s", seed, name, outcome))
-		c.Check(servedFraction > 0.6, qt.IsTrue, qt.Commentf("seed %d, %s: %d of %d, %s", seed, name, served, requests, outcome))
-		t.Logf("seed %d, %s: %.3f of %d, %s", seed, name, servedFraction, requests, outcome)
+		c.Check(servedFraction > 0.6, qt.IsTrue, qt.Commentf("seed %d, %s: served %d of %d requests; outcomes %s", seed, name, served, requests, outcome))
+		t.Logf("seed %d, %s: served %.3f of %d requests; outcomes %s", seed, name, servedFraction, requests, outcome)
 	})
 	return servedFraction
 }
 
-// -args -seeds 132 plays each trouble and each two of them once.
+// Use -args -seeds 132 to run each fault alone and each ordered pair of faults.
 func TestRandomTraffic(t *testing.T) {
 	for seed := *firstSeed - 1; seed < *firstSeed-1+*randomRuns; seed++ {
 		playRandomTraffic(t, seed)
--- a/internal/lab/simulation/restart_test.go
+++ b/internal/lab/simulation/restart_test.go
@@ -13,7 +13,7 @@
 	"portflow/internal/control/server"
 )
 
-// startSixZones starts a cluster of six zones, with twelve proxies and twelve hosts, and waits until all know each other.
+// startSixZones starts a cluster of six zones with twelve proxies and twelve hosts, and gives it 4 s to settle.
 func startSixZones(c *qt.C) *Cluster {
 	layout := smallLayout
 	layout.Zones, layout.Rate = 6, 2
@@ -37,12 +37,10 @@
 	return names, nil
 }
 
-// A control process is killed and starts again a second later. One of the hosts that send it heartbeats loses power meanwhile: the
-// restarted process has never had a heartbeat of it, and the others leave the hosts of a process that is in contact to that one.
-// All proxies are informed all the same that the host is silent; the other hosts stay, also where the process comes back before a
-// heartbeat was missed.
+// A host must not stay usable if it loses power while the control process that receives its heartbeats restarts: the restarted
+// process never had a heartbeat of it, and the others don't track hosts of a reachable process. The other hosts must stay usable.
 func TestHostLostWhileControlRestarts(t *testing.T) {
-	for name, down := range map[string]time.Duration{"1 s": time.Second, "300 ms": 300 * time.Millisecond, "longer than beats are missed": 6 * time.Second} {
+	for name, down := range map[string]time.Duration{"1 s": time.Second, "300 ms": 300 * time.Millisecond, "longer than the heartbeat timeout": 6 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
@@ -73,8 +71,8 @@
 	}
 }
 
-// The same of proxies: one that subscribes to the process loses power while that is down, and doesn't come back. It leaves the list
-// of proxies, by which proxies count themselves, vote and are named to clients, at every control process; the others stay.
+// A proxy that loses power while its control process restarts must be removed from the proxy list at every control process; the
+// other proxies must stay.
 func TestProxyLostWhileControlRestarts(t *testing.T) {
 	for name, down := range map[string]time.Duration{"300 ms": 300 * time.Millisecond, "1 s": time.Second, "4 s": 4 * time.Second} {
 		t.Run(name, func(t *testing.T) {
@@ -104,8 +102,8 @@
 				for range 6 {
 					for at := range cluster.Controls {
 						names := proxies(at)
-						c.Check(names, qt.HasLen, 11, qt.Commentf("at %d", at))
-						c.Check(slices.Contains(names, lost.Settings.Name), qt.IsFalse, qt.Commentf("at %d: %v", at, names))
+						c.Check(names, qt.HasLen, 11, qt.Commentf("control process %d", at))
+						c.Check(slices.Contains(names, lost.Settings.Name), qt.IsFalse, qt.Commentf("control process %d: %v", at, names))
 					}
 					time.Sleep(time.Second)
 				}
@@ -114,9 +112,9 @@
 	}
 }
 
-// A control process is partitioned for longer than proxies may be between two subscriptions: it removes the others' proxies, and
-// the others remove its own, which subscribe elsewhere meanwhile. Once it is back all have all proxies; for that a process reports
-// its own once more, and it does so to none that starts, as that gets the complete list.
+// A control process and the others remove each other's proxies if it is partitioned for longer than proxies may be without a
+// subscription. After the partition all must list all proxies again; each process resends its own for that, but not to a process that
+// starts, which receives the complete list anyway.
 func TestProxyListAfterPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -135,8 +133,8 @@
 		time.Sleep(7 * time.Second)
 		c.Check(allKnown(), qt.IsFalse)
 		cluster.setPartition(cluster.Controls[5], false)
-		waitUntil(c, 5*time.Second, "all have all routers", allKnown)
-		time.Sleep(4 * time.Second) // routers move back
+		waitUntil(c, 5*time.Second, "every control process lists all proxies", allKnown)
+		time.Sleep(4 * time.Second) // proxies move back to their own zone's control process
 		c.Check(allKnown(), qt.IsTrue)
 
 		sent := stream.FramesWritten.Load()
@@ -146,10 +144,10 @@
 		cluster.Controls[2].Kill()
 		time.Sleep(500 * time.Millisecond)
 		cluster.Controls[2].mustStart()
-		waitUntil(c, 5*time.Second, "all have all routers", allKnown)
+		waitUntil(c, 5*time.Second, "every control process lists all proxies", allKnown)
 		time.Sleep(3 * time.Second)
 		c.Check(allKnown(), qt.IsTrue)
-		c.Logf("%d frames for a restart, %d in two calm seconds", stream.FramesWritten.Load()-sent, idle)
+		c.Logf("%d frames for a restart, %d in two idle seconds", stream.FramesWritten.Load()-sent, idle)
 		c.Check(stream.FramesWritten.Load()-sent < 560, qt.IsTrue, qt.Commentf("%d", stream.FramesWritten.Load()-sent))
 	})
 }
--- a/internal/lab/simulation/rudeclients_test.go
+++ b/internal/lab/simulation/rudeclients_test.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// rudeClient is a client that pipelines requests, or goes away before they are answered.
+// rudeClient is a client that pipelines requests, or disconnects before they are answered.
 type rudeClient struct {
 	*faultyHostRun
 	conn net.Conn
-	ids  []string // of its requests
+	ids  []string // request IDs
 }
 
-// The ways in which a rude client behaves, as they are drawn; pipelining is drawn twice, once with long bodies.
+// Behaviours of rude clients, chosen with equal probability.
 const (
 	abandonBody = iota
 	abandonRequest
@@ -28,12 +28,12 @@
 )
 
 const (
-	rudeRequests = 3 // of each client
+	rudeRequests = 3 // per client
 	shortBody    = "Content-Length: 9\r\n\r\n123456789"
-	goneOutcome  = "gone" // of a request whose client goes away
+	goneOutcome  = "gone" // outcome of a request whose client disconnected
 )
 
-// runRudeClients starts rude clients, each with a connection of its own.
+// runRudeClients starts rude clients in a zone until duration has passed, each with its own connection.
 func (r *faultyHostRun) runRudeClients(zoneIndex int, duration time.Duration) {
 	process := r.Network.Process(fmt.Sprintf("10.%d.201.1", zoneIndex+1))
 	deadline := time.Now().Add(duration)
@@ -71,15 +71,15 @@
 	}
 }
 
-// request returns an unsafe request; body begins with its header.
+// request returns an unsafe request; body begins with the remaining header fields.
 func (c *rudeClient) request(id, body string) string {
 	return fmt.Sprintf("POST %sx HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: %s\r\nTime-Remaining: 2000\r\n%s", unsafeRoute.Prefix, id, body)
 }
 
-// write writes to the proxy. Its error is dropped: the client finds out as it reads, or doesn't care.
+// write writes to the proxy. Errors are ignored: a client that needs the response detects them when reading.
 func (c *rudeClient) write(text string) { _, _ = io.WriteString(c.conn, text) }
 
-// record notes how a request ended; that its client goes away changes no outcome that is known.
+// record sets the outcome of a request; goneOutcome doesn't replace a known outcome.
 func (c *rudeClient) record(id, outcome string) {
 	c.Cluster.mu.Lock()
 	defer c.Cluster.mu.Unlock()
@@ -89,7 +89,7 @@
 	}
 }
 
-// leave goes away within some milliseconds, with a reset or without.
+// leave waits up to millis milliseconds and then resets the connection or leaves the close to the caller, at random.
 func (c *rudeClient) leave(millis int) {
 	time.Sleep(time.Duration(c.intn(millis)) * time.Millisecond)
 	if c.intn(2) == 0 {
@@ -97,7 +97,7 @@
 	}
 }
 
-// abandonBody goes away in the middle of a body: the request was never sent completely, and no host may run it.
+// abandonBody disconnects in the middle of a body: no host may run an incomplete request.
 func (c *rudeClient) abandonBody() {
 	first := c.request(c.ids[0], shortBody)
 	c.write(first[:len(first)-1-c.intn(8)])
@@ -105,7 +105,7 @@
 	c.count("half a body")
 }
 
-// abandonRequest goes away while its request is at a host.
+// abandonRequest disconnects after sending a complete request.
 func (c *rudeClient) abandonRequest() {
 	c.record(c.ids[0], goneOutcome)
 	c.write(c.request(c.ids[0], shortBody))
@@ -113,7 +113,7 @@
 	c.count("client gone")
 }
 
-// pipeline sends all requests at once, and reads the answers.
+// pipeline sends all requests without waiting, and reads the responses.
 func (c *rudeClient) pipeline(body string) {
 	requests := ""
 	for _, id := range c.ids {
@@ -131,7 +131,7 @@
 	c.count("pipelined")
 }
 
-// readAnswer reads the answer to one request, and reports whether the connection goes on.
+// readAnswer reads the response to one request, and reports whether the connection stays usable.
 func (c *rudeClient) readAnswer(reader *bufio.Reader, id string) bool {
 	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
--- a/internal/lab/simulation/size_test.go
+++ b/internal/lab/simulation/size_test.go
@@ -14,21 +14,20 @@
 
 var atSize = flag.Bool("size", false, "play 3,200 routes, 33,000 shares, 4,200 hosts and 30 routers, and write the figures")
 
-// TestAtSize plays the size of docs/CAPACITY.md in virtual time, but for the proxies, of which there are 30: all processes are
-// started, then the configuration is set, then all proxies start at once, then changes are sent. Times are virtual, of network and
-// disks; memory is of all processes together.
+// TestAtSize runs a cluster of the size in docs/CAPACITY.md, but with only 30 proxies: it applies the configuration, restarts all
+// proxies at once and sends changes. Times are virtual, of network and disks only; memory is that of all processes together.
 func TestAtSize(t *testing.T) {
 	if !*atSize {
 		t.Skip("only with -size")
 	}
 	clock := make(chan struct{})
-	go func() { // progress, and the peak, of real time
+	go func() { // samples the heap in real time
 		var m runtime.MemStats
 		peak := uint64(0)
 		for n := 0; ; n++ {
 			select {
 			case <-clock:
-				t.Logf("| peak of the heap, all processes | %d MB |", peak>>20)
+				t.Logf("| peak heap, all processes | %d MB |", peak>>20)
 				return
 			case <-time.After(time.Second):
 				runtime.ReadMemStats(&m)
@@ -47,11 +46,11 @@
 		c.Assert(cluster.Start(), qt.IsNil)
 		defer cluster.Stop()
 		time.Sleep(5 * time.Second)
-		t.Logf("| %d hosts, %d routers started |", len(cluster.Hosts), len(cluster.Proxies))
+		t.Logf("| %d hosts, %d proxies started |", len(cluster.Hosts), len(cluster.Proxies))
 		applyChange := func(label string, change []byte) {
 			at := time.Now()
 			status, by, reply := cluster.Call("configuration.modify", "", change, 60*time.Second, 0)
-			t.Logf("| %s: %d bytes, %d by %d | %v |", label, len(change), status, by, time.Since(at))
+			t.Logf("| %s: %d bytes, status %d from process %d | %v |", label, len(change), status, by, time.Since(at))
 			c.Assert(status, qt.Equals, 200, qt.Commentf("%.200s", reply))
 		}
 		var routes []Route
@@ -66,7 +65,7 @@
 			}
 			raw, _ := json.Marshal(map[string]any{"set-items": map[string]any{"shares": map[string]any{"table-columns": []string{"name", "service",
 				"caller-header", "caller", "per-s", "burst", "version"}, "table-rows": rows}}})
-			applyChange(fmt.Sprint("shares to ", (batch+1)*3000), raw)
+			applyChange(fmt.Sprint("quotas up to ", (batch+1)*3000), raw)
 		}
 		all := func(n int) bool {
 			for _, px := range cluster.Proxies {
@@ -81,7 +80,7 @@
 			for !all(n) && time.Since(at) < 60*time.Second {
 				time.Sleep(100 * time.Millisecond)
 			}
-			t.Logf("| %s | at all after %v, all %v |", label, time.Since(at), all(n))
+			t.Logf("| %s | at all proxies after %v, complete %v |", label, time.Since(at), all(n))
 		}
 		wait("the configuration", 1)
 		for _, px := range cluster.Proxies {
@@ -91,7 +90,7 @@
 		for _, px := range cluster.Proxies {
 			c.Assert(px.Start(), qt.IsNil)
 		}
-		wait("30 routers started at once", 1)
+		wait("30 proxies started at once", 1)
 		for n := range 5 {
 			routes[7].Version, routes[7].Prefix = fmt.Sprintf("%08x", n+2), fmt.Sprintf("/turn/%d/", n)
 			applyChange("one route", cluster.ChangeBody(false, routes[7]))
--- a/internal/lab/simulation/snapshot_test.go
+++ b/internal/lab/simulation/snapshot_test.go
@@ -17,23 +17,23 @@
 	"portflow/internal/cluster/update"
 )
 
-// testSubscriber is a proxy made by hand: it subscribes to a control process and reads a snapshot, with a pause after each chunk,
-// and closes its stream after a number of them.
+// testSubscriber emulates a proxy that subscribes to a control process and reads a snapshot, with a pause after each chunk. It can
+// close its stream after a number of chunks.
 type testSubscriber struct {
 	cluster              *Cluster
 	ip                   string
-	acceptsChunks        bool // it takes them; routers of before don't
+	acceptsChunks        bool // false for older proxies, which need the snapshot in one frame
 	pause                time.Duration
-	breakAfter           int // chunks after which it lets go, 0 for never
+	breakAfter           int // number of chunks after which it closes the stream, 0 for never
 	assembly             update.Assembly
-	chunkStarts          []int // notes that it had when each chunk came, over all lines
-	singleFrameSnapshots int   // snapshots that came in one
+	chunkStarts          []int // index of the first change of each chunk, over all streams
+	singleFrameSnapshots int   // snapshots received in one frame
 	changes              []update.Change
 	subscription         update.Subscription
-	elapsed              time.Duration
+	elapsed              time.Duration // from the dial to the complete snapshot
 }
 
-// subscribe takes news until it has a whole snapshot, or its line ends.
+// subscribe reads updates until the snapshot is complete or the stream ends.
 func (s *testSubscriber) subscribe(at int) error {
 	start := time.Now()
 	p := s.cluster.Network.Process(s.ip)
@@ -59,7 +59,7 @@
 				return
 			}
 			if n++; n == s.breakAfter {
-				proxyStream.Close(fmt.Errorf("broken after %d", n))
+				proxyStream.Close(fmt.Errorf("closed after %d chunks", n))
 				return
 			}
 			time.Sleep(s.pause)
@@ -72,7 +72,7 @@
 				received, ok = w.Batch.Changes, true
 			}
 			if !ok {
-				proxyStream.Close(fmt.Errorf("news does not follow"))
+				proxyStream.Close(fmt.Errorf("batch does not follow the chunks received"))
 				return
 			}
 			s.changes, s.elapsed = received, time.Since(start)
@@ -82,7 +82,7 @@
 	})
 }
 
-// prefix is where a route stands by a snapshot, in the order in which it is taken in.
+// prefix returns the path prefix of a route after applying the changes of the snapshot in order.
 func (s *testSubscriber) prefix(name string) (prefix string) {
 	for _, n := range s.changes {
 		if n.Item != nil && n.Item.Name == name {
@@ -96,7 +96,7 @@
 	return prefix
 }
 
-// wideLayout is a cluster of three control processes and many routes, whose bodies don't compress well.
+// startWithRoutes starts a cluster of three control processes with many routes whose bodies don't compress well.
 func startWithRoutes(c *qt.C, routes int) *Cluster {
 	layout := smallLayout
 	layout.Zones, layout.ProxiesPerZone, layout.HostsPerZone = 3, 1, 1
@@ -111,15 +111,15 @@
 	return cluster
 }
 
-// nextVersion changes a route, which is everywhere when it returns.
+// changeRoute changes a route, waits until the change is applied everywhere, and returns its new prefix.
 func changeRoute(c *qt.C, cluster *Cluster, n int) string {
 	prefix := fmt.Sprintf("/turn/%d/", n)
 	configure(c, cluster, cluster.ChangeBody(false, Route{Name: "wide-00007", Prefix: prefix, Service: "desk", Version: fmt.Sprintf("%08x", 10+n)}), 0)
 	return prefix
 }
 
-// A proxy's stream breaks after each of the first chunks, and there is a change before it connects again: it is sent each chunk
-// once, nothing is in force before the snapshot is complete, and then the last change is.
+// A proxy whose stream breaks between chunks must resume the snapshot: each chunk is sent once, nothing is applied before the snapshot
+// is complete, and the result includes changes made before the proxy reconnected.
 func TestSnapshotStreamBreaks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -131,7 +131,7 @@
 		want := ""
 		for breaks := 1; breaks < n; breaks++ {
 			sub := &testSubscriber{cluster: cluster, ip: fmt.Sprintf("10.1.0.%d", 100+breaks), acceptsChunks: true, breakAfter: breaks}
-			c.Assert(sub.subscribe(0), qt.ErrorMatches, "broken after.*")
+			c.Assert(sub.subscribe(0), qt.ErrorMatches, "closed after.*")
 			c.Assert(sub.changes, qt.HasLen, 0)
 			want = changeRoute(c, cluster, breaks)
 			sub.breakAfter = 0
@@ -139,7 +139,7 @@
 			c.Assert(sub.chunkStarts, qt.DeepEquals, uninterrupted.chunkStarts)
 			c.Assert(sub.prefix("wide-00007"), qt.Equals, want)
 		}
-		// another control process holds no part of it: it is begun anew there
+		// another control process can't resume the snapshot and sends it from the start
 		sub := &testSubscriber{cluster: cluster, ip: "10.1.0.99", acceptsChunks: true, breakAfter: 5}
 		sub.subscribe(0)
 		sub.breakAfter = 0
@@ -147,7 +147,7 @@
 		c.Check(sub.chunkStarts[5], qt.Equals, 0)
 		c.Check(sub.chunkStarts[5:], qt.HasLen, n)
 		c.Check(sub.prefix("wide-00007"), qt.Equals, want)
-		// and so it is with this one once it was restarted
+		// neither can the same control process after a restart
 		sub = &testSubscriber{cluster: cluster, ip: "10.1.0.98", acceptsChunks: true, breakAfter: 5}
 		sub.subscribe(0)
 		cluster.Controls[0].Kill()
@@ -162,8 +162,8 @@
 	})
 }
 
-// Routers that are slow hold up none that are quick, changes that come meanwhile are in what each ends with, and a router of
-// before is sent one frame.
+// A slow subscriber must not delay fast ones, every subscriber ends with the latest change, and an older proxy receives the snapshot in
+// one frame.
 func TestSlowSubscriberDoesNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -176,7 +176,7 @@
 			last = changeRoute(c, cluster, n)
 			sub := &testSubscriber{cluster: cluster, ip: fmt.Sprintf("10.1.0.%d", 100+n), acceptsChunks: true}
 			why := sub.subscribe(0)
-			c.Assert(sub.prefix("wide-00007"), qt.Equals, last, qt.Commentf("turn %d: %v", n, why))
+			c.Assert(sub.prefix("wide-00007"), qt.Equals, last, qt.Commentf("change %d: %v", n, why))
 			c.Assert(sub.elapsed < time.Second, qt.IsTrue, qt.Commentf("%v", sub.elapsed))
 		}
 		c.Check(slow.changes, qt.HasLen, 0)
--- a/internal/lab/simulation/store_test.go
+++ b/internal/lab/simulation/store_test.go
@@ -21,7 +21,7 @@
 	return config.Item{Kind: config.KindRoutes, Name: name, Version: version, Body: body}
 }
 
-// What was synced is there after a loss of power; what was not is there whole or not at all.
+// Synced writes must survive a loss of power; other writes are recovered completely or not at all.
 func TestStoreAfterPowerLoss(t *testing.T) {
 	for _, torn := range []bool{false, true} {
 		c := qt.New(t)
@@ -42,7 +42,7 @@
 	}
 }
 
-// A disk that refuses for a while is written to again once it doesn't: its process goes on, and was not restarted.
+// A store must accept writes again after a disk failure without being reopened by its caller.
 func TestStoreAfterWriteFailure(t *testing.T) {
 	c := qt.New(t)
 	d := NewDisk()
@@ -58,16 +58,15 @@
 	c.Check(newestVersion(items), qt.Equals, uint64(3))
 }
 
-// A disk with corrupted bytes is never taken for an empty or an earlier one: there is an error at the start, or what can still be
-// read with the mark that it is incomplete; the others complete it before this process counts. Only what corrupts the last record,
-// as a loss of power would, reads as a write that was not finished.
+// A corrupted disk must not be taken for an empty or an older one: Open fails, or reports the items as incomplete, so that the process
+// catches up from the others before it votes. Only a corrupted last record, as after a loss of power, counts as an unfinished write.
 func TestStoreCorrupted(t *testing.T) {
 	outcomes := map[string]int{}
 	for at := range 120 {
 		d := NewDisk()
 		st, _, _, _, err := store.Open(d.Open())
 		qt.Assert(t, err, qt.IsNil)
-		for n := range 900 { // three blocks of the journal
+		for n := range 900 { // fills three blocks of the journal
 			qt.Assert(t, st.Write([]config.Item{testItem(fmt.Sprint("r", n%50), uint64(n))}, nil, n == 0), qt.IsNil)
 		}
 		st.Close()
@@ -81,11 +80,11 @@
 		case err != nil:
 			outcomes["error"]++
 		case complete && len(items) == 50 && newestVersion(items) == 899:
-			outcomes["unharmed"]++ // the byte was in nothing that is read
+			outcomes["unharmed"]++ // the corrupted byte is not read
 		case complete:
-			t.Errorf("byte %d: %d of 50 items, the newest %d, and said to be whole", at, len(items), newestVersion(items))
+			t.Errorf("corrupted byte %d: got %d of 50 items, newest version %d, reported as complete", at, len(items), newestVersion(items))
 		default:
-			outcomes["not whole"]++
+			outcomes["incomplete items"]++
 		}
 		if again != nil {
 			again.Close()
@@ -101,7 +100,7 @@
 	return last
 }
 
-// A journal that is cut at any byte, as by a loss of power, is not spoilt; one with a bad byte before its last record is.
+// A journal truncated at any byte, as after a loss of power, is not damaged; one with a corrupted byte before its last record is.
 func TestTornWriteIsNotCorruption(t *testing.T) {
 	c := qt.New(t)
 	d := NewDisk()
@@ -110,7 +109,7 @@
 	for n := range 8 {
 		i := testItem(fmt.Sprint("r", n), 1)
 		if n == 3 {
-			i.Body = []byte(`"` + strings.Repeat("x", 70<<10) + `"`) // a record of several blocks
+			i.Body = []byte(`"` + strings.Repeat("x", 70<<10) + `"`) // a record that spans several blocks
 		}
 		c.Assert(st.Write([]config.Item{i}, nil, false), qt.IsNil)
 	}
@@ -122,22 +121,22 @@
 	}
 	c.Assert(len(raw) > 70<<10, qt.IsTrue)
 	c.Check(store.Damaged(raw), qt.IsFalse)
-	last := bytes.LastIndex(raw, []byte("i/routes/r7")) - 40 // in the record before the last, or its end
+	last := bytes.LastIndex(raw, []byte("i/routes/r7")) - 40 // within the record before the last one, or at its end
 	for at := range raw {
 		if at%97 != 0 && at < len(raw)-500 {
-			continue // the long record by samples
+			continue // only sample the long record
 		}
-		c.Assert(store.Damaged(raw[:at]), qt.IsFalse, qt.Commentf("cut at %d", at))
+		c.Assert(store.Damaged(raw[:at]), qt.IsFalse, qt.Commentf("truncated at byte %d", at))
 		bad := bytes.Clone(raw)
 		if bad[at] ^= 0x5a; at < last {
-			c.Assert(store.Damaged(bad), qt.IsTrue, qt.Commentf("byte %d of %d", at, len(raw)))
+			c.Assert(store.Damaged(bad), qt.IsTrue, qt.Commentf("corrupted byte %d of %d", at, len(raw)))
 		}
-		zeros := append(bytes.Clone(raw[:at]), make([]byte, len(raw)-at)...) // written long, and not filled
+		zeros := append(bytes.Clone(raw[:at]), make([]byte, len(raw)-at)...) // extended but not written
 		c.Assert(store.Damaged(zeros), qt.IsFalse, qt.Commentf("zeros from %d", at))
 	}
 }
 
-// The disk holds what stands and little more, however many changes there were; old drops go.
+// The size of the store must not grow with the number of changes, and old tombstones are discarded.
 func TestStoreStaysSmall(t *testing.T) {
 	c := qt.New(t)
 	d := NewDisk()
@@ -172,8 +171,8 @@
 	c.Check(a && b, qt.IsTrue)
 }
 
-// After a partition the bytes to the process that was partitioned grow with what changed, and not with how much there is; and a
-// change costs one sync on each disk, and its own bytes to each.
+// The bytes sent to a process after a partition must depend on what changed, not on the size of the configuration. A change costs one
+// sync on each disk, and bytes between regions that don't depend on the size of the configuration either.
 func TestRepairCostFollowsChanges(t *testing.T) {
 	const changes = 5
 	var repairCost, changeCost []int64
@@ -200,7 +199,7 @@
 			before, _ := cluster.Network.crossTraffic()
 			time.Sleep(changes * 2400 * time.Millisecond)
 			idle, _ := cluster.Network.crossTraffic()
-			for n := range changes { // gossip by chance and words by turns are as much as one order, and not as five
+			for n := range changes { // averaged, as gossip at random times can cost as much as one change
 				all[3].Version = fmt.Sprintf("%08d", n+2)
 				status, _, _ = cluster.Call("configuration.modify", "", cluster.ChangeBody(false, all[3]), 2400*time.Millisecond, 1)
 				c.Assert(status, qt.Equals, 200)
@@ -239,8 +238,8 @@
 	qt.Check(t, repairCost[2] < 3*repairCost[0], qt.IsTrue, qt.Commentf("%v", repairCost))
 }
 
-// A full disk fails what it can't store, and half a record stays behind. Once there is space the next write succeeds without a
-// restart, and what was written is there after a loss of power.
+// A write to a full disk fails and leaves a partial record. Once there is space, the next write must succeed without a restart, and
+// successful writes must survive a loss of power.
 func TestStoreOnFullDisk(t *testing.T) {
 	for _, torn := range []bool{false, true} {
 		c := qt.New(t)
--- a/internal/lab/simulation/updatebatch_test.go
+++ b/internal/lab/simulation/updatebatch_test.go
@@ -10,8 +10,8 @@
 	"portflow/internal/cluster/stream"
 )
 
-// Hosts end one after the other, a hundred a second: each end goes to each proxy in one batch with those soon after it, not by
-// itself. A single change goes at once.
+// Updates in quick succession, such as a hundred hosts draining per second, must reach each proxy in batches. A single change must be
+// sent without delay.
 func TestUpdatesAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -26,7 +26,7 @@
 		}
 		time.Sleep(time.Second)
 		frames := stream.FramesWritten.Load() - sent
-		c.Logf("%d frames for 50 hosts, 24 routers and 6 control processes", frames)
+		c.Logf("%d frames for 50 hosts, 24 proxies and 6 control processes", frames)
 		c.Check(frames < 490, qt.IsTrue, qt.Commentf("%d", frames))
 		for _, px := range cluster.Proxies {
 			c.Check(px.Running.UsableHosts("desk"), qt.Equals, 10)
@@ -35,7 +35,7 @@
 		changed := safeRoute
 		changed.Version = "0000000a"
 		configure(c, cluster, cluster.ChangeBody(false, changed), 0)
-		time.Sleep(40 * time.Millisecond) // one way between regions
+		time.Sleep(40 * time.Millisecond) // one-way delay between regions
 		for _, px := range cluster.Proxies {
 			c.Check(px.Running.RouteVersions()[safeRoute.Name], qt.Equals, uint64(10), qt.Commentf(px.Settings.Name))
 		}
--- a/internal/lab/simulation/writefailure_test.go
+++ b/internal/lab/simulation/writefailure_test.go
@@ -16,17 +16,17 @@
 	"portflow/internal/random"
 )
 
-// After a write that failed, at whatever step, the next ones succeed; and what was acknowledged is there at the next start, after a
-// loss of power too, though the one that failed is not sent again. -args -seeds 60 plays more.
+// After a write that failed at any step, later writes must succeed, and acknowledged writes must survive a restart or a loss of power
+// even if the failed write is not repeated. Use -args -seeds 60 to run more seeds.
 func TestStoreReopensAfterWriteFailure(t *testing.T) {
 	for _, kind := range []string{"write", "sync", "create", "meta", "remove", ""} {
 		for seed := range uint64(*randomRuns) {
-			synctest.Test(t, func(t *testing.T) { playWriteFailure(qt.New(t), kind, seed) }) // the store waits between its tries
+			synctest.Test(t, func(t *testing.T) { playWriteFailure(qt.New(t), kind, seed) }) // the store waits between attempts
 		}
 	}
 }
 
-// playWriteFailure plays one history of writes on a disk that fails steps of a kind now and then.
+// playWriteFailure makes random writes on a disk on which operations of one kind fail from time to time.
 func playWriteFailure(c *qt.C, kind string, seed uint64) {
 	rng := random.Source{Seed: seed*31 + uint64(len(kind))}
 	n := func(n int) int { return int(rng.Float64() * float64(n)) }
@@ -42,7 +42,7 @@
 		}
 		name := fmt.Sprint("r", n(30))
 		i := testItem(name, version)
-		if n(4) == 0 { // long enough that the store begins new files
+		if n(4) == 0 { // large enough that the store begins new files
 			i.Body, _ = json.Marshal(map[string]string{"x": string(make([]byte, 30<<10))})
 		}
 		if n(3) == 0 {
@@ -54,12 +54,12 @@
 		}
 	}
 	f.next(0)
-	c.Assert(st.Write([]config.Item{testItem("last", 999)}, nil, false), qt.IsNil, qt.Commentf("%s %d", kind, seed))
+	c.Assert(st.Write([]config.Item{testItem("last", 999)}, nil, false), qt.IsNil, qt.Commentf("%s, seed %d", kind, seed))
 	want["last"] = 999
-	left := copyDisk(d) // as a loss of power at this moment leaves it
+	left := copyDisk(d) // the disk as a loss of power would leave it now
 	left.PowerLoss(true)
 	c.Assert(st.Close(), qt.IsNil)
-	c.Check(f.opened(0) <= 2, qt.IsTrue, qt.Commentf("%s %d: %d files are open after %d refusals", kind, seed, f.opened(0), f.failures))
+	c.Check(f.opened(0) <= 2, qt.IsTrue, qt.Commentf("%s, seed %d: got %d open files after %d failed operations, want at most 2", kind, seed, f.opened(0), f.failures))
 	if n(2) == 0 {
 		left = d
 	}
@@ -69,14 +69,14 @@
 	for _, i := range items {
 		got[i.Name] = i.Version
 	}
-	c.Assert(maps.Equal(got, want), qt.IsTrue, qt.Commentf("%s %d, %d refused, whole %v: have %v, want %v", kind, seed, f.failures, complete, got, want))
+	c.Assert(maps.Equal(got, want), qt.IsTrue, qt.Commentf("%s, seed %d, %d failed operations, complete %v: got %v, want %v", kind, seed, f.failures, complete, got, want))
 	c.Assert(complete, qt.IsTrue)
 	again.Close()
-	time.Sleep(2 * time.Second) // the store's own goroutines end
+	time.Sleep(2 * time.Second) // until the store's goroutines have ended
 }
 
-// A disk fails writes for a while and recovers; then a region is lost. Its process is needed for the majority: it has to accept
-// changes again without a restart, and keep them.
+// A process whose disk failed for a while must store changes again without a restart: after the loss of a region, the quorum depends
+// on it.
 func TestWriteFailureThenRegionLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -91,7 +91,7 @@
 		}
 		failing := cluster.Controls[0]
 		failing.Disk.SetFaults(5*time.Millisecond, true)
-		c.Check(change("00000002", 1), qt.Equals, 200) // the other five have it
+		c.Check(change("00000002", 1), qt.Equals, 200) // the other five processes form a quorum
 		time.Sleep(2 * time.Second)
 		failing.Disk.SetFaults(5*time.Millisecond, false)
 		time.Sleep(3 * time.Second)
@@ -101,7 +101,7 @@
 		}
 		time.Sleep(4 * time.Second)
 		c.Check(change("00000003", 4), qt.Equals, 200)
-		for _, node := range cluster.Controls { // the failing one's own disk, and one more, hold it
+		for _, node := range cluster.Controls { // the last change must survive on the disk that failed
 			node.Kill()
 			node.Disk.PowerLoss(true)
 		}
@@ -109,7 +109,7 @@
 		disk, items, cells, complete, err := store.Open(failing.Disk.Open())
 		c.Assert(err, qt.IsNil)
 		disk.Close()
-		var node consensus.HardState // the last change may still be its vote
+		var node consensus.HardState // the last change may be stored as an accepted value only
 		c.Assert(json.Unmarshal(cells["node"], &node), qt.IsNil)
 		items = append(items, node.AcceptedValue...)
 		c.Check(complete, qt.IsTrue)
@@ -123,7 +123,7 @@
 	})
 }
 
-// A store is closed in the middle of a write that waits for the disk: the write ends first, and virtual time goes on.
+// Closing a store during a write that waits for the disk must let the write complete, and must not deadlock.
 func TestStoreClosedDuringWrite(t *testing.T) {
 	for _, refuse := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -143,12 +143,12 @@
 			c.Check(<-done, qt.IsNil)
 			c.Check(st.Write(nil, nil, true), qt.ErrorIs, store.ErrClosed)
 			c.Check(st.Reopened.Load() == 1, qt.Equals, refuse)
-			time.Sleep(2 * time.Second) // the store's own goroutines end
+			time.Sleep(2 * time.Second) // until the store's goroutines have ended
 		})
 	}
 }
 
-// Its process is ended in the middle of a write that waits for the disk, and while the disk refuses: nothing waits for ever.
+// Killing a process during a slow or failing write must not deadlock, and the process must recover after a restart.
 func TestKilledDuringWriteFailure(t *testing.T) {
 	for _, delay := range []time.Duration{0, 5 * time.Millisecond, 125 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
