--- a/internal/lab/simulation/measurecatchup_test.go
+++ b/internal/lab/simulation/measurecatchup_test.go
@@ -48,17 +48,17 @@
 func measureCatchUp(t *testing.T) {
 	t.Log("| items | missed changes | concurrent changes/s | link | until in touch ms | until it has all changes acknowledged before its start ms | bytes received | peak heap growth MB | slowest concurrent change ms |")
 	for _, x := range []struct {
-		routes, shares, missed int
-		perS, link             float64
+		routes, quotas, missed     int
+		changesPerSecond, linkRate float64
 	}{
 		{10, 0, 10, 0, 0}, {10, 0, 100, 0, 0}, {10, 0, 1000, 0, 0},
 		{10, 0, 10, 40, 0}, {10, 0, 100, 40, 0}, {10, 0, 1000, 40, 0}, {10, 0, 10000, 40, 0},
 		{1000, 0, 1000, 40, 0}, {3200, 0, 1000, 40, 0}, {3200, 0, 1000, 40, 250e3}, {3200, 10000, 100, 40, 250e3}, {3200, 10000, 1000, 40, 250e3},
 	} {
-		t.Run(fmt.Sprintf("%d routes, %d quotas, %d missed, %.0f changes/s, link %.0f", x.routes, x.shares, x.missed, x.perS, x.link), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d routes, %d quotas, %d missed, %.0f changes/s, link %.0f", x.routes, x.quotas, x.missed, x.changesPerSecond, x.linkRate), func(t *testing.T) {
 			runBenchmark(t, layoutOf(6, 0, 0, 1), func(b *benchmark) {
 				b.loadRoutes(x.routes)
-				b.fillTo(x.shares)
+				b.fillTo(x.quotas)
 				time.Sleep(3 * time.Second)
 				node := b.cluster.Controls[5]
 				b.setPoweredOff(5, true)
@@ -67,12 +67,12 @@
 					o := b.callUntilAnswered(0, "configuration.modify", "", b.nextChange(fmt.Sprintf("load-%05d", i%max(x.routes, 10))))
 					b.c.Assert(o.status, qt.Equals, 200)
 				}
-				if x.link > 0 {
-					b.limitLink(node.Settings.IP, x.link)
+				if x.linkRate > 0 {
+					b.limitLink(node.Settings.IP, x.linkRate)
 				}
 				wait := func() []callResult { return nil }
-				if x.perS > 0 {
-					wait = b.streamChanges(x.perS, 20*time.Second, 0, 1, 2, 3, 4)
+				if x.changesPerSecond > 0 {
+					wait = b.streamChanges(x.changesPerSecond, 20*time.Second, 0, 1, 2, 3, 4)
 					time.Sleep(2 * time.Second)
 				}
 				want := b.nextChange("mark")
@@ -107,8 +107,8 @@
 				for _, o := range wait() {
 					worst = max(worst, o.latency)
 				}
-				t.Logf("| %d routes, %d quotas | %d | %.0f | %s | %s | %s | %d | %.1f | %s |", x.routes, x.shares, x.missed, x.perS,
-					map[bool]string{true: "2 Mbit/s", false: "free"}[x.link > 0], formatMillis(caughtUp), formatMillis(readable), bytes, float64(most-min(heap, most))/1e6, formatMillis(worst))
+				t.Logf("| %d routes, %d quotas | %d | %.0f | %s | %s | %s | %d | %.1f | %s |", x.routes, x.quotas, x.missed, x.changesPerSecond,
+					map[bool]string{true: "2 Mbit/s", false: "free"}[x.linkRate > 0], formatMillis(caughtUp), formatMillis(readable), bytes, float64(most-min(heap, most))/1e6, formatMillis(worst))
 			})
 		})
 	}
--- a/internal/lab/simulation/measurefaults_test.go
+++ b/internal/lab/simulation/measurefaults_test.go
@@ -124,9 +124,9 @@
 					}
 					repaired = append(repaired, 40*time.Second)
 				})
-				mine := wait()
+				results := wait()
 				var ends []time.Time
-				for _, o := range mine {
+				for _, o := range results {
 					if o.sent.After(at) {
 						all = append(all, o)
 						if o.latency > slowest {
--- a/internal/lab/simulation/measurelatency_test.go
+++ b/internal/lab/simulation/measurelatency_test.go
@@ -136,7 +136,7 @@
 		firstStatuses := map[string]int{}
 		finalStatuses := map[string]int{}
 		for n := range 1000 {
-			one, two := n%6, (n+1+n/6%5)%6
+			firstAt, secondAt := n%6, (n+1+n/6%5)%6
 			send := func(at int, prefix string) (int, callResult) {
 				x := b.cluster.ChangeBody(false, Route{Name: fmt.Sprintf("race-%d", n%50), Prefix: fmt.Sprintf("/%s/%d/", prefix, n), Service: "desk", Version: fmt.Sprintf("%08x", n/50+1)})
 				status, _ := b.callOnce(at, at, "configuration.modify", "", x)
@@ -148,9 +148,9 @@
 			var first, second int
 			var a, z callResult
 			var each sync.WaitGroup
-			each.Go(func() { first, a = send(one, "left") })
+			each.Go(func() { first, a = send(firstAt, "left") })
 			skew := time.Duration(b.float64() * float64(100*time.Millisecond))
-			each.Go(func() { time.Sleep(skew); second, z = send(two, "right") })
+			each.Go(func() { time.Sleep(skew); second, z = send(secondAt, "right") })
 			each.Wait()
 			x := []int{first, second}
 			slices.Sort(x)
--- a/internal/lab/simulation/nearercontrol_test.go
+++ b/internal/lab/simulation/nearercontrol_test.go
@@ -53,11 +53,11 @@
 					changed := safeRoute
 					changed.Version = fmt.Sprintf("%08x", n+10)
 					configure(c, cluster, cluster.ChangeBody(false, changed), 0)
-					at := time.Now()
-					for px.Running.RouteVersions()[safeRoute.Name] != uint64(n+10) && time.Since(at) < 5*time.Second {
+					acknowledged := time.Now()
+					for px.Running.RouteVersions()[safeRoute.Name] != uint64(n+10) && time.Since(acknowledged) < 5*time.Second {
 						time.Sleep(5 * time.Millisecond)
 					}
-					worst = max(worst, time.Since(at))
+					worst = max(worst, time.Since(acknowledged))
 					time.Sleep(130 * time.Millisecond)
 				}
 				c.Check(worst < 200*time.Millisecond, qt.IsTrue, qt.Commentf("change in force %v after its acknowledgement, want less than 200ms", worst))
--- a/internal/lab/simulation/quota_test.go
+++ b/internal/lab/simulation/quota_test.go
@@ -27,15 +27,15 @@
 	return raw
 }
 
-// playPeakLoad runs a load in which two callers stay within their quotas and a third sends rush requests per second; quotas are
-// configured if on is set. If lose is set, a zone fails halfway. It returns the tallies of the two callers and of the third.
-func playPeakLoad(t *testing.T, on bool, rush float64, lose bool) (quiet, rushing *Tally) {
+// playPeakLoad runs a load in which two callers stay within their quotas and a third sends rushRate requests per second; quotas are
+// configured if quotas is set. If loseZone is set, a zone fails halfway. It returns the tallies of the two callers and of the third.
+func playPeakLoad(t *testing.T, quotas bool, rushRate float64, loseZone bool) (quiet, rushing *Tally) {
 	quiet, rushing = &Tally{}, &Tally{}
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		layout := Layout{Zones: 4, ProxiesPerZone: 2, HostsPerZone: 2, Services: []string{"desk"}, ServiceTime: 80 * time.Millisecond, Concurrency: 3, Seed: 3} // 300 a second
 		cluster := startCluster(c, layout)
-		if on {
+		if quotas {
 			configure(c, cluster, quotaChangeBody("00000002", map[string]float64{"rush": 30, "one": 60, "two": 60}), 0)
 		}
 		time.Sleep(2 * time.Second)
@@ -48,14 +48,14 @@
 				for _, r := range []Route{safeRoute, unsafeRoute} {
 					r.Name, r.Caller = r.Name+"-"+caller, caller
 					if caller == "rush" {
-						cluster.GenerateTraffic(rushing, z, r, rush/8, duration)
+						cluster.GenerateTraffic(rushing, z, r, rushRate/8, duration)
 					} else {
 						cluster.GenerateTraffic(quiet, z, r, 5, duration)
 					}
 				}
 			}
 		}
-		if lose {
+		if loseZone {
 			time.Sleep(duration/2 - time.Second)
 			for _, node := range cluster.Controls[3:] {
 				node.Kill()
@@ -73,13 +73,13 @@
 		} else {
 			time.Sleep(duration)
 		}
-		if on { // the quotas that control reports
+		if quotas { // the quotas that control reports
 			_, _, raw := cluster.Call("harbour.read", "", nil, time.Second, 0)
 			var s server.ClusterStatus
 			c.Assert(json.Unmarshal(raw, &s), qt.IsNil)
 			c.Assert(s.Quotas, qt.HasLen, 3)
 			for _, x := range s.Quotas {
-				if x.Caller == "rush" && rush > 100 {
+				if x.Caller == "rush" && rushRate > 100 {
 					c.Check(x.Used > 15 && x.Used < 45, qt.IsTrue, qt.Commentf("%+v", x))
 					c.Check(len(x.Zones) >= 3, qt.IsTrue, qt.Commentf("%+v", x))
 				}
@@ -105,19 +105,19 @@
 			good, requests, outcome := x.Counts()
 			return float64(good) / float64(requests), fmt.Sprintf("%d of %d, p99 %v: %s", good, requests, x.p99(), outcome)
 		}
-		calm, _ := playPeakLoad(t, true, 20, lose)
-		with, rushing := playPeakLoad(t, true, 600, lose)
-		without, taken := playPeakLoad(t, false, 600, lose)
-		a, sayA := servedFraction(calm)
-		b, sayB := servedFraction(with)
-		d, sayD := servedFraction(without)
-		r, sayR := servedFraction(rushing)
-		_, sayT := servedFraction(taken)
-		t.Logf("zone lost: %v\nother callers, normal load: %s\nother callers, peak with quotas: %s\nother callers, peak without quotas: %s\nheavy caller, with quotas: %s\nheavy caller, without quotas: %s", lose, sayA, sayB, sayD, sayR, sayT)
+		normal, _ := playPeakLoad(t, true, 20, lose)
+		withQuotas, rushing := playPeakLoad(t, true, 600, lose)
+		withoutQuotas, rushingWithoutQuotas := playPeakLoad(t, false, 600, lose)
+		a, textA := servedFraction(normal)
+		b, textB := servedFraction(withQuotas)
+		d, textD := servedFraction(withoutQuotas)
+		r, textR := servedFraction(rushing)
+		_, textT := servedFraction(rushingWithoutQuotas)
+		t.Logf("zone lost: %v\nother callers, normal load: %s\nother callers, peak with quotas: %s\nother callers, peak without quotas: %s\nheavy caller, with quotas: %s\nheavy caller, without quotas: %s", lose, textA, textB, textD, textR, textT)
 		c.Check(b > a-0.04, qt.IsTrue)
 		c.Check(b > d, qt.IsTrue)
-		c.Check(r > 0.04, qt.IsTrue)                          // its quota is a twentieth of its demand
-		c.Check(with.p99() < 400*time.Millisecond, qt.IsTrue) // half of the latency target
+		c.Check(r > 0.04, qt.IsTrue)                                // its quota is a twentieth of its demand
+		c.Check(withQuotas.p99() < 400*time.Millisecond, qt.IsTrue) // half of the latency target
 	}
 }
 
--- a/internal/lab/simulation/randomschedule_test.go
+++ b/internal/lab/simulation/randomschedule_test.go
@@ -439,7 +439,7 @@
 	for n := 2; ; n++ {
 		target := fmt.Sprint("v", n)
 		status, _, _ := cluster.Call("rollouts.begin", "", []byte(`{"service":"desk","target-version":"`+target+`","duration-s":5}`), 8*time.Second, int(rng.Float64()*6))
-		rollbackShare := []float64{0, 0.02, 0.1, 0.5}[int(rng.Float64()*4)] // fraction of the votes
+		rollbackFraction := []float64{0, 0.02, 0.1, 0.5}[int(rng.Float64()*4)] // fraction of the votes
 		for range 24 {
 			select {
 			case <-stop:
@@ -448,7 +448,7 @@
 			}
 			for _, px := range cluster.Proxies {
 				if status == 200 && rng.Float64() < 0.7 {
-					px.Running.SendVote(update.Vote{Service: "desk", Number: uint64(n - 1), Verdict: uint8(lo.Ternary(rng.Float64() < rollbackShare, decision.RollBack, decision.Advance))})
+					px.Running.SendVote(update.Vote{Service: "desk", Number: uint64(n - 1), Verdict: uint8(lo.Ternary(rng.Float64() < rollbackFraction, decision.RollBack, decision.Advance))})
 				}
 			}
 			node := cluster.Controls[int(rng.Float64()*6)]
--- a/internal/lab/simulation/size_test.go
+++ b/internal/lab/simulation/size_test.go
@@ -20,13 +20,13 @@
 	if !*atSize {
 		t.Skip("only with -size")
 	}
-	clock := make(chan struct{})
+	stopSampling := make(chan struct{})
 	go func() { // samples the heap in real time
 		var m runtime.MemStats
 		peak := uint64(0)
 		for n := 0; ; n++ {
 			select {
-			case <-clock:
+			case <-stopSampling:
 				t.Logf("| peak heap, all processes | %d MB |", peak>>20)
 				return
 			case <-time.After(time.Second):
@@ -97,5 +97,5 @@
 			wait("it", n+2)
 		}
 	})
-	close(clock)
+	close(stopSampling)
 }
--- a/internal/lab/simulation/snapshot_test.go
+++ b/internal/lab/simulation/snapshot_test.go
@@ -111,7 +111,7 @@
 	return cluster
 }
 
-// changeRoute changes a route, waits until the change is applied everywhere, and returns its new prefix.
+// changeRoute changes a route and returns its new prefix once the change is acknowledged.
 func changeRoute(c *qt.C, cluster *Cluster, n int) string {
 	prefix := fmt.Sprintf("/turn/%d/", n)
 	configure(c, cluster, cluster.ChangeBody(false, Route{Name: "wide-00007", Prefix: prefix, Service: "desk", Version: fmt.Sprintf("%08x", 10+n)}), 0)
--- a/internal/lab/simulation/writefailure_test.go
+++ b/internal/lab/simulation/writefailure_test.go
@@ -56,14 +56,14 @@
 	f.next(0)
 	c.Assert(st.Write([]config.Item{testItem("last", 999)}, nil, false), qt.IsNil, qt.Commentf("%s, seed %d", kind, seed))
 	want["last"] = 999
-	left := copyDisk(d) // the disk as a loss of power would leave it now
-	left.PowerLoss(true)
+	disk := copyDisk(d) // the disk as a loss of power would leave it now
+	disk.PowerLoss(true)
 	c.Assert(st.Close(), qt.IsNil)
 	c.Check(f.opened(0) <= 2, qt.IsTrue, qt.Commentf("%s, seed %d: got %d open files after %d failed operations, want at most 2", kind, seed, f.opened(0), f.failures))
 	if n(2) == 0 {
-		left = d
+		disk = d
 	}
-	again, items, _, complete, err := store.Open(left.Open())
+	again, items, _, complete, err := store.Open(disk.Open())
 	c.Assert(err, qt.IsNil)
 	got := map[string]uint64{}
 	for _, i := range items {
