--- a/internal/lab/simulation/randomschedule_test.go
+++ b/internal/lab/simulation/randomschedule_test.go
@@ -109,7 +109,7 @@
 		for _, peer := range cluster.Controls {
 			cluster.Network.SetPartition(node.Settings.IP, peer.Settings.IP, false)
 		}
-		return fmt.Sprint("cut ", node.Settings.IP)
+		return fmt.Sprint("partitioned ", node.Settings.IP)
 	case 5:
 		o.setFault("slow disk")
 		node.Disk.SetFaults(125*time.Millisecond, false)
@@ -117,11 +117,11 @@
 		node.Disk.SetFaults(5*time.Millisecond, false)
 		return fmt.Sprint("slow disk ", node.Settings.IP)
 	case 6:
-		o.setFault("refusing disk")
+		o.setFault("failing disk")
 		node.Disk.SetFaults(5*time.Millisecond, true)
 		time.Sleep(duration)
 		node.Disk.SetFaults(5*time.Millisecond, false)
-		return fmt.Sprint("refusing disk ", node.Settings.IP)
+		return fmt.Sprint("failing disk ", node.Settings.IP)
 	case 7: // a region loses power
 		o.setFault("region")
 		region := []*ControlNode{node, cluster.Controls[index^1]}
--- a/internal/lab/simulation/store_test.go
+++ b/internal/lab/simulation/store_test.go
@@ -212,24 +212,24 @@
 			}
 			c.Check(syncs, qt.Equals, changes*len(cluster.Controls))
 
-			cut := cluster.Controls[5]
+			partitioned := cluster.Controls[5]
 			for _, node := range cluster.Controls[:5] {
-				cluster.Network.SetPartition(node.Settings.IP, cut.Settings.IP, true)
+				cluster.Network.SetPartition(node.Settings.IP, partitioned.Settings.IP, true)
 			}
 			time.Sleep(4 * time.Second)
 			all[5].Version = "00000003"
 			status, _, _ = cluster.Call("configuration.modify", "", cluster.ChangeBody(false, all[5]), 3*time.Second, 1)
 			c.Assert(status, qt.Equals, 200)
 			time.Sleep(time.Second)
-			before = cluster.Network.ReceivedBytes(cut.Settings.IP)
+			before = cluster.Network.ReceivedBytes(partitioned.Settings.IP)
 			for _, node := range cluster.Controls[:5] {
-				cluster.Network.SetPartition(node.Settings.IP, cut.Settings.IP, false)
+				cluster.Network.SetPartition(node.Settings.IP, partitioned.Settings.IP, false)
 			}
 			time.Sleep(5 * time.Second)
-			c.Check(cut.Status(), qt.Equals, "in touch")
+			c.Check(partitioned.Status(), qt.Equals, "in touch")
 			_, _, reply = cluster.Call("configuration.read", "", nil, time.Second, 5)
 			c.Check(string(reply), qt.Contains, `"00000003"`)
-			repairCost = append(repairCost, cluster.Network.ReceivedBytes(cut.Settings.IP)-before)
+			repairCost = append(repairCost, cluster.Network.ReceivedBytes(partitioned.Settings.IP)-before)
 		})
 	}
 	t.Log("bytes to the one that was cut off, at 10, 100 and 1000 routes:", repairCost)
