--- a/internal/lab/simulation/measurecatchup_test.go
+++ b/internal/lab/simulation/measurecatchup_test.go
@@ -12,9 +12,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// measureJoin is what it costs to bring in one whose disk was lost.
+// measureJoin measures how long a control process that lost its disk takes to rejoin, and the bytes that it receives.
 func measureJoin(t *testing.T) {
-	t.Log("| routes | until it is in touch ms | until the next loss is borne ms | bytes to it | of all to it in the same time when calm |")
+	t.Log("| routes | until in touch ms | until two failures are tolerated ms | bytes received | bytes received when idle, same time |")
 	for _, n := range []int{10, 100, 1000, 3200} {
 		runBenchmark(t, newLayout(6, 0, 0, 1), func(b *benchmark) {
 			b.loadRoutes(n)
@@ -44,21 +44,21 @@
 	}
 }
 
-// measureBehind is how long one that missed changes is behind, while 40 a second go on.
-func measureBehind(t *testing.T) {
-	t.Log("| items | missed | a second meanwhile | link | until in touch ms | until all that was confirmed at the start is had ms | bytes to it | heap at its most MB, over before | worst order meanwhile ms |")
+// measureCatchUp measures how long a control process that missed changes takes to catch up, with and without concurrent changes.
+func measureCatchUp(t *testing.T) {
+	t.Log("| items | missed changes | concurrent changes/s | link | until in touch ms | until it has all changes acknowledged before its start ms | bytes received | peak heap growth MB | slowest concurrent change ms |")
 	for _, x := range []struct {
-		routes, shares, missed int
-		perS, link             float64
+		routes, quotas, missed     int
+		changesPerSecond, linkRate float64
 	}{
 		{10, 0, 10, 0, 0}, {10, 0, 100, 0, 0}, {10, 0, 1000, 0, 0},
 		{10, 0, 10, 40, 0}, {10, 0, 100, 40, 0}, {10, 0, 1000, 40, 0}, {10, 0, 10000, 40, 0},
 		{1000, 0, 1000, 40, 0}, {3200, 0, 1000, 40, 0}, {3200, 0, 1000, 40, 250e3}, {3200, 10000, 100, 40, 250e3}, {3200, 10000, 1000, 40, 250e3},
 	} {
-		t.Run(fmt.Sprintf("%d+%d missed %d at %.0f link %.0f", x.routes, x.shares, x.missed, x.perS, x.link), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d routes, %d quotas, %d missed, %.0f changes/s, link %.0f", x.routes, x.quotas, x.missed, x.changesPerSecond, x.linkRate), func(t *testing.T) {
 			runBenchmark(t, newLayout(6, 0, 0, 1), func(b *benchmark) {
 				b.loadRoutes(x.routes)
-				b.loadQuotas(x.shares)
+				b.loadQuotas(x.quotas)
 				time.Sleep(3 * time.Second)
 				node := b.cluster.Controls[5]
 				b.setPoweredOff(5, true)
@@ -67,12 +67,12 @@
 					o := b.callUntilAnswered(0, "configuration.modify", "", b.nextChange(fmt.Sprintf("load-%05d", i%max(x.routes, 10))))
 					b.c.Assert(o.status, qt.Equals, 200)
 				}
-				if x.link > 0 {
-					b.limitLink(node.Settings.IP, x.link)
+				if x.linkRate > 0 {
+					b.limitLink(node.Settings.IP, x.linkRate)
 				}
 				wait := func() []callResult { return nil }
-				if x.perS > 0 {
-					wait = b.streamChanges(x.perS, 20*time.Second, 0, 1, 2, 3, 4)
+				if x.changesPerSecond > 0 {
+					wait = b.streamChanges(x.changesPerSecond, 20*time.Second, 0, 1, 2, 3, 4)
 					time.Sleep(2 * time.Second)
 				}
 				want := b.nextChange("mark")
@@ -84,21 +84,21 @@
 				heap, most := mem.HeapAlloc, uint64(0)
 				before, start := b.cluster.Network.ReceivedBytes(node.Settings.IP), time.Now()
 				b.setPoweredOff(5, false)
-				touch := time.Duration(0)
+				caughtUp := time.Duration(0)
 				for time.Since(start) < 60*time.Second {
 					runtime.ReadMemStats(&mem)
 					most = max(most, mem.HeapAlloc)
 					if node.Status() == "in touch" {
-						touch = time.Since(start)
+						caughtUp = time.Since(start)
 						break
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
 				bytes := b.cluster.Network.ReceivedBytes(node.Settings.IP) - before
-				had := time.Duration(0)
+				readable := time.Duration(0)
 				for time.Since(start) < 60*time.Second {
 					if status, raw := b.callOnce(5, 5, "configuration.read", "", nil); status == 200 && strings.Contains(string(raw), "/mark/") {
-						had = time.Since(start)
+						readable = time.Since(start)
 						break
 					}
 					time.Sleep(10 * time.Millisecond)
@@ -107,14 +107,14 @@
 				for _, o := range wait() {
 					worst = max(worst, o.latency)
 				}
-				t.Logf("| %d routes, %d shares | %d | %.0f | %s | %s | %s | %d | %.1f | %s |", x.routes, x.shares, x.missed, x.perS,
-					map[bool]string{true: "2 Mbit/s", false: "free"}[x.link > 0], formatMillis(touch), formatMillis(had), bytes, float64(most-min(heap, most))/1e6, formatMillis(worst))
+				t.Logf("| %d routes, %d quotas | %d | %.0f | %s | %s | %s | %d | %.1f | %s |", x.routes, x.quotas, x.missed, x.changesPerSecond,
+					map[bool]string{true: "2 Mbit/s", false: "free"}[x.linkRate > 0], formatMillis(caughtUp), formatMillis(readable), bytes, float64(most-min(heap, most))/1e6, formatMillis(worst))
 			})
 		})
 	}
 }
 
-// measureRestart is how soon a process that was ended and started again serves.
+// measureRestart measures how soon a restarted control process serves calls of each kind.
 func measureRestart(t *testing.T) {
 	first := map[string][]time.Duration{}
 	for seed := range uint64(20) {
@@ -149,19 +149,19 @@
 				status, _ := b.callOnce(at, at, "configuration.modify", "", b.nextChange("back"))
 				return status == 200
 			})
-			probe("a line of a router of its zone", func() bool { return b.dialStream(at) })
+			probe("a subscription of a proxy of its zone", func() bool { return b.dialStream(at) })
 			wait()
 		})
 	}
-	t.Log("| restarted after 2 to 6 s, 40 changes a second, 20 seeds: first | p50 ms | p99 ms | worst ms |")
-	for _, name := range []string{"in touch", "a heartbeat", "configuration.read", "configuration.modify", "a line of a router of its zone"} {
+	t.Log("| first success after a restart (40 changes/s, 20 seeds) | p50 ms | p99 ms | worst ms |")
+	for _, name := range []string{"in touch", "a heartbeat", "configuration.read", "configuration.modify", "a subscription of a proxy of its zone"} {
 		t.Logf("| %s | %s |", name, percentiles(first[name]))
 	}
 }
 
-// measureLongDay is the long run: 1,100 changes and 330 restarts, some of them with a loss of power and a few with a lost disk. At
-// the end all processes have what was confirmed, and have caught up.
-func measureLongDay(t *testing.T) {
+// measureSoak makes 1,100 changes during 330 power losses, a few of which also lose the disk. Afterwards all control processes must
+// have caught up and hold every acknowledged change.
+func measureSoak(t *testing.T) {
 	if !*measureLongRun {
 		t.Skip("only with -day")
 	}
@@ -173,7 +173,7 @@
 		const changes, restarts = 1100, 330
 		var mu sync.Mutex
 		var all []callResult
-		stands := map[string]int{}
+		confirmed := map[string]int{}
 		var each sync.WaitGroup
 		each.Go(func() {
 			for range changes {
@@ -184,7 +184,7 @@
 				mu.Lock()
 				all = append(all, o)
 				if o.status == 200 {
-					stands[route] = b.versions[route]
+					confirmed[route] = b.versions[route]
 				}
 				mu.Unlock()
 			}
@@ -207,25 +207,25 @@
 		})
 		each.Wait()
 		time.Sleep(30 * time.Second)
-		lost, unlike := 0, 0
-		var one string
+		lost, differing := 0, 0
+		var first string
 		for i := range b.cluster.Controls {
 			c.Check(b.cluster.Controls[i].Status(), qt.Equals, "in touch")
 			status, raw := b.callOnce(i, i, "configuration.read", "", nil)
 			c.Check(status, qt.Equals, 200)
 			if i == 0 {
-				one = string(raw)
-				for name, n := range stands {
-					if !strings.Contains(one, fmt.Sprintf("/%s/%d/", name, n)) {
+				first = string(raw)
+				for name, n := range confirmed {
+					if !strings.Contains(first, fmt.Sprintf("/%s/%d/", name, n)) {
 						lost++
 					}
 				}
-			} else if string(raw) != one {
-				unlike++
+			} else if string(raw) != first {
+				differing++
 			}
 		}
 		c.Check(lost, qt.Equals, 0)
-		c.Check(unlike, qt.Equals, 0)
+		c.Check(differing, qt.Equals, 0)
 		disk := 0
 		for _, node := range b.cluster.Controls {
 			size := 0
@@ -236,10 +236,10 @@
 			node.Disk.mu.Unlock()
 			disk = max(disk, size)
 		}
-		t.Log("| a day | orders | p50 ms | p99 ms | worst ms | sent again | not confirmed |")
-		t.Log(tableRow(fmt.Sprintf("%d changes, %d restarts (%d of them with a lost disk) in %v", changes, restarts, wiped, *longRunDuration), all))
-		t.Logf("| started until in touch | %d | %s | lost %d | unlike %d | largest disk %d bytes | %d routes |", len(caughtUp), percentiles(caughtUp), lost, unlike, disk, len(stands))
+		t.Log("| soak run | changes | p50 ms | p99 ms | worst ms | retried | unacknowledged |")
+		t.Log(tableRow(fmt.Sprintf("%d changes, %d restarts (%d with a wiped disk) in %v", changes, restarts, wiped, *longRunDuration), all))
+		t.Logf("| from start until in touch | %d | %s | lost %d | differing %d | largest disk %d bytes | %d routes |", len(caughtUp), percentiles(caughtUp), lost, differing, disk, len(confirmed))
 		b.close()
 	})
-	t.Logf("took %v of this machine", time.Since(start).Round(time.Second))
+	t.Logf("took %v of real time", time.Since(start).Round(time.Second))
 }
--- a/internal/lab/simulation/quota_test.go
+++ b/internal/lab/simulation/quota_test.go
@@ -16,8 +16,8 @@
 
 var historyRuns = flag.Int("histories", 8, "drawn histories of shares to play")
 
-// withQuotas is a change that sets them: a caller and its requests a second each.
-func withQuotas(version string, all map[string]float64) []byte {
+// quotaChangeBody returns the body of a change that sets quotas, in requests per second by caller.
+func quotaChangeBody(version string, all map[string]float64) []byte {
 	rows := [][]any{}
 	for caller, perSecond := range all {
 		rows = append(rows, []any{"s-" + caller, "desk", "X-Agency", caller, perSecond, perSecond, version})
@@ -27,16 +27,16 @@
 	return raw
 }
 
-// playPeakLoad plays a peak: one caller sends many times its quota, two others stay within theirs; a zone is lost in the middle. It
-// returns how the others and the heavy caller were served.
-func playPeakLoad(t *testing.T, on bool, rush float64, lose bool) (quiet, rushing *Tally) {
+// playPeakLoad runs a load in which two callers stay within their quotas and a third sends rushRate requests per second; quotas are
+// configured if quotas is set. If loseZone is set, a zone fails halfway. It returns the tallies of the two callers and of the third.
+func playPeakLoad(t *testing.T, quotas bool, rushRate float64, loseZone bool) (quiet, rushing *Tally) {
 	quiet, rushing = &Tally{}, &Tally{}
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		layout := Layout{Zones: 4, ProxiesPerZone: 2, HostsPerZone: 2, Services: []string{"desk"}, ServiceTime: 80 * time.Millisecond, Concurrency: 3, Seed: 3} // 300 a second
 		cluster := startCluster(c, layout)
-		if on {
-			configure(c, cluster, withQuotas("00000002", map[string]float64{"rush": 30, "one": 60, "two": 60}), 0)
+		if quotas {
+			configure(c, cluster, quotaChangeBody("00000002", map[string]float64{"rush": 30, "one": 60, "two": 60}), 0)
 		}
 		time.Sleep(2 * time.Second)
 		duration := 9 * time.Second
@@ -48,14 +48,14 @@
 				for _, r := range []Route{safeRoute, unsafeRoute} {
 					r.Name, r.Caller = r.Name+"-"+caller, caller
 					if caller == "rush" {
-						cluster.GenerateTraffic(rushing, z, r, rush/8, duration)
+						cluster.GenerateTraffic(rushing, z, r, rushRate/8, duration)
 					} else {
 						cluster.GenerateTraffic(quiet, z, r, 5, duration)
 					}
 				}
 			}
 		}
-		if lose {
+		if loseZone {
 			time.Sleep(duration/2 - time.Second)
 			for _, node := range cluster.Controls[3:] {
 				node.Kill()
@@ -73,13 +73,13 @@
 		} else {
 			time.Sleep(duration)
 		}
-		if on { // what control shows
+		if quotas { // the quotas that control reports
 			_, _, raw := cluster.Call("harbour.read", "", nil, time.Second, 0)
 			var s server.ClusterStatus
 			c.Assert(json.Unmarshal(raw, &s), qt.IsNil)
 			c.Assert(s.Quotas, qt.HasLen, 3)
 			for _, x := range s.Quotas {
-				if x.Caller == "rush" && rush > 100 {
+				if x.Caller == "rush" && rushRate > 100 {
 					c.Check(x.Used > 15 && x.Used < 45, qt.IsTrue, qt.Commentf("%+v", x))
 					c.Check(len(x.Zones) >= 3, qt.IsTrue, qt.Commentf("%+v", x))
 				}
@@ -92,8 +92,8 @@
 	return quiet, rushing
 }
 
-// One caller at ten times its quota displaces the others, and with quotas it doesn't: those within their quotas are served as
-// without it, and the caller gets its quota and what is left over, also with a zone lost in the middle.
+// A caller at twenty times its quota must not displace callers that stay within theirs, also when a zone fails; it still gets its
+// quota and unused capacity. Without quotas it does displace them.
 func TestPeak(t *testing.T) {
 	losses := []bool{true}
 	if testing.Verbose() {
@@ -101,28 +101,28 @@
 	}
 	for _, lose := range losses {
 		c := qt.New(t)
-		part := func(x *Tally) (float64, string) {
+		servedFraction := func(x *Tally) (float64, string) {
 			good, requests, outcome := x.Counts()
 			return float64(good) / float64(requests), fmt.Sprintf("%d of %d, p99 %v: %s", good, requests, x.p99(), outcome)
 		}
-		calm, _ := playPeakLoad(t, true, 20, lose)
-		with, rushing := playPeakLoad(t, true, 600, lose)
-		without, taken := playPeakLoad(t, false, 600, lose)
-		a, sayA := part(calm)
-		b, sayB := part(with)
-		d, sayD := part(without)
-		r, sayR := part(rushing)
-		_, sayT := part(taken)
-		t.Logf("zone lost %v\nothers, calm day: %s\nothers, with shares: %s\nothers, without: %s\nthe rush, with: %s\nthe rush, without: %s", lose, sayA, sayB, sayD, sayR, sayT)
+		normal, _ := playPeakLoad(t, true, 20, lose)
+		withQuotas, rushing := playPeakLoad(t, true, 600, lose)
+		withoutQuotas, rushingWithoutQuotas := playPeakLoad(t, false, 600, lose)
+		a, textA := servedFraction(normal)
+		b, textB := servedFraction(withQuotas)
+		d, textD := servedFraction(withoutQuotas)
+		r, textR := servedFraction(rushing)
+		_, textT := servedFraction(rushingWithoutQuotas)
+		t.Logf("zone lost: %v\nother callers, normal load: %s\nother callers, peak with quotas: %s\nother callers, peak without quotas: %s\nheavy caller, with quotas: %s\nheavy caller, without quotas: %s", lose, textA, textB, textD, textR, textT)
 		c.Check(b > a-0.04, qt.IsTrue)
 		c.Check(b > d, qt.IsTrue)
-		c.Check(r > 0.04, qt.IsTrue)                          // its share is a twentieth of what it asks for
-		c.Check(with.p99() < 400*time.Millisecond, qt.IsTrue) // half of their aim
+		c.Check(r > 0.04, qt.IsTrue)                                // its quota is a twentieth of its demand
+		c.Check(withQuotas.p99() < 400*time.Millisecond, qt.IsTrue) // half of the latency target
 	}
 }
 
-// playQuotaHistory plays a few seconds in which callers exceed their quotas, and a random fault: no unsafe request runs twice, and
-// none runs that was rejected with Retry-After, over kills, partitions, hosts that end or fail, and late responses.
+// playQuotaHistory runs a few seconds in which callers exceed their quotas while one or two random faults occur. No unsafe request may
+// run twice, and none that was rejected with Retry-After may run at all.
 func playQuotaHistory(t *testing.T, seed uint64) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -131,7 +131,7 @@
 		defer cluster.Stop()
 		time.Sleep(time.Second)
 		configure(c, cluster, cluster.ChangeBody(true, safeRoute, unsafeRoute), 0)
-		configure(c, cluster, withQuotas("00000002", map[string]float64{"a": 8, "b": 4}), 1)
+		configure(c, cluster, quotaChangeBody("00000002", map[string]float64{"a": 8, "b": 4}), 1)
 		rng := random.Source{Seed: seed * 31}
 		n := func(n int) int { return int(rng.Float64() * float64(n)) }
 		var tally Tally
@@ -154,7 +154,7 @@
 				cluster.Hosts[z].Crash()
 			case 3:
 				cluster.Hosts[z].Drain()
-			case 4: // late answers, and ones that never come
+			case 4: // responses are lost
 				cluster.Network.SetPartition(cluster.Proxies[z].Settings.IP, cluster.Hosts[n(3)].IP(), true)
 			case 5:
 				cluster.Network.SetPartition(cluster.Proxies[z].Settings.IP, cluster.Controls[z].Settings.IP, true)
@@ -172,24 +172,24 @@
 	})
 }
 
-// counter sums up how requests ended.
-type counter map[string]int
+// outcomeCounts counts requests by outcome.
+type outcomeCounts map[string]int
 
-func (c counter) add(all map[string]int) {
+func (c outcomeCounts) add(all map[string]int) {
 	for outcome, n := range all {
 		c[outcome] += n
 	}
 }
 
-var quotaOutcomes = counter{}
+var quotaOutcomes = outcomeCounts{}
 
-// -args -histories 10000 plays as many.
+// Use -args -histories 10000 to run more histories.
 func TestQuotaHistories(t *testing.T) {
 	for seed := range *historyRuns {
 		playQuotaHistory(t, uint64(*firstSeed+seed))
 	}
-	t.Log("requests ended", quotaOutcomes)
+	t.Log("requests by outcome", quotaOutcomes)
 	if quotaOutcomes["429"] == 0 || quotaOutcomes["200"] == 0 {
-		t.Error("nothing was held back, or nothing served")
+		t.Error("no request was rejected with 429, or none was served")
 	}
 }
--- a/internal/lab/simulation/randomtraffic_test.go
+++ b/internal/lab/simulation/randomtraffic_test.go
@@ -10,13 +10,13 @@
 	"portflow/internal/random"
 )
 
-// trafficRuns are the troubles of the traffic side; each is done at one time and undone later, where it can be.
-var trafficRuns = []struct {
+// trafficFaults are faults and load changes that affect traffic. undo is nil if there is nothing to repair.
+var trafficFaults = []struct {
 	name string
 	do   func(h *Cluster, n func(int) int) (undo func())
 }{
 	{"a host crashes", func(h *Cluster, n func(int) int) func() { h.Hosts[n(len(h.Hosts))].Crash(); return nil }},
-	{"hosts go dark", func(h *Cluster, n func(int) int) func() {
+	{"hosts lose power", func(h *Cluster, n func(int) int) func() {
 		a, b := h.Hosts[n(len(h.Hosts))], h.Hosts[n(len(h.Hosts))]
 		h.Network.SetPoweredOff(a.IP(), true)
 		h.Network.SetPoweredOff(b.IP(), true)
@@ -35,7 +35,7 @@
 		}
 		return nil
 	}},
-	{"a zone is lost and comes back cold", func(h *Cluster, n func(int) int) func() {
+	{"a zone fails and returns with cold hosts", func(h *Cluster, n func(int) int) func() {
 		z := n(h.Zones)
 		lost := 0
 		for _, q := range h.Hosts[:len(h.Hosts):len(h.Hosts)] {
@@ -59,7 +59,7 @@
 				if f.Settings.Zone == zoneName(z) {
 					h.Network.SetPoweredOff(f.Settings.IP, false)
 					if err := f.Start(); err != nil {
-						h.violation("a router does not start: %v", err)
+						h.violation("cannot start proxy: %v", err)
 					}
 				}
 			}
@@ -68,7 +68,7 @@
 			}
 		}
 	}},
-	{"half of the routers are killed", func(h *Cluster, n func(int) int) func() {
+	{"half of the proxies are killed", func(h *Cluster, n func(int) int) func() {
 		for i, f := range h.Proxies {
 			if i%2 == 0 {
 				f.Kill()
@@ -78,13 +78,13 @@
 			for i, f := range h.Proxies {
 				if i%2 == 0 {
 					if err := f.Start(); err != nil {
-						h.violation("a router does not start: %v", err)
+						h.violation("cannot start proxy: %v", err)
 					}
 				}
 			}
 		}
 	}},
-	{"a router is told to leave", func(h *Cluster, n func(int) int) func() {
+	{"a proxy drains", func(h *Cluster, n func(int) int) func() {
 		f := h.Proxies[n(len(h.Proxies))]
 		done := make(chan bool)
 		h.background.Go(func() {
@@ -95,11 +95,11 @@
 			<-done
 			f.Kill()
 			if err := f.Start(); err != nil {
-				h.violation("a router does not start: %v", err)
+				h.violation("cannot start proxy: %v", err)
 			}
 		}
 	}},
-	{"a router is cut off from control", func(h *Cluster, n func(int) int) func() {
+	{"a proxy is partitioned from control", func(h *Cluster, n func(int) int) func() {
 		f := h.Proxies[n(len(h.Proxies))]
 		cut := func(on bool) {
 			for _, m := range h.Controls {
@@ -118,10 +118,10 @@
 	}},
 	{"hosts fail and hang", func(h *Cluster, n func(int) int) func() {
 		a, b := h.Hosts[n(len(h.Hosts))], h.Hosts[n(len(h.Hosts))]
-		set := func(part float64) {
+		set := func(rate float64) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			a.FailRate, b.HangRate = part, part
+			a.FailRate, b.HangRate = rate, rate
 		}
 		set(0.5)
 		return func() { set(0) }
@@ -131,7 +131,7 @@
 		h.Call("evacuation.begin", z, nil, 6*time.Second, n(len(h.Controls)))
 		return func() { h.Call("evacuation.finish", z, nil, 6*time.Second, n(len(h.Controls))) }
 	}},
-	{"twice the traffic", func(h *Cluster, n func(int) int) func() {
+	{"additional traffic", func(h *Cluster, n func(int) int) func() {
 		for z := range h.Zones {
 			h.GenerateTraffic(&Tally{}, z, Route{Name: "safe-rush", Prefix: safeRoute.Prefix, Service: "desk", Idempotent: true}, 25, 4*time.Second)
 		}
@@ -139,12 +139,13 @@
 	}},
 }
 
-// playRandomTraffic plays one fault, or two at once, under traffic, and checks all that hosts and clients saw against the rules.
-func playRandomTraffic(t *testing.T, seed int) (part float64) {
-	one, two := seed%len(trafficRuns), seed/len(trafficRuns)%(len(trafficRuns)+1)
-	name := trafficRuns[one].name
-	if two < len(trafficRuns) && two != one {
-		name += ", " + trafficRuns[two].name
+// playRandomTraffic runs traffic with one fault, or two at once, and checks what hosts and clients observed. It returns the fraction of
+// requests that were served.
+func playRandomTraffic(t *testing.T, seed int) (servedFraction float64) {
+	one, two := seed%len(trafficFaults), seed/len(trafficFaults)%(len(trafficFaults)+1)
+	name := trafficFaults[one].name
+	if two < len(trafficFaults) && two != one {
+		name += ", " + trafficFaults[two].name
 	}
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -160,10 +161,10 @@
 		rng := random.Source{Seed: uint64(seed) * 7919}
 		n := func(n int) int { return int(rng.Float64() * float64(n)) }
 		time.Sleep(time.Second)
-		undo := []func(){trafficRuns[one].do(cluster, n)}
-		if two < len(trafficRuns) && two != one {
+		undo := []func(){trafficFaults[one].do(cluster, n)}
+		if two < len(trafficFaults) && two != one {
 			time.Sleep(time.Duration(n(1500)) * time.Millisecond)
-			undo = append(undo, trafficRuns[two].do(cluster, n))
+			undo = append(undo, trafficFaults[two].do(cluster, n))
 		}
 		time.Sleep(4500 * time.Millisecond)
 		for _, f := range undo {
@@ -173,15 +174,15 @@
 		}
 		time.Sleep(duration)
 		served, requests, outcome := tally.Counts()
-		part = float64(served) / float64(requests)
+		servedFraction = float64(served) / float64(requests)
 		c.Check(cluster.Verify(), qt.HasLen, 0, qt.Commentf("seed %d, %s: %s", seed, name, outcome))
-		c.Check(part > 0.6, qt.IsTrue, qt.Commentf("seed %d, %s: %d of %d, %s", seed, name, served, requests, outcome))
-		t.Logf("seed %d, %s: %.3f of %d, %s", seed, name, part, requests, outcome)
+		c.Check(servedFraction > 0.6, qt.IsTrue, qt.Commentf("seed %d, %s: served %d of %d requests; outcomes %s", seed, name, served, requests, outcome))
+		t.Logf("seed %d, %s: served %.3f of %d requests; outcomes %s", seed, name, servedFraction, requests, outcome)
 	})
-	return part
+	return servedFraction
 }
 
-// -args -seeds 132 plays each trouble and each two of them once.
+// Use -args -seeds 132 to run each fault alone and each ordered pair of faults.
 func TestRandomTraffic(t *testing.T) {
 	for seed := *firstSeed - 1; seed < *firstSeed-1+*randomRuns; seed++ {
 		playRandomTraffic(t, seed)
--- a/internal/lab/simulation/store_test.go
+++ b/internal/lab/simulation/store_test.go
@@ -21,7 +21,7 @@
 	return config.Item{Kind: config.KindRoutes, Name: name, Version: version, Body: body}
 }
 
-// What was synced is there after a loss of power; what was not is there whole or not at all.
+// Synced writes must survive a loss of power; other writes are recovered completely or not at all.
 func TestStoreAfterPowerLoss(t *testing.T) {
 	for _, torn := range []bool{false, true} {
 		c := qt.New(t)
@@ -42,7 +42,7 @@
 	}
 }
 
-// A disk that refuses for a while is written to again once it doesn't: its process goes on, and was not restarted.
+// A store must accept writes again after a disk failure without being reopened by its caller.
 func TestStoreAfterWriteFailure(t *testing.T) {
 	c := qt.New(t)
 	d := NewDisk()
@@ -55,19 +55,18 @@
 	c.Check(st.Write([]config.Item{testItem("r", 3)}, nil, false), qt.IsNil)
 	_, items, _, _, err := store.Open(d.Open())
 	c.Assert(err, qt.IsNil)
-	c.Check(newestFile(items), qt.Equals, uint64(3))
+	c.Check(newestVersion(items), qt.Equals, uint64(3))
 }
 
-// A disk with corrupted bytes is never taken for an empty or an earlier one: there is an error at the start, or what can still be
-// read with the mark that it is incomplete; the others complete it before this process counts. Only what corrupts the last record,
-// as a loss of power would, reads as a write that was not finished.
+// A corrupted disk must not be taken for an empty or an older one: Open fails, or reports the items as incomplete, so that the process
+// catches up from the others before it votes. Only a corrupted last record, as after a loss of power, counts as an unfinished write.
 func TestStoreCorrupted(t *testing.T) {
 	outcomes := map[string]int{}
 	for at := range 120 {
 		d := NewDisk()
 		st, _, _, _, err := store.Open(d.Open())
 		qt.Assert(t, err, qt.IsNil)
-		for n := range 900 { // three blocks of the journal
+		for n := range 900 { // fills three blocks of the journal
 			qt.Assert(t, st.Write([]config.Item{testItem(fmt.Sprint("r", n%50), uint64(n))}, nil, n == 0), qt.IsNil)
 		}
 		st.Close()
@@ -80,12 +79,12 @@
 		switch {
 		case err != nil:
 			outcomes["error"]++
-		case complete && len(items) == 50 && newestFile(items) == 899:
-			outcomes["unharmed"]++ // the byte was in nothing that is read
+		case complete && len(items) == 50 && newestVersion(items) == 899:
+			outcomes["unharmed"]++ // the corrupted byte is not read
 		case complete:
-			t.Errorf("byte %d: %d of 50 items, the newest %d, and said to be whole", at, len(items), newestFile(items))
+			t.Errorf("corrupted byte %d: got %d of 50 items, newest version %d, reported as complete", at, len(items), newestVersion(items))
 		default:
-			outcomes["not whole"]++
+			outcomes["incomplete items"]++
 		}
 		if again != nil {
 			again.Close()
@@ -94,14 +93,14 @@
 	t.Log(outcomes)
 }
 
-func newestFile(items []config.Item) (last uint64) {
+func newestVersion(items []config.Item) (last uint64) {
 	for _, i := range items {
 		last = max(last, i.Version)
 	}
 	return last
 }
 
-// A journal that is cut at any byte, as by a loss of power, is not spoilt; one with a bad byte before its last record is.
+// A journal truncated at any byte, as after a loss of power, is not damaged; one with a corrupted byte before its last record is.
 func TestTornWriteIsNotCorruption(t *testing.T) {
 	c := qt.New(t)
 	d := NewDisk()
@@ -110,7 +109,7 @@
 	for n := range 8 {
 		i := testItem(fmt.Sprint("r", n), 1)
 		if n == 3 {
-			i.Body = []byte(`"` + strings.Repeat("x", 70<<10) + `"`) // a record of several blocks
+			i.Body = []byte(`"` + strings.Repeat("x", 70<<10) + `"`) // a record that spans several blocks
 		}
 		c.Assert(st.Write([]config.Item{i}, nil, false), qt.IsNil)
 	}
@@ -122,22 +121,22 @@
 	}
 	c.Assert(len(raw) > 70<<10, qt.IsTrue)
 	c.Check(store.Damaged(raw), qt.IsFalse)
-	last := bytes.LastIndex(raw, []byte("i/routes/r7")) - 40 // in the record before the last, or its end
+	last := bytes.LastIndex(raw, []byte("i/routes/r7")) - 40 // within the record before the last one, or at its end
 	for at := range raw {
 		if at%97 != 0 && at < len(raw)-500 {
-			continue // the long record by samples
+			continue // only sample the long record
 		}
-		c.Assert(store.Damaged(raw[:at]), qt.IsFalse, qt.Commentf("cut at %d", at))
+		c.Assert(store.Damaged(raw[:at]), qt.IsFalse, qt.Commentf("truncated at byte %d", at))
 		bad := bytes.Clone(raw)
 		if bad[at] ^= 0x5a; at < last {
-			c.Assert(store.Damaged(bad), qt.IsTrue, qt.Commentf("byte %d of %d", at, len(raw)))
+			c.Assert(store.Damaged(bad), qt.IsTrue, qt.Commentf("corrupted byte %d of %d", at, len(raw)))
 		}
-		zeros := append(bytes.Clone(raw[:at]), make([]byte, len(raw)-at)...) // written long, and not filled
+		zeros := append(bytes.Clone(raw[:at]), make([]byte, len(raw)-at)...) // extended but not written
 		c.Assert(store.Damaged(zeros), qt.IsFalse, qt.Commentf("zeros from %d", at))
 	}
 }
 
-// The disk holds what stands and little more, however many changes there were; old drops go.
+// The size of the store must not grow with the number of changes, and old tombstones are discarded.
 func TestStoreStaysSmall(t *testing.T) {
 	c := qt.New(t)
 	d := NewDisk()
@@ -172,11 +171,11 @@
 	c.Check(a && b, qt.IsTrue)
 }
 
-// After a partition the bytes to the process that was partitioned grow with what changed, and not with how much there is; and a
-// change costs one sync on each disk, and its own bytes to each.
-func TestRepairFollowsWhatChanged(t *testing.T) {
-	const orders = 5
-	var cost, order []int64
+// The bytes sent to a process after a partition must depend on what changed, not on the size of the configuration. A change costs one
+// sync on each disk, and bytes between regions that don't depend on the size of the configuration either.
+func TestRepairCostFollowsChanges(t *testing.T) {
+	const changes = 5
+	var repairCost, changeCost []int64
 	for _, routes := range []int{10, 100, 1000} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
@@ -198,49 +197,49 @@
 				syncs -= node.Disk.syncCount()
 			}
 			before, _ := cluster.Network.crossTraffic()
-			time.Sleep(orders * 2400 * time.Millisecond)
+			time.Sleep(changes * 2400 * time.Millisecond)
 			idle, _ := cluster.Network.crossTraffic()
-			for n := range orders { // gossip by chance and words by turns are as much as one order, and not as five
+			for n := range changes { // averaged, as gossip at random times can cost as much as one change
 				all[3].Version = fmt.Sprintf("%08d", n+2)
 				status, _, _ = cluster.Call("configuration.modify", "", cluster.ChangeBody(false, all[3]), 2400*time.Millisecond, 1)
 				c.Assert(status, qt.Equals, 200)
 				time.Sleep(2400 * time.Millisecond)
 			}
 			after, _ := cluster.Network.crossTraffic()
-			order = append(order, (after-idle-(idle-before))/orders)
+			changeCost = append(changeCost, (after-idle-(idle-before))/changes)
 			for _, node := range cluster.Controls {
 				syncs += node.Disk.syncCount()
 			}
-			c.Check(syncs, qt.Equals, orders*len(cluster.Controls))
+			c.Check(syncs, qt.Equals, changes*len(cluster.Controls))
 
-			cut := cluster.Controls[5]
+			partitioned := cluster.Controls[5]
 			for _, node := range cluster.Controls[:5] {
-				cluster.Network.SetPartition(node.Settings.IP, cut.Settings.IP, true)
+				cluster.Network.SetPartition(node.Settings.IP, partitioned.Settings.IP, true)
 			}
 			time.Sleep(4 * time.Second)
 			all[5].Version = "00000003"
 			status, _, _ = cluster.Call("configuration.modify", "", cluster.ChangeBody(false, all[5]), 3*time.Second, 1)
 			c.Assert(status, qt.Equals, 200)
 			time.Sleep(time.Second)
-			before = cluster.Network.ReceivedBytes(cut.Settings.IP)
+			before = cluster.Network.ReceivedBytes(partitioned.Settings.IP)
 			for _, node := range cluster.Controls[:5] {
-				cluster.Network.SetPartition(node.Settings.IP, cut.Settings.IP, false)
+				cluster.Network.SetPartition(node.Settings.IP, partitioned.Settings.IP, false)
 			}
 			time.Sleep(5 * time.Second)
-			c.Check(cut.Status(), qt.Equals, "in touch")
+			c.Check(partitioned.Status(), qt.Equals, "in touch")
 			_, _, reply = cluster.Call("configuration.read", "", nil, time.Second, 5)
 			c.Check(string(reply), qt.Contains, `"00000003"`)
-			cost = append(cost, cluster.Network.ReceivedBytes(cut.Settings.IP)-before)
+			repairCost = append(repairCost, cluster.Network.ReceivedBytes(partitioned.Settings.IP)-before)
 		})
 	}
-	t.Log("bytes to the one that was cut off, at 10, 100 and 1000 routes:", cost)
-	t.Log("bytes between regions for an order of one route, the calm's taken off:", order)
-	qt.Check(t, max(order[0], order[1], order[2]) < 6000, qt.IsTrue, qt.Commentf("%v", order))
-	qt.Check(t, cost[2] < 3*cost[0], qt.IsTrue, qt.Commentf("%v", cost))
+	t.Log("bytes to the one that was cut off, at 10, 100 and 1000 routes:", repairCost)
+	t.Log("bytes between regions for an order of one route, the calm's taken off:", changeCost)
+	qt.Check(t, max(changeCost[0], changeCost[1], changeCost[2]) < 6000, qt.IsTrue, qt.Commentf("%v", changeCost))
+	qt.Check(t, repairCost[2] < 3*repairCost[0], qt.IsTrue, qt.Commentf("%v", repairCost))
 }
 
-// A full disk fails what it can't store, and half a record stays behind. Once there is space the next write succeeds without a
-// restart, and what was written is there after a loss of power.
+// A write to a full disk fails and leaves a partial record. Once there is space, the next write must succeed without a restart, and
+// successful writes must survive a loss of power.
 func TestStoreOnFullDisk(t *testing.T) {
 	for _, torn := range []bool{false, true} {
 		c := qt.New(t)
@@ -260,7 +259,7 @@
 		d.setFull(false)
 		_, items, _, complete, err := store.Open(d.Open())
 		c.Assert(err, qt.IsNil)
-		c.Check(newestFile(items), qt.Equals, uint64(59))
+		c.Check(newestVersion(items), qt.Equals, uint64(59))
 		c.Check(complete, qt.IsTrue)
 	}
 }
