--- a/internal/proxy/allocs_test.go
+++ b/internal/proxy/allocs_test.go
@@ -11,11 +11,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// maxAllocations is how many allocations a small request may cost the process, all parts of it: connections, rules, library.
+// maxAllocations is the maximum number of allocations per small request in the entire process, including net/http and the decision engine.
 const maxAllocations = 146
 
-// What a request costs in allocations, counted over many on one kept connection to one host: both ends of it here allocate
-// nothing.
+// Guards against additional allocations per request. All requests use one keep-alive connection, and neither the client nor the host of this
+// test allocates.
 func TestAllocations(t *testing.T) {
 	address := acceptConns(t, func(_ int, c net.Conn) {
 		defer c.Close()
@@ -37,7 +37,7 @@
 	request, answer, size := []byte("GET /look/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: a\r\nTime-Remaining: 1500\r\n\r\n"), make([]byte, 4096), 0
 	one := func() {
 		c.Write(request)
-		if size == 0 { // all are as long as the first
+		if size == 0 { // every response is as long as the first one
 			size, err = c.Read(answer)
 		} else {
 			_, err = io.ReadFull(c, answer[:size])
@@ -55,7 +55,7 @@
 		return float64(after.Mallocs-before.Mallocs) / many
 	}
 	play()
-	least := min(play(), play(), play()) // what ticks in the background adds a little
-	t.Logf("%.1f allocations a request", least)
+	least := min(play(), play(), play()) // background tasks add a few allocations
+	t.Logf("%.1f allocations per request", least)
 	qt.Check(t, least <= maxAllocations, qt.IsTrue, qt.Commentf("%.1f", least))
 }
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -17,8 +17,8 @@
 	"portflow/internal/proxy/attempt"
 )
 
-// Nothing below the rules sends by itself: a host that breaks a kept connection after it has read a request has had it once,
-// whatever the method, the body, and the leave that an Idempotency-Key would give the library.
+// Only the decision engine may retry. A request must reach a host only once if the host closes a keep-alive connection after reading it,
+// whatever its method and body, and even if its Idempotency-Key would let net/http retry it.
 func TestNothingBelowSends(t *testing.T) {
 	for _, how := range []string{"closed", "reset", "cut head", "cut body"} {
 		t.Run(how, func(t *testing.T) {
@@ -30,12 +30,12 @@
 				return answer[:map[string]int{"cut head": 20, "cut body": len(answer) - 1}[how]], false
 			})
 			h.linger = how == "reset"
-			other := startScriptedHost(t, h.respond) // there would be another host to go to
+			other := startScriptedHost(t, h.respond) // a retry would have another host to go to
 			_, at := startProxy(t, h, other)
 			for i, method := range []string{"GET", "HEAD", "OPTIONS", "TRACE", "DELETE", "POST", "PUT", "PATCH", "PROPFIND"} {
 				for k, extra := range [][]string{nil, {"Idempotency-Key: k"}, {"X-Idempotency-Key: k"}} {
 					for _, body := range []string{"", "body"} {
-						if body != "" && (method == "TRACE" || method == "HEAD") || method == "HEAD" && how == "cut body" { // it has none
+						if body != "" && (method == "TRACE" || method == "HEAD") || method == "HEAD" && how == "cut body" { // a response to HEAD has no body
 							continue
 						}
 						for range 3 {
@@ -48,14 +48,14 @@
 				}
 			}
 			for id, n := range countWrites(h, other) {
-				qt.Check(t, id == "warm" || n == 1, qt.IsTrue, qt.Commentf("%s came %d times", id, n))
+				qt.Check(t, id == "warm" || n == 1, qt.IsTrue, qt.Commentf("request %s reached hosts %d times, want 1", id, n))
 			}
 		})
 	}
 }
 
-// Hosts that close each connection right behind an answer, as an idle one that is forgotten while a request is written: none
-// has a request twice, and none that a host had is answered by a promise.
+// Hosts that close each connection right after a response, possibly while the next request is being written: no request may be received
+// twice, and a request that a host received must not be reported as not run.
 func TestForgottenConnections(t *testing.T) {
 	forgets := func(n int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, "x"), false }
 	hosts := []*scriptedHost{startScriptedHost(t, forgets), startScriptedHost(t, forgets)}
@@ -79,18 +79,18 @@
 	came, by := countWrites(hosts...), map[string]int{}
 	for id, how := range ended {
 		by[how]++
-		qt.Check(t, came[id] <= 1, qt.IsTrue, qt.Commentf("%s came %d times", id, came[id]))
-		qt.Check(t, came[id] == 0 || how == "200" || how == "502", qt.IsTrue, qt.Commentf("%s came and got %s", id, how))
+		qt.Check(t, came[id] <= 1, qt.IsTrue, qt.Commentf("request %s reached hosts %d times, want at most 1", id, came[id]))
+		qt.Check(t, came[id] == 0 || how == "200" || how == "502", qt.IsTrue, qt.Commentf("request %s reached a host and got status %s", id, how))
 	}
 	t.Log(by)
 	qt.Check(t, by["200"] > 300, qt.IsTrue, qt.Commentf("%v", by))
 }
 
-// failingNetwork is a network whose first connections fail their first write, after so many bytes.
+// failingNetwork is a network on which the next writes to hosts fail.
 type failingNetwork struct {
 	*loopback
-	fail  atomic.Int32
-	after int
+	fail  atomic.Int32 // number of writes that still fail
+	after int          // bytes of a failing write that are sent
 }
 
 func (f *failingNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
@@ -117,7 +117,7 @@
 	return n, syscall.EPIPE
 }
 
-// A connection that took no byte of a request leaves it as it was; one that took a part may have passed on all that matters.
+// A request is retried if the connection accepted none of its bytes. If the connection accepted some of them, the host may have run it.
 func TestWroteNoneAndPart(t *testing.T) {
 	for _, x := range []struct {
 		after  int
@@ -138,8 +138,8 @@
 	}
 }
 
-// Whatever a connection pool says of an end, the decision engine gets no more than is known; and nothing is written once the final
-// answer is given.
+// An attempt must be reported to the decision engine as not run only if that is certain, whichever result the connection pool reports.
+// Nothing may be written to a host once the final response is decided.
 func TestEndingsReportedToDecision(t *testing.T) {
 	c := qt.New(t)
 	unrun := map[decision.Result]bool{decision.Rejected: true, decision.ConnectFailed: true, decision.Unsent: true}
@@ -163,11 +163,11 @@
 	x := &clientRequest{streams: make(chan *streamedReply, 1)}
 	x.beginAttempt()
 	c.Check(x.settle().MayRefuse(), qt.IsTrue)
-	c.Check(x.BeginWrite(1), qt.IsFalse) // an attempt that was under way
+	c.Check(x.BeginWrite(1), qt.IsFalse) // by the attempt in flight
 	c.Check(x.offerStream(&streamedReply{}), qt.IsFalse)
 }
 
-// A long answer that comes as the client goes, or as the final answer is given, is nobody's: its attempt ends.
+// A streamed response that nobody receives, because the client disconnects or the final response is decided, must end its attempt.
 func TestLongAnswerToNobody(t *testing.T) {
 	x := &clientRequest{streams: make(chan *streamedReply, 1)}
 	s := &streamedReply{done: make(chan error, 1)}
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -12,8 +12,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// BenchmarkBodies is what a request with a body costs the process, on one kept connection to one host: go test -bench Bodies
-// -run '^$' ./internal/proxy. The host's side is in it, with about ten allocations.
+// BenchmarkBodies measures a request with a body on a keep-alive connection. The results include about ten allocations of the emulated host.
 func BenchmarkBodies(b *testing.B) {
 	address := acceptConns(b, func(_ int, c net.Conn) {
 		defer c.Close()
--- a/internal/proxy/body_memory_test.go
+++ b/internal/proxy/body_memory_test.go
@@ -20,7 +20,7 @@
 
 var _ upstream.WriteTracker = (*clientRequest)(nil)
 
-// What bodies take up is never over what there is for them, and long ones leave a part to short ones.
+// Reserved body memory must never exceed its limit, and long bodies must leave a share to short ones.
 func TestReserveBody(t *testing.T) {
 	f := &Proxy{}
 	f.Settings.MemoryMB = 4 // 1 MB for bodies
@@ -30,7 +30,7 @@
 		qt.Check(t, f.reserveBody(64<<10+1, 64<<10+1), qt.Equals, n < 13)
 	}
 	for n := range 4 {
-		qt.Check(t, f.reserveBody(64<<10, 64<<10), qt.Equals, n < 2, qt.Commentf("%d held", f.heldBodyBytes.Load()))
+		qt.Check(t, f.reserveBody(64<<10, 64<<10), qt.Equals, n < 2, qt.Commentf("%d bytes reserved", f.heldBodyBytes.Load()))
 	}
 	f.heldBodyBytes.Store(0)
 	var all sync.WaitGroup
@@ -50,10 +50,10 @@
 		})
 	}
 	all.Wait()
-	qt.Check(t, most.Load() <= 1<<20 && f.heldBodyBytes.Load() == 0, qt.IsTrue, qt.Commentf("%d, %d", most.Load(), f.heldBodyBytes.Load()))
+	qt.Check(t, most.Load() <= 1<<20 && f.heldBodyBytes.Load() == 0, qt.IsTrue, qt.Commentf("maximum %d, left at the end %d", most.Load(), f.heldBodyBytes.Load()))
 }
 
-// A body's memory is given back by whoever leaves last: the handler, or an attempt that is still in flight.
+// Body memory is returned by the last holder to release it: the handler, or an attempt that is still in flight.
 func TestBodyReservedUntilLastRelease(t *testing.T) {
 	for _, handlerFirst := range []bool{true, false} {
 		var held atomic.Int64
@@ -61,7 +61,7 @@
 		x := &clientRequest{streams: make(chan *streamedReply, 1), attempts: attempt.Request{Idempotent: true}, bodyMemory: bodyReservation{total: &held, bytes: 100, holders: 1}}
 		for range 2 {
 			qt.Assert(t, x.beginAttempt(), qt.IsTrue)
-			qt.Assert(t, x.beginAttempt(), qt.IsFalse) // takes up nothing
+			qt.Assert(t, x.beginAttempt(), qt.IsFalse) // retains nothing
 			x.endAttempt(decision.ConnectionReset)
 		}
 		qt.Assert(t, x.beginAttempt(), qt.IsTrue)
@@ -76,8 +76,8 @@
 	}
 }
 
-// Who has no room for its body is answered 503 with Retry-After by its head alone, at once; those that have it are served, and
-// so are short bodies while long ones fill their part.
+// A request whose body exceeds the memory left is rejected at once with 503 and Retry-After, before its body is read. Requests that hold a
+// reservation are served, and so are short bodies while long ones use all of their share.
 func TestBodiesBeyondMemory(t *testing.T) {
 	h := startBodySink(t, nil)
 	p, at := startProxy(t, h)
@@ -98,7 +98,7 @@
 			qt.Check(t, resp.StatusCode, qt.Equals, 503)
 			qt.Check(t, resp.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
 			qt.Check(t, resp.Close, qt.IsTrue)
-			qt.Check(t, time.Since(began) < 2*time.Second, qt.IsTrue) // a body is waited for for 5 s
+			qt.Check(t, time.Since(began) < 2*time.Second, qt.IsTrue) // reading a body would time out only after 5 s
 		}
 	}
 	chunked := startRequest(t, at, "chunked", "Transfer-Encoding: chunked")
@@ -115,7 +115,7 @@
 	qt.Check(t, countWrites(h), qt.DeepEquals, map[string]int{"in0": 1, "in1": 1, "in2": 1, "in3": 1, "short": 1})
 }
 
-// However a request ends, what its body took up is given back.
+// Body memory must be returned however a request ends.
 func TestBodiesMemoryIsGivenBack(t *testing.T) {
 	wait := make(chan bool, 100)
 	h := startBodySink(t, wait)
@@ -133,7 +133,7 @@
 	wait <- true
 	qt.Check(t, sent(startRequest(t, at, "a", "Transfer-Encoding: chunked"), fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body)).answer().StatusCode, qt.Equals, 200)
 	back()
-	c := sent(startRequest(t, at, "b", stated(len(body))), body[1:]) // ends early
+	c := sent(startRequest(t, at, "b", stated(len(body))), body[1:]) // the body is truncated
 	waitUntil(t, func() bool { return p.heldBodyBytes.Load() == int64(len(body)) })
 	c.Close()
 	back()
@@ -141,7 +141,7 @@
 	waitUntil(t, func() bool { return p.heldBodyBytes.Load() >= int64(len(body)) })
 	c.Close()
 	back()
-	c = sent(startRequest(t, at, "c", stated(len(body))), body) // goes while its host is at work
+	c = sent(startRequest(t, at, "c", stated(len(body))), body) // the client disconnects while the host handles the request
 	waitUntil(t, func() bool { return countWrites(h)["c"] == 1 })
 	c.Close()
 	back()
@@ -150,22 +150,22 @@
 	go fmt.Fprintf(c, "%x\r\n%s", 3<<20, strings.Repeat("b", 2<<20))
 	qt.Check(t, c.answer().StatusCode, qt.Equals, 413)
 	back()
-	c = sent(startRequest(t, at, "e", stated(len(body))+"\r\nTime-Remaining: 100"), body) // its time ends
+	c = sent(startRequest(t, at, "e", stated(len(body))+"\r\nTime-Remaining: 100"), body) // the request times out
 	qt.Check(t, c.answer().StatusCode, qt.Equals, 504)
 	back()
 	wait <- true
 	qt.Check(t, countWrites(h), qt.DeepEquals, map[string]int{"a": 2, "c": 1, "e": 1})
 }
 
-// All bodies together, many times what there is for them: as many are served as have room, the others know at once, and what the
-// process holds is what bodies have and little more: nothing of them once their requests are over.
+// Under a load of many times the body memory, as many requests must be served as fit, the others must be rejected at once, and the heap must
+// grow by little more than the reserved bodies and shrink again after the requests.
 func TestBodiesMemory(t *testing.T) {
 	wait := make(chan bool)
 	h := startBodySink(t, wait)
 	p, at := startProxy(t, h)
-	p.Settings.MemoryMB = 20 // 5 MB for bodies, 4.4 for long ones
+	p.Settings.MemoryMB = 20 // 5 MB for bodies, of which long ones may use 4.4 MB
 	allowLongRequests(t, p)
-	const clients, rounds, size, fit, little = 40, 12, 1 << 20, 4, 2 << 20 // fit is the host's slots, too
+	const clients, rounds, size, fit, little = 40, 12, 1 << 20, 4, 2 << 20 // fit also equals the host's slots
 	body := []byte(strings.Repeat("b", size))
 	heap := func() int64 {
 		var m runtime.MemStats
@@ -204,7 +204,7 @@
 		}
 		waitUntil(t, func() bool { return refused.Load() == clients-fit && len(h.requests()) == fit })
 		qt.Check(t, p.heldBodyBytes.Load(), qt.Equals, int64(fit*size))
-		waitUntil(t, func() bool { // what is just over may still be on its way out
+		waitUntil(t, func() bool { // requests that have just ended may not be released yet
 			held = heap() - before
 			return held < fit*size+little
 		})
@@ -223,5 +223,5 @@
 		h.received = nil
 		h.mu.Unlock()
 	}
-	t.Logf("heap over the beginning: %d KB with %d bodies of %d KB, %d KB after %d rounds", held>>10, fit, size>>10, left>>10, rounds)
+	t.Logf("heap growth: %d KB with %d bodies of %d KB, %d KB after %d rounds", held>>10, fit, size>>10, left>>10, rounds)
 }
--- a/internal/proxy/changes_test.go
+++ b/internal/proxy/changes_test.go
@@ -16,8 +16,8 @@
 	"portflow/internal/cluster/update"
 )
 
-// A request that was read gets its one complete answer whatever change comes while it waits for a host, is worked on, is sent again,
-// or has a part of its answer; and so does the one that stands behind it on its connection.
+// Every request that was read must get one complete response, whichever change is applied while it is queued, at a host, being retried, or
+// receiving a streamed response. So must the request pipelined behind it.
 func TestChangesBesideRequests(t *testing.T) {
 	type world struct {
 		p    *Proxy
@@ -74,7 +74,7 @@
 		"another snapshot, of nothing": func(t *testing.T, w world) { w.p.publish(w.p.endpoints.Apply(nil, true)) },
 	}
 	long := strings.Repeat("y", 4*maxBufferedAnswer)
-	states := map[string]string{"worked on": "200", "streams": "200", "sent again": "200", "waits": "200 503"} // and what may be answered
+	states := map[string]string{"worked on": "200", "streams": "200", "sent again": "200", "waits": "200 503"} // allowed status codes by state of the request
 	for state, want := range states {
 		for name, change := range changes {
 			t.Run(state+"/"+name, func(t *testing.T) {
@@ -99,7 +99,7 @@
 				applyChange(t, p, setRoutes(nil, longRoute("safe_method", "desk", 20, 4, 2)))
 				p.mu.Unlock()
 				many := int64(1)
-				if state == "waits" { // one more than the host is given at once
+				if state == "waits" { // more than the host gets at once
 					many = 12
 				}
 				conns := make([]net.Conn, many)
@@ -108,14 +108,14 @@
 					qt.Assert(t, err, qt.IsNil)
 					defer c.Close()
 					c.SetDeadline(time.Now().Add(30 * time.Second))
-					io.WriteString(c, strings.Replace(virtualRequest, "/look/x", "/long/x", 1)) // and one behind it
+					io.WriteString(c, strings.Replace(virtualRequest, "/look/x", "/long/x", 1)) // with another one pipelined behind it
 					io.WriteString(c, strings.Replace(virtualRequest, "/look/x", "/long/behind", 1))
 					conns[i] = c
 				}
 				<-came
 				waitUntil(t, func() bool { return p.counters.received.Load() >= many })
 				if handed := p.counters.byDistance[0].Load(); state == "waits" {
-					qt.Assert(t, handed < many, qt.IsTrue, qt.Commentf("%d of %d are handed on", handed, many))
+					qt.Assert(t, handed < many, qt.IsTrue, qt.Commentf("%d of %d requests were forwarded", handed, many))
 				}
 				p.mu.Lock()
 				change(t, world{p, h})
@@ -126,21 +126,20 @@
 					r, err := http.ReadResponse(in, nil)
 					qt.Assert(t, err, qt.IsNil)
 					body, err := io.ReadAll(r.Body)
-					qt.Assert(t, err, qt.IsNil, qt.Commentf("cut: %s", &p.counters.cuts))
+					qt.Assert(t, err, qt.IsNil, qt.Commentf("connection cut: %s", &p.counters.cuts))
 					qt.Check(t, strings.Contains(want, r.Status[:3]), qt.IsTrue, qt.Commentf("%s", r.Status))
 					if r.StatusCode == 200 {
 						qt.Check(t, len(body), qt.Equals, map[bool]int{true: len(long), false: 1}[state == "streams"])
 					}
-					_, err = http.ReadResponse(in, nil) // of the one behind, whichever it is
-					qt.Check(t, err, qt.IsNil, qt.Commentf("behind; cut: %s", &p.counters.cuts))
+					_, err = http.ReadResponse(in, nil) // any response to the pipelined request
+					qt.Check(t, err, qt.IsNil, qt.Commentf("pipelined request; connection cut: %s", &p.counters.cuts))
 				}
 			})
 		}
 	}
 }
 
-// Requests are taken, served and, once their time is up, answered while a change of the configuration has the process's lock,
-// however long that takes.
+// Requests must be accepted, served and timed out while a configuration change holds Proxy.mu, however long that takes.
 func TestRequestsBesideALongChange(t *testing.T) {
 	never := make(chan bool)
 	t.Cleanup(func() { close(never) })
--- a/internal/proxy/client_gone_test.go
+++ b/internal/proxy/client_gone_test.go
@@ -23,7 +23,7 @@
 	"portflow/internal/upstream"
 )
 
-// A client that went while its request stood behind another on its connection gets nothing done any more.
+// A request that is pipelined behind another one must not be forwarded if the client disconnects first.
 func TestGoneBehindAnother(t *testing.T) {
 	came, goOn := make(chan bool), make(chan bool)
 	h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) {
@@ -49,7 +49,7 @@
 	}
 	waitUntil(t, func() bool { return p.openRequests.Load() == 0 })
 	qt.Check(t, countWrites(h)["behind"], qt.Equals, 0)
-	c, err := net.Dial("tcp", at) // one that stays is served
+	c, err := net.Dial("tcp", at) // without a disconnect the pipelined request is served
 	qt.Assert(t, err, qt.IsNil)
 	defer c.Close()
 	io.WriteString(c, one("first", "body"))
@@ -66,7 +66,7 @@
 	qt.Check(t, countWrites(h)["stays"], qt.Equals, 1)
 }
 
-// blockedNetwork is a network whose connections come up once it is let.
+// blockedNetwork is a network that connects only once allow is closed.
 type blockedNetwork struct {
 	*loopback
 	allow chan bool
@@ -81,7 +81,7 @@
 	return b.loopback.Dial(ctx, network, address)
 }
 
-// A client that goes while a connection to the host comes up gets nothing done.
+// A request must not be forwarded if the client disconnects while the proxy connects to the host.
 func TestGoneWhileConnecting(t *testing.T) {
 	for range 10 {
 		h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, "x"), true })
@@ -99,7 +99,7 @@
 	}
 }
 
-// A host that is in the midst of a long answer is let go with its client, also while it says nothing.
+// If the client disconnects during a streamed response, the host's connection must be closed at once, even while the host sends nothing.
 func TestGoneInALongAnswer(t *testing.T) {
 	for _, framing := range []string{"", fmt.Sprintf("Content-Length: %d\r\n", 9*maxBufferedAnswer), "Transfer-Encoding: chunked\r\n"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -134,11 +134,11 @@
 		began := time.Now()
 		c.Close()
 		took := (<-ended).Sub(began)
-		qt.Check(t, took < time.Second, qt.IsTrue, qt.Commentf("%q: the host worked on for %v", framing, took)) // half of the route's time-out
+		qt.Check(t, took < time.Second, qt.IsTrue, qt.Commentf("%q: the host's connection stayed open for %v", framing, took)) // half of the route's timeout
 	}
 }
 
-// A client that takes nothing of its answer is let go after the time that it may stand idle.
+// A write to a client that reads nothing must time out after the idle timeout.
 func TestTakesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -148,14 +148,14 @@
 		_, err := c.Write([]byte("answer"))
 		qt.Check(t, errors.Is(err, os.ErrDeadlineExceeded), qt.IsTrue, qt.Commentf("%v", err))
 		qt.Check(t, time.Since(began), qt.Equals, 15*time.Second)
-		go io.Copy(io.Discard, far) // and one that takes it later gets all that comes then
+		go io.Copy(io.Discard, far) // later writes succeed if the client reads
 		time.Sleep(time.Hour)
 		_, err = c.Write([]byte("answer"))
 		qt.Check(t, err, qt.IsNil)
 	})
 }
 
-// recordingWriter is a host's connection that keeps what was written.
+// recordingWriter is a host's connection that records what is written to it.
 type recordingWriter struct {
 	*scriptedConn
 	wrote bytes.Buffer
@@ -166,7 +166,7 @@
 	return h.scriptedConn.Write(b)
 }
 
-// A host gets the time that is left when it gets the request, however long its connection took to come up.
+// Time-Remaining must be the time left when the host receives the request, however long connecting to it took.
 func TestTimeRemaining(t *testing.T) {
 	for _, slow := range []time.Duration{0, time.Millisecond, 50 * time.Millisecond, 390 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
@@ -191,7 +191,7 @@
 			ms, err := strconv.Atoi(r.Header.Get("Time-Remaining"))
 			qt.Assert(t, err, qt.IsNil)
 			left := (700*time.Millisecond - took).Milliseconds()
-			qt.Check(t, int64(ms) <= left+maxExcessMillis && int64(ms) >= left, qt.IsTrue, qt.Commentf("%d stated, %d left", ms, left))
+			qt.Check(t, int64(ms) <= left+maxExcessMillis && int64(ms) >= left, qt.IsTrue, qt.Commentf("Time-Remaining is %d ms, the time left is %d ms", ms, left))
 		})
 	}
 }
--- a/internal/proxy/cut_cause_test.go
+++ b/internal/proxy/cut_cause_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Each connection that the process ends is counted under its cause, once.
+// Each connection that the proxy cuts must be counted once, by its cause.
 func TestCutsByCause(t *testing.T) {
 	h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, "x"), true })
 	never := make(chan bool)
@@ -24,7 +24,7 @@
 		},
 		cutHeaderTimeout: func(p *Proxy, c net.Conn) {
 			setLimits(t, p, `"header-bytes":16384,"body-bytes":1048576,"header-timeout-s":0.05,"idle-timeout-s":15`)
-			io.WriteString(c, virtualRequest) // from the next head on
+			io.WriteString(c, virtualRequest) // the limit applies from the next header on
 			io.ReadFull(c, make([]byte, 12))
 			io.WriteString(c, virtualRequest[:20])
 			io.Copy(io.Discard, c)
--- a/internal/proxy/early_answer_test.go
+++ b/internal/proxy/early_answer_test.go
@@ -15,8 +15,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// smallWindowNetwork is a network whose connections to hosts hold little on their way, so that a long body stands still where a host
-// doesn't read it.
+// smallWindowNetwork is a network with small send buffers towards hosts, so that writing a long body blocks if the host doesn't read it.
 type smallWindowNetwork struct{ *loopback }
 
 func (n smallWindowNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
@@ -27,14 +26,14 @@
 	return c, err
 }
 
-// earlyHost is a host that answers the first request before it has read its body. What comes on that connection then is reported once
-// proceed is closed; the connection is kept, or ends right behind the answer. Later connections are served as any other.
+// earlyHost is a host that responds to the first request before it has read the body. It then closes the connection, or, if keepsConnection is
+// set, reads on once proceed is closed and sends what it read to rest. Later connections are served normally.
 type earlyHost struct {
 	*scriptedHost
 	answer          func(id string) string
 	keepsConnection bool
 	proceed         chan struct{}
-	rest            chan string // all that came behind the head of the first request
+	rest            chan string // everything received after the header of the first request
 }
 
 func startEarlyHost(t *testing.T, keeps bool, answer func(id string) string) *earlyHost {
@@ -74,8 +73,8 @@
 
 const longBody = 900 << 10
 
-// A host answers before it has read a long body, keeps the connection, and reads on later. Its answer counts, also one that says
-// that the request did not run; where the rest of that body is due the host gets that or the connection's end, and no other bytes.
+// A response that arrives before a long body was sent completely is valid, including one with Request-Not-Run. After it the host may receive
+// only the rest of that body or the end of the connection, never the bytes of another request.
 func TestEarlyAnswers(t *testing.T) {
 	answers := map[string]func(id string) string{
 		"served": func(id string) string {
@@ -110,7 +109,7 @@
 					}
 				case "another's":
 					qt.Check(t, status(got), qt.Equals, "502", qt.Commentf("%q", got))
-				default: // retried completely, on another connection
+				default: // retried with the complete body on another connection
 					qt.Check(t, status(got), qt.Equals, "200", qt.Commentf("%q", got))
 					qt.Check(t, got, qt.Contains, "later")
 				}
@@ -124,16 +123,15 @@
 				if keeps {
 					close(h.proceed)
 					rest := <-h.rest
-					qt.Check(t, len(bytes.TrimLeft([]byte(rest), "b")), qt.Equals, 0, qt.Commentf("other bytes where the body is due"))
-					qt.Check(t, len(rest) < longBody, qt.IsTrue, qt.Commentf("the test has no early answer"))
+					qt.Check(t, len(bytes.TrimLeft([]byte(rest), "b")), qt.Equals, 0, qt.Commentf("the host received bytes that are not part of the body"))
+					qt.Check(t, len(rest) < longBody, qt.IsTrue, qt.Commentf("the body was complete, so the response was not early"))
 				}
 			})
 		}
 	}
 }
 
-// A host's seal goes on only with the status that it was given with: an answer of the router's own, in place of a host's, has
-// none.
+// Server-Seal is passed on only with the status that the host sent it with. A response that the proxy sends in place of the host's has none.
 func TestSealsAndStatuses(t *testing.T) {
 	code := 0
 	unrun := ""
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -22,7 +22,7 @@
 	"portflow/internal/upstream"
 )
 
-// scriptedConn is a connection that answers what is written on it with bytes, and then ends.
+// scriptedConn is a connection on which the first write is followed by fixed response bytes and the end of the stream.
 type scriptedConn struct {
 	mu        sync.Mutex
 	changed   sync.Cond
@@ -74,8 +74,8 @@
 func (c *scriptedConn) SetReadDeadline(time.Time) error  { return nil }
 func (c *scriptedConn) SetWriteDeadline(time.Time) error { return nil }
 
-// FuzzHostAnswers: whatever a host sends, what is passed on is a complete answer with the request's id, and a seal where it is a
-// success; that a request has not run is only known where such an answer says so.
+// FuzzHostAnswers checks that only complete responses with the request's ID are passed on, successful ones only with a seal, and that a
+// request counts as not run only if such a response says so.
 func FuzzHostAnswers(f *testing.F) {
 	for _, x := range []string{
 		"HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nServer-Seal: s\r\nContent-Length: 2\r\n\r\nhi",
@@ -91,7 +91,7 @@
 		f.Add([]byte(x), true)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte, head bool) {
-		const most = 64 // bytes that are read before they are passed on
+		const most = 64 // maximum bytes of a response that is buffered
 		p := upstream.New(upstream.Options{Protocol: hostProtocol{most}, ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 2,
 			Dial: func(context.Context, string, string) (net.Conn, error) { return newScriptedConn(raw), nil }})
 		defer p.Shutdown()
@@ -119,7 +119,7 @@
 			o = <-done
 		}
 		known := c.settle().Execution()
-		// as another reads the same bytes
+		// Parse the same bytes with net/http for comparison.
 		in := bufio.NewReader(bytes.NewReader(raw))
 		var resp *http.Response
 		var body []byte
@@ -139,37 +139,37 @@
 				long = a.body
 			}
 			if err != nil || a.status != resp.StatusCode || len(resp.Header["Attempt-Id"]) == 0 || resp.Header.Get("Attempt-Id") != "a" || !bytes.Equal(long, body) {
-				t.Fatalf("%d %q passed, read as %v %q, %v", a.status, long, resp, body, err)
+				t.Fatalf("proxy passed on status %d, body %q; net/http reads %v, body %q, error %v", a.status, long, resp, body, err)
 			}
 			if a.status < 300 && a.header.Get("Server-Seal") == "" || o.Result == decision.Succeeded && attempt.PromisesNotRun(a.status) {
 				t.Fatalf("%+v", a)
 			}
 			if unrun := resp.Header.Get("Request-Not-Run") != "" || a.status == 421; unrun != (known == attempt.NotRun) || unrun != (o.Result == decision.Rejected) {
-				t.Fatalf("%+v: %v", a, known)
+				t.Fatalf("response %+v, but the request's execution is %v", a, known)
 			}
 		default:
 			if known == attempt.NotRun {
-				t.Fatalf("%d: nothing of %q says that it did not run", o.Result, raw)
+				t.Fatalf("result %d: request counts as not run, but response %q doesn't say so", o.Result, raw)
 			}
 		}
 	})
 }
 
-// fuzzClient is a client's connection that sends bytes, in parts, and ends once nothing is asked any more.
+// fuzzClient is a client's connection that sends raw in chunks and then reaches the end of the stream.
 type fuzzClient struct {
 	mu      sync.Mutex
 	changed sync.Cond
 	raw     []byte
-	chunk   int
-	until   time.Time
-	done    chan bool
+	chunk   int       // maximum number of bytes per read
+	until   time.Time // read deadline
+	done    chan bool // closed by Close
 	once    sync.Once
 }
 
 func (v *fuzzClient) Read(b []byte) (int, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for len(v.raw) == 0 || len(b) == 1 { // the server's look for whether the client is still there reads one byte
+	for len(v.raw) == 0 || len(b) == 1 { // net/http detects a disconnect with reads of one byte
 		if len(b) != 1 {
 			return 0, io.EOF
 		}
@@ -202,7 +202,7 @@
 func (v *fuzzClient) SetDeadline(t time.Time) error    { return v.SetReadDeadline(t) }
 func (v *fuzzClient) SetWriteDeadline(time.Time) error { return nil }
 
-// fuzzListener is a listener that lets visitors in by hand.
+// fuzzListener is a listener that accepts the connections sent to clients.
 type fuzzListener struct{ clients chan net.Conn }
 
 func (d fuzzListener) Accept() (net.Conn, error) {
@@ -217,8 +217,8 @@
 
 var lengthLine, codingLine = regexp.MustCompile(`(?im)^content-length:`), regexp.MustCompile(`(?im)^transfer-encoding:`)
 
-// FuzzClientRequests: whatever bytes a client sends, hosts get what was read and nothing else: each request once, in their
-// order, with its method, target, id and body; and nothing from where the bytes can be read in two ways.
+// FuzzClientRequests checks that hosts receive only requests that net/http reads from the client's bytes, each at most once and in order, with
+// the same method, target, ID and body, and nothing after a request with ambiguous framing.
 func FuzzClientRequests(f *testing.F) {
 	const host = "Host: root.example\r\n"
 	for _, x := range []string{
@@ -255,15 +255,15 @@
 		select {
 		case <-v.done:
 		case <-time.After(20 * time.Second):
-			t.Fatal("no end")
+			t.Fatal("connection not closed within 20 s")
 		}
-		// as another reads the same bytes
+		// Parse the same bytes with net/http for comparison.
 		source := bytes.NewReader(raw)
 		in := bufio.NewReader(source)
 		at := func() int { return len(raw) - source.Len() - in.Buffered() }
 		var read []string
 		for last := ""; ; {
-			if last == http.MethodPost { // the library's server passes over empty lines there, for old clients
+			if last == http.MethodPost { // the net/http server skips empty lines after a POST, for old clients
 				next, _ := in.Peek(4)
 				in.Discard(len(next) - len(bytes.TrimLeft(next, "\r\n")))
 			}
@@ -290,7 +290,7 @@
 				read = read[1:]
 			}
 			if len(read) == 0 {
-				t.Fatalf("a host got %s, which was not read in %q", is, raw)
+				t.Fatalf("a host received %s, which net/http doesn't read from %q", is, raw)
 			}
 			read = read[1:]
 		}
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -21,7 +21,7 @@
 	"portflow/internal/cluster/update"
 )
 
-// loopback is the machine's own network; it records where the process listens.
+// loopback is the machine's own network. It records the addresses of the listeners.
 type loopback struct {
 	network.Host
 	mu    sync.Mutex
@@ -38,26 +38,26 @@
 	return x, err
 }
 
-// scriptedHost is a host: respond gives the bytes that answer its n-th request, counted from 1; more false ends the connection.
+// scriptedHost is an emulated host. respond returns the raw response to the n-th request, counted from 1, and whether to keep the connection.
 type scriptedHost struct {
 	t        testing.TB
 	address  string
 	respond  func(n int, r *http.Request, body string) (raw string, more bool)
-	linger   bool // its connections end with a reset
+	linger   bool // close connections with a reset
 	mu       sync.Mutex
 	received []arrival
 }
 
-// arrival is a request as a host read it.
+// arrival is a request that a host received.
 type arrival struct {
-	conn                 int // counts the connections
+	conn                 int // number of the connection at the host, from 1
 	method, target, host string
 	header               http.Header
 	body                 string
 	coding               []string
 }
 
-// startScriptedHost starts a host that answers by a function.
+// startScriptedHost starts a host that responds with the results of respond.
 func startScriptedHost(t testing.TB, respond func(n int, r *http.Request, body string) (string, bool)) *scriptedHost {
 	s := &scriptedHost{t: t, respond: respond}
 	s.address = acceptConns(t, s.serve)
@@ -113,7 +113,7 @@
 	return append([]arrival(nil), s.received...)
 }
 
-// goodAnswer is a host's complete answer.
+// goodAnswer returns a valid and complete response to r.
 func goodAnswer(r *http.Request, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: s\r\nContent-Length: %d\r\n\r\n%s", r.Header.Get("Attempt-Id"), len(body), body)
 }
@@ -129,7 +129,7 @@
 "table-rows":[["desk","/health",140,"h1",false,3,3,"00000001"]]},
 "limits":{"header-bytes":16384,"body-bytes":1048576,"header-timeout-s":3,"idle-timeout-s":15,"version":"00000001"}},"drop-names":{"routes":[]}}`
 
-// startProxy starts a proxy before these hosts, as if control had announced them.
+// startProxy starts a proxy with these hosts, as if it had received them from control. It returns the proxy and its listen address.
 func startProxy(t testing.TB, hosts ...*scriptedHost) (p *Proxy, at string) {
 	l := &loopback{}
 	return startProxyOn(t, l, l, hosts...)
@@ -150,7 +150,7 @@
 	return p, l.ports[0]
 }
 
-// testSettings are the settings of a proxy on loopback.
+// testSettings returns the settings of a proxy that listens on the loopback interface.
 func testSettings() settings.Settings {
 	s := settings.Settings{
 		Name:              "r1",
@@ -170,7 +170,7 @@
 	return s
 }
 
-// testSnapshot is the configuration, the proxy itself and these hosts.
+// testSnapshot returns a snapshot with testConfiguration, the proxy itself and these hosts.
 func testSnapshot(t testing.TB, hosts []*scriptedHost) []update.Change {
 	changes := itemChanges(t, testConfiguration)
 	changes = append(changes,
@@ -183,7 +183,7 @@
 	return changes
 }
 
-// itemChanges is the items of a change of the configuration.
+// itemChanges returns the updates for the items of a configuration change.
 func itemChanges(t testing.TB, change string) (changes []update.Change) {
 	t.Helper()
 	items, err := config.ParseChange([]byte(change))
@@ -207,7 +207,7 @@
 	applyChange(t, p, strings.NewReplacer(`safe_method",2,`, `safe_method",60,`, "00000001", "00000002").Replace(testConfiguration))
 }
 
-// setLimits puts new limits in force, as if control had sent them.
+// setLimits applies new limits, as if they were received from control.
 func setLimits(t testing.TB, p *Proxy, limits string) {
 	t.Helper()
 	p.mu.Lock()
@@ -221,7 +221,7 @@
 
 const routeColumns = `"table-columns":["name","host-name","path-prefix","route-kind","timeout-s","target-s","priority-level","service","maximum-attempts","version"]`
 
-// setRoutes is a change that sets routes, each a row, and services.
+// setRoutes returns a configuration change that sets services and routes; each of rows is a route.
 func setRoutes(services []string, rows ...string) string {
 	var all []string
 	for _, s := range services {
@@ -232,12 +232,12 @@
 		routeColumns, strings.Join(rows, ","), strings.Join(all, ","))
 }
 
-// longRoute is the route that the requests of these tests go by, to a service, with these times.
+// longRoute returns the row of a route for the prefix /long/. timeout and target are in seconds.
 func longRoute(kind, service string, timeout, target float64, version int) string {
 	return fmt.Sprintf(`["long","desk.example","/long/",%q,%g,%g,1,%q,3,"%08d"]`, kind, timeout, target, service, version)
 }
 
-// manyRoutes is a change of so many routes at once.
+// manyRoutes returns a configuration change that sets n routes.
 func manyRoutes(n int) string {
 	var rows []string
 	for i := range n {
@@ -246,13 +246,13 @@
 	return setRoutes(nil, rows...)
 }
 
-// instanceChange is an update of the n-th host.
+// instanceChange returns an update of the n-th host.
 func instanceChange(n int, at string, state instance.State, sequence uint64, silent bool) update.Change {
 	return update.Change{Instance: &instance.Instance{ID: fmt.Sprint("i-", n), Service: "desk", Address: at, Zone: "z", Version: "v1", Slots: 1,
 		State: state, Sequence: sequence, Unresponsive: silent}}
 }
 
-// rawExchange sends bytes on one connection, shuts its writing side where half says so, and returns what comes within five seconds.
+// rawExchange sends bytes on a new connection, closes its sending side if half is set, and returns everything received within five seconds.
 func rawExchange(t testing.TB, at, bytes string, half bool) string {
 	c, err := net.Dial("tcp", at)
 	if err != nil {
@@ -268,7 +268,7 @@
 	return string(all)
 }
 
-// exchange sends one request on a connection of its own; extra are further header lines.
+// exchange sends a request on a new connection and returns the raw response. extra are additional header lines.
 func exchange(t testing.TB, at, method, target, id, body string, extra ...string) string {
 	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: desk.example\r\nConnection: close\r\nTime-Remaining: 1500\r\n", method, target)
 	if id != "" {
@@ -290,7 +290,7 @@
 	return answer[9:12]
 }
 
-// countWrites counts how often hosts had each id.
+// countWrites returns how many requests the hosts received, by Attempt-Id.
 func countWrites(hosts ...*scriptedHost) map[string]int {
 	n := map[string]int{}
 	for _, h := range hosts {
@@ -301,7 +301,7 @@
 	return n
 }
 
-// rawClient is a client's connection on which a request is sent in parts.
+// rawClient is a client's connection on which the test sends a request piece by piece.
 type rawClient struct {
 	t *testing.T
 	net.Conn
@@ -325,7 +325,7 @@
 	return resp
 }
 
-// startBodySink starts a host that reads a body into nothing, and answers; it waits before for each value of wait, unless that is nil.
+// startBodySink starts a host that discards request bodies. If wait is not nil, it receives a value from wait before each response.
 func startBodySink(t *testing.T, wait chan bool) *scriptedHost {
 	s := &scriptedHost{t: t}
 	s.address = acceptConns(t, func(_ int, c net.Conn) { s.serveSink(c, wait) })
@@ -354,7 +354,7 @@
 	}
 }
 
-// startStreamingHost starts a host that gives half of a long answer, and the rest once it may.
+// startStreamingHost starts a host that sends half of a long response, then a value to came, and the rest after receiving one from goOn.
 func startStreamingHost(t *testing.T, long string, came chan<- bool, goOn <-chan bool) *scriptedHost {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -372,17 +372,17 @@
 	return &scriptedHost{address: l.Addr().String()}
 }
 
-// waitUntil waits for what is to come soon.
+// waitUntil fails the test if a condition doesn't hold within ten seconds.
 func waitUntil(t *testing.T, what func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !what(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it doesn't come")
+			t.Fatal("condition not met within 10 s")
 		}
 	}
 }
 
-// connPair is a connection of the machine's own, both ends; the far one has sent a byte.
+// connPair returns both ends of a TCP connection. The far end has sent one byte.
 func connPair(t *testing.T) (near, far net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/proxy/http_test.go
+++ b/internal/proxy/http_test.go
@@ -13,8 +13,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// What comes before a final answer (1xx) is for the router alone: it is not passed on, whosever id it carries, and the final
-// answer is judged by its own. Hosts that send no end of them give no answer.
+// Informational responses (1xx) must not be passed on or affect how the final response is classified, whichever Attempt-Id they carry. A host
+// that sends too many of them counts as giving no valid response.
 func TestInformationalAnswers(t *testing.T) {
 	hints := "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nAttempt-Id: other\r\nLink: </a>\r\n\r\n"
 	for name, x := range map[string]struct {
@@ -32,8 +32,8 @@
 	}
 }
 
-// Expect: 100-continue is answered by the router, once it wants the body; hosts aren't asked. What is refused by its head alone
-// is refused before its body comes, and nothing goes to a host.
+// The proxy itself answers Expect: 100-continue, and only when it is ready to read the body. A request that is rejected because of its header
+// is rejected before its body is sent, and never forwarded.
 func TestExpectContinue(t *testing.T) {
 	h := startScriptedHost(t, func(_ int, r *http.Request, body string) (string, bool) { return goodAnswer(r, body), true })
 	_, at := startProxy(t, h)
@@ -68,11 +68,11 @@
 	}
 }
 
-// Trailers are left out, both ways: a body that is read before it is forwarded has a length. Nothing in them counts as a header.
+// Trailers must be dropped in both directions, and nothing in them may count as a header. Bodies are buffered and forwarded with a length.
 func TestTrailers(t *testing.T) {
 	h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) {
 		id := r.Header.Get("Attempt-Id")
-		if id == "u2" { // its seal comes behind the body: that is none
+		if id == "u2" { // a seal in the trailer doesn't count
 			return fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nTransfer-Encoding: chunked\r\nTrailer: Server-Seal\r\n\r\n2\r\nhi\r\n0\r\nServer-Seal: s\r\n\r\n", id), true
 		}
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: s\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n2\r\nhi\r\n0\r\nX-Sum: 1\r\nAttempt-Id: other\r\n\r\n", id), true
@@ -95,7 +95,7 @@
 	qt.Check(t, in.header.Get("Time-Remaining") != "1", qt.IsTrue)
 }
 
-// Heads up to the limit are forwarded complete; a request's beyond it is answered 431 and goes nowhere, a host's beyond 16 KB is no answer.
+// Request headers up to the limit are forwarded unchanged, and longer ones rejected with 431. A response header over 16 KB is invalid.
 func TestLongHeads(t *testing.T) {
 	h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) {
 		if r.Header.Get("Attempt-Id") == "long" {
@@ -107,7 +107,7 @@
 	for n, want := range map[int]string{100: "200", 3000: "200", 12000: "200", 17000: "431", 40000: "431", 2 << 20: "431"} {
 		before := len(h.requests())
 		got := exchange(t, at, "POST", "/issue/x", "u1", "body", "X-Long: "+strings.Repeat("z", n))
-		if got == "" && n > 1<<20 { // the connection was reset while the rest was still coming
+		if got == "" && n > 1<<20 { // the connection was reset while the client was still sending
 			got = "HTTP/1.1 431"
 		}
 		qt.Check(t, status(got), qt.Equals, want, qt.Commentf("%d: %.200q", n, got))
@@ -120,7 +120,7 @@
 	qt.Check(t, status(exchange(t, at, "POST", "/issue/x", "long", "body")), qt.Equals, "502")
 }
 
-// An upgrade that a client asks for is not taken up: it gets the answer that it would get without, and hosts aren't asked.
+// A protocol upgrade that a client requests must be ignored: it is not forwarded, and the request gets its usual response.
 func TestUpgradeIsPassedOver(t *testing.T) {
 	h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, "x"), true })
 	_, at := startProxy(t, h)
@@ -135,8 +135,8 @@
 	qt.Check(t, strings.Contains(preface, " 200 "), qt.IsFalse, qt.Commentf("%q", preface))
 }
 
-// A kept connection of a client: answers come in the order of its requests, each with its own id, also where the first takes
-// longest, where one is refused between, and where the last one's body is cut off.
+// On a keep-alive connection responses must arrive in the order of the requests, each with the ID of its own, even if the first request is
+// the slowest, one in between is rejected, and the last one's body is truncated.
 func TestKeptConnection(t *testing.T) {
 	h := startScriptedHost(t, func(_ int, r *http.Request, body string) (string, bool) {
 		if strings.HasSuffix(r.URL.Path, "slow") {
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -20,14 +20,15 @@
 	"portflow/internal/connlimit"
 )
 
-// virtualClient is a client of a real net/http server on a pipe in virtual time, whose limits the test changes.
+// virtualClient is a client of a real net/http server, connected to it by a pipe in virtual time. The test may change the server's limits.
 type virtualClient struct {
 	net.Conn
 	in     *bufio.Reader
 	limits *atomic.Pointer[config.Limits]
 }
 
-// serveVirtually begins to serve one client by these limits. The server itself is made as before any limits have come.
+// serveVirtually starts a server for one client with these limits. The http.Server has the default limits, as in a proxy that starts before it
+// has received any.
 func serveVirtually(t *testing.T, limits config.Limits, handler http.HandlerFunc) virtualClient {
 	near, far := net.Pipe()
 	var force atomic.Pointer[config.Limits]
@@ -49,7 +50,7 @@
 	return virtualClient{Conn: far, in: bufio.NewReader(far), limits: &force}
 }
 
-// status reads one answer, and tells its status, or that the connection ended without one.
+// status reads a response and returns its status code, or "cut" if the connection ended without one.
 func (v virtualClient) status() string {
 	r, err := http.ReadResponse(v.in, nil)
 	if err != nil {
@@ -61,7 +62,7 @@
 
 const virtualRequest = "GET /look/x HTTP/1.1\r\nHost: desk.example\r\n\r\n"
 
-// A client that keeps within the limits in force is not cut by those that stood as its connection, or the process, began.
+// A client within the current limits must not be cut because of those that applied when its connection or the server was created.
 func TestLimitsInForce(t *testing.T) {
 	head := virtualRequest[:len(virtualRequest)-2]
 	for name, x := range map[string]struct {
@@ -69,21 +70,21 @@
 		play          func(v virtualClient, change func())
 		want          string
 	}{
-		"a head slower than the first limits allowed": {
+		"a header slower than the default limits allow": {
 			config.Limits{HeaderTimeout: 10e9, IdleTimeout: 15e9}, config.Limits{HeaderTimeout: 10e9, IdleTimeout: 15e9},
 			func(v virtualClient, _ func()) {
 				io.WriteString(v, head)
 				time.Sleep(9 * time.Second)
 				io.WriteString(v, "\r\n")
 			}, "200"},
-		"a head too slow for lower limits": {
+		"a header too slow for lower limits": {
 			config.Limits{HeaderTimeout: 1e9, IdleTimeout: 15e9}, config.Limits{},
 			func(v virtualClient, _ func()) {
 				io.WriteString(v, head)
 				time.Sleep(1100 * time.Millisecond)
 				io.WriteString(v, "\r\n")
 			}, "cut"},
-		"header-timeout-s raised during a head": {
+		"header-timeout-s raised during a header": {
 			config.Limits{HeaderTimeout: 2e9, IdleTimeout: 15e9}, config.Limits{HeaderTimeout: 6e9, IdleTimeout: 15e9},
 			func(v virtualClient, change func()) {
 				io.WriteString(v, head)
@@ -92,7 +93,7 @@
 				time.Sleep(4 * time.Second)
 				io.WriteString(v, "\r\n")
 			}, "200"},
-		"header-timeout-s lowered during a head": {
+		"header-timeout-s lowered during a header": {
 			config.Limits{HeaderTimeout: 6e9, IdleTimeout: 15e9}, config.Limits{HeaderTimeout: 1e9, IdleTimeout: 15e9},
 			func(v virtualClient, change func()) {
 				io.WriteString(v, head)
@@ -118,7 +119,7 @@
 				time.Sleep(16 * time.Second)
 				io.WriteString(v, virtualRequest)
 			}, "200"},
-		"idle for longer than is allowed": {
+		"idle for longer than allowed": {
 			config.Limits{HeaderTimeout: 3e9, IdleTimeout: 5e9}, config.Limits{},
 			func(v virtualClient, _ func()) {
 				io.WriteString(v, virtualRequest)
@@ -126,7 +127,7 @@
 				time.Sleep(5100 * time.Millisecond)
 				io.WriteString(v, virtualRequest)
 			}, "cut"},
-		"a pipelined head beside a short idle-timeout-s": {
+		"a pipelined header with a short idle-timeout-s": {
 			config.Limits{HeaderTimeout: 3e9, IdleTimeout: 1e9}, config.Limits{},
 			func(v virtualClient, _ func()) {
 				go io.WriteString(v, virtualRequest+head)
@@ -139,7 +140,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				v := serveVirtually(t, x.before, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 				x.play(v, func() {
-					synctest.Wait() // the server waits for the client
+					synctest.Wait() // until the server waits for the client
 					v.limits.Store(&x.after)
 				})
 				qt.Check(t, v.status(), qt.Equals, x.want)
@@ -148,7 +149,7 @@
 	}
 }
 
-// The body of a pipelined request has the time that bodies have, also where idle-timeout-s is shorter.
+// The body of a pipelined request has the usual body timeout, even if idle-timeout-s is shorter.
 func TestPipelinedBodyBesideShortIdle(t *testing.T) {
 	h := startScriptedHost(t, func(_ int, r *http.Request, body string) (string, bool) { return goodAnswer(r, body), true })
 	p, at := startProxy(t, h)
@@ -161,7 +162,7 @@
 	in := bufio.NewReader(c)
 	_, err = http.ReadResponse(in, nil)
 	qt.Assert(t, err, qt.IsNil)
-	time.Sleep(200 * time.Millisecond) // four times the idle time; the body has five seconds
+	time.Sleep(200 * time.Millisecond) // four times the idle timeout; the body has five seconds
 	io.WriteString(c, "dy")
 	for {
 		r, err := http.ReadResponse(in, nil)
@@ -173,28 +174,28 @@
 	}
 }
 
-// A request that has come by the time that its connection's idle deadline is looked at is read, and the connection is not closed.
+// A request that has arrived when the connection hits its idle deadline must be read, and the connection must stay open.
 func TestArrivalAtTheIdleDeadline(t *testing.T) {
 	near, far := connPair(t)
 	c := &clientConn{Conn: near, phase: idle, slot: connlimit.New(1, 1).TryAcquire(), limits: func() config.Limits { return config.Limits{HeaderTimeout: 3e9, IdleTimeout: 1} }}
-	_, err := near.Read(make([]byte, 100)) // the byte that shows it to be up
+	_, err := near.Read(make([]byte, 100)) // the byte from connPair
 	qt.Assert(t, err, qt.IsNil)
 	io.WriteString(far, virtualRequest)
 	waitUntil(t, func() bool { return c.peek() == peekBytes })
-	near.SetReadDeadline(time.Unix(1, 0)) // which has passed before the read: the kernel isn't asked any more
+	near.SetReadDeadline(time.Unix(1, 0)) // in the past, so that the read fails without a system call
 	b := make([]byte, 100)
 	n, err := c.Read(b)
 	qt.Check(t, err, qt.IsNil)
 	qt.Check(t, string(b[:n]), qt.Equals, virtualRequest)
 
-	c.beginRequest() // and with nothing there it ends
+	c.beginRequest() // without a request the connection does time out
 	c.markIdle()
 	near.SetReadDeadline(time.Unix(1, 0))
 	_, err = c.Read(b)
 	qt.Check(t, errors.Is(err, os.ErrDeadlineExceeded), qt.IsTrue, qt.Commentf("%v", err))
 }
 
-// A question about the router itself is answered by it, and the framing of what comes behind is looked at as closely as ever.
+// OPTIONS * is answered by the proxy itself, and the framing of a request pipelined behind it must still be checked.
 func TestAsteriskOptions(t *testing.T) {
 	h := startScriptedHost(t, func(_ int, r *http.Request, body string) (string, bool) { return goodAnswer(r, body), true })
 	_, at := startProxy(t, h)
@@ -205,7 +206,7 @@
 	qt.Check(t, h.requests(), qt.HasLen, 0)
 }
 
-// header-bytes binds as it stands, raised and lowered, whatever stood as the process began.
+// The current header-bytes must apply, raised or lowered, whatever the limit was when the server was created.
 func TestHeaderBytesInForce(t *testing.T) {
 	h := startScriptedHost(t, func(_ int, r *http.Request, body string) (string, bool) { return goodAnswer(r, body), true })
 	p, at := startProxy(t, h)
@@ -216,11 +217,11 @@
 		{2 << 10, 3 << 10, "431"}, {2 << 10, 30 << 10, "431"}, {2 << 10, 1 << 10, "200"}, {16 << 10, 12 << 10, "200"}} {
 		setLimits(t, p, fmt.Sprintf(`"header-bytes":%d,"body-bytes":1048576,"header-timeout-s":3,"idle-timeout-s":15`, x.limit))
 		got := exchange(t, at, "POST", "/issue/x", "a", "body", "X-Long: "+strings.Repeat("z", x.head))
-		qt.Check(t, status(got), qt.Equals, x.want, qt.Commentf("%d of %d: %.100q", x.head, x.limit, got))
+		qt.Check(t, status(got), qt.Equals, x.want, qt.Commentf("header of %d bytes, limit %d: %.100q", x.head, x.limit, got))
 	}
 }
 
-// A kept connection takes a longer head once that is allowed, and one that is longer than that ends it.
+// A raised header-bytes must apply to an open keep-alive connection as well, and a longer header must still be rejected.
 func TestHeaderBytesRaisedOnKeptConnection(t *testing.T) {
 	h := startScriptedHost(t, func(_ int, r *http.Request, body string) (string, bool) { return goodAnswer(r, body), true })
 	p, at := startProxy(t, h)
@@ -244,18 +245,18 @@
 	qt.Check(t, one(100<<10), qt.Equals, "431")
 }
 
-// A client that takes its answer slowly, and never rests for longer than it may, gets all of it, also in one write that takes
-// longer than that; and a lowered idle-timeout-s binds no request that was taken before.
+// A client that reads its response slowly, but never pauses for longer than the idle timeout, must get all of it, even if a single write takes
+// longer than that. A lowered idle-timeout-s must not apply to requests received earlier.
 func TestSlowReader(t *testing.T) {
 	for name, x := range map[string]struct {
 		then, now config.Limits
 		pause     time.Duration
 		complete  bool
 	}{
-		"slow":                           {config.Limits{IdleTimeout: 5e9}, config.Limits{IdleTimeout: 5e9}, 4 * time.Second, true},
-		"too slow":                       {config.Limits{IdleTimeout: 5e9}, config.Limits{IdleTimeout: 5e9}, 6 * time.Second, false},
-		"idle-timeout-s lowered for one": {config.Limits{IdleTimeout: 5e9}, config.Limits{IdleTimeout: 1e9}, 4 * time.Second, true},
-		"idle-timeout-s raised for one":  {config.Limits{IdleTimeout: 1e9}, config.Limits{IdleTimeout: 5e9}, 4 * time.Second, true},
+		"slow":                             {config.Limits{IdleTimeout: 5e9}, config.Limits{IdleTimeout: 5e9}, 4 * time.Second, true},
+		"too slow":                         {config.Limits{IdleTimeout: 5e9}, config.Limits{IdleTimeout: 5e9}, 6 * time.Second, false},
+		"idle-timeout-s lowered during it": {config.Limits{IdleTimeout: 5e9}, config.Limits{IdleTimeout: 1e9}, 4 * time.Second, true},
+		"idle-timeout-s raised during it":  {config.Limits{IdleTimeout: 1e9}, config.Limits{IdleTimeout: 5e9}, 4 * time.Second, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -288,14 +289,14 @@
 	}
 }
 
-// A connection whose place is wanted ends only while nothing of a request has come on it, though net/http calls it idle, or new,
-// until a complete head was read.
+// A connection must not be evicted once a complete request header has arrived, although net/http reports it as idle or new until it has read
+// the entire header.
 func TestEvictedBesideARequest(t *testing.T) {
 	b := make([]byte, 100)
 	for name, x := range map[string]struct {
 		phase   connPhase
 		sent    string
-		readAll bool // by the time that its place is wanted
+		readAll bool // what was sent is read before the eviction
 		ends    bool
 	}{
 		"idle":                      {idle, "", false, true},
@@ -304,11 +305,11 @@
 		"new, with a request sent":  {readingHeader, virtualRequest, false, false},
 		"idle, with a request read": {idle, virtualRequest, true, false},
 		"new, with a request read":  {readingHeader, virtualRequest, true, false},
-		"half a head":               {idle, virtualRequest[:20], true, true},
+		"half a header":             {idle, virtualRequest[:20], true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			near, far := connPair(t)
-			near.Read(b) // the byte that shows it to be up
+			near.Read(b) // the byte from connPair
 			r := connlimit.New(1, 1)
 			c := &clientConn{Conn: near, slot: r.TryAcquire(), phase: x.phase, since: time.Now(), limits: func() config.Limits { return config.DefaultLimits }}
 			c.slot.Attach(map[connPhase]connlimit.State{idle: connlimit.StateIdle, readingHeader: connlimit.StateNew}[x.phase], c.evict)
@@ -326,7 +327,7 @@
 				qt.Check(t, err != nil, qt.Equals, x.ends, qt.Commentf("%v", err))
 				qt.Check(t, string(b[:n]), qt.Equals, map[bool]string{false: x.sent}[x.ends])
 			}
-			if !x.ends { // and all goes on as ever
+			if !x.ends { // the connection must remain usable
 				c.SetReadDeadline(time.Time{})
 				c.beginRequest()
 				_, err := io.WriteString(c, "answer")
@@ -339,13 +340,13 @@
 	}
 }
 
-// Who sends a long body and reads afterwards gets the answer of a refusal that came meanwhile, as after a route was dropped or
-// body-bytes lowered: the connection isn't reset below it. Nothing of what is left is read as another request.
+// A client that reads only after sending a long body must get the response to a request that was rejected before, for example because of its
+// route or a lowered body-bytes: the connection must not be reset. The rest of the body must not be parsed as another request.
 func TestRefusedBesideALongBody(t *testing.T) {
 	h := startScriptedHost(t, func(_ int, r *http.Request, body string) (string, bool) { return goodAnswer(r, "x"), true })
 	p, at := startProxy(t, h)
 	setLimits(t, p, `"header-bytes":16384,"body-bytes":100000000,"header-timeout-s":3,"idle-timeout-s":15`)
-	const size = 48 << 20 // beyond what the sockets hold
+	const size = 48 << 20 // more than the socket buffers hold
 	chunk := strings.Repeat("GET /look/smuggled HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: s\r\n\r\n", 1<<20/64)[:1<<20]
 	for name, x := range map[string]struct {
 		head, want string
@@ -377,11 +378,11 @@
 					fmt.Fprintf(c, "%x\r\n", len(chunk))
 				}
 				_, err = io.WriteString(c, chunk)
-				qt.Assert(t, err, qt.IsNil, qt.Commentf("after %d", n))
+				qt.Assert(t, err, qt.IsNil, qt.Commentf("after %d bytes", n))
 				if x.chunked {
 					io.WriteString(c, "\r\n")
 				}
-				time.Sleep(rejectLingerTimeout / 20) // longer in all than the library would wait
+				time.Sleep(rejectLingerTimeout / 20) // in total longer than net/http would wait
 			}
 			if x.chunked {
 				io.WriteString(c, "0\r\n\r\n")
@@ -390,7 +391,7 @@
 			r, err := http.ReadResponse(in, nil)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, r.Status[:3], qt.Equals, x.want)
-			if x.want == "404" { // and it is of use again
+			if x.want == "404" { // the connection must be usable again
 				io.WriteString(c, "GET /look/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: b\r\n\r\n")
 				r, err = http.ReadResponse(in, nil)
 				qt.Assert(t, err, qt.IsNil)
@@ -402,10 +403,10 @@
 	}
 }
 
-// A write whose deadline passes before it is tried, as on a machine that is loaded or was frozen, is tried all the same.
+// A write must be attempted even if its deadline has already passed, as can happen on a machine that is overloaded or was suspended.
 func TestWriteAfterItsDeadline(t *testing.T) {
 	near, far := connPair(t)
-	c := &clientConn{Conn: near, limits: func() config.Limits { return config.Limits{IdleTimeout: 1} }} // it passes at once
+	c := &clientConn{Conn: near, limits: func() config.Limits { return config.Limits{IdleTimeout: 1} }} // already passed when the write begins
 	answer := strings.Repeat("x", 100)
 	got := make(chan int)
 	go func() {
@@ -421,14 +422,14 @@
 	qt.Check(t, <-got, qt.Equals, 20*len(answer))
 }
 
-// A head that became complete as its connection's place was wanted is served, and the connection isn't closed behind its answer.
+// A request whose header becomes complete during an eviction must be served, and its connection must stay open after the response.
 func TestEvictedAsAHeadEnds(t *testing.T) {
 	near, far := connPair(t)
-	near.Read(make([]byte, 1)) // the byte that shows it to be up
+	near.Read(make([]byte, 1)) // the byte from connPair
 	c := &clientConn{Conn: near, slot: connlimit.New(1, 1).TryAcquire(), phase: readingHeader, since: time.Now(), limits: func() config.Limits { return config.DefaultLimits }}
 	c.observe([]byte(virtualRequest[:20]), 4096)
 	c.evict()
-	c.observe([]byte(virtualRequest[20:]), 4096) // by a read that had returned before
+	c.observe([]byte(virtualRequest[20:]), 4096) // as after a read that had returned before the eviction
 	c.SetReadDeadline(time.Time{})
 	c.beginRequest()
 	qt.Check(t, c.evicting, qt.IsFalse)
@@ -439,6 +440,6 @@
 	n, err := c.Read(b)
 	qt.Check(t, err, qt.IsNil)
 	qt.Check(t, string(b[:n]), qt.Equals, virtualRequest)
-	c.evict() // of one that is complete
+	c.evict() // has no effect, as the header is complete
 	qt.Check(t, c.evicting, qt.IsFalse)
 }
--- a/internal/proxy/linger_test.go
+++ b/internal/proxy/linger_test.go
@@ -15,15 +15,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// narrowDialer opens connections that take little before it is read, so that answers wait at their sender.
+// narrowDialer opens connections with a small receive buffer, so that most of a response stays at the sender until it is read.
 var narrowDialer = net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
 }}
 
-// A router that ends closes each connection after its next answer. What a client has pipelined behind that request is not read then;
-// the connection must not be reset because of it, as a reset takes the rest of the answer away.
+// A draining proxy closes each connection after its next response and doesn't read pipelined requests. They must not cause a reset, which would
+// make the client lose the rest of the response.
 func TestAnswerBeforeAClose(t *testing.T) {
-	for _, length := range []int{100 << 10, maxBufferedAnswer + 100<<10} { // read before it is passed on, and streamed
+	for _, length := range []int{100 << 10, maxBufferedAnswer + 100<<10} { // buffered, and streamed
 		c := qt.New(t)
 		answer := strings.Repeat("a", length)
 		h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, answer), true })
--- a/internal/proxy/request_class_test.go
+++ b/internal/proxy/request_class_test.go
@@ -11,12 +11,12 @@
 	"portflow/internal/cluster/config"
 )
 
-// timedRoute is a route of this kind, with its times in seconds.
+// timedRoute returns a route. timeout and target are in seconds.
 func timedRoute(safe bool, timeout, target int64, rank int) *config.Route {
 	return &config.Route{Idempotent: safe, Timeout: timeout * second, LatencyTarget: target * second, Priority: rank}
 }
 
-// fillClasses gives a service a band for each of so many time-outs, and tells which route each number was given for.
+// fillClasses asks for the class of many routes with different timeouts. It returns the first route of each class, by class number.
 func fillClasses(s *service, safe bool, many int) map[int]*config.Route {
 	owners := map[int]*config.Route{}
 	for i := range many {
@@ -28,7 +28,8 @@
 	return owners
 }
 
-// Once a service has all its bands, a further route shares the nearest of its repeat class, always the same one.
+// Once a service has the maximum number of classes, a route with new properties must share the nearest class with its idempotence, always the
+// same one.
 func TestBandsOfRoutesBeyondTheMost(t *testing.T) {
 	p, _ := startProxy(t)
 	s := p.services["desk"]
@@ -43,12 +44,12 @@
 	}
 	fillClasses(s, true, 2000)
 	for name, x := range map[string]struct{ route, shares *config.Route }{
-		"known":                            {timedRoute(false, 5, 1, 1), first[4]},
-		"same target, nearest timeout":     {timedRoute(true, 8, 4, 1), first[2]},
-		"the least number of those as far": {timedRoute(true, 7, 4, 1), first[1]},
-		"priority before target":           {timedRoute(true, 5, 1, 3), first[3]},
-		"unsafe, nearest target":           {timedRoute(false, 700, 38, 1), first[5]},
-		"unsafe, nearest priority":         {timedRoute(false, 5, 2, 9), first[6]},
+		"known":                        {timedRoute(false, 5, 1, 1), first[4]},
+		"same target, nearest timeout": {timedRoute(true, 8, 4, 1), first[2]},
+		"lowest number on a tie":       {timedRoute(true, 7, 4, 1), first[1]},
+		"priority before target":       {timedRoute(true, 5, 1, 3), first[3]},
+		"unsafe, nearest target":       {timedRoute(false, 700, 38, 1), first[5]},
+		"unsafe, nearest priority":     {timedRoute(false, 5, 2, 9), first[6]},
 	} {
 		for range 3 {
 			c.Check(s.classOf(x.route), qt.Equals, numbers[x.shares], qt.Commentf(name))
@@ -56,7 +57,7 @@
 	}
 }
 
-// Whichever repeat class fills the bands, the other still has one, and shares none with it.
+// If routes of one idempotence use up the classes, those of the other must still get a class, and must not share one with them.
 func TestBandsOfBothRepeatClasses(t *testing.T) {
 	for _, safe := range []bool{true, false} {
 		p, _ := startProxy(t)
@@ -68,19 +69,19 @@
 		theirs := fillClasses(s, !safe, 600)
 		c.Check(len(theirs) > 0, qt.IsTrue)
 		for n := range theirs {
-			c.Check(ours[n], qt.IsNil, qt.Commentf("band %d, filled by safe %v", n, safe))
+			c.Check(ours[n], qt.IsNil, qt.Commentf("class %d, filled by idempotent %v", n, safe))
 			c.Check(n < 256, qt.IsTrue)
 		}
 		c.Check(len(ours)+len(theirs) <= 256, qt.IsTrue)
 	}
 }
 
-// A route beyond the most bands keeps its repeats where it is safe, gets none where it is not, and has its own time.
+// A route that shares a class of a full table must still be retried only if it is idempotent, and must keep its own timeout.
 func TestRoutesBeyondTheMostBands(t *testing.T) {
-	for _, filled := range []bool{true, false} { // the repeat class of the routes that fill the bands
+	for _, filled := range []bool{true, false} { // whether the routes that fill the table first are idempotent
 		for _, x := range []struct {
 			kind         string
-			silent       bool // the host says nothing; else it breaks off the first time
+			silent       bool // the host sends nothing; otherwise it closes the first connection without a response
 			timeout      float64
 			status, came int
 		}{
@@ -89,7 +90,7 @@
 			{"safe_method", true, 0.3, 504, 1},
 			{"unsafe_method", true, 0.3, 504, 1},
 		} {
-			t.Run(fmt.Sprintf("filled by safe %v, %s, silent %v", filled, x.kind, x.silent), func(t *testing.T) {
+			t.Run(fmt.Sprintf("filled by idempotent %v, %s, silent %v", filled, x.kind, x.silent), func(t *testing.T) {
 				c := qt.New(t)
 				end := make(chan bool)
 				h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) {
--- a/internal/proxy/rollout_decision_test.go
+++ b/internal/proxy/rollout_decision_test.go
@@ -16,7 +16,7 @@
 
 var trials = flag.Int("trials", 8, "emulated rollouts of each kind")
 
-// event is something that happens at a time.
+// event calls do at the simulated time at, in nanoseconds.
 type event struct {
 	at int64
 	do func()
@@ -34,7 +34,7 @@
 	return x
 }
 
-// trial is one rollout: routers with the rules as they run, hosts of two builds, and the control processes' judgement.
+// trial simulates a rollout with the decision engines of several proxies, hosts of two builds, and the decision of the control processes.
 type trial struct {
 	now     int64
 	queue   events
@@ -45,9 +45,9 @@
 	order   rollout.Rollout
 	votes   map[string]update.Vote
 	lastID  uint32
-	sent    int // to the trial
-	bad     int // of its answers
-	taken   int // since the order
+	sent    int // requests sent to the new build during the rollout
+	bad     int // bad responses among them
+	taken   int // requests received during the rollout
 }
 
 type trialHost struct {
@@ -163,7 +163,7 @@
 	r.after(int64(1e6+r.draw.Float64()*35e6), func() { to.rules.GossipReceived(r.now, (to.rank+1)%len(r.routers), raw) })
 }
 
-// play plays one rollout to its end and tells it.
+// play simulates a rollout until it ends and returns it with its final state. perSecond is the request rate of all proxies together.
 func play(kind string, seed uint64, routers int, perSecond float64) (*trial, rollout.State) {
 	t := &trial{draw: rand.New(rand.NewPCG(seed, 3)), kind: kind, votes: map[string]update.Vote{}, now: 1e15}
 	var bounds settings.Terms
@@ -208,7 +208,7 @@
 		t.after(int64(t.draw.ExpFloat64()/perSecond*1e9), arrive)
 	}
 	arrive()
-	t.after(8e9, func() { // the new hosts are there, and then the order
+	t.after(8e9, func() { // the hosts of the new build are added, and the rollout starts
 		for i := range 16 {
 			id := uint32(17 + i)
 			t.hosts = append(t.hosts, &trialHost{id: id, slots: 3, build: 1})
@@ -240,8 +240,8 @@
 	return t, t.order.State
 }
 
-// How often the design's mechanism, with the system's settings, is wrong: a good build that isn't let through by its term,
-// a bad one that is; and what a bad one got. -args -trials 1000 plays as many of each kind.
+// Guards against wrong rollout decisions with the production settings: a good build that isn't completed in time, or a bad one that is. It also
+// checks the exposure of the new build. -args -trials 1000 simulates 1000 rollouts of each kind.
 func TestVerdicts(t *testing.T) {
 	for _, kind := range []string{"good", "errors", "slow", "under load", "one class", "late"} {
 		wrong, over, slow, most := 0, 0, 0, 0
@@ -251,22 +251,22 @@
 			if (state == rollout.Completed) != (kind == "good") {
 				wrong++
 				if kind != "good" {
-					t.Logf("%s, seed %d: completed, with %d bad answers of %d", kind, seed+1, x.bad, x.sent)
+					t.Logf("%s, seed %d: completed, with %d bad responses of %d", kind, seed+1, x.bad, x.sent)
 				}
 			}
 			if float64(x.sent) > 0.1*float64(x.taken)+50 {
 				over++
 			}
 			if x.bad > 50+30 {
-				slow++ // the bound is rollback-s after the 50th
+				slow++ // the limit is rollback-s after the 50th bad response
 			}
 			most = max(most, x.sent)
 			ended += float64(x.now-x.order.StartedAt) / 1e9 / float64(*trials)
 		}
-		t.Logf("%s: %d of %d wrong, ended after %.1f s (mean), %d requests at most, %d over the exposure, %d with 80 bad answers",
+		t.Logf("%s: %d of %d decisions wrong, ended after %.1f s (mean), at most %d requests to the new build, %d over the exposure limit, %d with more than 80 bad responses",
 			kind, wrong, *trials, ended, most, over, slow)
 		if over > 0 || wrong*8 > *trials {
-			t.Errorf("%s: %d wrong, %d over the exposure, of %d", kind, wrong, over, *trials)
+			t.Errorf("%s: %d decisions wrong and %d over the exposure limit, of %d", kind, wrong, over, *trials)
 		}
 	}
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -13,7 +13,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A request that a router reads while it ends is refused, so that its client knows that it has not run: the connection isn't just closed.
+// A request that is read during shutdown must be rejected with a response, so that the client knows that it did not run. The connection must
+// not be closed without one.
 func TestReadWhileItEnds(t *testing.T) {
 	c := qt.New(t)
 	h := startScriptedHost(t, func(_ int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, "x"), true })
@@ -22,7 +23,7 @@
 	conn, err := net.Dial("tcp", at)
 	c.Assert(err, qt.IsNil)
 	defer conn.Close()
-	waitUntil(t, func() bool { return p.unfinished.Load() == 1 }) // the server has the connection, and nothing has come on it
+	waitUntil(t, func() bool { return p.unfinished.Load() == 1 }) // the server has accepted the connection and received nothing on it
 	p.draining.Store(true)
 	p.refusing.Store(true)
 	over := make(chan bool)
@@ -30,7 +31,7 @@
 		p.finishConnections(10 * time.Second)
 		close(over)
 	}()
-	waitUntil(t, func() bool { // it takes no connections any more
+	waitUntil(t, func() bool { // the listener is closed
 		x, err := net.Dial("tcp", at)
 		if err == nil {
 			x.Close()
@@ -49,11 +50,11 @@
 	c.Check(countWrites(h)["late"], qt.Equals, 0)
 }
 
-// gated is a network whose listeners accept once they are let; until then connections wait.
+// gated is a network whose listeners accept only once let is closed. Until then connections wait in the backlog.
 type gated struct {
 	*loopback
 	let           chan bool
-	looked, ended atomic.Int64 // at how many wait; listeners closed
+	looked, ended atomic.Int64 // number of SyscallConn calls, which read the backlog, and of closed listeners
 }
 
 func (g *gated) Listen(address string) (net.Listener, error) {
@@ -84,7 +85,7 @@
 	return l.TCPListener.SyscallConn()
 }
 
-// Connections that wait to be accepted as a router ends are accepted and refused, not reset with their listener.
+// Connections that wait in the backlog during shutdown must be accepted and their requests rejected. Closing the listener must not reset them.
 func TestAcceptedBeforeItEnds(t *testing.T) {
 	c := qt.New(t)
 	g := &gated{loopback: &loopback{}, let: make(chan bool)}
--- a/internal/proxy/wire_test.go
+++ b/internal/proxy/wire_test.go
@@ -12,8 +12,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// An answer that says that a request did not run, and is another request's, says nothing of this one: it is neither sent
-// again nor refused by a promise.
+// A not-run response to another request says nothing about this one, which must be neither retried nor reported as not run.
 func TestNotRunOfAnotherRequest(t *testing.T) {
 	for name, late := range map[string]string{"another's id": notRunAnswer("other"), "no id": strings.Replace(notRunAnswer(""), "Attempt-Id: \r\n", "", 1),
 		"misdirected": "HTTP/1.1 421 Misdirected Request\r\nAttempt-Id: other\r\nContent-Length: 0\r\n\r\n"} {
@@ -30,28 +29,27 @@
 	}
 }
 
-// A duplicate of a host's answer that it did not run a request, which comes on the connection on which the request is sent
-// again, must not be taken for the answer to the second send.
+// A duplicate of a not-run response that arrives on the connection of the retry must not be accepted as the response to the retry.
 func TestNotRunTwice(t *testing.T) {
 	h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) {
 		id := r.Header.Get("Attempt-Id")
 		switch n {
-		case 1: // a request before, so that a connection is kept
+		case 1: // an earlier request, after which the connection is kept
 			return goodAnswer(r, "x"), true
 		case 2:
 			return notRunAnswer(id), true
 		}
-		return notRunAnswer(id) + goodAnswer(r, "ran"), true // the copy, late; and this time it runs
+		return notRunAnswer(id) + goodAnswer(r, "ran"), true // the late duplicate; this time the request runs
 	})
 	_, at := startProxy(t, h)
 	qt.Assert(t, status(exchange(t, at, "POST", "/issue/x", "u0", "body")), qt.Equals, "200")
 	got := exchange(t, at, "POST", "/issue/x", "u1", "body")
 	all := h.requests()
 	qt.Assert(t, len(all) >= 3, qt.IsTrue, qt.Commentf("%d %q", len(all), got))
-	qt.Check(t, all[1].conn != all[2].conn, qt.IsTrue, qt.Commentf("sent again on the connection that owes the first answer"))
+	qt.Check(t, all[1].conn != all[2].conn, qt.IsTrue, qt.Commentf("retried on the connection of the first attempt"))
 }
 
-// 429 and 408 are a promise only where the host says with Request-Not-Run that it did not run the request.
+// With status 408, 429 or 503, a request counts as not run only if the response has Request-Not-Run.
 func TestPromisesOfHosts(t *testing.T) {
 	for _, code := range []int{408, 429, 503} {
 		for _, says := range []bool{false, true} {
@@ -73,8 +71,7 @@
 	}
 }
 
-// A client that shuts its writing side while its request is at a host has gone: it gets no answer, least of all a success
-// that no host gave.
+// A client that closes its sending side while a host handles the request counts as disconnected. It must not get a success that no host sent.
 func TestHalfClosed(t *testing.T) {
 	h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) {
 		time.Sleep(50 * time.Millisecond)
@@ -85,7 +82,7 @@
 	qt.Check(t, strings.Contains(got, " 200 ") && !strings.Contains(got, "Server-Seal"), qt.IsFalse, qt.Commentf("%q", got))
 }
 
-// A host that answers 101, though nothing was asked for but an answer, has given none; what follows belongs to nobody.
+// A 101 response to a request that was forwarded without Upgrade is invalid, and what follows it must be discarded.
 func TestSwitchingProtocols(t *testing.T) {
 	h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) {
 		return fmt.Sprintf("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\nAttempt-Id: %s\r\nServer-Seal: s\r\n\r\nraw bytes", r.Header.Get("Attempt-Id")), false
@@ -97,7 +94,7 @@
 	qt.Check(t, h.requests()[0].header.Get("Upgrade"), qt.Equals, "")
 }
 
-// Connection may name fields that concern one connection; it doesn't take away what is between client and host.
+// Fields listed in Connection are dropped as hop-by-hop, but this must not remove end-to-end fields such as Attempt-Id and Server-Seal.
 func TestConnectionNames(t *testing.T) {
 	h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) {
 		return strings.Replace(goodAnswer(r, "ran"), "Server-Seal: s", "Connection: Server-Seal, Attempt-Id, X-Hop\r\nX-Hop: 1\r\nServer-Seal: s", 1), true
@@ -114,7 +111,7 @@
 	qt.Check(t, got, qt.Not(qt.Contains), "X-Hop")
 }
 
-// A request with two ids can be read in two ways.
+// A request with two IDs is ambiguous and must be rejected.
 func TestTwoIDs(t *testing.T) {
 	h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, "ran"), true })
 	_, at := startProxy(t, h)
@@ -123,8 +120,8 @@
 	qt.Check(t, len(h.requests()), qt.Equals, 0)
 }
 
-// A request behind another in the same packet is looked at as closely as the first: one that can be read in two ways ends
-// the connection, and nothing that was hidden in it is run. One that is right is answered at once.
+// The framing of a pipelined request must be checked like that of the first one. One with ambiguous framing ends the connection, and a request
+// smuggled in it is not forwarded. A valid one is served without delay.
 func TestPipelined(t *testing.T) {
 	h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, "ran"), true })
 	_, at := startProxy(t, h)
@@ -136,11 +133,11 @@
 		hidden := "GET /look/hidden HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: hidden\r\n\r\n"
 		second := fmt.Sprintf("POST /issue/y HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: s2\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s",
 			len(hidden)+5, hidden)
-		got := rawExchange(t, at, first+map[bool]string{true: "\r\n"}[name != "none"]+second, false) // an empty line behind a body is passed over
+		got := rawExchange(t, at, first+map[bool]string{true: "\r\n"}[name != "none"]+second, false) // an empty line after a body is skipped
 		qt.Check(t, strings.Count(got, "HTTP/1.1 200 OK"), qt.Equals, 1, qt.Commentf("%s: %q", name, got))
 		qt.Check(t, got, qt.Contains, "HTTP/1.1 400", qt.Commentf("%s", name))
 		got = rawExchange(t, at, strings.Replace(first, "x HTTP/1.1", "x HTTP/1.0", 1), false)
-		want := map[string]string{"none": "200", "length": "200", "chunks": "400"}[name] // no chunks before HTTP/1.1
+		want := map[string]string{"none": "200", "length": "200", "chunks": "400"}[name] // HTTP/1.0 has no chunked encoding
 		qt.Check(t, status(got), qt.Equals, want, qt.Commentf("%s: %q", name, got))
 		began := time.Now()
 		last := strings.Replace(first, "HTTP/1.1\r\n", "HTTP/1.1\r\nConnection: close\r\n", 1)
@@ -153,7 +150,7 @@
 	}
 }
 
-// A target goes on as it came, whatever it looks like.
+// A request target must be forwarded unchanged, whatever its form.
 func TestTargets(t *testing.T) {
 	h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, "ran"), true })
 	_, at := startProxy(t, h)
@@ -162,15 +159,15 @@
 		got := rawExchange(t, at, "GET "+target+" HTTP/1.1\r\nHost: root.example\r\nConnection: close\r\nAttempt-Id: u1\r\n\r\n", false)
 		all := h.requests()[before:]
 		if status(got) == "400" && len(all) == 0 {
-			continue // not read, and not sent either
+			continue // rejected and not forwarded
 		}
 		qt.Assert(t, len(all), qt.Equals, 1, qt.Commentf("%s: %q", target, got))
 		qt.Check(t, all[0].target, qt.Equals, target)
 	}
 }
 
-// An answer that is not complete is no success. One without a stated end is complete where its connection ends in order, and not where
-// it is reset.
+// A truncated response must not become a success. A response that ends with its connection is complete if the connection is closed normally, and
+// truncated if it is reset.
 func TestUnendedAnswers(t *testing.T) {
 	long := strings.Repeat("x", maxBufferedAnswer+100)
 	for name, x := range map[string]struct{ version, framing, body, want string }{
@@ -201,7 +198,7 @@
 			_, at := startProxy(t, h)
 			got := rawExchange(t, at, "POST /issue/x HTTP/"+x.version+"\r\nHost: desk.example\r\nConnection: close\r\nAttempt-Id: u1\r\nContent-Length: 1\r\n\r\n1", false)
 			want, broken := strings.CutSuffix(x.want, ", broken")
-			if h.linger && broken && status(got) == "502" { // the reset overtook the beginning
+			if h.linger && broken && status(got) == "502" { // the reset discarded the buffered beginning of the response
 				return
 			}
 			qt.Assert(t, status(got), qt.Equals, want, qt.Commentf("%.200q", got))
@@ -217,12 +214,12 @@
 			if !broken {
 				qt.Check(t, string(body) == long || string(body) == "part", qt.IsTrue, qt.Commentf("%d bytes", len(body)))
 			}
-			qt.Check(t, got, qt.Not(qt.Contains), "Content-Type", qt.Commentf("made up"))
+			qt.Check(t, got, qt.Not(qt.Contains), "Content-Type", qt.Commentf("not sent by the host"))
 		})
 	}
 }
 
-// Answers without a body: what a host states of its length is not made up, and none goes out where none may.
+// For responses without a body, the Content-Length that the host sent must be passed on, and none may be added.
 func TestBodilessAnswers(t *testing.T) {
 	h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) {
 		id := "Attempt-Id: " + r.Header.Get("Attempt-Id") + "\r\nServer-Seal: s\r\n"
@@ -246,7 +243,7 @@
 	qt.Check(t, same, qt.Not(qt.Contains), "Content-Length: 0")
 }
 
-// An answer that carries no id is nobody's: on a connection of a host that sent it late, it would else pass for this one's.
+// A response without an ID must not be accepted for a request that has one, as it may be a late response to an earlier request.
 func TestNoID(t *testing.T) {
 	for _, code := range []string{"200 OK", "404 no", "500 no"} {
 		h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) {
@@ -256,7 +253,7 @@
 		got := exchange(t, at, "POST", "/issue/x", "u1", "body")
 		qt.Check(t, status(got), qt.Equals, "502", qt.Commentf("%s: %q", code, got))
 	}
-	h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) { // to a request without one it is right
+	h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) { // valid for a request without an ID
 		return "HTTP/1.1 404 no\r\nContent-Length: 3\r\n\r\nold", true
 	})
 	_, at := startProxy(t, h)
