--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -57,8 +57,8 @@
 // Hosts that close each connection right after a response, possibly while the next request is being written: no request may be received
 // twice, and a request that a host received must not be reported as not run.
 func TestConnectionsClosedAfterResponse(t *testing.T) {
-	forgets := func(n int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, "x"), false }
-	hosts := []*scriptedHost{startScriptedHost(t, forgets), startScriptedHost(t, forgets)}
+	respondAndClose := func(n int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, "x"), false }
+	hosts := []*scriptedHost{startScriptedHost(t, respondAndClose), startScriptedHost(t, respondAndClose)}
 	hosts[1].linger = true
 	_, addr := startProxy(t, hosts...)
 	var mu sync.Mutex
@@ -77,10 +77,10 @@
 	}
 	wg.Wait()
 	received, byStatus := countWrites(hosts...), map[string]int{}
-	for id, how := range statuses {
-		byStatus[how]++
+	for id, code := range statuses {
+		byStatus[code]++
 		qt.Check(t, received[id] <= 1, qt.IsTrue, qt.Commentf("request %s reached hosts %d times, want at most 1", id, received[id]))
-		qt.Check(t, received[id] == 0 || how == "200" || how == "502", qt.IsTrue, qt.Commentf("request %s reached a host and got status %s", id, how))
+		qt.Check(t, received[id] == 0 || code == "200" || code == "502", qt.IsTrue, qt.Commentf("request %s reached a host and got status %s", id, code))
 	}
 	t.Log(byStatus)
 	qt.Check(t, byStatus["200"] > 300, qt.IsTrue, qt.Commentf("%v", byStatus))
--- a/internal/proxy/body_memory_test.go
+++ b/internal/proxy/body_memory_test.go
@@ -22,35 +22,35 @@
 
 // Reserved body memory must never exceed its limit, and long bodies must leave a share to short ones.
 func TestReserveBody(t *testing.T) {
-	f := &Proxy{}
-	f.Settings.MemoryMB = 4 // 1 MB for bodies
-	qt.Assert(t, f.bodyMemoryLimit(shortBodyBytes), qt.Equals, int64(1<<20))
-	qt.Assert(t, f.bodyMemoryLimit(shortBodyBytes+1), qt.Equals, int64(7<<17))
+	p := &Proxy{}
+	p.Settings.MemoryMB = 4 // 1 MB for bodies
+	qt.Assert(t, p.bodyMemoryLimit(shortBodyBytes), qt.Equals, int64(1<<20))
+	qt.Assert(t, p.bodyMemoryLimit(shortBodyBytes+1), qt.Equals, int64(7<<17))
 	for n := range 14 {
-		qt.Check(t, f.reserveBody(64<<10+1, 64<<10+1), qt.Equals, n < 13)
+		qt.Check(t, p.reserveBody(64<<10+1, 64<<10+1), qt.Equals, n < 13)
 	}
 	for n := range 4 {
-		qt.Check(t, f.reserveBody(64<<10, 64<<10), qt.Equals, n < 2, qt.Commentf("%d bytes reserved", f.heldBodyBytes.Load()))
+		qt.Check(t, p.reserveBody(64<<10, 64<<10), qt.Equals, n < 2, qt.Commentf("%d bytes reserved", p.heldBodyBytes.Load()))
 	}
-	f.heldBodyBytes.Store(0)
+	p.heldBodyBytes.Store(0)
 	var all sync.WaitGroup
 	var peak atomic.Int64
 	for k := range 8 {
 		all.Go(func() {
 			for n := range 2000 {
 				bytes := int64((k+1)*(n%50)) << 10
-				if !f.reserveBody(bytes, bytes) {
+				if !p.reserveBody(bytes, bytes) {
 					continue
 				}
-				for held := f.heldBodyBytes.Load(); held > peak.Load(); {
+				for held := p.heldBodyBytes.Load(); held > peak.Load(); {
 					peak.Store(held)
 				}
-				f.heldBodyBytes.Add(-bytes)
+				p.heldBodyBytes.Add(-bytes)
 			}
 		})
 	}
 	all.Wait()
-	qt.Check(t, peak.Load() <= 1<<20 && f.heldBodyBytes.Load() == 0, qt.IsTrue, qt.Commentf("maximum %d, left at the end %d", peak.Load(), f.heldBodyBytes.Load()))
+	qt.Check(t, peak.Load() <= 1<<20 && p.heldBodyBytes.Load() == 0, qt.IsTrue, qt.Commentf("maximum %d, left at the end %d", peak.Load(), p.heldBodyBytes.Load()))
 }
 
 // Body memory is returned by the last holder to release it: the handler, or an attempt that is still in flight.
@@ -65,13 +65,13 @@
 			x.endAttempt(decision.ConnectionReset)
 		}
 		qt.Assert(t, x.beginAttempt(), qt.IsTrue)
-		leave := []func(){x.release, func() { x.endAttempt(decision.Canceled) }}
+		releases := []func(){x.release, func() { x.endAttempt(decision.Canceled) }}
 		if !handlerFirst {
-			leave[0], leave[1] = leave[1], leave[0]
+			releases[0], releases[1] = releases[1], releases[0]
 		}
-		leave[0]()
+		releases[0]()
 		qt.Check(t, held.Load(), qt.Equals, int64(100))
-		leave[1]()
+		releases[1]()
 		qt.Check(t, held.Load(), qt.Equals, int64(0))
 	}
 }
@@ -165,7 +165,7 @@
 	p, addr := startProxy(t, h)
 	p.Settings.MemoryMB = 20 // 5 MB for bodies, of which long ones may use 4.4 MB
 	allowLongRequests(t, p)
-	const clients, rounds, size, fit, little = 40, 12, 1 << 20, 4, 2 << 20 // fit also equals the host's slots
+	const clients, rounds, size, maxBodies, tolerance = 40, 12, 1 << 20, 4, 2 << 20 // maxBodies also equals the slots of the host
 	body := []byte(strings.Repeat("b", size))
 	heap := func() int64 {
 		var m runtime.MemStats
@@ -202,26 +202,26 @@
 				}
 			})
 		}
-		waitUntil(t, func() bool { return refused.Load() == clients-fit && len(h.requests()) == fit })
-		qt.Check(t, p.heldBodyBytes.Load(), qt.Equals, int64(fit*size))
+		waitUntil(t, func() bool { return refused.Load() == clients-maxBodies && len(h.requests()) == maxBodies })
+		qt.Check(t, p.heldBodyBytes.Load(), qt.Equals, int64(maxBodies*size))
 		waitUntil(t, func() bool { // requests that have just ended may not be released yet
 			held = heap() - before
-			return held < fit*size+little
+			return held < maxBodies*size+tolerance
 		})
-		for range fit {
+		for range maxBodies {
 			wait <- true
 		}
 		all.Wait()
-		qt.Check(t, served.Load(), qt.Equals, int64(fit))
+		qt.Check(t, served.Load(), qt.Equals, int64(maxBodies))
 		qt.Check(t, other.Load(), qt.Equals, int64(0))
 		waitUntil(t, func() bool { return p.heldBodyBytes.Load() == 0 && p.openRequests.Load() == 0 })
 		waitUntil(t, func() bool {
 			left = heap() - before
-			return left < little
+			return left < tolerance
 		})
 		h.mu.Lock()
 		h.received = nil
 		h.mu.Unlock()
 	}
-	t.Logf("heap growth: %d KB with %d bodies of %d KB, %d KB after %d rounds", held>>10, fit, size>>10, left>>10, rounds)
+	t.Logf("heap growth: %d KB with %d bodies of %d KB, %d KB after %d rounds", held>>10, maxBodies, size>>10, left>>10, rounds)
 }
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -90,13 +90,13 @@
 		f.Add([]byte(x), false)
 		f.Add([]byte(x), true)
 	}
-	f.Fuzz(func(t *testing.T, raw []byte, head bool) {
+	f.Fuzz(func(t *testing.T, raw []byte, isHead bool) {
 		const maxBuffered = 64 // maximum bytes of a response that is buffered
 		p := upstream.New(upstream.Options{Protocol: hostProtocol{maxBuffered}, ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConns: 2,
 			Dial: func(context.Context, string, string) (net.Conn, error) { return newScriptedConn(raw), nil }})
 		defer p.Shutdown()
 		method := "POST"
-		if head {
+		if isHead {
 			method = "HEAD"
 		}
 		c := &clientRequest{id: "a", header: http.Header{"Attempt-Id": {"a"}}, streams: make(chan *streamedReply, 1)}
@@ -107,14 +107,14 @@
 				o.Result, _ = c.endAttempt(o.Result)
 				done <- o
 			})
-		var long []byte
+		var forwardedBody []byte
 		var o dispatch.Outcome
 		select {
 		case o = <-done:
 		case s := <-c.streams:
 			var err error
-			long, err = io.ReadAll(s.rest)
-			long = append(append([]byte{}, s.body...), long...)
+			forwardedBody, err = io.ReadAll(s.rest)
+			forwardedBody = append(append([]byte{}, s.body...), forwardedBody...)
 			s.done <- err
 			o = <-done
 		}
@@ -135,11 +135,11 @@
 		switch o.Result {
 		case decision.Succeeded, decision.Failed, decision.Rejected:
 			a := o.Reply.(*reply)
-			if long == nil {
-				long = a.body
+			if forwardedBody == nil {
+				forwardedBody = a.body
 			}
-			if err != nil || a.status != resp.StatusCode || len(resp.Header["Attempt-Id"]) == 0 || resp.Header.Get("Attempt-Id") != "a" || !bytes.Equal(long, body) {
-				t.Fatalf("proxy passed on status %d, body %q; net/http reads %v, body %q, error %v", a.status, long, resp, body, err)
+			if err != nil || a.status != resp.StatusCode || len(resp.Header["Attempt-Id"]) == 0 || resp.Header.Get("Attempt-Id") != "a" || !bytes.Equal(forwardedBody, body) {
+				t.Fatalf("proxy passed on status %d, body %q; net/http reads %v, body %q, error %v", a.status, forwardedBody, resp, body, err)
 			}
 			if a.status < 300 && a.header.Get("Server-Seal") == "" || o.Result == decision.Succeeded && attempt.PromisesNotRun(a.status) {
 				t.Fatalf("%+v", a)
@@ -157,13 +157,13 @@
 
 // fuzzClient is a client's connection that sends raw in chunks and then reaches the end of the stream.
 type fuzzClient struct {
-	mu      sync.Mutex
-	changed sync.Cond
-	raw     []byte
-	chunk   int       // maximum number of bytes per read
-	until   time.Time // read deadline
-	done    chan bool // closed by Close
-	once    sync.Once
+	mu           sync.Mutex
+	changed      sync.Cond
+	raw          []byte
+	chunk        int       // maximum number of bytes per read
+	readDeadline time.Time // read deadline
+	done         chan bool // closed by Close
+	once         sync.Once
 }
 
 func (c *fuzzClient) Read(b []byte) (int, error) {
@@ -173,7 +173,7 @@
 		if len(b) != 1 {
 			return 0, io.EOF
 		}
-		if !c.until.IsZero() && !c.until.After(time.Now()) {
+		if !c.readDeadline.IsZero() && !c.readDeadline.After(time.Now()) {
 			return 0, os.ErrDeadlineExceeded
 		}
 		c.changed.Wait()
@@ -186,7 +186,7 @@
 func (c *fuzzClient) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until = t
+	c.readDeadline = t
 	c.changed.Broadcast()
 	return nil
 }
@@ -200,7 +200,7 @@
 func (c *fuzzClient) LocalAddr() net.Addr              { return &net.TCPAddr{} }
 func (c *fuzzClient) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
 func (c *fuzzClient) SetDeadline(t time.Time) error    { return c.SetReadDeadline(t) }
-func (v *fuzzClient) SetWriteDeadline(time.Time) error { return nil }
+func (c *fuzzClient) SetWriteDeadline(time.Time) error { return nil }
 
 // fuzzListener is a listener that accepts the connections sent to clients.
 type fuzzListener struct{ clients chan net.Conn }
@@ -260,21 +260,21 @@
 		// Parse the same bytes with net/http for comparison.
 		source := bytes.NewReader(raw)
 		in := bufio.NewReader(source)
-		at := func() int { return len(raw) - source.Len() - in.Buffered() }
+		offset := func() int { return len(raw) - source.Len() - in.Buffered() }
 		var want []string
 		for last := ""; ; {
 			if last == http.MethodPost { // the net/http server skips empty lines after a POST, for old clients
 				next, _ := in.Peek(4)
 				in.Discard(len(next) - len(bytes.TrimLeft(next, "\r\n")))
 			}
-			from := at()
+			start := offset()
 			r, err := http.ReadRequest(in)
 			if err != nil {
 				break
 			}
-			head := raw[from:at()]
+			rawHeader := raw[start:offset()]
 			last = r.Method
-			lengths, codings := len(lengthLine.FindAll(head, -1)), len(codingLine.FindAll(head, -1))
+			lengths, codings := len(lengthLine.FindAll(rawHeader, -1)), len(codingLine.FindAll(rawHeader, -1))
 			if lengths > 1 || codings > 1 || lengths > 0 && codings > 0 {
 				break
 			}
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -297,7 +297,7 @@
 		phase   connPhase
 		sent    string
 		readAll bool // what was sent is read before the eviction
-		ends    bool
+		evicted bool
 	}{
 		"idle":                      {idle, "", false, true},
 		"new":                       {readingHeader, "", false, true},
@@ -322,12 +322,12 @@
 				qt.Assert(t, err, qt.IsNil)
 			}
 			c.evict()
-			if !x.readAll || x.ends {
+			if !x.readAll || x.evicted {
 				n, err := c.Read(b)
-				qt.Check(t, err != nil, qt.Equals, x.ends, qt.Commentf("%v", err))
-				qt.Check(t, string(b[:n]), qt.Equals, map[bool]string{false: x.sent}[x.ends])
+				qt.Check(t, err != nil, qt.Equals, x.evicted, qt.Commentf("%v", err))
+				qt.Check(t, string(b[:n]), qt.Equals, map[bool]string{false: x.sent}[x.evicted])
 			}
-			if !x.ends { // the connection must remain usable
+			if !x.evicted { // the connection must remain usable
 				c.SetReadDeadline(time.Time{})
 				c.beginRequest()
 				_, err := io.WriteString(c, "answer")
--- a/internal/proxy/rollout_decision_test.go
+++ b/internal/proxy/rollout_decision_test.go
@@ -71,8 +71,8 @@
 
 func (t *rolloutSim) after(d int64, do func()) { heap.Push(&t.queue, event{t.now + d, do}) }
 
-func (r *simProxy) StartAttempt(command, host uint32, until int64) {
-	q := r.requests[command]
+func (r *simProxy) StartAttempt(requestID, host uint32, deadline int64) {
+	q := r.requests[requestID]
 	number := q.number
 	q.number++
 	h, at := r.hosts[host-1], r.now
@@ -120,9 +120,9 @@
 			}
 			done := q.done || e == decision.Succeeded
 			q.done = done
-			r.engine.AttemptEnded(r.now, command, number, e, done, r.now-at, nil)
+			r.engine.AttemptEnded(r.now, requestID, number, e, done, r.now-at, nil)
 			if q.done {
-				delete(r.requests, command)
+				delete(r.requests, requestID)
 			}
 		})
 	}
@@ -134,14 +134,14 @@
 	}
 }
 
-func (r *simProxy) Reject(command uint32, _ int64) { r.requests[command].done = true }
-func (r *simProxy) Fail(command uint32)            { r.requests[command].done = true }
-func (r *simProxy) CancelAttempt(uint32, int)      {}
-func (r *simProxy) CloseIdle(uint32)               {}
-func (r *simProxy) WatchHosts(bool)                {}
-func (r *simProxy) Log(string)                     {}
-func (r *simProxy) SetTimer(after int64, mark uint64) {
-	r.after(after, func() { r.engine.TimerFired(r.now, mark) })
+func (r *simProxy) Reject(requestID uint32, _ int64) { r.requests[requestID].done = true }
+func (r *simProxy) Fail(requestID uint32)            { r.requests[requestID].done = true }
+func (r *simProxy) CancelAttempt(uint32, int)        {}
+func (r *simProxy) CloseIdle(uint32)                 {}
+func (r *simProxy) WatchHosts(bool)                  {}
+func (r *simProxy) Log(string)                       {}
+func (r *simProxy) SetTimer(after int64, id uint64) {
+	r.after(after, func() { r.engine.TimerFired(r.now, id) })
 }
 
 func (r *simProxy) Vote(v decision.Verdict, build, _ int) {
@@ -168,10 +168,10 @@
 	t := &rolloutSim{rng: rand.New(rand.NewPCG(seed, 3)), kind: kind, votes: map[string]update.Vote{}, now: 1e15}
 	var terms settings.Terms
 	terms.BudgetSlack, terms.ExposureSlack, terms.ExposureShare = 64, 50, 0.1
-	var listed []decision.Host
+	var engineHosts []decision.Host
 	for i := range 16 {
 		t.hosts = append(t.hosts, &simHost{id: uint32(i + 1), slots: 3})
-		listed = append(listed, decision.Host{ID: uint32(i + 1), Capacity: 3})
+		engineHosts = append(engineHosts, decision.Host{ID: uint32(i + 1), Capacity: 3})
 	}
 	var members []update.Proxy
 	for i := range proxies {
@@ -190,7 +190,7 @@
 		r.engine.AddClass(decision.RequestClass{LatencyTarget: 800e6, Timeout: 5e9, Value: 0.25, LateValue: 0.3})
 		r.engine.AddClass(decision.RequestClass{LatencyTarget: 1e9, Timeout: 6e9, Idempotency: decision.NonIdempotent, Value: 0.5, LateValue: 0.3})
 		r.engine.RankChanged(t.now, r.rank, proxies)
-		r.engine.HostsChanged(t.now, decision.Delta, listed)
+		r.engine.HostsChanged(t.now, decision.Delta, engineHosts)
 	})
 	var nextRequest func()
 	nextRequest = func() {
@@ -212,12 +212,12 @@
 		for i := range 16 {
 			id := uint32(17 + i)
 			t.hosts = append(t.hosts, &simHost{id: id, slots: 3, build: 1})
-			listed = append(listed, decision.Host{ID: id, Capacity: 3, Build: 1})
+			engineHosts = append(engineHosts, decision.Host{ID: id, Capacity: 3, Build: 1})
 		}
 		t.activeRollout = rollout.Rollout{Service: "desk", Number: 1, From: "v1", Target: "v2", StartedAt: t.now, Duration: 15e9, State: rollout.Running}
 		forEach(func(r *simProxy) {
 			r.engine.RolloutChanged(t.now, t.activeRollout.DecisionInput(t.now, 0.08))
-			r.engine.HostsChanged(t.now, decision.Delta, listed)
+			r.engine.HostsChanged(t.now, decision.Delta, engineHosts)
 		})
 	})
 	var decide func()
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -92,19 +92,19 @@
 	p, addr := startProxyOn(t, g, g.loopback)
 	p.draining.Store(true)
 	p.refusing.Store(true)
-	var all []net.Conn
+	var conns []net.Conn
 	for n := range 5 {
 		conn, err := net.Dial("tcp", addr)
 		c.Assert(err, qt.IsNil)
 		defer conn.Close()
 		fmt.Fprintf(conn, "GET /look/x HTTP/1.1\r\nHost: desk.example\r\nAttempt-Id: waits-%d\r\n\r\n", n)
-		all = append(all, conn)
+		conns = append(conns, conn)
 	}
 	waitUntil(t, func() bool { return p.front.Load() != nil })
 	go p.finishConnections(10 * time.Second)
 	waitUntil(t, func() bool { return g.backlogReads.Load() > 1 || g.closed.Load() > 0 })
 	close(g.allow)
-	for _, conn := range all {
+	for _, conn := range conns {
 		conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		c.Assert(err, qt.IsNil)
--- a/internal/proxy/wire_test.go
+++ b/internal/proxy/wire_test.go
@@ -235,12 +235,12 @@
 	head := exchange(t, addr, "HEAD", "/look/200", "s1", "")
 	qt.Check(t, status(head), qt.Equals, "200", qt.Commentf("%q", head))
 	qt.Check(t, head, qt.Contains, "Content-Length: 1234\r\n")
-	none := exchange(t, addr, "GET", "/look/204", "s2", "")
-	qt.Check(t, status(none), qt.Equals, "204", qt.Commentf("%q", none))
-	qt.Check(t, none, qt.Not(qt.Contains), "Content-Length")
-	same := exchange(t, addr, "GET", "/look/304", "s3", "")
-	qt.Check(t, status(same), qt.Equals, "304", qt.Commentf("%q", same))
-	qt.Check(t, same, qt.Not(qt.Contains), "Content-Length: 0")
+	noContent := exchange(t, addr, "GET", "/look/204", "s2", "")
+	qt.Check(t, status(noContent), qt.Equals, "204", qt.Commentf("%q", noContent))
+	qt.Check(t, noContent, qt.Not(qt.Contains), "Content-Length")
+	notModified := exchange(t, addr, "GET", "/look/304", "s3", "")
+	qt.Check(t, status(notModified), qt.Equals, "304", qt.Commentf("%q", notModified))
+	qt.Check(t, notModified, qt.Not(qt.Contains), "Content-Length: 0")
 }
 
 // A response without an ID must not be accepted for a request that has one, as it may be a late response to an earlier request.
