--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -117,7 +117,7 @@
 	return n, syscall.EPIPE
 }
 
-// A request is retried if the connection accepted none of its bytes. If the connection accepted some of them, the host may have run it.
+// A request must be retried if the connection accepted none of its bytes, but not if it accepted some, because the host may have run it.
 func TestFailedWrites(t *testing.T) {
 	for _, x := range []struct {
 		after  int
@@ -132,8 +132,8 @@
 			_, addr := startProxyOn(t, net, net.loopback, h, other)
 			net.fail.Store(1)
 			got := exchange(t, addr, method, "/issue/x", "u1", "")
-			qt.Check(t, status(got), qt.Equals, x.status, qt.Commentf("%s after %d: %q", method, x.after, got))
-			qt.Check(t, countWrites(h, other)["u1"], qt.Equals, map[string]int{"200": 1, "502": 0}[x.status], qt.Commentf("%s after %d", method, x.after))
+			qt.Check(t, status(got), qt.Equals, x.status, qt.Commentf("%s, write failed after %d bytes: %q", method, x.after, got))
+			qt.Check(t, countWrites(h, other)["u1"], qt.Equals, map[string]int{"200": 1, "502": 0}[x.status], qt.Commentf("%s, write failed after %d bytes", method, x.after))
 		}
 	}
 }
@@ -156,7 +156,7 @@
 			}
 			reported, _ := x.endAttempt(e)
 			known := x.settle()
-			c.Check(notRun[reported] || reported <= decision.Failed && !sent, qt.Equals, known.Execution() == attempt.NotRun, qt.Commentf("%d, %v: %d", e, sent, reported))
+			c.Check(notRun[reported] || reported <= decision.Failed && !sent, qt.Equals, known.Execution() == attempt.NotRun, qt.Commentf("result %d, sent %v: reported %d", e, sent, reported))
 			c.Check(x.BeginWrite(3), qt.IsFalse)
 		}
 	}
--- a/internal/proxy/client_gone_test.go
+++ b/internal/proxy/client_gone_test.go
@@ -166,7 +166,7 @@
 	return h.scriptedConn.Write(b)
 }
 
-// Time-Remaining must be the time left when the host receives the request, however long connecting to it took.
+// Time-Remaining must match the time left when the request is written, however long connecting to the host took.
 func TestTimeRemaining(t *testing.T) {
 	for _, connectTime := range []time.Duration{0, time.Millisecond, 50 * time.Millisecond, 390 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/proxy/early_answer_test.go
+++ b/internal/proxy/early_answer_test.go
@@ -92,7 +92,7 @@
 	}
 	for name, answer := range answers {
 		for _, keeps := range []bool{true, false} {
-			t.Run(fmt.Sprint(name, ", keeps ", keeps), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, ", keeps connection ", keeps), func(t *testing.T) {
 				h := startEarlyHost(t, keeps, answer)
 				l := &loopback{}
 				_, addr := startProxyOn(t, smallWindowNetwork{l}, l, h.scriptedHost)
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -160,8 +160,8 @@
 	mu           sync.Mutex
 	changed      sync.Cond
 	raw          []byte
-	chunk        int       // maximum number of bytes per read
-	readDeadline time.Time // read deadline
+	chunk        int // maximum number of bytes per read
+	readDeadline time.Time
 	done         chan bool // closed by Close
 	once         sync.Once
 }
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -38,7 +38,8 @@
 	return x, err
 }
 
-// scriptedHost is an emulated host. respond returns the raw response to the n-th request, counted from 1, and whether to keep the connection.
+// scriptedHost is an emulated host. respond returns the raw response to the n-th request, counted from 1, and whether to keep the connection
+// open.
 type scriptedHost struct {
 	t        testing.TB
 	address  string
@@ -194,20 +195,20 @@
 	return changes
 }
 
-// applyChange puts a change of the configuration in force, as if control had sent it; the caller holds the lock.
+// applyChange applies a configuration change, as if it was received from control. The caller holds p.mu.
 func applyChange(t testing.TB, p *Proxy, change string) {
 	t.Helper()
 	p.publish(p.endpoints.Apply(itemChanges(t, change), false))
 }
 
-// allowLongRequests gives routes a minute, as a busy machine may hold up what a test waits for.
+// allowLongRequests raises the timeout of the idempotent and the non-idempotent route to a minute, so that tests pass on a busy machine.
 func allowLongRequests(t *testing.T, p *Proxy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	applyChange(t, p, strings.NewReplacer(`safe_method",2,`, `safe_method",60,`, "00000001", "00000002").Replace(testConfiguration))
 }
 
-// setLimits applies new limits, as if they were received from control.
+// setLimits applies new limits, as if they were received from control. limits are the fields of a JSON object.
 func setLimits(t testing.TB, p *Proxy, limits string) {
 	t.Helper()
 	p.mu.Lock()
@@ -252,7 +253,7 @@
 		State: state, Sequence: sequence, Unresponsive: unresponsive}}
 }
 
-// rawExchange sends bytes on a new connection, closes its sending side if half is set, and returns everything received within five seconds.
+// rawExchange sends bytes on a new connection, then closes its sending side if half is set, and returns everything received within five seconds.
 func rawExchange(t testing.TB, addr, bytes string, half bool) string {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -27,8 +27,8 @@
 	limits *atomic.Pointer[config.Limits]
 }
 
-// startVirtualServer starts a server for one client with these limits. The http.Server has the default limits, as in a proxy that starts before it
-// has received any.
+// startVirtualServer starts a server for one client with these limits. The http.Server itself has the default limits, as in a proxy that starts
+// before it has received any.
 func startVirtualServer(t *testing.T, limits config.Limits, handler http.HandlerFunc) virtualClient {
 	near, far := net.Pipe()
 	var current atomic.Pointer[config.Limits]
@@ -246,7 +246,7 @@
 }
 
 // A client that reads its response slowly, but never pauses for longer than the idle timeout, must get all of it, even if a single write takes
-// longer than that. A lowered idle-timeout-s must not apply to requests received earlier.
+// longer than that. A lowered idle-timeout-s must not apply to requests received earlier, but a raised one must.
 func TestSlowReader(t *testing.T) {
 	for name, x := range map[string]struct {
 		before, after config.Limits
--- a/internal/proxy/linger_test.go
+++ b/internal/proxy/linger_test.go
@@ -43,7 +43,7 @@
 		c.Assert(err, qt.IsNil)
 		c.Check(resp.Close, qt.IsTrue)
 		body, err := io.ReadAll(resp.Body)
-		c.Check(err, qt.IsNil, qt.Commentf("%d bytes", length))
+		c.Check(err, qt.IsNil, qt.Commentf("response of %d bytes", length))
 		c.Check(len(body), qt.Equals, length)
 		c.Check(countWrites(h), qt.DeepEquals, map[string]int{"first": 1})
 	}
--- a/internal/proxy/request_class_test.go
+++ b/internal/proxy/request_class_test.go
@@ -90,7 +90,7 @@
 			{"safe_method", true, 0.3, 504, 1},
 			{"unsafe_method", true, 0.3, 504, 1},
 		} {
-			t.Run(fmt.Sprintf("filled by idempotent %v, %s, silent %v", filledIdempotent, x.kind, x.unresponsive), func(t *testing.T) {
+			t.Run(fmt.Sprintf("filled by idempotent %v, %s, unresponsive %v", filledIdempotent, x.kind, x.unresponsive), func(t *testing.T) {
 				c := qt.New(t)
 				release := make(chan bool)
 				h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) {
--- a/internal/proxy/rollout_decision_test.go
+++ b/internal/proxy/rollout_decision_test.go
@@ -240,8 +240,8 @@
 	return t, t.activeRollout.State
 }
 
-// Guards against wrong rollout decisions with the production settings: a good build that isn't completed in time, or a bad one that is. It also
-// checks the exposure of the new build. -args -trials 1000 simulates 1000 rollouts of each kind.
+// Guards against wrong rollout decisions: a good build that isn't completed in time, or a bad one that is completed. At most one in eight may be
+// wrong, and no rollout may exceed the exposure limit. -args -trials 1000 simulates 1000 rollouts of each kind.
 func TestRolloutDecisions(t *testing.T) {
 	for _, kind := range []string{"good", "errors", "slow", "under load", "one class", "late"} {
 		wrong, overExposed, slowRollbacks, maxSent := 0, 0, 0, 0
--- a/internal/proxy/wire_test.go
+++ b/internal/proxy/wire_test.go
@@ -63,7 +63,7 @@
 			_, addr := startProxy(t, h)
 			got := status(exchange(t, addr, "POST", "/issue/x", "u1", "body"))
 			want := map[bool]string{true: "503", false: "502"}[notRun]
-			qt.Check(t, got, qt.Equals, want, qt.Commentf("%d, %v", code, notRun))
+			qt.Check(t, got, qt.Equals, want, qt.Commentf("status %d, Request-Not-Run %v", code, notRun))
 			if !notRun {
 				qt.Check(t, len(h.requests()), qt.Equals, 1, qt.Commentf("%d", code))
 			}
@@ -253,7 +253,7 @@
 		got := exchange(t, addr, "POST", "/issue/x", "u1", "body")
 		qt.Check(t, status(got), qt.Equals, "502", qt.Commentf("%s: %q", code, got))
 	}
-	h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) { // valid for a request without an ID
+	h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) { // this response is valid for a request without an ID
 		return "HTTP/1.1 404 no\r\nContent-Length: 3\r\n\r\nold", true
 	})
 	_, addr := startProxy(t, h)
