--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -201,7 +201,7 @@
 	p.publish(p.endpoints.Apply(itemChanges(t, change), false))
 }
 
-// allowLongRequests raises the timeout of the idempotent and the non-idempotent route to a minute, so that tests pass on a busy machine.
+// allowLongRequests raises the timeout of all routes to a minute, so that tests pass on a busy machine.
 func allowLongRequests(t *testing.T, p *Proxy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
