--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -29,7 +29,7 @@
 				}
 				return answer[:map[string]int{"cut head": 20, "cut body": len(answer) - 1}[how]], false
 			})
-			h.linger = how == "reset"
+			h.resetOnClose = how == "reset"
 			other := startScriptedHost(t, h.respond) // a retry would have another host to go to
 			_, addr := startProxy(t, h, other)
 			for i, method := range []string{"GET", "HEAD", "OPTIONS", "TRACE", "DELETE", "POST", "PUT", "PATCH", "PROPFIND"} {
@@ -59,7 +59,7 @@
 func TestConnectionsClosedAfterResponse(t *testing.T) {
 	respondAndClose := func(n int, r *http.Request, _ string) (string, bool) { return goodAnswer(r, "x"), false }
 	hosts := []*scriptedHost{startScriptedHost(t, respondAndClose), startScriptedHost(t, respondAndClose)}
-	hosts[1].linger = true
+	hosts[1].resetOnClose = true
 	_, addr := startProxy(t, hosts...)
 	var mu sync.Mutex
 	statuses := map[string]string{}
--- a/internal/proxy/early_answer_test.go
+++ b/internal/proxy/early_answer_test.go
@@ -60,7 +60,7 @@
 		return
 	}
 	h.mu.Lock()
-	h.received = append(h.received, arrival{1, r.Method, r.RequestURI, r.Host, r.Header, "", r.TransferEncoding})
+	h.received = append(h.received, receivedRequest{1, r.Method, r.RequestURI, r.Host, r.Header, "", r.TransferEncoding})
 	h.mu.Unlock()
 	if io.WriteString(c, h.answer(r.Header.Get("Attempt-Id"))); !h.keepsConnection {
 		return
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -25,14 +25,14 @@
 type loopback struct {
 	network.Host
 	mu    sync.Mutex
-	ports []string
+	addrs []string
 }
 
 func (l *loopback) Listen(address string) (net.Listener, error) {
 	x, err := l.Host.Listen(address)
 	if err == nil {
 		l.mu.Lock()
-		l.ports = append(l.ports, x.Addr().String())
+		l.addrs = append(l.addrs, x.Addr().String())
 		l.mu.Unlock()
 	}
 	return x, err
@@ -41,21 +41,21 @@
 // scriptedHost is an emulated host. respond returns the raw response to the n-th request, counted from 1, and whether to keep the connection
 // open.
 type scriptedHost struct {
-	t        testing.TB
-	address  string
-	respond  func(n int, r *http.Request, body string) (raw string, keep bool)
-	linger   bool // close connections with a reset
-	mu       sync.Mutex
-	received []arrival
+	t            testing.TB
+	address      string
+	respond      func(n int, r *http.Request, body string) (raw string, keep bool)
+	resetOnClose bool
+	mu           sync.Mutex
+	received     []receivedRequest
 }
 
-// arrival is a request that a host received.
-type arrival struct {
+// receivedRequest is a request that a host received.
+type receivedRequest struct {
 	conn                 int // number of the connection at the host, from 1
 	method, target, host string
 	header               http.Header
 	body                 string
-	coding               []string
+	transferEncoding     []string
 }
 
 // startScriptedHost starts a host that responds with the results of respond.
@@ -95,12 +95,12 @@
 			return
 		}
 		s.mu.Lock()
-		s.received = append(s.received, arrival{conn, r.Method, r.RequestURI, r.Host, r.Header, string(body), r.TransferEncoding})
+		s.received = append(s.received, receivedRequest{conn, r.Method, r.RequestURI, r.Host, r.Header, string(body), r.TransferEncoding})
 		n := len(s.received)
 		s.mu.Unlock()
 		raw, keep := s.respond(n, r, string(body))
 		if io.WriteString(c, raw); !keep {
-			if s.linger {
+			if s.resetOnClose {
 				c.(*net.TCPConn).SetLinger(0)
 			}
 			return
@@ -108,10 +108,10 @@
 	}
 }
 
-func (s *scriptedHost) requests() []arrival {
+func (s *scriptedHost) requests() []receivedRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]arrival(nil), s.received...)
+	return append([]receivedRequest(nil), s.received...)
 }
 
 // goodAnswer returns a valid and complete response to r.
@@ -148,7 +148,7 @@
 	p.publish(p.endpoints.Apply(testSnapshot(t, hosts), true))
 	p.mu.Unlock()
 	p.ready.Store(true)
-	return p, l.ports[0]
+	return p, l.addrs[0]
 }
 
 // testSettings returns the settings of a proxy that listens on the loopback interface.
@@ -253,15 +253,15 @@
 		State: state, Sequence: sequence, Unresponsive: unresponsive}}
 }
 
-// rawExchange sends bytes on a new connection, then closes its sending side if half is set, and returns everything received within five seconds.
-func rawExchange(t testing.TB, addr, bytes string, half bool) string {
+// rawExchange sends bytes on a new connection, then closes its sending side if closeWrite is set, and returns everything received within five seconds.
+func rawExchange(t testing.TB, addr, bytes string, closeWrite bool) string {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	io.WriteString(c, bytes)
-	if half {
+	if closeWrite {
 		c.(*net.TCPConn).CloseWrite()
 	}
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -346,7 +346,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.received = append(s.received, arrival{method: r.Method, target: r.RequestURI, header: r.Header, body: fmt.Sprint(n)})
+		s.received = append(s.received, receivedRequest{method: r.Method, target: r.RequestURI, header: r.Header, body: fmt.Sprint(n)})
 		s.mu.Unlock()
 		if wait != nil {
 			<-wait
--- a/internal/proxy/http_test.go
+++ b/internal/proxy/http_test.go
@@ -89,7 +89,7 @@
 	qt.Check(t, status(send("u2")), qt.Equals, "502")
 	in := h.requests()[0]
 	qt.Check(t, in.body, qt.Equals, "body")
-	qt.Check(t, in.coding, qt.HasLen, 0)
+	qt.Check(t, in.transferEncoding, qt.HasLen, 0)
 	qt.Check(t, in.header["Attempt-Id"], qt.DeepEquals, []string{"u1"})
 	qt.Check(t, in.header.Get("X-Late")+in.header.Get("Trailer"), qt.Equals, "")
 	qt.Check(t, in.header.Get("Time-Remaining") != "1", qt.IsTrue)
--- a/internal/proxy/wire_test.go
+++ b/internal/proxy/wire_test.go
@@ -194,11 +194,11 @@
 			h := startScriptedHost(t, func(n int, r *http.Request, _ string) (string, bool) {
 				return fmt.Sprintf("HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: s\r\n%s\r\n%s", r.Header.Get("Attempt-Id"), x.framing, x.body), false
 			})
-			h.linger = strings.HasSuffix(name, "reset")
+			h.resetOnClose = strings.HasSuffix(name, "reset")
 			_, addr := startProxy(t, h)
 			got := rawExchange(t, addr, "POST /issue/x HTTP/"+x.version+"\r\nHost: desk.example\r\nConnection: close\r\nAttempt-Id: u1\r\nContent-Length: 1\r\n\r\n1", false)
 			want, broken := strings.CutSuffix(x.want, ", broken")
-			if h.linger && broken && status(got) == "502" { // the reset discarded the buffered beginning of the response
+			if h.resetOnClose && broken && status(got) == "502" { // the reset discarded the buffered beginning of the response
 				return
 			}
 			qt.Assert(t, status(got), qt.Equals, want, qt.Commentf("%.200q", got))
