--- a/cmd/lab/hollow.go
+++ b/cmd/lab/hollow.go
@@ -16,9 +16,9 @@
 
 // hollowCommands returns the commands of package hollow. The first had the name harbour before.
 func hollowCommands() []*cobra.Command {
-	formerName := runHollow("harbour")
-	formerName.Deprecated = "use lab hollow"
-	return []*cobra.Command{runHollow("hollow"), formerName, runChild(), plotSlopes()}
+	deprecated := runHollow("harbour")
+	deprecated.Deprecated = "use lab hollow"
+	return []*cobra.Command{runHollow("hollow"), deprecated, runChild(), plotSlopes()}
 }
 
 // runHollow returns the command that runs a plan.
--- a/cmd/lab/scenario.go
+++ b/cmd/lab/scenario.go
@@ -27,9 +27,9 @@
 	maxLineBytes = 1 << 20 // of a file of results
 )
 
-// scenarioCommand is what the commands of scenarios share: from what to draw, and how many.
-type scenarioCommand struct {
-	siteDir      string
+// scenarioOptions is what the commands of scenarios share: from what to draw, and how many.
+type scenarioOptions struct {
+	benchProgram string
 	learnSites   []string
 	requestsFile string
 	kindCount    int
@@ -44,23 +44,23 @@
 	return root
 }
 
-func (sc *scenarioCommand) flags(c *cobra.Command) {
+func (o *scenarioOptions) flags(c *cobra.Command) {
 	f := c.Flags()
-	f.StringVar(&sc.siteDir, "bench", "", "the bench's program")
-	f.StringSliceVar(&sc.learnSites, "learn", nil, "site files beside SITE, to learn what is planned work")
-	f.StringVar(&sc.requestsFile, "wishes", "", "a file of requests, one a line: KIND field=value ... + KIND ... + closing=KIND; without it each kind alone, then pairs and triples")
-	f.IntVar(&sc.kindCount, "mix", 0, "kinds a day at least (0: as seed or request say)")
-	f.Uint64Var(&sc.firstSeed, "from", 1, "the first seed")
-	f.IntVar(&sc.count, "days", 1, "days, 1000 at most")
-	f.StringVar(&sc.outDir, "out", "", "a folder for day files, outputs and results; outside the sources")
+	f.StringVar(&o.benchProgram, "bench", "", "the bench's program")
+	f.StringSliceVar(&o.learnSites, "learn", nil, "site files beside SITE, to learn what is planned work")
+	f.StringVar(&o.requestsFile, "wishes", "", "a file of requests, one a line: KIND field=value ... + KIND ... + closing=KIND; without it each kind alone, then pairs and triples")
+	f.IntVar(&o.kindCount, "mix", 0, "kinds a day at least (0: as seed or request say)")
+	f.Uint64Var(&o.firstSeed, "from", 1, "the first seed")
+	f.IntVar(&o.count, "days", 1, "days, 1000 at most")
+	f.StringVar(&o.outDir, "out", "", "a folder for day files, outputs and results; outside the sources")
 	lo.Must0(c.MarkFlagRequired("bench"))
 }
 
 // newGenerator reads what the bench lists for a site, and the site file.
-func (sc *scenarioCommand) newGenerator(site string) (*scenario.Generator, error) {
-	listed, err := exec.Command(sc.siteDir, "kinds", site).Output()
+func (o *scenarioOptions) newGenerator(site string) (*scenario.Generator, error) {
+	listed, err := exec.Command(o.benchProgram, "kinds", site).Output()
 	if err != nil {
-		return nil, fmt.Errorf("%s kinds: %w", filepath.Base(sc.siteDir), err)
+		return nil, fmt.Errorf("%s kinds: %w", filepath.Base(o.benchProgram), err)
 	}
 	kinds, err := scenario.ParseCatalog(string(listed))
 	if err != nil {
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, path := range sc.learnSites {
+	for _, path := range o.learnSites {
 		other, err := readSite(path)
 		if err != nil {
 			return nil, err
@@ -100,31 +100,31 @@
 }
 
 // generate draws the scenarios and writes their files into the folder.
-func (sc *scenarioCommand) generate(site string) (*generatedScenarios, error) {
-	if sc.count < 1 || sc.count > maxScenarios {
-		return nil, fmt.Errorf("--days %d: 1 to %d", sc.count, maxScenarios)
+func (o *scenarioOptions) generate(site string) (*generatedScenarios, error) {
+	if o.count < 1 || o.count > maxScenarios {
+		return nil, fmt.Errorf("--days %d: 1 to %d", o.count, maxScenarios)
 	}
-	if sc.outDir == "" {
+	if o.outDir == "" {
 		return nil, errors.New("--out: a folder is wanted")
 	}
-	g, err := sc.newGenerator(site)
+	g, err := o.newGenerator(site)
 	if err != nil {
 		return nil, err
 	}
-	requests, err := sc.readRequests(g)
+	requests, err := o.readRequests(g)
 	if err != nil {
 		return nil, err
 	}
-	if err := os.MkdirAll(sc.outDir, 0o755); err != nil {
+	if err := os.MkdirAll(o.outDir, 0o755); err != nil {
 		return nil, err
 	}
 	all := &generatedScenarios{generator: g}
-	for i := range sc.count {
-		generated, err := g.Generate(sc.firstSeed+uint64(i), sc.kindCount, requests)
+	for i := range o.count {
+		generated, err := g.Generate(o.firstSeed+uint64(i), o.kindCount, requests)
 		if err != nil {
 			return all, err
 		}
-		path := filepath.Join(sc.outDir, g.Name+"-"+generated.Name+".toml")
+		path := filepath.Join(o.outDir, g.Name+"-"+generated.Name+".toml")
 		if err := os.WriteFile(path, []byte(generated.TOML()), 0o644); err != nil {
 			return all, err
 		}
@@ -135,29 +135,29 @@
 }
 
 // readRequests reads the file of requests, if there is one.
-func (sc *scenarioCommand) readRequests(g *scenario.Generator) ([]scenario.Request, error) {
-	if sc.requestsFile == "" {
+func (o *scenarioOptions) readRequests(g *scenario.Generator) ([]scenario.Request, error) {
+	if o.requestsFile == "" {
 		return nil, nil
 	}
-	text, err := os.ReadFile(sc.requestsFile)
+	text, err := os.ReadFile(o.requestsFile)
 	if err != nil {
 		return nil, err
 	}
 	requests, err := g.ParseRequests(string(text))
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", filepath.Base(sc.requestsFile), err)
+		return nil, fmt.Errorf("%s: %w", filepath.Base(o.requestsFile), err)
 	}
 	return requests, nil
 }
 
 func listKinds() *cobra.Command {
-	var sc scenarioCommand
+	var o scenarioOptions
 	c := &cobra.Command{
 		Use:   "kinds SITE",
 		Short: "what was read of a site: kinds, variants, fields, and how many seeds play each alone",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			g, err := sc.newGenerator(args[0])
+			g, err := o.newGenerator(args[0])
 			if err != nil {
 				return err
 			}
@@ -169,18 +169,18 @@
 			return nil
 		},
 	}
-	sc.flags(c)
+	o.flags(c)
 	return c
 }
 
 func makeScenarios() *cobra.Command {
-	var sc scenarioCommand
+	var o scenarioOptions
 	c := &cobra.Command{
 		Use:   "make SITE",
 		Short: "write day files",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			all, err := sc.generate(args[0])
+			all, err := o.generate(args[0])
 			if all != nil {
 				for _, path := range all.paths {
 					fmt.Println(path)
@@ -189,24 +189,24 @@
 			return err
 		},
 	}
-	sc.flags(c)
+	o.flags(c)
 	return c
 }
 
 // scenarioRun plays scenarios on the bench, several at once.
 type scenarioRun struct {
-	scenarioCommand
+	scenarioOptions
 	*generatedScenarios
-	site    string
-	jobs    int
-	why     string
-	log     string
-	noCPU   bool
-	journal *json.Encoder // of results.jsonl
+	site           string
+	jobs           int
+	why            string
+	log            string
+	noCPU          bool
+	resultsEncoder *json.Encoder // of results.jsonl
 
 	mu      sync.Mutex // guards what follows, and journal
 	results []scenario.RunResult
-	failed  []error
+	errs    []error
 }
 
 func playScenarios() *cobra.Command {
@@ -242,21 +242,21 @@
 		return err
 	}
 	// built once, so that scenarios that run at once don't build
-	if out, err := exec.Command(run.siteDir, "build").CombinedOutput(); err != nil {
-		return fmt.Errorf("%s build: %w\n%s", filepath.Base(run.siteDir), err, out)
+	if out, err := exec.Command(run.benchProgram, "build").CombinedOutput(); err != nil {
+		return fmt.Errorf("%s build: %w\n%s", filepath.Base(run.benchProgram), err, out)
 	}
 	file, err := os.OpenFile(filepath.Join(run.outDir, "results.jsonl"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	run.journal = json.NewEncoder(file)
+	run.resultsEncoder = json.NewEncoder(file)
 	run.playAll()
 	scenario.FormatTable(os.Stdout, run.results)
 	broken := lo.CountBy(run.results, scenario.RunResult.Failed)
 	fmt.Printf("%d days played, %d of them with a broken rule or a fault, %d not played\n",
 		len(run.results), broken, len(run.scenarios)-len(run.results))
-	return errors.Join(run.failed...)
+	return errors.Join(run.errs...)
 }
 
 // playAll plays all scenarios, as many at once as there are jobs.
@@ -279,18 +279,18 @@
 
 // playOne plays one scenario and records its result.
 func (run *scenarioRun) playOne(i int) {
-	call := []string{"run", run.site, run.paths[i], "--jobs", "1", "--why", run.why}
+	args := []string{"run", run.site, run.paths[i], "--jobs", "1", "--why", run.why}
 	if run.log != "" {
-		call = append(call, "--log", run.log)
+		args = append(args, "--log", run.log)
 	}
 	if run.noCPU {
-		call = append(call, "--no-cpu")
+		args = append(args, "--no-cpu")
 	}
-	result, printed, err := playScenario(run.siteDir, call, strings.TrimSuffix(run.paths[i], ".toml")+".txt")
+	result, printed, err := playScenario(run.benchProgram, args, strings.TrimSuffix(run.paths[i], ".toml")+".txt")
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	if err != nil {
-		run.failed = append(run.failed, fmt.Errorf("%s: %w", run.scenarios[i].Name, err))
+		run.errs = append(run.errs, fmt.Errorf("%s: %w", run.scenarios[i].Name, err))
 		fmt.Println("NOT PLAYED", run.scenarios[i].Name, err)
 		return
 	}
@@ -299,35 +299,35 @@
 	result.Closing = strings.TrimSpace(closing.Kind() + " " + strings.Join(closing.Variant(), " "))
 	run.results = append(run.results, result)
 	fmt.Println(result)
-	run.failed = append(run.failed, run.journal.Encode(result))
+	run.errs = append(run.errs, run.resultsEncoder.Encode(result))
 }
 
 var journalEntryID = regexp.MustCompile(`(?m)^snapshot ([0-9a-f]{8})$`)
 
 // playScenario plays one scenario, writes what the bench prints into a file and reads its journal entry.
-func playScenario(bench string, call []string, out string) (p scenario.RunResult, text string, err error) {
+func playScenario(bench string, args []string, out string) (result scenario.RunResult, text string, err error) {
 	var printed bytes.Buffer
-	cmd := exec.Command(bench, call...)
+	cmd := exec.Command(bench, args...)
 	cmd.Stdout, cmd.Stderr = &printed, &printed
-	ran := cmd.Run()
+	runErr := cmd.Run()
 	if err := os.WriteFile(out, printed.Bytes(), 0o644); err != nil {
-		return p, "", err
+		return result, "", err
 	}
 	id := journalEntryID.FindSubmatch(printed.Bytes())
 	if id == nil {
 		lines := strings.Split(strings.TrimSpace(printed.String()), "\n")
-		return p, "", fmt.Errorf("no journal entry: %w", errors.Join(ran, errors.New(lines[len(lines)-1])))
+		return result, "", fmt.Errorf("no journal entry: %w", errors.Join(runErr, errors.New(lines[len(lines)-1])))
 	}
 	found, err := filepath.Glob("journal/*-" + string(id[1]) + ".json")
 	if err != nil || len(found) != 1 {
-		return p, "", fmt.Errorf("journal entry %s: %d files", id[1], len(found))
+		return result, "", fmt.Errorf("journal entry %s: %d files", id[1], len(found))
 	}
 	entry, err := os.ReadFile(found[0])
 	if err != nil {
-		return p, "", err
+		return result, "", err
 	}
-	p, err = scenario.ParseRunResult(entry)
-	return p, printed.String(), err
+	result, err = scenario.ParseRunResult(entry)
+	return result, printed.String(), err
 }
 
 func printTable() *cobra.Command {
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -15,7 +15,7 @@
 func (g *Generator) Check(scenario Scenario) error {
 	for list, entries := range map[string][]Entry{"plan": scenario.Plan, "faults": scenario.Faults} {
 		for i, e := range entries {
-			if err := g.checkPlaced(e, list == "plan"); err != nil {
+			if err := g.checkScheduled(e, list == "plan"); err != nil {
 				return fmt.Errorf("day %s, %s %d: %w", scenario.Name, list, i+1, err)
 			}
 		}
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// checkPlaced checks an entry of a scenario.
-func (g *Generator) checkPlaced(e Entry, planned bool) error {
+// checkScheduled checks an entry of a scenario.
+func (g *Generator) checkScheduled(e Entry, planned bool) error {
 	if err := g.CheckEntry(e); err != nil {
 		return err
 	}
@@ -86,8 +86,8 @@
 
 // allowedVariants returns the variants that entries of a kind may have.
 func (g *Generator) allowedVariants(k Kind) []string {
-	shown := lo.FlatMap(g.Examples[k.Name], func(e Entry, _ int) []string { return e.Variant() })
-	allowed := slices.Concat(g.ownVariants(k), g.extraVariants(k), shown)
+	exampleVariants := lo.FlatMap(g.Examples[k.Name], func(e Entry, _ int) []string { return e.Variant() })
+	allowed := slices.Concat(g.ownVariants(k), g.extraVariants(k), exampleVariants)
 	if k.TargetsMachines {
 		allowed = slices.Concat(allowed, g.Roles, g.suffixes(k))
 	}
--- a/internal/lab/scenario/fields.go
+++ b/internal/lab/scenario/fields.go
@@ -21,7 +21,7 @@
 	for _, field := range g.Fields {
 		g.drawField(rng, entry, kind, field, example)
 	}
-	if namesBoth(kind, entry) {
+	if mayHaveCountAndShare(kind, entry) {
 		delete(entry, "count")
 	}
 	for field, v := range requested {
@@ -36,26 +36,26 @@
 	return entry
 }
 
-// namesBoth reports whether an entry could have both a count and a share, of which it may have one.
-func namesBoth(kind Kind, entry Entry) bool {
+// mayHaveCountAndShare reports whether an entry could have both a count and a share, of which it may have one.
+func mayHaveCountAndShare(kind Kind, entry Entry) bool {
 	return slices.Contains(kind.Words, "count") && slices.Contains(kind.Words, "share") || entry["count"] != nil && entry["share"] != nil
 }
 
 // drawField draws an entry's field, if its kind has it; example is an entry of the kind that the site shows.
 func (g *Generator) drawField(rng *random.Source, entry Entry, kind Kind, field string, example Entry) {
 	roll := rng.Float64()
-	v, isShown := example[field]
-	if !isShown && field == "on" && g.mayNameClass(kind) && roll < classProbability {
-		if classes := g.classesShown(); len(classes) > 0 {
+	v, inExample := example[field]
+	if !inExample && field == "on" && g.mayNameClass(kind) && roll < classProbability {
+		if classes := g.exampleClasses(); len(classes) > 0 {
 			entry[field] = pick(rng, classes)
 		}
 	}
 	_, hasDefault := kind.Defaults[field]
-	if !isShown && !hasDefault && !slices.Contains(kind.Words, field) {
+	if !inExample && !hasDefault && !slices.Contains(kind.Words, field) {
 		return
 	}
 	if names := g.allowedNames(field); names != nil { // where it is left out, the bench picks
-		if isShown && roll < nameProbability {
+		if inExample && roll < nameProbability {
 			entry[field] = pick(rng, names)
 		}
 		return
@@ -85,8 +85,8 @@
 		return nil
 	}
 	_, isInteger := typicalValue.(int64)
-	looksCounted := typical >= 1 && typical == math.Trunc(typical) && !strings.HasSuffix(field, "_s")
-	if isInteger || field == "count" || looksCounted {
+	looksIntegral := typical >= 1 && typical == math.Trunc(typical) && !strings.HasSuffix(field, "_s")
+	if isInteger || field == "count" || looksIntegral {
 		amount = max(1, math.Round(amount))
 	}
 	switch field {
@@ -98,8 +98,8 @@
 	return roundHundredths(amount)
 }
 
-// classesShown returns the classes of machines that the site's entries name.
-func (g *Generator) classesShown() []string {
+// exampleClasses returns the classes of machines that the site's entries name.
+func (g *Generator) exampleClasses() []string {
 	var found []string
 	for _, k := range g.Kinds {
 		for _, e := range g.Examples[k.Name] {
@@ -113,8 +113,8 @@
 
 // drawVariant draws a kind's variant: one of its own, or of those that the site shows, at times with extra ones.
 func (g *Generator) drawVariant(rng *random.Source, k Kind) string {
-	shown := lo.Map(g.Examples[k.Name], func(e Entry, _ int) string { return strings.Join(e.Variant(), " ") })
-	words := strings.Fields(pick(rng, append(g.ownVariants(k), shown...)))
+	exampleVariants := lo.Map(g.Examples[k.Name], func(e Entry, _ int) string { return strings.Join(e.Variant(), " ") })
+	words := strings.Fields(pick(rng, append(g.ownVariants(k), exampleVariants...)))
 	if extra := g.extraVariants(k); len(extra) > 0 && rng.Float64() < extraProbability {
 		words = append(words, pick(rng, extra))
 		if suffixes := g.suffixes(k); len(suffixes) > 0 && k.TargetsMachines && rng.Float64() < extraProbability {
--- a/internal/lab/scenario/generator.go
+++ b/internal/lab/scenario/generator.go
@@ -17,7 +17,7 @@
 type Generator struct {
 	Catalog
 	Site
-	singleKind []Request // each kind alone with each of its variants, shuffled
+	singleKindRequests []Request // each kind alone with each of its variants, shuffled
 }
 
 // The bounds of what is drawn.
@@ -52,16 +52,16 @@
 	slices.Sort(g.Fields)
 	for _, k := range c.Kinds {
 		for _, variant := range g.Variants(k) {
-			g.singleKind = append(g.singleKind, Request{Entries: []Entry{{"kind": k.Name, "how": variant}}})
+			g.singleKindRequests = append(g.singleKindRequests, Request{Entries: []Entry{{"kind": k.Name, "how": variant}}})
 		}
 	}
 	// neighbours in the catalog are not to be neighbours among the seeds
-	shuffle(&random.Source{Seed: uint64(len(g.singleKind))}, g.singleKind)
+	shuffle(&random.Source{Seed: uint64(len(g.singleKindRequests))}, g.singleKindRequests)
 	return g, nil
 }
 
 // SingleKinds returns the number of scenarios after which each kind has been alone in one, with each of its variants.
-func (g *Generator) SingleKinds() int { return len(g.singleKind) }
+func (g *Generator) SingleKinds() int { return len(g.singleKindRequests) }
 
 // Generate draws the scenario of a seed (from 1): the first SingleKinds seeds each have one kind with one variant, those after them
 // pairs and triples with drawn variants. kindCount, if above 0, is the number of kinds instead. Requests, if any, are used in turn
@@ -95,7 +95,7 @@
 
 // requestOf returns what the scenario of an index, which counts from 0, must have, and its number of kinds.
 func (g *Generator) requestOf(index, kindCount int, requests []Request) (Request, int) {
-	candidates := g.singleKind
+	candidates := g.singleKindRequests
 	if len(requests) > 0 {
 		candidates = requests
 	}
--- a/internal/lab/scenario/generator_test.go
+++ b/internal/lab/scenario/generator_test.go
@@ -71,13 +71,13 @@
 // The catalog has what the list says: variants without remarks, defaults, fields, what may be added where.
 func TestParseCatalog(t *testing.T) {
 	c := newTestGenerator(t).Catalog
-	for name, hows := range map[string][]string{
+	for name, variants := range map[string][]string{
 		"leak": {"slow", "gone"}, "swap": {}, "strand": {"dry", "far", "deep", "dark"}, "strand_still": {}, "tow": {"out"}, "fog": {"half", "part"}, "paper": {"lines", "weights"},
 		"spoil": {"torn", "empty"}, "reuse": {"slowly"}, "grade": {"rude", "mute", "late", "beside"}, "calm": {"warm"},
 	} {
 		k, ok := c.Kind(name)
 		qt.Check(t, ok, qt.IsTrue, qt.Commentf(name))
-		qt.Check(t, k.Variants, qt.DeepEquals, hows, qt.Commentf(name))
+		qt.Check(t, k.Variants, qt.DeepEquals, variants, qt.Commentf(name))
 		qt.Check(t, k.TargetsMachines, qt.Equals, slices.Contains([]string{"strand", "strand_still", "tow", "fog"}, name), qt.Commentf(name))
 	}
 	qt.Check(t, len(c.Kinds), qt.Equals, 11)
@@ -103,8 +103,8 @@
 		two, err := newTestGenerator(t).Generate(seed, 0, nil)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, one.TOML(), qt.Equals, two.TOML())
-		other, twin := seen[one.TOML()]
-		qt.Assert(t, twin, qt.IsFalse, qt.Commentf("seeds %d and %d", seed, other))
+		other, duplicate := seen[one.TOML()]
+		qt.Assert(t, duplicate, qt.IsFalse, qt.Commentf("seeds %d and %d", seed, other))
 		seen[one.TOML()] = seed
 	}
 }
@@ -113,7 +113,7 @@
 // scenarios have two kinds or three, each kind somewhere more than once and with variants.
 func TestEveryKindIsGenerated(t *testing.T) {
 	d := newTestGenerator(t)
-	alone, closings, often, mixed := map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}
+	alone, closings, repeated, mixed := map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for seed := 1; seed <= d.SingleKinds()+300; seed++ {
 		sc, err := d.Generate(uint64(seed), 0, nil)
 		qt.Assert(t, err, qt.IsNil)
@@ -128,21 +128,21 @@
 		qt.Assert(t, len(kinds) >= 1 && len(kinds) <= 3, qt.IsTrue, qt.Commentf("seed %d: %v", seed, kinds))
 		for k, n := range kinds {
 			mixed[k] = mixed[k] || len(kinds) > 1
-			often[k] = often[k] || n > 1
+			repeated[k] = repeated[k] || n > 1
 		}
 	}
 	for _, k := range d.Kinds {
-		for _, outcome := range append(k.Variants, "") {
-			qt.Check(t, alone[k.Name+" "+outcome], qt.IsTrue, qt.Commentf("%s %q", k.Name, outcome))
+		for _, variant := range append(k.Variants, "") {
+			qt.Check(t, alone[k.Name+" "+variant], qt.IsTrue, qt.Commentf("%s %q", k.Name, variant))
 		}
-		qt.Check(t, mixed[k.Name] && often[k.Name], qt.IsTrue, qt.Commentf("%s", k.Name))
+		qt.Check(t, mixed[k.Name] && repeated[k.Name], qt.IsTrue, qt.Commentf("%s", k.Name))
 	}
-	for _, outcome := range []string{"strand captain", "strand mate", "strand captain twice", "fog loud", "fog clear", "fog cook", "leak wide", "leak full", "tow slowly",
+	for _, variant := range []string{"strand captain", "strand mate", "strand captain twice", "fog loud", "fog clear", "fog cook", "leak wide", "leak full", "tow slowly",
 		"spoil upside_down"} {
-		qt.Check(t, alone[outcome], qt.IsTrue, qt.Commentf(outcome))
+		qt.Check(t, alone[variant], qt.IsTrue, qt.Commentf(variant))
 	}
-	for _, outcome := range []string{"strand slowly", "leak captain", "strand loud", "paper captain"} {
-		qt.Check(t, alone[outcome], qt.IsFalse, qt.Commentf(outcome))
+	for _, variant := range []string{"strand slowly", "leak captain", "strand loud", "paper captain"} {
+		qt.Check(t, alone[variant], qt.IsFalse, qt.Commentf(variant))
 	}
 	qt.Check(t, closings, qt.DeepEquals, map[string]bool{"": true, "dark_all": true, "wet_all": true})
 }
@@ -188,8 +188,8 @@
 func TestCheck(t *testing.T) {
 	d := newTestGenerator(t)
 	for name, c := range map[string]struct {
-		day  Scenario
-		says string
+		scenario Scenario
+		want     string
 	}{
 		"unknown kind":     {Scenario{Faults: []Entry{{"at": 1.0, "kind": "whale"}}}, `day .*, faults 1: kind "whale": not in the list of pond.*`},
 		"kind not listed":  {Scenario{Faults: []Entry{{"at": 1.0}}}, `.*kind "": not in the list.*`},
@@ -209,7 +209,7 @@
 		"closing's length": {Scenario{Closing: Entry{"kind": "wet_all", "down_s": 0.0}}, `.*closing down_s 0: above 0 is wanted`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			qt.Check(t, d.Check(c.day), qt.ErrorMatches, c.says)
+			qt.Check(t, d.Check(c.scenario), qt.ErrorMatches, c.want)
 		})
 	}
 	_, err := d.Generate(0, 0, nil)
@@ -245,7 +245,7 @@
 			}
 		}
 	}
-	for text, says := range map[string]string{
+	for text, want := range map[string]string{
 		"":                               "wishes: none in the text",
 		"paper\nwhale x=1":               `wishes, line 2: kind "whale": not in the list.*`,
 		"leak share":                     `wishes, line 1: "share": field=value is wanted`,
@@ -257,21 +257,21 @@
 		"closing=none + closing=wet_all": `wishes, line 1: closing stands twice`,
 	} {
 		_, err := d.ParseRequests(text)
-		qt.Check(t, err, qt.ErrorMatches, says, qt.Commentf(text))
+		qt.Check(t, err, qt.ErrorMatches, want, qt.Commentf(text))
 	}
 }
 
 // Errors name the place of bad input; a kind of which nothing shows where it belongs is an error.
 func TestBadInput(t *testing.T) {
-	for name, c := range map[string]struct{ text, says string }{
+	for name, c := range map[string]struct{ text, want string }{
 		"empty":       {"", "kinds: no line of 1 names a kind.*"},
 		"no closing":  {"leak: share (.1) fail", "kinds: no line tells of closing faults.*"},
 		"named twice": {listText + "leak: again", `kinds, line 18: leak stands twice`},
 	} {
 		_, err := ParseCatalog(c.text)
-		qt.Check(t, err, qt.ErrorMatches, c.says, qt.Commentf(name))
+		qt.Check(t, err, qt.ErrorMatches, c.want, qt.Commentf(name))
 	}
-	for name, c := range map[string]struct{ text, says string }{
+	for name, c := range map[string]struct{ text, want string }{
 		"not TOML":    {"name = \"pond\"\nzones = [", "site, line 2: .*"},
 		"no length":   {"name = \"pond\"", "site: name and length_s .*"},
 		"no zones":    {"name = \"pond\"\nlength_s = 3.0", "site: zones and services are wanted.*"},
@@ -281,7 +281,7 @@
 		"zone's form": {strings.Replace(siteText, `{ name = "east", region = "e" }, { name = "west", region = "w" }`, `"east"`, 1), "site: zones and services.*"},
 	} {
 		_, err := ParseSite(c.text)
-		qt.Check(t, err, qt.ErrorMatches, c.says, qt.Commentf(name))
+		qt.Check(t, err, qt.ErrorMatches, c.want, qt.Commentf(name))
 	}
 	kinds, err := ParseCatalog(listText + "whale: share (.1) are swallowed\n")
 	qt.Assert(t, err, qt.IsNil)
@@ -329,7 +329,7 @@
 		`pond +closing wet_all late +1 +1 +1 +1 +0\.40 +0\.40`, `pond +fog +1 +1 +1 +1 +0\.40 +0\.40`, `pond +leak +2 +1 +1 +1 +0\.60 +0\.40`} {
 		qt.Check(t, lines[i], qt.Matches, want)
 	}
-	for text, says := range map[string]string{
+	for text, wantErr := range map[string]string{
 		`{`:                     "journal entry: .*",
 		entry(""):               "journal entry 0a1b2c3d: 0 days, one is wanted",
 		entry(good + "," + bad): "journal entry 0a1b2c3d: 2 days, one is wanted",
@@ -337,7 +337,7 @@
 		`{"id":"9","error":"it can't be read","days":[]}`: "journal entry 9: it can't be read",
 	} {
 		_, err := ParseRunResult([]byte(text))
-		qt.Check(t, err, qt.ErrorMatches, says, qt.Commentf(text))
+		qt.Check(t, err, qt.ErrorMatches, wantErr, qt.Commentf(text))
 	}
 }
 
--- a/internal/lab/scenario/request.go
+++ b/internal/lab/scenario/request.go
@@ -26,13 +26,13 @@
 			continue
 		}
 		line, optional := strings.CutPrefix(strings.TrimSpace(line), "? ")
-		parts := strings.Split(line, " + ")
-		if optional && !lo.EveryBy(parts, g.hasKind) {
+		terms := strings.Split(line, " + ")
+		if optional && !lo.EveryBy(terms, g.hasKind) {
 			continue
 		}
 		var request Request
-		for _, part := range parts {
-			if err := g.addPart(&request, part); err != nil {
+		for _, term := range terms {
+			if err := g.addTerm(&request, term); err != nil {
 				return nil, fmt.Errorf("wishes, line %d: %w", n+1, err)
 			}
 		}
@@ -45,15 +45,15 @@
 }
 
 // hasKind reports whether the site has the kind of a request's part; closing faults count as had.
-func (g *Generator) hasKind(part string) bool {
-	kind, _, _ := strings.Cut(strings.TrimSpace(part), " ")
+func (g *Generator) hasKind(term string) bool {
+	kind, _, _ := strings.Cut(strings.TrimSpace(term), " ")
 	_, ok := g.Kind(kind)
 	return ok || strings.HasPrefix(kind, "closing=")
 }
 
-// addPart parses a part of a request, checks it and adds it.
-func (g *Generator) addPart(request *Request, part string) error {
-	e, err := parseEntry(strings.Fields(part))
+// addTerm parses a part of a request, checks it and adds it.
+func (g *Generator) addTerm(request *Request, term string) error {
+	e, err := parseEntry(strings.Fields(term))
 	if err != nil {
 		return err
 	}
@@ -70,14 +70,14 @@
 	}
 	e["kind"] = kind
 	if e["down_s"] == nil {
-		e["down_s"] = defaultClosingDown
+		e["down_s"] = defaultClosingDownS
 	}
 	request.Closing = e
 	return g.checkClosing(e)
 }
 
-// defaultClosingDown is how many seconds a closing fault lasts that gives no down_s.
-const defaultClosingDown = 1.0
+// defaultClosingDownS is how many seconds a closing fault lasts that gives no down_s.
+const defaultClosingDownS = 1.0
 
 // parseEntry parses a kind and its fields.
 func parseEntry(words []string) (Entry, error) {
--- a/internal/lab/scenario/result.go
+++ b/internal/lab/scenario/result.go
@@ -34,17 +34,17 @@
 
 // NotStarted returns, from what the bench printed of a run, the entries that affected no machine, server or place though their kind
 // does: the bench ignored them.
-func (g *Generator) NotStarted(printed string) (idle []string) {
+func (g *Generator) NotStarted(printed string) (notStarted []string) {
 	for l := range strings.Lines(printed) {
 		m := startedLine.FindStringSubmatch(strings.TrimRight(l, "\n"))
 		if m == nil || m[3] != "" {
 			continue
 		}
 		if k, ok := g.Kind(m[1]); ok && (k.TargetsMachines || !g.Planned[k.Name]) {
-			idle = append(idle, m[1]+m[2])
+			notStarted = append(notStarted, m[1]+m[2])
 		}
 	}
-	return idle
+	return notStarted
 }
 
 // ParseRunResult parses a journal entry of one run. An entry that is incomplete, or of no run or several, is an error.
--- a/internal/lab/scenario/table.go
+++ b/internal/lab/scenario/table.go
@@ -11,17 +11,17 @@
 
 // tableRow sums up the runs of one site with one kind.
 type tableRow struct {
-	runs, broken, faults, gateFailed int
-	sum, lowest                      float64 // of their goodput
+	runs, violated, faults, gateFailed int
+	totalGoodput, lowestGoodput        float64 // of their goodput
 }
 
 func (r *tableRow) add(result RunResult) {
 	r.runs++
-	r.broken += lo.Ternary(len(result.Violations) > 0, 1, 0)
+	r.violated += lo.Ternary(len(result.Violations) > 0, 1, 0)
 	r.faults += lo.Ternary(result.Fault != "", 1, 0)
 	r.gateFailed += lo.Ternary(result.GatePassed, 0, 1)
-	r.sum += result.Goodput
-	r.lowest = min(r.lowest, result.Goodput)
+	r.totalGoodput += result.Goodput
+	r.lowestGoodput = min(r.lowestGoodput, result.Goodput)
 }
 
 // FormatTable writes, by site and kind, how many runs had it, broke a rule, had a fault or failed the gate, and their mean and lowest
@@ -33,7 +33,7 @@
 		for _, kind := range kinds {
 			key := result.Site + "\x00" + kind
 			if rows[key] == nil {
-				rows[key] = &tableRow{lowest: result.Goodput}
+				rows[key] = &tableRow{lowestGoodput: result.Goodput}
 			}
 			rows[key].add(result)
 		}
@@ -45,6 +45,6 @@
 		site, kind, _ := strings.Cut(key, "\x00")
 		r := rows[key]
 		fmt.Fprintf(w, "%-20s %-28s %5d %6d %6d %11d %5.2f %6.2f\n",
-			site, kind, r.runs, r.broken, r.faults, r.gateFailed, r.sum/float64(r.runs), r.lowest)
+			site, kind, r.runs, r.violated, r.faults, r.gateFailed, r.totalGoodput/float64(r.runs), r.lowestGoodput)
 	}
 }
--- a/internal/lab/scenario/toml.go
+++ b/internal/lab/scenario/toml.go
@@ -43,8 +43,8 @@
 	return lo.FilterMap(stringList(v), func(v any, _ int) (map[string]any, bool) { m, ok := v.(map[string]any); return m, ok })
 }
 
-// firstLetter sorts the fields that come first in a table.
-var firstLetter = map[string]string{"at": "\x00", "kind": "\x01"}
+// sortPrefixes sorts the fields that come first in a table.
+var sortPrefixes = map[string]string{"at": "\x00", "kind": "\x01"}
 
 // inlineTOML returns a value as TOML on one line; lists of tables get a line for each. The fields of a table are ordered: at, kind,
 // then by name.
@@ -62,7 +62,7 @@
 		return inlineTOML(map[string]any(t))
 	case map[string]any:
 		keys := slices.SortedFunc(maps.Keys(t), func(a, b string) int {
-			return strings.Compare(firstLetter[a]+a, firstLetter[b]+b)
+			return strings.Compare(sortPrefixes[a]+a, sortPrefixes[b]+b)
 		})
 		return "{ " + strings.Join(lo.Map(keys, func(k string, _ int) string { return k + " = " + inlineTOML(t[k]) }), ", ") + " }"
 	}
