--- a/internal/lab/scenario/catalog.go
+++ b/internal/lab/scenario/catalog.go
@@ -1,6 +1,7 @@
-// Package scenario draws scenarios of faults and planned work for the users' bench, by seed: it parses a deployment's list of kinds
-// (Catalog) and its site file (Site), draws entries from them (Generator) and writes a scenario file. It owns no kind, site or number
-// itself, and it is pure: text in, text out, and all random draws come from the seed. Begin reading at Generator.Generate.
+// Package scenario generates scenarios of faults and planned work for an external benchmark program and parses its results. It parses
+// the benchmark's list of kinds (Catalog) and a site file (Site), draws entries from them (Generator) and formats a scenario file. It
+// defines no kinds or sites of its own. It reads and writes no files, and all randomness derives from the seed. The entry point is
+// Generator.Generate.
 package scenario
 
 import (
@@ -13,31 +14,31 @@
 	"github.com/samber/lo"
 )
 
-// Kind is one kind of fault or of planned work, as its line in the list describes it.
+// Kind is a kind of fault or planned work, as described by its line in the list of kinds.
 type Kind struct {
 	Name            string
-	Variants        []string           // that its line names
-	Words           []string           // of its line, to find the fields that it mentions
-	Defaults        map[string]float64 // by field, where the line gives one in brackets
-	TargetsMachines bool               // it affects machines, so roles and suffixes fit
-	CutsLinks       bool               // it partitions links
+	Variants        []string           // values of how that the line names
+	Words           []string           // all words of the line; a field applies to the kind if it is among them
+	Defaults        map[string]float64 // by field, from the values that the line gives in parentheses
+	TargetsMachines bool               // the kind affects machines, so its variants may use roles and suffixes
+	CutsLinks       bool               // the kind partitions the network
 }
 
-// Catalog is what a list of kinds contains.
+// Catalog is a parsed list of kinds.
 type Catalog struct {
 	Kinds           []Kind
-	Fields          []string            // that the head of the list names
-	Defaults        map[string]float64  // by field, from the head
-	ServerVariants  []string            // variants for kinds that affect servers
-	Roles           []string            // variants for kinds that affect machines: which one
-	Suffixes        []string            // that may follow a role
-	SuffixKinds     map[string][]string // by suffix, the kinds that it is restricted to
-	LinkVariants    []string            // variants for partitions
-	Closings        []string
-	ClosingVariants []string // variants of closings
+	Fields          []string            // fields that the header of the list names
+	Defaults        map[string]float64  // by field, from the header
+	ServerVariants  []string            // extra variants for kinds that affect servers
+	Roles           []string            // extra variants for kinds that affect machines; a role selects the machine
+	Suffixes        []string            // words that may follow a role, sorted
+	SuffixKinds     map[string][]string // kinds that a suffix is restricted to, by suffix; a missing suffix is unrestricted
+	LinkVariants    []string            // extra variants for kinds that partition the network
+	Closings        []string            // kinds of closing faults
+	ClosingVariants []string            // variants of closing faults
 }
 
-// Kind returns the kind of a name.
+// Kind returns the kind with the given name, and false if the list has none.
 func (c Catalog) Kind(name string) (Kind, bool) {
 	return lo.Find(c.Kinds, func(k Kind) bool { return k.Name == name })
 }
@@ -53,8 +54,8 @@
 	machineWord    = regexp.MustCompile(`\b(machines?|disks?|SIG[A-Z]+)\b`)
 )
 
-// ParseCatalog parses a list of kinds: a head of sentences, then a line for each kind, its name before a colon. A list without
-// kinds, two lines of one name and a list without closing faults are errors.
+// ParseCatalog parses a list of kinds: a header in prose, followed by one line per kind of the form "NAME: DESCRIPTION". It returns an
+// error if the list has no kinds, a duplicate kind or no closing faults.
 func ParseCatalog(text string) (Catalog, error) {
 	c := Catalog{Defaults: map[string]float64{}, SuffixKinds: map[string][]string{}}
 	for n, l := range strings.Split(text, "\n") {
@@ -64,18 +65,18 @@
 			continue
 		}
 		if _, ok := c.Kind(m[1]); ok {
-			return c, fmt.Errorf("kinds, line %d: %s stands twice", n+1, m[1])
+			return c, fmt.Errorf("kinds, line %d: duplicate kind %s", n+1, m[1])
 		}
 		c.Kinds = append(c.Kinds, parseKind(m[1], m[2]))
 	}
 	if len(c.Kinds) == 0 {
-		return c, fmt.Errorf("kinds: no line of %d names a kind (NAME: what it does)", strings.Count(text, "\n")+1)
+		return c, fmt.Errorf("kinds: none of the lines (%d) defines a kind (expected NAME: DESCRIPTION)", strings.Count(text, "\n")+1)
 	}
 	if len(c.Closings) == 0 {
-		return c, fmt.Errorf("kinds: no line tells of closing faults (closing = { kind = A | B })")
+		return c, fmt.Errorf("kinds: no line lists the closing faults (expected closing = { kind = A | B })")
 	}
 	c.Fields = lo.Uniq(c.Fields)
-	// a line needn't repeat what its neighbour says: kinds of one family affect the same targets
+	// Kinds of one family affect the same targets, but not every line of a family mentions machines.
 	machineFamilies := lo.FilterMap(c.Kinds, func(k Kind, _ int) (string, bool) { return k.family(), k.TargetsMachines })
 	for i := range c.Kinds {
 		c.Kinds[i].TargetsMachines = slices.Contains(machineFamilies, c.Kinds[i].family())
@@ -83,13 +84,12 @@
 	return c, nil
 }
 
-// family returns the first part of a kind's name.
+// family returns the kind's name up to the first underscore.
 func (k Kind) family() string {
 	first, _, _ := strings.Cut(k.Name, "_")
 	return first
 }
 
-// parseKind parses a kind's line.
 func parseKind(name, text string) Kind {
 	k := Kind{
 		Name:            name,
@@ -109,8 +109,8 @@
 	return k
 }
 
-// variantsOf finds the variants of a line: what stands after "how:", up to the clause's end and without remarks in brackets, and
-// "how NAME:", also with what may stand beside it, "(+ NAME:". Within brackets only what stands before a comma counts.
+// variantsOf returns the variants that a line names. These are the words after "how:" up to the end of the clause, without remarks in
+// parentheses, and each NAME in "how NAME:" or "(+ NAME:". If "how:" itself is in parentheses, the clause ends at the first comma.
 func variantsOf(text string) []string {
 	var found []string
 	for _, m := range namedVariant.FindAllStringSubmatch(text, -1) {
@@ -139,7 +139,7 @@
 	}
 }
 
-// parseHeader reads a line of the head: fields and their defaults, what 'how' may also hold, closing faults.
+// parseHeader adds a line of the header to the catalog: fields and their defaults, extra variants and closing faults.
 func (c *Catalog) parseHeader(l string) {
 	for _, m := range rangedDefault.FindAllStringSubmatch(l, -1) {
 		if v, err := strconv.ParseFloat(m[2], 64); err == nil {
@@ -171,7 +171,7 @@
 			c.Roles = append(c.Roles, splitList(rest)...)
 		} else if _, rest, ok := strings.Cut(s, "After these may stand "); ok {
 			for _, part := range strings.Split(rest, " and") {
-				// a part may be kept to one kind: ", for KIND, a, b"
+				// "for KIND, a, b" restricts the suffixes a and b to one kind.
 				of, only := strings.CutPrefix(strings.Trim(part, " ,"), "for ")
 				kind, rest, _ := strings.Cut(of, ",")
 				for _, w := range splitList(lo.Ternary(only, rest, of)) {
--- a/internal/lab/scenario/fields.go
+++ b/internal/lab/scenario/fields.go
@@ -10,7 +10,8 @@
 	"portflow/internal/random"
 )
 
-// fillEntry returns an entry with the fields that it lacks: a start, and what its kind's line or the site's entries of the kind name.
+// fillEntry returns a new entry with the requested fields and drawn values for the others: the start and the fields that the kind's line
+// or one of the site's entries of the kind mentions.
 func (g *Generator) fillEntry(rng *random.Source, kind Kind, requested Entry) Entry {
 	start := g.LengthS * (earliestStart + rng.Float64()*(latestStart-earliestStart))
 	entry := Entry{"at": roundHundredths(start)}
@@ -36,12 +37,13 @@
 	return entry
 }
 
-// mayHaveCountAndShare reports whether an entry could have both a count and a share, of which it may have one.
+// mayHaveCountAndShare reports whether both count and share apply to an entry, which may have only one of them.
 func mayHaveCountAndShare(kind Kind, entry Entry) bool {
 	return slices.Contains(kind.Words, "count") && slices.Contains(kind.Words, "share") || entry["count"] != nil && entry["share"] != nil
 }
 
-// drawField draws an entry's field, if its kind has it; example is an entry of the kind that the site shows.
+// drawField draws the value of a field and sets it in the entry if the field applies to the kind. example is one of the site's entries
+// of the kind, empty if there is none.
 func (g *Generator) drawField(rng *random.Source, entry Entry, kind Kind, field string, example Entry) {
 	roll := rng.Float64()
 	v, inExample := example[field]
@@ -54,7 +56,7 @@
 	if !inExample && !hasDefault && !slices.Contains(kind.Words, field) {
 		return
 	}
-	if names := g.allowedNames(field); names != nil { // where it is left out, the bench picks
+	if names := g.allowedNames(field); names != nil { // if the name is left out, the benchmark picks one
 		if inExample && roll < nameProbability {
 			entry[field] = pick(rng, names)
 		}
@@ -72,12 +74,13 @@
 	}
 }
 
-// mayNameClass reports whether entries of a kind may name the class of machines that they affect.
+// mayNameClass reports whether entries of a kind may restrict themselves to a class of machines (on).
 func (g *Generator) mayNameClass(kind Kind) bool {
 	return kind.TargetsMachines && !g.Planned[kind.Name] && slices.Contains(kind.Words, "share")
 }
 
-// scaleAmount returns a field's typical value scaled by a roll within 0 and 1, nil if that is 0, as its size is unknown then.
+// scaleAmount scales a field's typical value by a factor between minScale and maxScale, selected by roll in [0, 1). It returns nil if
+// the typical value is 0, which means that it is unknown.
 func scaleAmount(field string, typicalValue any, roll float64) any {
 	typical := numberValue(typicalValue)
 	amount := typical * (minScale + roll*(maxScale-minScale))
@@ -98,7 +101,7 @@
 	return roundHundredths(amount)
 }
 
-// exampleClasses returns the classes of machines that the site's entries name.
+// exampleClasses returns the classes of machines (on) that the site's entries use, without duplicates.
 func (g *Generator) exampleClasses() []string {
 	var found []string
 	for _, k := range g.Kinds {
@@ -111,7 +114,8 @@
 	return lo.Uniq(found)
 }
 
-// drawVariant draws a kind's variant: one of its own, or of those that the site shows, at times with extra ones.
+// drawVariant draws a variant for a kind from its own variants and those of the site's entries. With extraProbability it adds an extra
+// variant, which may be followed by a suffix.
 func (g *Generator) drawVariant(rng *random.Source, k Kind) string {
 	exampleVariants := lo.Map(g.Examples[k.Name], func(e Entry, _ int) string { return strings.Join(e.Variant(), " ") })
 	words := strings.Fields(pick(rng, append(g.ownVariants(k), exampleVariants...)))
--- a/internal/lab/scenario/generator.go
+++ b/internal/lab/scenario/generator.go
@@ -13,36 +13,36 @@
 	"portflow/internal/random"
 )
 
-// Generator draws scenarios of one site.
+// Generator draws scenarios for one site. It is immutable after NewGenerator.
 type Generator struct {
 	Catalog
 	Site
-	singleKindRequests []Request // each kind alone with each of its variants, shuffled
+	singleKindRequests []Request // one for each variant of each kind, shuffled
 }
 
-// The bounds of what is drawn.
+// Ranges and probabilities of the random draws.
 const (
-	earliestStart = 0.03 // of an entry, as a fraction of the length
-	latestStart   = 0.85 // so that the last entry's effects are seen before a closing fault
-	maxRepeats    = 3    // of an entry
-	minScale      = 0.6  // of a number, as a factor of the one that the site shows
+	earliestStart = 0.03 // earliest start of an entry, as a fraction of Site.LengthS
+	latestStart   = 0.85 // leaves time for the last entry to take effect before a closing fault
+	maxRepeats    = 3    // maximum number of times that an entry occurs
+	minScale      = 0.6  // range of the factors applied to a field's typical value
 	maxScale      = 1.6
 
-	classProbability = 0.3 // that an entry names a class of machines
-	nameProbability  = 0.7 // that it names a place or service, where the site's entry does
-	extraProbability = 0.5 // that it has an extra variant
+	classProbability = 0.3 // probability that an entry names a class of machines
+	nameProbability  = 0.7 // probability that it names a zone, region, service or class, if the site's example does
+	extraProbability = 0.5 // probability that it has an extra variant
 )
 
-// NewGenerator makes a generator. A kind of the catalog of which no scenario shows whether it is planned work or a fault is an error,
-// as planned work that is taken for a fault would ease the rules.
+// NewGenerator returns a generator for a site. It returns an error if the site doesn't define whether a kind is planned work or a fault
+// (see Site.LearnFrom), because listing planned work as a fault would relax the benchmark's rules.
 func NewGenerator(c Catalog, s Site) (*Generator, error) {
 	for _, k := range c.Kinds {
 		if _, ok := s.Planned[k.Name]; !ok {
-			return nil, fmt.Errorf("kind %s: no day of %s, nor of the sites learnt from, shows whether it is planned; learn from one more", k.Name, s.Name)
+			return nil, fmt.Errorf("kind %s: no scenario of site %s, or of the sites it learns from, shows whether it is planned work or a fault; add a site that has it", k.Name, s.Name)
 		}
 	}
 	g := &Generator{Catalog: c, Site: s}
-	// fields that the catalog's head doesn't explain are known from the site's entries
+	// Add the fields that only the site's entries use.
 	for _, k := range lo.Keys(s.Examples) {
 		for _, e := range s.Examples[k] {
 			g.Fields = append(g.Fields, lo.Without(lo.Keys(e), "at", "kind", "how")...)
@@ -55,20 +55,20 @@
 			g.singleKindRequests = append(g.singleKindRequests, Request{Entries: []Entry{{"kind": k.Name, "how": variant}}})
 		}
 	}
-	// neighbours in the catalog are not to be neighbours among the seeds
+	// Shuffle, so that consecutive seeds don't have the same or related kinds.
 	shuffle(&random.Source{Seed: uint64(len(g.singleKindRequests))}, g.singleKindRequests)
 	return g, nil
 }
 
-// SingleKinds returns the number of scenarios after which each kind has been alone in one, with each of its variants.
+// SingleKinds returns the number of scenarios that are needed to generate each variant of each kind by itself.
 func (g *Generator) SingleKinds() int { return len(g.singleKindRequests) }
 
-// Generate draws the scenario of a seed (from 1): the first SingleKinds seeds each have one kind with one variant, those after them
-// pairs and triples with drawn variants. kindCount, if above 0, is the number of kinds instead. Requests, if any, are used in turn
-// in place of the first kinds.
+// Generate returns the scenario for a seed, which must be at least 1. The first SingleKinds seeds each produce one kind with one
+// variant, later seeds two or three kinds with drawn variants. kindCount, if above 0, overrides the number of kinds. If there are
+// requests, the scenarios use them in rotation and add drawn kinds up to kindCount.
 func (g *Generator) Generate(seed uint64, kindCount int, requests []Request) (Scenario, error) {
 	if seed == 0 {
-		return Scenario{}, errors.New("seeds count from 1")
+		return Scenario{}, errors.New("seed is 0: seeds start at 1")
 	}
 	rng := &random.Source{Seed: seed}
 	index := int(seed - 1)
@@ -93,7 +93,7 @@
 	return scenario, g.Check(scenario)
 }
 
-// requestOf returns what the scenario of an index, which counts from 0, must have, and its number of kinds.
+// requestOf returns the request that applies to the scenario with the given index (from 0) and the scenario's number of kinds.
 func (g *Generator) requestOf(index, kindCount int, requests []Request) (Request, int) {
 	candidates := g.singleKindRequests
 	if len(requests) > 0 {
@@ -105,7 +105,7 @@
 	return candidates[index%len(candidates)], cmp.Or(kindCount, 1)
 }
 
-// drawKinds adds drawn kinds to requested entries until there are as many as wanted.
+// drawKinds returns the requested entries, with drawn ones added until there are at least kindCount kinds.
 func (g *Generator) drawKinds(rng *random.Source, requested []Entry, kindCount int) []Entry {
 	entries := slices.Clone(requested)
 	kinds := max(1, len(kindsOf(entries)))
@@ -116,16 +116,16 @@
 	return entries
 }
 
-// kindsOf returns the kinds of entries, each once.
+// kindsOf returns the distinct kinds of entries, in order of first occurrence.
 func kindsOf(entries []Entry) []string {
 	return lo.Uniq(lo.Map(entries, func(e Entry, _ int) string { return e.Kind() }))
 }
 
-// addRepeated adds an entry to a scenario a drawn number of times, once if its start is given.
+// addRepeated adds an entry to a scenario between 1 and maxRepeats times, but only once if the entry has a start.
 func (g *Generator) addRepeated(rng *random.Source, scenario *Scenario, e Entry) error {
 	k, ok := g.Kind(e.Kind())
 	if !ok {
-		return fmt.Errorf("kind %q: not in the list of %s", e.Kind(), g.Name)
+		return fmt.Errorf("kind %q is not one of the kinds of site %s", e.Kind(), g.Name)
 	}
 	repeats := 1 + int(rng.Float64()*maxRepeats)
 	if _, hasStart := e["at"]; hasStart {
@@ -142,12 +142,13 @@
 	return nil
 }
 
-// compareStarts orders entries by their starts.
+// compareStarts orders entries by start. Equal starts compare as 1, never as 0.
 func compareStarts(a, b Entry) int {
 	return int(math.Copysign(1, numberValue(a["at"])-numberValue(b["at"])))
 }
 
-// drawClosing returns the closing fault of an index, in turn, none among them, with a drawn variant.
+// drawClosing returns the closing fault for a scenario's index, with a drawn duration and variant. Indexes rotate through the kinds of
+// closing faults and no closing fault (an empty entry).
 func (g *Generator) drawClosing(rng *random.Source, index int) Entry {
 	i := index % (len(g.Closings) + 1)
 	if i == len(g.Closings) {
--- a/internal/lab/scenario/generator_test.go
+++ b/internal/lab/scenario/generator_test.go
@@ -11,7 +11,7 @@
 	"github.com/samber/lo"
 )
 
-// A list and a site of our own, in the form of the real ones: no name, word or figure of theirs.
+// A made-up list of kinds and site file in the benchmark's formats.
 const listText = `Every row has 'at' (s) and 'kind'. for_s: how long (4). gap_s: pause (2). share: a part; count: a number instead.
 zone, service, class: where; left out, drawn. on: the class of boats (tug); core means the ones that count.
 'plan' holds what is planned, 'faults' the rest.
@@ -68,7 +68,8 @@
 	return d
 }
 
-// The catalog has what the list says: variants without remarks, defaults, fields, what may be added where.
+// The catalog has the variants of the list, without remarks in parentheses, its defaults and fields, and the kinds that extra variants
+// apply to.
 func TestParseCatalog(t *testing.T) {
 	c := newTestGenerator(t).Catalog
 	for name, variants := range map[string][]string{
@@ -94,7 +95,7 @@
 	qt.Check(t, c.ClosingVariants, qt.DeepEquals, []string{"early", "late"})
 }
 
-// A seed always gives the same scenario, and different seeds different ones.
+// The same seed generates the same scenario, and different seeds generate different scenarios.
 func TestSameSeedSameScenario(t *testing.T) {
 	seen := map[string]uint64{}
 	for seed := uint64(1); seed <= 200; seed++ {
@@ -109,8 +110,8 @@
 	}
 }
 
-// Each kind comes alone with each of its variants, and each closing fault and none, within the first seeds; after them
-// scenarios have two kinds or three, each kind somewhere more than once and with variants.
+// The first SingleKinds seeds cover each kind by itself with each of its variants, and each closing fault as well as none. Later seeds
+// generate scenarios with up to three kinds, in which each kind is combined with others and occurs repeatedly.
 func TestEveryKindIsGenerated(t *testing.T) {
 	d := newTestGenerator(t)
 	alone, closings, repeated, mixed := map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}
@@ -147,8 +148,8 @@
 	qt.Check(t, closings, qt.DeepEquals, map[string]bool{"": true, "dark_all": true, "wet_all": true})
 }
 
-// A scenario file is TOML; parsed again it has what was drawn, in the right lists, within bounds, with the site's traffic and
-// its lowest floors and without the marks of its own scenarios.
+// A scenario file is valid TOML with the generated entries in the right lists and within bounds. It has the traffic of a template and
+// the site's lowest floors, but no fields that apply only to the template's own entries.
 func TestScenarioFile(t *testing.T) {
 	d := newTestGenerator(t)
 	traffic := 0
@@ -181,42 +182,42 @@
 			qt.Assert(t, l[0], qt.DeepEquals, map[string]any{"zone": "east", "per_s": 3.0, "mix": map[string]any{"ask": 1.5}})
 		}
 	}
-	qt.Check(t, traffic > 100 && traffic < 400, qt.IsTrue, qt.Commentf("%d of 500 days have the traffic of the day that has one", traffic))
+	qt.Check(t, traffic > 100 && traffic < 400, qt.IsTrue, qt.Commentf("%d of 500 scenarios have traffic; one of the two templates has", traffic))
 }
 
-// What the bench would reject or ignore is found, with its place.
+// Check rejects scenarios that the benchmark would reject or ignore, and its errors give the position.
 func TestCheck(t *testing.T) {
 	d := newTestGenerator(t)
 	for name, c := range map[string]struct {
 		scenario Scenario
 		want     string
 	}{
-		"unknown kind":     {Scenario{Faults: []Entry{{"at": 1.0, "kind": "whale"}}}, `day .*, faults 1: kind "whale": not in the list of pond.*`},
-		"kind not listed":  {Scenario{Faults: []Entry{{"at": 1.0}}}, `.*kind "": not in the list.*`},
-		"unknown field":    {Scenario{Faults: []Entry{{"at": 1.0, "kind": "leak", "depth": 1.0}}}, `.*leak: field "depth" is none of.*`},
-		"unknown variant":  {Scenario{Faults: []Entry{{"at": 1.0, "kind": "leak", "how": "slow captain"}}}, `.*leak: how "captain" is none of slow, gone, wide, full`},
-		"kept to another":  {Scenario{Faults: []Entry{{"at": 1.0, "kind": "strand", "how": "mate slowly"}}}, `.*strand: how "slowly" is none of.*`},
-		"no such zone":     {Scenario{Faults: []Entry{{"at": 1.0, "kind": "leak", "zone": "north"}}}, `.*leak: zone "north" is none of east, west`},
-		"no moment":        {Scenario{Faults: []Entry{{"kind": "leak"}}}, `.*at is wanted`},
+		"unknown kind":     {Scenario{Faults: []Entry{{"at": 1.0, "kind": "whale"}}}, `scenario .*, faults 1: kind "whale" is not one of the kinds of site pond.*`},
+		"no kind":          {Scenario{Faults: []Entry{{"at": 1.0}}}, `.*kind "" is not one of the kinds.*`},
+		"unknown field":    {Scenario{Faults: []Entry{{"at": 1.0, "kind": "leak", "depth": 1.0}}}, `.*leak: field "depth" is not one of.*`},
+		"unknown variant":  {Scenario{Faults: []Entry{{"at": 1.0, "kind": "leak", "how": "slow captain"}}}, `.*leak: how "captain" is not one of slow, gone, wide, full`},
+		"foreign suffix":   {Scenario{Faults: []Entry{{"at": 1.0, "kind": "strand", "how": "mate slowly"}}}, `.*strand: how "slowly" is not one of.*`},
+		"no such zone":     {Scenario{Faults: []Entry{{"at": 1.0, "kind": "leak", "zone": "north"}}}, `.*leak: zone "north" is not one of east, west`},
+		"no start":         {Scenario{Faults: []Entry{{"kind": "leak"}}}, `.*at is missing: an entry needs a start in seconds`},
 		"too early":        {Scenario{Faults: []Entry{{"at": -1.0, "kind": "leak"}}}, `.*at -1 is below 0`},
-		"after the day":    {Scenario{Faults: []Entry{{"at": 1.0, "kind": "leak"}, {"at": 20.0, "kind": "leak"}}}, `.*faults 2: at 20: the day lasts 20 s`},
-		"share over 1":     {Scenario{Faults: []Entry{{"at": 1.0, "kind": "leak", "share": 1.5}}}, `.*share 1.5 is out of bounds.*`},
-		"half of one":      {Scenario{Faults: []Entry{{"at": 1.0, "kind": "fog", "count": 1.5}}}, `.*count 1.5 is out of bounds.*`},
-		"wrong list":       {Scenario{Plan: []Entry{{"at": 1.0, "kind": "leak"}}}, `.*plan 1: kind leak stands in the wrong list`},
-		"unknown closing":  {Scenario{Closing: Entry{"kind": "storm"}}, `.*closing kind "storm": none of dark_all, wet_all`},
-		"closing's how":    {Scenario{Closing: Entry{"kind": "wet_all", "how": "slow"}}, `.*closing how "slow": none of early, late, aimed`},
-		"closing's field":  {Scenario{Closing: Entry{"kind": "wet_all", "at": 3.0}}, `.*closing field "at": kind, down_s, how`},
-		"closing's length": {Scenario{Closing: Entry{"kind": "wet_all", "down_s": 0.0}}, `.*closing down_s 0: above 0 is wanted`},
+		"after the day":    {Scenario{Faults: []Entry{{"at": 1.0, "kind": "leak"}, {"at": 20.0, "kind": "leak"}}}, `.*faults 2: at 20 is not before the end of the scenario \(20 s\)`},
+		"share over 1":     {Scenario{Faults: []Entry{{"at": 1.0, "kind": "leak", "share": 1.5}}}, `.*share 1.5 is out of range.*`},
+		"fractional count": {Scenario{Faults: []Entry{{"at": 1.0, "kind": "fog", "count": 1.5}}}, `.*count 1.5 is out of range.*`},
+		"wrong list":       {Scenario{Plan: []Entry{{"at": 1.0, "kind": "leak"}}}, `.*plan 1: kind leak is in the wrong list \(planned work belongs in plan, faults in faults\)`},
+		"unknown closing":  {Scenario{Closing: Entry{"kind": "storm"}}, `.*closing kind "storm" is not one of dark_all, wet_all`},
+		"closing's how":    {Scenario{Closing: Entry{"kind": "wet_all", "how": "slow"}}, `.*closing how "slow" is not one of early, late, aimed`},
+		"closing's field":  {Scenario{Closing: Entry{"kind": "wet_all", "at": 3.0}}, `.*closing field "at" is not one of kind, down_s, how`},
+		"closing's length": {Scenario{Closing: Entry{"kind": "wet_all", "down_s": 0.0}}, `.*closing down_s 0 is not above 0`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			qt.Check(t, d.Check(c.scenario), qt.ErrorMatches, c.want)
 		})
 	}
 	_, err := d.Generate(0, 0, nil)
-	qt.Check(t, err, qt.ErrorMatches, "seeds count from 1")
+	qt.Check(t, err, qt.ErrorMatches, "seed is 0: seeds start at 1")
 }
 
-// Requests are kept, what they leave open is drawn, and errors name line and field.
+// Scenarios contain the requested entries unchanged and draw the rest; errors give the line and the field.
 func TestRequests(t *testing.T) {
 	d := newTestGenerator(t)
 	requests, err := d.ParseRequests("# a remark\nstrand on=core count=1 how=captain,twice at=4.5 + paper how=lines # and one here\n? whale + paper\n\nleak + closing=wet_all how=late\npaper + closing=none\n")
@@ -246,27 +247,28 @@
 		}
 	}
 	for text, want := range map[string]string{
-		"":                               "wishes: none in the text",
-		"paper\nwhale x=1":               `wishes, line 2: kind "whale": not in the list.*`,
-		"leak share":                     `wishes, line 1: "share": field=value is wanted`,
-		"leak share=2":                   `wishes, line 1: leak: share 2 is out of bounds.*`,
-		"leak share=0.1 share=0.2":       `wishes, line 1: field "share" stands twice`,
-		"fog count=few":                  `wishes, line 1: count "few": a whole number is wanted`,
-		"leak how=gone,captain":          `wishes, line 1: leak: how "captain" is none of.*`,
-		"leak + closing=storm":           `wishes, line 1: closing kind "storm".*`,
-		"closing=none + closing=wet_all": `wishes, line 1: closing stands twice`,
+		"":                               "requests: the text contains none",
+		"paper\nwhale x=1":               `requests, line 2: kind "whale" is not one of the kinds.*`,
+		"leak share":                     `requests, line 1: "share" is not of the form field=value`,
+		"leak share=2":                   `requests, line 1: leak: share 2 is out of range.*`,
+		"leak share=0.1 share=0.2":       `requests, line 1: duplicate field "share"`,
+		"fog count=few":                  `requests, line 1: count "few" is not a 32-bit whole number`,
+		"leak how=gone,captain":          `requests, line 1: leak: how "captain" is not one of.*`,
+		"leak + closing=storm":           `requests, line 1: closing kind "storm".*`,
+		"closing=none + closing=wet_all": `requests, line 1: request has more than one closing term`,
 	} {
 		_, err := d.ParseRequests(text)
 		qt.Check(t, err, qt.ErrorMatches, want, qt.Commentf(text))
 	}
 }
 
-// Errors name the place of bad input; a kind of which nothing shows where it belongs is an error.
+// Errors give the position of invalid input. A kind that no scenario shows to be planned work or a fault is rejected until the site
+// learns it from another one.
 func TestBadInput(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
-		"empty":       {"", "kinds: no line of 1 names a kind.*"},
-		"no closing":  {"leak: share (.1) fail", "kinds: no line tells of closing faults.*"},
-		"named twice": {listText + "leak: again", `kinds, line 18: leak stands twice`},
+		"empty":       {"", `kinds: none of the lines \(1\) defines a kind.*`},
+		"no closing":  {"leak: share (.1) fail", "kinds: no line lists the closing faults.*"},
+		"named twice": {listText + "leak: again", `kinds, line 18: duplicate kind leak`},
 	} {
 		_, err := ParseCatalog(c.text)
 		qt.Check(t, err, qt.ErrorMatches, c.want, qt.Commentf(name))
@@ -274,10 +276,10 @@
 	for name, c := range map[string]struct{ text, want string }{
 		"not TOML":    {"name = \"pond\"\nzones = [", "site, line 2: .*"},
 		"no length":   {"name = \"pond\"", "site: name and length_s .*"},
-		"no zones":    {"name = \"pond\"\nlength_s = 3.0", "site: zones and services are wanted.*"},
-		"no days":     {strings.Split(siteText, "[[day]]")[0], `site: no \[\[day\]\] to take traffic from`},
-		"no kind":     {strings.Replace(siteText, `kind = "spoil", `, "", 1), "site: day 1, plan 3: no kind"},
-		"no kind, 2":  {strings.Replace(siteText, `kind = "strand", on`, "on", 1), "site: troubles 1: no kind"},
+		"no zones":    {"name = \"pond\"\nlength_s = 3.0", "site: zones and services are required.*"},
+		"no days":     {strings.Split(siteText, "[[day]]")[0], `site: no \[\[day\]\] to use as a template`},
+		"no kind":     {strings.Replace(siteText, `kind = "spoil", `, "", 1), "site: day 1, plan 3: kind is missing"},
+		"no kind, 2":  {strings.Replace(siteText, `kind = "strand", on`, "on", 1), "site: troubles 1: kind is missing"},
 		"zone's form": {strings.Replace(siteText, `{ name = "east", region = "e" }, { name = "west", region = "w" }`, `"east"`, 1), "site: zones and services.*"},
 	} {
 		_, err := ParseSite(c.text)
@@ -288,7 +290,7 @@
 	site, err := ParseSite(siteText)
 	qt.Assert(t, err, qt.IsNil)
 	_, err = NewGenerator(kinds, site)
-	qt.Check(t, err, qt.ErrorMatches, "kind whale: no day of pond.*")
+	qt.Check(t, err, qt.ErrorMatches, "kind whale: no scenario of site pond.*")
 	other, err := ParseSite(strings.Replace(strings.Replace(siteText, "pond", "lake", 1), `kind = "swap"`, `kind = "whale"`, 1))
 	qt.Assert(t, err, qt.IsNil)
 	site.LearnFrom(other)
@@ -297,7 +299,7 @@
 	qt.Check(t, d.Planned["whale"] && d.Planned["swap"], qt.IsTrue)
 }
 
-// A journal entry is parsed completely or is an error; the line and the table show what broke.
+// An incomplete journal entry is an error. The line and the table of results show rule violations, faults and failed gates.
 func TestRunResult(t *testing.T) {
 	entry := func(days string) string {
 		return fmt.Sprintf(`{"id":"0a1b2c3d","head":"f00","site":"pond","error":null,"days":[%s]}`, days)
@@ -321,7 +323,7 @@
 the list was not settled: 1.0 s to 2.0 s
 `)
 	qt.Check(t, two.NotStarted, qt.DeepEquals, []string{"tow (out)", "strand (captain twice)", "leak"})
-	qt.Check(t, two.String(), qt.Matches, `pond +2  0\.40  served 0\.500  gate failed own-2-leak-fog, closing wet_all late  BROKEN LOST 1, TWICE 2  FAULT a process ended  \(befell nobody: tow \(out\), strand \(captain twice\), leak\)  SHORT too little`)
+	qt.Check(t, two.String(), qt.Matches, `pond +2  0\.40  served 0\.500  gate failed own-2-leak-fog, closing wet_all late  BROKEN LOST 1, TWICE 2  FAULT a process ended  \(no effect: tow \(out\), strand \(captain twice\), leak\)  SHORT too little`)
 	var table strings.Builder
 	FormatTable(&table, []RunResult{one, two})
 	lines := strings.Split(strings.TrimSpace(table.String()), "\n")
@@ -331,9 +333,9 @@
 	}
 	for text, wantErr := range map[string]string{
 		`{`:                     "journal entry: .*",
-		entry(""):               "journal entry 0a1b2c3d: 0 days, one is wanted",
-		entry(good + "," + bad): "journal entry 0a1b2c3d: 2 days, one is wanted",
-		entry(`{"G":1}`):        "journal entry 0a1b2c3d: days.0..name and head are wanted",
+		entry(""):               "journal entry 0a1b2c3d: found 0 days, expected one",
+		entry(good + "," + bad): "journal entry 0a1b2c3d: found 2 days, expected one",
+		entry(`{"G":1}`):        "journal entry 0a1b2c3d: days.0..name or head is missing",
 		`{"id":"9","error":"it can't be read","days":[]}`: "journal entry 9: it can't be read",
 	} {
 		_, err := ParseRunResult([]byte(text))
@@ -341,7 +343,7 @@
 	}
 }
 
-// Parsing ends for any text, and what it accepts draws scenarios that pass their own check.
+// Parsing and generating must not hang or panic on any input.
 func FuzzGenerate(f *testing.F) {
 	f.Add(listText, siteText, uint64(3))
 	f.Add("leak: how: ((a\nclosing = { kind = b }", siteText, uint64(9))
--- a/internal/lab/scenario/request.go
+++ b/internal/lab/scenario/request.go
@@ -9,15 +9,16 @@
 	"github.com/samber/lo"
 )
 
-// Request is what a scenario must have at least: entries whose given fields stay as they are, while the others are drawn.
+// Request lists entries that a scenario must contain. Fields that are set are used unchanged, the others are drawn.
 type Request struct {
 	Entries []Entry
-	Closing Entry // nil: drawn; an empty one: none
+	Closing Entry // nil means drawn, an empty entry means no closing fault
 }
 
-// ParseRequests parses requests, one a line, with comments after "#": entries joined by " + ", each a kind and its fields,
-// "KIND field=value ...", where spaces in a value are written as commas; and "closing=KIND", with how= and down_s=, or
-// "closing=none". A line that begins with "? " is skipped where the site lacks one of its kinds. An error names line and field.
+// ParseRequests parses requests, one per line. A request consists of terms separated by " + ". A term is an entry of the form
+// "KIND field=value ...", with spaces in values written as commas, or a closing fault: "closing=KIND", optionally followed by how= and
+// down_s=, or "closing=none". A line that begins with "? " is skipped if the site lacks one of its kinds, and text after "#" is a
+// comment. Errors give the line number.
 func (g *Generator) ParseRequests(text string) ([]Request, error) {
 	var requests []Request
 	for n, line := range strings.Split(text, "\n") {
@@ -33,25 +34,25 @@
 		var request Request
 		for _, term := range terms {
 			if err := g.addTerm(&request, term); err != nil {
-				return nil, fmt.Errorf("wishes, line %d: %w", n+1, err)
+				return nil, fmt.Errorf("requests, line %d: %w", n+1, err)
 			}
 		}
 		requests = append(requests, request)
 	}
 	if len(requests) == 0 {
-		return nil, errors.New("wishes: none in the text")
+		return nil, errors.New("requests: the text contains none")
 	}
 	return requests, nil
 }
 
-// hasKind reports whether the site has the kind of a request's part; closing faults count as had.
+// hasKind reports whether the site has the kind of a term. It is true for all closing faults.
 func (g *Generator) hasKind(term string) bool {
 	kind, _, _ := strings.Cut(strings.TrimSpace(term), " ")
 	_, ok := g.Kind(kind)
 	return ok || strings.HasPrefix(kind, "closing=")
 }
 
-// addTerm parses a part of a request, checks it and adds it.
+// addTerm parses and checks a term and adds it to the request.
 func (g *Generator) addTerm(request *Request, term string) error {
 	e, err := parseEntry(strings.Fields(term))
 	if err != nil {
@@ -63,7 +64,7 @@
 		request.Entries = append(request.Entries, e)
 		return g.CheckEntry(e)
 	case request.Closing != nil:
-		return errors.New("closing stands twice")
+		return errors.New("request has more than one closing term")
 	case kind == "none":
 		request.Closing = Entry{}
 		return nil
@@ -76,10 +77,10 @@
 	return g.checkClosing(e)
 }
 
-// defaultClosingDownS is how many seconds a closing fault lasts that gives no down_s.
+// defaultClosingDownS is the duration in seconds of a requested closing fault without down_s.
 const defaultClosingDownS = 1.0
 
-// parseEntry parses a kind and its fields.
+// parseEntry parses a kind followed by field=value words. The entry isn't checked against the catalog.
 func parseEntry(words []string) (Entry, error) {
 	e := Entry{}
 	for i, w := range words {
@@ -88,13 +89,13 @@
 		case i == 0:
 			e["kind"] = w
 		case !ok || f == "" || v == "":
-			return e, fmt.Errorf("%q: field=value is wanted", w)
+			return e, fmt.Errorf("%q is not of the form field=value", w)
 		case f == "kind" || e[f] != nil:
-			return e, fmt.Errorf("field %q stands twice", f)
+			return e, fmt.Errorf("duplicate field %q", f)
 		case f == "count":
 			n, err := strconv.ParseInt(v, 10, 32)
 			if err != nil {
-				return e, fmt.Errorf("count %q: a whole number is wanted", v)
+				return e, fmt.Errorf("count %q is not a 32-bit whole number", v)
 			}
 			e[f] = n
 		default:
--- a/internal/lab/scenario/result.go
+++ b/internal/lab/scenario/result.go
@@ -11,29 +11,29 @@
 	"github.com/samber/lo"
 )
 
-// RunResult is the result of one run.
+// RunResult is the result of one run of a scenario on the benchmark.
 type RunResult struct {
 	Site       string         `json:"site"`
 	Scenario   string         `json:"day"` // the scenario's name
 	Seed       uint64         `json:"seed"`
 	Kinds      []string       `json:"troubles"`
 	Closing    string         `json:"closing,omitempty"`
-	Head       string         `json:"head"`  // the commit that was played
-	Score      float64        `json:"score"` // 0 with a broken rule or a fault
-	Goodput    float64        `json:"worth"` // the bench's G: before deductions for broken rules
+	Head       string         `json:"head"`  // the commit under test
+	Score      float64        `json:"score"` // 0 if a rule was violated or there was a fault
+	Goodput    float64        `json:"worth"` // the benchmark's G, before deductions for rule violations
 	Served     float64        `json:"served"`
-	Violations map[string]int `json:"rules"` // how often each was broken
+	Violations map[string]int `json:"rules"` // number of violations by rule
 	Fault      string         `json:"fault,omitempty"`
 	GatePassed bool           `json:"gate"`
-	Shortfalls []string       `json:"short,omitempty"` // why the gate failed, if by no rule
-	NotStarted []string       `json:"idle,omitempty"`  // entries that affected nothing, so that the run shows less than its file says
-	Entry      string         `json:"entry"`           // of the journal
+	Shortfalls []string       `json:"short,omitempty"` // reasons other than rule violations why the gate failed
+	NotStarted []string       `json:"idle,omitempty"`  // entries that had no effect, so the run covers less than its scenario file
+	Entry      string         `json:"entry"`           // ID of the journal entry
 }
 
 var startedLine = regexp.MustCompile(`^ *-?[0-9.]+ s to +-?[0-9.]+ s  ([a-z_]+)((?: \([^)]*\))?) *(.*)$`)
 
-// NotStarted returns, from what the bench printed of a run, the entries that affected no machine, server or place though their kind
-// does: the bench ignored them.
+// NotStarted returns the entries that the benchmark ignored, found in its printed output of a run. These are entries without a target
+// (machine, server or zone), except for planned work of kinds that don't affect machines.
 func (g *Generator) NotStarted(printed string) (notStarted []string) {
 	for l := range strings.Lines(printed) {
 		m := startedLine.FindStringSubmatch(strings.TrimRight(l, "\n"))
@@ -47,7 +47,7 @@
 	return notStarted
 }
 
-// ParseRunResult parses a journal entry of one run. An entry that is incomplete, or of no run or several, is an error.
+// ParseRunResult parses a journal entry. It returns an error if the entry is incomplete or doesn't have exactly one run.
 func ParseRunResult(text []byte) (RunResult, error) {
 	var e struct {
 		ID    string  `json:"id"`
@@ -74,11 +74,11 @@
 		return RunResult{}, fmt.Errorf("journal entry %s: %s", e.ID, *e.Error)
 	}
 	if len(e.Days) != 1 {
-		return RunResult{}, fmt.Errorf("journal entry %s: %d days, one is wanted", e.ID, len(e.Days))
+		return RunResult{}, fmt.Errorf("journal entry %s: found %d days, expected one", e.ID, len(e.Days))
 	}
 	d := e.Days[0]
 	if d.Name == "" || e.Head == "" {
-		return RunResult{}, errors.New("journal entry " + e.ID + ": days[0].name and head are wanted")
+		return RunResult{}, errors.New("journal entry " + e.ID + ": days[0].name or head is missing")
 	}
 	return RunResult{
 		Site:       e.Site,
@@ -97,10 +97,10 @@
 	}, nil
 }
 
-// Failed reports whether a rule was broken or a fault seen.
+// Failed reports whether the run violated a rule or had a fault. A failed gate alone doesn't count.
 func (r RunResult) Failed() bool { return len(r.Violations) > 0 || r.Fault != "" }
 
-// String returns the result in one line.
+// String formats the result as one line, without a newline.
 func (r RunResult) String() string {
 	l := fmt.Sprintf("%-16s %6d  %.2f  served %.3f  gate %-6s %s", r.Site, r.Seed, r.Goodput, r.Served, lo.Ternary(r.GatePassed, "passed", "failed"), r.Scenario)
 	if r.Closing != "" {
@@ -115,7 +115,7 @@
 		l += "  FAULT " + r.Fault
 	}
 	if len(r.NotStarted) > 0 {
-		l += "  (befell nobody: " + strings.Join(r.NotStarted, ", ") + ")"
+		l += "  (no effect: " + strings.Join(r.NotStarted, ", ") + ")"
 	}
 	for _, s := range r.Shortfalls {
 		l += "  SHORT " + s
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -9,17 +9,17 @@
 	"github.com/samber/lo"
 )
 
-// Scenario is what the bench plays in one run, which it calls a day.
+// Scenario is the input of one run of the benchmark, which calls it a day.
 type Scenario struct {
 	Name     string
 	Seed     uint64
-	Template map[string]any // what a scenario of the site had, without its entries and marks
+	Template map[string]any // further settings, copied from one of the site's scenarios; see Site.template
 	Plan     []Entry
 	Faults   []Entry
-	Closing  Entry // empty for none
+	Closing  Entry // empty if there is no closing fault
 }
 
-// TOML returns the scenario as a file of the bench.
+// TOML returns the scenario in the benchmark's file format.
 func (s Scenario) TOML() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[[day]]\nname = %q\nslot = \"trouble\"\nseed = %d\n", s.Name, s.Seed)
@@ -44,7 +44,7 @@
 	return b.String()
 }
 
-// roundHundredths rounds to the two decimals that files have.
+// roundHundredths rounds to two decimals, as written to scenario files.
 func roundHundredths(x float64) float64 { return math.Round(x*100) / 100 }
 
 func isString(v any) bool { _, ok := v.(string); return ok }
--- a/internal/lab/scenario/table.go
+++ b/internal/lab/scenario/table.go
@@ -9,10 +9,10 @@
 	"github.com/samber/lo"
 )
 
-// tableRow sums up the runs of one site with one kind.
+// tableRow aggregates the runs of one site that have one kind.
 type tableRow struct {
 	runs, violated, faults, gateFailed int
-	totalGoodput, lowestGoodput        float64 // of their goodput
+	totalGoodput, lowestGoodput        float64 // of the runs; the mean is totalGoodput / runs
 }
 
 func (r *tableRow) add(result RunResult) {
@@ -24,10 +24,10 @@
 	r.lowestGoodput = min(r.lowestGoodput, result.Goodput)
 }
 
-// FormatTable writes, by site and kind, how many runs had it, broke a rule, had a fault or failed the gate, and their mean and lowest
-// goodput; a run counts for each of its kinds.
+// FormatTable writes a table by site and kind: the number of runs, of runs that violated a rule, had a fault or failed the gate, and the
+// mean and lowest goodput. A run counts once for each of its kinds, for its closing fault and for all.
 func FormatTable(w io.Writer, all []RunResult) {
-	rows := map[string]*tableRow{} // by site and kind
+	rows := map[string]*tableRow{} // by site and kind, separated by a NUL byte
 	for _, result := range all {
 		kinds := append(lo.Uniq(result.Kinds), "closing "+lo.CoalesceOrEmpty(result.Closing, "none"), "all")
 		for _, kind := range kinds {
--- a/internal/lab/scenario/toml.go
+++ b/internal/lab/scenario/toml.go
@@ -9,10 +9,10 @@
 	"github.com/samber/lo"
 )
 
-// stringValue returns a string, empty for values of other types.
+// stringValue returns v if it is a string, otherwise an empty string.
 func stringValue(v any) string { t, _ := v.(string); return t }
 
-// numberValue returns a number, 0 for values of other types.
+// numberValue returns v as a float64, 0 if it isn't a number.
 func numberValue(v any) float64 {
 	switch n := v.(type) {
 	case int64:
@@ -25,7 +25,7 @@
 	return 0
 }
 
-// stringList returns a list's values, nil for values of other types.
+// stringList returns the elements of v, nil if it isn't a list.
 func stringList(v any) []any {
 	switch l := v.(type) {
 	case []any:
@@ -38,16 +38,16 @@
 	return nil
 }
 
-// tableList returns the tables of a list, and leaves out its other values.
+// tableList returns the elements of v that are tables, nil if it isn't a list.
 func tableList(v any) []map[string]any {
 	return lo.FilterMap(stringList(v), func(v any, _ int) (map[string]any, bool) { m, ok := v.(map[string]any); return m, ok })
 }
 
-// sortPrefixes sorts the fields that come first in a table.
+// sortPrefixes are prepended to the names of fields that sort before all others in a table.
 var sortPrefixes = map[string]string{"at": "\x00", "kind": "\x01"}
 
-// inlineTOML returns a value as TOML on one line; lists of tables get a line for each. The fields of a table are ordered: at, kind,
-// then by name.
+// inlineTOML formats a value as TOML on one line, except that a list of tables has one line per table. The fields of a table are
+// sorted: at, kind, then by name.
 func inlineTOML(v any) string {
 	switch t := v.(type) {
 	case string:
--- a/internal/lab/scenario/variants.go
+++ b/internal/lab/scenario/variants.go
@@ -7,8 +7,8 @@
 	"github.com/samber/lo"
 )
 
-// ownVariants returns the variants that fit a kind: of its line, of the deployment's invalid configurations where its line shares
-// one of them, and none.
+// ownVariants returns the variants of a kind: an empty one, those of its line and, if its line names one of the site's invalid
+// configurations, all of these.
 func (g *Generator) ownVariants(k Kind) []string {
 	own := append([]string{""}, k.Variants...)
 	if len(lo.Intersect(k.Variants, g.InvalidConfigs)) > 0 {
@@ -24,13 +24,13 @@
 	})
 }
 
-// extraVariants returns the variants that the catalog's head allows a kind beside its own.
+// extraVariants returns the variants that the header of the catalog allows for a kind in addition to its own.
 func (g *Generator) extraVariants(k Kind) []string {
 	switch {
 	case k.TargetsMachines && !g.Planned[k.Name]:
 		f := append(slices.Clone(g.Roles), g.suffixes(k)...)
 		return append(f, lo.Ternary(k.CutsLinks, g.LinkVariants, nil)...)
-	case k.TargetsMachines: // planned work goes over all machines, one by one
+	case k.TargetsMachines: // planned work visits all machines one by one, so roles don't apply
 		return g.suffixes(k)
 	case !g.Planned[k.Name] && slices.Contains(k.Words, "servers"):
 		return g.ServerVariants
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// Variants returns the variants that a kind is drawn with alone: each of its own, each that the site shows, each extra one.
+// Variants returns all variants that single-kind scenarios of a kind use: its own, those of the site's entries and the extra ones.
 func (g *Generator) Variants(k Kind) []string {
 	v := append(g.ownVariants(k), lo.Map(g.Examples[k.Name], func(e Entry, _ int) string { return strings.Join(e.Variant(), " ") })...)
 	for _, w := range g.extraVariants(k) {
