--- a/cmd/lab/hollow.go
+++ b/cmd/lab/hollow.go
@@ -11,23 +11,23 @@
 	"portflow/internal/lab/hollow"
 )
 
-// childCommand is the command that makes this program a process of a run.
+// childCommand is the hidden command with which a run starts this program as one of its processes.
 const childCommand = "hollow-child"
 
-// hollowCommands returns the commands of package hollow. The first had the name harbour before.
+// hollowCommands returns the commands of package hollow. The command hollow keeps its former name, harbour, as a deprecated alias.
 func hollowCommands() []*cobra.Command {
 	deprecated := runHollow("harbour")
 	deprecated.Deprecated = "use lab hollow"
 	return []*cobra.Command{runHollow("hollow"), deprecated, runChild(), plotSlopes()}
 }
 
-// runHollow returns the command that runs a plan.
+// runHollow returns the command that runs a capacity test with emulated routers and hosts.
 func runHollow(name string) *cobra.Command {
 	p := hollow.TargetPlan()
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   name,
-		Short: "real control processes before hollow routers and hosts, on loopback",
+		Short: "run real control processes against emulated (hollow) routers and hosts on loopback",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			start := time.Now()
@@ -44,29 +44,29 @@
 		},
 	}
 	f := c.Flags()
-	f.IntVar(&p.Routers, "routers", p.Routers, "hollow routers")
-	f.IntVar(&p.Hosts, "hosts", p.Hosts, "hollow hosts")
-	f.IntVar(&p.Voters, "core", p.Voters, "control processes")
-	f.IntVar(&p.Zones, "zones", p.Zones, "zones, three to a region")
+	f.IntVar(&p.Routers, "routers", p.Routers, "number of emulated routers")
+	f.IntVar(&p.Hosts, "hosts", p.Hosts, "number of emulated hosts")
+	f.IntVar(&p.Voters, "core", p.Voters, "number of control processes")
+	f.IntVar(&p.Zones, "zones", p.Zones, "number of zones, three per region")
 	f.IntVar(&p.Services, "services", p.Services, "services")
 	f.IntVar(&p.Routes, "routes", p.Routes, "routes")
-	f.IntVar(&p.Quotas, "shares", p.Quotas, "callers' quotas")
-	f.IntVar(&p.RealRouters, "real", p.RealRouters, "routers that are processes, beside the hollow ones")
-	f.BoolVar(&p.FreshConnections, "fresh", p.FreshConnections, "hosts open a connection for each heartbeat")
-	f.DurationVar(&p.IdleTime, "calm", p.IdleTime, "how long to count while nothing changes")
-	f.IntVar(&p.Changes, "changes", p.Changes, "changes of a route, one after another")
-	f.IntVar(&p.Drains, "drains", p.Drains, "hosts that drain")
-	f.IntVar(&p.Burst, "burst", p.Burst, "changes as fast as they are accepted")
-	f.BoolVar(&p.KillControl, "kill", p.KillControl, "kill a control process, and start it again")
+	f.IntVar(&p.Quotas, "shares", p.Quotas, "number of caller quotas")
+	f.IntVar(&p.RealRouters, "real", p.RealRouters, "number of routers that run as processes, in addition to the emulated ones")
+	f.BoolVar(&p.FreshConnections, "fresh", p.FreshConnections, "hosts open a new connection for each heartbeat")
+	f.DurationVar(&p.IdleTime, "calm", p.IdleTime, "how long to measure while nothing changes")
+	f.IntVar(&p.Changes, "changes", p.Changes, "number of sequential route changes")
+	f.IntVar(&p.Drains, "drains", p.Drains, "number of hosts that drain")
+	f.IntVar(&p.Burst, "burst", p.Burst, "number of changes to submit as fast as they are accepted")
+	f.BoolVar(&p.KillControl, "kill", p.KillControl, "kill and restart a control process")
 	f.BoolVar(&p.RestartRouters, "restart", p.RestartRouters, "restart half of the routers")
-	f.DurationVar(&p.PartitionTime, "cut", p.PartitionTime, "how long to partition the last region, 0 for not")
-	f.StringVar(&p.Profile, "profile", "", "a folder for processor profiles of all processes")
-	f.Uint64Var(&p.Seed, "seed", p.Seed, "seed of all random draws")
-	f.BoolVar(&asJSON, "json", false, "print the result as one JSON object in the last line")
+	f.DurationVar(&p.PartitionTime, "cut", p.PartitionTime, "how long to partition the last region (0: no partition)")
+	f.StringVar(&p.Profile, "profile", "", "directory for CPU profiles of all processes")
+	f.Uint64Var(&p.Seed, "seed", p.Seed, "random seed")
+	f.BoolVar(&asJSON, "json", false, "print the result as a JSON object on the last line")
 	return c
 }
 
-// runChild returns the command of a process that a run starts.
+// runChild returns the hidden command that runs a child process of a run. The parent controls it over stdin and stdout.
 func runChild() *cobra.Command {
 	return &cobra.Command{
 		Use:    childCommand,
@@ -76,11 +76,11 @@
 	}
 }
 
-// plotSlopes returns the command that compares results of several sizes.
+// plotSlopes returns the command that compares results for several numbers of routers.
 func plotSlopes() *cobra.Command {
 	return &cobra.Command{
 		Use:   "slopes DIR FILE...",
-		Short: "plots and slopes of results of hollow --json, in the order of their routers",
+		Short: "write plots and print growth exponents for results of hollow --json, given by increasing number of routers",
 		Args:  cobra.MinimumNArgs(3),
 		RunE: func(_ *cobra.Command, args []string) error {
 			results, err := readHollowResults(args[1:])
--- a/cmd/lab/scenario.go
+++ b/cmd/lab/scenario.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	maxScenarios = 1000 // of one command
+	maxScenarios = 1000 // per command
 	maxJobs      = 64
 	maxWhyBytes  = 120
-	maxLineBytes = 1 << 20 // of a file of results
+	maxLineBytes = 1 << 20 // longest line of a results file
 )
 
-// scenarioOptions is what the commands of scenarios share: from what to draw, and how many.
+// scenarioOptions are the flags that the scenario commands share.
 type scenarioOptions struct {
 	benchProgram string
 	learnSites   []string
@@ -39,24 +39,24 @@
 }
 
 func scenarioCommands() *cobra.Command {
-	root := &cobra.Command{Use: "days", Short: "scenarios for the users' bench, drawn by seed; the bench calls them days"}
+	root := &cobra.Command{Use: "days", Short: "generate fault scenarios for an external benchmark program, which calls them days, and run them"}
 	root.AddCommand(listKinds(), makeScenarios(), playScenarios(), printTable())
 	return root
 }
 
 func (o *scenarioOptions) flags(c *cobra.Command) {
 	f := c.Flags()
-	f.StringVar(&o.benchProgram, "bench", "", "the bench's program")
-	f.StringSliceVar(&o.learnSites, "learn", nil, "site files beside SITE, to learn what is planned work")
-	f.StringVar(&o.requestsFile, "wishes", "", "a file of requests, one a line: KIND field=value ... + KIND ... + closing=KIND; without it each kind alone, then pairs and triples")
-	f.IntVar(&o.kindCount, "mix", 0, "kinds a day at least (0: as seed or request say)")
-	f.Uint64Var(&o.firstSeed, "from", 1, "the first seed")
-	f.IntVar(&o.count, "days", 1, "days, 1000 at most")
-	f.StringVar(&o.outDir, "out", "", "a folder for day files, outputs and results; outside the sources")
+	f.StringVar(&o.benchProgram, "bench", "", "path of the benchmark program")
+	f.StringSliceVar(&o.learnSites, "learn", nil, "further site files, which show whether kinds that SITE has no scenario of are planned work")
+	f.StringVar(&o.requestsFile, "wishes", "", "file with requested entries, one scenario per line: KIND field=value ... + KIND ... + closing=KIND; by default, each kind by itself, then two or three combined")
+	f.IntVar(&o.kindCount, "mix", 0, "minimum number of kinds per scenario (0: determined by seed or request)")
+	f.Uint64Var(&o.firstSeed, "from", 1, "seed of the first scenario")
+	f.IntVar(&o.count, "days", 1, "number of scenarios to generate, at most 1000")
+	f.StringVar(&o.outDir, "out", "", "directory for scenario files, benchmark output and results; should be outside the source tree")
 	lo.Must0(c.MarkFlagRequired("bench"))
 }
 
-// newGenerator reads what the bench lists for a site, and the site file.
+// newGenerator runs the benchmark program to list the kinds of a site, and reads the site file and those to learn from.
 func (o *scenarioOptions) newGenerator(site string) (*scenario.Generator, error) {
 	listed, err := exec.Command(o.benchProgram, "kinds", site).Output()
 	if err != nil {
@@ -92,20 +92,21 @@
 	return s, nil
 }
 
-// generatedScenarios are scenarios and their files.
+// generatedScenarios are scenarios and, by the same index, the paths of their files.
 type generatedScenarios struct {
 	generator *scenario.Generator
 	scenarios []scenario.Scenario
 	paths     []string
 }
 
-// generate draws the scenarios and writes their files into the folder.
+// generate generates the scenarios and writes their files into outDir. If this fails midway, it returns an error together with the
+// scenarios written so far.
 func (o *scenarioOptions) generate(site string) (*generatedScenarios, error) {
 	if o.count < 1 || o.count > maxScenarios {
-		return nil, fmt.Errorf("--days %d: 1 to %d", o.count, maxScenarios)
+		return nil, fmt.Errorf("--days %d is not in the range 1 to %d", o.count, maxScenarios)
 	}
 	if o.outDir == "" {
-		return nil, errors.New("--out: a folder is wanted")
+		return nil, errors.New("--out is required: a directory for the scenario files")
 	}
 	g, err := o.newGenerator(site)
 	if err != nil {
@@ -134,7 +135,7 @@
 	return all, nil
 }
 
-// readRequests reads the file of requests, if there is one.
+// readRequests reads the file of requests. It returns nil if none is set.
 func (o *scenarioOptions) readRequests(g *scenario.Generator) ([]scenario.Request, error) {
 	if o.requestsFile == "" {
 		return nil, nil
@@ -154,7 +155,7 @@
 	var o scenarioOptions
 	c := &cobra.Command{
 		Use:   "kinds SITE",
-		Short: "what was read of a site: kinds, variants, fields, and how many seeds play each alone",
+		Short: "print the kinds, variants and fields of a site, and the number of seeds with a single kind",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			g, err := o.newGenerator(args[0])
@@ -164,7 +165,7 @@
 			for _, k := range g.Kinds {
 				fmt.Printf("%-20s %-6s %s\n", k.Name, lo.Ternary(g.Planned[k.Name], "plan", "faults"), strings.Join(g.Variants(k), " | "))
 			}
-			fmt.Printf("fields: %s\nclosing: %s (%s)\n%d seeds play each alone\n", strings.Join(g.Fields, " "), strings.Join(g.Closings, " "),
+			fmt.Printf("fields: %s\nclosing: %s (%s)\n%d seeds have a single kind with one variant\n", strings.Join(g.Fields, " "), strings.Join(g.Closings, " "),
 				strings.Join(g.ClosingVariants, " "), g.SingleKinds())
 			return nil
 		},
@@ -177,7 +178,7 @@
 	var o scenarioOptions
 	c := &cobra.Command{
 		Use:   "make SITE",
-		Short: "write day files",
+		Short: "generate scenario files and print their paths",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			all, err := o.generate(args[0])
@@ -193,7 +194,7 @@
 	return c
 }
 
-// scenarioRun plays scenarios on the bench, several at once.
+// scenarioRun runs scenarios on the benchmark, up to jobs at once.
 type scenarioRun struct {
 	scenarioOptions
 	*generatedScenarios
@@ -202,9 +203,9 @@
 	why            string
 	log            string
 	noCPU          bool
-	resultsEncoder *json.Encoder // of results.jsonl
+	resultsEncoder *json.Encoder // writes to results.jsonl
 
-	mu      sync.Mutex // guards what follows, and journal
+	mu      sync.Mutex // guards results, errs and resultsEncoder
 	results []scenario.RunResult
 	errs    []error
 }
@@ -213,7 +214,7 @@
 	var run scenarioRun
 	c := &cobra.Command{
 		Use:   "play SITE",
-		Short: "make days and play them in the repository, a line a day and a table; results are added to results.jsonl in --out",
+		Short: "generate scenarios, run them from the root of the repository, print results and a table; results are appended to results.jsonl in --out",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			run.site = args[0]
@@ -222,26 +223,26 @@
 	}
 	run.flags(c)
 	f := c.Flags()
-	f.IntVar(&run.jobs, "jobs", 1, "days at once")
-	f.StringVar(&run.why, "why", "", "a sentence for the journal")
-	f.StringVar(&run.log, "log", "", "machines whose output goes into the day's text file")
-	f.BoolVar(&run.noCPU, "no-cpu", false, "processor time isn't counted")
+	f.IntVar(&run.jobs, "jobs", 1, "number of scenarios to run at once")
+	f.StringVar(&run.why, "why", "", "one sentence for the journal: the reason for the run")
+	f.StringVar(&run.log, "log", "", "machines whose output is included in the text file of a scenario")
+	f.BoolVar(&run.noCPU, "no-cpu", false, "do not measure CPU time")
 	lo.Must0(c.MarkFlagRequired("why"))
 	return c
 }
 
-// play makes the scenarios, plays them and prints the table.
+// play generates the scenarios, runs them and prints the table.
 func (run *scenarioRun) play() (err error) {
 	if run.jobs < 1 || run.jobs > maxJobs {
-		return fmt.Errorf("--jobs %d: 1 to %d", run.jobs, maxJobs)
+		return fmt.Errorf("--jobs %d is not in the range 1 to %d", run.jobs, maxJobs)
 	}
 	if run.why == "" || len(run.why) >= maxWhyBytes || strings.Contains(run.why, "\n") {
-		return fmt.Errorf("--why: one plain sentence under %d characters", maxWhyBytes)
+		return fmt.Errorf("--why must be one non-empty line of less than %d bytes", maxWhyBytes)
 	}
 	if run.generatedScenarios, err = run.generate(run.site); err != nil {
 		return err
 	}
-	// built once, so that scenarios that run at once don't build
+	// Build once in advance, so that concurrent runs don't.
 	if out, err := exec.Command(run.benchProgram, "build").CombinedOutput(); err != nil {
 		return fmt.Errorf("%s build: %w\n%s", filepath.Base(run.benchProgram), err, out)
 	}
@@ -254,12 +255,12 @@
 	run.playAll()
 	scenario.FormatTable(os.Stdout, run.results)
 	broken := lo.CountBy(run.results, scenario.RunResult.Failed)
-	fmt.Printf("%d days played, %d of them with a broken rule or a fault, %d not played\n",
+	fmt.Printf("%d scenarios run, %d of them with a rule violation or a fault, %d not run\n",
 		len(run.results), broken, len(run.scenarios)-len(run.results))
 	return errors.Join(run.errs...)
 }
 
-// playAll plays all scenarios, as many at once as there are jobs.
+// playAll runs all scenarios with the configured number of workers and returns when all are done.
 func (run *scenarioRun) playAll() {
 	pending := make(chan int, len(run.scenarios))
 	for i := range run.scenarios {
@@ -277,7 +278,7 @@
 	workers.Wait()
 }
 
-// playOne plays one scenario and records its result.
+// playOne runs scenario i and records and prints its result or error.
 func (run *scenarioRun) playOne(i int) {
 	args := []string{"run", run.site, run.paths[i], "--jobs", "1", "--why", run.why}
 	if run.log != "" {
@@ -291,7 +292,7 @@
 	defer run.mu.Unlock()
 	if err != nil {
 		run.errs = append(run.errs, fmt.Errorf("%s: %w", run.scenarios[i].Name, err))
-		fmt.Println("NOT PLAYED", run.scenarios[i].Name, err)
+		fmt.Println("NOT RUN", run.scenarios[i].Name, err)
 		return
 	}
 	closing := run.scenarios[i].Closing
@@ -304,7 +305,8 @@
 
 var journalEntryID = regexp.MustCompile(`(?m)^snapshot ([0-9a-f]{8})$`)
 
-// playScenario plays one scenario, writes what the bench prints into a file and reads its journal entry.
+// playScenario runs the benchmark program for one scenario, writes its output to the file out and parses the journal entry that the
+// output names. It also returns the output. The exit status only matters if there is no journal entry.
 func playScenario(bench string, args []string, out string) (result scenario.RunResult, text string, err error) {
 	var printed bytes.Buffer
 	cmd := exec.Command(bench, args...)
@@ -320,7 +322,7 @@
 	}
 	found, err := filepath.Glob("journal/*-" + string(id[1]) + ".json")
 	if err != nil || len(found) != 1 {
-		return result, "", fmt.Errorf("journal entry %s: %d files", id[1], len(found))
+		return result, "", fmt.Errorf("journal entry %s: found %d files, expected one", id[1], len(found))
 	}
 	entry, err := os.ReadFile(found[0])
 	if err != nil {
@@ -333,7 +335,7 @@
 func printTable() *cobra.Command {
 	return &cobra.Command{
 		Use:   "table RESULTS...",
-		Short: "the table of days played before, by site and kind",
+		Short: "print failed runs and the table by site and kind from results files",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			var all []scenario.RunResult
@@ -356,7 +358,7 @@
 	}
 }
 
-// readResults reads a file of results, one a line.
+// readResults reads a results file, which has one JSON object per line.
 func readResults(path string) (results []scenario.RunResult, err error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/cmd/lab/trial.go
+++ b/cmd/lab/trial.go
@@ -11,12 +11,13 @@
 	"portflow/internal/lab/trial"
 )
 
-// trialCommand runs the deployed programs on loopback, under changes and signals.
+// trialCommand returns the command that tests the deployed programs on loopback under load, configuration changes and signals. It fails
+// if there are violations.
 func trialCommand() *cobra.Command {
 	o := trial.Defaults()
 	seconds := int(o.Lasts / time.Second)
 	var asJSON bool
-	c := &cobra.Command{Use: "trial", Short: "the deployed programs on loopback, under load, configuration changes and signals", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "trial", Short: "test the deployed programs on loopback under load, configuration changes and signals", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			o.Lasts = time.Duration(seconds) * time.Second
 			began := time.Now()
@@ -38,16 +39,16 @@
 			return nil
 		}}
 	f := c.Flags()
-	f.StringVar(&o.Program, "program", o.Program, "the program that is started")
-	f.IntVar(&seconds, "seconds", seconds, "how long clients ask; the restarts at the end come on top")
-	f.Uint64Var(&o.Seed, "seed", o.Seed, "seed of all random draws")
+	f.StringVar(&o.Program, "program", o.Program, "path of the program under test")
+	f.IntVar(&seconds, "seconds", seconds, "how long clients send requests, in seconds, not counting the restarts at the end")
+	f.Uint64Var(&o.Seed, "seed", o.Seed, "random seed")
 	f.IntVar(&o.Clients, "clients", o.Clients, "clients")
-	f.IntVar(&o.Kills, "kills", o.Kills, "signals (SIGHUP, SIGTERM, SIGKILL) that processes are sent")
-	f.IntVar(&o.Restarts, "restarts", o.Restarts, "times that all control processes are killed at once at the end")
-	f.IntVar(&o.Procs, "procs", o.Procs, "GOMAXPROCS of the processes, 0 for all")
-	f.IntVar(&o.Requests, "requests", o.Requests, "the most requests that are sent")
-	f.StringVar(&o.Dir, "dir", "", "a folder for logs and data, a temporary one if empty")
-	f.BoolVar(&o.Keep, "keep", false, "keep the control processes' data")
-	f.BoolVar(&asJSON, "json", false, "print the result as one JSON object")
+	f.IntVar(&o.Kills, "kills", o.Kills, "number of signals (SIGHUP, SIGTERM, SIGKILL) to send to processes")
+	f.IntVar(&o.Restarts, "restarts", o.Restarts, "number of times to kill all control processes at once at the end")
+	f.IntVar(&o.Procs, "procs", o.Procs, "GOMAXPROCS of the processes (0: all CPUs)")
+	f.IntVar(&o.Requests, "requests", o.Requests, "maximum number of requests to send")
+	f.StringVar(&o.Dir, "dir", "", "directory for logs and data (default: a temporary directory)")
+	f.BoolVar(&o.Keep, "keep", false, "keep the data directories of the control processes")
+	f.BoolVar(&asJSON, "json", false, "print the result as a JSON object")
 	return c
 }
--- a/internal/lab/scenario/catalog.go
+++ b/internal/lab/scenario/catalog.go
@@ -18,7 +18,7 @@
 type Kind struct {
 	Name            string
 	Variants        []string           // values of how that the line names
-	Words           []string           // all words of the line; a field applies to the kind if it is among them
+	Words           []string           // words of the line, which include the fields that it mentions
 	Defaults        map[string]float64 // by field, from the values that the line gives in parentheses
 	TargetsMachines bool               // the kind affects machines, so its variants may use roles and suffixes
 	CutsLinks       bool               // the kind partitions the network
@@ -32,7 +32,7 @@
 	ServerVariants  []string            // extra variants for kinds that affect servers
 	Roles           []string            // extra variants for kinds that affect machines; a role selects the machine
 	Suffixes        []string            // words that may follow a role, sorted
-	SuffixKinds     map[string][]string // kinds that a suffix is restricted to, by suffix; a missing suffix is unrestricted
+	SuffixKinds     map[string][]string // by suffix, the kinds that it is restricted to; suffixes without an entry fit all kinds
 	LinkVariants    []string            // extra variants for kinds that partition the network
 	Closings        []string            // kinds of closing faults
 	ClosingVariants []string            // variants of closing faults
--- a/internal/lab/scenario/fields.go
+++ b/internal/lab/scenario/fields.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// mayNameClass reports whether entries of a kind may restrict themselves to a class of machines (on).
+// mayNameClass reports whether entries of a kind may be restricted to a class of machines (on).
 func (g *Generator) mayNameClass(kind Kind) bool {
 	return kind.TargetsMachines && !g.Planned[kind.Name] && slices.Contains(kind.Words, "share")
 }
--- a/internal/lab/scenario/generator.go
+++ b/internal/lab/scenario/generator.go
@@ -13,7 +13,7 @@
 	"portflow/internal/random"
 )
 
-// Generator draws scenarios for one site. It is immutable after NewGenerator.
+// Generator draws scenarios for one site. It must be created with NewGenerator.
 type Generator struct {
 	Catalog
 	Site
--- a/internal/lab/scenario/toml.go
+++ b/internal/lab/scenario/toml.go
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// tableList returns the elements of v that are tables, nil if it isn't a list.
+// tableList returns the elements of v that are tables, an empty list if it isn't a list.
 func tableList(v any) []map[string]any {
 	return lo.FilterMap(stringList(v), func(v any, _ int) (map[string]any, bool) { m, ok := v.(map[string]any); return m, ok })
 }
