--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -1,4 +1,4 @@
-// Package docs has the tests of the pages in docs: what they name must exist.
+// Package docs tests the documentation: names, tests and files that the pages refer to must exist.
 package docs
 
 import (
@@ -17,23 +17,23 @@
 
 const root = "../.."
 
-// Pages of history name what existed when they were written; their links are checked all the same.
+// historyPages matches pages that describe the past and may use former names. Their links are checked too.
 var historyPages = regexp.MustCompile(`^docs/(results\.md|incidents/)`)
 
 var (
 	quoted     = regexp.MustCompile("`([^`]+)`")
 	testName   = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w*`)
 	sourcePath = regexp.MustCompile(`^(?:internal|cmd|deploy|examples)(?:/[\w.-]+)*$`)
-	// goName is a name with a capital in it, qualified or not, such as Dispatcher, proxy.Proxy or Proxy.handle, or clientConn.
+	// goName matches a Go name with a capital letter, qualified or not, such as Dispatcher, proxy.Proxy, Proxy.handle or clientConn.
 	goName = regexp.MustCompile(`^[a-z]*(?:\.?[A-Z]\w*)+(?:\.\w+)?$`)
-	// runPattern finds what a page has go test -run play; XXX plays nothing, beside benchmarks.
+	// runPattern matches the argument of go test -run on a page; XXX selects no test, for runs of benchmarks only.
 	runPattern = regexp.MustCompile(`-run (\w+)`)
 	link       = regexp.MustCompile(`\]\(([^)#\s]+)[^)]*\)`)
 	docPath    = regexp.MustCompile(`\bdocs/[\w/.-]*\.md\b`)
 )
 
-// sources are the names that the Go files declare: "package.Name" and "package.Type.Member" of files that are no tests, and the
-// names of tests.
+// sources holds the names declared in Go files: "package.Name" and "package.Type.Member" from non-test files, and the names of test
+// functions.
 type sources struct {
 	declared, tests map[string]bool
 }
@@ -116,7 +116,7 @@
 	}
 }
 
-// receiverType is the name of a method's type, without pointer and type parameters.
+// receiverType returns the name of a method's receiver type without pointer and type parameters.
 func receiverType(expr ast.Expr) string {
 	switch expr := expr.(type) {
 	case *ast.StarExpr:
@@ -131,7 +131,7 @@
 	return ""
 }
 
-// exists says whether a name of the glossary's column of code exists: a path from the root, or a declared name.
+// exists reports whether a name of the glossary exists as a path from the root or as a declared name.
 func (s sources) exists(name string) bool {
 	if strings.Contains(name, "/") {
 		_, err := os.Stat(filepath.Join(root, name))
@@ -140,7 +140,7 @@
 	return s.declared[name]
 }
 
-// glossaryRow is a row of one of the glossary's tables: a word, its term, where it is in the code, and a sentence.
+// glossaryRow is a row of a glossary table: a word, its standard term, the names in the code, and the meaning.
 type glossaryRow struct {
 	part, word string
 	code       string
@@ -172,7 +172,7 @@
 	return rows
 }
 
-// Each row has four cells, and every name in its third exists.
+// Each glossary row must have four cells, and every name in the third must exist.
 func TestGlossaryNamesExist(t *testing.T) {
 	known, rows := readSources(t), readGlossary(t)
 	if len(rows) < 100 {
@@ -195,7 +195,7 @@
 	}
 }
 
-// Each part is in the order of the alphabet, with no word twice.
+// Both parts of the glossary must be sorted and have no duplicate words.
 func TestGlossaryIsSorted(t *testing.T) {
 	parts := map[string][]string{}
 	for _, row := range readGlossary(t) {
@@ -213,7 +213,7 @@
 	}
 }
 
-// pages are the pages of docs and at the root, with their text.
+// pages returns the text of the pages in docs and at the root, by path.
 func pages(t *testing.T) map[string]string {
 	t.Helper()
 	all := map[string]string{}
@@ -243,7 +243,7 @@
 	return all
 }
 
-// The pages that aren't history name only tests that exist.
+// Pages other than historyPages must refer only to tests that exist.
 func TestPagesNameTestsThatExist(t *testing.T) {
 	known := readSources(t)
 	for page, text := range pages(t) {
@@ -263,7 +263,7 @@
 	}
 }
 
-// Links between pages lead to files that exist, and so do pages that are named by their path.
+// Links and paths of pages must refer to existing files.
 func TestLinksLeadToFiles(t *testing.T) {
 	for page, text := range pages(t) {
 		for _, target := range link.FindAllStringSubmatch(text, -1) {
@@ -282,7 +282,7 @@
 	}
 }
 
-// docs/oncall.md has each message that the proxy and control log.
+// docs/oncall.md must have a row for each message that proxies and control processes log.
 func TestOnCallHasEachLogLine(t *testing.T) {
 	documented := firstCells(pages(t)["docs/oncall.md"])
 	messages := 0
@@ -308,7 +308,7 @@
 	}
 }
 
-// firstCells are the quoted words in the first cells of a page's tables.
+// firstCells returns the quoted words in the first cells of a page's tables.
 func firstCells(page string) map[string]bool {
 	words := map[string]bool{}
 	for line := range strings.Lines(page) {
@@ -324,7 +324,7 @@
 	return words
 }
 
-// logMessages are the messages that a file logs by klog.InfoS and klog.ErrorS.
+// logMessages returns the messages that a file logs with klog.InfoS and klog.ErrorS.
 func logMessages(t *testing.T, path string) (messages []string) {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
@@ -343,7 +343,7 @@
 		if !isKlog(function.X) || !strings.HasSuffix(function.Sel.Name, "S") {
 			return true
 		}
-		for _, arg := range call.Args[:min(2, len(call.Args))] { // the message is first, or behind an error
+		for _, arg := range call.Args[:min(2, len(call.Args))] { // the message is the first argument, or follows an error
 			literal, ok := arg.(*ast.BasicLit)
 			if !ok || literal.Kind != token.STRING {
 				continue
@@ -360,7 +360,7 @@
 	return messages
 }
 
-// architecture.md names paths, and types and functions with or without their package; all of them exist.
+// Paths, types and functions named in docs/architecture.md, with or without their package, must exist.
 func TestArchitectureNamesExist(t *testing.T) {
 	known := readSources(t)
 	unqualified := map[string]bool{}
@@ -385,7 +385,7 @@
 	}
 }
 
-// isKlog says whether an expression is klog or klog.V of a verbosity.
+// isKlog reports whether an expression is klog or klog.V with a verbosity.
 func isKlog(expr ast.Expr) bool {
 	switch expr := expr.(type) {
 	case *ast.Ident:
