--- a/internal/golden/answers_test.go
+++ b/internal/golden/answers_test.go
@@ -26,7 +26,7 @@
 	"portflow/internal/decision"
 )
 
-// What a call answers: with a body, without one, and with each kind of error; status, headers and body.
+// Guards the status, headers and body of responses to control calls: with a body, without one, and for each kind of error.
 func TestAnswers(t *testing.T) {
 	answers := map[string]rpc.Call{
 		"body":  {Name: "body", Handle: func(context.Context, string, []byte) (any, error) { return map[string]string{"a": "<b>"}, nil }},
@@ -75,7 +75,7 @@
 	Equal(t, "answers.txt", all.Bytes())
 }
 
-// Words and numbers that are stored, sent, or read by operators.
+// Guards names and numbers of constants that are stored, sent or shown to operators.
 func TestWords(t *testing.T) {
 	var all bytes.Buffer
 	say := func(what string, values ...any) { fmt.Fprintf(&all, "%s %q\n", what, values) }
--- a/internal/golden/configuration_test.go
+++ b/internal/golden/configuration_test.go
@@ -21,7 +21,7 @@
 	return raw
 }
 
-// lines lays values out as JSON, a line each.
+// jsonLines encodes values as JSON Lines.
 func jsonLines[T any](t testing.TB, all []T) (raw []byte) {
 	t.Helper()
 	for _, v := range all {
@@ -30,7 +30,7 @@
 	return raw
 }
 
-// configuration is a set with an item of each kind that operators set, from the change in testdata.
+// configuration returns a set with an item of each kind that operators can change, read from testdata/input/change.json.
 func configuration(t testing.TB) *config.Set {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/input/change.json")
@@ -58,8 +58,9 @@
 	return items
 }
 
-// everything is a set with an item of each kind, as control processes store it: configuration, members, an evacuation that
-// was withdrawn, a service's first version, a rollout that ended and one that runs, and items with earlier versions.
+// everything returns a set with an item of each kind as control processes store them: configuration, members, a cancelled
+// evacuation, the initial version of a service, an ended and a running rollout, and items with earlier versions. changes has
+// the items that each operation produced.
 func everything(t testing.TB) (set *config.Set, changes [][]config.Item) {
 	t.Helper()
 	set = configuration(t)
@@ -87,7 +88,7 @@
 	return set, changes
 }
 
-// A configuration as operators send it becomes the same items, and is read back as the same bytes.
+// Guards the items that an operator's configuration change is parsed into, and the bytes that it is read back as.
 func TestConfiguration(t *testing.T) {
 	set := configuration(t)
 	Equal(t, "configuration/items.jsonl", jsonLines(t, set.All()))
@@ -102,12 +103,13 @@
 	}
 	for _, i := range items {
 		if stands, _ := set.Lookup(i.Key()); !stands.Equal(i) {
-			t.Errorf("%s: read back as %s", mustJSON(t, stands), mustJSON(t, i))
+			t.Errorf("%s: parsed again as %s", mustJSON(t, stands), mustJSON(t, i))
 		}
 	}
 }
 
-// What the core decides becomes the same items, whichever release decides it, and what they say is read from them.
+// Guards the items that each committed operation produces, and how members and rollouts are decoded from them. Every release
+// must produce the same items for an operation.
 func TestDecidedItems(t *testing.T) {
 	set, changes := everything(t)
 	Equal(t, "configuration/decided.jsonl", jsonLines(t, changes))
@@ -116,20 +118,20 @@
 		t.Errorf("the members are read as %+v, %v", members, set.Members())
 	}
 	if !reflect.DeepEqual(membership.FromItem(members.Item()), members) {
-		t.Errorf("the members are written as %+v", members.Item())
+		t.Errorf("members encoded as %+v, not equal after decoding", members.Item())
 	}
 	desk, _ := set.Lookup(config.Key{Kind: config.KindRollouts, Name: "desk"})
 	want := rollout.Rollout{Service: "desk", Number: 2, From: "v2", BaseNumber: 1, Target: "v3", StartedAt: 1700000100e9, Duration: 30e9,
 		State: rollout.Running, PastDigests: [rollout.MaxPastDigests]uint64{rollout.Digest("v2", 60e9)}}
 	if got := rollout.FromItem(desk); got != want {
-		t.Errorf("the rollout is read as %+v, not %+v", got, want)
+		t.Errorf("rollout decoded as %+v, want %+v", got, want)
 	}
 	if !want.Item().Equal(desk) {
-		t.Errorf("the rollout is written as %s, not %s", want.Item().Body, desk.Body)
+		t.Errorf("rollout encoded as %s, want %s", want.Item().Body, desk.Body)
 	}
 	settled, _ := set.Lookup(config.Key{Kind: config.KindStableVersions, Name: "desk"})
 	if got := rollout.StableVersion(settled, rollout.Rollout{}); got != "v1" {
-		t.Errorf("the first version is read as %q", got)
+		t.Errorf("stable version of desk = %q, want v1", got)
 	}
 	Equal(t, "configuration/everything.jsonl", jsonLines(t, set.All()))
 	restored, err := operation.Apply(set, operation.Operation{Kind: operation.RestoreSnapshot, Items: configuration(t).All(), Version: "snapshot-1", Expected: 2})
--- a/internal/golden/disk_test.go
+++ b/internal/golden/disk_test.go
@@ -20,10 +20,10 @@
 
 const imageFolder = "testdata/golden/disk/image"
 
-// consensusCell is where a control process keeps the record of the consensus.
+// consensusCell is the name of the cell in which a control process stores its consensus.HardState.
 const consensusCell = "node"
 
-// consensusRecord is a member's, with a vote on a change that isn't decided yet.
+// consensusRecord returns the consensus state of a voting member that has accepted a change that isn't committed yet.
 func consensusRecord(set *config.Set) consensus.HardState {
 	item, _ := set.Lookup(config.Key{Kind: config.KindEvacuations, Name: "z1"})
 	return consensus.HardState{DiskID: "disk-1", Applied: 13, Promised: consensus.Ballot{Number: 7, Proposer: "life-3"}, Accepted: consensus.Ballot{Number: 6, Proposer: "life-2"}, AcceptedIndex: 14,
@@ -51,8 +51,8 @@
 	}
 }
 
-// writeDisk has the storage write everything in several steps, as a control process does, with an item that goes again. The
-// second opening leaves a table beside the journal.
+// writeDisk stores the items of everything in several writes, as a control process does, including an item and a cell that are
+// deleted again. Opening the store a second time leaves an SSTable beside the journal.
 func writeDisk(t testing.TB, folder string) {
 	t.Helper()
 	set, _ := everything(t)
@@ -74,7 +74,7 @@
 	end()
 }
 
-// rows are all keys and values of a disk, as the store below has them, a line each.
+// rows dumps all keys and values of the underlying LevelDB database, one pair per line.
 func rows(t testing.TB, folder string) []byte {
 	t.Helper()
 	db, err := leveldb.OpenFile(folder, &opt.Options{ErrorIfMissing: true})
@@ -104,7 +104,7 @@
 		t.Fatal(err)
 	}
 	for _, f := range files {
-		if f.Name() == "LOCK" || strings.HasPrefix(f.Name(), "LOG") { // of the run, not of what is stored
+		if f.Name() == "LOCK" || strings.HasPrefix(f.Name(), "LOG") { // runtime files, not stored data
 			continue
 		}
 		raw, err := os.ReadFile(filepath.Join(from, f.Name()))
@@ -117,34 +117,34 @@
 	}
 }
 
-// image is a copy of the golden disk, which an earlier release wrote.
+// image returns a temporary copy of the golden disk image, which an earlier release wrote.
 func image(t testing.TB) string {
 	t.Helper()
-	if _, err := os.Stat(imageFolder); os.IsNotExist(err) && os.Getenv(rewriteVariable) == "yes" { // an image stays unless it is removed
+	if _, err := os.Stat(imageFolder); os.IsNotExist(err) && os.Getenv(rewriteVariable) == "yes" { // an existing image is never rewritten
 		folder := t.TempDir()
 		writeDisk(t, folder)
 		copyFolder(t, imageFolder, folder)
-		t.Errorf("%s: written anew", imageFolder)
+		t.Errorf("%s: disk image rewritten", imageFolder)
 	}
 	folder := t.TempDir()
 	copyFolder(t, folder, imageFolder)
 	return folder
 }
 
-// What the storage writes has the same keys and values as ever.
+// Guards the keys and values that the store writes.
 func TestStoredRows(t *testing.T) {
 	folder := t.TempDir()
 	writeDisk(t, folder)
 	Equal(t, "disk/rows.txt", rows(t, folder))
 }
 
-// An earlier release's disk has those rows, is opened as whole, and holds the same items and record; written again from what
-// was read, all rows are the same.
+// Guards that a disk written by an earlier release opens as complete, has the expected rows, items and consensus state, and
+// yields the same rows when written again.
 func TestDiskImage(t *testing.T) {
 	folder := image(t)
 	want := Read(t, "disk/rows.txt")
 	if got := rows(t, folder); !bytes.Equal(got, want) {
-		t.Errorf("the disk holds\n%s\nnot\n%s", got, want)
+		t.Errorf("rows on disk\n%s\nwant\n%s", got, want)
 	}
 	folder = image(t)
 	book, items, cells, whole, end := open(t, folder)
@@ -153,14 +153,14 @@
 		t.Errorf("whole %v, repaired %v", whole, book.Repaired)
 	}
 	if !reflect.DeepEqual(items, set.All()) {
-		t.Errorf("the items are read as\n%s", jsonLines(t, items))
+		t.Errorf("unexpected items from disk:\n%s", jsonLines(t, items))
 	}
 	var record consensus.HardState
 	if err := json.Unmarshal(cells[consensusCell], &record); err != nil || len(cells) != 1 {
 		t.Fatal(err, cells)
 	}
 	if !reflect.DeepEqual(record, consensusRecord(set)) {
-		t.Errorf("the record is read as %+v", record)
+		t.Errorf("unexpected consensus state from disk: %+v", record)
 	}
 	end()
 
@@ -171,11 +171,11 @@
 	}
 	end()
 	if got := rows(t, again); !bytes.Equal(got, want) {
-		t.Errorf("written again the disk holds\n%s\nnot\n%s", got, want)
+		t.Errorf("rows after writing again\n%s\nwant\n%s", got, want)
 	}
 }
 
-// The file that says that a disk was found spoilt is known by its name, and goes once the disk holds all again.
+// Guards the name of the file that marks a store as damaged, and its removal once the store is complete again.
 func TestSpoiltMark(t *testing.T) {
 	const name, text = "1073741824.tmp", "spoilt\n"
 	folder := image(t)
@@ -187,13 +187,13 @@
 		t.Errorf("whole %v, repaired %v", whole, book.Repaired)
 	}
 	if raw, err := os.ReadFile(filepath.Join(folder, name)); err != nil || string(raw) != text {
-		t.Errorf("the mark is %q, %v", raw, err)
+		t.Errorf("damage marker contains %q, %v", raw, err)
 	}
 	if err := book.Write(items, nil, true); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(filepath.Join(folder, name)); !os.IsNotExist(err) {
-		t.Errorf("the mark stays: %v", err)
+		t.Errorf("damage marker still exists: %v", err)
 	}
 	end()
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,14 +1,14 @@
-// Package golden has what tests need that compare bytes with golden files: files in the testdata folder of the package under
-// test that say what is stored and what is sent. Processes of different releases exchange these bytes, and a release reads the
-// disks of earlier ones, so the files must not change when code is renamed or split.
+// Package golden compares encoded bytes with golden files, which live in the testdata folder of the package under test and
+// pin the storage and wire formats. Processes of different releases exchange these bytes, and a release reads data stored by
+// earlier ones, so renaming or splitting code must not change the files.
 //
-// A change of a golden file is a change of a format. To write the files anew, after the format was changed on purpose:
+// A changed golden file means a changed format. To regenerate the files after an intentional format change:
 //
 //	PORTFLOW_REWRITE_GOLDEN_FILES=yes go test ./...
 //
-// Each test whose file differed then writes it and fails, so that no run passes by rewriting; the next run without the
-// variable compares. The disk image is written only where its folder was removed. The commit says why the format changed and
-// how earlier releases read it.
+// Each test whose file differs then rewrites it and fails, so that a rewriting run never passes; run the tests again without
+// the variable to compare. The disk image is only regenerated if its folder has been removed. The commit message must say why
+// the format changed and how earlier releases read it.
 package golden
 
 import (
@@ -23,10 +23,11 @@
 	"testing"
 )
 
-// rewriteVariable is the environment variable that has golden files written anew.
+// rewriteVariable is the environment variable that enables rewriting of golden files; its value must be "yes".
 const rewriteVariable = "PORTFLOW_REWRITE_GOLDEN_FILES"
 
-// Equal compares bytes with the golden file of that name, byte for byte, and returns the file's bytes.
+// Equal compares got with the golden file testdata/golden/name byte for byte and returns the content of the file. It ends the
+// test if they differ, or rewrites the file if rewriting is enabled.
 func Equal(t testing.TB, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -35,7 +36,7 @@
 		return want
 	}
 	if os.Getenv(rewriteVariable) != "yes" {
-		t.Fatalf("%s: the bytes are others (%v)\n got %q\nwant %q", path, err, got, want)
+		t.Fatalf("%s: bytes differ from the golden file (%v)\n got %q\nwant %q", path, err, got, want)
 	}
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
@@ -43,11 +44,11 @@
 	if err := os.WriteFile(path, got, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	t.Errorf("%s: written anew; run the test again without %s", path, rewriteVariable)
+	t.Errorf("%s: golden file rewritten; run the test again without %s", path, rewriteVariable)
 	return got
 }
 
-// Read reads the golden file of that name.
+// Read returns the content of the golden file testdata/golden/name, without comparing it with anything.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", "golden", name))
@@ -57,7 +58,8 @@
 	return raw
 }
 
-// jsonName is the name of a field in JSON; tagged is false where the Go name would be taken, ok is false where it isn't encoded.
+// jsonName returns the JSON name of a struct field. tagged is false if the name falls back to the Go name, and ok is false if
+// the field isn't encoded.
 func jsonName(f reflect.StructField) (name string, tagged, ok bool) {
 	tag, tagged := f.Tag.Lookup("json")
 	name, _, _ = strings.Cut(tag, ",")
@@ -70,8 +72,8 @@
 	return name, tagged, true
 }
 
-// Untagged lists the exported fields, in a type and in all types that it holds, whose names in JSON would follow from their Go
-// names. Embedded structs without a tag have no name of their own in JSON.
+// Untagged lists the exported fields of a type, and of all types reachable from it, whose JSON names are derived from their Go
+// names. Embedded structs without a tag are not listed, as they are flattened and have no JSON name of their own.
 func Untagged(root reflect.Type) (fields []string) {
 	seen := map[reflect.Type]bool{}
 	var walk func(reflect.Type)
@@ -114,7 +116,7 @@
 	return t.Kind() == reflect.Struct
 }
 
-// marshalsItself tells whether a type's JSON is made by a method of it.
+// marshalsItself reports whether the type, or a pointer to it, has its own JSON or text marshaler.
 func marshalsItself(t reflect.Type) bool {
 	for _, name := range []string{"MarshalJSON", "MarshalText"} {
 		if _, ok := reflect.PointerTo(t).MethodByName(name); ok {
@@ -124,12 +126,13 @@
 	return false
 }
 
-// Fill gives every encoded field of what v points to a value of its own. Each follows from the field's path of JSON names
-// alone, so that it stays the same when Go names change, or fields are added beside it. Texts hold what JSON escapes; numbers
-// need all their bits.
+// Fill sets every encoded field of the value that v points to. Each field's value depends only on its path of JSON names, so
+// it stays the same when Go names change or sibling fields are added. Strings contain characters that JSON escapes; integers
+// use the full width of their type.
 func Fill(v any) { fill(reflect.ValueOf(v).Elem(), "$") }
 
-const elements = 2 // of each slice and map
+// elements is the number of elements in each slice and entries in each map that Fill creates.
+const elements = 2
 
 func fill(v reflect.Value, path string) {
 	hash := fnv.New64a()
@@ -145,7 +148,7 @@
 	case reflect.String:
 		v.SetString(path + ` <&>"é`)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(int64(number >> (65 - t.Bits()))) // positive, whatever its size
+		v.SetInt(int64(number >> (65 - t.Bits()))) // positive for every size
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
 		v.SetUint(number >> (64 - t.Bits()))
 	case reflect.Float32, reflect.Float64:
@@ -158,7 +161,7 @@
 			fill(v.Index(i), fmt.Sprintf("%s.%d", path, i))
 		}
 	case reflect.Slice:
-		if t.Elem().Kind() == reflect.Uint8 { // bytes, or JSON as it is: a JSON text is both
+		if t.Elem().Kind() == reflect.Uint8 { // []byte or json.RawMessage: a quoted string is valid for both
 			v.SetBytes(fmt.Appendf(nil, "%q", path))
 			return
 		}
@@ -179,7 +182,7 @@
 			name, tagged, ok := jsonName(t.Field(i))
 			switch {
 			case !ok || !v.Field(i).CanSet():
-			case !tagged && t.Field(i).Anonymous && isStruct(t.Field(i).Type): // its fields are those of this struct
+			case !tagged && t.Field(i).Anonymous && isStruct(t.Field(i).Type): // flattened into this struct
 				fill(v.Field(i), path)
 			default:
 				fill(v.Field(i), path+"."+name)
--- a/internal/golden/lines_test.go
+++ b/internal/golden/lines_test.go
@@ -34,7 +34,7 @@
 		Outcomes: [2]float64{20, 21}, Excess: [2]float64{0.5, 0.25}, Error: [2]float64{0.125, 0.0625}, Threshold: [2]float64{0.015, 0.12}, Allowance: 7}}
 )
 
-// session is what each side of a held connection says, in order.
+// session has the messages that one side sends over a stream, in order.
 type session struct {
 	name string
 	said []update.Message
@@ -65,7 +65,7 @@
 			{Status: &update.Status{Complete: true, Member: true, HasQuorum: true, ConfigChecksum: 1 << 63, Epoch: 2, Number: 13}, Now: 1700000000000000005},
 			{Batch: &update.Batch{Incarnation: "life-1", From: 4, To: 9, Epoch: 2, Number: 13, Changes: []update.Change{{Item: &goldenItem}, {Instance: &goldenHost}, {Proxy: &goldenRouter},
 				{Vote: &goldenVote}, {Ejection: &outlier.Ejection{ID: "h1", Service: "desk", EjectedUntil: 11, ProbationUntil: 12, Count: 2}}}}, Now: 1700000000000000006},
-			{Batch: &update.Batch{Incarnation: "life-1", To: 9, Snapshot: true, Changes: many}}, // long enough to be deflated
+			{Batch: &update.Batch{Incarnation: "life-1", To: 9, Snapshot: true, Changes: many}}, // long enough to be compressed
 			{Quota: &update.QuotaUpdate{Allocations: []quota.Allocation{{Quota: "tenant", Rate: 1.5, Used: 3, Calm: true}}, Capacity: map[string]float64{"desk": 80.5}}},
 			{Status: &update.Status{Leaving: true, Epoch: 2, Number: 13}},
 		}},
@@ -79,7 +79,7 @@
 	}
 }
 
-// recorded hears bytes and keeps what is written on it.
+// recorded is a connection that reads from in and writes to out.
 type recorded struct {
 	net.Conn
 	in  io.Reader
@@ -90,8 +90,8 @@
 func (c recorded) Write(b []byte) (int, error) { return c.out.Write(b) }
 func (c recorded) Close() error                { return nil }
 
-// What each side says on a held connection is laid out in the same bytes, from the opening on, and those bytes are heard as
-// the same messages: so a process of one release understands one of the other, in both directions.
+// Guards the bytes that each side sends over a stream, including the preamble, and that they decode to the same messages, so
+// that processes of different releases understand each other.
 func TestLines(t *testing.T) {
 	for _, s := range sessions(t) {
 		t.Run(s.name, func(t *testing.T) {
@@ -109,7 +109,7 @@
 				var heard []update.Message
 				l = stream.Open[update.Message](recorded{Conn: here, in: bytes.NewReader(raw), out: new(bytes.Buffer)}, stream.ControlKeepalive)
 				if err := l.Run(func(w update.Message) { heard = append(heard, w) }); !errors.Is(err, io.EOF) {
-					t.Errorf("the line ended with %v", err)
+					t.Errorf("stream ended with %v, want EOF", err)
 				}
 				if !reflect.DeepEqual(heard, s.said) {
 					t.Errorf("heard\n%s\nnot\n%s", jsonLines(t, heard), jsonLines(t, s.said))
@@ -119,8 +119,8 @@
 	}
 }
 
-// Frames of 511 bytes go as they are, longer ones are deflated where that makes them shorter. The deflated bytes are those of
-// the toolchain's compress/flate: a new toolchain may lay them out otherwise, and then only the second file is written anew.
+// Guards that frames of 511 bytes are sent uncompressed, and longer ones compressed if that makes them shorter. The compressed
+// bytes depend on the toolchain's compress/flate: if a new toolchain changes them, rewrite only the second file.
 func TestFrames(t *testing.T) {
 	short, long := []byte(strings.Repeat("s", 511)), []byte(strings.Repeat("long ", 200))
 	Equal(t, "lines/frame-plain.bin", stream.EncodeFrame(short))
@@ -184,7 +184,7 @@
 	}
 }
 
-// same compares values with a golden file of JSON lines, and reads that file as the values.
+// same compares values with a golden file in JSON Lines, and checks that the file decodes to the same values.
 func same[T any](t *testing.T, name string, all []T) {
 	t.Helper()
 	raw := Equal(t, name, jsonLines(t, all))
@@ -197,17 +197,17 @@
 		read = append(read, v)
 	}
 	if !reflect.DeepEqual(read, all) {
-		t.Errorf("%s: read as\n%s", name, jsonLines(t, read))
+		t.Errorf("%s: decoded as\n%s", name, jsonLines(t, read))
 	}
 }
 
-// Each kind of the consensus' messages, and each order that members hand to each other.
+// Guards the encoding of each kind of consensus message and of each operation that members forward to each other.
 func TestConsensusMessages(t *testing.T) {
 	same(t, "consensus/messages.jsonl", consensusMessages())
 	same(t, "consensus/operations.jsonl", allOrders())
 }
 
-// quiet is a connection whose deadlines are not looked at.
+// quiet is a connection that ignores deadlines.
 type quiet struct{ net.Conn }
 
 func (quiet) SetReadDeadline(time.Time) error  { return nil }
--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -22,15 +22,15 @@
 	"portflow/internal/router/site"
 )
 
-// root is a type that is stored or sent as JSON. Its name is that of its golden files, and stays.
+// root is a type that is stored or sent as JSON. Its name is also that of its golden files and must not change.
 type root struct {
 	name  string
-	value any // a pointer to it
+	value any // pointer to a zero value of the type
 }
 
 func roots() []root {
 	return []root{
-		// on held connections between processes
+		// sent over streams between processes
 		{"line-message", new(update.Message)},
 		{"line-hello", new(update.Hello)},
 		{"line-status", new(update.Status)},
@@ -54,14 +54,14 @@
 		{"quota-count", new(quota.CallerCount)},
 		{"quota-sum", new(quota.ZoneUsage)},
 		{"quota-allotment", new(quota.Allocation)},
-		// in datagrams; the envelope is not exported, its test lies beside it
+		// sent in datagrams; the envelope is unexported and tested in its own package
 		{"gossip-member", new(gossip.Member)},
-		// on disk
+		// stored on disk
 		{"stored-item", new(config.Item)},
 		{"stored-consensus", new(consensus.HardState)},
 		{"stored-members", new(membership.List)},
 		{"stored-rollout", new(rollout.Rollout)},
-		// bodies and answers of calls
+		// request and response bodies of calls
 		{"call-snapshot", new(snapshot.ReadRequest)},
 		{"answer-snapshot", new(snapshot.ReadResponse)},
 		{"call-restore", new(snapshot.RestoreRequest)},
@@ -72,14 +72,14 @@
 		{"answer-core-read", new(server.CoreStatus)},
 		{"answer-harbour-read", new(server.ClusterStatus)},
 		{"answer-refused", new(client.ResponseError)},
-		// what operators read
+		// output for operators, and their configuration file
 		{"output-quota-trial", new(client.ThrottledCaller)},
 		{"output-flow-record", new(ipfix.Read)},
 		{"operator-file", new(site.Config)},
 	}
 }
 
-// A field that is stored or sent without a tag is so under its Go name, and a rename would change the format.
+// Guards against encoded fields without a JSON tag: they take their Go name, so that renaming them would change the format.
 func TestEveryFieldHasTag(t *testing.T) {
 	for _, r := range roots() {
 		for _, field := range Untagged(reflect.TypeOf(r.value)) {
@@ -88,7 +88,7 @@
 	}
 }
 
-// untagged is for the check itself.
+// untagged has two exported fields without a JSON name, for the test of Untagged.
 type untagged struct {
 	Tagged string                       `json:"t"`
 	Not    map[string][]struct{ X int } `json:",omitempty"`
@@ -98,12 +98,12 @@
 func TestUntaggedFindsFields(t *testing.T) {
 	got := Untagged(reflect.TypeOf([]*untagged{{hidden: 1}}))
 	if len(got) != 2 {
-		t.Errorf("two fields have no tag: %q", got)
+		t.Errorf("untagged fields: %q, want 2", got)
 	}
 }
 
-// Each message with a value in every field, and with none, is encoded as the golden file has it, and the file's bytes are
-// read as that message. So what one release sends another reads, in both directions.
+// Guards the encoding of each message, with all fields set and with none, and that the golden file decodes to the same
+// message, so that each release can read what another sends.
 func TestMessages(t *testing.T) {
 	for _, r := range roots() {
 		t.Run(r.name, func(t *testing.T) {
@@ -125,10 +125,10 @@
 					t.Fatal(err)
 				}
 				if string(again) != string(want) {
-					t.Errorf("%s: read and written again:\n got %s\nwant %s", name, again, want)
+					t.Errorf("%s: decoded and encoded again:\n got %s\nwant %s", name, again, want)
 				}
 				if message == full && !reflect.DeepEqual(read, full) {
-					t.Errorf("%s: read as %+v, not %+v", name, read, full)
+					t.Errorf("%s: decoded as %+v, want %+v", name, read, full)
 				}
 			}
 		})
--- a/internal/golden/settings_test.go
+++ b/internal/golden/settings_test.go
@@ -27,7 +27,7 @@
 	return raw
 }
 
-// The router's configuration: every name in the file sets what it set before.
+// Guards the names in the router's configuration file: each must set the same field as before.
 func TestRouterConfiguration(t *testing.T) {
 	got, err := config.Read(input(t, "config.json"), func(string) string { return "" })
 	if err != nil {
@@ -49,11 +49,11 @@
 				CapPerClass: true, SideBySide: true, GuardedStages: 8, KeyAffinity: true, ReportedShare: 0.45, ColdCapacity: 0.33, WarmUpTime: 4e9, CollapseFactor: 4.5,
 				LoadFields: []decision.LoadField{decision.InFlight, decision.Utilization}}}}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read as\n%+v\nnot\n%+v", got, want)
+		t.Errorf("configuration read as\n%+v\nwant\n%+v", got, want)
 	}
 }
 
-// The settings file of the system's processes.
+// Guards the names in the settings file of the cluster's processes.
 func TestProcessSettings(t *testing.T) {
 	got, err := settings.Parse(string(input(t, "boot.conf")))
 	if err != nil {
@@ -67,11 +67,11 @@
 			RollbackSlack: 10e9, OuterStretch: 11e9, BudgetWindow: 12e9, Rollback: 13e9, Evacuation: 14e9, Recovery: 15e9, Lifetime: 16e9,
 			BudgetRatio: 0.17, BudgetSlack: 0.18, ExposureShare: 0.19, ExposureSlack: 0.2, ColdOverrun: 0.21, ColdSlack: 0.22}}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read as\n%+v\nnot\n%+v", got, want)
+		t.Errorf("settings read as\n%+v\nwant\n%+v", got, want)
 	}
 }
 
-// The operator's file, and the schema that it is checked by.
+// Guards the names in the operator's site file, and the schema that validates it.
 func TestOperatorsFile(t *testing.T) {
 	got, err := site.Parse("site.star", input(t, "site.star"))
 	if err != nil {
@@ -81,12 +81,12 @@
 		Flows: &site.Flows{Collectors: []string{"udp://10.0.0.9:4739", "udp://10.0.0.8:4739"}, Protocol: "netflow9", Domain: 7, Enterprise: 9, Active: 50e9, Idle: 12e9,
 			Memory: 2 << 20, Refresh: 500e9, MTU: 1300}}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %s, not %s", mustJSON(t, got), mustJSON(t, want))
+		t.Errorf("site file read as %s, want %s", mustJSON(t, got), mustJSON(t, want))
 	}
 	Equal(t, "operators-schema.json", site.Schema())
 }
 
-// What hosts send with each heartbeat.
+// Guards the names in the heartbeats that hosts send.
 func TestHeartbeat(t *testing.T) {
 	tree, err := rpc.ParseObject([]byte(`{"address":"10.0.1.1:80","information":{"service":"desk","version":"v1","zone-name":"z1","slot-count":8},
 		"current-status":{"sequence":5,"server-state":"draining","cold-remaining-s":1.5}}`))
@@ -96,11 +96,11 @@
 	got, err := instance.ParseHeartbeat("h1", tree, 1000)
 	want := instance.Instance{ID: "h1", Service: "desk", Address: "10.0.1.1:80", Zone: "z1", Version: "v1", Slots: 8, State: instance.Draining, WarmUpUntil: 1500001000, Sequence: 5}
 	if err != nil || got != want {
-		t.Errorf("read as %+v, %v", got, err)
+		t.Errorf("heartbeat read as %+v, %v", got, err)
 	}
 }
 
-// The files that operators deploy with, as they stand in the repository, are read.
+// Guards that the deployment and example files in the repository can be read.
 func TestDeployedFiles(t *testing.T) {
 	if _, err := site.Read("../../deploy/service.star"); err != nil {
 		t.Error(err)
--- a/internal/golden/snapshots_test.go
+++ b/internal/golden/snapshots_test.go
@@ -15,7 +15,7 @@
 	"portflow/internal/control/snapshot"
 )
 
-// many are items that take more than one chunk.
+// many returns enough items to need more than one chunk.
 func many() (all []config.Item) {
 	for n := range 900 {
 		all = append(all, config.Item{Kind: config.KindServices, Name: fmt.Sprintf("service-%03d", n), Version: uint64(n + 1), Deleted: n%7 == 6,
@@ -24,7 +24,7 @@
 	return all
 }
 
-// An operator's snapshot has the same bytes, chunk by chunk, and is read as the same items.
+// Guards the bytes of each chunk of an operator's snapshot, and that they decode to the same items.
 func TestOperatorsSnapshot(t *testing.T) {
 	set, _ := everything(t)
 	for name, items := range map[string][]config.Item{"snapshots/everything.bin": withoutPast(set.All()), "snapshots/chunks.bin": many()} {
@@ -40,7 +40,7 @@
 			file = append(binary.BigEndian.AppendUint32(file, uint32(len(chunk))), chunk...)
 		}
 		if name == "snapshots/chunks.bin" && chunks < 2 {
-			t.Errorf("%d chunks", chunks)
+			t.Errorf("%d chunks, want at least 2", chunks)
 		}
 		raw := Equal(t, name, file)
 		var read []config.Item
@@ -49,7 +49,7 @@
 			return nil
 		})
 		if err != nil || got != head || !reflect.DeepEqual(read, items) {
-			t.Errorf("%s: read as %v, %d items, %v", name, got, len(read), err)
+			t.Errorf("%s: decoded as %v, %d items, %v", name, got, len(read), err)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 	return all
 }
 
-// A router's snapshot goes out in the same frames, and is put together from them.
+// Guards the frames of a snapshot sent to a router, and that it is reassembled from them.
 func TestRoutersSnapshot(t *testing.T) {
 	items := many()
 	notes := make([]update.Change, len(items))
@@ -74,20 +74,20 @@
 		t.Fatal(err)
 	}
 	if len(cut.Messages) < 2 {
-		t.Errorf("%d chunks", len(cut.Messages))
+		t.Errorf("%d chunks, want at least 2", len(cut.Messages))
 	}
 	raw := Equal(t, "snapshots/router.bin", bytes.Join(cut.Messages, nil))
 	var assembly update.Assembly
 	l := stream.Open[update.Message](recorded{in: io.MultiReader(bytes.NewReader([]byte("pfl1")), bytes.NewReader(raw)), out: new(bytes.Buffer), Conn: quiet{}}, stream.ControlKeepalive)
 	l.Run(func(w update.Message) {
 		if w.Chunk == nil {
-			t.Errorf("no chunk: %s", mustJSON(t, w))
+			t.Errorf("message without a chunk: %s", mustJSON(t, w))
 		} else if err := assembly.Add(*w.Chunk); err != nil {
 			t.Error(err)
 		}
 	})
 	got, ok := assembly.Finish(update.Batch{Incarnation: "life-1", From: 9, To: 9})
 	if !ok || !reflect.DeepEqual(got, notes) {
-		t.Errorf("put together from %d of %d notes: %v", len(got), len(notes), ok)
+		t.Errorf("reassembled %d of %d changes, ok = %v", len(got), len(notes), ok)
 	}
 }
--- a/internal/golden/source_test.go
+++ b/internal/golden/source_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// In the sources a struct that has one json tag has one on each exported field, also a struct that no other package can name;
-// and a struct type without a name, which functions read answers into, has tags wherever JSON is read in its file.
+// Guards against untagged fields in encoded structs, unexported ones included. If one field of a struct type has a JSON tag,
+// each exported field needs one; so does each field of an anonymous struct variable in a file that imports encoding/json.
 func TestSourcesHaveTags(t *testing.T) {
 	files := token.NewFileSet()
 	structs := 0
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	if structs < 300 {
-		t.Errorf("%d structs were found: the walk misses sources", structs)
+		t.Errorf("only %d structs found: the walk misses source files", structs)
 	}
 }
 
@@ -72,7 +72,8 @@
 	return false
 }
 
-// innerStruct is the struct that a field of an unnamed type holds, through lists and pointers.
+// innerStruct returns the anonymous struct type that a field's type contains, directly or as the element of slices, arrays,
+// maps or pointers, or nil if there is none.
 func innerStruct(kind ast.Expr) *ast.StructType {
 	switch k := kind.(type) {
 	case *ast.StructType:
