--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,4 +1,5 @@
-// Command toy runs what is around a router, on the addresses of config.json: two hosts, discovery and the platform.
+// Command toy runs the servers that a router needs, at the addresses in examples/config.json: two hosts, discovery and the
+// platform.
 package main
 
 import (
@@ -25,10 +26,10 @@
 	serve("127.0.0.1:6400", platform)
 }
 
-// serve answers requests until the program ends.
+// serve blocks; a listener that fails ends the program.
 func serve(address string, h http.HandlerFunc) { log.Fatal(http.ListenAndServe(address, h)) }
 
-// discovery answers one list, which never changes.
+// discovery returns a host list that never changes. A request for changes since its revision waits until its timeout.
 func discovery(w http.ResponseWriter, r *http.Request) {
 	if r.FormValue("index") != "2" {
 		fmt.Fprint(w, memberList)
@@ -42,7 +43,7 @@
 	}
 }
 
-// platform answers one build, which is released.
+// platform returns a stable release of a single build. Watches get it once, then an empty object each second.
 func platform(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/api/watch" {
 		fmt.Fprint(w, releaseState)
--- a/internal/standin/behaviour.go
+++ b/internal/standin/behaviour.go
@@ -2,18 +2,19 @@
 
 import "math"
 
-// ClientBehaviour is how a client retries.
+// ClientBehaviour describes when a client retries and when it abandons an attempt.
 type ClientBehaviour struct {
-	Retries             int     // at most
-	InitialWait         int64   // before a retry, 0 for at once
-	BackoffFactor       float64 // of the wait with each attempt; 1 for a fixed one
-	HonoursRetryAfter   bool    // it waits as long as Retry-After says, where that is longer
-	EarlyFactor         float64 // fraction of Retry-After after which it retries all the same, 1 for none
-	SendsIdempotencyKey bool    // it marks retries
-	Patience            float64 // fraction of the timeout after which it gives an attempt up
+	Retries             int     // maximum number of retries
+	InitialWait         int64   // mean wait before the first retry in nanoseconds; 0 retries at once
+	BackoffFactor       float64 // factor by which the wait grows with each retry; 1 keeps it fixed
+	HonoursRetryAfter   bool    // extends the wait to the Retry-After of the response
+	EarlyFactor         float64 // fraction of Retry-After that the client waits for; 1 for all of it
+	SendsIdempotencyKey bool    // sends an idempotency key, so that hosts recognize retries
+	Patience            float64 // fraction of the timeout after which the client abandons an attempt
 }
 
-// NextRetry returns how long to wait before the next attempt, if there is one; attempt counts from 0, and draw is from [0, 1).
+// NextRetry returns the wait before the next attempt in nanoseconds; again is false if there are no retries left. attempt
+// counts from 0, advised is the Retry-After of the response in nanoseconds, and draw is a random number in [0, 1) for jitter.
 func (b ClientBehaviour) NextRetry(attempt int, advised int64, draw float64) (wait int64, again bool) {
 	if attempt >= b.Retries {
 		return 0, false
@@ -25,12 +26,13 @@
 	return wait, true
 }
 
-// DrawBehaviour returns a mixture of behaviours, as fleets have them: hasty clients, patient ones, and those that honour
-// Retry-After; u, v, w and x are draws from [0, 1).
+// DrawBehaviour returns a random behaviour from the mix of a typical fleet: clients that retry at once, after a fixed wait or
+// with exponential backoff. heed is the fraction of clients that honour Retry-After, marks sets SendsIdempotencyKey, and u, v,
+// w and x are random numbers in [0, 1).
 func DrawBehaviour(heed float64, marks bool, u, v, w, x float64) ClientBehaviour {
 	h := ClientBehaviour{Retries: 3, BackoffFactor: 1, EarlyFactor: 1, SendsIdempotencyKey: marks, Patience: 0.4 + 0.6*u, HonoursRetryAfter: w < heed}
 	switch {
-	case v < 0.4: // at once
+	case v < 0.4: // retries at once
 	case v < 0.7:
 		h.InitialWait = 200e6
 	case v < 0.9:
--- a/internal/standin/callqueue.go
+++ b/internal/standin/callqueue.go
@@ -1,14 +1,17 @@
 package standin
 
-// CallQueue is a service that serves calls in turn and rejects those that would wait for too long. A call that waits longer than
-// its caller does is served all the same, in vain. Times are nanoseconds.
+// CallQueue models a service that processes calls one at a time and rejects those that would wait too long. A call whose caller
+// has timed out is processed nevertheless, to no effect. All times are in nanoseconds.
 type CallQueue struct {
-	ServiceNanos, MaxQueueNanos, CallerTimeout int64 // of a call, the longest that one may have to wait, and the longest that a caller waits
-	Calls, Late, Rejected                      int
-	freeAt                                     int64 // when it has served all that it accepted
+	// ServiceNanos is the processing time of a call, MaxQueueNanos the longest wait in the queue, and CallerTimeout the time after
+	// which a caller stops waiting.
+	ServiceNanos, MaxQueueNanos, CallerTimeout int64
+	Calls, Late, Rejected                      int   // numbers of calls; Late counts those that exceeded CallerTimeout
+	freeAt                                     int64 // when all accepted calls will have been processed
 }
 
-// Call returns whether a call is answered, and when its caller knows.
+// Call queues a call at the time now. It reports whether the call succeeds within CallerTimeout, and when its caller learns of
+// the success, rejection or timeout.
 func (q *CallQueue) Call(now int64) (ok bool, at int64) {
 	q.Calls++
 	if q.freeAt = max(q.freeAt, now); q.freeAt-now > q.MaxQueueNanos {
--- a/internal/standin/collector/collector.go
+++ b/internal/standin/collector/collector.go
@@ -1,5 +1,5 @@
-// Package collector plays a collector of IPFIX on loopback: it decodes what comes, adds it up, and vanishes, lags or
-// loses on command.
+// Package collector is a fake IPFIX and NetFlow v9 collector on loopback. It decodes and totals the received records, can be
+// stopped and restarted, and drops datagrams on request.
 package collector
 
 import (
@@ -13,30 +13,31 @@
 	"portflow/internal/router/flow/netflow9"
 )
 
-// Collector adds up records, by the label that they carry.
+// Collector totals the received flow records: overall, by end reason and by side.
 type Collector struct {
 	Address string
 
-	dropDatagram func(n int) bool
+	dropDatagram func(n int) bool // guarded by mu; nil drops none
 	network      string
 	tls          *tls.Config
-	mu           sync.Mutex
+	mu           sync.Mutex // held for each message, while it is added to the totals
 	sum          flow.Totals
 	netFlow9     bool
 	reasons      map[flow.Reason]flow.Totals
 	sides        [2]flow.Totals
-	folded       uint64
+	folded       uint64 // number of flows that arrived merged with others into one record
 	stats        ipfix.Stats
-	lost         int // records in datagrams that were dropped
+	lost         int // number of dropped datagrams
 	udp          net.PacketConn
 	tcp          net.Listener
 	conns        map[net.Conn]bool
 	done         sync.WaitGroup
 }
 
-const readBuffer = 4 << 20 // bytes, of the UDP socket
+const readBuffer = 4 << 20 // receive buffer of the UDP socket in bytes
 
-// New makes a collector that listens on a free address of the network: udp, tcp or tls, or netflow9 for version 9 over UDP.
+// New starts a collector on a free loopback port. The network is udp, tcp or tls for IPFIX, or netflow9 for NetFlow v9 over UDP;
+// config is only used for tls.
 func New(network string, config *tls.Config) (*Collector, error) {
 	v9 := network == "netflow9"
 	if v9 {
@@ -46,7 +47,7 @@
 	return c, c.Restart()
 }
 
-// Restart has the collector listen again, on the address that it had.
+// Restart listens again after Stop, on the same address. The totals are kept.
 func (c *Collector) Restart() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +58,7 @@
 			return err
 		}
 		if u, ok := l.(*net.UDPConn); ok {
-			_ = u.SetReadBuffer(readBuffer) // with less some datagrams may be lost, which Stats.Missed shows
+			_ = u.SetReadBuffer(readBuffer) // if it fails, datagrams may be lost, which Stats.Missed shows
 		}
 		c.udp, c.Address = l, l.LocalAddr().String()
 		c.done.Go(func() { c.readDatagrams(l) })
@@ -87,14 +88,15 @@
 	return nil
 }
 
-// SetDrop sets whether to lose the n-th datagram of UDP, counted from 1; nil for none.
+// SetDrop sets the function that decides whether to drop the n-th UDP datagram since the last start, counted from 1. nil drops
+// none.
 func (c *Collector) SetDrop(lose func(n int) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dropDatagram = lose
 }
 
-// Stop closes all sockets; messages that had come completely are counted.
+// Stop closes all sockets and waits until the messages that were read completely have been counted.
 func (c *Collector) Stop() {
 	c.mu.Lock()
 	if c.udp != nil {
@@ -110,7 +112,8 @@
 	c.done.Wait()
 }
 
-// Totals returns what has come, in all and by the reason that records ended.
+// Totals returns the totals of all received records, the totals by the reason that flows ended, the IPFIX decoder's statistics,
+// and the number of dropped datagrams.
 func (c *Collector) Totals() (all flow.Totals, by map[flow.Reason]flow.Totals, s ipfix.Stats, dropped int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,14 +124,14 @@
 	return c.sum, by, c.stats, c.lost
 }
 
-// FoldedRecords returns how many records came folded into others.
+// FoldedRecords returns the number of flows that arrived merged with others into one record.
 func (c *Collector) FoldedRecords() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.folded
 }
 
-// TotalsBySide returns what has come of clients' connections and of hosts'.
+// TotalsBySide returns the totals of connections from clients and of connections to hosts, indexed by the record's Side.
 func (c *Collector) TotalsBySide() ([2]flow.Totals, ipfix.Stats) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,7 +180,7 @@
 		if c.dropDatagram != nil && c.dropDatagram(n) {
 			c.lost++
 		} else if c.netFlow9 {
-			_ = older.Message(b[:size], c.count) // what can't be read is missing from the totals
+			_ = older.Message(b[:size], c.count) // records that can't be decoded are missing from the totals
 		} else {
 			c.read(d, b[:size])
 		}
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -1,23 +1,26 @@
-// Package standin has models of what is around routers: hosts that start cold and can collapse (Machine), clients that retry
-// (ClientBehaviour) and services with a queue (CallQueue). They have no clock and no I/O; the emulator runs them in virtual time, and
-// package servers on loopback in real time.
+// Package standin models the environment of routers: hosts that start cold and can collapse (Machine), clients that retry
+// (ClientBehaviour) and services with a queue (CallQueue). The models have no clock and do no I/O; the emulator runs them in
+// virtual time, and package servers on loopback in real time.
 package standin
 
 import "sort"
 
-// Machine is a host: cores that run commands in turn, slower while it is cold.
+// Machine models a host: cores that run one command at a time each, at reduced speed while the machine is cold. Times are in
+// nanoseconds.
 type Machine struct {
-	Cores            int
-	ColdStartFactor  float64
-	ColdDuration     int64
-	CollapseFactor   float64 // sent more than this multiple of its capacity for CollapseDuration while it is cold, it collapses and stays down
+	Cores           int
+	ColdStartFactor float64 // fraction of the full speed right after a cold start
+	ColdDuration    int64   // time until a cold machine reaches full speed
+	// A machine that is sent more than CollapseFactor times its capacity over CollapseDuration collapses and stays down. This can
+	// happen until CollapseDuration after it has warmed up.
+	CollapseFactor   float64
 	CollapseDuration int64
-	QueueNanos       int64 // the longest wait for a core; what would wait longer is rejected
+	QueueNanos       int64 // longest wait for a core; work that would wait longer is rejected
 
 	Up, Collapsed bool
-	coldSince     int64   // since when, 0 for warm
-	coreFreeAt    []int64 // when each core is
-	recentWork    []work  // lately
+	coldSince     int64   // time of the cold start, 0 if warm
+	coreFreeAt    []int64 // by core: when it finishes its queued work
+	recentWork    []work  // work sent during the past CollapseDuration, if cold
 }
 
 type work struct {
@@ -25,7 +28,7 @@
 	seconds float64
 }
 
-// Start starts the machine, cold or warm.
+// Start starts the machine with empty queues, cold or warm. A machine that has collapsed stays down.
 func (m *Machine) Start(now int64, warm bool) {
 	m.Up, m.coldSince, m.coreFreeAt, m.recentWork = !m.Collapsed, now, make([]int64, m.Cores), nil
 	if warm {
@@ -33,10 +36,10 @@
 	}
 }
 
-// Stop ends the machine, and all that it runs.
+// Stop takes the machine down. Start discards the work that was queued.
 func (m *Machine) Stop() { m.Up = false }
 
-// Capacity returns what the machine can do at a time, in seconds of work a second.
+// Capacity returns the capacity at the given time, in seconds of work per second; 0 while the machine is down.
 func (m *Machine) Capacity(at int64) float64 {
 	if !m.Up {
 		return 0
@@ -44,7 +47,7 @@
 	return float64(m.Cores) * m.warmth(at)
 }
 
-// warmth is the fraction of its speed that the machine has at a time.
+// warmth returns the speed at the given time as a fraction of the full speed.
 func (m *Machine) warmth(at int64) float64 {
 	if m.coldSince == 0 || at-m.coldSince >= m.ColdDuration {
 		return 1
@@ -52,7 +55,8 @@
 	return m.ColdStartFactor + (1-m.ColdStartFactor)*float64(max(0, at-m.coldSince))/float64(m.ColdDuration)
 }
 
-// Arrive queues a command's work, in nanoseconds, and returns when it is done; ok is false for a full queue.
+// Arrive queues a command that needs the given nanoseconds of work at full speed, and returns when it completes. ok is false if
+// the machine is down or the wait for a core would exceed QueueNanos.
 func (m *Machine) Arrive(now, need int64) (done int64, ok bool) {
 	m.collapse(now, float64(need)/1e9)
 	if !m.Up {
@@ -72,7 +76,7 @@
 	return m.coreFreeAt[i], true
 }
 
-// collapse has a cold machine collapse that was sent too much for too long.
+// collapse records the work of a command and collapses a cold machine that has been overloaded for CollapseDuration.
 func (m *Machine) collapse(now int64, seconds float64) {
 	if m.coldSince == 0 || m.CollapseDuration <= 0 {
 		return
@@ -95,11 +99,11 @@
 	}
 }
 
-// EffectLog is what all hosts did for commands with a key, and their common memory, by which a repeat is dropped.
+// EffectLog records the commands with an idempotency key that hosts have run, and deduplicates repeats across these hosts.
 type EffectLog struct {
-	Retention  int64
-	lastRuns   map[string]effect
-	Duplicates int // attempts whose effect happened a second time
+	Retention  int64             // nanoseconds for which a repeat is dropped
+	lastRuns   map[string]effect // by idempotency key
+	Duplicates int               // number of runs that repeated the previous run of the same trace, after Retention
 	Runs       int
 }
 
@@ -108,7 +112,7 @@
 	trace string
 }
 
-// Run reports whether a command runs, or is a repeat that is dropped.
+// Run records a command and reports whether it runs; false means that it is a repeat within Retention and is dropped.
 func (e *EffectLog) Run(now int64, mark, trace string) bool {
 	if e.lastRuns == nil {
 		e.lastRuns = map[string]effect{}
--- a/internal/standin/servers/servers.go
+++ b/internal/standin/servers/servers.go
@@ -1,5 +1,5 @@
-// Package servers runs the models of package standin on loopback, by the platform's protocol: hosts, discovery and the platform
-// itself. It owns their listeners, and it is for experiments and tests only. Begin reading at Host and Services.
+// Package servers runs the models of package standin on loopback, for experiments and tests only: hosts, discovery and the
+// platform, which speak the protocols that the router expects. The main types are Host and Services; each owns its listener.
 package servers
 
 import (
@@ -14,34 +14,34 @@
 	"portflow/internal/standin"
 )
 
-// Host is a host at an address of its own, which it keeps over restarts.
+// Host is an HTTP server that models a host. It keeps its address across restarts.
 type Host struct {
 	Name, Address string
 	Effects       *SharedEffects
-	Work          func() int64             // of a command, in nanoseconds
-	OnWork        func(now int64, w int64) // is called with each request and its work
-	Clock         func() int64
+	Work          func() int64             // returns the work of the next command in nanoseconds
+	OnWork        func(now int64, w int64) // called for each request with its work
+	Clock         func() int64             // returns the current time in nanoseconds
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	machine *standin.Machine
 	server  *http.Server
-	started int64 // Unix milliseconds, 0 for long ago
+	started int64 // time of the last Restart in Unix milliseconds, 0 if never restarted
 }
 
-// SharedEffects are effects that several hosts log.
+// SharedEffects is an EffectLog that several hosts share.
 type SharedEffects struct {
 	mu sync.Mutex
 	standin.EffectLog
 }
 
-// Run is EffectLog.Run, safe for concurrent use.
+// Run calls EffectLog.Run; it is safe for concurrent use.
 func (s *SharedEffects) Run(now int64, mark, trace string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.EffectLog.Run(now, mark, trace)
 }
 
-// Start starts a host, warm; its exported fields but for the address are set before.
+// Start starts the host, warm, on a free loopback port and sets Address. All other exported fields must be set before.
 func (h *Host) Start(m *standin.Machine) error {
 	h.machine = m
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,16 +54,16 @@
 	return nil
 }
 
-// serve answers requests until the server is closed, which ends the goroutine.
+// serve starts a goroutine that serves requests until Stop closes the server.
 func (h *Host) serve(l net.Listener) {
 	server := &http.Server{Handler: http.HandlerFunc(h.answer)}
 	h.mu.Lock()
 	h.server = server
 	h.mu.Unlock()
-	go func() { _ = server.Serve(l) }() // returns as Stop closes it
+	go func() { _ = server.Serve(l) }() // returns once Stop closes the server
 }
 
-// Stop ends the host's process: its connections break, and new ones are refused.
+// Stop closes the host's connections and its listener, as if its process had exited.
 func (h *Host) Stop() {
 	h.mu.Lock()
 	server := h.server
@@ -72,7 +72,7 @@
 	server.Close()
 }
 
-// Restart starts the host again, cold.
+// Restart starts the host again after Stop, cold and on the same address.
 func (h *Host) Restart() error {
 	l, err := net.Listen("tcp", h.Address)
 	if err != nil {
@@ -86,14 +86,14 @@
 	return nil
 }
 
-// Capacity returns what the host can do now, in seconds of work a second, and whether it has collapsed.
+// Capacity returns the current capacity in seconds of work per second, and whether the host has collapsed.
 func (h *Host) Capacity() (capacity float64, collapsed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.machine.Capacity(h.Clock()), h.machine.Collapsed
 }
 
-// Started returns when the host last started, in Unix milliseconds, 0 for long ago.
+// Started returns the time of the last Restart in Unix milliseconds, or 0 if the host was never restarted.
 func (h *Host) Started() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -104,7 +104,7 @@
 	need, now := h.Work(), h.Clock()
 	h.OnWork(now, need)
 	if mark := r.Header.Get("Idempotency-Key"); mark != "" && !h.Effects.Run(now, mark, r.Header.Get("X-Trace-Id")) {
-		need = 1e6 // the repeat is known
+		need = 1e6 // a recognized repeat costs 1 ms
 	}
 	h.mu.Lock()
 	done, ok := h.machine.Arrive(now, need)
@@ -125,7 +125,7 @@
 	}
 }
 
-// Member is a host on the list.
+// Member is an entry of discovery's host list, in its wire format.
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -137,19 +137,19 @@
 	Image    int     `json:"image_id"`
 }
 
-// Services are discovery and the platform, at one address.
+// Services serves discovery and the platform at one address.
 type Services struct {
 	Address string
-	Release string // the state that the platform answers, as JSON
+	Release string // JSON of the release state that the platform returns
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	members []Member
-	version int
-	changed chan struct{}
+	version int           // incremented with each change of members
+	changed chan struct{} // closed and replaced with each change of members
 	server  *http.Server
 }
 
-// NewServices starts services with a release and members.
+// NewServices starts the services on a free loopback port. release is the platform's state as JSON.
 func NewServices(release string, members []Member) (*Services, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -161,14 +161,14 @@
 	mux.HandleFunc("/api/watch", a.watch)
 	mux.HandleFunc("/api/verdicts", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, a.Release) })
 	a.server = &http.Server{Handler: mux}
-	go func() { _ = a.server.Serve(l) }() // returns as Close closes it
+	go func() { _ = a.server.Serve(l) }() // returns once Close closes the server
 	return a, nil
 }
 
-// Close ends the services.
+// Close closes the listener and all connections, which ends watches as well.
 func (a *Services) Close() { a.server.Close() }
 
-// SetMembers replaces the list of members.
+// SetMembers replaces the host list and wakes up requests that wait for a change.
 func (a *Services) SetMembers(members []Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -196,7 +196,7 @@
 		version, members = a.version, a.members
 		a.mu.Unlock()
 	}
-	_ = json.NewEncoder(w).Encode(map[string]any{"revision": version, "complete": true, "members": members}) // the router may be gone
+	_ = json.NewEncoder(w).Encode(map[string]any{"revision": version, "complete": true, "members": members}) // the router may have disconnected
 }
 
 func (a *Services) watch(w http.ResponseWriter, r *http.Request) {
@@ -204,7 +204,7 @@
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
-		_ = http.NewResponseController(w).Flush() // a router that is gone ends the context
+		_ = http.NewResponseController(w).Flush() // a disconnect cancels the context
 		select {
 		case <-tick.C:
 			fmt.Fprintln(w, "{}")
--- a/internal/testing/digest/digest.go
+++ b/internal/testing/digest/digest.go
@@ -1,10 +1,9 @@
-// Package digest pins the behaviour of a state machine: a test drives the machine with inputs drawn from fixed seeds, adds
-// every effect to a digest, and compares the digest with a constant.
+// Package digest pins the behaviour of a state machine: a test feeds the machine inputs generated from fixed seeds, adds every
+// effect to a digest, and compares the digest with a constant.
 //
-// The encoding holds no Go identifiers, so that renaming a type, a field or a constant changes no digest. It does hold the
-// order of a struct's fields and the numbers of enumeration constants: reordering or adding fields, or renumbering
-// constants, changes the digests of whatever machine has them among its effects. Moving consecutive fields into a nested
-// struct does not.
+// The encoding contains no Go identifiers, so renaming a type, a field or a constant changes no digest. It does depend on the
+// order of struct fields and on the values of enumeration constants: reordering or adding fields, or renumbering constants,
+// changes the digests of every machine whose effects contain them. Moving consecutive fields into a nested struct does not.
 package digest
 
 import (
@@ -21,13 +20,13 @@
 	"testing"
 )
 
-// maxDepth bounds how deep values are nested, so that a cyclic value panics with a message.
+// maxDepth limits the nesting of values, so that a cyclic value panics with a clear message.
 const maxDepth = 100
 
-// shownBytes is how many bytes of a hash stand in a test file.
+// shownBytes is the number of leading bytes of the hash that String returns.
 const shownBytes = 8
 
-// Digest accumulates values. A nil Digest ignores them, so that a simulation can record always.
+// Digest accumulates a hash of values. A nil Digest ignores Add, so that a simulation can record unconditionally.
 type Digest struct {
 	hash hash.Hash
 }
@@ -37,7 +36,7 @@
 	return &Digest{hash: sha256.New()}
 }
 
-// Add appends values, in order.
+// Add appends values to the digest; their order matters. It panics on cyclic values and on kinds that have no encoding.
 func (d *Digest) Add(values ...any) {
 	if d == nil {
 		return
@@ -47,13 +46,13 @@
 	}
 }
 
-// String returns the beginning of the hash, in hexadecimal.
+// String returns the first shownBytes bytes of the hash in hexadecimal.
 func (d *Digest) String() string {
 	return hex.EncodeToString(d.hash.Sum(nil)[:shownBytes])
 }
 
-// Pin plays len(want) blocks of perBlock seeds each, the seeds counting up from 0, and compares each block's digest with the
-// wanted one. A block that differs tells which seeds to look at.
+// Pin calls play for len(want) blocks of perBlock seeds each, with seeds counting up from 0, and compares the digest of each
+// block with want. The failure of a block names its range of seeds.
 func Pin(t testing.TB, perBlock int, want []string, play func(seed uint64, d *Digest)) {
 	t.Helper()
 	got := make([]string, len(want))
@@ -72,12 +71,12 @@
 	}
 }
 
-// encode appends the canonical bytes of a value: a letter for its kind, then its content. Structs have neither letter nor
-// names: their fields follow one another. Nil and empty slices and maps are alike. Errors are their text. Functions and
-// channels count only by whether they are nil.
+// encode appends the canonical encoding of a value: a letter for its kind, then its content. Structs are encoded as their
+// fields, without a letter or names. Nil slices and maps are encoded as empty ones, errors as their text, and functions and
+// channels only as nil or non-nil.
 func encode(b []byte, v reflect.Value, depth int) []byte {
 	if depth > maxDepth {
-		panic("digest: the value is nested too deep, or cyclic")
+		panic("digest: value is cyclic or nested too deeply")
 	}
 	if !v.IsValid() {
 		return append(b, '0')
@@ -121,10 +120,10 @@
 		}
 		return append(b, '1')
 	}
-	panic(fmt.Sprintf("digest: a %s can't be recorded", v.Kind()))
+	panic(fmt.Sprintf("digest: unsupported kind %s", v.Kind()))
 }
 
-// encodeList appends a slice or an array.
+// encodeList appends a slice or an array: its length, then its elements. Byte slices are encoded as strings.
 func encodeList(b []byte, v reflect.Value, depth int) []byte {
 	if v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Uint8 {
 		return appendText(append(b, 's'), string(v.Bytes()))
@@ -136,7 +135,7 @@
 	return b
 }
 
-// encodeMap appends a map's entries in the order of their encoded bytes.
+// encodeMap appends the number of entries, then the entries sorted by their encoded bytes.
 func encodeMap(b []byte, v reflect.Value, depth int) []byte {
 	entries := make([][]byte, 0, v.Len())
 	for _, key := range v.MapKeys() {
@@ -148,13 +147,13 @@
 	return append(b, bytes.Join(entries, nil)...)
 }
 
-// appendText appends a text with its length before it.
+// appendText appends a string with an 8-byte length prefix.
 func appendText(b []byte, text string) []byte {
 	b = binary.BigEndian.AppendUint64(b, uint64(len(text)))
 	return append(b, text...)
 }
 
-// isNil reports whether a value that may be nil is.
+// isNil reports whether v is nil; unlike reflect.Value.IsNil, it returns false for kinds that can't be nil.
 func isNil(v reflect.Value) bool {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface, reflect.Map, reflect.Slice, reflect.Func, reflect.Chan:
--- a/internal/testing/digest/digest_test.go
+++ b/internal/testing/digest/digest_test.go
@@ -37,7 +37,7 @@
 	a := first{"x", []int{1, 2}, 3, map[string]*int{"k": &one, "l": nil}}
 	b := renamed{"x", nested{[]int{1, 2}, 3}, map[string]*int{"l": nil, "k": &two}}
 	if of(a) != of(b) {
-		t.Errorf("%s and %s for values that differ in names only", of(a), of(b))
+		t.Errorf("digests %s and %s of values that only differ in names", of(a), of(b))
 	}
 }
 
@@ -50,12 +50,12 @@
 		first{Name: "x"}, first{kind: 1}, first{Sizes: []int{0}}, struct{ F func() }{func() {}},
 	} {
 		if before, there := seen[of(value)]; there {
-			t.Errorf("values %d and %d have one digest", before, n)
+			t.Errorf("values %d and %d have the same digest", before, n)
 		}
 		seen[of(value)] = n
 	}
 	if of("a", "b") == of("b", "a") {
-		t.Error("the order of values does not count")
+		t.Error("digest does not depend on the order of values")
 	}
 }
 
@@ -67,7 +67,7 @@
 			m[fmt.Sprint(n)] = map[int]bool{n: true, n + 1: false}
 		}
 		if got := of(m); want != "" && got != want {
-			t.Fatalf("%s, before %s", got, want)
+			t.Fatalf("digest %s, want %s as before", got, want)
 		} else {
 			want = got
 		}
@@ -103,11 +103,11 @@
 	probe := &recorder{TB: t}
 	Pin(probe, 2, []string{of(uint64(0), uint64(1)), "other"}, play)
 	if probe.errors != 1 {
-		t.Errorf("%d errors for one block that differs", probe.errors)
+		t.Errorf("%d errors, want 1 for one differing block", probe.errors)
 	}
 }
 
-// recorder counts the errors of a test that is to fail.
+// recorder counts the errors of a test that is expected to fail.
 type recorder struct {
 	testing.TB
 	errors int
