--- a/Makefile
+++ b/Makefile
@@ -9,14 +9,14 @@
 lint:
 	test -z "$$(gofmt -l .)" && go vet ./... && .ci/lint-debt
 
-# the toy hosts, list and platform of the example; then, beside it, the router
+# hosts, discovery and platform for the example; start the router next to them with `make run`
 toy:
 	go run ./examples/toy
 
 run: build
 	bin/portflow serve --config examples/config.json
 
-# the toy, a router and a few commands in one go
+# starts the example servers and a router, and sends a few requests
 demo: build
 	@go build -o bin/toy ./examples/toy; bin/toy & toy=$$!; bin/portflow serve --config examples/config.json & router=$$!; \
 	trap "kill $$router $$toy" EXIT; \
@@ -24,16 +24,18 @@
 	for i in 1 2 3 4; do curl -sS -H "X-Trace-Id: demo-$$i" -H 'X-Qos: display' -H 'X-Customer: acme' \
 	-H 'X-Expires-In: 480m' "http://127.0.0.1:8081/display?obj=$$i"; done
 
-# a caller at ten times its share over 13 routers, all of it at one and then all at another
+# simulates a caller at ten times its quota across 13 routers, all of it at one router and then all at another
 peak:
 	go run ./cmd/lab shares --trouble moves
 
-# a small cluster on loopback: three zones, a configuration, requests, a control process and a router killed; ends with a table
+# runs a small cluster on loopback: three zones, a configuration, requests, and a control process and a proxy that are killed;
+# prints a table of results
 system:
 	@sh -ec "$$(sed -n 's/^build = "\([^"]*\)".*/\1/p' deploy/system.toml)"
 	@go run ./examples/cluster
 
-# the deployed programs on loopback for 30 s: load, configuration changes, signals, all control processes killed; judged
+# runs the deployed programs on loopback for 30 s under load, with configuration changes, signals and a kill of all control
+# processes, and checks the results
 trial:
 	@sh -ec "$$(sed -n 's/^build = "\([^"]*\)".*/\1/p' deploy/system.toml)"
 	@go run ./cmd/lab trial
--- a/tools/words/main.go
+++ b/tools/words/main.go
@@ -1,20 +1,23 @@
-// Command words counts withdrawn words in the repository, by folder, and fails where a count is above the baseline.
+// Command words counts deprecated words in the repository by folder, and fails if a count exceeds its baseline.
 //
-// It is run from the repository's root. The list of words, .ci/words.txt, has lines of three kinds:
+// It must be run from the root of the repository. The word list, .ci/words.txt, has three kinds of lines:
 //
 //	# a comment
 //	WORD, FORM OF IT, ...: what to write instead
 //	keep: PHRASE, PHRASE, ...
 //
-// Words are compared without regard to case, and identifiers and hyphenated words are split before, so that "beat" is found in
-// beatEvery and not in heartbeat. A word of the list may be a phrase ("set aside"). Phrases to keep are passed over.
+// Matching ignores case. Identifiers and hyphenated words are split first, so that "beat" matches beatEvery but not heartbeat.
+// An entry may be a phrase ("set aside"). Phrases on "keep" lines are allowed.
 //
-// Counted are the identifiers, comments and messages (strings with a space in them) of Go files, the text of Markdown files and
-// scripts, and the names of all these files. Not counted are struct tags, strings without a space and, in text, lower-case names
-// with a dot in them, as these are names on the wire or of files; folders named testdata; journal/; docs/glossary.md and CHANGELOG.md, which
-// say what old names became; and the list itself.
+// The command counts words in identifiers, comments and messages (strings that contain a space) of Go files, in the text of
+// Markdown files, YAML files, Makefiles and scripts, and in the names of all these files. It skips:
 //
-// The baseline, .ci/words-baseline.txt, has lines FOLDER WORD COUNT; -write writes it anew.
+//   - struct tags, strings without a space and, in text, lower-case names with a dot, as these are wire or file names
+//   - folders named testdata, and journal/
+//   - docs/glossary.md and CHANGELOG.md, which map old names to new ones
+//   - the word list, the baseline and the tests of this command
+//
+// The baseline, .ci/words-baseline.txt, has lines FOLDER WORD COUNT; -write regenerates it.
 package main
 
 import (
@@ -41,28 +44,28 @@
 	keepPrefix   = "keep"
 )
 
-// place is what a count belongs to.
+// place is the key of a count.
 type place struct {
 	folder, word string
 }
 
-// counts has how often each word occurs in each folder.
+// counts is the number of occurrences of each word in each folder.
 type counts map[place]int
 
-// entry is a phrase of the list: its words, and the word it is counted as. An entry without a word is kept.
+// entry is a phrase of the word list, split into words, and the word that it is counted as, which is empty for allowed phrases.
 type entry struct {
 	phrase []string
 	word   string
 }
 
-// wordList has the entries by their first word, the longest first, and what to write instead of each word.
+// wordList has the entries by their first word, longest phrase first, and the replacement text of each word.
 type wordList struct {
 	entries map[string][]entry
 	instead map[string]string
 }
 
 func main() {
-	write := flag.Bool("write", false, "write the baseline anew")
+	write := flag.Bool("write", false, "regenerate the baseline")
 	flag.Parse()
 	if err := run(*write); err != nil {
 		fmt.Fprintln(os.Stderr, "words:", err)
@@ -103,7 +106,7 @@
 	return compare(found, baseline, list)
 }
 
-// parseList reads the list of words.
+// parseList parses the content of listFile.
 func parseList(text string) (wordList, error) {
 	list := wordList{entries: map[string][]entry{}, instead: map[string]string{}}
 	for i, line := range strings.Split(text, "\n") {
@@ -112,7 +115,7 @@
 		}
 		forms, instead, ok := strings.Cut(line, ":")
 		if !ok {
-			return wordList{}, fmt.Errorf("%s:%d: no colon", listFile, i+1)
+			return wordList{}, fmt.Errorf("%s:%d: missing colon after the words", listFile, i+1)
 		}
 		word := ""
 		if forms == keepPrefix {
@@ -124,7 +127,7 @@
 		for _, form := range strings.Split(forms, ",") {
 			phrase := split(form)
 			if len(phrase) == 0 {
-				return wordList{}, fmt.Errorf("%s:%d: an empty word", listFile, i+1)
+				return wordList{}, fmt.Errorf("%s:%d: empty word between commas", listFile, i+1)
 			}
 			list.entries[phrase[0]] = append(list.entries[phrase[0]], entry{phrase, word})
 		}
@@ -135,7 +138,7 @@
 	return list, nil
 }
 
-// trackedFiles returns the files that git tracks or would add, with slashes.
+// trackedFiles returns the slash-separated paths of the files that git tracks or would add.
 func trackedFiles() ([]string, error) {
 	out, err := exec.Command("git", "ls-files", "-z", "--cached", "--others", "--exclude-standard").Output()
 	if err != nil {
@@ -144,7 +147,7 @@
 	return strings.FieldsFunc(string(out), func(r rune) bool { return r == 0 }), nil
 }
 
-// exempt reports whether a file isn't looked at.
+// exempt reports whether a file is excluded from counting.
 func exempt(file string) bool {
 	switch file {
 	case "docs/glossary.md", "CHANGELOG.md", listFile, baselineFile, "tools/words/main_test.go":
@@ -153,7 +156,7 @@
 	return strings.HasPrefix(file, "journal/") || slices.Contains(strings.Split(file, "/"), "testdata")
 }
 
-// countFile adds the words of a file's name and text. A file that is deleted and not committed yet is passed over.
+// countFile counts the words in a file's name and content. It skips a tracked file that has been deleted from the work tree.
 func countFile(found counts, list wordList, file string) error {
 	name := path.Base(file)
 	isGo, isText := path.Ext(file) == ".go", isScriptOrPage(file)
@@ -179,7 +182,7 @@
 	return nil
 }
 
-// isScriptOrPage reports whether a file is a Markdown page, a script, a Makefile or a YAML file.
+// isScriptOrPage reports whether a file is a Markdown file, a script, a Makefile or a YAML file.
 func isScriptOrPage(file string) bool {
 	switch path.Ext(file) {
 	case ".md", ".sh", ".yml", ".yaml":
@@ -188,7 +191,8 @@
 	return path.Base(file) == "Makefile" || path.Dir(file) == ".ci" && path.Ext(file) == ""
 }
 
-// goWords returns the words of a Go file: those of each identifier, of each message, and of all comments as one text.
+// goWords returns the words of a Go file as sequences: one for each identifier, one for each message, and one for all comments
+// together.
 func goWords(source []byte) [][]string {
 	files := token.NewFileSet()
 	var s scanner.Scanner
@@ -217,8 +221,8 @@
 	dottedName = regexp.MustCompile(`[\pL\pN_*-]+(\.[\pL\pN_*-]+)+`)
 )
 
-// splitText splits a text, without the names that have a dot in them and no capital: those are on the wire or of files, while
-// names as pkg.Name are Go's.
+// splitText splits a text into words, leaving out dotted names without an upper-case letter: these are wire or file names,
+// while names such as pkg.Name are Go identifiers.
 func splitText(text string) []string {
 	return split(dottedName.ReplaceAllStringFunc(text, func(name string) string {
 		if strings.ContainsFunc(name, unicode.IsUpper) {
@@ -228,8 +232,8 @@
 	}))
 }
 
-// split returns the words of a text or an identifier in lower case: parts of letters, ended also where an upper-case letter
-// begins a new word (connLimit, HTTPServer). Sentences aren't told apart, but a full stop by itself is a word.
+// split returns the words of a text or an identifier in lower case: runs of letters, split also where an upper-case letter
+// starts a new word (connLimit, HTTPServer). A full stop is a word by itself, so that no phrase matches across sentences.
 func split(text string) []string {
 	var words []string
 	runes := []rune(text)
@@ -257,7 +261,7 @@
 	return words
 }
 
-// add counts the words of the list in a sequence of words.
+// add counts the entries of the list that occur in a sequence of words. At each position the longest phrase matches.
 func (c counts) add(folder string, list wordList, words []string) {
 	for i := 0; i < len(words); {
 		length := 1
@@ -275,7 +279,7 @@
 	}
 }
 
-// String returns the lines of a baseline, sorted.
+// String returns the counts in the format of the baseline, with sorted lines.
 func (c counts) String() string {
 	lines := make([]string, 0, len(c))
 	for p, n := range c {
@@ -285,14 +289,14 @@
 	return strings.Join(lines, "")
 }
 
-// parseCounts reads a baseline.
+// parseCounts parses the content of baselineFile.
 func parseCounts(text string) (counts, error) {
 	c := counts{}
 	lines := bufio.NewScanner(bytes.NewBufferString(text))
 	for i := 1; lines.Scan(); i++ {
 		fields := strings.Fields(lines.Text())
 		if len(fields) != 3 {
-			return nil, fmt.Errorf("%s:%d: not FOLDER WORD COUNT", baselineFile, i)
+			return nil, fmt.Errorf("%s:%d: malformed line, want FOLDER WORD COUNT", baselineFile, i)
 		}
 		n, err := strconv.Atoi(fields[2])
 		if err != nil {
@@ -303,14 +307,15 @@
 	return c, lines.Err()
 }
 
-// compare prints each count above the baseline, and says how many words are left. It fails where one is above.
+// compare prints each count that exceeds the baseline and the total number of words left. It returns an error if any count
+// exceeds the baseline.
 func compare(found, baseline counts, list wordList) error {
 	var above []string
 	total, before := 0, 0
 	for p, n := range found {
 		total += n
 		if n > baseline[p] {
-			above = append(above, fmt.Sprintf("%s: %q %d times, %d before; write: %s\n", p.folder, p.word, n, baseline[p], list.instead[p.word]))
+			above = append(above, fmt.Sprintf("%s: %q found %d times, baseline %d; write instead: %s\n", p.folder, p.word, n, baseline[p], list.instead[p.word]))
 		}
 	}
 	for _, n := range baseline {
@@ -318,12 +323,12 @@
 	}
 	slices.Sort(above)
 	fmt.Print(strings.Join(above, ""))
-	fmt.Printf("withdrawn words: %d, %d in the baseline\n", total, before)
+	fmt.Printf("deprecated words: %d, baseline: %d\n", total, before)
 	if len(above) > 0 {
-		return fmt.Errorf("%d counts are above %s", len(above), baselineFile)
+		return fmt.Errorf("%d counts exceed %s", len(above), baselineFile)
 	}
 	if total < before {
-		fmt.Println("lower the baseline: .ci/words -write")
+		fmt.Println("lower the baseline with .ci/words -write")
 	}
 	return nil
 }
--- a/tools/words/main_test.go
+++ b/tools/words/main_test.go
@@ -68,7 +68,7 @@
 			t.Fatal(err)
 		}
 		if err := compare(found, baseline, list); (err == nil) != good {
-			t.Errorf("compare of %q: %v", text, err)
+			t.Errorf("compare with counts %q: %v", text, err)
 		}
 	}
 }
@@ -76,12 +76,12 @@
 func TestBadFiles(t *testing.T) {
 	for _, text := range []string{"beat", "beat, , beats: heartbeat", ": heartbeat"} {
 		if _, err := parseList(text); err == nil {
-			t.Errorf("list %q is taken", text)
+			t.Errorf("parseList(%q) returned no error", text)
 		}
 	}
 	for _, text := range []string{"p beat\n", "p beat two\n"} {
 		if _, err := parseCounts(text); err == nil {
-			t.Errorf("baseline %q is taken", text)
+			t.Errorf("parseCounts(%q) returned no error", text)
 		}
 	}
 }
