--- a/internal/golden/answers_test.go
+++ b/internal/golden/answers_test.go
@@ -27,7 +27,7 @@
 )
 
 // Guards the status, headers and body of responses to control calls: with a body, without one, and for each kind of error.
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	answers := map[string]rpc.Call{
 		"body":  {Name: "body", Handle: func(context.Context, string, []byte) (any, error) { return map[string]string{"a": "<b>"}, nil }},
 		"empty": {Name: "empty", Handle: func(context.Context, string, []byte) (any, error) { return nil, nil }},
@@ -56,7 +56,7 @@
 	mux := chi.NewRouter()
 	rpc.New(calls...).Mount(mux)
 	var all bytes.Buffer
-	ask := func(method, path string) {
+	request := func(method, path string) {
 		w := httptest.NewRecorder()
 		mux.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader("{}")))
 		fmt.Fprintf(&all, "%s %s: %d", method, path, w.Code)
@@ -68,43 +68,43 @@
 		fmt.Fprintf(&all, " %s\n%s\n", strings.Join(headers, ", "), w.Body)
 	}
 	for _, name := range names {
-		ask(http.MethodPost, "/-/rpc?call="+name)
+		request(http.MethodPost, "/-/rpc?call="+name)
 	}
-	ask(http.MethodGet, "/-/rpc?call=body")
-	ask(http.MethodPost, "/elsewhere")
+	request(http.MethodGet, "/-/rpc?call=body")
+	request(http.MethodPost, "/elsewhere")
 	Equal(t, "answers.txt", all.Bytes())
 }
 
 // Guards names and numbers of constants that are stored, sent or shown to operators.
-func TestWords(t *testing.T) {
+func TestNamesAndNumbers(t *testing.T) {
 	var all bytes.Buffer
-	say := func(what string, values ...any) { fmt.Fprintf(&all, "%s %q\n", what, values) }
-	say("kinds of items", config.KindRoutes, config.KindServices, config.KindQuotas, config.KindLimits, config.KindEvacuations, config.KindRollouts, config.KindStableVersions, config.KindCore)
-	say("keys", membership.Key.Kind, membership.Key.Name, operation.ReplaceAllKey.Kind, operation.ReplaceAllKey.Name, config.OtherCallers)
-	say("consensus", consensus.Prepare, consensus.Promise, consensus.Accept, consensus.Accepted, consensus.Rejected, consensus.Commit, consensus.Behind, consensus.Ahead, consensus.ReadIndex, consensus.ReadIndexReply,
+	record := func(what string, values ...any) { fmt.Fprintf(&all, "%s %q\n", what, values) }
+	record("kinds of items", config.KindRoutes, config.KindServices, config.KindQuotas, config.KindLimits, config.KindEvacuations, config.KindRollouts, config.KindStableVersions, config.KindCore)
+	record("keys", membership.Key.Kind, membership.Key.Name, operation.ReplaceAllKey.Kind, operation.ReplaceAllKey.Name, config.OtherCallers)
+	record("consensus", consensus.Prepare, consensus.Promise, consensus.Accept, consensus.Accepted, consensus.Rejected, consensus.Commit, consensus.Behind, consensus.Ahead, consensus.ReadIndex, consensus.ReadIndexReply,
 		consensus.VotePersisted, consensus.FetchChanges, consensus.Changes, consensus.SnapshotChunk, consensus.Forward, consensus.ForwardResult)
-	say("operations", operation.ModifyConfig, operation.Evacuate, operation.BeginRollout, operation.EndRollout, operation.CompleteSwitch, operation.SetInitialVersion, operation.ChangeMembers, operation.RestoreSnapshot)
-	say("calls", snapshot.SnapshotCall, snapshot.RestoreCall)
+	record("operations", operation.ModifyConfig, operation.Evacuate, operation.BeginRollout, operation.EndRollout, operation.CompleteSwitch, operation.SetInitialVersion, operation.ChangeMembers, operation.RestoreSnapshot)
+	record("calls", snapshot.SnapshotCall, snapshot.RestoreCall)
 	for kind := range apierror.All() {
-		say("error", fmt.Sprint(kind), apierror.Kind(kind).String())
+		record("error", fmt.Sprint(kind), apierror.Kind(kind).String())
 	}
 	for _, s := range []rollout.State{rollout.None, rollout.Running, rollout.Completed, rollout.RolledBack} {
-		say("rollout", fmt.Sprint(uint8(s)), s.String())
+		record("rollout", fmt.Sprint(uint8(s)), s.String())
 	}
 	for _, s := range []instance.State{instance.Ready, instance.Draining, instance.Gone} {
-		say("host", fmt.Sprint(uint8(s)), s.String())
+		record("host", fmt.Sprint(uint8(s)), s.String())
 	}
 	for _, v := range []decision.Verdict{decision.NoVote, decision.Advance, decision.Hold, decision.RollBack} {
-		say("vote", fmt.Sprint(uint8(v)), v.String())
+		record("vote", fmt.Sprint(uint8(v)), v.String())
 	}
 	for n := range 3 {
-		say("standing", fmt.Sprint(n), registry.Status(n).String())
+		record("standing", fmt.Sprint(n), registry.Status(n).String())
 	}
-	say("members of the view", fmt.Sprint(uint8(gossip.Control)), fmt.Sprint(uint8(gossip.Proxy)))
-	say("rollout's name", rollout.Rollout{Service: "desk", Number: 3}.ID(), fmt.Sprint(rollout.Digest("v2", 60e9)))
-	say("snapshot's name", snapshot.Header{Epoch: 2, Index: 13, Items: 4}.String())
-	say("version", config.FormatVersion(0xab))
+	record("members of the view", fmt.Sprint(uint8(gossip.Control)), fmt.Sprint(uint8(gossip.Proxy)))
+	record("rollout's name", rollout.Rollout{Service: "desk", Number: 3}.ID(), fmt.Sprint(rollout.Digest("v2", 60e9)))
+	record("snapshot's name", snapshot.Header{Epoch: 2, Index: 13, Items: 4}.String())
+	record("version", config.FormatVersion(0xab))
 	set, _ := everything(t)
-	say("sums", fmt.Sprint(set.Checksum()), fmt.Sprint(set.QuotaChecksum()), fmt.Sprint(set.PartitionSums()))
+	record("sums", fmt.Sprint(set.Checksum()), fmt.Sprint(set.QuotaChecksum()), fmt.Sprint(set.PartitionSums()))
 	Equal(t, "words.txt", all.Bytes())
 }
--- a/internal/golden/configuration_test.go
+++ b/internal/golden/configuration_test.go
@@ -102,15 +102,15 @@
 		t.Fatal(err)
 	}
 	for _, i := range items {
-		if stands, _ := set.Lookup(i.Key()); !stands.Equal(i) {
-			t.Errorf("%s: parsed again as %s", mustJSON(t, stands), mustJSON(t, i))
+		if current, _ := set.Lookup(i.Key()); !current.Equal(i) {
+			t.Errorf("%s: parsed again as %s", mustJSON(t, current), mustJSON(t, i))
 		}
 	}
 }
 
 // Guards the items that each committed operation produces, and how members and rollouts are decoded from them. Every release
 // must produce the same items for an operation.
-func TestDecidedItems(t *testing.T) {
+func TestCommittedItems(t *testing.T) {
 	set, changes := everything(t)
 	Equal(t, "configuration/decided.jsonl", jsonLines(t, changes))
 	members := membership.FromSet(set)
@@ -129,8 +129,8 @@
 	if !want.Item().Equal(desk) {
 		t.Errorf("rollout encoded as %s, want %s", want.Item().Body, desk.Body)
 	}
-	settled, _ := set.Lookup(config.Key{Kind: config.KindStableVersions, Name: "desk"})
-	if got := rollout.StableVersion(settled, rollout.Rollout{}); got != "v1" {
+	stable, _ := set.Lookup(config.Key{Kind: config.KindStableVersions, Name: "desk"})
+	if got := rollout.StableVersion(stable, rollout.Rollout{}); got != "v1" {
 		t.Errorf("stable version of desk = %q, want v1", got)
 	}
 	Equal(t, "configuration/everything.jsonl", jsonLines(t, set.All()))
--- a/internal/golden/disk_test.go
+++ b/internal/golden/disk_test.go
@@ -30,19 +30,19 @@
 		AcceptedValue: []config.Item{item}, Founders: []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}}
 }
 
-func open(t testing.TB, folder string) (book *store.Store, items []config.Item, cells map[string][]byte, whole bool, end func()) {
+func openStore(t testing.TB, folder string) (db *store.Store, items []config.Item, cells map[string][]byte, complete bool, closeStore func()) {
 	t.Helper()
 	disk, err := store.OpenDir(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	book, items, cells, whole, err = store.Open(disk)
+	db, items, cells, complete, err = store.Open(disk)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return book, items, cells, whole, func() {
+	return db, items, cells, complete, func() {
 		t.Helper()
-		if err := book.Close(); err != nil {
+		if err := db.Close(); err != nil {
 			t.Fatal(err)
 		}
 		if err := disk.Close(); err != nil {
@@ -57,25 +57,25 @@
 	t.Helper()
 	set, _ := everything(t)
 	record := mustJSON(t, consensusRecord(set))
-	book, _, _, _, end := open(t, folder)
+	db, _, _, _, closeStore := openStore(t, folder)
 	all := append(set.All(), config.Item{Kind: config.KindCore, Name: "10.0.0.9", Version: 1, Body: json.RawMessage(`{"name":"old"}`)})
 	half := len(all) / 2
-	if err := book.Write(all[:half], map[string][]byte{consensusCell: []byte(`{"id":"earlier","applied":1}`), "gone": []byte("x")}, false); err != nil {
+	if err := db.Write(all[:half], map[string][]byte{consensusCell: []byte(`{"id":"earlier","applied":1}`), "gone": []byte("x")}, false); err != nil {
 		t.Fatal(err)
 	}
-	end()
-	book, _, _, _, end = open(t, folder)
-	if err := book.Write(all[half:], map[string][]byte{consensusCell: record, "gone": nil}, true); err != nil {
+	closeStore()
+	db, _, _, _, closeStore = openStore(t, folder)
+	if err := db.Write(all[half:], map[string][]byte{consensusCell: record, "gone": nil}, true); err != nil {
 		t.Fatal(err)
 	}
-	if err := book.Replace(nil, []config.Key{{Kind: config.KindCore, Name: "10.0.0.9"}}, nil, false); err != nil {
+	if err := db.Replace(nil, []config.Key{{Kind: config.KindCore, Name: "10.0.0.9"}}, nil, false); err != nil {
 		t.Fatal(err)
 	}
-	end()
+	closeStore()
 }
 
-// rows dumps all keys and values of the underlying LevelDB database, one pair per line.
-func rows(t testing.TB, folder string) []byte {
+// dumpRows dumps all keys and values of the underlying LevelDB database, one pair per line.
+func dumpRows(t testing.TB, folder string) []byte {
 	t.Helper()
 	db, err := leveldb.OpenFile(folder, &opt.Options{ErrorIfMissing: true})
 	if err != nil {
@@ -117,8 +117,8 @@
 	}
 }
 
-// image returns a temporary copy of the golden disk image, which an earlier release wrote.
-func image(t testing.TB) string {
+// copyImage returns a temporary copy of the golden disk image, which an earlier release wrote.
+func copyImage(t testing.TB) string {
 	t.Helper()
 	if _, err := os.Stat(imageFolder); os.IsNotExist(err) && os.Getenv(rewriteVariable) == "yes" { // an existing image is never rewritten
 		folder := t.TempDir()
@@ -135,22 +135,22 @@
 func TestStoredRows(t *testing.T) {
 	folder := t.TempDir()
 	writeDisk(t, folder)
-	Equal(t, "disk/rows.txt", rows(t, folder))
+	Equal(t, "disk/rows.txt", dumpRows(t, folder))
 }
 
 // Guards that a disk written by an earlier release opens as complete, has the expected rows, items and consensus state, and
 // yields the same rows when written again.
 func TestDiskImage(t *testing.T) {
-	folder := image(t)
+	folder := copyImage(t)
 	want := Read(t, "disk/rows.txt")
-	if got := rows(t, folder); !bytes.Equal(got, want) {
+	if got := dumpRows(t, folder); !bytes.Equal(got, want) {
 		t.Errorf("rows on disk\n%s\nwant\n%s", got, want)
 	}
-	folder = image(t)
-	book, items, cells, whole, end := open(t, folder)
+	folder = copyImage(t)
+	db, items, cells, complete, closeStore := openStore(t, folder)
 	set, _ := everything(t)
-	if !whole || book.Repaired {
-		t.Errorf("whole %v, repaired %v", whole, book.Repaired)
+	if !complete || db.Repaired {
+		t.Errorf("complete %v, repaired %v", complete, db.Repaired)
 	}
 	if !reflect.DeepEqual(items, set.All()) {
 		t.Errorf("unexpected items from disk:\n%s", jsonLines(t, items))
@@ -162,38 +162,38 @@
 	if !reflect.DeepEqual(record, consensusRecord(set)) {
 		t.Errorf("unexpected consensus state from disk: %+v", record)
 	}
-	end()
+	closeStore()
 
 	again := t.TempDir()
-	book, _, _, _, end = open(t, again)
-	if err := book.Write(items, map[string][]byte{consensusCell: mustJSON(t, record)}, whole); err != nil {
+	db, _, _, _, closeStore = openStore(t, again)
+	if err := db.Write(items, map[string][]byte{consensusCell: mustJSON(t, record)}, complete); err != nil {
 		t.Fatal(err)
 	}
-	end()
-	if got := rows(t, again); !bytes.Equal(got, want) {
+	closeStore()
+	if got := dumpRows(t, again); !bytes.Equal(got, want) {
 		t.Errorf("rows after writing again\n%s\nwant\n%s", got, want)
 	}
 }
 
 // Guards the name of the file that marks a store as damaged, and its removal once the store is complete again.
-func TestSpoiltMark(t *testing.T) {
+func TestDamageMarker(t *testing.T) {
 	const name, text = "1073741824.tmp", "spoilt\n"
-	folder := image(t)
+	folder := copyImage(t)
 	if err := os.WriteFile(filepath.Join(folder, name), []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	book, items, _, whole, end := open(t, folder)
-	if whole || !book.Repaired {
-		t.Errorf("whole %v, repaired %v", whole, book.Repaired)
+	db, items, _, complete, closeStore := openStore(t, folder)
+	if complete || !db.Repaired {
+		t.Errorf("complete %v, repaired %v", complete, db.Repaired)
 	}
 	if raw, err := os.ReadFile(filepath.Join(folder, name)); err != nil || string(raw) != text {
 		t.Errorf("damage marker contains %q, %v", raw, err)
 	}
-	if err := book.Write(items, nil, true); err != nil {
+	if err := db.Write(items, nil, true); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(filepath.Join(folder, name)); !os.IsNotExist(err) {
 		t.Errorf("damage marker still exists: %v", err)
 	}
-	end()
+	closeStore()
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -131,8 +131,8 @@
 // use the full width of their type.
 func Fill(v any) { fill(reflect.ValueOf(v).Elem(), "$") }
 
-// elements is the number of elements in each slice and entries in each map that Fill creates.
-const elements = 2
+// elementCount is the number of elements in each slice and entries in each map that Fill creates.
+const elementCount = 2
 
 func fill(v reflect.Value, path string) {
 	hash := fnv.New64a()
@@ -165,13 +165,13 @@
 			v.SetBytes(fmt.Appendf(nil, "%q", path))
 			return
 		}
-		v.Set(reflect.MakeSlice(t, elements, elements))
-		for i := range elements {
+		v.Set(reflect.MakeSlice(t, elementCount, elementCount))
+		for i := range elementCount {
 			fill(v.Index(i), fmt.Sprintf("%s.%d", path, i))
 		}
 	case reflect.Map:
 		v.Set(reflect.MakeMap(t))
-		for i := range elements {
+		for i := range elementCount {
 			key, value := reflect.New(t.Key()).Elem(), reflect.New(t.Elem()).Elem()
 			fill(key, fmt.Sprintf("%s.key%d", path, i))
 			fill(value, fmt.Sprintf("%s.%d", path, i))
--- a/internal/golden/lines_test.go
+++ b/internal/golden/lines_test.go
@@ -36,8 +36,8 @@
 
 // session has the messages that one side sends over a stream, in order.
 type session struct {
-	name string
-	said []update.Message
+	name     string
+	messages []update.Message
 }
 
 func sessions(t testing.TB) []session {
@@ -79,40 +79,40 @@
 	}
 }
 
-// recorded is a connection that reads from in and writes to out.
-type recorded struct {
+// recordedConn is a connection that reads from in and writes to out.
+type recordedConn struct {
 	net.Conn
 	in  io.Reader
 	out *bytes.Buffer
 }
 
-func (c recorded) Read(b []byte) (int, error)  { return c.in.Read(b) }
-func (c recorded) Write(b []byte) (int, error) { return c.out.Write(b) }
-func (c recorded) Close() error                { return nil }
+func (c recordedConn) Read(b []byte) (int, error)  { return c.in.Read(b) }
+func (c recordedConn) Write(b []byte) (int, error) { return c.out.Write(b) }
+func (c recordedConn) Close() error                { return nil }
 
 // Guards the bytes that each side sends over a stream, including the preamble, and that they decode to the same messages, so
 // that processes of different releases understand each other.
-func TestLines(t *testing.T) {
+func TestStreams(t *testing.T) {
 	for _, s := range sessions(t) {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var out bytes.Buffer
-				here := quiet{}
-				l := stream.Open[update.Message](recorded{Conn: here, out: &out}, stream.ControlKeepalive)
-				for _, w := range s.said {
+				conn := noDeadlineConn{}
+				l := stream.Open[update.Message](recordedConn{Conn: conn, out: &out}, stream.ControlKeepalive)
+				for _, w := range s.messages {
 					l.Send(w)
 				}
 				synctest.Wait()
 				l.Close(nil)
 				raw := Equal(t, "lines/"+s.name+".bin", out.Bytes())
 
-				var heard []update.Message
-				l = stream.Open[update.Message](recorded{Conn: here, in: bytes.NewReader(raw), out: new(bytes.Buffer)}, stream.ControlKeepalive)
-				if err := l.Run(func(w update.Message) { heard = append(heard, w) }); !errors.Is(err, io.EOF) {
+				var received []update.Message
+				l = stream.Open[update.Message](recordedConn{Conn: conn, in: bytes.NewReader(raw), out: new(bytes.Buffer)}, stream.ControlKeepalive)
+				if err := l.Run(func(w update.Message) { received = append(received, w) }); !errors.Is(err, io.EOF) {
 					t.Errorf("stream ended with %v, want EOF", err)
 				}
-				if !reflect.DeepEqual(heard, s.said) {
-					t.Errorf("heard\n%s\nnot\n%s", jsonLines(t, heard), jsonLines(t, s.said))
+				if !reflect.DeepEqual(received, s.messages) {
+					t.Errorf("heard\n%s\nnot\n%s", jsonLines(t, received), jsonLines(t, s.messages))
 				}
 			})
 		})
@@ -129,7 +129,7 @@
 
 func consensusMessages() []consensus.Message {
 	member := membership.Member{IP: "10.0.0.1", ID: "disk-1", Name: "control-1", Zone: "z1"}
-	order := operation.Operation{Kind: operation.BeginRollout, Name: "desk", TargetVersion: "v2", Duration: 60e9, SubmittedAt: 1700000000e9, ClockAgreed: true, RetryWindow: 5e9, KnownRollout: 1, KnownRolloutAge: 9, Conditional: true, BaseVersion: 4}
+	op := operation.Operation{Kind: operation.BeginRollout, Name: "desk", TargetVersion: "v2", Duration: 60e9, SubmittedAt: 1700000000e9, ClockAgreed: true, RetryWindow: 5e9, KnownRollout: 1, KnownRolloutAge: 9, Conditional: true, BaseVersion: 4}
 	ballot := consensus.Ballot{Number: 7, Proposer: "life-1"}
 	value := []config.Item{goldenItem}
 	base := consensus.Message{Epoch: 2, DiskID: "disk-1", Applied: 13}
@@ -162,7 +162,7 @@
 			m.Kind, m.Index, m.Parts, m.Value, m.Final = consensus.SnapshotChunk, 13, []int{0, 63}, value, true
 		}),
 		with(func(m *consensus.Message) {
-			m.Kind, m.Tag, m.Incarnation, m.Operation = consensus.Forward, 22, "life-1", &order
+			m.Kind, m.Tag, m.Incarnation, m.Operation = consensus.Forward, 22, "life-1", &op
 		}),
 		with(func(m *consensus.Message) {
 			m.Kind, m.Tag, m.Incarnation, m.Result = consensus.ForwardResult, 22, "life-1", &consensus.Result{Kind: apierror.Conflict, Reason: "taken", Index: 14, NotProposed: true}
@@ -170,7 +170,7 @@
 	}
 }
 
-func allOrders() []operation.Operation {
+func allOperations() []operation.Operation {
 	member := membership.Member{IP: "10.0.0.1", ID: "disk-1", Name: "control-1", Zone: "z1"}
 	return []operation.Operation{
 		{Kind: operation.ModifyConfig, Items: []config.Item{goldenItem}},
@@ -184,8 +184,8 @@
 	}
 }
 
-// same compares values with a golden file in JSON Lines, and checks that the file decodes to the same values.
-func same[T any](t *testing.T, name string, all []T) {
+// equalLines compares values with a golden file in JSON Lines, and checks that the file decodes to the same values.
+func equalLines[T any](t *testing.T, name string, all []T) {
 	t.Helper()
 	raw := Equal(t, name, jsonLines(t, all))
 	var read []T
@@ -203,12 +203,12 @@
 
 // Guards the encoding of each kind of consensus message and of each operation that members forward to each other.
 func TestConsensusMessages(t *testing.T) {
-	same(t, "consensus/messages.jsonl", consensusMessages())
-	same(t, "consensus/operations.jsonl", allOrders())
+	equalLines(t, "consensus/messages.jsonl", consensusMessages())
+	equalLines(t, "consensus/operations.jsonl", allOperations())
 }
 
-// quiet is a connection that ignores deadlines.
-type quiet struct{ net.Conn }
+// noDeadlineConn is a connection that ignores deadlines.
+type noDeadlineConn struct{ net.Conn }
 
-func (quiet) SetReadDeadline(time.Time) error  { return nil }
-func (quiet) SetWriteDeadline(time.Time) error { return nil }
+func (noDeadlineConn) SetReadDeadline(time.Time) error  { return nil }
+func (noDeadlineConn) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/golden/settings_test.go
+++ b/internal/golden/settings_test.go
@@ -72,7 +72,7 @@
 }
 
 // Guards the names in the operator's site file, and the schema that validates it.
-func TestOperatorsFile(t *testing.T) {
+func TestSiteFile(t *testing.T) {
 	got, err := site.Parse("site.star", input(t, "site.star"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/golden/snapshots_test.go
+++ b/internal/golden/snapshots_test.go
@@ -15,8 +15,8 @@
 	"portflow/internal/control/snapshot"
 )
 
-// many returns enough items to need more than one chunk.
-func many() (all []config.Item) {
+// manyItems returns enough items to need more than one chunk.
+func manyItems() (all []config.Item) {
 	for n := range 900 {
 		all = append(all, config.Item{Kind: config.KindServices, Name: fmt.Sprintf("service-%03d", n), Version: uint64(n + 1), Deleted: n%7 == 6,
 			Body: fmt.Appendf(nil, `{"health-path":"/%0100d","name":"service-%03d"}`, n, n)})
@@ -25,10 +25,10 @@
 }
 
 // Guards the bytes of each chunk of an operator's snapshot, and that they decode to the same items.
-func TestOperatorsSnapshot(t *testing.T) {
+func TestOperatorSnapshot(t *testing.T) {
 	set, _ := everything(t)
-	for name, items := range map[string][]config.Item{"snapshots/everything.bin": withoutPast(set.All()), "snapshots/chunks.bin": many()} {
-		head, err := snapshot.NewHeader(items, 2, 13)
+	for name, items := range map[string][]config.Item{"snapshots/everything.bin": withoutHistory(set.All()), "snapshots/chunks.bin": manyItems()} {
+		header, err := snapshot.NewHeader(items, 2, 13)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -36,7 +36,7 @@
 		chunks := 0
 		for from, done := 0, false; !done; chunks++ {
 			var chunk []byte
-			chunk, from, done = snapshot.EncodeChunk(items, head, from)
+			chunk, from, done = snapshot.EncodeChunk(items, header, from)
 			file = append(binary.BigEndian.AppendUint32(file, uint32(len(chunk))), chunk...)
 		}
 		if name == "snapshots/chunks.bin" && chunks < 2 {
@@ -48,13 +48,13 @@
 			read = append(read, items...)
 			return nil
 		})
-		if err != nil || got != head || !reflect.DeepEqual(read, items) {
+		if err != nil || got != header || !reflect.DeepEqual(read, items) {
 			t.Errorf("%s: decoded as %v, %d items, %v", name, got, len(read), err)
 		}
 	}
 }
 
-func withoutPast(all []config.Item) []config.Item {
+func withoutHistory(all []config.Item) []config.Item {
 	for n := range all {
 		all[n].History = nil
 	}
@@ -62,23 +62,23 @@
 }
 
 // Guards the frames of a snapshot sent to a router, and that it is reassembled from them.
-func TestRoutersSnapshot(t *testing.T) {
-	items := many()
-	notes := make([]update.Change, len(items))
+func TestRouterSnapshot(t *testing.T) {
+	items := manyItems()
+	changes := make([]update.Change, len(items))
 	for n := range items {
-		notes[n].Item = &items[n]
+		changes[n].Item = &items[n]
 	}
-	notes = append(notes, update.Change{Instance: &goldenHost}, update.Change{Proxy: &goldenRouter}, update.Change{Vote: &goldenVote})
-	cut, err := update.NewSnapshot(update.SnapshotHeader{Name: "life-1.1", Incarnation: "life-1", To: 9, Epoch: 2, Number: 13}, notes, stream.EncodeFrame)
+	changes = append(changes, update.Change{Instance: &goldenHost}, update.Change{Proxy: &goldenRouter}, update.Change{Vote: &goldenVote})
+	encoded, err := update.NewSnapshot(update.SnapshotHeader{Name: "life-1.1", Incarnation: "life-1", To: 9, Epoch: 2, Number: 13}, changes, stream.EncodeFrame)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(cut.Messages) < 2 {
-		t.Errorf("%d chunks, want at least 2", len(cut.Messages))
+	if len(encoded.Messages) < 2 {
+		t.Errorf("%d chunks, want at least 2", len(encoded.Messages))
 	}
-	raw := Equal(t, "snapshots/router.bin", bytes.Join(cut.Messages, nil))
+	raw := Equal(t, "snapshots/router.bin", bytes.Join(encoded.Messages, nil))
 	var assembly update.Assembly
-	l := stream.Open[update.Message](recorded{in: io.MultiReader(bytes.NewReader([]byte("pfl1")), bytes.NewReader(raw)), out: new(bytes.Buffer), Conn: quiet{}}, stream.ControlKeepalive)
+	l := stream.Open[update.Message](recordedConn{in: io.MultiReader(bytes.NewReader([]byte("pfl1")), bytes.NewReader(raw)), out: new(bytes.Buffer), Conn: noDeadlineConn{}}, stream.ControlKeepalive)
 	l.Run(func(w update.Message) {
 		if w.Chunk == nil {
 			t.Errorf("message without a chunk: %s", mustJSON(t, w))
@@ -87,7 +87,7 @@
 		}
 	})
 	got, ok := assembly.Finish(update.Batch{Incarnation: "life-1", From: 9, To: 9})
-	if !ok || !reflect.DeepEqual(got, notes) {
-		t.Errorf("reassembled %d of %d changes, ok = %v", len(got), len(notes), ok)
+	if !ok || !reflect.DeepEqual(got, changes) {
+		t.Errorf("reassembled %d of %d changes, ok = %v", len(got), len(changes), ok)
 	}
 }
--- a/internal/golden/source_test.go
+++ b/internal/golden/source_test.go
@@ -88,14 +88,14 @@
 	return nil
 }
 
-func checkTags(t *testing.T, files *token.FileSet, kind *ast.StructType, wanted bool) {
+func checkTags(t *testing.T, files *token.FileSet, kind *ast.StructType, required bool) {
 	for _, field := range kind.Fields.List {
 		for _, name := range field.Names {
-			if wanted && name.IsExported() && !jsonTag(field) {
+			if required && name.IsExported() && !jsonTag(field) {
 				t.Errorf("%v: %s has no json tag", files.Position(name.Pos()), name.Name)
 			}
 		}
-		if inner := innerStruct(field.Type); inner != nil && wanted {
+		if inner := innerStruct(field.Type); inner != nil && required {
 			checkTags(t, files, inner, true)
 		}
 	}
--- a/internal/standin/behaviour.go
+++ b/internal/standin/behaviour.go
@@ -27,21 +27,21 @@
 }
 
 // DrawBehaviour returns a random behaviour from the mix of a typical fleet: clients that retry at once, after a fixed wait or
-// with exponential backoff. heed is the fraction of clients that honour Retry-After, marks sets SendsIdempotencyKey, and u, v,
-// w and x are random numbers in [0, 1).
-func DrawBehaviour(heed float64, marks bool, u, v, w, x float64) ClientBehaviour {
-	h := ClientBehaviour{Retries: 3, BackoffFactor: 1, EarlyFactor: 1, SendsIdempotencyKey: marks, Patience: 0.4 + 0.6*u, HonoursRetryAfter: w < heed}
+// with exponential backoff. retryAfterShare is the fraction of clients that honour Retry-After, sendsKeys sets
+// SendsIdempotencyKey, and u, v, w and x are random numbers in [0, 1).
+func DrawBehaviour(retryAfterShare float64, sendsKeys bool, u, v, w, x float64) ClientBehaviour {
+	b := ClientBehaviour{Retries: 3, BackoffFactor: 1, EarlyFactor: 1, SendsIdempotencyKey: sendsKeys, Patience: 0.4 + 0.6*u, HonoursRetryAfter: w < retryAfterShare}
 	switch {
 	case v < 0.4: // retries at once
 	case v < 0.7:
-		h.InitialWait = 200e6
+		b.InitialWait = 200e6
 	case v < 0.9:
-		h.InitialWait, h.BackoffFactor = 100e6, 2
+		b.InitialWait, b.BackoffFactor = 100e6, 2
 	default:
-		h.Retries = int(4 * x)
+		b.Retries = int(4 * x)
 	}
-	if w < heed*0.1 {
-		h.EarlyFactor = 0.5
+	if w < retryAfterShare*0.1 {
+		b.EarlyFactor = 0.5
 	}
-	return h
+	return b
 }
--- a/internal/standin/collector/collector.go
+++ b/internal/standin/collector/collector.go
@@ -17,21 +17,21 @@
 type Collector struct {
 	Address string
 
-	dropDatagram func(n int) bool // guarded by mu; nil drops none
-	network      string
-	tls          *tls.Config
-	mu           sync.Mutex // held for each message, while it is added to the totals
-	sum          flow.Totals
-	netFlow9     bool
-	reasons      map[flow.Reason]flow.Totals
-	sides        [2]flow.Totals
-	folded       uint64 // number of flows that arrived merged with others into one record
-	stats        ipfix.Stats
-	lost         int // number of dropped datagrams
-	udp          net.PacketConn
-	tcp          net.Listener
-	conns        map[net.Conn]bool
-	done         sync.WaitGroup
+	dropDatagram     func(n int) bool // nil drops none
+	network          string
+	tls              *tls.Config
+	mu               sync.Mutex // guards dropDatagram, the totals and the sockets
+	totals           flow.Totals
+	netFlow9         bool
+	reasons          map[flow.Reason]flow.Totals
+	sides            [2]flow.Totals
+	folded           uint64 // number of flows that arrived merged with others into one record
+	stats            ipfix.Stats
+	droppedDatagrams int
+	udp              net.PacketConn
+	tcp              net.Listener
+	conns            map[net.Conn]bool
+	done             sync.WaitGroup
 }
 
 const readBuffer = 4 << 20 // receive buffer of the UDP socket in bytes
@@ -90,10 +90,10 @@
 
 // SetDrop sets the function that decides whether to drop the n-th UDP datagram since the last start, counted from 1. nil drops
 // none.
-func (c *Collector) SetDrop(lose func(n int) bool) {
+func (c *Collector) SetDrop(drop func(n int) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dropDatagram = lose
+	c.dropDatagram = drop
 }
 
 // Stop closes all sockets and waits until the messages that were read completely have been counted.
@@ -114,14 +114,14 @@
 
 // Totals returns the totals of all received records, the totals by the reason that flows ended, the IPFIX decoder's statistics,
 // and the number of dropped datagrams.
-func (c *Collector) Totals() (all flow.Totals, by map[flow.Reason]flow.Totals, s ipfix.Stats, dropped int) {
+func (c *Collector) Totals() (all flow.Totals, byReason map[flow.Reason]flow.Totals, decoderStats ipfix.Stats, dropped int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	by = map[flow.Reason]flow.Totals{}
-	for why, sum := range c.reasons {
-		by[why] = sum
+	byReason = map[flow.Reason]flow.Totals{}
+	for reason, totals := range c.reasons {
+		byReason[reason] = totals
 	}
-	return c.sum, by, c.stats, c.lost
+	return c.totals, byReason, c.stats, c.droppedDatagrams
 }
 
 // FoldedRecords returns the number of flows that arrived merged with others into one record.
@@ -153,12 +153,12 @@
 }
 
 func (c *Collector) count(r ipfix.Read) {
-	sum := flow.Totals{Records: uint64(r.Count), Connections: uint64(r.Connections), Counts: r.Counts}
-	if c.sum = add(c.sum, sum); r.Count > 1 {
+	totals := flow.Totals{Records: uint64(r.Count), Connections: uint64(r.Connections), Counts: r.Counts}
+	if c.totals = add(c.totals, totals); r.Count > 1 {
 		c.folded += uint64(r.Count)
 	}
-	c.sides[r.Side&1] = add(c.sides[r.Side&1], sum)
-	c.reasons[r.Reason] = add(c.reasons[r.Reason], sum)
+	c.sides[r.Side&1] = add(c.sides[r.Side&1], totals)
+	c.reasons[r.Reason] = add(c.reasons[r.Reason], totals)
 }
 
 func add(a, b flow.Totals) flow.Totals {
@@ -169,7 +169,7 @@
 }
 
 func (c *Collector) readDatagrams(l net.PacketConn) {
-	d, older := ipfix.NewDecoder(ipfix.Documentation), netflow9.NewDecoder()
+	d, v9 := ipfix.NewDecoder(ipfix.Documentation), netflow9.NewDecoder()
 	b := make([]byte, 1<<16)
 	for n := 1; ; n++ {
 		size, _, err := l.ReadFrom(b)
@@ -178,9 +178,9 @@
 		}
 		c.mu.Lock()
 		if c.dropDatagram != nil && c.dropDatagram(n) {
-			c.lost++
+			c.droppedDatagrams++
 		} else if c.netFlow9 {
-			_ = older.Message(b[:size], c.count) // records that can't be decoded are missing from the totals
+			_ = v9.Message(b[:size], c.count) // records that can't be decoded are missing from the totals
 		} else {
 			c.read(d, b[:size])
 		}
@@ -191,17 +191,17 @@
 func (c *Collector) readStream(conn net.Conn) {
 	defer conn.Close()
 	d := ipfix.NewDecoder(ipfix.Documentation)
-	head := make([]byte, 4)
+	header := make([]byte, 4)
 	for {
-		if _, err := io.ReadFull(conn, head); err != nil {
+		if _, err := io.ReadFull(conn, header); err != nil {
 			return
 		}
-		n, err := ipfix.Length(head)
+		n, err := ipfix.Length(header)
 		if err != nil {
 			return
 		}
 		message := make([]byte, n)
-		copy(message, head)
+		copy(message, header)
 		if _, err := io.ReadFull(conn, message[4:]); err != nil {
 			return
 		}
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -44,21 +44,21 @@
 	if !m.Up {
 		return 0
 	}
-	return float64(m.Cores) * m.warmth(at)
+	return float64(m.Cores) * m.speed(at)
 }
 
-// warmth returns the speed at the given time as a fraction of the full speed.
-func (m *Machine) warmth(at int64) float64 {
+// speed returns the speed at the given time as a fraction of the full speed.
+func (m *Machine) speed(at int64) float64 {
 	if m.coldSince == 0 || at-m.coldSince >= m.ColdDuration {
 		return 1
 	}
 	return m.ColdStartFactor + (1-m.ColdStartFactor)*float64(max(0, at-m.coldSince))/float64(m.ColdDuration)
 }
 
-// Arrive queues a command that needs the given nanoseconds of work at full speed, and returns when it completes. ok is false if
+// Arrive queues a command that takes workNanos at full speed, and returns when it completes. ok is false if
 // the machine is down or the wait for a core would exceed QueueNanos.
-func (m *Machine) Arrive(now, need int64) (done int64, ok bool) {
-	m.collapse(now, float64(need)/1e9)
+func (m *Machine) Arrive(now, workNanos int64) (done int64, ok bool) {
+	m.collapse(now, float64(workNanos)/1e9)
 	if !m.Up {
 		return 0, false
 	}
@@ -72,7 +72,7 @@
 	if begin-now > m.QueueNanos {
 		return 0, false
 	}
-	m.coreFreeAt[i] = begin + int64(float64(need)/m.warmth(begin))
+	m.coreFreeAt[i] = begin + int64(float64(workNanos)/m.speed(begin))
 	return m.coreFreeAt[i], true
 }
 
@@ -91,7 +91,7 @@
 	for _, w := range m.recentWork {
 		sum += w.seconds
 	}
-	if can := m.Capacity(now-m.CollapseDuration/2) * float64(m.CollapseDuration) / 1e9; sum > m.CollapseFactor*can {
+	if capacity := m.Capacity(now-m.CollapseDuration/2) * float64(m.CollapseDuration) / 1e9; sum > m.CollapseFactor*capacity {
 		m.Collapsed, m.Up = true, false
 	}
 	if now-m.coldSince > m.ColdDuration+m.CollapseDuration {
@@ -113,18 +113,18 @@
 }
 
 // Run records a command and reports whether it runs; false means that it is a repeat within Retention and is dropped.
-func (e *EffectLog) Run(now int64, mark, trace string) bool {
+func (e *EffectLog) Run(now int64, key, trace string) bool {
 	if e.lastRuns == nil {
 		e.lastRuns = map[string]effect{}
 	}
-	was, known := e.lastRuns[mark]
-	if known && now-was.at < e.Retention {
+	last, known := e.lastRuns[key]
+	if known && now-last.at < e.Retention {
 		return false
 	}
-	if known && was.trace == trace {
+	if known && last.trace == trace {
 		e.Duplicates++
 	}
 	e.Runs++
-	e.lastRuns[mark] = effect{now, trace}
+	e.lastRuns[key] = effect{now, trace}
 	return true
 }
--- a/internal/standin/servers/servers.go
+++ b/internal/standin/servers/servers.go
@@ -35,10 +35,10 @@
 }
 
 // Run calls EffectLog.Run; it is safe for concurrent use.
-func (s *SharedEffects) Run(now int64, mark, trace string) bool {
+func (s *SharedEffects) Run(now int64, key, trace string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.EffectLog.Run(now, mark, trace)
+	return s.EffectLog.Run(now, key, trace)
 }
 
 // Start starts the host, warm, on a free loopback port and sets Address. All other exported fields must be set before.
@@ -101,13 +101,13 @@
 }
 
 func (h *Host) answer(w http.ResponseWriter, r *http.Request) {
-	need, now := h.Work(), h.Clock()
-	h.OnWork(now, need)
-	if mark := r.Header.Get("Idempotency-Key"); mark != "" && !h.Effects.Run(now, mark, r.Header.Get("X-Trace-Id")) {
-		need = 1e6 // a recognized repeat costs 1 ms
+	workNanos, now := h.Work(), h.Clock()
+	h.OnWork(now, workNanos)
+	if key := r.Header.Get("Idempotency-Key"); key != "" && !h.Effects.Run(now, key, r.Header.Get("X-Trace-Id")) {
+		workNanos = 1e6 // a recognized repeat costs 1 ms
 	}
 	h.mu.Lock()
-	done, ok := h.machine.Arrive(now, need)
+	done, ok := h.machine.Arrive(now, workNanos)
 	collapsed := h.machine.Collapsed
 	h.mu.Unlock()
 	if !ok {
@@ -155,33 +155,33 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Services{Address: l.Addr().String(), Release: release, members: members, version: 1, changed: make(chan struct{})}
+	s := &Services{Address: l.Addr().String(), Release: release, members: members, version: 1, changed: make(chan struct{})}
 	mux := http.NewServeMux()
-	mux.HandleFunc("/api/targets", a.targets)
-	mux.HandleFunc("/api/watch", a.watch)
-	mux.HandleFunc("/api/verdicts", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, a.Release) })
-	a.server = &http.Server{Handler: mux}
-	go func() { _ = a.server.Serve(l) }() // returns once Close closes the server
-	return a, nil
+	mux.HandleFunc("/api/targets", s.targets)
+	mux.HandleFunc("/api/watch", s.watch)
+	mux.HandleFunc("/api/verdicts", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, s.Release) })
+	s.server = &http.Server{Handler: mux}
+	go func() { _ = s.server.Serve(l) }() // returns once Close closes the server
+	return s, nil
 }
 
 // Close closes the listener and all connections, which ends watches as well.
-func (a *Services) Close() { a.server.Close() }
+func (s *Services) Close() { s.server.Close() }
 
 // SetMembers replaces the host list and wakes up requests that wait for a change.
-func (a *Services) SetMembers(members []Member) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.members = members
-	a.version++
-	close(a.changed)
-	a.changed = make(chan struct{})
-}
-
-func (a *Services) targets(w http.ResponseWriter, r *http.Request) {
-	a.mu.Lock()
-	changed, version, members := a.changed, a.version, a.members
-	a.mu.Unlock()
+func (s *Services) SetMembers(members []Member) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.members = members
+	s.version++
+	close(s.changed)
+	s.changed = make(chan struct{})
+}
+
+func (s *Services) targets(w http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	changed, version, members := s.changed, s.version, s.members
+	s.mu.Unlock()
 	if r.FormValue("index") == strconv.Itoa(version) {
 		wait, _ := strconv.Atoi(r.FormValue("wait"))
 		select {
@@ -192,15 +192,15 @@
 		case <-r.Context().Done():
 			return
 		}
-		a.mu.Lock()
-		version, members = a.version, a.members
-		a.mu.Unlock()
+		s.mu.Lock()
+		version, members = s.version, s.members
+		s.mu.Unlock()
 	}
 	_ = json.NewEncoder(w).Encode(map[string]any{"revision": version, "complete": true, "members": members}) // the router may have disconnected
 }
 
-func (a *Services) watch(w http.ResponseWriter, r *http.Request) {
-	fmt.Fprintf(w, `{"type":"news","object":%s}`+"\n", a.Release)
+func (s *Services) watch(w http.ResponseWriter, r *http.Request) {
+	fmt.Fprintf(w, `{"type":"news","object":%s}`+"\n", s.Release)
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
--- a/internal/testing/digest/digest_test.go
+++ b/internal/testing/digest/digest_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func of(values ...any) string {
+func digestOf(values ...any) string {
 	d := New()
 	d.Add(values...)
 	return d.String()
@@ -32,16 +32,16 @@
 	table map[string]*int
 }
 
-func TestNamesDoNotCount(t *testing.T) {
+func TestDigestIgnoresNames(t *testing.T) {
 	one, two := 1, 1
 	a := first{"x", []int{1, 2}, 3, map[string]*int{"k": &one, "l": nil}}
 	b := renamed{"x", nested{[]int{1, 2}, 3}, map[string]*int{"l": nil, "k": &two}}
-	if of(a) != of(b) {
-		t.Errorf("digests %s and %s of values that only differ in names", of(a), of(b))
+	if digestOf(a) != digestOf(b) {
+		t.Errorf("digests %s and %s of values that only differ in names", digestOf(a), digestOf(b))
 	}
 }
 
-func TestValuesCount(t *testing.T) {
+func TestDigestDependsOnValues(t *testing.T) {
 	one := 1
 	seen := map[string]int{}
 	for n, value := range []any{
@@ -49,24 +49,24 @@
 		map[int]int{}, &one, errors.New("1"), [2]string{"a", "b"}, [2]string{"ab", ""}, []byte("ab"),
 		first{Name: "x"}, first{kind: 1}, first{Sizes: []int{0}}, struct{ F func() }{func() {}},
 	} {
-		if before, there := seen[of(value)]; there {
+		if before, there := seen[digestOf(value)]; there {
 			t.Errorf("values %d and %d have the same digest", before, n)
 		}
-		seen[of(value)] = n
+		seen[digestOf(value)] = n
 	}
-	if of("a", "b") == of("b", "a") {
+	if digestOf("a", "b") == digestOf("b", "a") {
 		t.Error("digest does not depend on the order of values")
 	}
 }
 
-func TestMapOrderDoesNotCount(t *testing.T) {
+func TestDigestIgnoresMapOrder(t *testing.T) {
 	want := ""
 	for range 50 {
 		m := map[string]map[int]bool{}
 		for n := range 40 {
 			m[fmt.Sprint(n)] = map[int]bool{n: true, n + 1: false}
 		}
-		if got := of(m); want != "" && got != want {
+		if got := digestOf(m); want != "" && got != want {
 			t.Fatalf("digest %s, want %s as before", got, want)
 		} else {
 			want = got
@@ -74,8 +74,8 @@
 	}
 }
 
-func TestEncodingStays(t *testing.T) {
-	if got := of(first{"x", []int{-1}, 2, nil}, 0.5, errors.New("e"), []byte{1}); got != "fd4963221454a113" {
+func TestEncodingIsStable(t *testing.T) {
+	if got := digestOf(first{"x", []int{-1}, 2, nil}, 0.5, errors.New("e"), []byte{1}); got != "fd4963221454a113" {
 		t.Error(got)
 	}
 }
@@ -85,7 +85,7 @@
 	d.Add(1)
 }
 
-func TestCyclesAreFound(t *testing.T) {
+func TestCyclicValuePanics(t *testing.T) {
 	type ring struct{ next *ring }
 	r := &ring{}
 	r.next = r
@@ -99,9 +99,9 @@
 
 func TestPinComparesBlocks(t *testing.T) {
 	play := func(seed uint64, d *Digest) { d.Add(seed) }
-	Pin(t, 2, []string{of(uint64(0), uint64(1)), of(uint64(2), uint64(3))}, play)
+	Pin(t, 2, []string{digestOf(uint64(0), uint64(1)), digestOf(uint64(2), uint64(3))}, play)
 	probe := &recorder{TB: t}
-	Pin(probe, 2, []string{of(uint64(0), uint64(1)), "other"}, play)
+	Pin(probe, 2, []string{digestOf(uint64(0), uint64(1)), "other"}, play)
 	if probe.errors != 1 {
 		t.Errorf("%d errors, want 1 for one differing block", probe.errors)
 	}
--- a/tools/words/main.go
+++ b/tools/words/main.go
@@ -44,13 +44,13 @@
 	keepPrefix   = "keep"
 )
 
-// place is the key of a count.
-type place struct {
+// countKey identifies a count.
+type countKey struct {
 	folder, word string
 }
 
 // counts is the number of occurrences of each word in each folder.
-type counts map[place]int
+type counts map[countKey]int
 
 // entry is a phrase of the word list, split into words, and the word that it is counted as, which is empty for allowed phrases.
 type entry struct {
@@ -270,7 +270,7 @@
 				continue
 			}
 			if e.word != "" {
-				c[place{folder, e.word}]++
+				c[countKey{folder, e.word}]++
 			}
 			length = len(e.phrase)
 			break
@@ -302,7 +302,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s:%d: %w", baselineFile, i, err)
 		}
-		c[place{fields[0], fields[1]}] = n
+		c[countKey{fields[0], fields[1]}] = n
 	}
 	return c, lines.Err()
 }
