--- a/internal/golden/lines_test.go
+++ b/internal/golden/lines_test.go
@@ -27,10 +27,10 @@
 )
 
 var (
-	goldenItem   = config.Item{Kind: config.KindServices, Name: "desk", Version: 12, Body: json.RawMessage(`{"health-path":"/up","name":"desk"}`)}
-	goldenHost   = instance.Instance{ID: "h1", Service: "desk", Address: "10.0.1.1:80", Zone: "z1", Version: "v1", Slots: 8, State: instance.Ready, Sequence: 5, Owner: "control-1"}
-	goldenRouter = update.Proxy{Name: "router-1", Zone: "z1", IP: "10.0.2.1", Address: "10.0.2.1:8144", Ready: true, LacksCapacity: true, RegisteredAt: 1700000000000000001, Revision: 2, Owner: "control-1"}
-	goldenVote   = update.Vote{Proxy: "router-1", Service: "desk", Number: 3, Verdict: uint8(decision.RollBack), Evidence: &update.Evidence{
+	goldenItem  = config.Item{Kind: config.KindServices, Name: "desk", Version: 12, Body: json.RawMessage(`{"health-path":"/up","name":"desk"}`)}
+	goldenHost  = instance.Instance{ID: "h1", Service: "desk", Address: "10.0.1.1:80", Zone: "z1", Version: "v1", Slots: 8, State: instance.Ready, Sequence: 5, Owner: "control-1"}
+	goldenProxy = update.Proxy{Name: "router-1", Zone: "z1", IP: "10.0.2.1", Address: "10.0.2.1:8144", Ready: true, LacksCapacity: true, RegisteredAt: 1700000000000000001, Revision: 2, Owner: "control-1"}
+	goldenVote  = update.Vote{Proxy: "router-1", Service: "desk", Number: 3, Verdict: uint8(decision.RollBack), Evidence: &update.Evidence{
 		Outcomes: [2]float64{20, 21}, Excess: [2]float64{0.5, 0.25}, Error: [2]float64{0.125, 0.0625}, Threshold: [2]float64{0.015, 0.12}, Allowance: 7}}
 )
 
@@ -53,7 +53,7 @@
 			{Hello: &update.Hello{Name: "router-1", IP: "10.0.2.1", Zone: "z1", Incarnation: "life-1", Offset: 4}, Progress: &update.Progress{Name: "life-1.1", Received: 2}, StatusOnly: true},
 			{Progress: &update.Progress{Name: "life-1.1", Received: 3}},
 			{Ack: 7},
-			{Proxy: &goldenRouter},
+			{Proxy: &goldenProxy},
 			{Votes: []update.Vote{goldenVote, {Proxy: "router-1", Service: "bags", Number: 1, ReportOnly: true}}},
 			{Outliers: map[string][]outlier.Stats{"desk": {{Outcomes: 100, Failures: 2}, {ID: "h1", Outcomes: 10.5, Failures: 1.25}}}},
 			{Quota: &update.QuotaUpdate{Reports: []quota.Report{{Quota: "tenant", Demand: 2.25, Admitted: 9, Recent: 4, Rejected: 1, OverQuota: 2, Short: true}},
@@ -63,7 +63,7 @@
 		{"control-to-router", []update.Message{
 			{Hello: &update.Hello{Name: "control-1", IP: "10.0.0.1", Zone: "z1", Control: true, Incarnation: "life-1", ID: "disk-1", Now: 1700000000000000000}},
 			{Status: &update.Status{Complete: true, Member: true, HasQuorum: true, ConfigChecksum: 1 << 63, Epoch: 2, Number: 13}, Now: 1700000000000000005},
-			{Batch: &update.Batch{Incarnation: "life-1", From: 4, To: 9, Epoch: 2, Number: 13, Changes: []update.Change{{Item: &goldenItem}, {Instance: &goldenHost}, {Proxy: &goldenRouter},
+			{Batch: &update.Batch{Incarnation: "life-1", From: 4, To: 9, Epoch: 2, Number: 13, Changes: []update.Change{{Item: &goldenItem}, {Instance: &goldenHost}, {Proxy: &goldenProxy},
 				{Vote: &goldenVote}, {Ejection: &outlier.Ejection{ID: "h1", Service: "desk", EjectedUntil: 11, ProbationUntil: 12, Count: 2}}}}, Now: 1700000000000000006},
 			{Batch: &update.Batch{Incarnation: "life-1", To: 9, Snapshot: true, Changes: many}}, // long enough to be compressed
 			{Quota: &update.QuotaUpdate{Allocations: []quota.Allocation{{Quota: "tenant", Rate: 1.5, Used: 3, Calm: true}}, Capacity: map[string]float64{"desk": 80.5}}},
@@ -188,16 +188,16 @@
 func equalLines[T any](t *testing.T, name string, all []T) {
 	t.Helper()
 	raw := Equal(t, name, jsonLines(t, all))
-	var read []T
+	var decoded []T
 	for d := json.NewDecoder(bytes.NewReader(raw)); d.More(); {
 		var v T
 		if err := d.Decode(&v); err != nil {
 			t.Fatal(err)
 		}
-		read = append(read, v)
+		decoded = append(decoded, v)
 	}
-	if !reflect.DeepEqual(read, all) {
-		t.Errorf("%s: decoded as\n%s", name, jsonLines(t, read))
+	if !reflect.DeepEqual(decoded, all) {
+		t.Errorf("%s: decoded as\n%s", name, jsonLines(t, decoded))
 	}
 }
 
--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -22,14 +22,14 @@
 	"portflow/internal/router/site"
 )
 
-// root is a type that is stored or sent as JSON. Its name is also that of its golden files and must not change.
-type root struct {
+// encodedType is a type that is stored or sent as JSON. Its name is also that of its golden files and must not change.
+type encodedType struct {
 	name  string
 	value any // pointer to a zero value of the type
 }
 
-func roots() []root {
-	return []root{
+func encodedTypes() []encodedType {
+	return []encodedType{
 		// sent over streams between processes
 		{"line-message", new(update.Message)},
 		{"line-hello", new(update.Hello)},
@@ -81,7 +81,7 @@
 
 // Guards against encoded fields without a JSON tag: they take their Go name, so that renaming them would change the format.
 func TestEveryFieldHasTag(t *testing.T) {
-	for _, r := range roots() {
+	for _, r := range encodedTypes() {
 		for _, field := range Untagged(reflect.TypeOf(r.value)) {
 			t.Errorf("%s: %s has no json tag", r.name, field)
 		}
@@ -105,30 +105,30 @@
 // Guards the encoding of each message, with all fields set and with none, and that the golden file decodes to the same
 // message, so that each release can read what another sends.
 func TestMessages(t *testing.T) {
-	for _, r := range roots() {
+	for _, r := range encodedTypes() {
 		t.Run(r.name, func(t *testing.T) {
-			kind := reflect.TypeOf(r.value).Elem()
-			full := reflect.New(kind).Interface()
+			typ := reflect.TypeOf(r.value).Elem()
+			full := reflect.New(typ).Interface()
 			Fill(full)
-			for name, message := range map[string]any{r.name + ".json": full, r.name + "-empty.json": reflect.New(kind).Interface()} {
+			for name, message := range map[string]any{r.name + ".json": full, r.name + "-empty.json": reflect.New(typ).Interface()} {
 				raw, err := json.Marshal(message)
 				if err != nil {
 					t.Fatal(err)
 				}
 				want := Equal(t, "messages/"+name, raw)
-				read := reflect.New(kind).Interface()
-				if err := json.Unmarshal(want, read); err != nil {
+				decoded := reflect.New(typ).Interface()
+				if err := json.Unmarshal(want, decoded); err != nil {
 					t.Fatal(err)
 				}
-				again, err := json.Marshal(read)
+				again, err := json.Marshal(decoded)
 				if err != nil {
 					t.Fatal(err)
 				}
 				if string(again) != string(want) {
 					t.Errorf("%s: decoded and encoded again:\n got %s\nwant %s", name, again, want)
 				}
-				if message == full && !reflect.DeepEqual(read, full) {
-					t.Errorf("%s: decoded as %+v, want %+v", name, read, full)
+				if message == full && !reflect.DeepEqual(decoded, full) {
+					t.Errorf("%s: decoded as %+v, want %+v", name, decoded, full)
 				}
 			}
 		})
--- a/internal/golden/snapshots_test.go
+++ b/internal/golden/snapshots_test.go
@@ -43,13 +43,13 @@
 			t.Errorf("%d chunks, want at least 2", chunks)
 		}
 		raw := Equal(t, name, file)
-		var read []config.Item
+		var decoded []config.Item
 		got, err := client.ReadSnapshot(bytes.NewReader(raw), func(_ int64, _ []byte, items []config.Item) error {
-			read = append(read, items...)
+			decoded = append(decoded, items...)
 			return nil
 		})
-		if err != nil || got != header || !reflect.DeepEqual(read, items) {
-			t.Errorf("%s: decoded as %v, %d items, %v", name, got, len(read), err)
+		if err != nil || got != header || !reflect.DeepEqual(decoded, items) {
+			t.Errorf("%s: decoded as %v, %d items, %v", name, got, len(decoded), err)
 		}
 	}
 }
@@ -68,7 +68,7 @@
 	for n := range items {
 		changes[n].Item = &items[n]
 	}
-	changes = append(changes, update.Change{Instance: &goldenHost}, update.Change{Proxy: &goldenRouter}, update.Change{Vote: &goldenVote})
+	changes = append(changes, update.Change{Instance: &goldenHost}, update.Change{Proxy: &goldenProxy}, update.Change{Vote: &goldenVote})
 	encoded, err := update.NewSnapshot(update.SnapshotHeader{Name: "life-1.1", Incarnation: "life-1", To: 9, Epoch: 2, Number: 13}, changes, stream.EncodeFrame)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/golden/source_test.go
+++ b/internal/golden/source_test.go
@@ -30,19 +30,19 @@
 		}
 		ast.Inspect(file, func(node ast.Node) bool {
 			local := false
-			var kind *ast.StructType
+			var structType *ast.StructType
 			switch n := node.(type) {
 			case *ast.TypeSpec:
-				kind, _ = n.Type.(*ast.StructType)
+				structType, _ = n.Type.(*ast.StructType)
 			case *ast.ValueSpec:
-				kind, _ = n.Type.(*ast.StructType)
+				structType, _ = n.Type.(*ast.StructType)
 				local = decodes
 			}
-			if kind == nil {
+			if structType == nil {
 				return true
 			}
 			structs++
-			checkTags(t, files, kind, local || anyTagged(kind))
+			checkTags(t, files, structType, local || anyTagged(structType))
 			return true
 		})
 		return nil
@@ -63,8 +63,8 @@
 	return ok
 }
 
-func anyTagged(kind *ast.StructType) bool {
-	for _, field := range kind.Fields.List {
+func anyTagged(structType *ast.StructType) bool {
+	for _, field := range structType.Fields.List {
 		if jsonTag(field) {
 			return true
 		}
@@ -74,8 +74,8 @@
 
 // innerStruct returns the anonymous struct type that a field's type contains, directly or as the element of slices, arrays,
 // maps or pointers, or nil if there is none.
-func innerStruct(kind ast.Expr) *ast.StructType {
-	switch k := kind.(type) {
+func innerStruct(expr ast.Expr) *ast.StructType {
+	switch k := expr.(type) {
 	case *ast.StructType:
 		return k
 	case *ast.ArrayType:
@@ -88,8 +88,8 @@
 	return nil
 }
 
-func checkTags(t *testing.T, files *token.FileSet, kind *ast.StructType, required bool) {
-	for _, field := range kind.Fields.List {
+func checkTags(t *testing.T, files *token.FileSet, structType *ast.StructType, required bool) {
+	for _, field := range structType.Fields.List {
 		for _, name := range field.Names {
 			if required && name.IsExported() && !jsonTag(field) {
 				t.Errorf("%v: %s has no json tag", files.Position(name.Pos()), name.Name)
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -55,8 +55,8 @@
 	return m.ColdStartFactor + (1-m.ColdStartFactor)*float64(max(0, at-m.coldSince))/float64(m.ColdDuration)
 }
 
-// Arrive queues a command that takes workNanos at full speed, and returns when it completes. ok is false if
-// the machine is down or the wait for a core would exceed QueueNanos.
+// Arrive queues a command that takes workNanos at full speed, and returns when it completes. ok is false if the machine is down
+// or the wait for a core would exceed QueueNanos.
 func (m *Machine) Arrive(now, workNanos int64) (done int64, ok bool) {
 	m.collapse(now, float64(workNanos)/1e9)
 	if !m.Up {
@@ -103,7 +103,7 @@
 type EffectLog struct {
 	Retention  int64             // nanoseconds for which a repeat is dropped
 	lastRuns   map[string]effect // by idempotency key
-	Duplicates int               // number of runs that repeated the previous run of the same trace, after Retention
+	Duplicates int               // number of runs that repeated a run of the same key and trace, after Retention
 	Runs       int
 }
 
