--- a/internal/golden/source_test.go
+++ b/internal/golden/source_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// In the sources a struct that has one json tag has one on each exported field, also a struct that no other package can name;
-// and a struct type without a name, which functions read answers into, has tags wherever JSON is read in its file.
+// Guards against untagged fields in encoded structs, unexported ones included. If one field of a struct type has a JSON tag,
+// each exported field needs one; so does each field of an anonymous struct variable in a file that imports encoding/json.
 func TestSourcesHaveTags(t *testing.T) {
 	files := token.NewFileSet()
 	structs := 0
@@ -30,19 +30,19 @@
 		}
 		ast.Inspect(file, func(node ast.Node) bool {
 			local := false
-			var kind *ast.StructType
+			var structType *ast.StructType
 			switch n := node.(type) {
 			case *ast.TypeSpec:
-				kind, _ = n.Type.(*ast.StructType)
+				structType, _ = n.Type.(*ast.StructType)
 			case *ast.ValueSpec:
-				kind, _ = n.Type.(*ast.StructType)
+				structType, _ = n.Type.(*ast.StructType)
 				local = decodes
 			}
-			if kind == nil {
+			if structType == nil {
 				return true
 			}
 			structs++
-			checkTags(t, files, kind, local || anyTagged(kind))
+			checkTags(t, files, structType, local || anyTagged(structType))
 			return true
 		})
 		return nil
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	if structs < 300 {
-		t.Errorf("%d structs were found: the walk misses sources", structs)
+		t.Errorf("only %d structs found: the walk misses source files", structs)
 	}
 }
 
@@ -63,8 +63,8 @@
 	return ok
 }
 
-func anyTagged(kind *ast.StructType) bool {
-	for _, field := range kind.Fields.List {
+func anyTagged(structType *ast.StructType) bool {
+	for _, field := range structType.Fields.List {
 		if jsonTag(field) {
 			return true
 		}
@@ -72,9 +72,10 @@
 	return false
 }
 
-// innerStruct is the struct that a field of an unnamed type holds, through lists and pointers.
-func innerStruct(kind ast.Expr) *ast.StructType {
-	switch k := kind.(type) {
+// innerStruct returns the anonymous struct type that a field's type contains, directly or as the element of slices, arrays,
+// maps or pointers, or nil if there is none.
+func innerStruct(expr ast.Expr) *ast.StructType {
+	switch k := expr.(type) {
 	case *ast.StructType:
 		return k
 	case *ast.ArrayType:
@@ -87,14 +88,14 @@
 	return nil
 }
 
-func checkTags(t *testing.T, files *token.FileSet, kind *ast.StructType, wanted bool) {
-	for _, field := range kind.Fields.List {
+func checkTags(t *testing.T, files *token.FileSet, structType *ast.StructType, required bool) {
+	for _, field := range structType.Fields.List {
 		for _, name := range field.Names {
-			if wanted && name.IsExported() && !jsonTag(field) {
+			if required && name.IsExported() && !jsonTag(field) {
 				t.Errorf("%v: %s has no json tag", files.Position(name.Pos()), name.Name)
 			}
 		}
-		if inner := innerStruct(field.Type); inner != nil && wanted {
+		if inner := innerStruct(field.Type); inner != nil && required {
 			checkTags(t, files, inner, true)
 		}
 	}
