--- a/internal/lab/hollow/host.go
+++ b/internal/lab/hollow/host.go
@@ -15,9 +15,9 @@
 
 // HeartbeatStats counts the beats of all hosts.
 type HeartbeatStats struct {
-	Sent, Acknowledged, Refused, Failed, Dials, Redirected atomic.Int64
-	ByDistance                                             [3]atomic.Int64 // by how far the control process is
-	BytesByDirection                                       [2]atomic.Int64 // of questions, of answers, less what TCP adds
+	Sent, Acknowledged, Refused, Failed, Dials, Failovers atomic.Int64
+	ByDistance                                            [3]atomic.Int64 // by how far the control process is
+	BytesByDirection                                      [2]atomic.Int64 // of questions, of answers, less what TCP adds
 }
 
 // hollowHost is a hollow one.
@@ -36,7 +36,7 @@
 }
 
 // start beats until the context ends; the first beat comes at a moment of the host's own.
-func (h *hollowHost) start(ctx context.Context) {
+func (h *hollowHost) runHeartbeats(ctx context.Context) {
 	defer func() {
 		if h.conn != nil {
 			h.conn.Close()
@@ -44,7 +44,7 @@
 	}()
 	next := time.NewTimer(time.Duration(h.index*7919%1300) * time.Millisecond)
 	defer next.Stop()
-	homes := h.run.controlZones()
+	controlZones := h.run.controlZones()
 	for {
 		select {
 		case <-next.C:
@@ -53,7 +53,7 @@
 		}
 		next.Reset(heartbeatInterval)
 		h.sequence++
-		for attempt := 0; attempt < len(homes) && ctx.Err() == nil; attempt++ {
+		for attempt := 0; attempt < len(controlZones) && ctx.Err() == nil; attempt++ {
 			if h.sendHeartbeat(ctx) {
 				break
 			}
@@ -61,8 +61,8 @@
 				h.conn.Close()
 				h.conn = nil
 			}
-			h.run.heartbeats.Redirected.Add(1)
-			h.controlZone = homes[(h.index+h.sequence+attempt)%len(homes)]
+			h.run.heartbeats.Failovers.Add(1)
+			h.controlZone = controlZones[(h.index+h.sequence+attempt)%len(controlZones)]
 		}
 		if h.run.FreshConnections && h.conn != nil {
 			h.conn.Close()
--- a/internal/lab/hollow/plan.go
+++ b/internal/lab/hollow/plan.go
@@ -124,12 +124,12 @@
 			LossSlack: 200e6, Configuration: 3e9, RollbackSlack: 250e6, OuterStretch: 10e9, BudgetWindow: 10e9, Rollback: 5e9,
 			Evacuation: 5e9, Recovery: 15e9, Lifetime: 5e9, BudgetRatio: 0.2, BudgetSlack: 64, ExposureShare: 0.1, ExposureSlack: 50,
 			ColdOverrun: 1.5, ColdSlack: 5}}
-	homes := p.controlZones()
-	for _, z := range homes[:min(3, len(homes))] {
+	controlZones := p.controlZones()
+	for _, z := range controlZones[:min(3, len(controlZones))] {
 		b.SeedNodes = append(b.SeedNodes, net.JoinHostPort(address(z, 0), strconv.Itoa(controlPort)))
 	}
 	if role == controlRole {
-		for _, z := range homes {
+		for _, z := range controlZones {
 			b.ZoneRegions[zoneName(z)] = regionName(z)
 		}
 	} else {
--- a/internal/lab/hollow/plot.go
+++ b/internal/lab/hollow/plot.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func firstControl(of func(ProcessRate) float64) func(Result) float64 {
+func firstProxy(of func(ProcessRate) float64) func(Result) float64 {
 	return func(r Result) float64 {
 		if len(r.RealProxies) == 0 {
 			return math.NaN()
@@ -42,8 +42,8 @@
 	{"cores of the busiest control process, calm", busiestControl(func(x ProcessRate) float64 { return x.Cores }), 1},
 	{"peak MB of the largest control process", busiestControl(func(x ProcessRate) float64 { return x.PeakMB }), 256},
 	{"descriptors of a control process", busiestControl(func(x ProcessRate) float64 { return float64(x.Descriptors) }), 0},
-	{"cores of a router, no traffic", firstControl(func(x ProcessRate) float64 { return x.Cores }), 0.013},
-	{"peak MB of a router", firstControl(func(x ProcessRate) float64 { return x.PeakMB }), 256},
+	{"cores of a router, no traffic", firstProxy(func(x ProcessRate) float64 { return x.Cores }), 0.013},
+	{"peak MB of a router", firstProxy(func(x ProcessRate) float64 { return x.PeakMB }), 256},
 	{"bytes a second to a router, calm", func(r Result) float64 {
 		p := r.Phases["calm"]
 		return float64(p.BytesByDistance[0]+p.BytesByDistance[1]+p.BytesByDistance[2])/p.Seconds/float64(r.Routers) + 2*r.GossipBytesPerRouter
@@ -59,32 +59,32 @@
 
 // GrowthExponent is the power with which a figure grows with the number of routers, from the first of some plays to the last; 0 where
 // one of them has no such figure.
-func GrowthExponent(all []Result, f Metric) float64 {
-	a, b := all[0], all[len(all)-1]
-	power := math.Log(f.Value(b)/f.Value(a)) / math.Log(float64(b.Routers)/float64(a.Routers))
-	if math.IsNaN(power) || math.IsInf(power, 0) {
+func GrowthExponent(results []Result, m Metric) float64 {
+	a, b := results[0], results[len(results)-1]
+	exponent := math.Log(m.Value(b)/m.Value(a)) / math.Log(float64(b.Routers)/float64(a.Routers))
+	if math.IsNaN(exponent) || math.IsInf(exponent, 0) {
 		return 0
 	}
-	return power
+	return exponent
 }
 
 // WritePlot draws each figure over the number of routers, with its line to the target and its bound, as SVG files in a folder. The
 // results are in the order of their routers.
-func WritePlot(dir string, all []Result) error {
-	if len(all) < 2 {
-		return fmt.Errorf("a slope needs two plays, and there are %d", len(all))
+func WritePlot(dir string, results []Result) error {
+	if len(results) < 2 {
+		return fmt.Errorf("a slope needs two plays, and there are %d", len(results))
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	for _, f := range Metrics {
+	for _, m := range Metrics {
 		p := plot.New()
-		p.Title.Text = f.Name
+		p.Title.Text = m.Name
 		p.X.Label.Text = "routers"
 		p.Legend.Top, p.Legend.Left = true, true
 		var points plotter.XYs
-		for _, r := range all {
-			if y := f.Value(r); !math.IsNaN(y) {
+		for _, r := range results {
+			if y := m.Value(r); !math.IsNaN(y) {
 				points = append(points, plotter.XY{X: float64(r.Routers), Y: y})
 			}
 		}
@@ -93,8 +93,8 @@
 		}
 		last := points[len(points)-1]
 		target := float64(max(TargetPlan().Routers, int(last.X)))
-		line := plotter.XYs{last, {X: target, Y: last.Y * math.Pow(target/last.X, GrowthExponent(all, f))}}
-		if err := addSeries(p, points, line, f.Limit, target); err != nil {
+		trend := plotter.XYs{last, {X: target, Y: last.Y * math.Pow(target/last.X, GrowthExponent(results, m))}}
+		if err := addSeries(p, points, trend, m.Limit, target); err != nil {
 			return err
 		}
 		name := strings.Map(func(r rune) rune {
@@ -102,7 +102,7 @@
 				return '-'
 			}
 			return r
-		}, f.Name) + ".svg"
+		}, m.Name) + ".svg"
 		if err := p.Save(6*vg.Inch, 4*vg.Inch, filepath.Join(dir, name)); err != nil {
 			return err
 		}
@@ -110,27 +110,27 @@
 	return nil
 }
 
-func addSeries(p *plot.Plot, points, line plotter.XYs, bound, target float64) error {
-	l, s, err := plotter.NewLinePoints(points)
+func addSeries(p *plot.Plot, points, trend plotter.XYs, limit, target float64) error {
+	measuredLine, measuredPoints, err := plotter.NewLinePoints(points)
 	if err != nil {
 		return err
 	}
-	to, err := plotter.NewLine(line)
+	trendLine, err := plotter.NewLine(trend)
 	if err != nil {
 		return err
 	}
-	to.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
-	p.Add(l, s, to)
-	p.Legend.Add("measured", l, s)
-	p.Legend.Add("to the target", to)
-	if bound > 0 {
-		b, err := plotter.NewLine(plotter.XYs{{X: points[0].X, Y: bound}, {X: target, Y: bound}})
+	trendLine.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
+	p.Add(measuredLine, measuredPoints, trendLine)
+	p.Legend.Add("measured", measuredLine, measuredPoints)
+	p.Legend.Add("to the target", trendLine)
+	if limit > 0 {
+		limitLine, err := plotter.NewLine(plotter.XYs{{X: points[0].X, Y: limit}, {X: target, Y: limit}})
 		if err != nil {
 			return err
 		}
-		b.Width = vg.Points(2)
-		p.Add(b)
-		p.Legend.Add("bound", b)
+		limitLine.Width = vg.Points(2)
+		p.Add(limitLine)
+		p.Legend.Add("bound", limitLine)
 	}
 	return nil
 }
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -126,7 +126,7 @@
 	return err
 }
 
-func processStats(data string) (stats ProcessStats) {
+func processStats(dataDir string) (stats ProcessStats) {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // it has no other errors than bad arguments
 	stats.CPU = time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
@@ -143,8 +143,8 @@
 		stats.OpenFiles = len(files)
 	}
 	stats.FramesSent, stats.BytesSent, stats.Heartbeats = stream.FramesWritten.Load(), stream.FrameBytesWritten.Load(), stream.HeartbeatsWritten.Load()
-	if data != "" {
-		_ = filepath.WalkDir(data, func(_ string, d fs.DirEntry, err error) error {
+	if dataDir != "" {
+		_ = filepath.WalkDir(dataDir, func(_ string, d fs.DirEntry, err error) error {
 			if err == nil && !d.IsDir() {
 				if i, err := d.Info(); err == nil {
 					stats.DiskBytes += i.Size()
--- a/internal/lab/hollow/router.go
+++ b/internal/lab/hollow/router.go
@@ -163,7 +163,7 @@
 	snapshotHeader frameHeader  // the last chunk of a snapshot that isn't whole with what came since
 	subscribedZone int          // the zone of the control process whose news it has
 	readySince     atomic.Int64 // Unix nanoseconds since when it follows with a snapshot, 0 for not
-	changedAt      int64
+	registeredAt   int64
 	cancel         context.CancelFunc
 	gossiper       *gossip.Gossiper
 }
@@ -294,7 +294,7 @@
 func (s *controlStream) sendHello() {
 	r := s.hollowRouter
 	r.mu.Lock()
-	r.conn, r.controlZone, r.changedAt = s.nc, s.zone, time.Now().UnixNano()
+	r.conn, r.controlZone, r.registeredAt = s.nc, s.zone, time.Now().UnixNano()
 	hello := update.Hello{Name: r.name, IP: r.ip, Zone: zoneName(r.zone), Incarnation: r.subscription.Incarnation, Offset: r.subscription.Offset}
 	progress := r.snapshotHeader.Progress
 	r.mu.Unlock()
@@ -419,7 +419,7 @@
 // sendStatus tells control how the router is.
 func (r *hollowRouter) sendStatus(ready bool) {
 	r.send(update.Message{Proxy: &update.Proxy{Name: r.name, Zone: zoneName(r.zone), IP: r.ip, Address: net.JoinHostPort(r.ip, strconv.Itoa(proxyPort)),
-		Ready: ready, RegisteredAt: r.changedAt}})
+		Ready: ready, RegisteredAt: r.registeredAt}})
 }
 
 func (r *hollowRouter) send(w update.Message) {
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -36,7 +36,7 @@
 		return out
 	}
 	slices.Sort(took)
-	ms := func(part float64) float64 { return float64(took[int(part*float64(len(took)-1))]) / 1e6 }
+	ms := func(quantile float64) float64 { return float64(took[int(quantile*float64(len(took)-1))]) / 1e6 }
 	out.P50, out.P99, out.Worst = ms(0.5), ms(0.99), ms(1)
 	return out
 }
@@ -135,8 +135,8 @@
 func (r *run) seeds() []int        { h := r.controlZones(); return h[:min(3, len(h))] }
 
 func (r *run) partitioned(a, b int) bool {
-	off := int(r.partitionedRegion.Load()) - 1
-	return off >= 0 && (regionOf(a) == off) != (regionOf(b) == off)
+	region := int(r.partitionedRegion.Load()) - 1
+	return region >= 0 && (regionOf(a) == region) != (regionOf(b) == region)
 }
 
 // recordSeen notes that a batch has come to a router.
@@ -153,7 +153,7 @@
 }
 
 // tell sends a child a command without an answer. A child that does not take it has ended, which the end of the run reports.
-func (r *run) tell(child *childProcess, command string) {
+func (r *run) sendCommand(child *childProcess, command string) {
 	if err := child.call(command, nil); err != nil {
 		r.progress("%s: %v", command, err)
 	}
@@ -256,7 +256,7 @@
 			controlZone: controlZones[n%len(controlZones)],
 		}
 		r.hosts = append(r.hosts, h)
-		go h.start(ctx)
+		go h.runHeartbeats(ctx)
 	}
 }
 
@@ -311,11 +311,11 @@
 		rt.cancel()
 	}
 	time.Sleep(200 * time.Millisecond)
-	at := time.Now()
+	startedAt := time.Now()
 	if err := r.startRouters(ctx, half); err != nil {
 		return err
 	}
-	result.Restarted = r.awaitSubscribed(half, at, 30*time.Second)
+	result.Restarted = r.awaitSubscribed(half, startedAt, 30*time.Second)
 	r.awaitQuiet(ctx)
 	endPhase()
 	r.progress("half of the routers restarted: p50 %.0f, worst %.0f ms, %d never", result.Restarted.P50, result.Restarted.Worst, result.Restarted.TimedOut)
@@ -556,14 +556,14 @@
 		if name != "" {
 			path = filepath.Join(r.Profile, fmt.Sprintf("%s-%s.pprof", name, zoneName(z)))
 		}
-		r.tell(c, "profile "+path)
+		r.sendCommand(c, "profile "+path)
 	}
 	for n, c := range r.realProxies {
 		path := ""
 		if name != "" {
 			path = filepath.Join(r.Profile, fmt.Sprintf("%s-real-%02d.pprof", name, n))
 		}
-		r.tell(c, "profile "+path)
+		r.sendCommand(c, "profile "+path)
 	}
 }
 
@@ -701,7 +701,7 @@
 					command += fmt.Sprintf(" 127.%d.", 100+x)
 				}
 			}
-			r.tell(c, command)
+			r.sendCommand(c, command)
 		}
 		r.partitionedRegion.Store(0)
 		if blocked {
--- a/internal/lab/hollow/run_test.go
+++ b/internal/lab/hollow/run_test.go
@@ -33,26 +33,26 @@
 // A hollow router reads of each word what control's own encoding says, deflated or not, and of a long one its beginning.
 func TestParseFrame(t *testing.T) {
 	c := qt.New(t)
-	notes := []update.Change{{Instance: &instance.Instance{ID: "h"}}, {Proxy: &update.Proxy{Name: "r"}}, {Proxy: &update.Proxy{Name: "q"}},
+	changes := []update.Change{{Instance: &instance.Instance{ID: "h"}}, {Proxy: &update.Proxy{Name: "r"}}, {Proxy: &update.Proxy{Name: "q"}},
 		{Item: &config.Item{Kind: "routes", Name: "probe", Version: 3}}}
 	var long []update.Change
 	for n := range 20000 {
 		long = append(long, update.Change{Instance: &instance.Instance{ID: fmt.Sprintf("host-%d-%d", n, n*7919), Service: fmt.Sprint(n * n)}})
 	}
 	for _, x := range []struct {
-		word update.Message
-		want frameHeader
+		message update.Message
+		want    frameHeader
 	}{
 		{update.Message{Hello: &update.Hello{Name: "m"}}, frameHeader{Kind: HelloFrame}},
 		{update.Message{Status: &update.Status{Complete: true, HasQuorum: true}}, frameHeader{Kind: StatusFrame, Complete: true, Quorum: true}},
 		{update.Message{Status: &update.Status{}}, frameHeader{Kind: StatusFrame}},
 		{update.Message{Quota: &update.QuotaUpdate{}}, frameHeader{Kind: QuotaFrame}},
 		{update.Message{Consensus: json.RawMessage(`{"k":"c"}`)}, frameHeader{Kind: OtherFrame}},
-		{update.Message{Batch: &update.Batch{Incarnation: "l", From: 3, To: 9, Changes: notes}}, frameHeader{Kind: BatchFrame, Incarnation: "l", From: 3, To: 9, Hosts: 1, Routers: 2, Items: 1}},
+		{update.Message{Batch: &update.Batch{Incarnation: "l", From: 3, To: 9, Changes: changes}}, frameHeader{Kind: BatchFrame, Incarnation: "l", From: 3, To: 9, Hosts: 1, Routers: 2, Items: 1}},
 		{update.Message{Batch: &update.Batch{Incarnation: "l", To: 9}}, frameHeader{Kind: BatchFrame, Incarnation: "l", To: 9}},
 		{update.Message{Batch: &update.Batch{Incarnation: "l", To: 9, Snapshot: true, Changes: long}}, frameHeader{Kind: SnapshotFrame, Incarnation: "l", To: 9}},
 	} {
-		raw, err := json.Marshal(x.word)
+		raw, err := json.Marshal(x.message)
 		c.Assert(err, qt.IsNil)
 		for _, deflated := range []bool{false, true} {
 			if deflated {
@@ -66,17 +66,17 @@
 			c.Check(h, qt.DeepEquals, x.want)
 		}
 	}
-	cut, err := update.NewSnapshot(update.SnapshotHeader{Name: "l.1", Incarnation: "l", To: 9}, long, func(word []byte) []byte { return word })
+	snapshot, err := update.NewSnapshot(update.SnapshotHeader{Name: "l.1", Incarnation: "l", To: 9}, long, func(word []byte) []byte { return word })
 	c.Assert(err, qt.IsNil)
-	have := 0
-	for _, w := range cut.Messages { // a snapshot in chunks
+	received := 0
+	for _, w := range snapshot.Messages { // a snapshot in chunks
 		h, err := parseFrame(compress(w), true)
 		c.Assert(err, qt.IsNil)
-		c.Check(h.Progress.Received > have, qt.IsTrue)
-		have = h.Progress.Received
-		c.Check(h, qt.DeepEquals, frameHeader{Kind: SnapshotFrame, Incarnation: "l", To: 9, Progress: update.Progress{Name: "l.1", Received: have}, ChunkTotal: len(long)})
+		c.Check(h.Progress.Received > received, qt.IsTrue)
+		received = h.Progress.Received
+		c.Check(h, qt.DeepEquals, frameHeader{Kind: SnapshotFrame, Incarnation: "l", To: 9, Progress: update.Progress{Name: "l.1", Received: received}, ChunkTotal: len(long)})
 	}
-	c.Check(have, qt.Equals, len(long))
+	c.Check(received, qt.Equals, len(long))
 }
 
 func FuzzParseFrame(f *testing.F) {
@@ -103,14 +103,14 @@
 	}
 	seen := map[string]bool{}
 	for z := range p.Zones {
-		for _, n := range slices.Concat([]int{0}, sequenceOf(100, 1099), sequenceOf(2000, 2000+maxRouters/p.Zones), sequenceOf(4000, 4000+maxRealRouters)) {
+		for _, n := range slices.Concat([]int{0}, intRange(100, 1099), intRange(2000, 2000+maxRouters/p.Zones), intRange(4000, 4000+maxRealRouters)) {
 			c.Assert(seen[address(z, n)], qt.IsFalse)
 			seen[address(z, n)] = true
 		}
 	}
 }
 
-func sequenceOf(a, b int) (all []int) {
+func intRange(a, b int) (all []int) {
 	for n := a; n <= b; n++ {
 		all = append(all, n)
 	}
@@ -136,7 +136,7 @@
 }
 
 // changesFor is how many notes and bytes a follower is told for what a call changes.
-func changesFor(s *registry.State, control bool, change func()) (notes, size int) {
+func changesFor(s *registry.State, control bool, change func()) (count, size int) {
 	at := s.Updates.Last()
 	change()
 	all, _ := s.Updates.After(at)
@@ -154,7 +154,7 @@
 	for _, size := range [][3]int{{10, 100, 100}, {510, 100, 100}, {10, 4200, 100}, {10, 100, 3200}} {
 		s := newTestRegistry(size[0], size[1], size[2])
 		h := s.Instances.Lookup("host-00007")
-		beat := func(state instance.State) func() {
+		heartbeat := func(state instance.State) func() {
 			return func() {
 				h.Sequence, h.State = h.Sequence+1, state
 				if x, changed := s.Instances.Heartbeat(2, h); changed {
@@ -163,19 +163,19 @@
 			}
 		}
 		var x cost
-		notes, size0 := changesFor(s, false, beat(instance.Ready))
-		c.Check(notes, qt.Equals, 0)
+		count, size0 := changesFor(s, false, heartbeat(instance.Ready))
+		c.Check(count, qt.Equals, 0)
 		x.Beat = size0
-		notes, x.Drain = changesFor(s, false, beat(instance.Draining))
-		c.Check(notes, qt.Equals, 1)
-		notes, x.Router = changesFor(s, false, func() { s.ClaimProxy(3, s.Proxies["router-0003"]) })
-		c.Check(notes, qt.Equals, 1)
-		notes, x.Item = changesFor(s, false, func() {
+		count, x.Drain = changesFor(s, false, heartbeat(instance.Draining))
+		c.Check(count, qt.Equals, 1)
+		count, x.Router = changesFor(s, false, func() { s.ClaimProxy(3, s.Proxies["router-0003"]) })
+		c.Check(count, qt.Equals, 1)
+		count, x.Item = changesFor(s, false, func() {
 			i := config.Item{Kind: config.KindRoutes, Name: "route-0003", Version: 2, Body: []byte(`{"name":"route"}`)}
 			c.Assert(s.Set.Merge(i), qt.IsTrue)
 			s.Publish(1, []config.Item{i}, true)
 		})
-		c.Check(notes, qt.Equals, 1)
+		c.Check(count, qt.Equals, 1)
 		raw, err := json.Marshal(s.Snapshot(1, false))
 		c.Assert(err, qt.IsNil)
 		x.Snapshot = len(raw)
--- a/internal/lab/hollow/snapshot_test.go
+++ b/internal/lab/hollow/snapshot_test.go
@@ -86,10 +86,10 @@
 	}
 }
 
-func reportSizes(b *testing.B, highest, bytes, chunks int, made, elapsed time.Duration) {
-	b.ReportMetric(float64(highest), "longest-inflated")
+func reportSizes(b *testing.B, longestFrame, bytes, chunks int, encodeTime, decodeTime time.Duration) {
+	b.ReportMetric(float64(longestFrame), "longest-inflated")
 	b.ReportMetric(float64(bytes), "on-the-line")
 	b.ReportMetric(float64(chunks), "frames")
-	b.ReportMetric(float64(made.Microseconds())/1e3, "made-ms")
-	b.ReportMetric(float64(elapsed.Microseconds())/1e3, "taken-ms")
+	b.ReportMetric(float64(encodeTime.Microseconds())/1e3, "made-ms")
+	b.ReportMetric(float64(decodeTime.Microseconds())/1e3, "taken-ms")
 }
