--- a/internal/lab/hollow/bench_test.go
+++ b/internal/lab/hollow/bench_test.go
@@ -11,10 +11,10 @@
 	"portflow/internal/proxy/endpoint"
 )
 
-// sizes are those of docs/CAPACITY.md: routers, hosts.
+// sizes are the cluster sizes of docs/CAPACITY.md: numbers of routers and hosts.
 var sizes = [][2]int{{13, 107}, {92, 757}, {300, 2470}, {510, 4200}, {1000, 8235}}
 
-// What a control process works out for each router that it can't give changes alone, before it is deflated.
+// Measures the encoding of a full snapshot for a router that can't resume from changes, without compression.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, x := range sizes {
 		s := newTestRegistry(x[0], x[1], 3200)
@@ -32,7 +32,8 @@
 	}
 }
 
-// What each router works out anew after each change of the configuration, and a control process twice before it takes one.
+// Measures the construction of the routing table, which each router repeats after each configuration change, and a control process
+// does twice before it accepts one.
 func BenchmarkRoutingTable(b *testing.B) {
 	for _, x := range [][2]int{{3200, 0}, {3200, 33000}} {
 		s := config.NewSet()
@@ -58,7 +59,8 @@
 	}
 }
 
-// What a router works out for each host that it uses, after each change of the roster.
+// Measures the computation of a router's share of a host, which a router repeats for each of its hosts after each change of the
+// router list.
 func BenchmarkRouterShare(b *testing.B) {
 	for _, x := range sizes {
 		roster, regions := endpoint.ProxyList{}, map[string]string{}
--- a/internal/lab/hollow/plan.go
+++ b/internal/lab/hollow/plan.go
@@ -1,7 +1,7 @@
-// Package hollow plays a large harbour on loopback: real control processes, and routers and hosts that are hollow. A hollow
-// router has a real line to control, with acknowledgements and beats, and real shuffles, and carries no traffic; some hundreds
-// share this process. A hollow host beats. What is measured is what the control processes spend, and when the routers have
-// been told.
+// Package hollow is a capacity test that runs a large cluster on loopback: real control processes with emulated ("hollow")
+// routers and hosts. Hundreds of hollow routers share this process; each keeps a real stream to a control process, with
+// acknowledgements and heartbeats, and takes part in gossip, but serves no traffic. A hollow host only sends heartbeats. The test
+// measures the resources that the control processes use and the time until the routers have received a change.
 package hollow
 
 import (
@@ -14,36 +14,36 @@
 	"portflow/internal/cluster/settings"
 )
 
-// Plan is one play. Zones belong to regions in turn, three to each.
+// Plan describes one run. Consecutive zones form a region, three to each.
 type Plan struct {
 	Routers          int           `json:"routers"`
 	Hosts            int           `json:"hosts"`
-	Voters           int           `json:"core"` // control processes, at most one a zone
+	Voters           int           `json:"core"` // number of control processes, at most one per zone
 	Zones            int           `json:"zones"`
 	Services         int           `json:"services"`
 	Routes           int           `json:"routes"`
-	Quotas           int           `json:"shares"` // of callers
-	RealRouters      int           `json:"real"`   // routers that are real processes, beside the hollow ones
-	FreshConnections bool          `json:"fresh"`  // hosts open a connection for each beat
-	IdleTime         time.Duration `json:"calm"`   // nanoseconds that are counted with nothing going on
-	Changes          int           `json:"changes"`
-	Drains           int           `json:"drains"`  // hosts that drain, one after another
-	Burst            int           `json:"burst"`   // changes as fast as they are taken, eight at a time
-	KillControl      bool          `json:"kill"`    // a control process
-	RestartRouters   bool          `json:"restart"` // half of the routers
-	PartitionTime    time.Duration `json:"cut"`     // the last region off, for so long
-	Profile          string        `json:"profile"` // a folder for processor profiles of the control processes, empty for none
+	Quotas           int           `json:"shares"`  // callers' quotas
+	RealRouters      int           `json:"real"`    // proxy processes in addition to the hollow routers
+	FreshConnections bool          `json:"fresh"`   // hosts open a new connection for each heartbeat
+	IdleTime         time.Duration `json:"calm"`    // length of the measurement without changes
+	Changes          int           `json:"changes"` // route changes, one after another
+	Drains           int           `json:"drains"`  // hosts that start draining, one after another
+	Burst            int           `json:"burst"`   // changes sent as fast as they are acknowledged, eight at a time
+	KillControl      bool          `json:"kill"`    // kill and restart a control process
+	RestartRouters   bool          `json:"restart"` // restart half of the routers
+	PartitionTime    time.Duration `json:"cut"`     // duration of the partition of one region; 0 for none
+	Profile          string        `json:"profile"` // directory for CPU profiles of all child processes; empty for none
 	Seed             uint64        `json:"seed"`
-	Progress         func(string)  `json:"-"`
+	Progress         func(string)  `json:"-"` // receives progress messages; may be nil
 }
 
-// TargetPlan is the size that decides the design.
+// TargetPlan returns the plan with the cluster size that the design has to support.
 func TargetPlan() Plan {
 	return Plan{Routers: 510, Hosts: 4200, Voters: 7, Zones: 11, Services: 220, Routes: 3200, IdleTime: 15 * time.Second, Changes: 20, Drains: 10,
 		Burst: 100, KillControl: true, RestartRouters: true, PartitionTime: 20 * time.Second, Seed: 1}
 }
 
-// The bounds of a play: no more than these fit one machine.
+// Limits of a plan, so that a run fits on one machine.
 const (
 	maxRouters     = 1200
 	maxHosts       = 10000
@@ -51,17 +51,16 @@
 	zonesPerRegion = 3
 )
 
-// validate checks the plan against the bounds.
 func (p Plan) validate() error {
 	for _, b := range []struct {
 		value, low, high int
 		message          string
 	}{
-		{p.Routers, 1, maxRouters, fmt.Sprintf("routers: 1 to %d", maxRouters)},
-		{p.Hosts, 0, maxHosts, fmt.Sprintf("hosts: 0 to %d", maxHosts)},
-		{p.RealRouters, 0, maxRealRouters, fmt.Sprintf("real: 0 to %d", maxRealRouters)},
-		{p.Zones, 1, 16, "zones: 1 to 16"},
-		{p.Voters, 1, p.Zones, "core: at most one a zone"},
+		{p.Routers, 1, maxRouters, fmt.Sprintf("routers must be between 1 and %d", maxRouters)},
+		{p.Hosts, 0, maxHosts, fmt.Sprintf("hosts must be between 0 and %d", maxHosts)},
+		{p.RealRouters, 0, maxRealRouters, fmt.Sprintf("real must be between 0 and %d", maxRealRouters)},
+		{p.Zones, 1, 16, "zones must be between 1 and 16"},
+		{p.Voters, 1, p.Zones, "core must be between 1 and the number of zones"},
 	} {
 		if b.value < b.low || b.value > b.high {
 			return errors.New(b.message)
@@ -69,9 +68,9 @@
 	}
 	switch {
 	case p.Services < 1 || p.Services > 2000 || p.Routes < 0 || p.Routes > 20000 || p.Quotas < 0 || p.Quotas > 50000:
-		return errors.New("services, routes, shares: 2,000, 20,000 and 50,000 at most")
+		return errors.New("services must be between 1 and 2,000, routes between 0 and 20,000, shares between 0 and 50,000")
 	case p.IdleTime+p.PartitionTime > 10*time.Minute || p.Changes > 2000 || p.Burst > 2000 || p.Drains > 1000:
-		return errors.New("a play is bounded in time: shorter spans, fewer changes")
+		return errors.New("run is too long: calm plus cut may be at most 10 minutes, changes and burst at most 2,000, drains at most 1,000")
 	}
 	return nil
 }
@@ -82,14 +81,14 @@
 	heartbeatInterval                   = 1300 * time.Millisecond
 )
 
-// address is a machine's: the control process of a zone is number 0.
+// address returns the loopback IP address of machine n of a zone. The zone's control process is machine 0.
 func address(zone, n int) string { return fmt.Sprintf("127.%d.%d.%d", 100+zone, n/200, n%200+1) }
 
 func zoneName(z int) string   { return fmt.Sprintf("z%02d", z) }
 func regionOf(z int) int      { return z / zonesPerRegion }
 func regionName(z int) string { return fmt.Sprintf("r%d", regionOf(z)) }
 
-// distance is how far two zones are from each other: 0 one zone, 1 one region, 2 beyond.
+// distance returns 0 for the same zone, 1 for another zone of the same region and 2 for different regions.
 func distance(a, b int) int {
 	switch {
 	case a == b:
@@ -100,7 +99,7 @@
 	return 2
 }
 
-// controlZones are the zones with a control process: one in each region first, then a second, and so on.
+// controlZones returns the zones that run a control process. Every region gets one before any region gets a second.
 func (p Plan) controlZones() (zones []int) {
 	for turn := 0; turn < zonesPerRegion; turn++ {
 		for z := turn; z < p.Zones; z += zonesPerRegion {
@@ -112,7 +111,8 @@
 	return zones
 }
 
-// settings is a process's settings. A control process is told of the core's zones only, as it takes the core's size from them.
+// settings returns the settings of the process on machine n of a zone. A control process gets only the zones that have a voting
+// member, because it derives the number of voters from them.
 func (p Plan) settings(name, role string, zone, n int) settings.Settings {
 	ip := address(zone, n)
 	at := func(port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
@@ -124,12 +124,12 @@
 			LossSlack: 200e6, Configuration: 3e9, RollbackSlack: 250e6, OuterStretch: 10e9, BudgetWindow: 10e9, Rollback: 5e9,
 			Evacuation: 5e9, Recovery: 15e9, Lifetime: 5e9, BudgetRatio: 0.2, BudgetSlack: 64, ExposureShare: 0.1, ExposureSlack: 50,
 			ColdOverrun: 1.5, ColdSlack: 5}}
-	controlZones := p.controlZones()
-	for _, z := range controlZones[:min(3, len(controlZones))] {
+	zones := p.controlZones()
+	for _, z := range zones[:min(3, len(zones))] {
 		b.SeedNodes = append(b.SeedNodes, net.JoinHostPort(address(z, 0), strconv.Itoa(controlPort)))
 	}
 	if role == controlRole {
-		for _, z := range controlZones {
+		for _, z := range zones {
 			b.ZoneRegions[zoneName(z)] = regionName(z)
 		}
 	} else {
--- a/internal/lab/hollow/plot.go
+++ b/internal/lab/hollow/plot.go
@@ -12,13 +12,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Metric is one that grows with the fleet.
+// Metric is a value of a result that is plotted over the number of routers.
 type Metric struct {
 	Name  string
 	Value func(Result) float64
-	Limit float64 // 0 where there is none
+	Limit float64 // upper limit that the plot shows; 0 for none
 }
 
+// busiestControl returns the maximum of a value over all control processes.
 func busiestControl(of func(ProcessRate) float64) func(Result) float64 {
 	return func(r Result) (most float64) {
 		for _, x := range r.Control {
@@ -28,6 +29,7 @@
 	}
 }
 
+// firstProxy returns a value of the first proxy process, or NaN if the run had none.
 func firstProxy(of func(ProcessRate) float64) func(Result) float64 {
 	return func(r Result) float64 {
 		if len(r.RealProxies) == 0 {
@@ -37,7 +39,7 @@
 	}
 }
 
-// Metrics are those that the plots show.
+// Metrics lists the plotted metrics. Their names determine the names of the plot files.
 var Metrics = []Metric{
 	{"cores of the busiest control process, calm", busiestControl(func(x ProcessRate) float64 { return x.Cores }), 1},
 	{"peak MB of the largest control process", busiestControl(func(x ProcessRate) float64 { return x.PeakMB }), 256},
@@ -57,8 +59,8 @@
 	{"ms until a restarted router follows, worst", func(r Result) float64 { return r.Restarted.Worst }, 0},
 }
 
-// GrowthExponent is the power with which a figure grows with the number of routers, from the first of some plays to the last; 0 where
-// one of them has no such figure.
+// GrowthExponent returns the exponent b of m ~ routers^b, computed from the first and the last result. It returns 0 if there is
+// no finite exponent, for example because one of the values is 0 or missing.
 func GrowthExponent(results []Result, m Metric) float64 {
 	a, b := results[0], results[len(results)-1]
 	exponent := math.Log(m.Value(b)/m.Value(a)) / math.Log(float64(b.Routers)/float64(a.Routers))
@@ -68,11 +70,11 @@
 	return exponent
 }
 
-// WritePlot draws each figure over the number of routers, with its line to the target and its bound, as SVG files in a folder. The
-// results are in the order of their routers.
+// WritePlot writes one SVG file for each metric to dir. A plot shows the values over the number of routers, the extrapolation to the
+// target and the limit. The results have to be sorted by number of routers. Metrics with fewer than two values are skipped.
 func WritePlot(dir string, results []Result) error {
 	if len(results) < 2 {
-		return fmt.Errorf("a slope needs two plays, and there are %d", len(results))
+		return fmt.Errorf("plotting growth needs at least two results, got %d", len(results))
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -110,6 +112,7 @@
 	return nil
 }
 
+// addSeries adds the measured points, the extrapolation trend and, if positive, the limit to a plot.
 func addSeries(p *plot.Plot, points, trend plotter.XYs, limit, target float64) error {
 	measuredLine, measuredPoints, err := plotter.NewLinePoints(points)
 	if err != nil {
--- a/internal/lab/hollow/run_test.go
+++ b/internal/lab/hollow/run_test.go
@@ -30,7 +30,7 @@
 	return b.Bytes()
 }
 
-// A hollow router reads of each word what control's own encoding says, deflated or not, and of a long one its beginning.
+// parseFrame must agree with the encoding of update.Message, compressed or not, also where it decompresses only the beginning.
 func TestParseFrame(t *testing.T) {
 	c := qt.New(t)
 	changes := []update.Change{{Instance: &instance.Instance{ID: "h"}}, {Proxy: &update.Proxy{Name: "r"}}, {Proxy: &update.Proxy{Name: "q"}},
@@ -66,7 +66,7 @@
 			c.Check(h, qt.DeepEquals, x.want)
 		}
 	}
-	snapshot, err := update.NewSnapshot(update.SnapshotHeader{Name: "l.1", Incarnation: "l", To: 9}, long, func(word []byte) []byte { return word })
+	snapshot, err := update.NewSnapshot(update.SnapshotHeader{Name: "l.1", Incarnation: "l", To: 9}, long, func(message []byte) []byte { return message })
 	c.Assert(err, qt.IsNil)
 	received := 0
 	for _, w := range snapshot.Messages { // a snapshot in chunks
@@ -86,7 +86,8 @@
 	f.Fuzz(func(t *testing.T, raw []byte, deflated bool) { parseFrame(raw, deflated) })
 }
 
-// The plan of the target has a control process in each region before any has two, and no machine's address twice.
+// Every region gets a control process before any region gets a second, plans beyond the limits are rejected, and no two machines
+// share an address.
 func TestPlanControlZones(t *testing.T) {
 	c := qt.New(t)
 	p := TargetPlan()
@@ -117,7 +118,7 @@
 	return all
 }
 
-// newTestRegistry is what a control process knows of so many routers and hosts, with so many routes.
+// newTestRegistry returns the state of a control process with the given numbers of routers, hosts and routes.
 func newTestRegistry(routers, hosts, routes int) *registry.State {
 	items := config.NewSet()
 	for n := range routes {
@@ -135,7 +136,7 @@
 	return s
 }
 
-// changesFor is how many notes and bytes a follower is told for what a call changes.
+// changesFor returns the number of changes that change causes for a subscriber, and the size of the encoded batch.
 func changesFor(s *registry.State, control bool, change func()) (count, size int) {
 	at := s.Updates.Last()
 	change()
@@ -145,8 +146,8 @@
 	return len(batch), len(raw)
 }
 
-// What one change costs each follower doesn't grow with routers, hosts or items, and a beat that changes nothing says nothing;
-// a snapshot grows with all three, by so many bytes each. docs/CAPACITY.md reckons with these.
+// The update for one change must not grow with the number of routers, hosts or items, a heartbeat without a change must cause none,
+// and the snapshot must stay below a fixed number of bytes per router, host and item. docs/CAPACITY.md relies on these sizes.
 func TestCostOfChange(t *testing.T) {
 	c := qt.New(t)
 	type cost struct{ Beat, Drain, Router, Item, Snapshot int }
@@ -185,7 +186,7 @@
 	base := costs[[3]int{10, 100, 100}]
 	for size, x := range costs {
 		for _, pair := range [][2]int{{x.Drain, base.Drain}, {x.Router, base.Router}, {x.Item, base.Item}, {x.Beat, base.Beat}} {
-			c.Check(pair[0]-pair[1] < 12, qt.IsTrue, qt.Commentf("%v: %d bytes, %d at the least", size, pair[0], pair[1])) // digits of the numbers
+			c.Check(pair[0]-pair[1] < 12, qt.IsTrue, qt.Commentf("%v: got %d bytes, %d for the smallest registry", size, pair[0], pair[1])) // more digits in larger numbers
 		}
 	}
 	per := func(size [3]int, n int) int { return (costs[size].Snapshot - base.Snapshot) / n }
@@ -194,7 +195,7 @@
 	c.Check(per([3]int{10, 100, 3200}, 3100) < 120, qt.IsTrue)
 }
 
-// Spreads are told in milliseconds, with those that never came beside them.
+// Latencies are in milliseconds, and timeouts are counted separately.
 func TestLatencies(t *testing.T) {
 	c := qt.New(t)
 	s := latencies([]time.Duration{3e6, 1e6, 2e6}, 1)
@@ -202,7 +203,7 @@
 	c.Check(latencies(nil, 2), qt.Equals, Latencies{TimedOut: 2})
 }
 
-// A figure that grows with the square of the routers has the power 2, and plots of it are written; one play has no slope.
+// A metric that grows with the square of the number of routers has exponent 2. WritePlot writes files, and rejects a single result.
 func TestGrowthExponent(t *testing.T) {
 	c := qt.New(t)
 	var all []Result
@@ -216,5 +217,5 @@
 	c.Assert(WritePlot(dir, all), qt.IsNil)
 	_, err := os.Stat(filepath.Join(dir, "cores-of-the-busiest-control-process--calm.svg"))
 	c.Check(err, qt.IsNil)
-	c.Check(WritePlot(dir, all[:1]), qt.ErrorMatches, ".*two plays.*")
+	c.Check(WritePlot(dir, all[:1]), qt.ErrorMatches, ".*two results.*")
 }
--- a/internal/lab/hollow/snapshot_test.go
+++ b/internal/lab/hollow/snapshot_test.go
@@ -11,8 +11,8 @@
 	"portflow/internal/cluster/update"
 )
 
-// What a router's snapshot takes, by routes, hosts and shares: the longest frame and all bytes on the line, time to make it, and to
-// take it in; in chunks, and in one frame, as routers of before get it.
+// Measures a router's snapshot by numbers of routes, hosts and quotas: the longest uncompressed message, the bytes on the wire, and
+// the time to encode and to decode it. It is sent in chunks, or in one frame to older routers.
 func BenchmarkRouterSnapshot(b *testing.B) {
 	for _, x := range [][4]int{{1, 4, 10, 0}, {13, 107, 100, 0}, {92, 757, 1000, 0}, {510, 4200, 3200, 33000}} {
 		s := newTestRegistry(x[0], x[1], 0)
@@ -27,7 +27,7 @@
 		name := fmt.Sprintf("%d-routes-%d-shares-%d-hosts", x[2], x[3], x[1])
 		b.Run(name+"/chunks", func(b *testing.B) {
 			b.ReportAllocs()
-			made, elapsed := time.Hour, time.Hour // the least of all, as others load the machine
+			made, elapsed := time.Hour, time.Hour // minima, which are least affected by other load
 			var bytes, highest, chunks int
 			for b.Loop() {
 				start := time.Now()
@@ -56,7 +56,7 @@
 					}
 				}
 				if _, ok := a.Finish(update.Batch{Incarnation: "l", From: 1, To: 1}); !ok {
-					b.Fatal("not whole")
+					b.Fatal("snapshot is incomplete after its last chunk")
 				}
 				elapsed = min(elapsed, time.Since(start))
 			}
--- a/internal/lab/hollow/table.go
+++ b/internal/lab/hollow/table.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// FormatTable writes a result for people.
+// FormatTable writes a result as human-readable tables.
 func FormatTable(out io.Writer, r Result) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer w.Flush()
