--- a/internal/lab/hollow/host.go
+++ b/internal/lab/hollow/host.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// HeartbeatStats counts the beats of all hosts.
+// HeartbeatStats counts the heartbeats of all hosts.
 type HeartbeatStats struct {
 	Sent, Acknowledged, Refused, Failed, Dials, Failovers atomic.Int64
-	ByDistance                                            [3]atomic.Int64 // by how far the control process is
-	BytesByDirection                                      [2]atomic.Int64 // of questions, of answers, less what TCP adds
+	ByDistance                                            [3]atomic.Int64 // by distance to the control process
+	BytesByDirection                                      [2]atomic.Int64 // bytes of requests, bytes of responses; without TCP overhead
 }
 
-// hollowHost is a hollow one.
+// hollowHost emulates a host: it sends heartbeats to a control process and serves no requests.
 type hollowHost struct {
 	run         *run
 	index       int
@@ -30,12 +30,13 @@
 	service     string
 	sequence    int
 	draining    atomic.Bool
-	controlZone int // zone of the control process that it beats to
+	controlZone int // zone of the control process that receives the heartbeats
 	conn        net.Conn
 	reader      *bufio.Reader
 }
 
-// start beats until the context ends; the first beat comes at a moment of the host's own.
+// runHeartbeats sends heartbeats until ctx is done. The first one is delayed by a time that depends on the host, which spreads the
+// heartbeats of all hosts over the interval. After a failure the host switches to another control process at once.
 func (h *hollowHost) runHeartbeats(ctx context.Context) {
 	defer func() {
 		if h.conn != nil {
@@ -44,7 +45,7 @@
 	}()
 	next := time.NewTimer(time.Duration(h.index*7919%1300) * time.Millisecond)
 	defer next.Stop()
-	controlZones := h.run.controlZones()
+	zones := h.run.controlZones()
 	for {
 		select {
 		case <-next.C:
@@ -53,7 +54,7 @@
 		}
 		next.Reset(heartbeatInterval)
 		h.sequence++
-		for attempt := 0; attempt < len(controlZones) && ctx.Err() == nil; attempt++ {
+		for attempt := 0; attempt < len(zones) && ctx.Err() == nil; attempt++ {
 			if h.sendHeartbeat(ctx) {
 				break
 			}
@@ -62,7 +63,7 @@
 				h.conn = nil
 			}
 			h.run.heartbeats.Failovers.Add(1)
-			h.controlZone = controlZones[(h.index+h.sequence+attempt)%len(controlZones)]
+			h.controlZone = zones[(h.index+h.sequence+attempt)%len(zones)]
 		}
 		if h.run.FreshConnections && h.conn != nil {
 			h.conn.Close()
@@ -71,7 +72,8 @@
 	}
 }
 
-// sendHeartbeat calls the control process once, and tells whether that acknowledged it.
+// sendHeartbeat sends one heartbeat and reports whether the control process acknowledged it. If the response names another control
+// process, the host uses that one from the next heartbeat on.
 func (h *hollowHost) sendHeartbeat(ctx context.Context) bool {
 	stats := &h.run.heartbeats
 	if h.run.partitioned(h.zone, h.controlZone) {
@@ -115,7 +117,7 @@
 	}
 	stats.Acknowledged.Add(1)
 	stats.BytesByDirection[0].Add(int64(len(request)))
-	stats.BytesByDirection[1].Add(int64(len(raw) + 110)) // and the head
+	stats.BytesByDirection[1].Add(int64(len(raw) + 110)) // 110: approximate size of the response header
 	var reply struct {
 		To string `json:"heartbeat-address"`
 	}
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -30,13 +30,13 @@
 	"portflow/internal/proxy"
 )
 
-// The roles of the processes that a play starts.
+// Roles of the child processes.
 const (
 	controlRole = "harbourmaster"
 	proxyRole   = "fairway"
 )
 
-// childStart is what a child process is told first.
+// childStart is the first line that a child process reads from its standard input, as JSON.
 type childStart struct {
 	Role     string            `json:"Role"`
 	Settings settings.Settings `json:"Boot"`
@@ -44,22 +44,23 @@
 	Seed     uint64            `json:"Seed"`
 }
 
-// ProcessStats is what a process has spent since its start.
+// ProcessStats is the resource usage of a process. CPU time, allocations and frames are totals since its start.
 type ProcessStats struct {
-	CPU        time.Duration `json:"cpu_ns"` // by getrusage
+	CPU        time.Duration `json:"cpu_ns"` // user and system time
 	RSS        int64         `json:"rss_bytes"`
 	Peak       int64         `json:"peak_bytes"`
 	Heap       int64         `json:"heap_bytes"`
 	Allocated  int64         `json:"allocated_bytes"`
 	Mallocs    int64         `json:"mallocs"`
 	OpenFiles  int           `json:"descriptors"`
-	FramesSent int64         `json:"said"`       // frames on lines
-	BytesSent  int64         `json:"said_bytes"` // of them
-	Heartbeats int64         `json:"beats"`      // empty frames
+	FramesSent int64         `json:"said"`       // frames written to streams
+	BytesSent  int64         `json:"said_bytes"` // bytes of these frames
+	Heartbeats int64         `json:"beats"`      // empty frames written
 	DiskBytes  int64         `json:"disk_bytes"`
 }
 
-// RunChild runs a process of a play until its input ends: a start first, then words, each answered by a line.
+// RunChild runs a control process or a proxy until in ends. The first line of in is a childStart; each further line is a command
+// (stat, cut or profile). Every line is answered with one line of JSON on out.
 func RunChild(in io.Reader, out io.Writer) error {
 	commands := bufio.NewReader(in)
 	first, err := commands.ReadBytes('\n')
@@ -88,7 +89,7 @@
 			return err
 		}
 	default:
-		return fmt.Errorf("role: %q", started.Role)
+		return fmt.Errorf("unknown role %q", started.Role)
 	}
 	fmt.Fprintln(out, "{}")
 	for {
@@ -102,7 +103,7 @@
 		switch verb {
 		case "stat":
 			answer = processStats(started.DataDir)
-		case "cut": // no prefix: joined again
+		case "cut": // without prefixes: ends the partition
 			partitioned.setBlocked(strings.Fields(rest))
 		case "profile":
 			pprof.StopCPUProfile()
@@ -128,7 +129,7 @@
 
 func processStats(dataDir string) (stats ProcessStats) {
 	var usage syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // it has no other errors than bad arguments
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // fails only for invalid arguments
 	stats.CPU = time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 	stats.Peak = usage.Maxrss << 10
 	var memory runtime.MemStats
@@ -136,7 +137,7 @@
 	stats.Heap, stats.Allocated, stats.Mallocs = int64(memory.HeapAlloc), int64(memory.TotalAlloc), int64(memory.Mallocs)
 	if raw, err := os.ReadFile("/proc/self/statm"); err == nil {
 		var size, pages int64
-		_, _ = fmt.Sscan(string(raw), &size, &pages) // 0 where the file has another form
+		_, _ = fmt.Sscan(string(raw), &size, &pages) // RSS stays 0 if the format is unknown
 		stats.RSS = pages * int64(os.Getpagesize())
 	}
 	if files, err := os.ReadDir("/proc/self/fd"); err == nil {
@@ -156,15 +157,15 @@
 	return stats
 }
 
-// partitionedNetwork is the machine's network, of which parts can be cut off: what is sent there is lost without a word.
+// partitionedNetwork is the host network with emulated partitions: packets to blocked addresses are dropped silently, a write to a
+// blocked peer closes the connection, and dialing a blocked address blocks until the context is done.
 type partitionedNetwork struct {
 	localIP string
-	mu      sync.Mutex
-	blocked []string // prefixes of addresses
-
+	mu      sync.Mutex // guards blocked
+	blocked []string   // prefixes of IP addresses
 }
 
-var errUnreachable = errors.New("no way there")
+var errUnreachable = errors.New("destination is unreachable: network partition")
 
 func (n *partitionedNetwork) setBlocked(prefixes []string) {
 	n.mu.Lock()
@@ -229,7 +230,7 @@
 
 func (c *partitionedConn) Write(b []byte) (int, error) {
 	if c.network.isBlocked(c.peer) {
-		c.Close() // a frame that is lost can't be made good later
+		c.Close() // the stream can't continue after a lost frame
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
@@ -247,16 +248,17 @@
 	return c.PacketConn.WriteTo(b, to)
 }
 
-// childProcess is a child as its parent holds it.
+// childProcess is the parent's handle of a child process.
 type childProcess struct {
 	cmd    *exec.Cmd
 	stdin  io.WriteCloser
 	stdout *bufio.Reader
-	mu     sync.Mutex
-	log    *os.File
+	mu     sync.Mutex // serializes calls
+	log    *os.File   // standard error of the child
 }
 
-// startChild starts a child: this very program, told to be one by the command word.
+// startChild starts this executable as a child process, with command as its arguments, and waits until the child has started its
+// role. The child is killed when its parent dies.
 func startChild(command []string, started childStart, logPath string) (*childProcess, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -289,6 +291,7 @@
 	return p, p.call(string(raw), nil)
 }
 
+// call sends a command line to the child and decodes its answer into answer, which may be nil.
 func (p *childProcess) call(command string, answer any) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -297,11 +300,11 @@
 	}
 	raw, err := p.stdout.ReadBytes('\n')
 	if err != nil {
-		reason := []byte("no word")
+		reason := []byte("no log output")
 		if all, err := os.ReadFile(p.log.Name()); err == nil && len(all) > 0 {
 			reason = all[max(0, len(all)-400):]
 		}
-		return fmt.Errorf("a process has ended: %w: %s", err, reason)
+		return fmt.Errorf("child process did not answer: %w: %s", err, reason)
 	}
 	if answer == nil {
 		return nil
@@ -310,7 +313,7 @@
 }
 
 func (p *childProcess) kill() {
-	_ = p.cmd.Process.Kill() // fails where it has ended already
-	_ = p.cmd.Wait()         // says that it was killed
+	_ = p.cmd.Process.Kill() // fails if the process has already exited
+	_ = p.cmd.Wait()         // the exit status does not matter
 	p.log.Close()
 }
--- a/internal/lab/hollow/router.go
+++ b/internal/lab/hollow/router.go
@@ -23,10 +23,10 @@
 	"portflow/internal/cluster/update"
 )
 
-// FrameKind is what a frame that control sends a router holds.
+// FrameKind is the kind of a frame that a control process sends to a router.
 type FrameKind int
 
-// The kinds of frames.
+// Kinds of frames.
 const (
 	HeartbeatFrame FrameKind = iota // empty
 	HelloFrame
@@ -42,25 +42,27 @@
 	return [...]string{"beat", "hello", "snapshot", "news", "status", "shares", "other"}[k]
 }
 
-// frameHeader is a frame from control, as far as its beginning tells: where the rest is long it isn't read.
+// frameHeader is the part of a frame that a hollow router needs. The changes of an update are not decoded, and of a large compressed
+// frame only the beginning is decompressed.
 type frameHeader struct {
 	Kind             FrameKind
 	Incarnation      string
 	From, To         uint64
-	Progress         update.Progress // of a snapshot that comes in chunks: what is there with this one
-	ChunkTotal       int             // notes that it has in all; 0 where it comes in one frame
+	Progress         update.Progress // of a chunked snapshot: the changes received, including this chunk
+	ChunkTotal       int             // number of changes in a chunked snapshot; 0 if the snapshot is one frame
 	Complete, Quorum bool
-	Hosts, Routers   int // notes of a batch
-	Items            int
-	Body             []byte // of a batch
+	Hosts, Routers   int    // numbers of host and router changes in the batch
+	Items            int    // number of item changes in the batch
+	Body             []byte // encoded batch
 }
 
 const (
-	fullReadBytes   = 2 * update.ChunkBytes // bytes up to which a frame is read whole
-	headerReadBytes = 2 << 10               // of a longer one
+	fullReadBytes   = 2 * update.ChunkBytes // compressed frames shorter than this are decompressed completely
+	headerReadBytes = 2 << 10               // bytes to decompress of longer frames
 )
 
-// parseFrame reads a frame's body: the first member of a word says what it is, and of news the numbers come before the notes.
+// parseFrame parses the payload of a frame. It relies on the encoding order of update.Message: the first key identifies the kind, and
+// the offsets of a batch precede its changes.
 func parseFrame(raw []byte, compressed bool) (header frameHeader, err error) {
 	if len(raw) == 0 {
 		return frameHeader{}, nil
@@ -95,14 +97,14 @@
 	for {
 		tok, err := dec.Token()
 		if err != nil {
-			return header, nil // news without notes, or as much of it as was read
+			return header, nil // a batch without changes, or truncated by headerReadBytes
 		}
 		name, _ := tok.(string)
 		switch name {
 		case "l", "f", "t", "s":
 			var value any
 			if err := dec.Decode(&value); err != nil {
-				return frameHeader{}, fmt.Errorf("news: %w", err)
+				return frameHeader{}, fmt.Errorf("decode update batch: %w", err)
 			}
 			switch x := value.(type) {
 			case string:
@@ -124,7 +126,7 @@
 	}
 }
 
-// parseChunk reads a snapshot's chunk; it is short enough to be read whole.
+// parseChunk decodes a complete chunk of a snapshot.
 func parseChunk(raw []byte) (frameHeader, error) {
 	var msg struct {
 		K struct {
@@ -139,15 +141,16 @@
 	return frameHeader{Kind: SnapshotFrame, Incarnation: c.Incarnation, To: c.To, Progress: update.Progress{Name: c.Name, Received: c.From + len(c.Notes)}, ChunkTotal: c.Total}, nil
 }
 
-// UpdateStats counts what routers were told, by kind and by how far the control process is.
+// UpdateStats counts the frames between control and all routers. Arrays are indexed by frame kind and by distance to the control
+// process.
 type UpdateStats struct {
 	Frames, Bytes         [frameKinds][3]atomic.Int64
 	Uploads, UploadBytes  [3]atomic.Int64
-	Hosts, Routers, Items atomic.Int64 // notes
+	Hosts, Routers, Items atomic.Int64 // changes in batches
 	Dials                 atomic.Int64
 }
 
-// hollowRouter is a hollow one.
+// hollowRouter emulates the control-plane side of a proxy: gossip and a subscription to a control process.
 type hollowRouter struct {
 	run   *run
 	index int
@@ -155,20 +158,20 @@
 	ip    string
 	zone  int
 
-	mu             sync.Mutex
+	mu             sync.Mutex // guards conn, controlZone and lastWrite
 	conn           net.Conn
-	controlZone    int // zone of the control process
+	controlZone    int // zone of the control process at the other end of conn
 	lastWrite      time.Time
 	subscription   update.Subscription
-	snapshotHeader frameHeader  // the last chunk of a snapshot that isn't whole with what came since
-	subscribedZone int          // the zone of the control process whose news it has
-	readySince     atomic.Int64 // Unix nanoseconds since when it follows with a snapshot, 0 for not
-	registeredAt   int64
+	snapshotHeader frameHeader  // last chunk received of an incomplete snapshot
+	subscribedZone int          // zone of the control process that sent the last snapshot
+	readySince     atomic.Int64 // Unix nanoseconds since when the router is ready; 0 if it is not
+	registeredAt   int64        // Unix nanoseconds when conn was established
 	cancel         context.CancelFunc
 	gossiper       *gossip.Gossiper
 }
 
-// start is one life.
+// start runs the router until ctx is done. It can be called again after that, which emulates a restart.
 func (r *hollowRouter) start(ctx context.Context) error {
 	p, err := network.Host{}.ListenPacket(net.JoinHostPort(r.ip, strconv.Itoa(lastInternalPort)))
 	if err != nil {
@@ -184,7 +187,7 @@
 	return nil
 }
 
-// keepSubscribed keeps a line as fairway does: a seed first, then the nearest.
+// keepSubscribed keeps the router subscribed as a real proxy does: to a seed node first, later to the nearest control process.
 func (r *hollowRouter) keepSubscribed(ctx context.Context) {
 	avoid := map[int]time.Time{}
 	known := r.run.seeds()
@@ -204,7 +207,7 @@
 	}
 }
 
-// nearest is the control process of these zones to be followed; who failed of late comes last.
+// nearest returns the zone of the nearest control process in known. Zones in avoid come last until their time has passed.
 func (r *hollowRouter) nearest(known []int, avoid map[int]time.Time) int {
 	now := time.Now()
 	candidates := slices.Clone(known)
@@ -221,13 +224,14 @@
 }
 
 var (
-	errNearerControl = errors.New("a nearer one is known")
-	errControlBehind = errors.New("it hears too few others")
+	errNearerControl = errors.New("a nearer control process is available")
+	errControlBehind = errors.New("timed out waiting for the control process to catch up")
 )
 
-// closeReason is why this side ended a line, if it did.
+// closeReason is the reason why this side closed a stream; nil if it did not.
 type closeReason struct{ atomic.Pointer[error] }
 
+// or returns the reason if this side closed the stream, and err otherwise.
 func (r *closeReason) or(err error) error {
 	if own := r.Load(); own != nil {
 		return *own
@@ -237,23 +241,23 @@
 
 const (
 	dialTimeout    = time.Second
-	statusTimeout  = 600 * time.Millisecond  // for a status that says that control has caught up
-	nearerInterval = 1500 * time.Millisecond // until a nearer control process is preferred
-	preamble       = "pfl1"                  // of both directions of a stream
-	compressedBit  = 1 << 31                 // of a frame's length
+	statusTimeout  = 600 * time.Millisecond  // maximum time between statuses until control has caught up
+	nearerInterval = 1500 * time.Millisecond // age of a stream at which the router looks once for a nearer control process
+	preamble       = "pfl1"                  // first bytes of a stream, in both directions
+	compressedBit  = 1 << 31                 // set in the length prefix of a compressed frame
 )
 
 // controlStream is a router's stream to a control process.
 type controlStream struct {
 	*hollowRouter
 	nc          net.Conn
-	zone        int // of the control process
+	zone        int // zone of the control process
 	distance    int
 	closed      closeReason
 	statusTimer *time.Timer
 }
 
-// subscribe subscribes to the control process of a zone until the stream ends, and returns why it did.
+// subscribe subscribes to the control process of a zone until the stream ends, and returns the reason.
 func (r *hollowRouter) subscribe(ctx context.Context, zone int, avoid map[int]time.Time) error {
 	r.run.received.Dials.Add(1)
 	if r.run.partitioned(r.zone, zone) {
@@ -277,7 +281,7 @@
 	defer nearerTimer.Stop()
 	prefix := make([]byte, len(preamble))
 	if err := s.read(prefix); err != nil || string(prefix) != preamble {
-		return s.closed.or(cmp.Or(err, errors.New("no stream of this protocol")))
+		return s.closed.or(cmp.Or(err, errors.New("unexpected preamble on the stream from the control process")))
 	}
 	for {
 		payload, compressed, err := s.readFrame()
@@ -290,7 +294,7 @@
 	}
 }
 
-// sendHello makes the stream the router's connection, and sends what the router has.
+// sendHello makes the stream the router's current connection, and sends the offset and the snapshot progress to resume from.
 func (s *controlStream) sendHello() {
 	r := s.hollowRouter
 	r.mu.Lock()
@@ -298,25 +302,24 @@
 	hello := update.Hello{Name: r.name, IP: r.ip, Zone: zoneName(r.zone), Incarnation: r.subscription.Incarnation, Offset: r.subscription.Offset}
 	progress := r.snapshotHeader.Progress
 	r.mu.Unlock()
-	_, _ = s.nc.Write([]byte(preamble)) // where it fails, the first read does too
+	_, _ = s.nc.Write([]byte(preamble)) // if this fails, so does the first read
 	r.send(update.Message{Hello: &hello, Progress: &progress})
 	r.sendStatus(false)
 }
 
-// clearConn leaves the router without a connection.
 func (r *hollowRouter) clearConn() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.conn = nil
 }
 
-// closeFor closes the stream for a reason.
+// closeFor closes the stream; subscribe then returns the reason.
 func (s *controlStream) closeFor(reason *error) {
 	s.closed.Store(reason)
 	s.nc.Close()
 }
 
-// closeForNearer closes the stream of a ready router if a nearer control process could be used.
+// closeForNearer closes the stream if the router is ready and a nearer control process is available.
 func (s *controlStream) closeForNearer(avoid map[int]time.Time) {
 	if s.readySince.Load() == 0 {
 		return
@@ -326,14 +329,14 @@
 	}
 }
 
-// read reads a number of bytes within the keepalive's timeout.
+// read fills b, or fails after the keepalive timeout.
 func (s *controlStream) read(b []byte) error {
 	s.nc.SetReadDeadline(time.Now().Add(stream.ProxyKeepalive.Timeout))
 	_, err := io.ReadFull(s.nc, b)
 	return err
 }
 
-// readFrame reads a frame's payload.
+// readFrame returns the payload of the next frame, still compressed if compressed is set.
 func (s *controlStream) readFrame() (payload []byte, compressed bool, err error) {
 	prefix := make([]byte, 4)
 	if err := s.read(prefix); err != nil {
@@ -344,7 +347,7 @@
 	return payload, length&compressedBit != 0, s.read(payload)
 }
 
-// handleFrame counts a frame and answers it.
+// handleFrame counts a frame and sends the acknowledgement that it requires, if any.
 func (s *controlStream) handleFrame(payload []byte, compressed bool) error {
 	header, err := parseFrame(payload, compressed)
 	if err != nil {
@@ -362,14 +365,15 @@
 	return nil
 }
 
-// handleStatus notes whether control has caught up.
+// handleStatus marks a router ready that resumed at the same control process, once that process has caught up. A status from a
+// process that has not caught up restarts the timeout.
 func (s *controlStream) handleStatus(header frameHeader) {
 	if !header.Complete || !header.Quorum {
 		s.statusTimer.Reset(statusTimeout)
 		return
 	}
 	s.statusTimer.Stop()
-	if s.subscription.Incarnation != "" && s.subscribedZone == s.zone { // it was subscribed here before: changes are enough
+	if s.subscription.Incarnation != "" && s.subscribedZone == s.zone { // resumed: no snapshot follows
 		s.markReady()
 	}
 }
@@ -381,7 +385,7 @@
 	stats.Hosts.Add(int64(header.Hosts))
 	stats.Routers.Add(int64(header.Routers))
 	stats.Items.Add(int64(header.Items))
-	if header.Progress.Name != "" { // the changes since it come with the next batch
+	if header.Progress.Name != "" { // a chunk; the next batch after the last one completes the snapshot
 		r.snapshotHeader = header
 		r.send(update.Message{Progress: &header.Progress})
 		return nil
@@ -391,7 +395,7 @@
 	}
 	isSnapshot := header.Kind == SnapshotFrame
 	if !r.subscription.Advance(header.Incarnation, header.From, header.To, isSnapshot) {
-		return errors.New("an update does not follow on the last one")
+		return errors.New("update does not continue the last one")
 	}
 	r.send(update.Message{Ack: header.To})
 	if isSnapshot {
@@ -403,20 +407,20 @@
 	return nil
 }
 
-// completes reports whether a batch follows on the last chunk of a snapshot.
+// completes reports whether h is the batch that directly follows the last chunk of the snapshot.
 func (h frameHeader) completes(snapshot frameHeader) bool {
 	received := snapshot.Progress.Name != "" && snapshot.ChunkTotal == snapshot.Progress.Received
 	return received && h.Kind == BatchFrame && h.Incarnation == snapshot.Incarnation && h.From == snapshot.To
 }
 
-// markReady notes that the router knows all, and tells control so.
+// markReady marks the router ready and reports this to control, once per stream.
 func (r *hollowRouter) markReady() {
 	if r.readySince.CompareAndSwap(0, time.Now().UnixNano()) {
 		r.sendStatus(true)
 	}
 }
 
-// sendStatus tells control how the router is.
+// sendStatus sends the router's registration and readiness to control.
 func (r *hollowRouter) sendStatus(ready bool) {
 	r.send(update.Message{Proxy: &update.Proxy{Name: r.name, Zone: zoneName(r.zone), IP: r.ip, Address: net.JoinHostPort(r.ip, strconv.Itoa(proxyPort)),
 		Ready: ready, RegisteredAt: r.registeredAt}})
@@ -446,7 +450,7 @@
 	t.UploadBytes[distance(r.zone, r.controlZone)].Add(int64(len(raw)))
 }
 
-// sendHeartbeat says that the router is there, where it has said nothing of late.
+// sendHeartbeat sends an empty frame if nothing was written for most of the keepalive interval.
 func (r *hollowRouter) sendHeartbeat() {
 	r.mu.Lock()
 	quiet := time.Since(r.lastWrite) >= stream.ProxyKeepalive.Interval*7/8
@@ -456,7 +460,7 @@
 	}
 }
 
-// closeIfPartitioned ends the line where a cut lies in its way.
+// closeIfPartitioned closes the connection if an emulated partition separates the router from its control process.
 func (r *hollowRouter) closeIfPartitioned() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/hollow/run.go
+++ b/internal/lab/hollow/run.go
@@ -21,13 +21,13 @@
 	"portflow/internal/cluster/update"
 )
 
-// Latencies is how long something took, milliseconds: over all routers and changes.
+// Latencies summarizes durations in milliseconds.
 type Latencies struct {
 	Count    int     `json:"n"`
 	P50      float64 `json:"p50_ms"`
 	P99      float64 `json:"p99_ms"`
 	Worst    float64 `json:"worst_ms"`
-	TimedOut int     `json:"never"` // within the limit
+	TimedOut int     `json:"never"` // not finished within the time limit
 }
 
 func latencies(took []time.Duration, timedOut int) Latencies {
@@ -41,13 +41,13 @@
 	return out
 }
 
-// CallResult is one of an operator's calls.
+// CallResult is the slowest duration and the response size of a repeated operator call.
 type CallResult struct {
 	Millis float64 `json:"ms"`
 	Bytes  int     `json:"bytes"`
 }
 
-// ProcessRate is what one process spent in the calm, a second.
+// ProcessRate is the resource usage of one process while the cluster is idle. CPU, allocations, frames and heartbeats are per second.
 type ProcessRate struct {
 	Name                 string  `json:"name"`
 	Cores                float64 `json:"cores"`
@@ -61,10 +61,10 @@
 	Heartbeats           float64 `json:"beats_s"`
 	Descriptors          int     `json:"descriptors"`
 	DiskMB               float64 `json:"disk_mb"`
-	StartupCPU           float64 `json:"startup_cpu_s"` // until the calm began
+	StartupCPU           float64 `json:"startup_cpu_s"` // CPU seconds before the idle phase
 }
 
-// Phase is what one part of a play cost all control processes together, and what it said to routers.
+// Phase is the total resource usage of all control processes in one phase of a run, and their traffic with routers and hosts.
 type Phase struct {
 	Seconds              float64          `json:"took_s"`
 	CPUSeconds           float64          `json:"core_cpu_s"`
@@ -73,9 +73,9 @@
 	BytesSent            int64            `json:"core_said_bytes"`
 	Mallocs              int64            `json:"core_mallocs"`
 	AllocatedBytes       int64            `json:"core_allocated_bytes"`
-	Frames               map[string]int64 `json:"router_frames"`      // by kind, to all routers
-	FrameBytes           map[string]int64 `json:"router_frame_bytes"` // the same in bytes
-	BytesByDistance      [3]int64         `json:"router_bytes_far"`   // within the zone, the region, beyond
+	Frames               map[string]int64 `json:"router_frames"`      // frames sent to routers, by kind
+	FrameBytes           map[string]int64 `json:"router_frame_bytes"` // bytes of these frames, by kind
+	BytesByDistance      [3]int64         `json:"router_bytes_far"`   // by distance: same zone, same region, other region
 	UploadBytes          int64            `json:"router_up_bytes"`
 	HostChanges          int64            `json:"host_notes"`
 	RouterChanges        int64            `json:"router_notes"`
@@ -88,28 +88,28 @@
 	StreamDials          int64            `json:"line_dials"`
 }
 
-// Result is how a play went.
+// Result is the outcome of a run.
 type Result struct {
 	Plan
-	StartReady           Latencies        `json:"start_ready"` // a start of all: until each router had a snapshot
+	StartReady           Latencies        `json:"start_ready"` // from the simultaneous start of all routers until each is ready
 	ConfigureSeconds     float64          `json:"configure_s"`
-	Control              []ProcessRate    `json:"control"` // in the calm
-	RealProxies          []ProcessRate    `json:"real"`
+	Control              []ProcessRate    `json:"control"` // control processes while idle
+	RealProxies          []ProcessRate    `json:"real"`    // proxy processes while idle
 	Phases               map[string]Phase `json:"parts"`
 	ChangeAcked          Latencies        `json:"change_ack"`
-	ChangeApplied        Latencies        `json:"change_told"` // each router has the change
-	FailedOver           Latencies        `json:"killed"`      // until the killed one's routers follow others
+	ChangeApplied        Latencies        `json:"change_told"` // until a router received the change
+	FailedOver           Latencies        `json:"killed"`      // until routers of the killed control process are ready with another one
 	Restarted            Latencies        `json:"restarted"`
-	Healed               Latencies        `json:"healed"` // after a cut: until the routers of the region follow
+	Healed               Latencies        `json:"healed"` // after a partition: until routers of the region are ready
 	BurstPerSecond       float64          `json:"burst_per_s"`
 	BurstAck             Latencies        `json:"burst_ack"`
 	GossipBytesPerRouter float64          `json:"shuffle_bytes_router_s"`
-	ClusterRead          CallResult       `json:"harbour_read"` // the longest of three
+	ClusterRead          CallResult       `json:"harbour_read"` // slowest of three calls
 	ConfigurationRead    CallResult       `json:"configuration_read"`
-	Failures             []string         `json:"why,omitempty"` // what did not go through
+	Failures             []string         `json:"why,omitempty"` // failed or slow operations
 }
 
-// run is a play that runs.
+// run is the state of a running test.
 type run struct {
 	Plan
 	dir               string
@@ -119,27 +119,28 @@
 	hosts             []*hollowHost
 	received          UpdateStats
 	heartbeats        HeartbeatStats
-	partitionedRegion atomic.Int64 // a region that is cut off, plus one
+	partitionedRegion atomic.Int64 // partitioned region plus one; 0 for none
 	pending           atomic.Pointer[pendingChange]
-	command           []string
+	command           []string // arguments that make this executable a child process
 }
 
-// pendingChange is a change that is on its way to all routers.
+// pendingChange is a configuration change that is being distributed to all routers.
 type pendingChange struct {
-	pattern   []byte
+	pattern   []byte // identifies the change in an encoded batch
 	sent      time.Time
-	seenAfter []atomic.Int64 // nanoseconds after it was sent
+	seenAfter []atomic.Int64 // by router index: nanoseconds from sent until received; 0 if not received
 }
 
 func (r *run) controlZones() []int { return r.Plan.controlZones() }
 func (r *run) seeds() []int        { h := r.controlZones(); return h[:min(3, len(h))] }
 
+// partitioned reports whether an emulated partition separates two zones.
 func (r *run) partitioned(a, b int) bool {
 	region := int(r.partitionedRegion.Load()) - 1
 	return region >= 0 && (regionOf(a) == region) != (regionOf(b) == region)
 }
 
-// recordSeen notes that a batch has come to a router.
+// recordSeen records when router n receives the pending change, if the batch in body contains it.
 func (r *run) recordSeen(n int, body []byte) {
 	if p := r.pending.Load(); p != nil && bytes.Contains(body, p.pattern) {
 		p.seenAfter[n].CompareAndSwap(0, int64(time.Since(p.sent)))
@@ -152,17 +153,17 @@
 	}
 }
 
-// tell sends a child a command without an answer. A child that does not take it has ended, which the end of the run reports.
+// sendCommand sends a command to a child and discards the answer. An error is only reported as progress.
 func (r *run) sendCommand(child *childProcess, command string) {
 	if err := child.call(command, nil); err != nil {
 		r.progress("%s: %v", command, err)
 	}
 }
 
-// runTimeout bounds a run.
 const runTimeout = 15 * time.Minute
 
-// Run runs a plan; command is what makes this program a child. All that it started has ended when it returns.
+// Run runs a plan. The command-line arguments in command have to make this executable call RunChild. Run ends all child processes
+// before it returns.
 func Run(parent context.Context, plan Plan, command []string) (result Result, err error) {
 	if err := plan.validate(); err != nil {
 		return result, err
@@ -185,7 +186,7 @@
 	}
 	for _, zone := range rn.controlZones() {
 		if child := rn.controls[zone]; child == nil || child.cmd.ProcessState != nil {
-			result.Failures = append(result.Failures, "a control process ended: "+zoneName(zone))
+			result.Failures = append(result.Failures, "control process exited: "+zoneName(zone))
 		}
 	}
 	return result, ctx.Err()
@@ -206,7 +207,8 @@
 	}
 }
 
-// startCluster starts control, configures it, and starts hosts and routers.
+// startCluster starts and configures the control processes, starts hosts and routers, and waits up to a minute until all
+// routers are ready.
 func (r *run) startCluster(ctx context.Context, result *Result) error {
 	for _, zone := range r.controlZones() {
 		if err := r.startControl(zone, true); err != nil {
@@ -233,7 +235,7 @@
 	if err := r.startRealProxies(); err != nil {
 		return err
 	}
-	go r.sendHeartbeats(ctx) // until the run's end
+	go r.sendHeartbeats(ctx) // until the end of the run
 	result.StartReady = r.awaitSubscribed(r.routers, startedAt, time.Minute)
 	r.awaitQuiet(ctx)
 	endPhase()
@@ -241,7 +243,7 @@
 	return nil
 }
 
-// startHosts starts all hosts, whose goroutines end with the context.
+// startHosts starts the goroutines of all hosts, which end when ctx is done.
 func (r *run) startHosts(ctx context.Context) {
 	controlZones := r.controlZones()
 	for n := range r.Hosts {
@@ -260,7 +262,7 @@
 	}
 }
 
-// startRealProxies starts the routers that are processes.
+// startRealProxies starts the proxy processes.
 func (r *run) startRealProxies() error {
 	for n := range r.RealRouters {
 		zone := n % r.Zones
@@ -275,7 +277,7 @@
 	return nil
 }
 
-// measureAll measures one phase after another.
+// measureAll runs the phases that the plan selects, one after another.
 func (r *run) measureAll(ctx context.Context, result *Result) error {
 	if err := r.measureIdle(ctx, result); err != nil {
 		return err
@@ -303,7 +305,7 @@
 	return nil
 }
 
-// measureRestart restarts half of the routers.
+// measureRestart restarts half of the routers at once and measures the time until they are ready.
 func (r *run) measureRestart(ctx context.Context, result *Result) error {
 	endPhase := r.beginPhase(result, "restart")
 	half := r.routers[:len(r.routers)/2]
@@ -337,13 +339,13 @@
 	return nil
 }
 
-// startRouters starts routers anew, all at once.
+// startRouters starts routers without a subscription to resume, as after a restart.
 func (r *run) startRouters(ctx context.Context, routers []*hollowRouter) error {
 	for _, x := range routers {
 		routerCtx, cancel := context.WithCancel(ctx)
 		x.cancel, x.subscription = cancel, update.Subscription{}
 		x.readySince.Store(0)
-		for attempt := 0; ; attempt++ { // the old life's socket closes in a moment
+		for attempt := 0; ; attempt++ { // the previous incarnation may not have closed its socket yet
 			err := x.start(routerCtx)
 			if err == nil {
 				break
@@ -356,7 +358,8 @@
 	return nil
 }
 
-// awaitSubscribed waits until routers follow control, and tells when they did.
+// awaitSubscribed waits until all routers have become ready after since, and returns how long that took. Routers that are not ready
+// at the limit count as timed out.
 func (r *run) awaitSubscribed(routers []*hollowRouter, since time.Time, limit time.Duration) Latencies {
 	var durations []time.Duration
 	missing := 0
@@ -375,7 +378,7 @@
 	}
 }
 
-// awaitQuiet waits until news have stopped for a while.
+// awaitQuiet waits until routers have received no snapshots or batches for two seconds, or until half a minute has passed.
 func (r *run) awaitQuiet(ctx context.Context) {
 	previous, quiet := int64(-1), 0
 	for n := 0; n < 60 && quiet < 4 && ctx.Err() == nil; n++ {
@@ -393,7 +396,7 @@
 	}
 }
 
-// sendHeartbeats beats on all lines, and ends those that a cut lies across.
+// sendHeartbeats sends the heartbeats of all router connections, and closes connections that cross a partition.
 func (r *run) sendHeartbeats(ctx context.Context) {
 	t := time.NewTicker(500 * time.Millisecond)
 	defer t.Stop()
@@ -410,7 +413,7 @@
 	}
 }
 
-// controlStats asks all control processes at once.
+// controlStats queries all control processes concurrently. The result is by zone and omits processes whose call fails.
 func (r *run) controlStats() map[int]ProcessStats {
 	var mu sync.Mutex
 	var pending sync.WaitGroup
@@ -429,7 +432,7 @@
 	return out
 }
 
-// snapshotCounts is the tally at a moment.
+// snapshotCounts returns the current totals of the counters of routers and hosts.
 func (r *run) snapshotCounts() (phase Phase) {
 	received, heartbeats := &r.received, &r.heartbeats
 	phase.Frames, phase.FrameBytes = map[string]int64{}, map[string]int64{}
@@ -449,7 +452,7 @@
 	return phase
 }
 
-// beginPhase begins to count; what it returns ends that.
+// beginPhase starts a phase. The returned function ends it and stores the differences of the counters in result.
 func (r *run) beginPhase(result *Result, name string) func() {
 	start, before, baseline := time.Now(), r.controlStats(), r.snapshotCounts()
 	return func() {
@@ -488,7 +491,7 @@
 		Descriptors: b.OpenFiles, DiskMB: float64(b.DiskBytes) / mb, StartupCPU: a.CPU.Seconds()}
 }
 
-// measureIdle counts for a while in which nothing happens.
+// measureIdle measures resource usage for IdleTime without changes.
 func (r *run) measureIdle(ctx context.Context, result *Result) error {
 	r.writeProfiles("calm")
 	endPhase := r.beginPhase(result, "calm")
@@ -528,7 +531,7 @@
 	return nil
 }
 
-// measureRead calls for all that is known, three times.
+// measureRead makes a read call three times and returns the longest duration.
 func (r *run) measureRead(ctx context.Context, call string) (result CallResult) {
 	for range 3 {
 		sentAt := time.Now()
@@ -546,7 +549,7 @@
 	return n
 }
 
-// writeProfiles has the control processes write processor profiles of what follows, until the next call.
+// writeProfiles makes all child processes write a CPU profile until the next call. An empty name only ends the current profiles.
 func (r *run) writeProfiles(name string) {
 	if r.Profile == "" {
 		return
@@ -567,7 +570,8 @@
 	}
 }
 
-// measureChanges sends changes of one route, one after another, and waits for each until all routers have been told.
+// measureChanges changes one route repeatedly. After each change it waits until all routers have received it or the time limit
+// has passed.
 func (r *run) measureChanges(ctx context.Context, result *Result) {
 	if r.Changes == 0 {
 		return
@@ -610,7 +614,7 @@
 		result.ChangeApplied.P50, result.ChangeApplied.P99, result.ChangeApplied.Worst, timedOut)
 }
 
-// measureDrains has hosts say that they drain, one after another.
+// measureDrains makes hosts start draining, one after another.
 func (r *run) measureDrains(result *Result) {
 	if n := min(r.Drains, len(r.hosts)); n > 0 {
 		endPhase := r.beginPhase(result, "drains")
@@ -624,7 +628,7 @@
 	}
 }
 
-// measureBurst sends changes as fast as they are taken, eight at a time.
+// measureBurst sends changes as fast as they are acknowledged, with eight in flight.
 func (r *run) measureBurst(ctx context.Context, result *Result) {
 	endPhase := r.beginPhase(result, "burst")
 	start := time.Now()
@@ -657,7 +661,7 @@
 	r.progress("%d changes at once: %.1f a second, p99 %.0f ms, %d failed", r.Burst, result.BurstPerSecond, result.BurstAck.P99, failed)
 }
 
-// measureControlLoss kills the control process of the last zone that has one, and starts it again.
+// measureControlLoss kills one control process, waits until its routers are ready with others, and restarts it.
 func (r *run) measureControlLoss(ctx context.Context, result *Result) error {
 	controlZones := r.controlZones()
 	zone := controlZones[len(controlZones)-1]
@@ -687,7 +691,7 @@
 	return nil
 }
 
-// measurePartition cuts the last region with a control process off.
+// measurePartition separates the last region that has a control process from all others for PartitionTime.
 func (r *run) measurePartition(ctx context.Context, result *Result) {
 	controlZones := slices.Clone(r.controlZones())
 	slices.Sort(controlZones)
@@ -726,10 +730,11 @@
 	r.progress("a region cut off for %v: %d routers follow again, p50 %.0f, worst %.0f ms, %d never", r.PartitionTime, len(regionRouters), result.Healed.P50, result.Healed.Worst, result.Healed.TimedOut)
 }
 
-// sendChange sends a change to the control processes in turn until one takes it.
+// sendChange sends a change to the control processes in turn, beginning with number first, until one accepts it. A bad request is
+// not retried.
 func (r *run) sendChange(ctx context.Context, first int, body []byte, limit time.Duration) (err error) {
 	controlZones := r.controlZones()
-	err = errors.New("nobody was asked")
+	err = errors.New("no control process was contacted before the deadline")
 	for index, deadline := first, time.Now().Add(limit); time.Now().Before(deadline) && ctx.Err() == nil; index++ {
 		zone := controlZones[index%len(controlZones)]
 		var status int
@@ -779,7 +784,7 @@
 
 const rowsPerChange = 1000
 
-// configure sets the services, the routes and the shares, a thousand at a time.
+// configure creates the services, routes and quotas, at most rowsPerChange in one change.
 func (r *run) configure(ctx context.Context, result *Result) error {
 	var services, routes, quotas [][]any
 	for n := range r.Services {
@@ -803,7 +808,7 @@
 				return fmt.Errorf("%s: %w", table.kind, err)
 			}
 			if elapsed := time.Since(sentAt); elapsed > 2*time.Second {
-				result.Failures = append(result.Failures, fmt.Sprintf("%d %s were taken after %.1f s only", len(rows), table.kind, elapsed.Seconds()))
+				result.Failures = append(result.Failures, fmt.Sprintf("configuring %d %s took %.1f s, more than 2 s", len(rows), table.kind, elapsed.Seconds()))
 			}
 		}
 	}
