--- a/internal/lab/hollow/snapshot_test.go
+++ b/internal/lab/hollow/snapshot_test.go
@@ -27,20 +27,20 @@
 		name := fmt.Sprintf("%d-routes-%d-shares-%d-hosts", x[2], x[3], x[1])
 		b.Run(name+"/chunks", func(b *testing.B) {
 			b.ReportAllocs()
-			made, elapsed := time.Hour, time.Hour // minima, which are least affected by other load
-			var bytes, highest, chunks int
+			encodeTime, decodeTime := time.Hour, time.Hour // minima, which are least affected by other load
+			var bytes, longestFrame, chunks int
 			for b.Loop() {
 				start := time.Now()
-				notes := s.Snapshot(1, false)
-				c, err := update.NewSnapshot(update.SnapshotHeader{Name: "l.1", Incarnation: "l", To: 1}, notes, func(w []byte) []byte {
-					highest = max(highest, len(w))
+				changes := s.Snapshot(1, false)
+				c, err := update.NewSnapshot(update.SnapshotHeader{Name: "l.1", Incarnation: "l", To: 1}, changes, func(w []byte) []byte {
+					longestFrame = max(longestFrame, len(w))
 					return stream.EncodeFrame(w)
 				})
 				if err != nil {
 					b.Fatal(err)
 				}
-				made, bytes, chunks = min(made, time.Since(start)), c.Bytes, len(c.Messages)
-				plain, err := update.NewSnapshot(update.SnapshotHeader{Name: "l.1", Incarnation: "l", To: 1}, notes, func(w []byte) []byte { return w })
+				encodeTime, bytes, chunks = min(encodeTime, time.Since(start)), c.Bytes, len(c.Messages)
+				plain, err := update.NewSnapshot(update.SnapshotHeader{Name: "l.1", Incarnation: "l", To: 1}, changes, func(w []byte) []byte { return w })
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -58,30 +58,30 @@
 				if _, ok := a.Finish(update.Batch{Incarnation: "l", From: 1, To: 1}); !ok {
 					b.Fatal("snapshot is incomplete after its last chunk")
 				}
-				elapsed = min(elapsed, time.Since(start))
+				decodeTime = min(decodeTime, time.Since(start))
 			}
-			reportSizes(b, highest, bytes, chunks, made, elapsed)
+			reportSizes(b, longestFrame, bytes, chunks, encodeTime, decodeTime)
 		})
 		b.Run(name+"/one", func(b *testing.B) {
 			b.ReportAllocs()
-			made, elapsed := time.Hour, time.Hour
-			var bytes, highest int
+			encodeTime, decodeTime := time.Hour, time.Hour
+			var bytes, longestFrame int
 			for b.Loop() {
 				start := time.Now()
 				raw, err := json.Marshal(update.Message{Batch: &update.Batch{Incarnation: "l", To: 1, Snapshot: true, Changes: s.Snapshot(1, false)}})
 				if err != nil {
 					b.Fatal(err)
 				}
-				highest, bytes = len(raw), len(stream.EncodeFrame(raw))
-				made = min(made, time.Since(start))
+				longestFrame, bytes = len(raw), len(stream.EncodeFrame(raw))
+				encodeTime = min(encodeTime, time.Since(start))
 				start = time.Now()
 				var w update.Message
 				if err := json.Unmarshal(raw, &w); err != nil {
 					b.Fatal(err)
 				}
-				elapsed = min(elapsed, time.Since(start))
+				decodeTime = min(decodeTime, time.Since(start))
 			}
-			reportSizes(b, highest, bytes, 1, made, elapsed)
+			reportSizes(b, longestFrame, bytes, 1, encodeTime, decodeTime)
 		})
 	}
 }
