--- a/internal/lab/hollow/plan.go
+++ b/internal/lab/hollow/plan.go
@@ -111,8 +111,8 @@
 	return zones
 }
 
-// settings returns the settings of the process on machine n of a zone. A control process gets only the zones that have a voting
-// member, because it derives the number of voters from them.
+// settings returns the settings of the process on machine n of a zone. A control process gets the regions of the zones that have
+// a control process only, other processes those of all zones.
 func (p Plan) settings(name, role string, zone, n int) settings.Settings {
 	ip := address(zone, n)
 	at := func(port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
