--- a/internal/lab/hollow/bench_test.go
+++ b/internal/lab/hollow/bench_test.go
@@ -32,8 +32,7 @@
 	}
 }
 
-// Measures the construction of the routing table, which each router repeats after each configuration change, and a control process
-// does twice before it accepts one.
+// Measures building a routing table from scratch. Routers rebuild theirs after each configuration change, and reuse unchanged quotas.
 func BenchmarkRoutingTable(b *testing.B) {
 	for _, x := range [][2]int{{3200, 0}, {3200, 33000}} {
 		s := config.NewSet()
