--- a/internal/lab/baselines.go
+++ b/internal/lab/baselines.go
@@ -24,8 +24,8 @@
 	tokens float64
 }
 
-func (b *retryBudget) Admit(_ int64, t *retryguard.Request) (bool, int64) {
-	if !t.Retry {
+func (b *retryBudget) Admit(_ int64, req *retryguard.Request) (bool, int64) {
+	if !req.Retry {
 		return true, 0
 	}
 	if b.tokens < 1 {
--- a/internal/lab/command.go
+++ b/internal/lab/command.go
@@ -9,7 +9,7 @@
 
 // command is a client's command, with all its attempts.
 type command struct {
-	band, carrier  int
+	class, carrier int
 	key            uint64
 	idempotencyKey string
 	behaviour      standin.ClientBehaviour
@@ -18,16 +18,16 @@
 	served         bool // within its contract time
 }
 
-func (c *command) drawWork(d *random.Source) int64 {
-	b := experimentBands[c.band]
-	return b.least + int64(d.Float64()*float64(b.top-b.least))
+func (c *command) drawWork(rng *random.Source) int64 {
+	requestClass := requestClasses[c.class]
+	return requestClass.minWork + int64(rng.Float64()*float64(requestClass.maxWork-requestClass.minWork))
 }
 
 // newCommand draws a new command of a client.
-func (x StormExperiment) newCommand(now int64, client int, rng *random.Source) *command {
-	cmd := &command{band: 1}
-	if rng.Float64() < experimentBands[0].share {
-		cmd.band = 0
+func (exp StormExperiment) newCommand(now int64, client int, rng *random.Source) *command {
+	cmd := &command{class: 1}
+	if rng.Float64() < requestClasses[0].share {
+		cmd.class = 0
 	}
 	position := float64(client%1000) / 1000 // a client is always of one carrier
 	for position >= carrierShares[cmd.carrier] && cmd.carrier < len(carrierShares)-1 {
@@ -35,13 +35,13 @@
 		cmd.carrier++
 	}
 	cmd.key = 1 + uint64(client)
-	cmd.behaviour = standin.DrawBehaviour(x.HeedFraction, x.MarkRetries, rng.Float64(), rng.Float64(), rng.Float64(), rng.Float64())
-	if x.Kind == "carrier" && cmd.carrier == x.Carrier && now >= int64(x.Warmup) && now < int64(x.Warmup+x.Outage) {
-		cmd.key = 1 + uint64(client%5)                                                                                                                                              // a few keys
-		cmd.behaviour = standin.ClientBehaviour{Retries: 3, Patience: 0.04, HonoursRetryAfter: cmd.behaviour.HonoursRetryAfter, EarlyFactor: 1, SendsIdempotencyKey: x.MarkRetries} // given up soon, and asked again at once
+	cmd.behaviour = standin.DrawBehaviour(exp.HeedFraction, exp.MarkRetries, rng.Float64(), rng.Float64(), rng.Float64(), rng.Float64())
+	if exp.Kind == "carrier" && cmd.carrier == exp.Carrier && now >= int64(exp.Warmup) && now < int64(exp.Warmup+exp.Outage) {
+		cmd.key = 1 + uint64(client%5)                                                                                                                                                // a few keys
+		cmd.behaviour = standin.ClientBehaviour{Retries: 3, Patience: 0.04, HonoursRetryAfter: cmd.behaviour.HonoursRetryAfter, EarlyFactor: 1, SendsIdempotencyKey: exp.MarkRetries} // given up soon, and asked again at once
 	}
-	if cmd.band == 1 {
-		cmd.idempotencyKey = fmt.Sprintf("m%d-%d-%d", x.Seed, client, now)
+	if cmd.class == 1 {
+		cmd.idempotencyKey = fmt.Sprintf("m%d-%d-%d", exp.Seed, client, now)
 	}
 	return cmd
 }
--- a/internal/lab/emulatedrouter.go
+++ b/internal/lab/emulatedrouter.go
@@ -19,7 +19,7 @@
 
 func (r *emulatedRouter) Forward(to dispatch.Host, req *dispatch.Request, remaining time.Duration, done func(dispatch.Outcome)) dispatch.Attempt {
 	fwd := &forward{router: r, done: done}
-	at := r.attempts[req.TraceID]
+	clientAttempt := r.attempts[req.TraceID]
 	r.after(int64(remaining), func() { fwd.finishExternally(dispatch.Outcome{Result: decision.TimedOut}) })
 	r.after(3e5, func() {
 		if fwd.ended {
@@ -32,11 +32,11 @@
 		}
 		target := r.hosts[i]
 		fwd.sent, fwd.host = true, target
-		serviceTime := at.drawWork(&r.rng)
+		serviceTime := clientAttempt.drawWork(&r.rng)
 		if target.inOutage || r.Kind != "half" {
 			r.recorder.recordWork(r.now, serviceTime)
 		}
-		if at.idempotencyKey != "" && !r.effects.Run(r.now, at.idempotencyKey, req.TraceID) {
+		if clientAttempt.idempotencyKey != "" && !r.effects.Run(r.now, clientAttempt.idempotencyKey, req.TraceID) {
 			serviceTime = 1e6 // the repeat is known
 		}
 		finishAt, ok := target.Arrive(r.now, serviceTime)
--- a/internal/lab/emulation.go
+++ b/internal/lab/emulation.go
@@ -66,11 +66,11 @@
 		em.hosts = append(em.hosts, hostModel)
 	}
 	for rank := range exp.Routers {
-		limiter, observed, err := exp.newGuard(rank, 0)
+		limiter, detector, err := exp.newGuard(rank, 0)
 		if err != nil {
 			return Result{}, err
 		}
-		r := &emulatedRouter{emulation: em, index: rank, guard: observed}
+		r := &emulatedRouter{emulation: em, index: rank, guard: detector}
 		r.steppedRouter.timeline = &em.timeline
 		r.router = dispatch.New(func() int64 { return em.now + 1 }, zerolog.Nop())
 		release := decision.Rollout{Build: 1, State: decision.Released, ExposureCap: 1, Age: 60e9}
@@ -140,10 +140,10 @@
 
 // sendHostList sends all routers the list of hosts, each after a random delay.
 func (e *emulation) sendHostList(complete bool) {
-	for _, n := range e.routers {
+	for _, r := range e.routers {
 		e.after(int64(e.rng.Float64()*3e8), func() {
-			n.router.Post(dispatch.HostsChanged{Kind: decision.Delta, Hosts: e.hostList(complete)})
-			n.pump()
+			r.router.Post(dispatch.HostsChanged{Kind: decision.Delta, Hosts: e.hostList(complete)})
+			r.pump()
 		})
 	}
 }
@@ -196,22 +196,22 @@
 	if e.SkewRouters && client%10 != 0 {
 		rank = 0
 	}
-	at := &attempt{command: cmd, client: client, sent: e.now, router: e.routers[rank]}
-	patience := int64(cmd.behaviour.Patience * float64(experimentBands[cmd.band].Timeout))
+	a := &attempt{command: cmd, client: client, sent: e.now, router: e.routers[rank]}
+	patience := int64(cmd.behaviour.Patience * float64(requestClasses[cmd.class].Timeout))
 	e.recorder.recordAttempt(e.now, cmd)
 	trace := strconv.Itoa(e.serial)
-	e.attempts[trace] = at
-	at.call = &dispatch.Call{Class: cmd.band, Customer: cmd.carrier, Key: cmd.key, Deadline: e.now + patience, Retried: cmd.behaviour.SendsIdempotencyKey && cmd.attempts > 1,
-		Request: &dispatch.Request{TraceID: trace, IdempotencyKey: cmd.idempotencyKey}, Responder: at}
-	at.router.router.Post(dispatch.RequestReceived{Call: at.call})
-	at.router.pump()
+	e.attempts[trace] = a
+	a.call = &dispatch.Call{Class: cmd.class, Customer: cmd.carrier, Key: cmd.key, Deadline: e.now + patience, Retried: cmd.behaviour.SendsIdempotencyKey && cmd.attempts > 1,
+		Request: &dispatch.Request{TraceID: trace, IdempotencyKey: cmd.idempotencyKey}, Responder: a}
+	a.router.router.Post(dispatch.RequestReceived{Call: a.call})
+	a.router.pump()
 	e.after(patience+50e6, func() {
-		if !at.ended {
-			at.ended = true
-			e.recorder.recordOutcome(e.now, at.sent, cmd, false, false)
-			at.router.router.Post(dispatch.ClientGone{Call: at.call})
-			at.router.pump()
-			e.scheduleRetry(at, 0)
+		if !a.ended {
+			a.ended = true
+			e.recorder.recordOutcome(e.now, a.sent, cmd, false, false)
+			a.router.router.Post(dispatch.ClientGone{Call: a.call})
+			a.router.pump()
+			e.scheduleRetry(a, 0)
 		}
 		delete(e.attempts, trace)
 	})
@@ -234,13 +234,13 @@
 	})
 }
 
-func (e *emulation) scheduleRetry(at *attempt, advised int64) {
-	wait, again := at.behaviour.NextRetry(at.attempts-1, advised, e.rng.Float64())
+func (e *emulation) scheduleRetry(a *attempt, advised int64) {
+	wait, again := a.behaviour.NextRetry(a.attempts-1, advised, e.rng.Float64())
 	if !again {
-		e.waitingClients[at.client/64] &^= 1 << (at.client % 64)
+		e.waitingClients[a.client/64] &^= 1 << (a.client % 64)
 		return
 	}
-	e.after(wait, func() { e.sendAttempt(at.command, at.client) })
+	e.after(wait, func() { e.sendAttempt(a.command, a.client) })
 }
 
 func (h *host) crash() {
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -119,8 +119,8 @@
 		f.result.Stages = append(f.result.Stages, float64(f.now)/1e9)
 	}
 	clear(f.votesValidUntil)
-	for _, n := range f.routers {
-		n.post(3e8, dispatch.RolloutChanged{Rollout: f.release()})
+	for _, r := range f.routers {
+		r.post(3e8, dispatch.RolloutChanged{Rollout: f.release()})
 	}
 }
 
--- a/internal/lab/fleet_test.go
+++ b/internal/lab/fleet_test.go
@@ -6,7 +6,7 @@
 // each router in 8 s, or only in 14, and a platform that can just accept the votes that it needs. Routers that repeated their calls
 // after a second on average never had their list (80 of them: 2,795 calls, all answered too late); those that withdrew votes for a
 // stage that had passed spent half of their calls on that.
-func TestFleetsStart(t *testing.T) {
+func TestFleetStart(t *testing.T) {
 	for _, x := range []FleetExperiment{
 		{Routers: 3, Hosts: 10, ListSeconds: 8, PlatformCallsPerSecond: 16, RequiredVotes: 2, KilledFraction: 0.7},
 		{Routers: 80, Hosts: 60, ListSeconds: 8, PlatformCallsPerSecond: 16, RequiredVotes: 32, KilledFraction: 0.7},
--- a/internal/lab/flows.go
+++ b/internal/lab/flows.go
@@ -89,8 +89,8 @@
 	flowHosts   = 3
 	flowClients = 16 // at once
 
-	accountEvery  = 64 // requests between two checks of the meter's account
-	exportTimeout = 2 * time.Second
+	accountCheckInterval = 64 // requests between two checks of the meter's account
+	exportTimeout        = 2 * time.Second
 )
 
 // RunFlowExperiment runs a flow experiment.
@@ -115,8 +115,8 @@
 	if err := coll.Restart(); err != nil {
 		return run.result, err
 	}
-	for _, n := range run.routers {
-		if err := n.Drain(); err != nil {
+	for _, r := range run.routers {
+		if err := r.Drain(); err != nil {
 			return run.result, err
 		}
 	}
@@ -145,25 +145,25 @@
 	settings.Routers = flowRouters
 	settings.Hosts = flowHosts
 	settings.Seed = run.Seed
-	lb := &loopbackRun{StormExperiment: settings, recorder: newRecorder(settings), start: time.Now(), effects: servers.SharedEffects{}}
-	run.loopback = lb
+	socketRun := &loopbackRun{StormExperiment: settings, recorder: newRecorder(settings), start: time.Now(), effects: servers.SharedEffects{}}
+	run.loopback = socketRun
 	for i := range settings.Hosts {
 		h := &servers.Host{
 			Name:    fmt.Sprint("h", i),
-			Effects: &lb.effects,
-			Clock:   lb.clock,
+			Effects: &socketRun.effects,
+			Clock:   socketRun.clock,
 			OnWork:  func(int64, int64) {},
 			Work:    func() int64 { return 1e6 },
 		}
 		if err := h.Start(&standin.Machine{Cores: 64, QueueNanos: 1e9}); err != nil {
 			return err
 		}
-		lb.hosts = append(lb.hosts, h)
+		socketRun.hosts = append(socketRun.hosts, h)
 	}
-	if lb.services, err = servers.NewServices(releasedBuild, lb.memberList(true)); err != nil {
+	if socketRun.services, err = servers.NewServices(releasedBuild, socketRun.memberList(true)); err != nil {
 		return err
 	}
-	run.configs, err = lb.routerConfigs()
+	run.configs, err = socketRun.routerConfigs()
 	return err
 }
 
@@ -171,11 +171,11 @@
 func (run *flowRun) startRouters() error {
 	run.meter = export.NewMeter(flow.Limits{Active: 60e9, Idle: 15e9, MaxConnections: 1024}, 1, run.BacklogBytes, dispatch.NewClock())
 	for i, exporter := range []*export.Exporter{export.New(run.exportOptions(), run.meter, zerolog.Nop()), nil} {
-		n, err := router.StartWith(context.Background(), run.configs[i], nil, exporter, zerolog.Nop())
+		r, err := router.StartWith(context.Background(), run.configs[i], nil, exporter, zerolog.Nop())
 		if err != nil {
 			return err
 		}
-		run.routers = append(run.routers, n)
+		run.routers = append(run.routers, r)
 	}
 	return nil
 }
@@ -190,7 +190,7 @@
 		Version9:   version9,
 		Collectors: []export.Collector{{Network: network, Address: run.collector.Address}},
 		Enterprise: ipfix.Documentation,
-		Names:      ipfix.Names{Carriers: carrierNames, Bands: []string{experimentBands[0].name, experimentBands[1].name}},
+		Names:      ipfix.Names{Carriers: carrierNames, Bands: []string{requestClasses[0].name, requestClasses[1].name}},
 		Refresh:    time.Second,
 		Packets:    50,
 		MTU:        1400,
@@ -211,7 +211,7 @@
 	}
 	for i := range flowRouters * run.Connections {
 		jobs <- i
-		if i%accountEvery == 0 {
+		if i%accountCheckInterval == 0 {
 			run.checkAccount()
 		}
 	}
@@ -250,7 +250,7 @@
 func (run *flowRun) awaitExport() flow.Ledger {
 	account, _ := run.meter.Account(0)
 	for deadline := time.Now().Add(exportTimeout); time.Now().Before(deadline); runtime.Gosched() {
-		if sum, _, _, _ := run.collector.Totals(); sum.Records >= account.Exported.Records {
+		if totals, _, _, _ := run.collector.Totals(); totals.Records >= account.Exported.Records {
 			break
 		}
 	}
@@ -294,14 +294,14 @@
 		raw, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		return countedConn{raw, &count}, err
 	}}
-	url := fmt.Sprintf("http://%s/%s?obj=%d", address, experimentBands[0].name, i%50)
+	url := fmt.Sprintf("http://%s/%s?obj=%d", address, requestClasses[0].name, i%50)
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
 		return false, 0
 	}
 	req.Header = http.Header{
 		"X-Trace-Id":   {fmt.Sprint("f", i)},
-		"X-Qos":        {experimentBands[0].name},
+		"X-Qos":        {requestClasses[0].name},
 		"X-Customer":   {carrierNames[i/2%3]},
 		"X-Expires-In": {"2000m"},
 	}
--- a/internal/lab/quota.go
+++ b/internal/lab/quota.go
@@ -61,17 +61,17 @@
 	reportLifetime = int64(300e6) // of what a router reported as remaining
 	moveStep       = int64(100e6)
 
-	heavyCaller      = "rush"
-	smallRate        = 0.7 // requests a second of each small caller
-	recoveredAt      = 0.8 // fraction of the quota
-	everyThird       = 3   // routers that are killed or join later
-	partitionedZone  = 1
-	quotaService     = "desk"
-	quotaHeader      = "X-Agency"
-	anyTime          = int64(-1) // in place of a time, for requests that no fault moves
-	burstSeconds     = 1.0       // of the heavy caller's quota
-	smallCallerRate  = 1
-	smallCallerBurst = 3
+	heavyCaller       = "rush"
+	smallRate         = 0.7 // requests a second of each small caller
+	recoveredFraction = 0.8 // fraction of the quota
+	faultStride       = 3   // routers that are killed or join later
+	partitionedZone   = 1
+	quotaService      = "desk"
+	quotaHeader       = "X-Agency"
+	beforeFault       = int64(-1) // in place of a time, for requests that no fault moves
+	burstSeconds      = 1.0       // of the heavy caller's quota
+	smallCallerRate   = 1
+	smallCallerBurst  = 3
 )
 
 // quotaMethod is one method of limiting callers to their quotas.
@@ -113,7 +113,7 @@
 	}
 	for router := range run.up {
 		run.up[router] = true
-		if exp.Fault == faultJoined && router%everyThird == 0 {
+		if exp.Fault == faultJoined && router%faultStride == 0 {
 			run.setRouterUp(router, false, 0)
 		}
 		run.result.GrantsByRouter = append(run.result.GrantsByRouter, make([]int, exp.Duration/second+1))
@@ -179,7 +179,7 @@
 // setThirdUp starts or ends every third router.
 func (run *quotaRun) setThirdUp(up bool, now int64) {
 	for router := range run.up {
-		if router%everyThird == 0 {
+		if router%faultStride == 0 {
 			run.setRouterUp(router, up, now)
 		}
 	}
@@ -227,7 +227,7 @@
 	for range run.poisson(float64(run.SmallCallers) * smallRate * float64(quotaStep) / 1e9) {
 		caller := smallCaller(int(run.rng.Float64() * float64(run.SmallCallers)))
 		run.smallRequests++
-		if run.method.allow(now, run.pickRouter(anyTime), caller).Admitted {
+		if run.method.allow(now, run.pickRouter(beforeFault), caller).Admitted {
 			run.smallGranted++
 		}
 	}
@@ -235,8 +235,8 @@
 
 // compareReports compares what routers reported lately, once a second while there is no fault.
 func (run *quotaRun) compareReports(now int64) {
-	calm := run.Fault == faultCalm || run.Fault == faultNone || run.Fault == faultOneRouter
-	if !calm || now <= warmUp || now%second != 0 {
+	steady := run.Fault == faultCalm || run.Fault == faultNone || run.Fault == faultOneRouter
+	if !steady || now <= warmUp || now%second != 0 {
 		return
 	}
 	low, high := 1.0, 0.0
@@ -293,7 +293,7 @@
 func (run *quotaRun) recoverySeconds() float64 {
 	movedAt := run.Duration / 2
 	for now := movedAt; now < run.Duration-second; now += moveStep {
-		if float64(run.grantedWithin(now, now+second)) >= recoveredAt*run.QuotaPerSecond {
+		if float64(run.grantedWithin(now, now+second)) >= recoveredFraction*run.QuotaPerSecond {
 			return float64(now-movedAt) / 1e9
 		}
 	}
--- a/internal/lab/quota_test.go
+++ b/internal/lab/quota_test.go
@@ -9,33 +9,33 @@
 // A caller at ten times its quota is granted the quota, and no more than the stated bounds, whatever the routers and the fault: -v
 // shows all numbers, also of the baseline methods.
 func TestQuotaMethods(t *testing.T) {
-	sizes, ways := []int{13, 92}, []string{"dealt"}
+	sizes, methods := []int{13, 92}, []string{"dealt"}
 	if testing.Verbose() {
-		sizes, ways = []int{13, 92, 300}, []string{"dealt", "count", "usage", "sketch"}
+		sizes, methods = []int{13, 92, 300}, []string{"dealt", "count", "usage", "sketch"}
 	}
 	for _, routers := range sizes {
 		for _, fault := range []string{"calm", "none", "one", "moves", "cut", "killed", "joined"} {
-			for _, way := range ways {
+			for _, method := range methods {
 				c := qt.New(t)
-				p := QuotaExperiment{Routers: routers, Zones: 6, Method: way, Fault: fault, QuotaPerSecond: 40, LoadFactor: 10, SmallCallers: 50, Duration: 30e9, Seed: 3}
+				exp := QuotaExperiment{Routers: routers, Zones: 6, Method: method, Fault: fault, QuotaPerSecond: 40, LoadFactor: 10, SmallCallers: 50, Duration: 30e9, Seed: 3}
 				if fault == "calm" { // it stays within its share
-					p.LoadFactor = 0.7
+					exp.LoadFactor = 0.7
 				}
-				r, err := RunQuotaExperiment(p)
+				r, err := RunQuotaExperiment(exp)
 				c.Assert(err, qt.IsNil)
 				r.GrantsByRouter = nil
-				t.Logf("%3d routers, %-7s %-7s %+v", routers, fault, way, r)
-				if way != "dealt" {
+				t.Logf("%3d routers, %-7s %-7s %+v", routers, fault, method, r)
+				if method != "dealt" {
 					continue
 				}
-				describe := qt.Commentf("%d routers, %s: %+v", routers, fault, r)
-				onset := 2*float64(routers)/p.QuotaPerSecond + 0.5 // two requests a router, and what comes until it is noticed
-				c.Check(r.Overshoot1s < onset, qt.IsTrue, describe)
-				c.Check(r.Overshoot10s < onset, qt.IsTrue, describe)
-				c.Check(r.Granted > 0.8*min(1, p.LoadFactor) && r.Granted < 1.1, qt.IsTrue, describe)
-				c.Check(r.OthersGranted > 0.75, qt.IsTrue, describe)
-				c.Check(r.MaxDisagreement < 0.2, qt.IsTrue, describe)
-				c.Check(r.RecoverySeconds < 4, qt.IsTrue, describe)
+				comment := qt.Commentf("%d routers, %s: %+v", routers, fault, r)
+				maxOvershoot := 2*float64(routers)/exp.QuotaPerSecond + 0.5 // two requests a router, and what comes until it is noticed
+				c.Check(r.Overshoot1s < maxOvershoot, qt.IsTrue, comment)
+				c.Check(r.Overshoot10s < maxOvershoot, qt.IsTrue, comment)
+				c.Check(r.Granted > 0.8*min(1, exp.LoadFactor) && r.Granted < 1.1, qt.IsTrue, comment)
+				c.Check(r.OthersGranted > 0.75, qt.IsTrue, comment)
+				c.Check(r.MaxDisagreement < 0.2, qt.IsTrue, comment)
+				c.Check(r.RecoverySeconds < 4, qt.IsTrue, comment)
 			}
 		}
 	}
--- a/internal/lab/quotabaseline.go
+++ b/internal/lab/quotabaseline.go
@@ -80,15 +80,15 @@
 
 // column returns the cell of a caller in a row.
 func (s *countMinSketch) column(row int, caller string) int {
-	sum := fnv.New32a()
-	writeHash(sum, []byte{byte(row)})
-	writeHash(sum, []byte(caller))
-	x := sum.Sum32()
+	h := fnv.New32a()
+	writeHash(h, []byte{byte(row)})
+	writeHash(h, []byte(caller))
+	x := h.Sum32()
 	return int((x ^ x>>16) % sketchColumns)
 }
 
 // writeHash adds to a hash, which by its contract returns no error.
-func writeHash(sum hash.Hash32, b []byte) { _, _ = sum.Write(b) }
+func writeHash(h hash.Hash32, b []byte) { _, _ = h.Write(b) }
 
 func (s *countMinSketch) add(caller string) {
 	for row := range s {
@@ -113,11 +113,11 @@
 }
 
 // perSecond sums up counters of one exchange interval.
-func perSecond(counters []counter, caller string) (sum float64) {
+func perSecond(counters []counter, caller string) (total float64) {
 	for _, c := range counters {
-		sum += c.count(caller)
+		total += c.count(caller)
 	}
-	return sum / (float64(exchangeInterval) / 1e9)
+	return total / (float64(exchangeInterval) / 1e9)
 }
 
 // forecast returns a caller's requests a second as they would be now if they went on growing.
@@ -178,9 +178,9 @@
 	if used <= limit {
 		return false
 	}
-	sum := fnv.New32a()
-	fmt.Fprint(sum, now, router, own)
-	return float64(sum.Sum32()%drawResolution)/drawResolution > limit/used
+	h := fnv.New32a()
+	fmt.Fprint(h, now, router, own)
+	return float64(h.Sum32()%drawResolution)/drawResolution > limit/used
 }
 
 func (m *baselineQuota) setRouterUp(router int, up bool, _ int64) {
--- a/internal/lab/recorder.go
+++ b/internal/lab/recorder.go
@@ -56,9 +56,9 @@
 		r.lost++
 	}
 	switch {
-	case fulfilled && now-sent <= experimentBands[cmd.band].LatencyTarget:
+	case fulfilled && now-sent <= requestClasses[cmd.class].LatencyTarget:
 		addToSeries(r.served, now, 1)
-		cmd.served = cmd.served || now-cmd.firstSentAt <= experimentBands[cmd.band].Timeout
+		cmd.served = cmd.served || now-cmd.firstSentAt <= requestClasses[cmd.class].Timeout
 	case !fulfilled && sent >= int64(r.Warmup) && (r.firstUnservedAt == 0 || now < r.firstUnservedAt):
 		r.firstUnservedAt = now
 	}
@@ -76,17 +76,17 @@
 		}
 	}
 	result.LoadLimitKept = result.PeakLoad <= result.LoadLimit
-	calm := sum(r.served, outageStep-40, outageStep) / 40
+	baseline := sum(r.served, outageStep-40, outageStep) / 40
 	for i := returnStep; i+10 <= last; i++ {
-		if sum(r.served, i, i+10) >= 0.95*10*calm && sum(r.served, i+10, i+20) >= 0.85*10*calm {
+		if sum(r.served, i, i+10) >= 0.95*10*baseline && sum(r.served, i+10, i+20) >= 0.85*10*baseline {
 			result.RecoverySeconds = float64(i-returnStep) * step.Seconds()
 			break
 		}
 	}
-	served, asked, others, othersOK := 0.0, 0.0, 0.0, 0.0
+	served, requested, others, othersOK := 0.0, 0.0, 0.0, 0.0
 	for _, cmd := range r.commands {
-		weight := experimentBands[cmd.band].Value
-		asked += weight
+		weight := requestClasses[cmd.class].Value
+		requested += weight
 		if cmd.served {
 			served += weight
 		}
@@ -96,7 +96,7 @@
 			}
 		}
 	}
-	result.Goodput, result.OtherCarriersServed = served/max(1, asked), othersOK/max(1, others)
+	result.Goodput, result.OtherCarriersServed = served/max(1, requested), othersOK/max(1, others)
 	result.FirstAttemptsServed = r.firstAttemptsServed / max(1, r.firstAttempts)
 	result.AttemptsPerCommand = float64(r.attempts) / max(1, float64(len(r.commands)))
 	return result
--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -62,7 +62,7 @@
 	if exp.Trial || exp.Routers > maxSocketRouters || exp.Hosts > maxSocketHosts {
 		return Result{}, errors.New("lab: no trial, 16 routers and 64 hosts at most on sockets")
 	}
-	lb := &loopbackRun{
+	run := &loopbackRun{
 		StormExperiment: exp,
 		recorder:        newRecorder(exp),
 		start:           time.Now(),
@@ -72,23 +72,23 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	defer lb.stop()
-	if err := lb.startHosts(); err != nil {
+	defer run.stop()
+	if err := run.startHosts(); err != nil {
 		return Result{}, err
 	}
-	nodes, err := lb.startRouters(ctx)
+	routers, err := run.startRouters(ctx)
 	if err != nil {
 		return Result{}, err
 	}
-	lb.start = time.Now()
-	lb.playOutage()
-	lb.clients.Wait()
-	lb.client.CloseIdleConnections()
-	detectedAt, err := lb.drain(nodes)
+	run.start = time.Now()
+	run.runScenario()
+	run.clients.Wait()
+	run.client.CloseIdleConnections()
+	detectedAt, err := run.drain(routers)
 	if err != nil {
 		return Result{}, err
 	}
-	return lb.summarize(detectedAt), nil
+	return run.summarize(detectedAt), nil
 }
 
 // guardedRouter is a router and its guard, nil for none that records.
@@ -115,7 +115,7 @@
 			Effects: &l.effects,
 			Clock:   l.clock,
 			OnWork:  l.recorder.recordWork,
-			Work:    func() int64 { return int64(meanWorkSeconds * 1e9 * (0.6 + 0.8*l.nextCommand())) },
+			Work:    func() int64 { return int64(meanWorkSeconds * 1e9 * (0.6 + 0.8*l.randomFloat64())) },
 		}
 		if err := h.Start(l.newMachine()); err != nil {
 			return err
@@ -127,7 +127,7 @@
 }
 
 // startRouters starts the routers with the guards of the policy.
-func (l *loopbackRun) startRouters(ctx context.Context) (nodes []guardedRouter, err error) {
+func (l *loopbackRun) startRouters(ctx context.Context) (started []guardedRouter, err error) {
 	configs, err := l.routerConfigs()
 	if err != nil {
 		return nil, err
@@ -137,25 +137,25 @@
 		if err != nil {
 			return nil, err
 		}
-		n, err := router.StartWith(ctx, c, limiter, nil, zerolog.Nop())
+		r, err := router.StartWith(ctx, c, limiter, nil, zerolog.Nop())
 		if err != nil {
 			return nil, err
 		}
-		nodes = append(nodes, guardedRouter{n, guard})
+		started = append(started, guardedRouter{r, guard})
 		l.routers = append(l.routers, c.Listen)
 	}
-	return nodes, nil
+	return started, nil
 }
 
 // drain drains the routers, and returns when each one's guard detected the retry storm, 0 for never.
-func (l *loopbackRun) drain(nodes []guardedRouter) (detectedAt []int64, err error) {
-	detectedAt = make([]int64, len(nodes))
-	for i, n := range nodes {
-		if err := n.Drain(); err != nil {
+func (l *loopbackRun) drain(routers []guardedRouter) (detectedAt []int64, err error) {
+	detectedAt = make([]int64, len(routers))
+	for i, r := range routers {
+		if err := r.Drain(); err != nil {
 			return nil, err
 		}
-		if n.guard != nil && n.guard.Stats.FirstStormAt > 0 {
-			detectedAt[i] = n.guard.Stats.FirstStormAt - l.start.UnixNano()
+		if r.guard != nil && r.guard.Stats.FirstStormAt > 0 {
+			detectedAt[i] = r.guard.Stats.FirstStormAt - l.start.UnixNano()
 		}
 	}
 	return detectedAt, nil
@@ -177,17 +177,17 @@
 
 func (l *loopbackRun) clock() int64 { return int64(time.Since(l.start)) }
 
-func (l *loopbackRun) nextCommand() float64 {
+func (l *loopbackRun) randomFloat64() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rng.Float64()
 }
 
-func (l *loopbackRun) memberList(there bool) (all []servers.Member) {
+func (l *loopbackRun) memberList(ready bool) (all []servers.Member) {
 	for _, h := range l.hosts {
 		m := servers.Member{ID: h.Name, HostPort: h.Address, Locality: "hall", Flavor: "m", Phase: "Ready", Size: 1,
 			UpSince: h.Started(), Image: 1}
-		if !there {
+		if !ready {
 			m.Phase = "Terminating"
 		}
 		all = append(all, m)
@@ -213,14 +213,14 @@
 			return nil, err
 		}
 		listen := tcp.Addr().String()
-		at := netip.MustParseAddrPort(udp.LocalAddr().String())
+		peerAddr := netip.MustParseAddrPort(udp.LocalAddr().String())
 		tcp.Close()
 		udp.Close()
-		peers = append(peers, at)
+		peers = append(peers, peerAddr)
 		all = append(all, config.Config{Name: "n" + strconv.Itoa(rank), Listen: listen, Discovery: l.services.Address,
-			Platform: l.services.Address, Seed: l.Seed*100 + uint64(rank), Cores: 1, Memory: 192 << 20, Sockets: 1024, PeerListen: at,
+			Platform: l.services.Address, Seed: l.Seed*100 + uint64(rank), Cores: 1, Memory: 192 << 20, Sockets: 1024, PeerListen: peerAddr,
 			KnownHosts: known, Rollout: dispatch.RolloutChanged{Rollout: decision.Rollout{Build: 1, State: decision.Released, ExposureCap: 1, Age: 60e9}},
-			Settings: settings.Settings{Settings: l.routerSettings(rank), ClassNames: []string{experimentBands[0].name, experimentBands[1].name}, CustomerNames: carrierNames,
+			Settings: settings.Settings{Settings: l.routerSettings(rank), ClassNames: []string{requestClasses[0].name, requestClasses[1].name}, CustomerNames: carrierNames,
 				Zones: []string{"hall"}, Kinds: []string{"m"}, ConnectTimeout: 250e6, IdleTimeout: 30e9}})
 	}
 	for i := range all {
@@ -230,8 +230,8 @@
 }
 
 // playOutage schedules the outage and sends the clients' commands, in one goroutine until the end.
-func (l *loopbackRun) playOutage() {
-	at := func(t time.Duration, act func()) {
+func (l *loopbackRun) runScenario() {
+	schedule := func(t time.Duration, act func()) {
 		l.clients.Add(1)
 		time.AfterFunc(t, func() {
 			defer l.clients.Done()
@@ -242,34 +242,34 @@
 		if l.Kind != "hosts" && (l.Kind != "half" || i%2 == 1) {
 			continue
 		}
-		at(l.Warmup, h.Stop)
-		at(l.Warmup+l.Outage+time.Duration(i)*time.Second/time.Duration(len(l.hosts)), func() {
+		schedule(l.Warmup, h.Stop)
+		schedule(l.Warmup+l.Outage+time.Duration(i)*time.Second/time.Duration(len(l.hosts)), func() {
 			if err := h.Restart(); err != nil {
 				panic(err) // the host's own address is taken: the run would measure nothing
 			}
 		})
 	}
 	if l.Kind == "list" {
-		at(l.Warmup, func() { l.services.SetMembers(l.memberList(false)) })
+		schedule(l.Warmup, func() { l.services.SetMembers(l.memberList(false)) })
 	}
 	if l.Kind != "carrier" && l.Kind != "none" {
-		back := l.Warmup + l.Outage
+		returnAt := l.Warmup + l.Outage
 		if l.Kind != "list" {
-			back += time.Second
+			returnAt += time.Second
 		}
-		at(back, func() { l.services.SetMembers(l.memberList(true)) })
+		schedule(returnAt, func() { l.services.SetMembers(l.memberList(true)) })
 	}
 	for t := time.Duration(0); t < time.Duration(l.duration()); t += step {
-		at(t, func() {
+		schedule(t, func() {
 			for i, h := range l.hosts {
-				if can, _ := h.Capacity(); l.Kind != "half" || i%2 == 0 {
-					addToSeries(l.recorder.capacity, int64(t), can)
+				if hostCapacity, _ := h.Capacity(); l.Kind != "half" || i%2 == 0 {
+					addToSeries(l.recorder.capacity, int64(t), hostCapacity)
 				}
 			}
 		})
 	}
 	for next := int64(0); next < l.duration(); {
-		next += int64(-math.Log(1-l.nextCommand()) / l.commandRate() * 1e9)
+		next += int64(-math.Log(1-l.randomFloat64()) / l.commandRate() * 1e9)
 		time.Sleep(time.Duration(next - l.clock()))
 		l.mu.Lock()
 		client := int(l.rng.Float64() * float64(l.Clients))
@@ -290,7 +290,7 @@
 		if fulfilled {
 			return
 		}
-		wait, again := c.behaviour.NextRetry(c.attempts-1, advised, l.nextCommand())
+		wait, again := c.behaviour.NextRetry(c.attempts-1, advised, l.randomFloat64())
 		if !again || l.clock() > l.duration() {
 			return
 		}
@@ -299,7 +299,7 @@
 }
 
 func (l *loopbackRun) sendAttempt(c *command, client int) (fulfilled bool, advised int64) {
-	patient := time.Duration(c.behaviour.Patience * float64(experimentBands[c.band].Timeout))
+	patient := time.Duration(c.behaviour.Patience * float64(requestClasses[c.class].Timeout))
 	sent := l.clock()
 	l.recorder.recordAttempt(sent, c)
 	l.mu.Lock()
@@ -316,12 +316,12 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), patient+50*time.Millisecond)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+l.routers[rank]+"/"+experimentBands[c.band].name+"?obj="+strconv.FormatUint(c.key, 16),
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+l.routers[rank]+"/"+requestClasses[c.class].name+"?obj="+strconv.FormatUint(c.key, 16),
 		bytes.NewReader(body))
 	if err != nil {
 		panic(err) // all parts of it are our own
 	}
-	r.Header = http.Header{"X-Trace-Id": {trace}, "X-Qos": {experimentBands[c.band].name}, "X-Customer": {carrierNames[c.carrier]},
+	r.Header = http.Header{"X-Trace-Id": {trace}, "X-Qos": {requestClasses[c.class].name}, "X-Customer": {carrierNames[c.carrier]},
 		"X-Expires-In": {strconv.FormatInt(patient.Milliseconds(), 10) + "m"}}
 	if c.idempotencyKey != "" {
 		r.Header.Set("Idempotency-Key", c.idempotencyKey)
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -73,11 +73,11 @@
 )
 
 // experimentBands are the experiment's classes: short work of little value that may be repeated, and marked work of more.
-var experimentBands = []struct {
+var requestClasses = []struct {
 	decision.RequestClass
-	name       string
-	share      float64
-	least, top int64 // work
+	name             string
+	share            float64
+	minWork, maxWork int64 // work
 }{
 	{decision.RequestClass{LatencyTarget: 1500e6, Timeout: 5000e6, Idempotency: decision.Idempotent, Value: 1}, "display", 0.65, 140e6, 240e6},
 	{decision.RequestClass{LatencyTarget: 750e6, Timeout: 3000e6, Idempotency: decision.IdempotentByKey, DedupWindow: 2000e6, Value: 5}, "accept", 0.35, 84e6, 140e6},
@@ -89,48 +89,48 @@
 
 const coresPerHost = 3
 
-func (x StormExperiment) validate() error {
-	if x.Routers < 1 || x.Hosts < 1 || x.Clients < 1 || x.Outage < 0 || x.Outage > time.Minute || !(x.Load > 0 && x.Load < 3) {
-		return fmt.Errorf("lab: %d routers, %d hosts, %d clients, outage %v, load %v", x.Routers, x.Hosts, x.Clients, x.Outage, x.Load)
+func (exp StormExperiment) validate() error {
+	if exp.Routers < 1 || exp.Hosts < 1 || exp.Clients < 1 || exp.Outage < 0 || exp.Outage > time.Minute || !(exp.Load > 0 && exp.Load < 3) {
+		return fmt.Errorf("lab: %d routers, %d hosts, %d clients, outage %v, load %v", exp.Routers, exp.Hosts, exp.Clients, exp.Outage, exp.Load)
 	}
-	if !slices.Contains([]string{"hosts", "half", "list", "carrier", "none"}, x.Kind) {
-		return fmt.Errorf("lab: kind %q is unknown", x.Kind)
+	if !slices.Contains([]string{"hosts", "half", "list", "carrier", "none"}, exp.Kind) {
+		return fmt.Errorf("lab: kind %q is unknown", exp.Kind)
 	}
-	if x.Carrier < 0 || x.Carrier >= len(carrierShares) {
-		return fmt.Errorf("lab: no carrier %d", x.Carrier)
+	if exp.Carrier < 0 || exp.Carrier >= len(carrierShares) {
+		return fmt.Errorf("lab: no carrier %d", exp.Carrier)
 	}
 	return nil
 }
 
-func (x StormExperiment) duration() int64 { return int64(x.Warmup + x.Outage + x.Cooldown) }
+func (exp StormExperiment) duration() int64 { return int64(exp.Warmup + exp.Outage + exp.Cooldown) }
 
 // routerSettings returns a router's settings.
-func (x StormExperiment) routerSettings(rank int) decision.Settings {
-	out := decision.Settings{Rank: rank, Routers: x.Routers, OverQuotaValue: 0.1, TimerResolution: 5e6, MaxAttempts: 3, Hedging: true,
-		Cancellation: true, Gossip: x.Routers > 1, MaxRetryAfter: maxAdvice, Gate: decision.MajorityVote, AdvanceVotes: 1, RollBackVotes: 1, VoteLifetime: 4e9,
+func (exp StormExperiment) routerSettings(rank int) decision.Settings {
+	out := decision.Settings{Rank: rank, Routers: exp.Routers, OverQuotaValue: 0.1, TimerResolution: 5e6, MaxAttempts: 3, Hedging: true,
+		Cancellation: true, Gossip: exp.Routers > 1, MaxRetryAfter: maxAdvice, Gate: decision.MajorityVote, AdvanceVotes: 1, RollBackVotes: 1, VoteLifetime: 4e9,
 		VoteTimeout: 800e6, TrialBurst: 2, FirstStageCap: 0.25, SideBySide: true, KeyAffinity: true, ReportedShare: 0.15, ColdCapacity: 0.33, WarmUpTime: 4e9,
 		CollapseFactor: 2}
-	for _, b := range experimentBands {
+	for _, b := range requestClasses {
 		out.Classes = append(out.Classes, b.RequestClass)
 	}
 	for _, share := range carrierShares {
-		out.Customers = append(out.Customers, decision.Customer{PerSecond: 2 * share * x.commandRate()})
+		out.Customers = append(out.Customers, decision.Customer{PerSecond: 2 * share * exp.commandRate()})
 	}
 	return out
 }
 
 // commandRate is the commands a second that clients send before the outage.
-func (x StormExperiment) commandRate() float64 {
-	return x.Load * float64(x.Hosts*coresPerHost) / meanWorkSeconds
+func (exp StormExperiment) commandRate() float64 {
+	return exp.Load * float64(exp.Hosts*coresPerHost) / meanWorkSeconds
 }
 
-func (x StormExperiment) newMachine() *standin.Machine {
+func (exp StormExperiment) newMachine() *standin.Machine {
 	return &standin.Machine{Cores: coresPerHost, ColdStartFactor: 0.33, ColdDuration: 4e9, CollapseFactor: 2, CollapseDuration: 3e9, QueueNanos: 2e9}
 }
 
 // newGuard makes a router's guard by the policy, nil for none.
-func (x StormExperiment) newGuard(rank int, now int64) (retryGuard, *retryguard.Guard, error) {
-	switch x.Policy {
+func (exp StormExperiment) newGuard(rank int, now int64) (retryGuard, *retryguard.Guard, error) {
+	switch exp.Policy {
 	case "off":
 		return nil, nil, nil
 	case "fixed":
@@ -138,16 +138,16 @@
 	case "budget":
 		return &retryBudget{}, nil, nil
 	case "throttle":
-		return &throttle{rng: random.Source{Seed: x.Seed + uint64(rank)}}, nil, nil
+		return &throttle{rng: random.Source{Seed: exp.Seed + uint64(rank)}}, nil, nil
 	case "on":
 	default:
-		return nil, nil, fmt.Errorf("lab: policy %q is unknown", x.Policy)
+		return nil, nil, fmt.Errorf("lab: policy %q is unknown", exp.Policy)
 	}
-	settings := retryguard.Settings{Tuning: x.Tuning, Customers: len(carrierShares), Routers: x.Routers, ColdCapacity: 0.33, WarmUpTime: 4e9,
+	settings := retryguard.Settings{Tuning: exp.Tuning, Customers: len(carrierShares), Routers: exp.Routers, ColdCapacity: 0.33, WarmUpTime: 4e9,
 		MaxRetryAfter: maxAdvice}
-	for _, b := range experimentBands {
+	for _, b := range requestClasses {
 		settings.Classes = append(settings.Classes, retryguard.Class{LatencyTarget: b.LatencyTarget, Timeout: b.Timeout, Value: b.Value})
 	}
-	observed, err := retryguard.New(settings, x.Seed*1000+uint64(rank), now)
-	return observed, observed, err
+	guard, err := retryguard.New(settings, exp.Seed*1000+uint64(rank), now)
+	return guard, guard, err
 }
--- a/internal/lab/storm_test.go
+++ b/internal/lab/storm_test.go
@@ -14,11 +14,11 @@
 // The hard cases of a retry storm, each in virtual time: returning hosts get no more than the load limit, service recovers in time,
 // no effect happens twice, nothing is lost, no host collapses and no vote rolls back. Where off is set, the same without the guard
 // must exceed the limit, so that the case proves something.
-func TestHardCases(t *testing.T) {
+func TestRetryStorms(t *testing.T) {
 	for name, c := range map[string]struct {
-		set  func(*StormExperiment)
-		back float64 // seconds
-		off  bool
+		set         func(*StormExperiment)
+		maxRecovery float64 // seconds
+		off         bool
 	}{
 		"all hosts":          {func(s *StormExperiment) {}, 5, true},
 		"half of the hosts":  {func(s *StormExperiment) { s.Kind = "half" }, 5, false},
@@ -42,7 +42,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if r.PeakLoad > loadLimit || r.RecoverySeconds < 0 || r.RecoverySeconds > c.back || r.Duplicates+r.Lost+r.FalseAlarms+r.FailedHosts+r.RollbackVotes > 0 {
+				if r.PeakLoad > loadLimit || r.RecoverySeconds < 0 || r.RecoverySeconds > c.maxRecovery || r.Duplicates+r.Lost+r.FalseAlarms+r.FailedHosts+r.RollbackVotes > 0 {
 					r.Series = Series{}
 					t.Errorf("seed %d: %+v", s.Seed, r)
 				}
@@ -131,8 +131,8 @@
 			t.Error("played", s)
 		}
 	}
-	d := &random.Source{Seed: 1}
-	if c := DefaultStorm().newCommand(0, 3, d); c.key != 4 {
+	rng := &random.Source{Seed: 1}
+	if c := DefaultStorm().newCommand(0, 3, rng); c.key != 4 {
 		t.Error(c)
 	}
 }
