--- a/internal/lab/baselines.go
+++ b/internal/lab/baselines.go
@@ -8,7 +8,7 @@
 
 type retryGuard = dispatch.Guard
 
-// fixedLimit gives every rejected client the longest Retry-After, and rejects no retries itself.
+// fixedLimit admits all requests. Those that the decision engine rejects get the longest Retry-After.
 type fixedLimit struct{}
 
 func (*fixedLimit) Admit(int64, *retryguard.Request) (bool, int64)                                  { return true, 0 }
@@ -18,7 +18,7 @@
 func (*fixedLimit) AttemptEnded(int64, *retryguard.Request, uint32, retryguard.Signal, bool, int64) {}
 func (*fixedLimit) HostsChanged(int64, bool, []retryguard.Host)                                     {}
 
-// retryBudget admits marked retries for up to a tenth of the requests that succeed.
+// retryBudget limits marked retries to a tenth of the successful requests, with a burst of 20.
 type retryBudget struct {
 	fixedLimit
 	tokens float64
@@ -41,8 +41,8 @@
 	}
 }
 
-// throttle rejects requests at random, the more of them beyond twice what was accepted lately: the adaptive throttle that clients
-// use, at the router.
+// throttle is adaptive client-side throttling, applied at the router: it rejects requests with a probability that grows as the recent
+// requests exceed twice those that succeeded.
 type throttle struct {
 	fixedLimit
 	rng                random.Source
@@ -51,7 +51,7 @@
 }
 
 func (t *throttle) decay(now int64) {
-	for ; t.updatedAt < now; t.updatedAt += int64(step) { // a memory of 10 s
+	for ; t.updatedAt < now; t.updatedAt += int64(step) { // time constant of 10 s
 		t.requests *= 0.99
 		t.accepted *= 0.99
 		if now-t.updatedAt > 1e10 {
--- a/internal/lab/emulatedrouter.go
+++ b/internal/lab/emulatedrouter.go
@@ -9,14 +9,15 @@
 	"portflow/internal/retryguard"
 )
 
-// emulatedRouter is a router with its outputs.
+// emulatedRouter is a router of an emulation. It implements the outputs of its own dispatcher.
 type emulatedRouter struct {
 	*emulation
 	steppedRouter
 	index int
-	guard *retryguard.Guard
+	guard *retryguard.Guard // nil for policies other than "on"
 }
 
+// Forward models the attempt: 300 µs to the host, the host's queue and service time, and 300 µs back.
 func (r *emulatedRouter) Forward(to dispatch.Host, req *dispatch.Request, remaining time.Duration, done func(dispatch.Outcome)) dispatch.Attempt {
 	fwd := &forward{router: r, done: done}
 	clientAttempt := r.attempts[req.TraceID]
@@ -37,7 +38,7 @@
 			r.recorder.recordWork(r.now, serviceTime)
 		}
 		if clientAttempt.idempotencyKey != "" && !r.effects.Run(r.now, clientAttempt.idempotencyKey, req.TraceID) {
-			serviceTime = 1e6 // the repeat is known
+			serviceTime = 1e6 // a duplicate is answered without running again
 		}
 		finishAt, ok := target.Arrive(r.now, serviceTime)
 		if !ok {
@@ -61,7 +62,7 @@
 
 func (r *emulatedRouter) Watch(bool) {}
 
-// Vote answers a vote with the rollout as it is.
+// Vote counts votes to roll back and replies that the build is still on trial at the same stage.
 func (r *emulatedRouter) Vote(vote decision.Verdict, build, stage int) {
 	if vote == decision.RollBack {
 		r.rollbackVotes++
@@ -69,7 +70,7 @@
 	r.post(2e6, dispatch.RolloutChanged{Rollout: decision.Rollout{Build: build, Stage: stage, State: decision.OnTrial, VoteReply: true, ExposureCap: 0.4}})
 }
 
-// SendGossip sends a message, of which one in fifty is lost.
+// SendGossip delivers a message to a peer after 2 ms, or drops it with a probability of 2 %.
 func (r *emulatedRouter) SendGossip(peer int, message []byte) {
 	if r.rng.Float64() < 0.02 {
 		return
@@ -77,7 +78,7 @@
 	r.routers[peer].post(2e6, dispatch.GossipReceived{Peer: r.index, Message: message})
 }
 
-// forward is an attempt that a router has forwarded to a host.
+// forward is an attempt of a router at a host. host is nil until the request has reached the host.
 type forward struct {
 	router      *emulatedRouter
 	done        func(dispatch.Outcome)
@@ -102,7 +103,7 @@
 	f.done(outcome)
 }
 
-// finishExternally finishes the attempt from outside the router, and lets that go on.
+// finishExternally finishes an attempt from a timeline event, where the router has to be pumped afterwards.
 func (f *forward) finishExternally(outcome dispatch.Outcome) {
 	if !f.ended {
 		f.finish(outcome)
--- a/internal/lab/emulation.go
+++ b/internal/lab/emulation.go
@@ -13,7 +13,8 @@
 	"portflow/internal/standin"
 )
 
-// emulation runs an experiment in virtual time: the program's dispatchers, decisions and guards, and models around them.
+// emulation runs an experiment in virtual time. Dispatchers, decision engines and retry guards are those of the router; hosts, clients
+// and the network are models.
 type emulation struct {
 	StormExperiment
 	timeline
@@ -22,21 +23,21 @@
 	routers        []*emulatedRouter
 	hosts          []*host
 	effects        standin.EffectLog
-	waitingClients []uint64 // clients that wait for an answer, a bit each
-	attempts       map[string]*attempt
-	serial         int
+	waitingClients []uint64            // bit set of the clients with an unfinished command
+	attempts       map[string]*attempt // by trace ID
+	serial         int                 // of the last trace ID
 	rollbackVotes  int
 }
 
-// host is the model of a host, with the requests that are at it.
+// host is the model of a host.
 type host struct {
 	*standin.Machine
 	name        string
-	start       int64
+	start       int64 // of the current incarnation, 0 for the first
 	build       int
-	inOutage    bool // with the outage
+	inOutage    bool // crashes in the outage
 	incarnation int
-	forwards    []*forward
+	forwards    []*forward // in flight at the host
 }
 
 // attempt is one attempt of a client's command.
@@ -49,7 +50,7 @@
 	ended  bool
 }
 
-// Emulate runs an experiment in virtual time.
+// Emulate runs an experiment in virtual time. Equal experiments give equal results, apart from Result.Seconds.
 func Emulate(exp StormExperiment) (Result, error) {
 	if err := exp.validate(); err != nil {
 		return Result{}, err
@@ -105,7 +106,7 @@
 	return result, nil
 }
 
-// scheduleOutages schedules what fails and returns. Hosts that crashed return cold, one after another within a second.
+// scheduleOutages schedules the outages and the recovery from them. Crashed hosts restart cold, one after another within a second.
 func (e *emulation) scheduleOutages() {
 	outage := func(at int64) {
 		switch e.Kind {
@@ -138,7 +139,8 @@
 	}
 }
 
-// sendHostList sends all routers the list of hosts, each after a random delay.
+// sendHostList sends the host list to all routers, each after a random delay of up to 300 ms. Unless complete is set, the list reports
+// all hosts as removed.
 func (e *emulation) sendHostList(complete bool) {
 	for _, r := range e.routers {
 		e.after(int64(e.rng.Float64()*3e8), func() {
@@ -159,7 +161,7 @@
 	return hosts
 }
 
-// scheduleArrivals schedules the clients' commands: a Poisson stream from all clients that don't wait for an answer.
+// scheduleArrivals schedules the clients' commands as a Poisson process. A client with an unfinished command sends no other.
 func (e *emulation) scheduleArrivals() {
 	rate := e.commandRate()
 	inOutage := e.now >= int64(e.Warmup) && e.now < int64(e.Warmup+e.Outage)
@@ -170,7 +172,7 @@
 		client := int(e.rng.Float64() * float64(e.Clients))
 		if e.waitingClients[client/64]>>(client%64)&1 == 0 {
 			cmd := e.newCommand(e.now, client, &e.rng)
-			if !(e.Kind == "carrier" && inOutage && cmd.carrier != e.Carrier && e.rng.Float64() < 0.5) { // only its traffic doubles
+			if !(e.Kind == "carrier" && inOutage && cmd.carrier != e.Carrier && e.rng.Float64() < 0.5) { // doubles the traffic of the affected carrier only
 				e.waitingClients[client/64] |= 1 << (client % 64)
 				e.sendAttempt(cmd, client)
 			}
@@ -179,7 +181,7 @@
 	})
 }
 
-// recordCapacity records, step by step, the capacity of the hosts that the outage affects.
+// recordCapacity records the capacity of the affected hosts at each step: those that crash, or all hosts if none crashes.
 func (e *emulation) recordCapacity() {
 	for _, h := range e.hosts {
 		if h.inOutage || e.Kind == "list" || e.Kind == "carrier" || e.Kind == "none" {
@@ -189,7 +191,7 @@
 	e.after(int64(step), e.recordCapacity)
 }
 
-// sendAttempt sends one attempt to the client's router.
+// sendAttempt sends one attempt of a command to the client's router, and fails it if there is no answer in time.
 func (e *emulation) sendAttempt(cmd *command, client int) {
 	e.serial++
 	rank := client % e.Routers
@@ -217,7 +219,7 @@
 	})
 }
 
-// Respond receives the router's final answer.
+// Respond receives the router's final answer. The client gets it 500 µs later.
 func (a *attempt) Respond(answer dispatch.Answer) {
 	em := a.router.emulation
 	em.after(5e5, func() {
@@ -243,6 +245,7 @@
 	e.after(wait, func() { e.sendAttempt(a.command, a.client) })
 }
 
+// crash stops the host and resets the connections of its requests in flight.
 func (h *host) crash() {
 	h.Stop()
 	h.incarnation++
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -11,24 +11,24 @@
 	"portflow/internal/standin"
 )
 
-// FleetExperiment is an experiment in virtual time on the calls that routers make by themselves: the program's dispatchers without
-// a command, a discovery service that serves them in turn, and a platform that accepts a number of calls a second. A build is on
-// trial from the second second on; a fraction of the routers is killed at once and starts again without state.
+// FleetExperiment is an experiment in virtual time with the calls that idle routers make to the discovery service, which serves one
+// call at a time, and to the platform, which limits the rate of calls. A build is on trial from the time of 2 s; at 20 s, a fraction of
+// the routers is killed and restarts without state.
 type FleetExperiment struct {
 	Routers, Hosts         int
-	ListSeconds            float64 // seconds in which the discovery service serves one call of each router
-	PlatformCallsPerSecond float64 // that the platform accepts
-	RequiredVotes          int     // routers whose votes a stage needs
-	KilledFraction         float64 // of the routers
+	ListSeconds            float64 // time that the discovery service needs for one call of each router
+	PlatformCallsPerSecond float64 // rate limit of the platform
+	RequiredVotes          int     // votes that advance the build to the next stage
+	KilledFraction         float64 // fraction of the routers that is killed
 	Seed                   uint64
 }
 
-// FleetResult counts over the complete fleet. Times are seconds, below 0 for never.
+// FleetResult has the totals of all routers. Times are in seconds, -1 for never.
 type FleetResult struct {
-	ListCalls, LateCalls, RejectedCalls      int     // to the discovery service, and those that it answered too late or rejected
-	ListedSeconds, RelistedSeconds           float64 // until each router had its list, from the start and from the kill
-	VoteCalls, RejectedVotes, WithdrawnVotes int     // to the platform, those rejected, and those that withdrew a vote
-	Stages                                   []float64
+	ListCalls, LateCalls, RejectedCalls      int       // calls to the discovery service; those answered after the caller's timeout; those rejected
+	ListedSeconds, RelistedSeconds           float64   // from the start until each router had a host list; from the kill until the last list with all routers listed
+	VoteCalls, RejectedVotes, WithdrawnVotes int       // calls to the platform; those rejected; those that withdrew a vote
+	Stages                                   []float64 // times at which the second and later stages began
 }
 
 const (
@@ -36,8 +36,8 @@
 	restartDelay    = int64(1e9)
 	fleetDuration   = 90 * 1e9
 	trialStart      = 2 * 1e9
-	stageDwell      = int64(1.8e9)
-	listCallTimeout = int64(2e9) // of a call to discovery
+	stageDwell      = int64(1.8e9) // minimum time in a stage
+	listCallTimeout = int64(2e9)
 )
 
 type fleetEmulation struct {
@@ -45,20 +45,20 @@
 	timeline
 	routers         []*idleRouter
 	discovery       standin.CallQueue
-	callTokens      float64
+	callTokens      float64 // of the platform's rate limit
 	refilledAt      int64
-	votesValidUntil []int64 // until when each router's vote for the stage counts
-	stage           int
+	votesValidUntil []int64 // by router: expiry of its vote to advance the stage
+	stage           int     // -1 before the trial
 	stageSince      int64
 	result          FleetResult
 }
 
-// idleRouter is a router of the fleet, which has no requests.
+// idleRouter is a router without requests. It implements the outputs of its own dispatcher.
 type idleRouter struct {
 	*fleetEmulation
 	steppedRouter
 	index  int
-	listed bool
+	listed bool // has received a host list
 }
 
 // EmulateFleet runs a fleet experiment.
@@ -97,7 +97,7 @@
 	r.pump()
 }
 
-// buildHosts returns the hosts of a build.
+// buildHosts returns the host list of a build.
 func (f *fleetEmulation) buildHosts(build int) (all []dispatch.Host) {
 	for i := range f.Hosts {
 		name := strconv.Itoa(build) + "-" + strconv.Itoa(i)
@@ -113,7 +113,7 @@
 	return decision.Rollout{Build: 2, Stage: f.stage, ExposureCap: 0.3, Age: f.now - f.stageSince}
 }
 
-// advanceStage brings the build to a stage, and informs all routers.
+// advanceStage starts a stage of the trial, discards the votes and announces the stage to all routers.
 func (f *fleetEmulation) advanceStage(stage int) {
 	if f.stage, f.stageSince = stage, f.now; stage > 0 {
 		f.result.Stages = append(f.result.Stages, float64(f.now)/1e9)
@@ -124,7 +124,7 @@
 	}
 }
 
-// Watch is a call to the discovery service.
+// Watch calls the discovery service, and records when all routers have received a host list.
 func (r *idleRouter) Watch(bool) {
 	ok, at := r.discovery.Call(r.now)
 	if !ok {
@@ -147,7 +147,7 @@
 	})
 }
 
-// Vote is a call to the platform.
+// Vote calls the platform, which rejects calls over its rate limit and advances the stage once it has the required votes.
 func (r *idleRouter) Vote(v decision.Verdict, build, stage int) {
 	r.result.VoteCalls++
 	if v == decision.NoVote {
@@ -179,7 +179,7 @@
 	}
 }
 
-// SendGossip sends a message to another router.
+// SendGossip delivers a message to a peer after 5 ms.
 func (r *idleRouter) SendGossip(peer int, message []byte) {
 	r.routers[peer].post(5e6, dispatch.GossipReceived{Peer: r.index, Message: message})
 }
--- a/internal/lab/flows.go
+++ b/internal/lab/flows.go
@@ -25,33 +25,33 @@
 	"portflow/internal/standin/servers"
 )
 
-// FlowExperiment is an experiment with flow export on loopback: short connections to two routers in turn, one of which exports
-// to a collector that is away for a time.
+// FlowExperiment is an experiment with flow export on loopback. Clients open short connections to two routers in turn; the first router
+// exports flow records to a collector that is down at first.
 type FlowExperiment struct {
-	Connections       int           `json:"Conns"`
-	CollectorDowntime time.Duration `json:"Down"`
+	Connections       int           `json:"Conns"`     // per router
+	CollectorDowntime time.Duration `json:"Down"`      // from the first connection
 	Collector         string        `json:"Collector"` // udp, tcp or netflow9
-	BacklogBytes      int           `json:"Memory"`    // of the backlog
+	BacklogBytes      int           `json:"Memory"`    // memory limit of the exporter's backlog
 	Seed              uint64        `json:"Seed"`
 }
 
-// FlowResult is the result of a flow experiment.
+// FlowResult is the result of a flow experiment. Connections, records and bytes are those of the router that exports.
 type FlowResult struct {
 	Connections        uint64  `json:"connections"`
 	Records            uint64  `json:"records"`
-	BytesRouter        uint64  `json:"bytes_router"`
-	BytesCollector     uint64  `json:"bytes_collector"`
-	BytesError         float64 `json:"bytes_error"`
+	BytesRouter        uint64  `json:"bytes_router"`    // counted by the clients
+	BytesCollector     uint64  `json:"bytes_collector"` // of the clients' side, in both directions
+	BytesError         float64 `json:"bytes_error"`     // relative, as is CommandsError
 	CommandsError      float64 `json:"commands_error"`
 	Folded             uint64  `json:"folded"`
-	Lost               uint64  `json:"lost"`
-	IdentityViolations int     `json:"identity_broken"`
-	P99Ratio           float64 `json:"p99_ratio"`
+	Lost               uint64  `json:"lost"`            // records
+	IdentityViolations int     `json:"identity_broken"` // checks that found the meter's ledger unbalanced
+	P99Ratio           float64 `json:"p99_ratio"`       // latency with export to latency without
 	BacklogPeak        int     `json:"backlog_peak_bytes"`
 	Seed               uint64  `json:"seed"`
 }
 
-// countedConn is a client's connection that counts its own bytes.
+// countedConn counts the bytes of a connection in both directions.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Uint64
@@ -69,7 +69,7 @@
 	return n, err
 }
 
-// flowRun is a flow experiment that runs.
+// flowRun is a running flow experiment.
 type flowRun struct {
 	FlowExperiment
 	loopback  *loopbackRun
@@ -80,20 +80,20 @@
 
 	mu                      sync.Mutex // guards latencies
 	latencies               [flowRouters][]time.Duration
-	clientBytes, successful atomic.Uint64 // of the requests to the router that exports
+	clientBytes, successful atomic.Uint64 // bytes and successful requests of the router that exports
 	result                  FlowResult
 }
 
 const (
-	flowRouters = 2 // of which the first exports
+	flowRouters = 2 // the first one exports
 	flowHosts   = 3
-	flowClients = 16 // at once
+	flowClients = 16 // concurrent
 
-	accountCheckInterval = 64 // requests between two checks of the meter's account
+	accountCheckInterval = 64 // requests between two checks of the meter's ledger
 	exportTimeout        = 2 * time.Second
 )
 
-// RunFlowExperiment runs a flow experiment.
+// RunFlowExperiment runs a flow experiment in real time.
 func RunFlowExperiment(exp FlowExperiment) (FlowResult, error) {
 	run := &flowRun{FlowExperiment: exp, result: FlowResult{Seed: exp.Seed}}
 	coll, err := collector.New(exp.Collector, nil)
@@ -108,7 +108,7 @@
 	if err := run.startRouters(); err != nil {
 		return run.result, err
 	}
-	coll.Stop() // away from the first connection on
+	coll.Stop() // down before the first connection
 	start := time.Now()
 	run.sendCommands()
 	time.Sleep(exp.CollectorDowntime - time.Since(start))
@@ -125,7 +125,7 @@
 	return run.result, nil
 }
 
-// stop ends hosts and services.
+// stop stops the hosts and the discovery and platform services.
 func (run *flowRun) stop() {
 	if run.loopback == nil {
 		return
@@ -138,7 +138,7 @@
 	}
 }
 
-// startHosts starts the hosts, the services that name them, and draws the routers' configurations.
+// startHosts starts the hosts and the services, and creates the routers' configurations.
 func (run *flowRun) startHosts() (err error) {
 	settings := DefaultStorm()
 	settings.Kind = "none"
@@ -167,7 +167,7 @@
 	return err
 }
 
-// startRouters starts the routers, of which the first exports.
+// startRouters starts the routers, the first one with an exporter.
 func (run *flowRun) startRouters() error {
 	run.meter = export.NewMeter(flow.Limits{Active: 60e9, Idle: 15e9, MaxConnections: 1024}, 1, run.BacklogBytes, dispatch.NewClock())
 	for i, exporter := range []*export.Exporter{export.New(run.exportOptions(), run.meter, zerolog.Nop()), nil} {
@@ -198,7 +198,7 @@
 	}
 }
 
-// sendCommands sends all commands, to the routers in turn, and checks the meter's account meanwhile.
+// sendCommands sends all commands to the routers in turn, and checks the meter's ledger at regular intervals.
 func (run *flowRun) sendCommands() {
 	var workers sync.WaitGroup
 	jobs := make(chan int, flowClients)
@@ -237,7 +237,7 @@
 	}
 }
 
-// checkAccount checks that the meter's account is balanced, and records the backlog's peak.
+// checkAccount counts a violation if the meter's ledger is unbalanced, and updates the peak of the backlog.
 func (run *flowRun) checkAccount() {
 	account, backlogBytes := run.meter.Account(0)
 	run.result.BacklogPeak = max(run.result.BacklogPeak, backlogBytes)
@@ -246,7 +246,8 @@
 	}
 }
 
-// awaitExport waits until the collector has all records that were exported, and returns the meter's account.
+// awaitExport waits for up to exportTimeout until the collector has received all exported records. It returns the meter's ledger as of
+// the start of the wait.
 func (run *flowRun) awaitExport() flow.Ledger {
 	account, _ := run.meter.Account(0)
 	for deadline := time.Now().Add(exportTimeout); time.Now().Before(deadline); runtime.Gosched() {
@@ -257,7 +258,7 @@
 	return account
 }
 
-// compare compares what the collector has with what the clients counted.
+// compare fills in the result from the meter's ledger, the collector's totals and the clients' counts.
 func (run *flowRun) compare(account flow.Ledger) {
 	if !account.Balanced() {
 		run.result.IdentityViolations++
@@ -276,18 +277,18 @@
 	result.Folded = run.collector.FoldedRecords()
 }
 
-// p99 returns the 99th percentile of latencies, in nanoseconds.
+// p99 sorts the latencies and returns the 99th percentile in nanoseconds.
 func p99(latencies []time.Duration) float64 {
 	slices.Sort(latencies)
 	return float64(latencies[len(latencies)*99/100])
 }
 
-// relativeError returns by how much a number differs from the wanted one, as a fraction of that.
+// relativeError returns the difference of got and want as a fraction of want.
 func relativeError(got, want uint64) float64 {
 	return max(float64(got)-float64(want), float64(want)-float64(got)) / max(1, float64(want))
 }
 
-// sendOnce sends one command on a connection of its own, and returns whether it succeeded and the connection's bytes.
+// sendOnce sends one command on a new connection. ok reports whether it succeeded; bytes is the connection's traffic in both directions.
 func sendOnce(address string, i int) (ok bool, bytes uint64) {
 	var count atomic.Uint64
 	transport := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -309,7 +310,7 @@
 	if err != nil {
 		return false, count.Load()
 	}
-	_, _ = io.Copy(io.Discard, resp.Body) // the connection counts what has come
+	_, _ = io.Copy(io.Discard, resp.Body) // countedConn counts the bytes read
 	resp.Body.Close()
 	return resp.StatusCode == http.StatusOK, count.Load()
 }
