--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -12,7 +12,7 @@
 )
 
 // FleetExperiment is an experiment in virtual time with the calls that idle routers make to the discovery service, which serves one
-// call at a time, and to the platform, which limits the rate of calls. A build is on trial from the time of 2 s; at 20 s, a fraction of
+// call at a time, and to the platform, which limits the rate of calls. After 2 s, a trial of a build starts; after 20 s, a fraction of
 // the routers is killed and restarts without state.
 type FleetExperiment struct {
 	Routers, Hosts         int
@@ -25,10 +25,14 @@
 
 // FleetResult has the totals of all routers. Times are in seconds, -1 for never.
 type FleetResult struct {
-	ListCalls, LateCalls, RejectedCalls      int       // calls to the discovery service; those answered after the caller's timeout; those rejected
-	ListedSeconds, RelistedSeconds           float64   // from the start until each router had a host list; from the kill until the last list with all routers listed
-	VoteCalls, RejectedVotes, WithdrawnVotes int       // calls to the platform; those rejected; those that withdrew a vote
-	Stages                                   []float64 // times at which the second and later stages began
+	// Calls to the discovery service; those of them that were answered after the caller's timeout; those rejected.
+	ListCalls, LateCalls, RejectedCalls int
+	// Time from the start until all routers had a host list; time from the kill until the last list that arrived while all had one.
+	ListedSeconds, RelistedSeconds float64
+	// Calls to the platform; those of them that were rejected; those that withdrew a vote.
+	VoteCalls, RejectedVotes, WithdrawnVotes int
+	// Times at which the second and later stages began.
+	Stages []float64
 }
 
 const (
--- a/internal/lab/flows.go
+++ b/internal/lab/flows.go
@@ -29,7 +29,7 @@
 // exports flow records to a collector that is down at first.
 type FlowExperiment struct {
 	Connections       int           `json:"Conns"`     // per router
-	CollectorDowntime time.Duration `json:"Down"`      // from the first connection
+	CollectorDowntime time.Duration `json:"Down"`      // at least, from the first connection on
 	Collector         string        `json:"Collector"` // udp, tcp or netflow9
 	BacklogBytes      int           `json:"Memory"`    // memory limit of the exporter's backlog
 	Seed              uint64        `json:"Seed"`
--- a/internal/lab/quota.go
+++ b/internal/lab/quota.go
@@ -10,71 +10,72 @@
 	"portflow/internal/random"
 )
 
-// QuotaExperiment is an experiment in virtual time with callers' quotas over many routers and zones: with the parts that the control
-// and proxy processes use, or with a method that was weighed against them.
+// QuotaExperiment is an experiment in virtual time that enforces callers' quotas over many routers and zones, with the allocation of
+// the control and proxy processes or with a baseline method. One heavy caller exceeds its quota; many small callers do not.
 type QuotaExperiment struct {
 	Routers        int     `json:"Routers"`
 	Zones          int     `json:"Zones"`
-	Method         string  `json:"Way"`     // dealt (what the processes do), count, usage, sketch
+	Method         string  `json:"Way"`     // "dealt" (allocation, as in the processes), or a baseline: "count", "usage", "sketch"
 	Fault          string  `json:"Trouble"` // see the fault constants
-	QuotaPerSecond float64 `json:"PerS"`    // of the heavy caller
-	LoadFactor     float64 `json:"Times"`   // its requests, as a multiple of its quota
-	SmallCallers   int     `json:"Others"`  // each within its quota of 1 a second
+	QuotaPerSecond float64 `json:"PerS"`    // quota of the heavy caller
+	LoadFactor     float64 `json:"Times"`   // request rate of the heavy caller, as a multiple of its quota
+	SmallCallers   int     `json:"Others"`  // number of callers that each stay within a quota of 1 request per second
 	Duration       int64   `json:"Lasts"`   // nanoseconds
 	Seed           uint64  `json:"Seed"`
 }
 
-// The faults of a quota experiment, which happen in the middle of it.
+// The faults of a quota experiment. Those that happen once start or change halfway through it.
 const (
 	faultNone      = "none"
 	faultCalm      = "calm"   // the same as none
-	faultOneRouter = "one"    // all requests of the heavy caller go to one router
-	faultMoves     = "moves"  // they go to one router, and then to another
+	faultOneRouter = "one"    // all requests go to one router
+	faultMoves     = "moves"  // all requests of the heavy caller go to one router, and then to another
 	faultPartition = "cut"    // a zone is partitioned for 8 s
-	faultKilled    = "killed" // a third of the routers is down for 5 s
-	faultJoined    = "joined" // a third of the routers starts only then
+	faultKilled    = "killed" // every third router is down for 5 s
+	faultJoined    = "joined" // every third router starts halfway
 )
 
-// QuotaResult is the result of a quota experiment. Rates are requests a second, of the heavy caller.
+// QuotaResult is the result of a quota experiment. Unless stated otherwise, it is about the heavy caller. An overshoot is the number of
+// requests granted within any period of the given length, beyond the quota of that period and the burst, as a multiple of the quota.
 type QuotaResult struct {
-	Overshoot1s          float64 `json:"over_1s"`  // most granted within any second, over the quota's second and burst
-	Overshoot10s         float64 `json:"over_10s"` // most granted within any ten seconds, over the quota's ten and burst
-	Granted              float64 `json:"given"`    // fraction of the quota that was granted, after three seconds
-	OthersGranted        float64 `json:"others"`   // fraction of the small callers' requests that was granted
-	MaxDisagreement      float64 `json:"apart"`    // most that two routers differed in what they reported as remaining, of the limit
-	BytesPerSecond       float64 `json:"bytes_s"`  // of all routers and zones together
-	RouterBytesPerSecond float64 `json:"bytes_router_s"`
-	GrantsByRouter       [][]int `json:"-"`      // by router and second: requests of the heavy caller that were granted
-	RecoverySeconds      float64 `json:"back_s"` // after a move: until the new router grants four fifths of the quota
+	Overshoot1s          float64 `json:"over_1s"`
+	Overshoot10s         float64 `json:"over_10s"`
+	Granted              float64 `json:"given"`          // fraction of the quota that was granted after warmUp; above 1 if more was granted
+	OthersGranted        float64 `json:"others"`         // fraction of the small callers' requests that were granted
+	MaxDisagreement      float64 `json:"apart"`          // largest difference between routers in the reported remaining fraction of the limit
+	BytesPerSecond       float64 `json:"bytes_s"`        // messages between all routers and zones
+	RouterBytesPerSecond float64 `json:"bytes_router_s"` // BytesPerSecond divided by the number of routers
+	GrantsByRouter       [][]int `json:"-"`              // granted requests by router and second
+	RecoverySeconds      float64 `json:"back_s"`         // from the move until recoveredFraction of the quota is granted; negative for never
 }
 
-// Times of a quota experiment are nanoseconds.
+// Times are in nanoseconds.
 const (
 	second         = int64(1e9)
 	quotaStep      = int64(10e6)
 	interZoneDelay = int64(35e6) // one way
 	inZoneDelay    = int64(1e6)
 
-	warmUp         = 3 * second // before the quota is compared with what is granted
+	warmUp         = 3 * second // excluded from QuotaResult.Granted
 	partitionTime  = 8 * second
 	downTime       = 5 * second
-	reportLifetime = int64(300e6) // of what a router reported as remaining
+	reportLifetime = int64(300e6) // age at which a router's reported remaining quota is ignored
 	moveStep       = int64(100e6)
 
 	heavyCaller       = "rush"
-	smallRate         = 0.7 // requests a second of each small caller
-	recoveredFraction = 0.8 // fraction of the quota
-	faultStride       = 3   // routers that are killed or join later
+	smallRate         = 0.7 // requests per second of each small caller
+	recoveredFraction = 0.8 // of the quota
+	faultStride       = 3   // every third router is killed or joins later
 	partitionedZone   = 1
 	quotaService      = "desk"
 	quotaHeader       = "X-Agency"
-	beforeFault       = int64(-1) // in place of a time, for requests that no fault moves
-	burstSeconds      = 1.0       // of the heavy caller's quota
+	beforeFault       = int64(-1) // time for pickRouter that precedes any change of routers
+	burstSeconds      = 1.0       // burst of the heavy caller, in seconds of its quota
 	smallCallerRate   = 1
 	smallCallerBurst  = 3
 )
 
-// quotaMethod is one method of limiting callers to their quotas.
+// quotaMethod is a method of enforcing quotas. step runs once in each quotaStep and returns the bytes of the messages that it sent.
 type quotaMethod interface {
 	allow(now int64, router int, caller string) quota.Decision
 	step(now int64) (bytes int)
@@ -82,15 +83,15 @@
 	setPartition(zone int, partitioned bool, now int64)
 }
 
-// quotaRun is a quota experiment that runs.
+// quotaRun is a running quota experiment.
 type quotaRun struct {
 	QuotaExperiment
 	method    quotaMethod
 	rng       random.Source
 	up        []bool    // by router
-	granted   []int64   // times at which requests of the heavy caller were granted
-	remaining []float64 // by router: what it reported last as remaining, of the limit
-	reported  []int64   // by router: when, 0 for never
+	granted   []int64   // times of the heavy caller's granted requests, ascending
+	remaining []float64 // by router: remaining quota of its last decision, as a fraction of the limit
+	reported  []int64   // by router: time of its last decision, 0 for none
 
 	smallRequests, smallGranted int
 	bytes                       int
@@ -128,7 +129,6 @@
 	return run.summarize(), nil
 }
 
-// newMethod makes the method of an experiment.
 func (exp QuotaExperiment) newMethod() (quotaMethod, error) {
 	switch exp.Method {
 	case "dealt":
@@ -136,10 +136,9 @@
 	case "count", "usage", "sketch":
 		return newBaselineQuota(exp, exp.quotas()), nil
 	}
-	return nil, fmt.Errorf("way: %q is none of dealt, count, usage, sketch", exp.Method)
+	return nil, fmt.Errorf("way: unknown method %q; must be dealt, count, usage or sketch", exp.Method)
 }
 
-// quotas returns the quotas of all callers.
 func (exp QuotaExperiment) quotas() []config.Quota {
 	quotas := []config.Quota{{
 		Name: "rush", Service: quotaService, CallerHeader: quotaHeader, Caller: heavyCaller,
@@ -161,7 +160,7 @@
 	run.method.setRouterUp(router, up, now)
 }
 
-// applyFault begins or ends the experiment's fault if that is due.
+// applyFault starts or ends the experiment's fault if that is due now.
 func (run *quotaRun) applyFault(now int64) {
 	since := now - run.Duration/2
 	switch {
@@ -176,7 +175,7 @@
 	}
 }
 
-// setThirdUp starts or ends every third router.
+// setThirdUp starts or stops every third router.
 func (run *quotaRun) setThirdUp(up bool, now int64) {
 	for router := range run.up {
 		if router%faultStride == 0 {
@@ -185,7 +184,7 @@
 	}
 }
 
-// pickRouter draws a router that is up, as the directory does, or returns the one that the fault names.
+// pickRouter returns the router for a request that is sent at now: a random one that is up, unless the fault determines it.
 func (run *quotaRun) pickRouter(now int64) int {
 	switch {
 	case run.Fault == faultOneRouter, run.Fault == faultMoves && now < run.Duration/2:
@@ -200,7 +199,7 @@
 	}
 }
 
-// poisson draws a number of events of a Poisson distribution.
+// poisson draws from a Poisson distribution, by Knuth's method.
 func (run *quotaRun) poisson(mean float64) (n int) {
 	for x := run.rng.Float64(); x > math.Exp(-mean); n++ {
 		x *= run.rng.Float64()
@@ -208,7 +207,6 @@
 	return n
 }
 
-// sendHeavy sends the heavy caller's requests of one step.
 func (run *quotaRun) sendHeavy(now int64) {
 	for range run.poisson(run.QuotaPerSecond * run.LoadFactor * float64(quotaStep) / 1e9) {
 		router := run.pickRouter(now)
@@ -222,7 +220,7 @@
 	}
 }
 
-// sendSmall sends the small callers' requests of one step.
+// sendSmall sends the small callers' requests of one step. For the faults one and moves, they go to the first router throughout.
 func (run *quotaRun) sendSmall(now int64) {
 	for range run.poisson(float64(run.SmallCallers) * smallRate * float64(quotaStep) / 1e9) {
 		caller := smallCaller(int(run.rng.Float64() * float64(run.SmallCallers)))
@@ -233,7 +231,7 @@
 	}
 }
 
-// compareReports compares what routers reported lately, once a second while there is no fault.
+// compareReports updates MaxDisagreement once per second, in experiments whose load and routers stay the same.
 func (run *quotaRun) compareReports(now int64) {
 	steady := run.Fault == faultCalm || run.Fault == faultNone || run.Fault == faultOneRouter
 	if !steady || now <= warmUp || now%second != 0 {
@@ -249,7 +247,6 @@
 	run.result.MaxDisagreement = max(run.result.MaxDisagreement, high-low)
 }
 
-// summarize computes the result.
 func (run *quotaRun) summarize() QuotaResult {
 	result, rate := run.result, run.QuotaPerSecond
 	result.Overshoot1s = (float64(run.mostGranted(second)) - 2*rate) / rate
@@ -267,7 +264,7 @@
 	return result
 }
 
-// mostGranted returns the most requests that were granted within any span.
+// mostGranted returns the maximum number of requests granted within any time window of length span.
 func (run *quotaRun) mostGranted(span int64) (highest int) {
 	first := 0
 	for i, at := range run.granted {
@@ -279,7 +276,7 @@
 	return highest
 }
 
-// grantedWithin counts the requests that were granted from a time on and before another.
+// grantedWithin counts the requests granted in [from, to).
 func (run *quotaRun) grantedWithin(from, to int64) (n int) {
 	for _, at := range run.granted {
 		if at >= from && at < to {
@@ -289,7 +286,8 @@
 	return n
 }
 
-// recoverySeconds returns how long after the move the new router grants most of the quota; it is below 0 for never.
+// recoverySeconds returns the time from the move to the first second in which recoveredFraction of the quota is granted, or a negative
+// number for never.
 func (run *quotaRun) recoverySeconds() float64 {
 	movedAt := run.Duration / 2
 	for now := movedAt; now < run.Duration-second; now += moveStep {
@@ -300,11 +298,11 @@
 	return float64(-movedAt) / 1e9
 }
 
-// Render writes what the heavy caller was granted over time: a row for each router (at most maxRows), a column for each second, and
-// the sums below.
+// Render writes the heavy caller's granted requests as text: a row per router (at most maxRows), a column per second, and the totals of
+// all routers. perSecond is the caller's quota.
 func (r QuotaResult) Render(w io.Writer, perSecond float64, maxRows int) {
 	const shades = " .:-=+*#%@"
-	fmt.Fprintf(w, "requests of the heavy caller that were granted, by router and second; blank is none, @ its quota of %.0f and more\n", perSecond)
+	fmt.Fprintf(w, "granted requests of the heavy caller by router and second (blank: none, @: its quota of %.0f or more)\n", perSecond)
 	sums := make([]int, len(r.GrantsByRouter[0]))
 	for router, row := range r.GrantsByRouter {
 		line := make([]byte, len(row))
@@ -318,7 +316,7 @@
 		}
 	}
 	if len(r.GrantsByRouter) > maxRows {
-		fmt.Fprintf(w, "and %d more\n", len(r.GrantsByRouter)-maxRows)
+		fmt.Fprintf(w, "and %d more routers\n", len(r.GrantsByRouter)-maxRows)
 	}
 	fmt.Fprintln(w, "all, a second:", sums[:len(sums)-1])
 }
--- a/internal/lab/quota_test.go
+++ b/internal/lab/quota_test.go
@@ -6,8 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A caller at ten times its quota is granted the quota, and no more than the stated bounds, whatever the routers and the fault: -v
-// shows all numbers, also of the baseline methods.
+// Guards against granting a caller much more or less than its quota, for several cluster sizes and faults. With -v, it also runs the
+// baseline methods, without checks, and logs all results.
 func TestQuotaMethods(t *testing.T) {
 	sizes, methods := []int{13, 92}, []string{"dealt"}
 	if testing.Verbose() {
@@ -18,7 +18,7 @@
 			for _, method := range methods {
 				c := qt.New(t)
 				exp := QuotaExperiment{Routers: routers, Zones: 6, Method: method, Fault: fault, QuotaPerSecond: 40, LoadFactor: 10, SmallCallers: 50, Duration: 30e9, Seed: 3}
-				if fault == "calm" { // it stays within its share
+				if fault == "calm" { // stays within its quota
 					exp.LoadFactor = 0.7
 				}
 				r, err := RunQuotaExperiment(exp)
@@ -29,7 +29,8 @@
 					continue
 				}
 				comment := qt.Commentf("%d routers, %s: %+v", routers, fault, r)
-				maxOvershoot := 2*float64(routers)/exp.QuotaPerSecond + 0.5 // two requests a router, and what comes until it is noticed
+				// Two requests per router, and half a second's quota until the allocators see the demand.
+				maxOvershoot := 2*float64(routers)/exp.QuotaPerSecond + 0.5
 				c.Check(r.Overshoot1s < maxOvershoot, qt.IsTrue, comment)
 				c.Check(r.Overshoot10s < maxOvershoot, qt.IsTrue, comment)
 				c.Check(r.Granted > 0.8*min(1, exp.LoadFactor) && r.Granted < 1.1, qt.IsTrue, comment)
--- a/internal/lab/quotaallocated.go
+++ b/internal/lab/quotaallocated.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	peerTimeout   = int64(1800e6) // until a process notices that a connection is dead
-	frameOverhead = 4             // bytes of a message beside its JSON
+	peerTimeout   = int64(1800e6) // until a process notices that a peer is unreachable
+	frameOverhead = 4             // bytes of a message in addition to its JSON
 	noZone        = -1
 )
 
-// delayedCall is a message in flight.
+// delayedCall is a message in flight; run delivers it.
 type delayedCall struct {
 	at  int64
 	run func()
 }
 
-// delayQueue delivers messages at their times.
+// delayQueue holds messages in flight. Due messages are delivered in the order in which they were posted.
 type delayQueue struct{ pending []delayedCall }
 
 func (q *delayQueue) post(at int64, run func()) { q.pending = append(q.pending, delayedCall{at, run}) }
@@ -34,24 +34,24 @@
 	}
 }
 
-// encodedSize returns the size of a message that carries a value.
+// encodedSize returns the size of a message with v as its content.
 func encodedSize(v any) int {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // reports and allocations are numbers and strings
+		panic(err) // reports and allocations have only numbers and strings
 	}
 	return len(raw) + frameOverhead
 }
 
-// allocatedQuota is the method of the control and proxy processes: their meters and allocators, with the delays between them.
+// allocatedQuota runs the meters of the proxies and the allocators of the control processes, with network delays between them.
 type allocatedQuota struct {
 	delayQueue
 	meters             []*quota.Meter // by router
 	routerUp           []bool
 	allocators         []*quota.Allocator // by zone
 	quotas             []config.Quota
-	isolatedZone       int // noZone for none
-	partitionChangedAt int64
+	isolatedZone       int   // noZone for none
+	partitionChangedAt int64 // start or end of the last partition
 }
 
 var _ quotaMethod = (*allocatedQuota)(nil)
@@ -102,7 +102,7 @@
 	}
 }
 
-// partitionNoticed reports whether processes have noticed the last partition.
+// partitionNoticed reports whether the processes have noticed the last start or end of a partition.
 func (m *allocatedQuota) partitionNoticed(now int64) bool {
 	return now-m.partitionChangedAt >= peerTimeout
 }
@@ -115,7 +115,7 @@
 	bytes = m.sendReports(now)
 	for zone, allocator := range m.allocators {
 		bytes += m.sendUsage(now, zone, allocator)
-		if m.isolatedZone == zone && m.partitionNoticed(now) { // without a quorum it allocates nothing
+		if m.isolatedZone == zone && m.partitionNoticed(now) { // a control process without a quorum allocates nothing
 			continue
 		}
 		bytes += m.sendAllocations(now, allocator)
@@ -123,7 +123,7 @@
 	return bytes
 }
 
-// sendReports sends the meters' reports to the allocators of their zones.
+// sendReports sends the meters' reports to the allocators of their zones. Once per second, it also sets the meters' router count.
 func (m *allocatedQuota) sendReports(now int64) (bytes int) {
 	live := m.liveRouters()
 	for router, meter := range m.meters {
@@ -145,9 +145,10 @@
 	return bytes
 }
 
-// sendUsage sends an allocator's usage to those of the other zones.
+// sendUsage sends an allocator's usage to the allocators of the other zones, or reports the zone as lost to those that a partition
+// separates from it.
 func (m *allocatedQuota) sendUsage(now int64, zone int, allocator *quota.Allocator) (bytes int) {
-	usage, _ := allocator.Usage() // its second result is for snapshots
+	usage, _ := allocator.Usage() // the experiment has no loads
 	name := strconv.Itoa(zone)
 	for to, other := range m.allocators {
 		switch {
@@ -167,12 +168,12 @@
 	return bytes
 }
 
-// sendAllocations sends an allocator's allocations to the routers of its zone.
+// sendAllocations sends the allocations of a zone to its routers.
 func (m *allocatedQuota) sendAllocations(now int64, allocator *quota.Allocator) (bytes int) {
 	for name, allocations := range allocator.Allocate(now) {
 		router, err := strconv.Atoi(name)
 		if err != nil {
-			panic(err) // names are those of sendReports
+			panic(err) // sendReports names the routers by their numbers
 		}
 		bytes += encodedSize(allocations)
 		arrival := now + inZoneDelay
--- a/internal/lab/quotabaseline.go
+++ b/internal/lab/quotabaseline.go
@@ -11,25 +11,26 @@
 )
 
 const (
-	exchangeInterval = int64(500e6) // between two exchanges of counts
-	baselineZones    = 6            // of the exchange, whatever the experiment's zones
-	countBytes       = 12           // of an exact count beside its name
-	minUsageTime     = 0.1          // seconds over which a router's own usage is averaged at least
-	drawResolution   = 10007        // of the pseudo-random draw that rejects a fraction of the requests
+	exchangeInterval = int64(500e6) // interval of the exchange of counts
+	baselineZones    = 6            // zones for partitions, whatever the experiment's Zones
+	countBytes       = 12           // encoded size of an exact count, without the caller's name
+	minUsageTime     = 0.1          // minimum time in seconds over which a router's own usage is averaged
+	drawResolution   = 10007        // number of values of the pseudo-random draw in rejectsFraction
 )
 
-// baselineQuota are the methods that were weighed against allocatedQuota: equal parts by count; usage of all routers, exchanged
-// with all, by which each router rejects a fraction of the requests; and the same with the counts in a sketch.
+// baselineQuota implements the baseline methods. "count" gives each router an equal fraction of the quota. With "usage", all routers
+// exchange their counts, and each rejects the fraction of the requests by which the total exceeds the quota. "sketch" is the same with
+// the counts in a count-min sketch.
 type baselineQuota struct {
 	delayQueue
 	method       string
 	routers      int
-	limits       map[string]float64 // by caller, requests a second
+	limits       map[string]float64 // by caller, in requests per second
 	isolatedZone int                // noZone for none
 	routerUp     []bool
 	buckets      []map[string]*tokenBucket // by router and caller
 	arrived      []counter                 // by router: requests since its last exchange
-	views        []usageView               // by router: the usage of all, as of the last exchange that reached it
+	views        []usageView               // by router: usage of all routers as of the last exchange that it received
 }
 
 var _ quotaMethod = (*baselineQuota)(nil)
@@ -39,7 +40,7 @@
 	refilledAt int64
 }
 
-// take takes a token, if there is one, at a rate a second.
+// take refills the bucket at rate tokens per second and takes a token if there is one.
 func (b *tokenBucket) take(now int64, rate, burst float64) bool {
 	b.tokens = min(burst, b.tokens+rate*float64(now-b.refilledAt)/1e9)
 	b.refilledAt = now
@@ -50,14 +51,13 @@
 	return true
 }
 
-// counter counts requests by caller.
+// counter counts requests by caller; an implementation may overestimate.
 type counter interface {
 	add(caller string)
 	count(caller string) float64
-	size() int // bytes of its encoding
+	size() int // encoded size in bytes
 }
 
-// exactCounts has a count for each caller.
 type exactCounts map[string]float64
 
 func (c exactCounts) add(caller string)           { c[caller]++ }
@@ -72,13 +72,13 @@
 const (
 	sketchRows    = 4
 	sketchColumns = 256
-	sketchBytes   = 2 // of a cell
+	sketchBytes   = 2 // encoded size of a cell
 )
 
-// countMinSketch is a count-min sketch: it never counts too few.
+// countMinSketch is a count-min sketch: it may overestimate a count, but never underestimates it.
 type countMinSketch [sketchRows][sketchColumns]float64
 
-// column returns the cell of a caller in a row.
+// column returns the column of a caller's cell in a row.
 func (s *countMinSketch) column(row int, caller string) int {
 	h := fnv.New32a()
 	writeHash(h, []byte{byte(row)})
@@ -87,7 +87,7 @@
 	return int((x ^ x>>16) % sketchColumns)
 }
 
-// writeHash adds to a hash, which by its contract returns no error.
+// writeHash adds b to a hash; Write of a hash.Hash never returns an error.
 func writeHash(h hash.Hash32, b []byte) { _, _ = h.Write(b) }
 
 func (s *countMinSketch) add(caller string) {
@@ -106,13 +106,13 @@
 
 func (s *countMinSketch) size() int { return sketchRows * sketchColumns * sketchBytes }
 
-// usageView is what a router knows of all routers' requests.
+// usageView is a router's view of the requests to all routers. It is empty before the first exchange.
 type usageView struct {
-	arrived, before []counter // in the last interval and the one before it
-	at              int64     // when the last interval ended
+	arrived, before []counter // by router, in the last interval and in the one before it
+	at              int64     // end of the last interval
 }
 
-// perSecond sums up counters of one exchange interval.
+// perSecond returns a caller's total request rate in the counters of one exchange interval.
 func perSecond(counters []counter, caller string) (total float64) {
 	for _, c := range counters {
 		total += c.count(caller)
@@ -120,7 +120,7 @@
 	return total / (float64(exchangeInterval) / 1e9)
 }
 
-// forecast returns a caller's requests a second as they would be now if they went on growing.
+// forecast extrapolates a caller's request rate to now. A decreasing rate is taken as constant.
 func (v usageView) forecast(caller string, now int64) float64 {
 	used := perSecond(v.arrived, caller)
 	growth := max(0, used-perSecond(v.before, caller))
@@ -167,7 +167,8 @@
 	return quota.Decision{Admitted: bucket.take(now, rate, burst)}
 }
 
-// rejectsFraction reports whether a request is one of the fraction by which all routers' usage exceeds the limit.
+// rejectsFraction reports whether to reject a request, with a probability of 1 - limit/usage if the usage exceeds the limit. The draw is
+// a hash of the time, the router and its count, so that runs are repeatable.
 func (m *baselineQuota) rejectsFraction(now int64, router int, caller string, limit float64) bool {
 	view := m.views[router]
 	if view.arrived == nil {
@@ -203,7 +204,7 @@
 	if m.method == "count" || now%exchangeInterval != 0 {
 		return 0
 	}
-	for _, isolated := range []bool{false, true} { // the routers of an isolated zone exchange counts among themselves
+	for _, isolated := range []bool{false, true} { // an isolated zone exchanges counts within itself only
 		bytes += m.exchange(now, isolated)
 	}
 	for router := range m.arrived {
@@ -212,7 +213,7 @@
 	return bytes
 }
 
-// exchange sends the counts of the routers on one side of the partition to all of that side.
+// exchange sends the counts of the routers on one side of the partition to all routers on that side. It returns the bytes sent.
 func (m *baselineQuota) exchange(now int64, isolated bool) (bytes int) {
 	var routers []int
 	var arrived []counter
--- a/internal/lab/recorder.go
+++ b/internal/lab/recorder.go
@@ -6,23 +6,24 @@
 	"sync"
 )
 
-// recorder counts what clients and hosts saw. Its methods are safe for concurrent use.
+// recorder collects the measurements of a retry storm experiment. The record methods are safe for concurrent use. Time series have one
+// value per step.
 type recorder struct {
 	StormExperiment
-	sync.Mutex
+	sync.Mutex                         // guards the fields below, except for capacity
 	commands                           []*command
 	attempts                           int
-	lost                               int
-	firstUnservedAt                    int64 // when the first attempt of the outage failed
-	offered                            []float64
-	admitted                           []float64
-	capacity                           []float64
-	served                             []float64
-	returningLoad                      []float64 // work that hosts received as they return
-	firstAttempts, firstAttemptsServed float64   // after the return, and those that succeeded
+	lost                               int       // attempts without an answer in time
+	firstUnservedAt                    int64     // first failure of an attempt that was sent after Warmup, 0 for none
+	offered                            []float64 // attempts sent
+	admitted                           []float64 // work of requests that reached a host, in seconds
+	capacity                           []float64 // capacity of the hosts, in cores
+	served                             []float64 // attempts that succeeded within the latency target
+	returningLoad                      []float64 // not recorded
+	firstAttempts, firstAttemptsServed float64   // of commands in the first 10 s after the outage; those that succeeded
 }
 
-// recordAttempt counts an attempt.
+// recordAttempt counts an attempt, and the command with its first attempt.
 func (r *recorder) recordAttempt(now int64, c *command) {
 	r.Lock()
 	defer r.Unlock()
@@ -34,14 +35,14 @@
 	addToSeries(r.offered, now, 1)
 }
 
-// recordWork counts the work of a forwarded request at a host.
+// recordWork adds the work of a request at a host, in nanoseconds.
 func (r *recorder) recordWork(now int64, work int64) {
 	r.Lock()
 	defer r.Unlock()
 	addToSeries(r.admitted, now, float64(work)/1e9)
 }
 
-// recordOutcome counts how an attempt ended: answered is whether the router answered it in time.
+// recordOutcome records the end of an attempt that was sent at the time sent. answered reports whether the router answered it in time.
 func (r *recorder) recordOutcome(now, sent int64, cmd *command, fulfilled, answered bool) {
 	r.Lock()
 	defer r.Unlock()
@@ -64,7 +65,8 @@
 	}
 }
 
-// summarize computes the result.
+// summarize computes the result, except for what recordDetection and the caller add. Service counts as recovered at the first step after
+// the outage from which one second reaches 95 % of the rate before the outage, if the next second reaches 85 %.
 func (r *recorder) summarize() Result {
 	result := Result{LoadLimit: loadLimit, RecoverySeconds: -1, DetectionMillis: -1, Lost: r.lost, Commands: len(r.commands), Seed: r.Seed,
 		Series: Series{Offered: r.offered, Admitted: r.admitted, Capacity: r.capacity, Served: r.served}}
@@ -102,7 +104,8 @@
 	return result
 }
 
-// recordDetection adds what guards detected: alarms before the outage, and the median time from its first failed attempt on.
+// recordDetection adds the false alarms, which are detections before the outage, and the median time from the first failed attempt to
+// the detection. detectedAt has a time per router, 0 for none.
 func (r *recorder) recordDetection(result *Result, detectedAt []int64) {
 	var waits []float64
 	for _, detected := range detectedAt {
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -15,14 +15,14 @@
 //go:embed report.html
 var reportTemplate string
 
-// WriteReport writes plots (SVG and PNG) and a page of a run into a folder.
+// WriteReport writes an HTML page and plots (SVG and PNG) of a run to dir, which it creates if necessary.
 func WriteReport(dir string, s StormExperiment, r Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
 	p := plot.New()
-	p.Title.Text = "A storm of " + s.Kind + ", policy " + s.Policy
-	p.X.Label.Text, p.Y.Label.Text = "seconds", "a second"
+	p.Title.Text = "Retry storm of kind " + s.Kind + ", policy " + s.Policy
+	p.X.Label.Text, p.Y.Label.Text = "seconds", "per second"
 	p.Legend.Top = true
 	line := func(row []float64, scale float64) plotter.XYs {
 		points := make(plotter.XYs, 0, len(row))
@@ -32,8 +32,8 @@
 		return points
 	}
 	per := 1 / step.Seconds()
-	if err := plotutil.AddLines(p, "offered (tries)", line(r.Series.Offered, per), "admitted (commands' worth)",
-		line(r.Series.Admitted, per/meanWorkSeconds), "capacity (commands)", line(r.Series.Capacity, 1/meanWorkSeconds),
+	if err := plotutil.AddLines(p, "offered (attempts)", line(r.Series.Offered, per), "admitted (equivalent commands)",
+		line(r.Series.Admitted, per/meanWorkSeconds), "capacity (equivalent commands)", line(r.Series.Capacity, 1/meanWorkSeconds),
 		"served in time", line(r.Series.Served, per)); err != nil {
 		return err
 	}
--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -27,40 +27,40 @@
 	"portflow/internal/standin/servers"
 )
 
-// loopbackRun runs an experiment on sockets: the program's own routers, and stand-ins around them.
+// loopbackRun is a running experiment on loopback sockets, with real routers and emulated hosts, services and clients.
 type loopbackRun struct {
 	StormExperiment
 	recorder *recorder
 	start    time.Time
-	mu       sync.Mutex
+	mu       sync.Mutex // guards rng and serial
 	rng      random.Source
 	hosts    []*servers.Host
 	services *servers.Services
 	effects  servers.SharedEffects
-	routers  []string
-	clients  sync.WaitGroup
+	routers  []string       // listen addresses
+	clients  sync.WaitGroup // scheduled functions and running commands
 	client   http.Client
-	serial   int
+	serial   int // last trace ID
 }
 
-// releasedBuild is the state of the platform in experiments on loopback: build 1 is released.
+// releasedBuild is the platform's answer in experiments on loopback: build 1 is released.
 const releasedBuild = `{"release":1,"tranche":0,"mode":"stable","exposure":1,"old_ms":60000}`
 
 var carrierNames = []string{"c0", "c1", "c2"}
 
-// The most that sockets are used for.
+// Limits of experiments on sockets.
 const (
 	maxSocketRouters = 16
 	maxSocketHosts   = 64
 )
 
-// RunSockets runs an experiment on loopback, in real time.
+// RunSockets runs an experiment in real time on loopback sockets. Trials and large fleets are rejected; Emulate runs those.
 func RunSockets(exp StormExperiment) (Result, error) {
 	if err := exp.validate(); err != nil {
 		return Result{}, err
 	}
 	if exp.Trial || exp.Routers > maxSocketRouters || exp.Hosts > maxSocketHosts {
-		return Result{}, errors.New("lab: no trial, 16 routers and 64 hosts at most on sockets")
+		return Result{}, errors.New("lab: experiments on sockets support no trial and at most 16 routers and 64 hosts")
 	}
 	run := &loopbackRun{
 		StormExperiment: exp,
@@ -91,13 +91,12 @@
 	return run.summarize(detectedAt), nil
 }
 
-// guardedRouter is a router and its guard, nil for none that records.
+// guardedRouter is a router and its retry guard, which is nil for policies other than "on".
 type guardedRouter struct {
 	*router.Router
 	guard *retryguard.Guard
 }
 
-// stop ends hosts and services.
 func (l *loopbackRun) stop() {
 	if l.services != nil {
 		l.services.Close()
@@ -107,7 +106,7 @@
 	}
 }
 
-// startHosts starts the hosts, and the services that list them.
+// startHosts starts the hosts and the services that list them.
 func (l *loopbackRun) startHosts() (err error) {
 	for i := range l.Hosts {
 		h := &servers.Host{
@@ -126,7 +125,7 @@
 	return err
 }
 
-// startRouters starts the routers with the guards of the policy.
+// startRouters starts the routers with the guard of the policy.
 func (l *loopbackRun) startRouters(ctx context.Context) (started []guardedRouter, err error) {
 	configs, err := l.routerConfigs()
 	if err != nil {
@@ -147,7 +146,7 @@
 	return started, nil
 }
 
-// drain drains the routers, and returns when each one's guard detected the retry storm, 0 for never.
+// drain drains the routers and returns the times at which their guards detected a retry storm, as of clock, 0 for never.
 func (l *loopbackRun) drain(routers []guardedRouter) (detectedAt []int64, err error) {
 	detectedAt = make([]int64, len(routers))
 	for i, r := range routers {
@@ -161,7 +160,6 @@
 	return detectedAt, nil
 }
 
-// summarize computes the result.
 func (l *loopbackRun) summarize(detectedAt []int64) Result {
 	result := l.recorder.summarize()
 	l.recorder.recordDetection(&result, detectedAt)
@@ -175,6 +173,7 @@
 	return result
 }
 
+// clock returns the nanoseconds since the start of the run.
 func (l *loopbackRun) clock() int64 { return int64(time.Since(l.start)) }
 
 func (l *loopbackRun) randomFloat64() float64 {
@@ -195,7 +194,7 @@
 	return all
 }
 
-// routerConfigs returns the routers' configurations, with free addresses.
+// routerConfigs returns the routers' configurations, with ports that were free when it was called.
 func (l *loopbackRun) routerConfigs() ([]config.Config, error) {
 	known := discovery.Update{HostsChanged: dispatch.HostsChanged{Kind: decision.Snapshot}}
 	for _, h := range l.hosts {
@@ -229,7 +228,8 @@
 	return all, nil
 }
 
-// playOutage schedules the outage and sends the clients' commands, in one goroutine until the end.
+// runScenario schedules the outage and sends the clients' commands until the experiment's duration is over. Commands may still be
+// running when it returns.
 func (l *loopbackRun) runScenario() {
 	schedule := func(t time.Duration, act func()) {
 		l.clients.Add(1)
@@ -245,7 +245,7 @@
 		schedule(l.Warmup, h.Stop)
 		schedule(l.Warmup+l.Outage+time.Duration(i)*time.Second/time.Duration(len(l.hosts)), func() {
 			if err := h.Restart(); err != nil {
-				panic(err) // the host's own address is taken: the run would measure nothing
+				panic(err) // the host's address is in use, so the result would be meaningless
 			}
 		})
 	}
@@ -283,7 +283,7 @@
 	}
 }
 
-// runCommand sends a client's attempts until one succeeds or the client gives up.
+// runCommand sends attempts of a command until one succeeds, the client gives up or the experiment is over.
 func (l *loopbackRun) runCommand(c *command, client int) {
 	for {
 		fulfilled, advised := l.sendAttempt(c, client)
@@ -298,6 +298,7 @@
 	}
 }
 
+// sendAttempt sends one attempt and waits for its outcome. advised is the router's Retry-After in nanoseconds, 0 for none.
 func (l *loopbackRun) sendAttempt(c *command, client int) (fulfilled bool, advised int64) {
 	patient := time.Duration(c.behaviour.Patience * float64(requestClasses[c.class].Timeout))
 	sent := l.clock()
@@ -319,7 +320,7 @@
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+l.routers[rank]+"/"+requestClasses[c.class].name+"?obj="+strconv.FormatUint(c.key, 16),
 		bytes.NewReader(body))
 	if err != nil {
-		panic(err) // all parts of it are our own
+		panic(err) // method and URL are valid by construction
 	}
 	r.Header = http.Header{"X-Trace-Id": {trace}, "X-Qos": {requestClasses[c.class].name}, "X-Customer": {carrierNames[c.carrier]},
 		"X-Expires-In": {strconv.FormatInt(patient.Milliseconds(), 10) + "m"}}
--- a/internal/lab/storm_test.go
+++ b/internal/lab/storm_test.go
@@ -11,26 +11,25 @@
 	"portflow/internal/random"
 )
 
-// The hard cases of a retry storm, each in virtual time: returning hosts get no more than the load limit, service recovers in time,
-// no effect happens twice, nothing is lost, no host collapses and no vote rolls back. Where off is set, the same without the guard
-// must exceed the limit, so that the case proves something.
+// Guards against overloaded hosts, slow recovery, duplicates, lost attempts, false alarms, collapsed hosts and rollback votes in retry
+// storms. Where off is set, the same experiment without the guard must exceed the load limit by half.
 func TestRetryStorms(t *testing.T) {
 	for name, c := range map[string]struct {
 		set         func(*StormExperiment)
 		maxRecovery float64 // seconds
 		off         bool
 	}{
-		"all hosts":          {func(s *StormExperiment) {}, 5, true},
-		"half of the hosts":  {func(s *StormExperiment) { s.Kind = "half" }, 5, false},
-		"the list":           {func(s *StormExperiment) { s.Kind = "list" }, 2, true},
-		"one carrier's keys": {func(s *StormExperiment) { s.Kind, s.Carrier = "carrier", 1 }, 2, false},
-		"no advice heeded":   {func(s *StormExperiment) { s.HeedFraction = 0 }, 5, true},
-		"all advice heeded":  {func(s *StormExperiment) { s.HeedFraction = 1 }, 5, true},
-		"marked":             {func(s *StormExperiment) { s.MarkRetries = true }, 5, true},
-		"a second outage":    {func(s *StormExperiment) { s.SecondOutage, s.Cooldown = true, 20*time.Second }, 13, true},
-		"a single busy one":  {func(s *StormExperiment) { s.SkewRouters = true }, 5, true},
-		"thirty routers":     {func(s *StormExperiment) { s.Routers, s.Hosts, s.Clients = 30, 60, 50000 }, 5, true},
-		"calm":               {func(s *StormExperiment) { s.Kind = "none" }, 3, false},
+		"all hosts":                      {func(s *StormExperiment) {}, 5, true},
+		"half of the hosts":              {func(s *StormExperiment) { s.Kind = "half" }, 5, false},
+		"host list outage":               {func(s *StormExperiment) { s.Kind = "list" }, 2, true},
+		"one carrier's keys":             {func(s *StormExperiment) { s.Kind, s.Carrier = "carrier", 1 }, 2, false},
+		"no client honours Retry-After":  {func(s *StormExperiment) { s.HeedFraction = 0 }, 5, true},
+		"all clients honour Retry-After": {func(s *StormExperiment) { s.HeedFraction = 1 }, 5, true},
+		"marked":                         {func(s *StormExperiment) { s.MarkRetries = true }, 5, true},
+		"second outage":                  {func(s *StormExperiment) { s.SecondOutage, s.Cooldown = true, 20*time.Second }, 13, true},
+		"most clients on one router":     {func(s *StormExperiment) { s.SkewRouters = true }, 5, true},
+		"thirty routers":                 {func(s *StormExperiment) { s.Routers, s.Hosts, s.Clients = 30, 60, 50000 }, 5, true},
+		"calm":                           {func(s *StormExperiment) { s.Kind = "none" }, 3, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -48,14 +47,14 @@
 				}
 				s.Policy = "off"
 				if off, err := Emulate(s); err != nil || c.off && off.PeakLoad < 1.5*loadLimit {
-					t.Errorf("off: peak %.2f, %v", off.PeakLoad, err)
+					t.Errorf("policy off: peak load %.2f, error %v", off.PeakLoad, err)
 				}
 			}
 		})
 	}
 }
 
-// A retry storm for one carrier's keys must not cost the others: they are served as before it, and better than without the guard.
+// Guards against a retry storm for one carrier's keys that degrades the service of the other carriers.
 func TestOtherCarriersServed(t *testing.T) {
 	s := DefaultStorm()
 	s.Kind, s.Carrier = "carrier", 0
@@ -67,7 +66,7 @@
 	}
 }
 
-// One seed gives one result.
+// Guards against results that differ between runs with the same seed.
 func TestSameSeedSameResult(t *testing.T) {
 	s := DefaultStorm()
 	s.Trial = true
@@ -86,7 +85,7 @@
 	}
 }
 
-// On sockets, with few hosts: the program's own routers give the same numbers.
+// Runs a small experiment with real routers on loopback, without duplicates or collapsed hosts.
 func TestSockets(t *testing.T) {
 	s := DefaultStorm()
 	s.Hosts, s.Warmup, s.Outage, s.Cooldown = 4, 2*time.Second, 2*time.Second, 4*time.Second
@@ -115,16 +114,16 @@
 	}
 }
 
-// A command that is repeated with its key runs once within the hosts' retention; beyond it, a repeat is its client's doing, and
-// none of a router.
+// A command repeated with its idempotency key runs once within the hosts' retention time. After that it runs again, which counts as a
+// duplicate only if the same attempt ran before. Also checks that invalid experiments are rejected.
 func TestIdempotencyKeys(t *testing.T) {
 	e := &emulation{}
 	e.effects.Retention = 2e9
 	if !e.effects.Run(0, "m", "try1") || e.effects.Run(1e9, "m", "try2") || e.effects.Run(1999e6, "m", "try1") {
-		t.Error("ran again within the memory")
+		t.Error("repeated command ran again within the retention time")
 	}
 	if !e.effects.Run(2e9, "m", "try3") || e.effects.Duplicates != 0 || !e.effects.Run(4e9, "m", "try3") || e.effects.Duplicates != 1 {
-		t.Error("beyond the memory", e.effects.Duplicates)
+		t.Error("unexpected runs or duplicates after the retention time", e.effects.Duplicates)
 	}
 	for _, s := range []StormExperiment{{}, {Routers: 1, Hosts: 1, Clients: 1, Load: 0.5, Kind: "flood"}} {
 		if _, err := Emulate(s); err == nil {
--- a/internal/lab/timeline.go
+++ b/internal/lab/timeline.go
@@ -1,6 +1,7 @@
-// Package lab runs experiments with designs: an emulator in virtual time that drives the program's own dispatcher, decisions and retry
-// guard for sizes that sockets don't reach, and runs on loopback. It owns the experiments (StormExperiment, QuotaExperiment,
-// FleetExperiment, FlowExperiment) and their results, and is no part of any process in service. Begin reading at Emulate.
+// Package lab runs experiments with the router, its retry guard and quotas. Emulators in virtual time drive the real dispatcher, decision
+// engine, retry guard and quota code at sizes that are impractical on sockets; smaller experiments run on loopback. Each experiment has
+// a type (StormExperiment, QuotaExperiment, FleetExperiment, FlowExperiment) and a result type. No production process uses this
+// package. Start reading at Emulate.
 package lab
 
 import (
@@ -15,7 +16,7 @@
 	run      func()
 }
 
-// timeline runs what is due in the order of time, and of scheduling within one instant.
+// timeline is an event queue in virtual time. Events at the same time run in the order in which they were scheduled.
 type timeline struct {
 	now      int64
 	sequence uint64
@@ -37,11 +38,13 @@
 	return e
 }
 
+// after schedules act in wait nanoseconds, or at the current time if wait is negative.
 func (t *timeline) after(wait int64, act func()) {
 	t.sequence++
 	heap.Push(t, event{t.now + max(0, wait), t.sequence, act})
 }
 
+// run runs the events up to and including the time until.
 func (t *timeline) run(until int64) {
 	for len(t.heap) > 0 && t.heap[0].at <= until {
 		e := heap.Pop(t).(event)
@@ -50,15 +53,15 @@
 	}
 }
 
-// steppedRouter is a router whose events and timers run on a timeline, until it is stopped.
+// steppedRouter runs the events and timers of a dispatcher on a timeline until it is stopped.
 type steppedRouter struct {
 	timeline *timeline
 	router   *dispatch.Dispatcher
-	wakeAt   int64 // the earliest wake-up that is planned, 0 for none
+	wakeAt   int64 // time of the earliest scheduled wake-up, 0 for none
 	stopped  bool
 }
 
-// post sends the router an event after a delay.
+// post sends the router an event after wait nanoseconds.
 func (s *steppedRouter) post(wait int64, e dispatch.Event) {
 	s.timeline.after(wait, func() {
 		if !s.stopped {
@@ -68,7 +71,7 @@
 	})
 }
 
-// pump lets the router do what it can do now, and schedules its next timer.
+// pump runs the router until it has nothing left to do, and schedules a wake-up for its next timer.
 func (s *steppedRouter) pump() {
 	for s.router.Step() {
 	}
