--- a/internal/lab/emulation.go
+++ b/internal/lab/emulation.go
@@ -25,7 +25,7 @@
 	effects        standin.EffectLog
 	waitingClients []uint64            // bit set of the clients with an unfinished command
 	attempts       map[string]*attempt // by trace ID
-	serial         int                 // of the last trace ID
+	serial         int                 // last trace ID
 	rollbackVotes  int
 }
 
@@ -172,7 +172,7 @@
 		client := int(e.rng.Float64() * float64(e.Clients))
 		if e.waitingClients[client/64]>>(client%64)&1 == 0 {
 			cmd := e.newCommand(e.now, client, &e.rng)
-			if !(e.Kind == "carrier" && inOutage && cmd.carrier != e.Carrier && e.rng.Float64() < 0.5) { // doubles the traffic of the affected carrier only
+			if !(e.Kind == "carrier" && inOutage && cmd.carrier != e.Carrier && e.rng.Float64() < 0.5) { // drops the extra commands of the other carriers
 				e.waitingClients[client/64] |= 1 << (client % 64)
 				e.sendAttempt(cmd, client)
 			}
--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -146,7 +146,7 @@
 	return started, nil
 }
 
-// drain drains the routers and returns the times at which their guards detected a retry storm, as of clock, 0 for never.
+// drain drains the routers and returns when each guard first detected a retry storm, in nanoseconds since the start, 0 for never.
 func (l *loopbackRun) drain(routers []guardedRouter) (detectedAt []int64, err error) {
 	detectedAt = make([]int64, len(routers))
 	for i, r := range routers {
