--- a/internal/lab/emulation.go
+++ b/internal/lab/emulation.go
@@ -13,7 +13,8 @@
 	"portflow/internal/standin"
 )
 
-// emulation runs an experiment in virtual time: the program's dispatchers, decisions and guards, and models around them.
+// emulation runs an experiment in virtual time. Dispatchers, decision engines and retry guards are those of the router; hosts, clients
+// and the network are models.
 type emulation struct {
 	StormExperiment
 	timeline
@@ -22,21 +23,21 @@
 	routers        []*emulatedRouter
 	hosts          []*host
 	effects        standin.EffectLog
-	waitingClients []uint64 // clients that wait for an answer, a bit each
-	attempts       map[string]*attempt
-	serial         int
+	waitingClients []uint64            // bit set of the clients with an unfinished command
+	attempts       map[string]*attempt // by trace ID
+	serial         int                 // last trace ID
 	rollbackVotes  int
 }
 
-// host is the model of a host, with the requests that are at it.
+// host is the model of a host.
 type host struct {
 	*standin.Machine
 	name        string
-	start       int64
+	start       int64 // of the current incarnation, 0 for the first
 	build       int
-	inOutage    bool // with the outage
+	inOutage    bool // crashes in the outage
 	incarnation int
-	forwards    []*forward
+	forwards    []*forward // in flight at the host
 }
 
 // attempt is one attempt of a client's command.
@@ -49,7 +50,7 @@
 	ended  bool
 }
 
-// Emulate runs an experiment in virtual time.
+// Emulate runs an experiment in virtual time. Equal experiments give equal results, apart from Result.Seconds.
 func Emulate(exp StormExperiment) (Result, error) {
 	if err := exp.validate(); err != nil {
 		return Result{}, err
@@ -66,11 +67,11 @@
 		em.hosts = append(em.hosts, hostModel)
 	}
 	for rank := range exp.Routers {
-		limiter, observed, err := exp.newGuard(rank, 0)
+		limiter, detector, err := exp.newGuard(rank, 0)
 		if err != nil {
 			return Result{}, err
 		}
-		r := &emulatedRouter{emulation: em, index: rank, guard: observed}
+		r := &emulatedRouter{emulation: em, index: rank, guard: detector}
 		r.steppedRouter.timeline = &em.timeline
 		r.router = dispatch.New(func() int64 { return em.now + 1 }, zerolog.Nop())
 		release := decision.Rollout{Build: 1, State: decision.Released, ExposureCap: 1, Age: 60e9}
@@ -105,7 +106,7 @@
 	return result, nil
 }
 
-// scheduleOutages schedules what fails and returns. Hosts that crashed return cold, one after another within a second.
+// scheduleOutages schedules the outages and the recovery from them. Crashed hosts restart cold, one after another within a second.
 func (e *emulation) scheduleOutages() {
 	outage := func(at int64) {
 		switch e.Kind {
@@ -138,12 +139,13 @@
 	}
 }
 
-// sendHostList sends all routers the list of hosts, each after a random delay.
+// sendHostList sends the host list to all routers, each after a random delay of up to 300 ms. Unless complete is set, the list reports
+// all hosts as removed.
 func (e *emulation) sendHostList(complete bool) {
-	for _, n := range e.routers {
+	for _, r := range e.routers {
 		e.after(int64(e.rng.Float64()*3e8), func() {
-			n.router.Post(dispatch.HostsChanged{Kind: decision.Delta, Hosts: e.hostList(complete)})
-			n.pump()
+			r.router.Post(dispatch.HostsChanged{Kind: decision.Delta, Hosts: e.hostList(complete)})
+			r.pump()
 		})
 	}
 }
@@ -159,7 +161,7 @@
 	return hosts
 }
 
-// scheduleArrivals schedules the clients' commands: a Poisson stream from all clients that don't wait for an answer.
+// scheduleArrivals schedules the clients' commands as a Poisson process. A client with an unfinished command sends no other.
 func (e *emulation) scheduleArrivals() {
 	rate := e.commandRate()
 	inOutage := e.now >= int64(e.Warmup) && e.now < int64(e.Warmup+e.Outage)
@@ -170,7 +172,7 @@
 		client := int(e.rng.Float64() * float64(e.Clients))
 		if e.waitingClients[client/64]>>(client%64)&1 == 0 {
 			cmd := e.newCommand(e.now, client, &e.rng)
-			if !(e.Kind == "carrier" && inOutage && cmd.carrier != e.Carrier && e.rng.Float64() < 0.5) { // only its traffic doubles
+			if !(e.Kind == "carrier" && inOutage && cmd.carrier != e.Carrier && e.rng.Float64() < 0.5) { // drops the extra commands of the other carriers
 				e.waitingClients[client/64] |= 1 << (client % 64)
 				e.sendAttempt(cmd, client)
 			}
@@ -179,7 +181,7 @@
 	})
 }
 
-// recordCapacity records, step by step, the capacity of the hosts that the outage affects.
+// recordCapacity records the capacity of the affected hosts at each step: those that crash, or all hosts if none crashes.
 func (e *emulation) recordCapacity() {
 	for _, h := range e.hosts {
 		if h.inOutage || e.Kind == "list" || e.Kind == "carrier" || e.Kind == "none" {
@@ -189,35 +191,35 @@
 	e.after(int64(step), e.recordCapacity)
 }
 
-// sendAttempt sends one attempt to the client's router.
+// sendAttempt sends one attempt of a command to the client's router, and fails it if there is no answer in time.
 func (e *emulation) sendAttempt(cmd *command, client int) {
 	e.serial++
 	rank := client % e.Routers
 	if e.SkewRouters && client%10 != 0 {
 		rank = 0
 	}
-	at := &attempt{command: cmd, client: client, sent: e.now, router: e.routers[rank]}
-	patience := int64(cmd.behaviour.Patience * float64(experimentBands[cmd.band].Timeout))
+	a := &attempt{command: cmd, client: client, sent: e.now, router: e.routers[rank]}
+	patience := int64(cmd.behaviour.Patience * float64(requestClasses[cmd.class].Timeout))
 	e.recorder.recordAttempt(e.now, cmd)
 	trace := strconv.Itoa(e.serial)
-	e.attempts[trace] = at
-	at.call = &dispatch.Call{Class: cmd.band, Customer: cmd.carrier, Key: cmd.key, Deadline: e.now + patience, Retried: cmd.behaviour.SendsIdempotencyKey && cmd.attempts > 1,
-		Request: &dispatch.Request{TraceID: trace, IdempotencyKey: cmd.idempotencyKey}, Responder: at}
-	at.router.router.Post(dispatch.RequestReceived{Call: at.call})
-	at.router.pump()
+	e.attempts[trace] = a
+	a.call = &dispatch.Call{Class: cmd.class, Customer: cmd.carrier, Key: cmd.key, Deadline: e.now + patience, Retried: cmd.behaviour.SendsIdempotencyKey && cmd.attempts > 1,
+		Request: &dispatch.Request{TraceID: trace, IdempotencyKey: cmd.idempotencyKey}, Responder: a}
+	a.router.router.Post(dispatch.RequestReceived{Call: a.call})
+	a.router.pump()
 	e.after(patience+50e6, func() {
-		if !at.ended {
-			at.ended = true
-			e.recorder.recordOutcome(e.now, at.sent, cmd, false, false)
-			at.router.router.Post(dispatch.ClientGone{Call: at.call})
-			at.router.pump()
-			e.scheduleRetry(at, 0)
+		if !a.ended {
+			a.ended = true
+			e.recorder.recordOutcome(e.now, a.sent, cmd, false, false)
+			a.router.router.Post(dispatch.ClientGone{Call: a.call})
+			a.router.pump()
+			e.scheduleRetry(a, 0)
 		}
 		delete(e.attempts, trace)
 	})
 }
 
-// Respond receives the router's final answer.
+// Respond receives the router's final answer. The client gets it 500 µs later.
 func (a *attempt) Respond(answer dispatch.Answer) {
 	em := a.router.emulation
 	em.after(5e5, func() {
@@ -234,15 +236,16 @@
 	})
 }
 
-func (e *emulation) scheduleRetry(at *attempt, advised int64) {
-	wait, again := at.behaviour.NextRetry(at.attempts-1, advised, e.rng.Float64())
+func (e *emulation) scheduleRetry(a *attempt, advised int64) {
+	wait, again := a.behaviour.NextRetry(a.attempts-1, advised, e.rng.Float64())
 	if !again {
-		e.waitingClients[at.client/64] &^= 1 << (at.client % 64)
+		e.waitingClients[a.client/64] &^= 1 << (a.client % 64)
 		return
 	}
-	e.after(wait, func() { e.sendAttempt(at.command, at.client) })
+	e.after(wait, func() { e.sendAttempt(a.command, a.client) })
 }
 
+// crash stops the host and resets the connections of its requests in flight.
 func (h *host) crash() {
 	h.Stop()
 	h.incarnation++
